--- a/src/springmux/node/metrics.py
+++ b/src/springmux/node/metrics.py
@@ -9,6 +9,8 @@
 
 import msgspec
 
+from springmux.coordination.kernel import PeerMessage
+
 
 class MetricKind(enum.StrEnum):
     """Prometheus type of a metric."""
@@ -86,6 +88,15 @@
 )
 
 
+_LABELS_OF_SHORT_TAGS = {"use": "UsageReport", "sum": "UsageTotals", "zone-sum": "ZoneTotals"}
+
+
+def message_label(message: type[PeerMessage]) -> str:
+    """Return the label under which messages of a type are counted: the tag, spelled out where it is short."""
+    tag = str(message.__struct_config__.tag)
+    return _LABELS_OF_SHORT_TAGS.get(tag, tag)
+
+
 _SPECS = {spec.name: spec for spec in METRICS}
 _Place = tuple[str, ...]
 """A metric's name and its labels' values."""
--- a/src/springmux/node/peer_hello.py
+++ b/src/springmux/node/peer_hello.py
@@ -26,13 +26,13 @@
         self.reason = reason
 
 
-class Challenge(msgspec.Struct, frozen=True, tag=True):
+class Challenge(msgspec.Struct, frozen=True, tag="Challenge"):
     """First message, from the accepting side."""
 
     nonce: bytes
 
 
-class Hello(msgspec.Struct, frozen=True, tag=True):
+class Hello(msgspec.Struct, frozen=True, tag="Hello"):
     """The connecting side's names. ``boot`` differs at each start of its process."""
 
     fleet: str
@@ -43,7 +43,7 @@
     proof: bytes = b""
 
 
-class Welcome(msgspec.Struct, frozen=True, tag=True):
+class Welcome(msgspec.Struct, frozen=True, tag="Welcome"):
     """The accepting side's names."""
 
     fleet: str
--- a/src/springmux/node/peer_transport.py
+++ b/src/springmux/node/peer_transport.py
@@ -17,7 +17,7 @@
 from springmux.coordination.membership.view import MembershipView
 from springmux.node.addresses import split_address
 from springmux.node.logs import EventLog
-from springmux.node.metrics import NodeMetrics
+from springmux.node.metrics import NodeMetrics, message_label
 from springmux.node.peer_channel import Outgoing, PeerChannel
 from springmux.node.peer_frames import MAX_MESSAGE_BYTES
 from springmux.node.peer_hello import HelloKeeper
@@ -109,7 +109,7 @@
         record = self._membership().nodes.get(to)
         if record is None:
             self._metrics.count("peer_dropped_messages_total", "unknown_node")
-            self._unknown.dropped(to, type(message).__name__, asyncio.get_running_loop().time())
+            self._unknown.dropped(to, message_label(type(message)), asyncio.get_running_loop().time())
             return
         self.send_to_address(record.peer_address, message)
 
@@ -123,14 +123,14 @@
         except (OverflowError, UnicodeError) as error:
             # A peer may have handed in what can't be passed on; that is no reason to end.
             self._metrics.count("peer_dropped_messages_total", "unencodable")
-            name = type(message).__name__
+            name = message_label(type(message))
             self._log.write("peer_message_unencodable", NoteLevel.ERROR, message=name, error=str(error))
             return
         if len(data) > MAX_MESSAGE_BYTES:
             self._metrics.count("peer_dropped_messages_total", "too_large")
             return
         lane = "large" if len(data) >= LARGE_BYTES else "small"
-        self._channel(address, lane).send(Outgoing(type(message).__name__, data))
+        self._channel(address, lane).send(Outgoing(message_label(type(message)), data))
 
     def _channel(self, address: Address, lane: str) -> PeerChannel:
         found = self._channels.get((address, lane))
@@ -199,6 +199,6 @@
 
     def _count_received(self, event: Event, size_bytes: int) -> None:
         if isinstance(event, MessageReceived):
-            name = type(event.message).__name__
+            name = message_label(type(event.message))
             self._metrics.count("peer_received_messages_total", name)
             self._metrics.count("peer_received_bytes_total", name, amount=size_bytes)
--- a/src/springmux/node/storage_worker.py
+++ b/src/springmux/node/storage_worker.py
@@ -36,6 +36,13 @@
 STALL_AFTER_S = 0.25
 """A write that waits longer is reported; well under an election timeout, so a leader can hand over."""
 
+FAILURE_KINDS: dict[type[Event], str] = {
+    PersistFailed: "PersistFailed",
+    SnapshotFailed: "SnapshotFailed",
+    ClaimsPersistFailed: "ClaimsPersistFailed",
+}
+"""Failures and the labels that they are counted under."""
+
 
 class Store(Protocol):
     """Blocking storage of one replica (:class:`springmux.storage.store.ReplicaStore`)."""
@@ -117,7 +124,7 @@
         waited_s = self._loop.time() - self._waiting_since.popleft()
         self._metrics.observe("storage_write_seconds", waited_s)
         if isinstance(event, PersistFailed | SnapshotFailed | ClaimsPersistFailed):
-            self._metrics.count("storage_failures_total", type(event).__name__)
+            self._metrics.count("storage_failures_total", FAILURE_KINDS[type(event)])
         if event is not None:
             self._deliver(event)
 
--- /dev/null
+++ b/tests/unit/compatibility/encoded_types.py
@@ -0,0 +1,50 @@
+"""Every type that nodes send to each other or keep on disk, under the name that its example carries."""
+
+from __future__ import annotations
+
+import msgspec
+
+from springmux.agent import wire
+from springmux.control.commands import AnyCommand
+from springmux.control.state_image import StateImage
+from springmux.coordination.claims.journal import ClaimEntry
+from springmux.coordination.consensus.types import GroupMembers, SnapshotMeta
+from springmux.coordination.membership.remembered import RememberedPeer
+from springmux.node.peer_hello import Handshake
+from springmux.storage.claim_journal_file import JournalStart
+from springmux.storage.records import BatchRecord, SegmentStart
+
+UNTAGGED: dict[str, type[msgspec.Struct]] = {
+    "log/segment-start": SegmentStart,
+    "log/batch": BatchRecord,
+    "log/group-members": GroupMembers,
+    "snapshot/meta": SnapshotMeta,
+    "snapshot/state": StateImage,
+    "claims/start": JournalStart,
+    "peers/peer": RememberedPeer,
+}
+"""Types without a tag, by the file that holds them and what they are there."""
+
+
+def tag_of(encoded_type: type[msgspec.Struct]) -> str:
+    """Return the tag that stands for a type in its encoded form."""
+    tag = encoded_type.__struct_config__.tag
+    assert isinstance(tag, str), f"{encoded_type.__name__} has no tag"
+    return tag
+
+
+def encoded_types() -> dict[str, type[msgspec.Struct]]:
+    """Return the types by name; the name of a tagged one ends in its tag."""
+    named = dict(UNTAGGED)
+    groups: dict[str, tuple[type[msgspec.Struct], ...]] = {
+        "message": wire.ALL_MESSAGES,
+        "handshake": Handshake.__args__,
+        "command": AnyCommand.__args__,
+        "claims": ClaimEntry.__args__,
+    }
+    for group, members in groups.items():
+        for member in members:
+            name = f"{group}/{tag_of(member)}"
+            assert name not in named, f"two types have the tag of {name}"
+            named[name] = member
+    return named
