--- a/src/springmux/agent/directory/messages.py
+++ b/src/springmux/agent/directory/messages.py
@@ -16,7 +16,7 @@
     incarnation: int
 
 
-class DirectoryRelay(PeerMessage, frozen=True):
+class DirectoryRelay(PeerMessage, frozen=True, tag="DirectoryRelay"):
     """Changed entries; the receiver relays them to the nodes of its zone in ``[low, high)``."""
 
     entries: tuple[DirectoryEntry, ...]
@@ -25,36 +25,36 @@
     high: int = 0
 
 
-class DirectoryHeard(PeerMessage, frozen=True):
+class DirectoryHeard(PeerMessage, frozen=True, tag="DirectoryHeard"):
     """The sender heard these engines just now; sent to their home nodes."""
 
     lives: tuple[EngineLife, ...]
 
 
-class DirectorySilent(PeerMessage, frozen=True):
+class DirectorySilent(PeerMessage, frozen=True, tag="DirectorySilent"):
     """A home's vote: it has heard nothing of these engines for the time limit."""
 
     lives: tuple[EngineLife, ...]
 
 
-class DirectoryDigest(PeerMessage, frozen=True):
+class DirectoryDigest(PeerMessage, frozen=True, tag="DirectoryDigest"):
     """Hash of the sender's whole directory. ``answer_wanted``: say so also if the receiver's is the same."""
 
     root: int
     answer_wanted: bool = False
 
 
-class DirectoryInStep(PeerMessage, frozen=True):
+class DirectoryInStep(PeerMessage, frozen=True, tag="DirectoryInStep"):
     """Answer to a digest: the sender has the same directory, and isn't catching up itself."""
 
 
-class DirectoryBuckets(PeerMessage, frozen=True):
+class DirectoryBuckets(PeerMessage, frozen=True, tag="DirectoryBuckets"):
     """Answer to a digest that differs: the hash of each bucket, four bytes each."""
 
     hashes: bytes
 
 
-class DirectoryEntries(PeerMessage, frozen=True):
+class DirectoryEntries(PeerMessage, frozen=True, tag="DirectoryEntries"):
     """The sender's entries of ``buckets``; with ``answer_wanted`` the receiver sends what is newer."""
 
     entries: tuple[DirectoryEntry, ...]
--- a/src/springmux/agent/messages.py
+++ b/src/springmux/agent/messages.py
@@ -5,13 +5,13 @@
 from springmux.coordination.kernel import PeerMessage
 
 
-class TransferWish(PeerMessage, frozen=True):
+class TransferWish(PeerMessage, frozen=True, tag="TransferWish"):
     """Hand leadership to ``target`` (a replica's identity), or to any where it is empty."""
 
     target: str
 
 
-class RemovalWish(PeerMessage, frozen=True):
+class RemovalWish(PeerMessage, frozen=True, tag="RemovalWish"):
     """Remove a replica from the control group."""
 
     replica: str
--- a/src/springmux/control/commands.py
+++ b/src/springmux/control/commands.py
@@ -37,14 +37,14 @@
 chooses the plan's canary by what it measures, so a resend to another node may carry another plan."""
 
 
-class Command(msgspec.Struct, frozen=True, tag=True, omit_defaults=True, kw_only=True):
+class Command(msgspec.Struct, frozen=True, omit_defaults=True, kw_only=True):
     """Base of every command. ``issued_by`` is an operator's name or ``"system"``."""
 
     order: OrderId
     issued_by: str = "operator"
 
 
-class ApplyConfiguration(Command, frozen=True, kw_only=True):
+class ApplyConfiguration(Command, frozen=True, kw_only=True, tag="ApplyConfiguration"):
     """Make ``document`` (JSON) configuration number ``version``, which must be the present one plus 1.
 
     ``partial``: the document is a JSON Merge Patch (RFC 7396) on the present one.
@@ -55,7 +55,7 @@
     partial: bool = False
 
 
-class ApplyGateway(Command, frozen=True, kw_only=True):
+class ApplyGateway(Command, frozen=True, kw_only=True, tag="ApplyGateway"):
     """Change the gateway's configuration if it is still at ``base_version`` (0: there is none yet).
 
     ``document``: JSON, see :mod:`springmux.control.gateway_change`. ``partial``: it names single items to
@@ -67,19 +67,19 @@
     partial: bool = False
 
 
-class PutTenant(Command, frozen=True, kw_only=True):
+class PutTenant(Command, frozen=True, kw_only=True, tag="PutTenant"):
     """Create or replace a tenant."""
 
     tenant: Tenant
 
 
-class RemoveTenant(Command, frozen=True, kw_only=True):
+class RemoveTenant(Command, frozen=True, kw_only=True, tag="RemoveTenant"):
     """Remove a tenant and revoke its keys."""
 
     tenant: TenantName
 
 
-class PutKey(Command, frozen=True, kw_only=True):
+class PutKey(Command, frozen=True, kw_only=True, tag="PutKey"):
     """Register the digest of a key for a tenant."""
 
     key: KeyId
@@ -87,20 +87,20 @@
     tenant: TenantName
 
 
-class RevokeKey(Command, frozen=True, kw_only=True):
+class RevokeKey(Command, frozen=True, kw_only=True, tag="RevokeKey"):
     """Revoke a key: refused from its next request on, running streams end."""
 
     key: KeyId
 
 
-class PutTemplate(Command, frozen=True, kw_only=True):
+class PutTemplate(Command, frozen=True, kw_only=True, tag="PutTemplate"):
     """Create or replace a rollout template (JSON, see :mod:`springmux.rollout.template`)."""
 
     name: str
     document: bytes
 
 
-class PromoteRollout(Command, frozen=True, kw_only=True):
+class PromoteRollout(Command, frozen=True, kw_only=True, tag="PromoteRollout"):
     """Begin a rollout under a plan; conflicts with one under way for the service.
 
     ``stable``: the version released now, as the node that took the order knows it from the engines. It
@@ -112,19 +112,19 @@
     stable: VersionName = VersionName("")
 
 
-class PauseRollout(Command, frozen=True, kw_only=True):
+class PauseRollout(Command, frozen=True, kw_only=True, tag="PauseRollout"):
     """Send nothing more to the candidate and stop the rollout's clock."""
 
     service: ServiceName
 
 
-class ResumeRollout(Command, frozen=True, kw_only=True):
+class ResumeRollout(Command, frozen=True, kw_only=True, tag="ResumeRollout"):
     """Go on with a paused rollout."""
 
     service: ServiceName
 
 
-class AbortRollout(Command, frozen=True, kw_only=True):
+class AbortRollout(Command, frozen=True, kw_only=True, tag="AbortRollout"):
     """End a rollout and return everything to the stable version. ``rollout`` empty: whichever runs."""
 
     service: ServiceName
@@ -132,7 +132,7 @@
     decision: RolloutDecision | None = None
 
 
-class SetRolloutStep(Command, frozen=True, kw_only=True):
+class SetRolloutStep(Command, frozen=True, kw_only=True, tag="SetRolloutStep"):
     """The leader raises the weight, or at the same weight notes the time used.
 
     Ignored unless the rollout runs. ``step`` counts the raises; a note carries the present number.
@@ -146,7 +146,7 @@
     elapsed_s: float
 
 
-class FinishRollout(Command, frozen=True, kw_only=True):
+class FinishRollout(Command, frozen=True, kw_only=True, tag="FinishRollout"):
     """The leader marks the candidate stable."""
 
     service: ServiceName
@@ -154,7 +154,7 @@
     elapsed_s: float
 
 
-class SetClaimRing(Command, frozen=True, kw_only=True):
+class SetClaimRing(Command, frozen=True, kw_only=True, tag="SetClaimRing"):
     """The leader changes who may hold at-most-once claims; ``ring.version`` is the present one plus 1."""
 
     ring: ClaimRing
--- a/src/springmux/control/delivery/messages.py
+++ b/src/springmux/control/delivery/messages.py
@@ -31,7 +31,7 @@
     """An image of the whole control state."""
 
 
-class PushCommands(PeerMessage, frozen=True):
+class PushCommands(PeerMessage, frozen=True, tag="PushCommands"):
     """New commands from the leader, to be passed on to ``relay_to``.
 
     Without ``commands`` it says only that ``revision`` is there to be fetched.
@@ -43,7 +43,7 @@
     relay_to: tuple[NodeId, ...] = ()
 
 
-class FetchState(PeerMessage, frozen=True):
+class FetchState(PeerMessage, frozen=True, tag="FetchState"):
     """Ask for what follows ``revision``; with ``kind``, for a transfer's bytes from ``offset`` on."""
 
     request: int
@@ -53,7 +53,7 @@
     offset: int = 0
 
 
-class StateChunk(PeerMessage, frozen=True):
+class StateChunk(PeerMessage, frozen=True, tag="StateChunk"):
     """Bytes of a transfer that brings the asker to ``target``.
 
     ``checksum`` is of all its bytes; after ``window_end`` the asker asks for more.
@@ -69,20 +69,20 @@
     window_end: int
 
 
-class NothingNewer(PeerMessage, frozen=True):
+class NothingNewer(PeerMessage, frozen=True, tag="NothingNewer"):
     """The asked node is at ``revision`` itself, no further than the asker."""
 
     request: int
     revision: Revision
 
 
-class AskRevision(PeerMessage, frozen=True):
+class AskRevision(PeerMessage, frozen=True, tag="AskRevision"):
     """Ask the leader which revision is the newest acknowledged, confirmed by a quorum after this."""
 
     request: int
 
 
-class RevisionConfirmed(PeerMessage, frozen=True):
+class RevisionConfirmed(PeerMessage, frozen=True, tag="RevisionConfirmed"):
     """Answer to :class:`AskRevision`: nothing newer than ``revision`` had been acknowledged then."""
 
     request: int
--- a/src/springmux/control/freshness/messages.py
+++ b/src/springmux/control/freshness/messages.py
@@ -6,13 +6,13 @@
 from springmux.coordination.kernel import PeerMessage
 
 
-class AskFreshness(PeerMessage, frozen=True):
+class AskFreshness(PeerMessage, frozen=True, tag="AskFreshness"):
     """Ask a node how old its proof is. ``request`` tells answers apart."""
 
     request: int
 
 
-class FreshnessTold(PeerMessage, frozen=True):
+class FreshnessTold(PeerMessage, frozen=True, tag="FreshnessTold"):
     """Answer to :class:`AskFreshness`.
 
     Everything acknowledged up to ``age_ms`` before this was sent is in ``revision``. ``age_ms`` is -1 where
--- a/src/springmux/control/order_messages.py
+++ b/src/springmux/control/order_messages.py
@@ -7,21 +7,21 @@
 from springmux.vocabulary.errors import ErrorCode
 
 
-class ForwardOrder(PeerMessage, frozen=True):
+class ForwardOrder(PeerMessage, frozen=True, tag="ForwardOrder"):
     """Have the leader decide a command. ``key`` names order and command in the answer."""
 
     key: str
     data: bytes
 
 
-class OrderDecided(PeerMessage, frozen=True):
+class OrderDecided(PeerMessage, frozen=True, tag="OrderDecided"):
     """The leader's answer: the command is committed and applied there."""
 
     key: str
     result: CommandResult
 
 
-class OrderNotTaken(PeerMessage, frozen=True):
+class OrderNotTaken(PeerMessage, frozen=True, tag="OrderNotTaken"):
     """The leader took nothing of this attempt (its disk is full, or it has too many)."""
 
     key: str
--- a/src/springmux/coordination/claims/journal.py
+++ b/src/springmux/coordination/claims/journal.py
@@ -15,20 +15,20 @@
 from springmux.coordination.identifiers import NodeId, ReplicaId
 
 
-class ClaimKept(msgspec.Struct, frozen=True, array_like=True, tag=True, omit_defaults=True):
+class ClaimKept(msgspec.Struct, frozen=True, array_like=True, omit_defaults=True, tag="ClaimKept"):
     """A key's record as it is now. ``granted``: the ticket that this holder itself granted, if any."""
 
     record: ClaimRecord
     granted: ClaimTicket | None = None
 
 
-class ClaimFreed(msgspec.Struct, frozen=True, array_like=True, tag=True):
+class ClaimFreed(msgspec.Struct, frozen=True, array_like=True, tag="ClaimFreed"):
     """A key was withdrawn, pushed out or is past the window."""
 
     key: str
 
 
-class HolderState(msgspec.Struct, frozen=True, array_like=True, tag=True):
+class HolderState(msgspec.Struct, frozen=True, array_like=True, tag="HolderState"):
     """Written only while the memory is whole: how far it reaches.
 
     ``rings``: the newest rings without a gap. ``complete``: for each peer the ring version under
--- a/src/springmux/coordination/claims/messages.py
+++ b/src/springmux/coordination/claims/messages.py
@@ -52,7 +52,7 @@
     """This ticket was withdrawn before."""
 
 
-class ClaimRequest(PeerMessage, frozen=True):
+class ClaimRequest(PeerMessage, frozen=True, tag="ClaimRequest"):
     """Ask a holder for a key; ``since``..``until`` are the ring versions with the same holders."""
 
     ticket: ClaimTicket
@@ -61,7 +61,7 @@
     until: int
 
 
-class ClaimReply(PeerMessage, frozen=True):
+class ClaimReply(PeerMessage, frozen=True, tag="ClaimReply"):
     """A holder's answer to :class:`ClaimRequest`.
 
     ``boot``: the holder's own; ``peer_boots``: those of the other holders as it knows them. Two grants
@@ -77,7 +77,7 @@
     answer: bytes = b""
 
 
-class ClaimSettle(PeerMessage, frozen=True):
+class ClaimSettle(PeerMessage, frozen=True, tag="ClaimSettle"):
     """The claimant's last word on a ticket, resent until acknowledged.
 
     ``ran`` false: withdrawn or never dispatched, the key is free for others.
@@ -89,13 +89,13 @@
     answer: bytes = b""
 
 
-class ClaimSettleTaken(PeerMessage, frozen=True):
+class ClaimSettleTaken(PeerMessage, frozen=True, tag="ClaimSettleTaken"):
     """A holder has taken a :class:`ClaimSettle`."""
 
     ticket: ClaimTicket
 
 
-class ClaimPull(PeerMessage, frozen=True):
+class ClaimPull(PeerMessage, frozen=True, tag="ClaimPull"):
     """Ask a peer for its records of keys that the sender holds under ring ``version``.
 
     ``peer_boot`` and ``after``: the peer's boot and journal position that the sender already has.
@@ -111,7 +111,7 @@
     anchors: tuple[str, ...] = ()
 
 
-class ClaimPage(PeerMessage, frozen=True):
+class ClaimPage(PeerMessage, frozen=True, tag="ClaimPage"):
     """Part of the answer to :class:`ClaimPull`; ``upto`` is the journal position reached.
 
     ``intact`` false: the peer's own memory began after its last start (or its disk was wiped) and is not
--- a/src/springmux/coordination/consensus/messages.py
+++ b/src/springmux/coordination/consensus/messages.py
@@ -20,20 +20,20 @@
     term: Term
 
 
-class RaftPreVote(ReplicaMessage, frozen=True):
+class RaftPreVote(ReplicaMessage, frozen=True, tag="RaftPreVote"):
     """Would you vote for me in ``term`` (the sender's next)? (Ongaro 2014, section 9.6)."""
 
     last_index: LogIndex
     last_term: Term
 
 
-class RaftPreVoteReply(ReplicaMessage, frozen=True):
+class RaftPreVoteReply(ReplicaMessage, frozen=True, tag="RaftPreVoteReply"):
     """Answer to a pre-vote: ``term`` as asked if granted, else the voter's own."""
 
     granted: bool
 
 
-class RaftVote(ReplicaMessage, frozen=True):
+class RaftVote(ReplicaMessage, frozen=True, tag="RaftVote"):
     """RequestVote (Raft, figure 2). ``transfer``: the former leader asked for this election."""
 
     last_index: LogIndex
@@ -41,13 +41,13 @@
     transfer: bool = False
 
 
-class RaftVoteReply(ReplicaMessage, frozen=True):
+class RaftVoteReply(ReplicaMessage, frozen=True, tag="RaftVoteReply"):
     """Answer to a vote request; a granted vote is on disk."""
 
     granted: bool
 
 
-class RaftAppend(ReplicaMessage, frozen=True):
+class RaftAppend(ReplicaMessage, frozen=True, tag="RaftAppend"):
     """AppendEntries (Raft, figure 2)."""
 
     previous_index: LogIndex
@@ -56,7 +56,7 @@
     entries: tuple[Entry, ...] = ()
 
 
-class RaftAppendReply(ReplicaMessage, frozen=True):
+class RaftAppendReply(ReplicaMessage, frozen=True, tag="RaftAppendReply"):
     """Answer to an append. Accepted: entries up to ``index`` match and are on disk.
 
     Refused: ``index`` echoes ``previous_index``; ``hint_index`` and ``hint_term`` name the newest
@@ -69,14 +69,14 @@
     hint_term: Term = Term(0)
 
 
-class RaftHeartbeat(ReplicaMessage, frozen=True):
+class RaftHeartbeat(ReplicaMessage, frozen=True, tag="RaftHeartbeat"):
     """Sign of life, never behind entries. ``round`` also confirms reads (Ongaro 2014, section 6.4)."""
 
     commit: LogIndex
     round: int
 
 
-class RaftHeartbeatReply(ReplicaMessage, frozen=True):
+class RaftHeartbeatReply(ReplicaMessage, frozen=True, tag="RaftHeartbeatReply"):
     """Answer to a heartbeat. ``storage_ready``: the disk neither stalls nor is full.
 
     ``leaving``: the sender's process is about to stop.
@@ -87,7 +87,7 @@
     leaving: bool = False
 
 
-class RaftSnapshotChunk(ReplicaMessage, frozen=True):
+class RaftSnapshotChunk(ReplicaMessage, frozen=True, tag="RaftSnapshotChunk"):
     """A part of a snapshot (Ongaro 2014, section 5.3)."""
 
     meta: SnapshotMeta
@@ -95,36 +95,36 @@
     data: bytes
 
 
-class RaftSnapshotReply(ReplicaMessage, frozen=True):
+class RaftSnapshotReply(ReplicaMessage, frozen=True, tag="RaftSnapshotReply"):
     """Answer to a chunk: ``wanted`` is the next offset; -1 once the snapshot is installed."""
 
     index: LogIndex
     wanted: int
 
 
-class RaftTimeoutNow(ReplicaMessage, frozen=True):
+class RaftTimeoutNow(ReplicaMessage, frozen=True, tag="RaftTimeoutNow"):
     """Start an election at once (Ongaro 2014, section 3.10)."""
 
 
-class RaftWelcome(ReplicaMessage, frozen=True):
+class RaftWelcome(ReplicaMessage, frozen=True, tag="RaftWelcome"):
     """The group's leader tells a new replica that it is a member."""
 
     members: GroupMembers
 
 
-class RaftFoundingRequest(ReplicaMessage, frozen=True):
+class RaftFoundingRequest(ReplicaMessage, frozen=True, tag="RaftFoundingRequest"):
     """Promise me for a short time to found no other group. ``group`` is the proposed identity."""
 
 
-class RaftFoundingPromise(ReplicaMessage, frozen=True):
+class RaftFoundingPromise(ReplicaMessage, frozen=True, tag="RaftFoundingPromise"):
     """The promise is given."""
 
 
-class RaftFoundingRelease(ReplicaMessage, frozen=True):
+class RaftFoundingRelease(ReplicaMessage, frozen=True, tag="RaftFoundingRelease"):
     """The founder gave this founding up before it was complete: the promise needn't be kept."""
 
 
-class RaftFoundingCommit(ReplicaMessage, frozen=True):
+class RaftFoundingCommit(ReplicaMessage, frozen=True, tag="RaftFoundingCommit"):
     """Everyone promised: the group exists with these members."""
 
     members: GroupMembers
@@ -132,13 +132,13 @@
     """How many of the members the sender knows to be gone for good."""
 
 
-class RaftFoundingUnborn(ReplicaMessage, frozen=True):
+class RaftFoundingUnborn(ReplicaMessage, frozen=True, tag="RaftFoundingUnborn"):
     """Answer of a member whose log is still empty. ``gone`` echoes the commit."""
 
     gone: int = 0
 
 
-class RaftFoundingRefusal(PeerMessage, frozen=True):
+class RaftFoundingRefusal(PeerMessage, frozen=True, tag="RaftFoundingRefusal"):
     """The addressed replica can't be part of ``group``: it has another identity or another group.
 
     ``own_group`` is empty for a replica without a group; ``commit`` tells how far its group is.
@@ -153,7 +153,7 @@
     joins_only: bool = False
 
 
-class RaftJoinRequest(PeerMessage, frozen=True):
+class RaftJoinRequest(PeerMessage, frozen=True, tag="RaftJoinRequest"):
     """A replica asks to be a member; any controller forwards it once to its leader.
 
     ``joins_only``: the replica may not found any group.
@@ -166,7 +166,7 @@
     joins_only: bool = False
 
 
-class RaftForeignGroup(PeerMessage, frozen=True):
+class RaftForeignGroup(PeerMessage, frozen=True, tag="RaftForeignGroup"):
     """An established group tells a replica of another one, which never committed, about itself."""
 
     target: ReplicaId
--- a/src/springmux/coordination/kernel.py
+++ b/src/springmux/coordination/kernel.py
@@ -27,7 +27,7 @@
     """Something that a part asks its driver to do."""
 
 
-class PeerMessage(msgspec.Struct, frozen=True, array_like=True, tag=True, omit_defaults=True):
+class PeerMessage(msgspec.Struct, frozen=True, array_like=True, omit_defaults=True):
     """Base of every message between nodes. The class name is the wire tag, so it is unique in the fleet.
 
     Fields may be added at the end with a default; readers ignore what they don't know.
--- a/src/springmux/coordination/membership/contact_messages.py
+++ b/src/springmux/coordination/membership/contact_messages.py
@@ -5,7 +5,7 @@
 from springmux.coordination.kernel import PeerMessage
 
 
-class ContactBeat(PeerMessage, frozen=True):
+class ContactBeat(PeerMessage, frozen=True, tag="ContactBeat"):
     """Heartbeat that proves a round trip: ``echo`` is the receiver's newest sequence seen by the sender.
 
     ``answer`` marks an answer outside the sender's own rhythm, which is never answered.
@@ -16,7 +16,7 @@
     answer: bool = False
 
 
-class ContactBeacon(PeerMessage, frozen=True):
+class ContactBeacon(PeerMessage, frozen=True, tag="ContactBeacon"):
     """The leader's proof of contact, relayed down a tree.
 
     ``age_ms``: time since the leader, confirmed by its quorum, reached a majority of the nodes; -1 if
@@ -32,7 +32,7 @@
     counted: bool = False
 
 
-class ContactCount(PeerMessage, frozen=True):
+class ContactCount(PeerMessage, frozen=True, tag="ContactCount"):
     """``nodes`` nodes of the sender's subtree have got the beacon ``sequence`` of ``term``."""
 
     term: int
@@ -40,7 +40,7 @@
     nodes: int
 
 
-class ContactVector(PeerMessage, frozen=True):
+class ContactVector(PeerMessage, frozen=True, tag="ContactVector"):
     """Ages of evidence of all nodes of a roster, four bits each (see ``contact_vector``)."""
 
     roster: int
--- a/src/springmux/coordination/membership/messages.py
+++ b/src/springmux/coordination/membership/messages.py
@@ -28,7 +28,7 @@
 NO_NEWS = Piggyback()
 
 
-class MemberPing(PeerMessage, frozen=True):
+class MemberPing(PeerMessage, frozen=True, tag="MemberPing"):
     """Are you there? ``incarnation`` is the sender's own."""
 
     sequence: int
@@ -36,7 +36,7 @@
     news: Piggyback = NO_NEWS
 
 
-class MemberAck(PeerMessage, frozen=True):
+class MemberAck(PeerMessage, frozen=True, tag="MemberAck"):
     """Answer to a ping, direct or through a helper."""
 
     sequence: int
@@ -44,13 +44,13 @@
     news: Piggyback = NO_NEWS
 
 
-class MemberNack(PeerMessage, frozen=True):
+class MemberNack(PeerMessage, frozen=True, tag="MemberNack"):
     """A helper's word that it works but the target didn't answer it (Lifeguard, section III-A)."""
 
     sequence: int
 
 
-class MemberPingRequest(PeerMessage, frozen=True):
+class MemberPingRequest(PeerMessage, frozen=True, tag="MemberPingRequest"):
     """Probe ``target`` for the sender (SWIM, section 3.1)."""
 
     sequence: int
@@ -58,25 +58,25 @@
     news: Piggyback = NO_NEWS
 
 
-class MemberGossip(PeerMessage, frozen=True):
+class MemberGossip(PeerMessage, frozen=True, tag="MemberGossip"):
     """News between probes, sent only while there is any."""
 
     news: Piggyback
 
 
-class MemberJoin(PeerMessage, frozen=True):
+class MemberJoin(PeerMessage, frozen=True, tag="MemberJoin"):
     """First message of a node to a seed address."""
 
     record: NodeRecord
 
 
-class MemberDigest(PeerMessage, frozen=True):
+class MemberDigest(PeerMessage, frozen=True, tag="MemberDigest"):
     """Hashes of the sender's present records by bucket, four bytes each."""
 
     hashes: bytes
 
 
-class MemberState(PeerMessage, frozen=True):
+class MemberState(PeerMessage, frozen=True, tag="MemberState"):
     """Records of ``buckets``; with ``answer_wanted`` the receiver sends its own of the same buckets."""
 
     records: tuple[NodeRecord, ...]
--- a/src/springmux/coordination/quota/messages.py
+++ b/src/springmux/coordination/quota/messages.py
@@ -42,7 +42,7 @@
     coming: bool = False
 
 
-class QuotaAsk(PeerMessage, frozen=True):
+class QuotaAsk(PeerMessage, frozen=True, tag="QuotaAsk"):
     """A node's active accounts of one owner. A later ``sequence`` of a ``boot`` replaces earlier ones."""
 
     boot: int
@@ -50,7 +50,7 @@
     demands: tuple[AccountDemand, ...]
 
 
-class QuotaShare(PeerMessage, frozen=True):
+class QuotaShare(PeerMessage, frozen=True, tag="QuotaShare"):
     """The owner's answer to the ask with the same ``boot`` and ``sequence``."""
 
     boot: int
--- a/src/springmux/lab/records.py
+++ b/src/springmux/lab/records.py
@@ -13,7 +13,7 @@
 import msgspec
 
 
-class Arrival(msgspec.Struct, frozen=True, tag=True):
+class Arrival(msgspec.Struct, frozen=True, tag="Arrival"):
     """A request reached a back end. ``request`` is its ``X-Request-Id``."""
 
     at_s: float
@@ -24,7 +24,7 @@
     request: str
 
 
-class Ending(msgspec.Struct, frozen=True, tag=True):
+class Ending(msgspec.Struct, frozen=True, tag="Ending"):
     """A back end is through with a request. ``bad``: the version's planned fault touched the answer."""
 
     at_s: float
@@ -35,7 +35,7 @@
     bad: bool
 
 
-class Execution(msgspec.Struct, frozen=True, tag=True):
+class Execution(msgspec.Struct, frozen=True, tag="Execution"):
     """A service carried out an action (its effect happened)."""
 
     at_s: float
--- a/src/springmux/rollout/messages.py
+++ b/src/springmux/rollout/messages.py
@@ -9,7 +9,7 @@
 from springmux.vocabulary.names import RolloutId, ServiceName
 
 
-class RolloutToken(PeerMessage, frozen=True):
+class RolloutToken(PeerMessage, frozen=True, tag="RolloutToken"):
     """The circulating token: one lap of one ring.
 
     ``issuer`` launched the lap and gets it back. ``(term, sequence)`` grows with every lap; a node takes each
@@ -31,7 +31,7 @@
         return (self.term, self.sequence)
 
 
-class RolloutTokenAck(PeerMessage, frozen=True):
+class RolloutTokenAck(PeerMessage, frozen=True, tag="RolloutTokenAck"):
     """The token of this lap arrived; its sender need not skip the receiver."""
 
     term: Term
@@ -39,7 +39,7 @@
     ring: int
 
 
-class RolloutAbortNotice(PeerMessage, frozen=True):
+class RolloutAbortNotice(PeerMessage, frozen=True, tag="RolloutAbortNotice"):
     """A holder's merged evidence calls for an abort; sent ahead of the token's own flag."""
 
     service: ServiceName
--- a/src/springmux/simulation/scenario_faults.py
+++ b/src/springmux/simulation/scenario_faults.py
@@ -12,31 +12,31 @@
     index: int
 
 
-class EngineCrash(EngineFault, frozen=True, kw_only=True):
+class EngineCrash(EngineFault, frozen=True, kw_only=True, tag="EngineCrash"):
     """It vanishes, and comes back under its name with a cold cache after ``back_after_s`` (0: never)."""
 
     back_after_s: float = 0.0
 
 
-class EngineDark(EngineFault, frozen=True, kw_only=True):
+class EngineDark(EngineFault, frozen=True, kw_only=True, tag="EngineDark"):
     """It accepts connections and says nothing for ``dark_s``, then works again."""
 
     dark_s: float
 
 
-class EngineReplaced(EngineFault, frozen=True, kw_only=True):
+class EngineReplaced(EngineFault, frozen=True, kw_only=True, tag="EngineReplaced"):
     """It drains, leaves after ``grace_s``, and a new one takes its address."""
 
     grace_s: float
 
 
-class MoveNode(NodeFault, frozen=True, kw_only=True):
+class MoveNode(NodeFault, frozen=True, kw_only=True, tag="MoveNode"):
     """The machine has another address from its next start on."""
 
     address: str
 
 
-class PowerCutAfterAnswer(Fault, frozen=True, kw_only=True):
+class PowerCutAfterAnswer(Fault, frozen=True, kw_only=True, tag="PowerCutAfterAnswer"):
     """The leader loses power at the moment of the next accepted order, and is back after ``back_after_s``."""
 
     back_after_s: float
--- a/src/springmux/simulation/world/faults.py
+++ b/src/springmux/simulation/world/faults.py
@@ -10,7 +10,7 @@
 from springmux.coordination.identifiers import NodeId, ZoneName
 
 
-class Fault(msgspec.Struct, frozen=True, tag=True, kw_only=True):
+class Fault(msgspec.Struct, frozen=True, kw_only=True):
     """Something that happens to the world at virtual time ``at`` (seconds)."""
 
     at: float
@@ -22,38 +22,38 @@
     node: NodeId
 
 
-class Kill(NodeFault, frozen=True, kw_only=True):
+class Kill(NodeFault, frozen=True, kw_only=True, tag="Kill"):
     """The process ends at once; what it had in memory is gone."""
 
 
-class Restart(NodeFault, frozen=True, kw_only=True):
+class Restart(NodeFault, frozen=True, kw_only=True, tag="Restart"):
     """The process starts again (ended first if it runs)."""
 
 
-class Freeze(NodeFault, frozen=True, kw_only=True):
+class Freeze(NodeFault, frozen=True, kw_only=True, tag="Freeze"):
     """The process stands still; what comes for it is queued."""
 
 
-class Thaw(NodeFault, frozen=True, kw_only=True):
+class Thaw(NodeFault, frozen=True, kw_only=True, tag="Thaw"):
     """The process goes on, and everything queued reaches it at once."""
 
 
-class Wipe(NodeFault, frozen=True, kw_only=True):
+class Wipe(NodeFault, frozen=True, kw_only=True, tag="Wipe"):
     """The data folder is emptied (the driver's disk does it); mostly between Kill and Restart."""
 
 
-class PowerCut(NodeFault, frozen=True, kw_only=True):
+class PowerCut(NodeFault, frozen=True, kw_only=True, tag="PowerCut"):
     """The process ends at once and the disk loses what was not synced."""
 
 
-class CutNode(NodeFault, frozen=True, kw_only=True):
+class CutNode(NodeFault, frozen=True, kw_only=True, tag="CutNode"):
     """Nothing passes from or to the node, in one direction or both."""
 
     outward: bool = True
     inward: bool = True
 
 
-class CutZone(Fault, frozen=True, kw_only=True):
+class CutZone(Fault, frozen=True, kw_only=True, tag="CutZone"):
     """Nothing passes out of or into the zone."""
 
     zone: ZoneName
@@ -61,36 +61,36 @@
     inward: bool = True
 
 
-class CutPair(Fault, frozen=True, kw_only=True):
+class CutPair(Fault, frozen=True, kw_only=True, tag="CutPair"):
     """Nothing passes from ``source`` to ``target``."""
 
     source: NodeId
     target: NodeId
 
 
-class Heal(Fault, frozen=True, kw_only=True):
+class Heal(Fault, frozen=True, kw_only=True, tag="Heal"):
     """Every cut ends."""
 
 
-class SlowDisk(NodeFault, frozen=True, kw_only=True):
+class SlowDisk(NodeFault, frozen=True, kw_only=True, tag="SlowDisk"):
     """Each sync takes ``sync_s`` from now on (0: as usual)."""
 
     sync_s: float
 
 
-class StallDisk(NodeFault, frozen=True, kw_only=True):
+class StallDisk(NodeFault, frozen=True, kw_only=True, tag="StallDisk"):
     """No sync ends before ``stall_s`` have passed."""
 
     stall_s: float
 
 
-class FullDisk(NodeFault, frozen=True, kw_only=True):
+class FullDisk(NodeFault, frozen=True, kw_only=True, tag="FullDisk"):
     """Writes fail for want of space, or again have it."""
 
     full: bool = True
 
 
-class ClockJump(NodeFault, frozen=True, kw_only=True):
+class ClockJump(NodeFault, frozen=True, kw_only=True, tag="ClockJump"):
     """The wall clock jumps by ``by_s``; monotonic time does not."""
 
     by_s: float
