--- a/examples/embedding/local_cluster.py
+++ b/examples/embedding/local_cluster.py
@@ -14,7 +14,7 @@
 from member import Member, Outside, PutText
 
 from springmux.coordination.identifiers import Address, NodeId
-from springmux.coordination.kernel import Event, MessageReceived, PeerMessage, Tick
+from springmux.coordination.state_machine import Event, MessageReceived, PeerMessage, Tick
 from springmux.storage.memory_disk import MemoryDisk
 
 LATENCY_S = 0.002
@@ -72,12 +72,14 @@
     def put(self, name: str, text: str, limit_s: float = 10.0) -> None:
         """Have the leader agree on a text with the others; returns once it is acknowledged."""
         leader = self.await_leader(limit_s)
-        ticket = f"put-{next(self._order)}"
-        leader.propose(ticket, PutText(name, text), self.now)
+        correlation_id = f"put-{next(self._order)}"
+        leader.propose(correlation_id, PutText(name, text), self.now)
         self._plan_tick(leader.node)
-        self.run_until(lambda: ticket in leader.committed or ticket in leader.dropped, limit_s)
-        if ticket in leader.dropped:
-            raise NotReached(leader.dropped[ticket].reason)
+        self.run_until(
+            lambda: correlation_id in leader.committed or correlation_id in leader.dropped, limit_s
+        )
+        if correlation_id in leader.dropped:
+            raise NotReached(leader.dropped[correlation_id].reason)
 
     def run_until(self, done: Callable[[], bool], limit_s: float) -> None:
         """Let time pass until ``done``.
--- a/examples/embedding/member.py
+++ b/examples/embedding/member.py
@@ -18,15 +18,23 @@
 from springmux.coordination.consensus.replica import Replica
 from springmux.coordination.consensus.types import Entry, EntryKind, GroupMember, SnapshotMeta
 from springmux.coordination.identifiers import Address, NodeId, ZoneName
-from springmux.coordination.kernel import Effect, Event, MessageReceived, Part, PeerMessage, Send, Tick
 from springmux.coordination.membership import contact_messages
 from springmux.coordination.membership import messages as membership_messages
-from springmux.coordination.membership.contact import ContactPart
+from springmux.coordination.membership.contact_monitor import ContactMonitor
 from springmux.coordination.membership.effects import MembershipChanged, SendToAddress
 from springmux.coordination.membership.events import MembershipUpdated
-from springmux.coordination.membership.part import MembershipPart
+from springmux.coordination.membership.membership import Membership
 from springmux.coordination.membership.view import NodeRecord
-from springmux.storage.disk import Disk, DiskError, DiskFull
+from springmux.coordination.state_machine import (
+    Effect,
+    Event,
+    MessageReceived,
+    PeerMessage,
+    Send,
+    StateMachine,
+    Tick,
+)
+from springmux.storage.disk import Disk, DiskError, DiskFullError
 from springmux.storage.replica_store import ReplicaStore
 
 FOLDER = "replica"
@@ -60,7 +68,7 @@
 class Member:
     """One node.
 
-    :raises StorageDamaged: the disk holds a damaged replica; see ``ReplicaStore.set_aside``.
+    :raises StorageDamagedError: the disk holds a damaged replica; see ``ReplicaStore.set_aside``.
     """
 
     def __init__(
@@ -83,8 +91,8 @@
         if recovered.snapshot is not None:
             self.texts = msgspec.msgpack.decode(recovered.snapshot_data, type=dict[str, str])
         record = NodeRecord(node, ZoneName("here"), address, address, address, replica=recovered.replica)
-        self._membership = MembershipPart(record, seeds, random.Random(source.random()))
-        self._contact = ContactPart(node, True, random.Random(source.random()))
+        self._membership = Membership(record, seeds, random.Random(source.random()))
+        self._contact = ContactMonitor(node, True, random.Random(source.random()))
         self._replica = Replica(recovered, node, random.Random(source.random()))
         self._candidates = FoundingCandidates((), False)
         self._part_of = self._make_part_of()
@@ -111,22 +119,22 @@
             self._give(self._replica, event, now)
         self._tell_candidates(now)
 
-    def propose(self, ticket: str, command: PutText, now: float) -> None:
-        """Have ``command`` agreed on; ``committed`` or ``dropped`` will hold ``ticket``."""
-        self.handle(raft.Propose(ticket, msgspec.msgpack.encode(command)), now)
+    def propose(self, correlation_id: str, command: PutText, now: float) -> None:
+        """Have ``command`` agreed on; ``committed`` or ``dropped`` will hold ``correlation_id``."""
+        self.handle(raft.Propose(correlation_id, msgspec.msgpack.encode(command)), now)
 
-    def _parts(self) -> tuple[Part, ...]:
+    def _parts(self) -> tuple[StateMachine, ...]:
         return (self._membership, self._contact, self._replica)
 
-    def _make_part_of(self) -> dict[type[PeerMessage], Part]:
-        owners: tuple[tuple[Any, Part], ...] = (
+    def _make_part_of(self) -> dict[type[PeerMessage], StateMachine]:
+        owners: tuple[tuple[Any, StateMachine], ...] = (
             (membership_messages, self._membership),
             (contact_messages, self._contact),
             (consensus_messages, self._replica),
         )
         return {message: part for module, part in owners for message in module.MESSAGES}
 
-    def _give(self, part: Part, event: Event, now: float) -> None:
+    def _give(self, part: StateMachine, event: Event, now: float) -> None:
         for effect in part.handle(event, now):
             carry = self._carry.get(type(effect))
             if carry is not None:
@@ -157,8 +165,8 @@
             raft.TakeSnapshot: self._on_take_snapshot,
             raft.CompactLog: lambda effect, _: self._store.compact(effect.first_kept),
             raft.InstallSnapshot: self._on_install,
-            raft.ProposalCommitted: lambda effect, _: self.committed.add(effect.ticket),
-            raft.ProposalDropped: lambda effect, _: self.dropped.update({effect.ticket: effect}),
+            raft.ProposalCommitted: lambda effect, _: self.committed.add(effect.correlation_id),
+            raft.ProposalDropped: lambda effect, _: self.dropped.update({effect.correlation_id: effect}),
             raft.ReplicaStopped: self._on_stopped,
         }
 
@@ -173,7 +181,7 @@
         try:
             self._store.persist(effect)
         except DiskError as error:
-            outcome = raft.PersistFailed(effect.batch, isinstance(error, DiskFull), str(error))
+            outcome = raft.PersistFailed(effect.batch, isinstance(error, DiskFullError), str(error))
         self._outside.written(self.node, outcome)
 
     def _on_apply(self, effect: raft.Apply, now: float) -> None:
--- a/src/springmux/agent/__init__.py
+++ b/src/springmux/agent/__init__.py
@@ -1,1 +1,1 @@
-"""Composition of all pure parts into one node; driven by node/ and by simulation/."""
+"""Composition of all pure components into one node; driven by node/ and by simulation/."""
--- a/src/springmux/agent/applying.py
+++ b/src/springmux/agent/applying.py
@@ -9,17 +9,17 @@
 from collections import deque
 
 from springmux.agent.effects import PrepareCommands, WriteSnapshot
-from springmux.control.commands import UnknownCommand
+from springmux.control.commands import UnknownCommandError
 from springmux.control.compression import plain_size_bytes
 from springmux.control.delivery.effects import ApplyCommands, ProvideSnapshot, ReplaceState
 from springmux.control.delivery.events import SnapshotProvided
 from springmux.control.order_events import CommandDecided
 from springmux.control.state import ControlState
-from springmux.control.state_image import ImageUnreadable
+from springmux.control.state_image import UnreadableImageError
 from springmux.coordination.consensus.effects import TakeSnapshot
 from springmux.coordination.consensus.types import SnapshotMeta
 from springmux.coordination.identifiers import Revision
-from springmux.coordination.kernel import Effect, Event, Note, NoteLevel
+from springmux.coordination.state_machine import Effect, Event, LogLevel, LogLine
 from springmux.vocabulary.errors import SpringmuxError
 
 LARGE_COMMAND_BYTES = 64 * 1024
@@ -40,7 +40,7 @@
         """Why nothing more is applied: a newer program wrote what comes next. Empty while all is well."""
 
     def take(self, work: StateWork) -> tuple[list[Event], list[Effect]]:
-        """Queue ``work``; return events for the other parts and effects for the driver."""
+        """Queue ``work``; return events for the other components and effects for the driver."""
         if self.unreadable:
             return [], []
         self._waiting.append(work)
@@ -66,7 +66,7 @@
             self._waiting.popleft()
             try:
                 self._carry_out(work, events, effects)
-            except (UnknownCommand, ImageUnreadable) as error:
+            except (UnknownCommandError, UnreadableImageError) as error:
                 effects.append(self._give_up(error))
         return events, effects
 
@@ -74,7 +74,7 @@
         """Stop applying: to go on without a command would be another state than everyone else's."""
         self.unreadable = str(error)
         self._waiting.clear()
-        return Note("control_state_unreadable", NoteLevel.ERROR, {"reason": self.unreadable})
+        return LogLine("control_state_unreadable", LogLevel.ERROR, {"reason": self.unreadable})
 
     def _carry_out(self, work: StateWork, events: list[Event], effects: list[Effect]) -> None:
         if isinstance(work, ApplyCommands):
--- a/src/springmux/agent/ring_keeper.py
+++ b/src/springmux/agent/claim_ring_manager.py
@@ -5,8 +5,8 @@
 from springmux.control.commands import SetClaimRing
 from springmux.coordination.claims.ring import HOLDERS_PER_KEY, ClaimRing, first_ring, next_ring
 from springmux.coordination.identifiers import NodeId
-from springmux.coordination.kernel import NEVER
 from springmux.coordination.membership.view import MembershipView, NodeStatus
+from springmux.coordination.state_machine import NEVER
 from springmux.vocabulary.names import OrderId
 
 FIRST_RING_WAIT_S = 1.0
@@ -33,7 +33,7 @@
 """A node that left in order and isn't back by then was not just restarted."""
 
 
-class ClaimRingKeeper:
+class ClaimRingManager:
     """Proposes the next ring while this node leads. Stateless across leaders: the ring is committed."""
 
     def __init__(self) -> None:
--- a/src/springmux/agent/parts.py
+++ b/src/springmux/agent/components.py
@@ -1,33 +1,33 @@
-"""The pure parts of one node, made from its settings."""
+"""The pure components of one node, made from its settings."""
 
 from __future__ import annotations
 
 import random
 from dataclasses import dataclass
 
-from springmux.agent.directory.part import DirectoryPart
+from springmux.agent.directory.engine_directory import EngineDirectory
 from springmux.agent.events import AgentSettings
-from springmux.control.delivery.part import DeliveryPart
-from springmux.control.freshness.part import FreshnessPart
+from springmux.control.delivery.state_delivery import StateDelivery
+from springmux.control.freshness.freshness_monitor import FreshnessMonitor
 from springmux.control.freshness.settings import FreshnessSettings, lease_for
-from springmux.control.order_desk import OrderDesk
+from springmux.control.order_coordinator import OrderCoordinator
 from springmux.control.state import ControlState
+from springmux.coordination.claims.claim_coordinator import ClaimCoordinator
 from springmux.coordination.claims.journal import RecoveredClaims
-from springmux.coordination.claims.part import ClaimPart
 from springmux.coordination.consensus.replica import Replica
 from springmux.coordination.consensus.settings import ConsensusSettings
 from springmux.coordination.consensus.types import RecoveredState
 from springmux.coordination.identifiers import NodeId, RegionName, ZoneName
-from springmux.coordination.kernel import Part
-from springmux.coordination.membership.contact import ContactPart
-from springmux.coordination.membership.part import MembershipPart
+from springmux.coordination.membership.contact_monitor import ContactMonitor
+from springmux.coordination.membership.membership import Membership
 from springmux.coordination.membership.remembered import RememberedPeer
 from springmux.coordination.membership.settings import MembershipSettings
 from springmux.coordination.membership.view import NodeRecord, NodeRole
-from springmux.coordination.quota.part import QuotaPart
-from springmux.coordination.usage.part import UsagePart
+from springmux.coordination.quota.quota_allocator import QuotaAllocator
+from springmux.coordination.state_machine import StateMachine
+from springmux.coordination.usage.usage_exchange import UsageExchange
 from springmux.gateway.core import GatewayCore
-from springmux.rollout.part import RolloutPart, RolloutSettings
+from springmux.rollout.rollout_coordinator import RolloutCoordinator, RolloutSettings
 from springmux.router.router import Router
 
 RAFT_HEARTBEAT_S = 0.15
@@ -43,32 +43,32 @@
 
 
 @dataclass(slots=True)
-class NodeParts:
+class NodeComponents:
     """One of each. ``replica`` is ``None`` on a node without a data folder."""
 
-    membership: MembershipPart
-    contact: ContactPart
-    directory: DirectoryPart
-    delivery: DeliveryPart
-    freshness: FreshnessPart
-    desk: OrderDesk
-    claims: ClaimPart
-    quota: QuotaPart
-    usage: UsagePart
-    rollout: RolloutPart
+    membership: Membership
+    contact: ContactMonitor
+    directory: EngineDirectory
+    delivery: StateDelivery
+    freshness: FreshnessMonitor
+    orders: OrderCoordinator
+    claims: ClaimCoordinator
+    quota: QuotaAllocator
+    usage: UsageExchange
+    rollout: RolloutCoordinator
     router: Router
     gateway: GatewayCore
     replica: Replica | None
 
-    def timed(self) -> tuple[Part, ...]:
-        """Return the parts that want ticks."""
-        always: tuple[Part, ...] = (
+    def timed(self) -> tuple[StateMachine, ...]:
+        """Return the components that want ticks."""
+        always: tuple[StateMachine, ...] = (
             self.membership,
             self.contact,
             self.directory,
             self.delivery,
             self.freshness,
-            self.desk,
+            self.orders,
             self.claims,
             self.quota,
             self.usage,
@@ -122,15 +122,15 @@
     return any(seed != settings.peer_address for seed in settings.seeds)
 
 
-def build_parts(
+def build_components(
     settings: AgentSettings,
     recovered: RecoveredState | None,
     state: ControlState,
     source: random.Random,
     claims: RecoveredClaims | None = None,
     remembered: tuple[RememberedPeer, ...] = (),
-) -> NodeParts:
-    """Make the parts; each draws from its own seeded generator, so that one's use doesn't move another's.
+) -> NodeComponents:
+    """Make the components, each with a seeded generator of its own.
 
     :param claims: the holder's journal, or ``None`` on a node that keeps claims in memory only.
     :param remembered: the peers that the disk kept; of use only with ``recovered``.
@@ -140,17 +140,17 @@
         return random.Random(source.getrandbits(64))
 
     own = NodeId(settings.node)
-    contact = ContactPart(own, _is_part_of_a_fleet(settings), generator())
-    quota = QuotaPart(own, generator())
-    rollout = RolloutPart(own, ZoneName(settings.zone), generator(), RolloutSettings())
+    contact = ContactMonitor(own, _is_part_of_a_fleet(settings), generator())
+    quota = QuotaAllocator(own, generator())
+    rollout = RolloutCoordinator(own, ZoneName(settings.zone), generator(), RolloutSettings())
     router = Router(own, settings.zone, generator(), rollout.filter, quota, contact.connected)
     replica = None
     if recovered is not None:
         replica = Replica(recovered, own, generator(), consensus_settings(settings, recovered))
-    usage = UsagePart(own, generator())
-    delivery = DeliveryPart(own, generator())
+    usage = UsageExchange(own, generator())
+    delivery = StateDelivery(own, generator())
     revocation_s = settings.revocation_s
-    freshness = FreshnessPart(
+    freshness = FreshnessMonitor(
         own,
         generator(),
         lease_for(revocation_s) if revocation_s is not None else FreshnessSettings(),
@@ -158,21 +158,21 @@
         lambda: (delivery.replica_index, delivery.revision),
     )
     gateway = GatewayCore(settings.zone, generator(), rollout.filter, usage, freshness.current)
-    membership = MembershipPart(
+    membership = Membership(
         own_record(settings, recovered),
         settings.seeds,
         generator(),
         MembershipSettings(remembered_wait_s=settings.contact_s),
         remembered if recovered is not None else None,
     )
-    return NodeParts(
+    return NodeComponents(
         membership=membership,
         contact=contact,
-        directory=DirectoryPart(own, generator()),
+        directory=EngineDirectory(own, generator()),
         delivery=delivery,
         freshness=freshness,
-        desk=OrderDesk(own, state),
-        claims=ClaimPart(own, generator(), recovered=claims),
+        orders=OrderCoordinator(own, state),
+        claims=ClaimCoordinator(own, generator(), recovered=claims),
         quota=quota,
         usage=usage,
         rollout=rollout,
--- a/src/springmux/agent/directory/spread.py
+++ b/src/springmux/agent/directory/anti_entropy.py
@@ -5,24 +5,24 @@
 import random
 
 from springmux.agent.directory.entry import DirectoryEntry
-from springmux.agent.directory.homes import HomeNodes
 from springmux.agent.directory.messages import (
     DirectoryBuckets,
     DirectoryDigest,
     DirectoryEntries,
-    DirectoryInStep,
+    DirectoryInSync,
     DirectoryRelay,
 )
+from springmux.agent.directory.owner_nodes import OwnerNodes
 from springmux.agent.directory.settings import DirectorySettings
 from springmux.agent.directory.table import DirectoryTable
 from springmux.coordination.identifiers import NodeId
-from springmux.coordination.kernel import Effect, Send
 from springmux.coordination.membership.relay import RelayTarget, range_targets, zone_targets
+from springmux.coordination.state_machine import Effect, Send
 
 
 def relay_entries(
     entries: list[DirectoryEntry],
-    homes: HomeNodes,
+    homes: OwnerNodes,
     own: NodeId,
     source: random.Random,
     settings: DirectorySettings,
@@ -39,7 +39,7 @@
 
 
 def relay_on(
-    message: DirectoryRelay, homes: HomeNodes, own: NodeId, settings: DirectorySettings
+    message: DirectoryRelay, homes: OwnerNodes, own: NodeId, settings: DirectorySettings
 ) -> list[Effect]:
     """Return the messages to the relay's own part of the tree."""
     mates = [node for node, zone in homes.zones.items() if zone == homes.own_zone]
@@ -75,7 +75,7 @@
         :param whole: whether the own directory is known to lack nothing.
         """
         if message.root == self._table.root():
-            return [Send(sender, DirectoryInStep())] if message.answer_wanted and whole else []
+            return [Send(sender, DirectoryInSync())] if message.answer_wanted and whole else []
         return [Send(sender, DirectoryBuckets(self._table.hashes()))]
 
     def take_buckets(self, sender: NodeId, message: DirectoryBuckets, now: float) -> list[Effect]:
--- a/src/springmux/agent/directory/catch_up.py
+++ b/src/springmux/agent/directory/catch_up.py
@@ -11,7 +11,7 @@
 from springmux.agent.directory.messages import DirectoryDigest
 from springmux.agent.directory.settings import DirectorySettings
 from springmux.coordination.identifiers import NodeId
-from springmux.coordination.kernel import NEVER, Effect, Send
+from springmux.coordination.state_machine import NEVER, Effect, Send
 
 
 class CatchUp:
--- a/src/springmux/agent/directory/effects.py
+++ b/src/springmux/agent/directory/effects.py
@@ -1,8 +1,8 @@
-"""Effects of the directory beside ``Send`` and ``Note``."""
+"""Effects of the directory beside ``Send`` and ``LogLine``."""
 
 from __future__ import annotations
 
-from springmux.coordination.kernel import Effect
+from springmux.coordination.state_machine import Effect
 from springmux.vocabulary.engines import EnginesView
 
 
--- a/src/springmux/agent/directory/part.py
+++ b/src/springmux/agent/directory/engine_directory.py
@@ -9,26 +9,34 @@
 import random
 
 from springmux.agent.directory import messages as wire
+from springmux.agent.directory.anti_entropy import AntiEntropy, relay_entries, relay_on
 from springmux.agent.directory.catch_up import CatchUp
 from springmux.agent.directory.effects import EnginesChanged
+from springmux.agent.directory.engine_monitor import EngineMonitor, Findings
 from springmux.agent.directory.entry import DirectoryEntry, bare, heard_again, stopped
 from springmux.agent.directory.forwarding import HeartbeatForwarder
-from springmux.agent.directory.home_duty import Findings, HomeDuty
-from springmux.agent.directory.homes import HomeNodes
-from springmux.agent.directory.notes import old_life, status_note
+from springmux.agent.directory.log_events import old_life, status_note
+from springmux.agent.directory.owner_nodes import OwnerNodes
 from springmux.agent.directory.settings import DirectorySettings
-from springmux.agent.directory.spread import AntiEntropy, relay_entries, relay_on
 from springmux.agent.directory.stops import Stop, StopOrder
 from springmux.agent.directory.table import DirectoryTable
 from springmux.agent.events import EngineAnnounced, EngineDraining, EngineHeartbeat, EngineLeft
 from springmux.coordination.identifiers import NodeId
-from springmux.coordination.kernel import Effect, Event, MessageReceived, Note, NoteLevel, Send, Tick
 from springmux.coordination.membership.events import ContactChanged, MembershipUpdated
+from springmux.coordination.state_machine import (
+    Effect,
+    Event,
+    LogLevel,
+    LogLine,
+    MessageReceived,
+    Send,
+    Tick,
+)
 from springmux.vocabulary.engines import EngineRecord, EngineStatus, EnginesView
 from springmux.vocabulary.names import EngineId
 
 
-class DirectoryPart:
+class EngineDirectory:
     """Directory of back ends at one node."""
 
     def __init__(self, own: NodeId, random: random.Random, settings: DirectorySettings | None = None) -> None:
@@ -36,8 +44,8 @@
         self._random = random
         self._settings = settings or DirectorySettings()
         self._table = DirectoryTable()
-        self._homes = HomeNodes(own, self._settings)
-        self._duty = HomeDuty(own, self._table, self._homes, self._settings)
+        self._homes = OwnerNodes(own, self._settings)
+        self._duty = EngineMonitor(own, self._table, self._homes, self._settings)
         self._repair = AntiEntropy(self._table, self._settings, random)
         self._catch_up = CatchUp(self._settings, random)
         self._handled_at: float | None = None
@@ -152,7 +160,7 @@
             late = self._stops.is_late(record.engine, now)
             entry = heard_again(known, record, draining, announced=announced and not late)
         effects = self._change(entry, now)
-        life = wire.EngineLife(record.engine, record.incarnation)
+        life = wire.EngineIncarnation(record.engine, record.incarnation)
         if self._own in self._homes.of(life.engine):
             self._duty.heard_here(life, now)
         self._forwarder.add(life, now)
@@ -162,7 +170,7 @@
         known = self._table.get(engine)
         if known is None or known.record.incarnation < stop.incarnation:
             self._stops.keep(engine, stop, now)
-            return [Note("directory_early_stop", NoteLevel.WARNING, {"engine": engine, "left": stop.left})]
+            return [LogLine("directory_early_stop", LogLevel.WARNING, {"engine": engine, "left": stop.left})]
         if not stop.concerns(known.record.incarnation):
             return [old_life(engine, stop.incarnation)]
         return self._change(stopped(known, stop.left), now)
@@ -225,13 +233,13 @@
         if isinstance(message, wire.DirectoryRelay):
             effects = self._take_all(message.entries, now)
             return effects + relay_on(message, self._homes, self._own, self._settings)
-        if isinstance(message, wire.DirectoryHeard):
+        if isinstance(message, wire.EngineHeartbeatsRelay):
             return self._conclude(self._duty.take_heard(message.lives, now), now)
-        if isinstance(message, wire.DirectorySilent):
+        if isinstance(message, wire.EngineTimeoutVote):
             return self._conclude(self._duty.take_votes(sender, message.lives, now), now)
         if isinstance(message, wire.DirectoryDigest):
             return self._repair.take_digest(sender, message, not self._catch_up.running(now))
-        if isinstance(message, wire.DirectoryInStep):
+        if isinstance(message, wire.DirectoryInSync):
             self._catch_up.stop()
         if isinstance(message, wire.DirectoryBuckets):
             return self._repair.take_buckets(sender, message, now)
--- a/src/springmux/agent/directory/home_duty.py
+++ b/src/springmux/agent/directory/engine_monitor.py
@@ -6,11 +6,11 @@
 
 from springmux.agent.directory import messages as wire
 from springmux.agent.directory.entry import DirectoryEntry
-from springmux.agent.directory.homes import HomeNodes, Watch
+from springmux.agent.directory.owner_nodes import OwnerNodes, Watch
 from springmux.agent.directory.settings import DirectorySettings
 from springmux.agent.directory.table import DirectoryTable
 from springmux.coordination.identifiers import NodeId
-from springmux.coordination.kernel import Effect, Send
+from springmux.coordination.state_machine import Effect, Send
 from springmux.vocabulary.engines import EngineStatus
 from springmux.vocabulary.names import EngineId
 
@@ -22,11 +22,11 @@
     effects: list[Effect] = []
 
 
-class HomeDuty:
+class EngineMonitor:
     """The own node as a home. Only homes in contact with the fleet find an engine lost."""
 
     def __init__(
-        self, own: NodeId, table: DirectoryTable, homes: HomeNodes, settings: DirectorySettings
+        self, own: NodeId, table: DirectoryTable, homes: OwnerNodes, settings: DirectorySettings
     ) -> None:
         self._own = own
         self._table = table
@@ -49,11 +49,11 @@
         """Stop to watch an engine that is gone."""
         self._watch.forget(engine)
 
-    def heard_here(self, life: wire.EngineLife, now: float) -> None:
+    def heard_here(self, life: wire.EngineIncarnation, now: float) -> None:
         """Note a heartbeat that came to this node itself."""
         self._watch.heard(life, now)
 
-    def take_heard(self, lives: tuple[wire.EngineLife, ...], now: float) -> Findings:
+    def take_heard(self, lives: tuple[wire.EngineIncarnation, ...], now: float) -> Findings:
         """Note heartbeats that other nodes pass on; a lost engine that speaks is back."""
         findings = Findings()
         for life in lives:
@@ -73,25 +73,27 @@
         self._vote_at = now + self._settings.vote_period_s
         if not self.connected:
             return findings
-        ballots: dict[NodeId, list[wire.EngineLife]] = {}
+        ballots: dict[NodeId, list[wire.EngineIncarnation]] = {}
         for engine in self._watch.silent(now)[: self._settings.votes_per_message]:
             entry = self._table.get(engine)
             homes = self._homes.of(engine)
             if entry is None or entry.left or entry.health % 2 or self._own not in homes:
                 self._watch.forget(engine)
                 continue
-            life = wire.EngineLife(engine, entry.record.incarnation)
+            life = wire.EngineIncarnation(engine, entry.record.incarnation)
             for home in homes:
                 if home != self._own:
                     ballots.setdefault(home, []).append(life)
             self._count(self._own, life, entry, findings, now)
-        findings.effects += [Send(home, wire.DirectorySilent(tuple(each))) for home, each in ballots.items()]
+        findings.effects += [
+            Send(home, wire.EngineTimeoutVote(tuple(each))) for home, each in ballots.items()
+        ]
         return findings
 
-    def take_votes(self, sender: NodeId, lives: tuple[wire.EngineLife, ...], now: float) -> Findings:
+    def take_votes(self, sender: NodeId, lives: tuple[wire.EngineIncarnation, ...], now: float) -> Findings:
         """Count another home's votes; answer with the engines that were heard here lately."""
         findings = Findings()
-        heard: list[wire.EngineLife] = []
+        heard: list[wire.EngineIncarnation] = []
         silent = set(self._watch.silent(now))
         for life in lives:
             entry = self._table.get(life.engine)
@@ -102,7 +104,7 @@
             elif self._watch.heard_within(life.engine, self._settings.silence_s / 3, now):
                 heard.append(life)
         if heard and self.connected:
-            findings.effects.append(Send(sender, wire.DirectoryHeard(tuple(heard))))
+            findings.effects.append(Send(sender, wire.EngineHeartbeatsRelay(tuple(heard))))
         return findings
 
     def scan(self, now: float) -> None:
@@ -113,11 +115,16 @@
             if entry is None or entry.status in (EngineStatus.LOST, EngineStatus.LEFT):
                 continue
             if engine not in self._watch and self._own in self._homes.of(engine):
-                self._watch.heard(wire.EngineLife(engine, entry.record.incarnation), now)
+                self._watch.heard(wire.EngineIncarnation(engine, entry.record.incarnation), now)
         del self._scan_left[: self._settings.scan_engines]
 
     def _count(
-        self, voter: NodeId, life: wire.EngineLife, entry: DirectoryEntry, findings: Findings, now: float
+        self,
+        voter: NodeId,
+        life: wire.EngineIncarnation,
+        entry: DirectoryEntry,
+        findings: Findings,
+        now: float,
     ) -> None:
         votes = self._watch.vote(voter, life, now)
         if votes < self._homes.needed_votes() or not self.connected:
--- a/src/springmux/agent/directory/forwarding.py
+++ b/src/springmux/agent/directory/forwarding.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from springmux.agent.directory.homes import HomeNodes
-from springmux.agent.directory.messages import DirectoryHeard, EngineLife
+from springmux.agent.directory.messages import EngineHeartbeatsRelay, EngineIncarnation
+from springmux.agent.directory.owner_nodes import OwnerNodes
 from springmux.agent.directory.settings import DirectorySettings
 from springmux.coordination.identifiers import NodeId
-from springmux.coordination.kernel import NEVER, Effect, Send
+from springmux.coordination.state_machine import NEVER, Effect, Send
 from springmux.vocabulary.names import EngineId
 
 _GATHER_S = 0.2
@@ -17,12 +17,12 @@
 class HeartbeatForwarder:
     """What one node has to tell the homes of the engines that speak to it."""
 
-    def __init__(self, own: NodeId, homes: HomeNodes, settings: DirectorySettings) -> None:
+    def __init__(self, own: NodeId, homes: OwnerNodes, settings: DirectorySettings) -> None:
         self._own = own
         self._homes = homes
         self._period_s = settings.forward_period_s * _PERIOD_SLACK
         self._forwarded_at: dict[EngineId, float] = {}
-        self._waiting: dict[NodeId, list[EngineLife]] = {}
+        self._waiting: dict[NodeId, list[EngineIncarnation]] = {}
         self._due_at = NEVER
 
     @property
@@ -30,7 +30,7 @@
         """Time at which something is to be sent."""
         return self._due_at
 
-    def add(self, life: EngineLife, now: float) -> None:
+    def add(self, life: EngineIncarnation, now: float) -> None:
         """Tell the other homes of ``life`` soon: none of them hears the engine itself."""
         if now - self._forwarded_at.get(life.engine, -NEVER) < self._period_s:
             return
@@ -47,7 +47,7 @@
             return []
         waiting, self._waiting = self._waiting, {}
         self._due_at = NEVER
-        return [Send(home, DirectoryHeard(tuple(lives))) for home, lives in waiting.items()]
+        return [Send(home, EngineHeartbeatsRelay(tuple(lives))) for home, lives in waiting.items()]
 
     def forget(self, engine: EngineId) -> None:
         """Drop what is remembered of an engine that is gone."""
--- a/src/springmux/agent/directory/notes.py
+++ b/src/springmux/agent/directory/log_events.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from springmux.agent.directory.entry import DirectoryEntry
-from springmux.coordination.kernel import Effect, Note, NoteLevel
+from springmux.coordination.state_machine import Effect, LogLevel, LogLine
 from springmux.vocabulary.engines import EngineStatus
 from springmux.vocabulary.names import EngineId
 
@@ -12,12 +12,12 @@
     """Return the log line for a status that changed."""
     if before is not None and before.status is entry.status:
         return []
-    level = NoteLevel.WARNING if entry.status is EngineStatus.LOST else NoteLevel.INFO
+    level = LogLevel.WARNING if entry.status is EngineStatus.LOST else LogLevel.INFO
     fields = {"engine": entry.record.engine, "status": entry.status.value}
-    return [Note("directory_status", level, fields)]
+    return [LogLine("directory_status", level, fields)]
 
 
-def old_life(engine: EngineId, incarnation: int) -> Note:
+def old_life(engine: EngineId, incarnation: int) -> LogLine:
     """Return the log line for a word about a life that is over."""
     fields = {"engine": engine, "incarnation": incarnation}
-    return Note("directory_old_life", NoteLevel.WARNING, fields)
+    return LogLine("directory_old_life", LogLevel.WARNING, fields)
--- a/src/springmux/agent/directory/messages.py
+++ b/src/springmux/agent/directory/messages.py
@@ -5,11 +5,11 @@
 import msgspec
 
 from springmux.agent.directory.entry import DirectoryEntry
-from springmux.coordination.kernel import PeerMessage
+from springmux.coordination.state_machine import PeerMessage
 from springmux.vocabulary.names import EngineId
 
 
-class EngineLife(msgspec.Struct, frozen=True, array_like=True):
+class EngineIncarnation(msgspec.Struct, frozen=True, array_like=True):
     """One life of an engine."""
 
     engine: EngineId
@@ -25,16 +25,16 @@
     high: int = 0
 
 
-class DirectoryHeard(PeerMessage, frozen=True, tag="DirectoryHeard"):
+class EngineHeartbeatsRelay(PeerMessage, frozen=True, tag="DirectoryHeard"):
     """The sender heard these engines just now; sent to their home nodes."""
 
-    lives: tuple[EngineLife, ...]
+    lives: tuple[EngineIncarnation, ...]
 
 
-class DirectorySilent(PeerMessage, frozen=True, tag="DirectorySilent"):
+class EngineTimeoutVote(PeerMessage, frozen=True, tag="DirectorySilent"):
     """A home's vote: it has heard nothing of these engines for the time limit."""
 
-    lives: tuple[EngineLife, ...]
+    lives: tuple[EngineIncarnation, ...]
 
 
 class DirectoryDigest(PeerMessage, frozen=True, tag="DirectoryDigest"):
@@ -44,7 +44,7 @@
     answer_wanted: bool = False
 
 
-class DirectoryInStep(PeerMessage, frozen=True, tag="DirectoryInStep"):
+class DirectoryInSync(PeerMessage, frozen=True, tag="DirectoryInStep"):
     """Answer to a digest: the sender has the same directory, and isn't catching up itself."""
 
 
@@ -64,10 +64,10 @@
 
 MESSAGES: tuple[type[PeerMessage], ...] = (
     DirectoryRelay,
-    DirectoryHeard,
-    DirectorySilent,
+    EngineHeartbeatsRelay,
+    EngineTimeoutVote,
     DirectoryDigest,
-    DirectoryInStep,
+    DirectoryInSync,
     DirectoryBuckets,
     DirectoryEntries,
 )
--- a/src/springmux/agent/directory/homes.py
+++ b/src/springmux/agent/directory/owner_nodes.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from springmux.agent.directory.messages import EngineLife
+from springmux.agent.directory.messages import EngineIncarnation
 from springmux.agent.directory.settings import DirectorySettings
 from springmux.coordination.identifiers import NodeId, ZoneName
 from springmux.coordination.membership.view import MembershipView
@@ -10,7 +10,7 @@
 from springmux.vocabulary.names import EngineId
 
 
-class HomeNodes:
+class OwnerNodes:
     """Homes of engines by rendezvous hash over the nodes that stay, spread over zones; looked up lazily."""
 
     def __init__(self, own: NodeId, settings: DirectorySettings) -> None:
@@ -65,12 +65,12 @@
     def __init__(self, settings: DirectorySettings) -> None:
         self._settings = settings
         self._heard_at: dict[EngineId, float] = {}
-        self._votes: dict[EngineLife, dict[NodeId, float]] = {}
+        self._votes: dict[EngineIncarnation, dict[NodeId, float]] = {}
 
     def __contains__(self, engine: EngineId) -> bool:
         return engine in self._heard_at
 
-    def heard(self, life: EngineLife, now: float) -> None:
+    def heard(self, life: EngineIncarnation, now: float) -> None:
         """Note a heartbeat."""
         self._heard_at[life.engine] = now
         self._votes.pop(life, None)
@@ -100,7 +100,7 @@
         latest = now - self._settings.silence_s
         return [engine for engine, heard_at in self._heard_at.items() if heard_at <= latest]
 
-    def vote(self, voter: NodeId, life: EngineLife, now: float) -> int:
+    def vote(self, voter: NodeId, life: EngineIncarnation, now: float) -> int:
         """Count a vote; return how many homes hold it at ``now``."""
         votes = self._votes.setdefault(life, {})
         votes[voter] = now
--- a/src/springmux/agent/effects.py
+++ b/src/springmux/agent/effects.py
@@ -1,4 +1,4 @@
-"""Effects of the whole node beside ``Send``, ``Note`` and the replica's storage effects."""
+"""Effects of the whole node beside ``Send``, ``LogLine`` and the replica's storage effects."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from springmux.coordination.claims.decision import ClaimDecision
 from springmux.coordination.consensus.types import SnapshotMeta
 from springmux.coordination.identifiers import Revision
-from springmux.coordination.kernel import Effect
 from springmux.coordination.membership.effects import SendToAddress
+from springmux.coordination.state_machine import Effect
 from springmux.router.flow import RequestFlow
 from springmux.vocabulary.errors import ApiError
 
@@ -27,7 +27,7 @@
 class OrderAnswered(Effect, frozen=True):
     """An operator's order was decided (``result``), or not (``error``, typed, with a time to retry)."""
 
-    ticket: str
+    correlation_id: str
     result: CommandResult | None
     error: ApiError | None = None
 
@@ -35,7 +35,7 @@
 class ClaimAnswered(Effect, frozen=True):
     """A claim was decided."""
 
-    ticket: str
+    correlation_id: str
     decision: ClaimDecision
 
 
--- a/src/springmux/agent/events.py
+++ b/src/springmux/agent/events.py
@@ -6,8 +6,8 @@
 
 from springmux.control.commands import AnyCommand
 from springmux.coordination.identifiers import Address, NodeId, Term
-from springmux.coordination.kernel import Event
 from springmux.coordination.membership.events import PeerReachable, PeerUnreachable, SeedsChanged
+from springmux.coordination.state_machine import Event
 from springmux.vocabulary.engines import EngineLoad, EngineRecord
 from springmux.vocabulary.names import EngineId
 
@@ -21,7 +21,7 @@
     "EngineDraining",
     "EngineHeartbeat",
     "EngineLeft",
-    "LeadershipHeard",
+    "LeaderObserved",
     "LeadershipTransferRequested",
     "OrderSubmitted",
     "PeerReachable",
@@ -33,9 +33,9 @@
 
 
 class OrderSubmitted(Event, frozen=True):
-    """An operator's command came in at this node. ``ticket`` names it in ``OrderAnswered``."""
+    """An operator's command came in at this node. ``correlation_id`` names it in ``OrderAnswered``."""
 
-    ticket: str
+    correlation_id: str
     command: AnyCommand
 
 
@@ -67,22 +67,22 @@
 
 
 class ClaimRequested(Event, frozen=True):
-    """A request wants an at-most-once claim. ``ticket`` is unique to the attempt."""
+    """A request wants an at-most-once claim. ``correlation_id`` is unique to the attempt."""
 
-    ticket: str
+    correlation_id: str
     claim_key: str
 
 
 class ClaimSettled(Event, frozen=True):
     """A claimed request ended (see ``router.effects.SettleClaim``)."""
 
-    ticket: str
+    correlation_id: str
     claim_key: str
     ran: bool
     answer: bytes = b""
 
 
-class LeadershipHeard(Event, frozen=True):
+class LeaderObserved(Event, frozen=True):
     """A peer's envelope named the leader of a term."""
 
     term: Term
@@ -107,14 +107,14 @@
 class ControllerRemovalRequested(Event, frozen=True):
     """An operator removes a replica from the control group."""
 
-    ticket: str
+    correlation_id: str
     replica: str
 
 
 class LeadershipTransferRequested(Event, frozen=True):
     """An operator moves leadership."""
 
-    ticket: str
+    correlation_id: str
     target: str = ""
 
 
--- a/src/springmux/agent/gateway_readiness.py
+++ b/src/springmux/agent/gateway_readiness.py
@@ -8,8 +8,8 @@
 from __future__ import annotations
 
 from springmux.agent.applying import StateApplier
-from springmux.agent.parts import NodeParts
-from springmux.coordination.kernel import NEVER
+from springmux.agent.components import NodeComponents
+from springmux.coordination.state_machine import NEVER
 
 STARTING = "starting"
 STOPPING = "stopping"
@@ -27,9 +27,9 @@
 class GatewayReadiness:
     """The answer as of the last look."""
 
-    def __init__(self, parts: NodeParts, applier: StateApplier) -> None:
+    def __init__(self, components: NodeComponents, applier: StateApplier) -> None:
         self.reason = STARTING
-        self._parts = parts
+        self._components = components
         self._applier = applier
         self._state_since: float | None = None
         self._served = False
@@ -70,7 +70,7 @@
             return NO_CONFIGURATION
         if self._state_since is None:
             self._state_since = now
-        older = view.revision < self._parts.delivery.newest_heard
+        older = view.revision < self._components.delivery.newest_heard
         if older and now < self._state_since + NEWER_STATE_LIMIT_S:
             return OLDER_STATE
         if not caught_up and now < self._state_since + DIRECTORY_LIMIT_S:
--- a/src/springmux/agent/group_orders.py
+++ b/src/springmux/agent/group_orders.py
@@ -4,13 +4,13 @@
 
 from springmux.agent.effects import OrderAnswered
 from springmux.agent.events import ControllerRemovalRequested, LeadershipTransferRequested
-from springmux.agent.messages import RemovalWish, TransferWish
+from springmux.agent.messages import RemoveReplicaRequest, TransferLeadershipRequest
 from springmux.control.commands import CommandResult, Outcome
 from springmux.coordination.consensus.effects import TransferLeadership
 from springmux.coordination.consensus.events import ChangeMember, MemberChangeKind
 from springmux.coordination.consensus.replica import Replica
 from springmux.coordination.identifiers import NodeId, ReplicaId, Revision
-from springmux.coordination.kernel import Effect, PeerMessage, Send
+from springmux.coordination.state_machine import Effect, PeerMessage, Send
 from springmux.vocabulary.errors import ApiError, ErrorCode
 from springmux.vocabulary.names import OrderId
 
@@ -26,21 +26,21 @@
 
     def transfer(self, event: LeadershipTransferRequested, leader: NodeId | None, now: float) -> list[Effect]:
         """Pass on the wish to move leadership."""
-        return self._pass_on(event.ticket, TransferWish(event.target), leader, now)
+        return self._pass_on(event.correlation_id, TransferLeadershipRequest(event.target), leader, now)
 
     def remove(self, event: ControllerRemovalRequested, leader: NodeId | None, now: float) -> list[Effect]:
         """Pass on the wish to remove a replica."""
-        return self._pass_on(event.ticket, RemovalWish(event.replica), leader, now)
+        return self._pass_on(event.correlation_id, RemoveReplicaRequest(event.replica), leader, now)
 
     def receive(self, message: PeerMessage, now: float) -> list[Effect]:
         """Carry out a wish at the leader; elsewhere it is dropped, and the operator sees no change."""
         replica = self._replica
         if replica is None or not replica.leading:
             return []
-        if isinstance(message, TransferWish):
+        if isinstance(message, TransferLeadershipRequest):
             target = ReplicaId(message.target) if message.target else None
             return replica.handle(TransferLeadership(target), now)
-        if not isinstance(message, RemovalWish):
+        if not isinstance(message, RemoveReplicaRequest):
             return []
         member = replica.status().members.find(ReplicaId(message.replica))
         if member is None:
@@ -48,18 +48,20 @@
         change = ChangeMember(f"removal/{member.replica}", MemberChangeKind.REMOVE, member)
         return replica.handle(change, now)
 
-    def _pass_on(self, ticket: str, message: PeerMessage, leader: NodeId | None, now: float) -> list[Effect]:
+    def _pass_on(
+        self, correlation_id: str, message: PeerMessage, leader: NodeId | None, now: float
+    ) -> list[Effect]:
         if leader is None:
             text = "no leader is known; ask again shortly"
             error = ApiError(ErrorCode.NO_QUORUM, text, 503, retry_after_s=RETRY_AFTER_S)
-            return [OrderAnswered(ticket, None, error)]
+            return [OrderAnswered(correlation_id, None, error)]
         taken = CommandResult(
-            order=OrderId(ticket),
+            order=OrderId(correlation_id),
             outcome=Outcome.ACCEPTED,
             revision=Revision(0),
             message=f"handed to the leader {leader}",
         )
-        answered = OrderAnswered(ticket, taken)
+        answered = OrderAnswered(correlation_id, taken)
         if leader == self._own:
             return [*self.receive(message, now), answered]
         return [Send(leader, message), answered]
--- a/src/springmux/agent/in_force.py
+++ b/src/springmux/agent/in_force.py
@@ -1,13 +1,13 @@
-"""Puts a newer control state in force at the parts of one node."""
+"""Puts a newer control state in force at the components of one node."""
 
 from __future__ import annotations
 
+from springmux.agent.components import NodeComponents
 from springmux.agent.effects import ControlChanged
-from springmux.agent.parts import NodeParts
 from springmux.control.view import EMPTY_VIEW, ControlView
 from springmux.coordination.claims.events import HoldersChanged
-from springmux.coordination.kernel import Effect
 from springmux.coordination.quota.events import AccountRate, AccountsChanged
+from springmux.coordination.state_machine import Effect
 from springmux.coordination.usage.events import AccountLimit, AccountLimitsChanged
 from springmux.rollout.events import ControlViewChanged, RolloutSettings
 from springmux.router.flow import RequestFlow
@@ -16,8 +16,8 @@
 class ControlInForce:
     """Remembers the view in force, so that each part hears only what changed."""
 
-    def __init__(self, parts: NodeParts) -> None:
-        self._parts = parts
+    def __init__(self, components: NodeComponents) -> None:
+        self._components = components
         self._view = EMPTY_VIEW
 
     def update(self, view: ControlView, now: float) -> tuple[list[Effect], list[RequestFlow]]:
@@ -25,19 +25,19 @@
         before, self._view = self._view, view
         if view.revision <= before.revision:
             return [], []
-        parts = self._parts
+        components = self._components
         effects: list[Effect] = []
         if view.tenants is not before.tenants:
-            parts.quota.handle(_account_changes(before, view), now)
+            components.quota.handle(_account_changes(before, view), now)
         if view.gateway.tenants is not before.gateway.tenants:
-            parts.usage.handle(_account_limits(view), now)
+            components.usage.handle(_account_limits(view), now)
         if view.claim_ring is not None and view.claim_ring is not before.claim_ring:
-            effects += parts.claims.handle(HoldersChanged(view.claim_ring), now)
+            effects += components.claims.handle(HoldersChanged(view.claim_ring), now)
         if view.rollouts is not before.rollouts or view.configuration is not before.configuration:
-            effects += parts.rollout.handle(rollout_view(view), now)
-        parts.gateway.update_control(view, now)
-        flows = parts.router.update_control(view, now)
-        changed = ControlChanged(view.revision, view.gateway.version, parts.delivery.newest_arrival)
+            effects += components.rollout.handle(rollout_view(view), now)
+        components.gateway.update_control(view, now)
+        flows = components.router.update_control(view, now)
+        changed = ControlChanged(view.revision, view.gateway.version, components.delivery.newest_arrival)
         return [*effects, changed], flows
 
 
--- a/src/springmux/agent/chores.py
+++ b/src/springmux/agent/leader_tasks.py
@@ -2,24 +2,24 @@
 
 from __future__ import annotations
 
-from springmux.agent.ring_keeper import ClaimRingKeeper
+from springmux.agent.claim_ring_manager import ClaimRingManager
 from springmux.control.commands import SetClaimRing
 from springmux.control.view import ControlView
 from springmux.coordination.consensus.effects import ConfirmRead
 from springmux.coordination.identifiers import Term
-from springmux.coordination.kernel import NEVER
 from springmux.coordination.membership.events import LeaderBeacon
 from springmux.coordination.membership.view import MembershipView
+from springmux.coordination.state_machine import NEVER
 
 BEACON_PERIOD_S = 0.4
 """Pace at which a leader has a quorum confirm it for the contact rule (``ContactSettings``)."""
 
 
-class LeaderChores:
+class LeaderTasks:
     """Idle on every node but the leader's."""
 
     def __init__(self) -> None:
-        self._ring_keeper = ClaimRingKeeper()
+        self._ring_keeper = ClaimRingManager()
         self._beacon_at = NEVER
         self._asked: tuple[str, float] = ("", 0.0)
 
@@ -45,11 +45,11 @@
         self._asked = (f"beacon/{now:.3f}", now)
         return ConfirmRead(self._asked[0])
 
-    def is_beacon(self, ticket: str) -> bool:
+    def is_beacon(self, correlation_id: str) -> bool:
         """Say whether a confirmed read was asked for the beacon."""
-        return ticket.startswith("beacon/")
+        return correlation_id.startswith("beacon/")
 
-    def beacon(self, ticket: str, term: Term, now: float) -> LeaderBeacon | None:
+    def beacon(self, correlation_id: str, term: Term, now: float) -> LeaderBeacon | None:
         """Return the beacon for the newest question's answer; older answers are dropped."""
         asked, asked_at = self._asked
-        return LeaderBeacon(term, now - asked_at) if ticket == asked else None
+        return LeaderBeacon(term, now - asked_at) if correlation_id == asked else None
--- a/src/springmux/agent/messages.py
+++ b/src/springmux/agent/messages.py
@@ -2,19 +2,19 @@
 
 from __future__ import annotations
 
-from springmux.coordination.kernel import PeerMessage
+from springmux.coordination.state_machine import PeerMessage
 
 
-class TransferWish(PeerMessage, frozen=True, tag="TransferWish"):
+class TransferLeadershipRequest(PeerMessage, frozen=True, tag="TransferWish"):
     """Hand leadership to ``target`` (a replica's identity), or to any where it is empty."""
 
     target: str
 
 
-class RemovalWish(PeerMessage, frozen=True, tag="RemovalWish"):
+class RemoveReplicaRequest(PeerMessage, frozen=True, tag="RemovalWish"):
     """Remove a replica from the control group."""
 
     replica: str
 
 
-MESSAGES: tuple[type[PeerMessage], ...] = (TransferWish, RemovalWish)
+MESSAGES: tuple[type[PeerMessage], ...] = (TransferLeadershipRequest, RemoveReplicaRequest)
--- a/src/springmux/agent/readiness.py
+++ b/src/springmux/agent/readiness.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from springmux.agent.applying import StateApplier
-from springmux.agent.parts import NodeParts
+from springmux.agent.components import NodeComponents
 from springmux.coordination.identifiers import Revision
-from springmux.coordination.kernel import NEVER
+from springmux.coordination.state_machine import NEVER
 
 STARTING = "starting"
 STOPPING = "stopping"
@@ -21,14 +21,14 @@
 class Readiness:
     """The answer as of the last look."""
 
-    def __init__(self, parts: NodeParts, applier: StateApplier) -> None:
+    def __init__(self, components: NodeComponents, applier: StateApplier) -> None:
         self.stopping = False
         self.connected = False
         self.reason = STARTING
         self._was_connected = False
         self._missed_up_to = Revision(0)
         self._catch_up_until = -NEVER
-        self._parts = parts
+        self._components = components
         self._applier = applier
 
     @property
@@ -39,11 +39,11 @@
     def look_at_contact(self, now: float) -> bool:
         """Find out whether the node is cut off; ``True`` if that changed. Comes before :meth:`look`."""
         was_connected = self.connected
-        self.connected = self._parts.contact.connected(now)
+        self.connected = self._components.contact.connected(now)
         if self.connected == was_connected:
             return False
         if self.connected:
-            self._missed_up_to = self._parts.delivery.newest_heard
+            self._missed_up_to = self._components.delivery.newest_heard
             self._catch_up_until = now + CATCH_UP_LIMIT_S
             self._was_connected = True
         return True
@@ -71,11 +71,11 @@
         A large command that comes later doesn't count: it is parsed on all nodes at once, and a fleet
         that refuses everything meanwhile would be worse than the last state for a second more.
         """
-        confirmed = self._parts.delivery.confirmed
+        confirmed = self._components.delivery.confirmed
         revision = self._applier.state.view().revision
         if confirmed is None or revision < confirmed:
             return False
-        if self._parts.directory.catching_up(now):
+        if self._components.directory.catching_up(now):
             return False
-        caught_up = revision >= self._missed_up_to and not self._parts.delivery.confirming
+        caught_up = revision >= self._missed_up_to and not self._components.delivery.confirming
         return caught_up or now >= self._catch_up_until
--- a/src/springmux/agent/reporting.py
+++ b/src/springmux/agent/reporting.py
@@ -1,4 +1,4 @@
-"""Builds the status page's figures from the parts."""
+"""Builds the status page's figures from the components."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from typing import Protocol
 
-from springmux.agent.parts import NodeParts
+from springmux.agent.components import NodeComponents
 from springmux.agent.status import ClaimsReport, ContactReport, EnginesReport, NodeStatusReport, PeerReport
 from springmux.control.events import LeadershipKnown
 from springmux.control.view import ControlView
@@ -34,13 +34,13 @@
 
 def build_status(
     agent: Reported,
-    parts: NodeParts,
+    components: NodeComponents,
     leadership: LeadershipKnown,
     revisions: Mapping[NodeId, Revision],
     now: float,
 ) -> NodeStatusReport:
     """Return the figures at ``now``."""
-    membership = parts.membership.view
+    membership = components.membership.view
     own = membership.nodes.get(membership.own)
     return NodeStatusReport(
         node=membership.own,
@@ -52,32 +52,32 @@
         term=leadership.term,
         leader=leadership.leader,
         leading=leadership.leading,
-        replica=parts.replica.status() if parts.replica is not None else None,
-        contact=_contact(parts, now),
-        claims=_claims(agent.view, parts, now),
-        engines=EnginesReport(dict(Counter(r.status for r in parts.directory.view.engines.values()))),
-        router=parts.router.status(),
-        peers=_peers(parts, revisions),
+        replica=components.replica.status() if components.replica is not None else None,
+        contact=_contact(components, now),
+        claims=_claims(agent.view, components, now),
+        engines=EnginesReport(dict(Counter(r.status for r in components.directory.view.engines.values()))),
+        router=components.router.status(),
+        peers=_peers(components, revisions),
     )
 
 
-def _contact(parts: NodeParts, now: float) -> ContactReport:
-    contact = parts.contact
+def _contact(components: NodeComponents, now: float) -> ContactReport:
+    contact = components.contact
     return ContactReport(contact.connected(now), contact.known_count, contact.fresh_count(now))
 
 
-def _claims(view: ControlView, parts: NodeParts, now: float) -> ClaimsReport:
+def _claims(view: ControlView, components: NodeComponents, now: float) -> ClaimsReport:
     ring = view.claim_ring
     return ClaimsReport(
         ring_version=ring.version if ring is not None else 0,
         ring_size=len(ring.members) if ring is not None else 0,
-        held_keys=parts.claims.held_keys(),
-        synchronized=parts.claims.is_synchronized(now),
+        held_keys=components.claims.held_keys(),
+        synchronized=components.claims.is_synchronized(now),
     )
 
 
-def _peers(parts: NodeParts, revisions: Mapping[NodeId, Revision]) -> tuple[PeerReport, ...]:
-    view = parts.membership.view
+def _peers(components: NodeComponents, revisions: Mapping[NodeId, Revision]) -> tuple[PeerReport, ...]:
+    view = components.membership.view
     return tuple(
         PeerReport(
             node=record.node,
--- a/src/springmux/agent/rollout_orders.py
+++ b/src/springmux/agent/rollout_orders.py
@@ -3,17 +3,17 @@
 from __future__ import annotations
 
 from springmux.control.commands import AbortRollout, FinishRollout, SetRolloutStep
-from springmux.rollout.effects import AbortWanted, FinishWanted, StepWanted
+from springmux.rollout.effects import ProposeAbort, ProposeFinish, ProposeStep
 from springmux.vocabulary.names import OrderId
 
 SYSTEM = "system"
 
-RolloutWish = AbortWanted | StepWanted | FinishWanted
+RolloutProposal = ProposeAbort | ProposeStep | ProposeFinish
 
 
-def command_for(wish: RolloutWish) -> AbortRollout | SetRolloutStep | FinishRollout:
+def command_for(wish: RolloutProposal) -> AbortRollout | SetRolloutStep | FinishRollout:
     """Return the command for ``wish``; the same wish always makes the same order."""
-    if isinstance(wish, AbortWanted):
+    if isinstance(wish, ProposeAbort):
         return AbortRollout(
             order=OrderId(f"abort/{wish.rollout}/{wish.decision.decided_by}"),
             issued_by=SYSTEM,
@@ -21,7 +21,7 @@
             rollout=wish.rollout,
             decision=wish.decision,
         )
-    if isinstance(wish, StepWanted):
+    if isinstance(wish, ProposeStep):
         return SetRolloutStep(
             order=OrderId(f"step/{wish.rollout}/{wish.step}/{wish.elapsed_s:.3f}"),
             issued_by=SYSTEM,
--- a/src/springmux/agent/status.py
+++ b/src/springmux/agent/status.py
@@ -49,7 +49,7 @@
 
 
 class NodeStatusReport(msgspec.Struct, frozen=True):
-    """Everything on the status page that the pure parts know."""
+    """Everything on the status page that the pure components know."""
 
     node: NodeId
     zone: ZoneName
--- a/src/springmux/agent/wire.py
+++ b/src/springmux/agent/wire.py
@@ -16,10 +16,10 @@
 from springmux.coordination.claims import messages as claim_messages
 from springmux.coordination.consensus import messages as consensus_messages
 from springmux.coordination.identifiers import NodeId, Revision, Term
-from springmux.coordination.kernel import PeerMessage
 from springmux.coordination.membership import contact_messages
 from springmux.coordination.membership import messages as membership_messages
 from springmux.coordination.quota import messages as quota_messages
+from springmux.coordination.state_machine import PeerMessage
 from springmux.coordination.usage import messages as usage_messages
 from springmux.rollout import messages as rollout_messages
 
--- a/src/springmux/cli/client.py
+++ b/src/springmux/cli/client.py
@@ -25,7 +25,7 @@
 """Answers after which another node, or the same one later, may do better (same order id)."""
 
 
-class NoNodeReachable(SpringmuxError):
+class NoNodeReachableError(SpringmuxError):
     """None of the addresses answered; ``reasons`` has one line an address."""
 
     def __init__(self, reasons: Sequence[str]) -> None:
@@ -77,7 +77,7 @@
 
         :param document: bytes are sent unchanged, anything else as JSON.
         :param base_version: version that a change of the gateway's configuration builds on (``If-Match``).
-        :raises NoNodeReachable: if no node answered at all. The order may have been taken all the same.
+        :raises NoNodeReachableError: if no node answered at all. The order may have been taken all the same.
         """
         headers = {"X-Order-Id": order_id or str(uuid.uuid4()), "X-Operator": self._operator}
         if base_version is not None:
@@ -103,7 +103,7 @@
                 last = reply
         if last is not None:
             return last
-        raise NoNodeReachable(list(reasons.values()))
+        raise NoNodeReachableError(list(reasons.values()))
 
     def _once(
         self, address: str, method: str, path: str, body: bytes | None, headers: dict[str, str]
--- a/src/springmux/cli/configuration.py
+++ b/src/springmux/cli/configuration.py
@@ -25,7 +25,7 @@
     read_json_file,
     show_accepted,
 )
-from springmux.control.configuration import ConfigurationInvalid, build_configuration
+from springmux.control.configuration import InvalidConfigurationError, build_configuration
 from springmux.vocabulary.errors import FieldError
 
 application = typer.Typer(no_args_is_help=True, help="The fleet's configuration document.", epilog=EPILOG)
@@ -41,7 +41,7 @@
     """Return every wrong field of a whole document, without asking a node."""
     try:
         build_configuration(document, 1)
-    except ConfigurationInvalid as error:
+    except InvalidConfigurationError as error:
         return error.errors
     return ()
 
--- a/src/springmux/cli/doctor.py
+++ b/src/springmux/cli/doctor.py
@@ -12,7 +12,7 @@
 import msgspec
 import typer
 
-from springmux.cli.client import AdminClient, NoNodeReachable
+from springmux.cli.client import AdminClient, NoNodeReachableError
 from springmux.cli.exit_codes import ExitCode
 from springmux.cli.node_command import SettingsOption
 from springmux.cli.output import JsonOption, print_json
@@ -85,7 +85,7 @@
     client = AdminClient([settings.admin_address], timeout_s=CONNECT_TIMEOUT_S, rounds=1)
     try:
         reply = client.get("/readyz")
-    except NoNodeReachable:
+    except NoNodeReachableError:
         return Finding("node", True, "does not run here now")
     document = reply.document if isinstance(reply.document, dict) else {}
     if document.get("ready"):
--- a/src/springmux/cli/gateway_losses.py
+++ b/src/springmux/cli/gateway_losses.py
@@ -12,7 +12,7 @@
 
 from springmux.cli.exit_codes import ExitCode
 from springmux.cli.output import JsonOption, fail, print_json
-from springmux.lab.request_losses import LATE_WORTH, Dimension, LossRow, losses_by, read_requests
+from springmux.lab.reporting.request_losses import LATE_WORTH, Dimension, LossRow, losses_by, read_requests
 
 DEFAULT_ROWS = 12
 _HEADINGS = ("requests", "late", "refused", "failed", "left", "lost")
--- a/src/springmux/cli/lab.py
+++ b/src/springmux/cli/lab.py
@@ -25,10 +25,10 @@
 from springmux.vocabulary.errors import SpringmuxError
 
 if TYPE_CHECKING:
-    from springmux.lab.experiment import RunOptions, Script
-    from springmux.lab.records import RunRecords
-    from springmux.lab.traffic import Surge
-    from springmux.lab.verdict import Verdict
+    from springmux.lab.checks.verdict import Verdict
+    from springmux.lab.experiment.experiment import RunOptions, Script
+    from springmux.lab.experiment.records import RunRecords
+    from springmux.lab.load.traffic import Surge
 
 RUN_CODES = "Exit codes: 0 no promise was broken, 1 one was broken or the run failed, 2 wrong usage."
 
@@ -57,8 +57,8 @@
 
     Example: springmux lab demo --report reports/demo
     """
-    from springmux.lab.demo import DEMO_EXPERIMENT, DEMO_SECONDS, demonstrate
-    from springmux.lab.experiment import RunOptions
+    from springmux.lab.experiment.demo import DEMO_EXPERIMENT, DEMO_SECONDS, demonstrate
+    from springmux.lab.experiment.experiment import RunOptions
 
     with _folder(keep) as folder:
         options = RunOptions(experiment=DEMO_EXPERIMENT, folder=folder, seconds=DEMO_SECONDS, seed=seed)
@@ -78,10 +78,10 @@
 
     Example: springmux lab run anuario --faults leader-killed,hot-tenant --report reports/anuario
     """
-    from springmux.lab import script
-    from springmux.lab.experiment import RunOptions
-    from springmux.lab.faults import choose_faults
-    from springmux.lab.plan import ExperimentError, load_experiment
+    from springmux.lab.experiment import script
+    from springmux.lab.experiment.experiment import RunOptions
+    from springmux.lab.experiment.plan import ExperimentError, load_experiment
+    from springmux.lab.faults.catalogue import choose_faults
 
     try:
         plan = load_experiment(experiment)
@@ -98,8 +98,8 @@
 @application.command("list")
 def list_all() -> None:
     """List the built-in experiments and the faults."""
-    from springmux.lab.faults import FAULTS
-    from springmux.lab.plan import built_in_experiments
+    from springmux.lab.experiment.plan import built_in_experiments
+    from springmux.lab.faults.catalogue import FAULTS
 
     typer.echo("Experiments:")
     for plan in built_in_experiments():
@@ -112,7 +112,7 @@
 @application.command()
 def backends(settings: SettingsOption) -> None:
     """Run stand-in back ends until SIGTERM (a part of an experiment)."""
-    from springmux.lab.host import BackEndHost, load_host_settings
+    from springmux.lab.stand_ins.host import BackEndHost, load_host_settings
 
     try:
         loaded = load_host_settings(settings)
@@ -124,7 +124,7 @@
 @application.command()
 def callers(settings: SettingsOption) -> None:
     """Send an experiment's traffic and record every answer (a part of an experiment)."""
-    from springmux.lab.callers import load_callers_settings, run_callers
+    from springmux.lab.load.clients import load_callers_settings, run_callers
 
     try:
         loaded = load_callers_settings(settings)
@@ -152,9 +152,9 @@
 
 def _run(options: RunOptions, script: Script, surges: list[Surge], report: Path | None) -> None:
     """Run, print the table, write the report, and exit by the verdicts."""
-    from springmux.lab.experiment import run_experiment
-    from springmux.lab.promises import check_all
-    from springmux.lab.report import write_report
+    from springmux.lab.checks.promises import check_all
+    from springmux.lab.experiment.experiment import run_experiment
+    from springmux.lab.reporting.report import write_report
 
     console = Console()
     try:
@@ -184,7 +184,7 @@
 
 
 def _print_verdicts(console: Console, records: RunRecords, verdicts: Sequence[Verdict]) -> None:
-    from springmux.lab.report import verdict_word
+    from springmux.lab.reporting.report import verdict_word
 
     table = Table(title=f"{records.experiment}: {len(records.calls)} requests")
     for header in ("promise", "bound", "measured", "verdict"):
--- a/src/springmux/cli/output.py
+++ b/src/springmux/cli/output.py
@@ -11,7 +11,7 @@
 
 import typer
 
-from springmux.cli.client import AdminClient, AdminReply, NoNodeReachable
+from springmux.cli.client import AdminClient, AdminReply, NoNodeReachableError
 from springmux.cli.exit_codes import ExitCode
 
 DEFAULT_ADMIN = ["127.0.0.1:7002"]
@@ -91,7 +91,7 @@
     """
     try:
         reply = call()
-    except NoNodeReachable as error:
+    except NoNodeReachableError as error:
         details = [*error.reasons, f"give reachable addresses with {sources}"]
         fail(str(error), ExitCode.UNREACHABLE, as_json, details)
     if reply.status >= HTTPStatus.BAD_REQUEST:
--- a/src/springmux/control/commands.py
+++ b/src/springmux/control/commands.py
@@ -16,7 +16,7 @@
 from springmux.control.view import Tenant
 from springmux.coordination.claims.ring import ClaimRing
 from springmux.coordination.identifiers import Revision
-from springmux.rollout.plan import RolloutDecision, RolloutPhase, RolloutPlan
+from springmux.rollout.planning.plan import RolloutDecision, RolloutPhase, RolloutPlan
 from springmux.vocabulary.errors import FieldError, SpringmuxError
 from springmux.vocabulary.names import (
     KeyDigest,
@@ -94,7 +94,7 @@
 
 
 class PutTemplate(Command, frozen=True, kw_only=True, tag="PutTemplate"):
-    """Create or replace a rollout template (JSON, see :mod:`springmux.rollout.template`)."""
+    """Create or replace a rollout template (JSON, see :mod:`springmux.rollout.planning.template`)."""
 
     name: str
     document: bytes
@@ -178,7 +178,7 @@
 )
 
 
-class UnknownCommand(SpringmuxError):
+class UnknownCommandError(SpringmuxError):
     """A command can't be read here (a newer program wrote it). If it's committed, the node must not go on."""
 
 
--- a/src/springmux/control/configuration.py
+++ b/src/springmux/control/configuration.py
@@ -29,11 +29,11 @@
 """Comparing with thousands of names for each of thousands of errors would take minutes."""
 SECTIONS = ("services", "routes", "limits", "exceptions")
 
-Part = TypeVar("Part", bound="DocumentPart")
+Section = TypeVar("Section", bound="DocumentPart")
 Typed = TypeVar("Typed")
 
 
-class ConfigurationInvalid(SpringmuxError):
+class InvalidConfigurationError(SpringmuxError):
     """The document is wrong; ``errors`` names every wrong field."""
 
     def __init__(self, errors: tuple[FieldError, ...]) -> None:
@@ -41,7 +41,7 @@
         self.errors = errors
 
 
-class ConfigurationTooLarge(SpringmuxError):
+class ConfigurationTooLargeError(SpringmuxError):
     """The document is larger than the limit, both in bytes."""
 
     def __init__(self, size_bytes: int, limit_bytes: int) -> None:
@@ -55,25 +55,25 @@
 ) -> Configuration:
     """Return the configuration in a JSON document.
 
-    :raises ConfigurationTooLarge: before anything is read.
-    :raises ConfigurationInvalid: with every wrong field.
+    :raises ConfigurationTooLargeError: before anything is read.
+    :raises InvalidConfigurationError: with every wrong field.
     """
     if len(document) > max_bytes:
-        raise ConfigurationTooLarge(len(document), max_bytes)
+        raise ConfigurationTooLargeError(len(document), max_bytes)
     return build_configuration(decode_document(document), version)
 
 
 def decode_document(document: bytes) -> Any:
     """Return the JSON value in ``document``.
 
-    :raises ConfigurationInvalid: if it is not JSON, or nested too deep.
+    :raises InvalidConfigurationError: if it is not JSON, or nested too deep.
     """
     try:
         value = msgspec.json.decode(document)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise ConfigurationInvalid((FieldError("", f"not JSON: {error}"),)) from error
+        raise InvalidConfigurationError((FieldError("", f"not JSON: {error}"),)) from error
     if not is_shallow(value):
-        raise ConfigurationInvalid((FieldError("", f"nested deeper than {MAX_DEPTH} levels"),))
+        raise InvalidConfigurationError((FieldError("", f"nested deeper than {MAX_DEPTH} levels"),))
     return value
 
 
@@ -97,7 +97,7 @@
 def build_configuration(value: Any, version: int) -> Configuration:
     """Return the configuration in a decoded document.
 
-    :raises ConfigurationInvalid: with every wrong field.
+    :raises InvalidConfigurationError: with every wrong field.
     """
     from springmux.control.documents import ExceptionsDocument, LimitsDocument, RouteDocument, ServiceDocument
 
@@ -111,7 +111,7 @@
     if limits is not None:
         checker.check_limits(limits.to_limits())
     if checker.errors or limits is None or exceptions is None:
-        raise ConfigurationInvalid(checker.reported())
+        raise InvalidConfigurationError(checker.reported())
     return Configuration(
         version=version,
         services={ServiceName(name): service for name, service in services.items()},
@@ -148,8 +148,8 @@
         self,
         sections: Mapping[str, Any],
         section: str,
-        model: type[Part],
-        convert: Callable[[Part, str], Typed],
+        model: type[Section],
+        convert: Callable[[Section, str], Typed],
     ) -> dict[str, Typed]:
         members = sections.get(section, {})
         if not isinstance(members, dict):
@@ -165,7 +165,7 @@
                 found[name] = convert(part, name)
         return found
 
-    def single(self, sections: Mapping[str, Any], section: str, model: type[Part]) -> Part | None:
+    def single(self, sections: Mapping[str, Any], section: str, model: type[Section]) -> Section | None:
         return self._part(sections.get(section, {}), section, model)
 
     def check_routes(self, routes: Any, services: Any) -> None:
@@ -183,7 +183,7 @@
             message = f"with transaction_reserved it is {reserved}, more than max_in_flight"
             self.add("limits.interactive_reserved", message)
 
-    def _part(self, value: Any, path: str, model: type[Part]) -> Part | None:
+    def _part(self, value: Any, path: str, model: type[Section]) -> Section | None:
         from pydantic import ValidationError
 
         try:
--- a/src/springmux/control/configuration_section.py
+++ b/src/springmux/control/configuration_section.py
@@ -11,8 +11,8 @@
 from springmux.control.commands import ApplyConfiguration, Outcome
 from springmux.control.configuration import (
     MAX_DOCUMENT_BYTES,
-    ConfigurationInvalid,
-    ConfigurationTooLarge,
+    ConfigurationTooLargeError,
+    InvalidConfigurationError,
     build_configuration,
     canonical_document,
     decode_document,
@@ -89,14 +89,14 @@
     def _parse(self, document: bytes, partial: bool, base: PresentConfiguration) -> ParsedDocument:
         try:
             if len(document) > self._max_document_bytes:
-                raise ConfigurationTooLarge(len(document), self._max_document_bytes)
+                raise ConfigurationTooLargeError(len(document), self._max_document_bytes)
             value = decode_document(document)
             if partial:
                 value = merge_patch(decode_document(base.document), value)
             return self._parsed(value)
-        except ConfigurationTooLarge as error:
+        except ConfigurationTooLargeError as error:
             return ParsedDocument(b"", None, (FieldError("", str(error)),))
-        except ConfigurationInvalid as error:
+        except InvalidConfigurationError as error:
             return ParsedDocument(b"", None, error.errors)
 
     def apply(
@@ -153,7 +153,7 @@
     def _parsed(self, value: Any) -> ParsedDocument:
         document = canonical_document(value)
         if len(document) > self._max_document_bytes:
-            raise ConfigurationTooLarge(len(document), self._max_document_bytes)
+            raise ConfigurationTooLargeError(len(document), self._max_document_bytes)
         return ParsedDocument(document, build_configuration(value, 0))
 
     def _lost(self, version: int) -> Verdict:
--- a/src/springmux/control/delivery/applied_commands.py
+++ b/src/springmux/control/delivery/applied_commands.py
@@ -10,7 +10,7 @@
 from springmux.control.state_image import image_revision
 from springmux.coordination.consensus.types import Entry, EntryKind
 from springmux.coordination.identifiers import Revision
-from springmux.coordination.kernel import Effect
+from springmux.coordination.state_machine import Effect
 
 
 class AppliedCommands:
@@ -55,7 +55,7 @@
     def replace(self, snapshot: bytes) -> list[Effect]:
         """Replace the state by an image, if that is newer.
 
-        :raises ImageUnreadable: if ``snapshot`` is no image.
+        :raises UnreadableImageError: if ``snapshot`` is no image.
         """
         revision = image_revision(snapshot)
         if revision <= self._revision:
--- a/src/springmux/control/delivery/confirmation.py
+++ b/src/springmux/control/delivery/confirmation.py
@@ -9,17 +9,17 @@
 
 import random
 
-from springmux.control.delivery.effects import AskLeaderRevision
-from springmux.control.delivery.messages import AskRevision, RevisionConfirmed
+from springmux.control.delivery.effects import ConfirmLeaderRevision
+from springmux.control.delivery.messages import RevisionConfirmed, RevisionRequest
 from springmux.control.delivery.settings import DeliverySettings
 from springmux.coordination.identifiers import LogIndex, NodeId, Revision
-from springmux.coordination.kernel import NEVER, Effect, Send
+from springmux.coordination.state_machine import NEVER, Effect, Send
 
 REQUEST_BITS = 48
 """Requests begin at a random number, so that an answer to an earlier process isn't taken."""
 
 
-class RevisionAsker:
+class RevisionRequester:
     """The asking side, in every node: at the start and after each cut, until it got an answer."""
 
     def __init__(self, rng: random.Random, settings: DeliverySettings) -> None:
@@ -51,7 +51,7 @@
             return []
         self._ask_at = now + self._settings.ask_interval_s
         self._request += 1
-        return [Send(leader, AskRevision(self._request))]
+        return [Send(leader, RevisionRequest(self._request))]
 
     def take(self, answer: RevisionConfirmed) -> bool:
         """Take an answer to a request since the start or the last cut; say whether it was one."""
@@ -70,8 +70,8 @@
 
     def __init__(self, settings: DeliverySettings) -> None:
         self._settings = settings
-        self._running: dict[NodeId, AskRevision] = {}
-        self._next: dict[NodeId, AskRevision] = {}
+        self._running: dict[NodeId, RevisionRequest] = {}
+        self._next: dict[NodeId, RevisionRequest] = {}
         self._index: LogIndex | None = None
         self._ticket_number = 0
         self._give_up_at = NEVER
@@ -80,16 +80,16 @@
         """Return when a confirmation that got no answer is begun anew."""
         return self._give_up_at
 
-    def ask(self, sender: NodeId, question: AskRevision, now: float) -> list[Effect]:
+    def ask(self, sender: NodeId, question: RevisionRequest, now: float) -> list[Effect]:
         """Take a question; begin a confirmation if none runs."""
         self._next[sender] = question
         return [] if self._running else self._begin(now)
 
     def confirmed(
-        self, ticket: str, index: LogIndex | None, applied: LogIndex, own: Revision, now: float
+        self, correlation_id: str, index: LogIndex | None, applied: LogIndex, own: Revision, now: float
     ) -> list[Effect]:
         """Take the replica's answer; a refused confirmation is dropped, askers ask again."""
-        if ticket != self._ticket():
+        if correlation_id != self._correlation_id():
             return []
         if index is None:
             self._running = {}
@@ -129,7 +129,7 @@
             return []
         self._ticket_number += 1
         self._give_up_at = now + self._settings.ask_interval_s
-        return [AskLeaderRevision(self._ticket())]
+        return [ConfirmLeaderRevision(self._correlation_id())]
 
-    def _ticket(self) -> str:
+    def _correlation_id(self) -> str:
         return f"revision/{self._ticket_number}"
--- a/src/springmux/control/delivery/effects.py
+++ b/src/springmux/control/delivery/effects.py
@@ -1,10 +1,10 @@
-"""What the delivery asks of the agent, beside ``Send`` and ``Note``."""
+"""What the delivery asks of the agent, beside ``Send`` and ``LogLine``."""
 
 from __future__ import annotations
 
 from springmux.control.delivery.messages import DeliveredCommand
 from springmux.coordination.identifiers import Revision
-from springmux.coordination.kernel import Effect
+from springmux.coordination.state_machine import Effect
 
 
 class ApplyCommands(Effect, frozen=True):
@@ -24,7 +24,7 @@
     """Make an image of the present state, then give back ``SnapshotProvided``."""
 
 
-class AskLeaderRevision(Effect, frozen=True):
+class ConfirmLeaderRevision(Effect, frozen=True):
     """Ask the own, leading replica for a read point, then give back ``ConfirmedRevision``."""
 
-    ticket: str
+    correlation_id: str
--- a/src/springmux/control/delivery/events.py
+++ b/src/springmux/control/delivery/events.py
@@ -4,8 +4,8 @@
 
 from springmux.coordination.consensus.types import Entry
 from springmux.coordination.identifiers import LogIndex, NodeId, Revision, Term
-from springmux.coordination.kernel import Event
 from springmux.coordination.membership.view import MembershipView
+from springmux.coordination.state_machine import Event
 
 
 class CommandsCommitted(Event, frozen=True):
@@ -30,7 +30,7 @@
     node: NodeId
 
 
-class PeerRevisionHeard(Event, frozen=True):
+class PeerRevisionObserved(Event, frozen=True):
     """A peer's message carried its term and revision in the envelope."""
 
     node: NodeId
@@ -45,9 +45,9 @@
 
 
 class ConfirmedRevision(Event, frozen=True):
-    """Answer to ``AskLeaderRevision`` (the replica's ``ReadConfirmed``); ``None``: refused."""
+    """Answer to ``ConfirmLeaderRevision`` (the replica's ``ReadConfirmed``); ``None``: refused."""
 
-    ticket: str
+    correlation_id: str
     index: LogIndex | None
 
 
--- a/src/springmux/control/delivery/fetching.py
+++ b/src/springmux/control/delivery/fetching.py
@@ -11,7 +11,7 @@
 from springmux.control.delivery.serving import transfer_checksum
 from springmux.control.delivery.settings import DeliverySettings
 from springmux.coordination.identifiers import NodeId, Revision
-from springmux.coordination.kernel import NEVER, Effect, Note, NoteLevel, Send
+from springmux.coordination.state_machine import NEVER, Effect, LogLevel, LogLine, Send
 
 
 class Fetched(msgspec.Struct, frozen=True):
@@ -100,7 +100,7 @@
         """Go on at another peer, with what has come so far."""
         self._rest(running.peer, now)
         fields = {"peer": running.peer, "revision": own, "received_bytes": len(running.content)}
-        given_up = Note("transfer_given_up", NoteLevel.INFO, fields)
+        given_up = LogLine("transfer_given_up", LogLevel.INFO, fields)
         return [given_up, *self._ask_next(own, now)]
 
     def _has_another(self, running: _Running, own: Revision, now: float) -> bool:
--- a/src/springmux/control/delivery/messages.py
+++ b/src/springmux/control/delivery/messages.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from springmux.coordination.identifiers import NodeId, Revision, Term
-from springmux.coordination.kernel import PeerMessage
+from springmux.coordination.state_machine import PeerMessage
 
 
 class DeliveredCommand(msgspec.Struct, frozen=True, array_like=True):
@@ -76,14 +76,14 @@
     revision: Revision
 
 
-class AskRevision(PeerMessage, frozen=True, tag="AskRevision"):
+class RevisionRequest(PeerMessage, frozen=True, tag="AskRevision"):
     """Ask the leader which revision is the newest acknowledged, confirmed by a quorum after this."""
 
     request: int
 
 
 class RevisionConfirmed(PeerMessage, frozen=True, tag="RevisionConfirmed"):
-    """Answer to :class:`AskRevision`: nothing newer than ``revision`` had been acknowledged then."""
+    """Answer to :class:`RevisionRequest`: nothing newer than ``revision`` had been acknowledged then."""
 
     request: int
     revision: Revision
@@ -94,6 +94,6 @@
     FetchState,
     StateChunk,
     NothingNewer,
-    AskRevision,
+    RevisionRequest,
     RevisionConfirmed,
 )
--- a/src/springmux/control/delivery/relay_tree.py
+++ b/src/springmux/control/delivery/relay_tree.py
@@ -9,9 +9,9 @@
 from springmux.control.delivery.messages import PushCommands
 from springmux.control.delivery.settings import DeliverySettings
 from springmux.coordination.identifiers import NodeId, ZoneName
-from springmux.coordination.kernel import Effect, Send
 from springmux.coordination.membership.view import MembershipView, NodeRecord, NodeStatus
 from springmux.coordination.rendezvous import rendezvous_score
+from springmux.coordination.state_machine import Effect, Send
 
 
 class Branch(msgspec.Struct, frozen=True):
--- a/src/springmux/control/delivery/serving.py
+++ b/src/springmux/control/delivery/serving.py
@@ -19,7 +19,7 @@
 from springmux.control.delivery.recent_log import RecentLog
 from springmux.control.delivery.settings import DeliverySettings
 from springmux.coordination.identifiers import NodeId, Revision
-from springmux.coordination.kernel import NEVER, Effect, Send
+from springmux.coordination.state_machine import NEVER, Effect, Send
 
 KEPT_DELTAS = 4
 """After a large command most nodes ask for the same delta; encode it once."""
--- a/src/springmux/control/delivery/part.py
+++ b/src/springmux/control/delivery/state_delivery.py
@@ -15,25 +15,25 @@
 
 from springmux.control.delivery.applied_commands import AppliedCommands
 from springmux.control.delivery.arrival import Arrival, ArrivalWatch, DeliveryWay
-from springmux.control.delivery.confirmation import RevisionAsker, RevisionConfirmer
+from springmux.control.delivery.confirmation import RevisionConfirmer, RevisionRequester
 from springmux.control.delivery.effects import ApplyCommands, ReplaceState
 from springmux.control.delivery.events import (
     CommandsCommitted,
     ConfirmedRevision,
     MembershipChanged,
     PeerLost,
-    PeerRevisionHeard,
+    PeerRevisionObserved,
     ReplicaRestored,
     SnapshotProvided,
 )
 from springmux.control.delivery.fetching import Fetched, StateFetcher
 from springmux.control.delivery.messages import (
-    AskRevision,
     DeliveredCommand,
     FetchState,
     NothingNewer,
     PushCommands,
     RevisionConfirmed,
+    RevisionRequest,
     StateChunk,
     TransferKind,
 )
@@ -42,23 +42,23 @@
 from springmux.control.delivery.serving import StateServer, decode_delta
 from springmux.control.delivery.settings import DeliverySettings
 from springmux.control.events import LeadershipKnown
-from springmux.control.state_image import ImageUnreadable
+from springmux.control.state_image import UnreadableImageError
 from springmux.coordination.identifiers import LogIndex, NodeId, Revision, Term
-from springmux.coordination.kernel import (
+from springmux.coordination.membership.events import ContactChanged
+from springmux.coordination.membership.view import MembershipView
+from springmux.coordination.state_machine import (
     Effect,
     Event,
+    LogLevel,
+    LogLine,
     MessageReceived,
-    Note,
-    NoteLevel,
     PeerMessage,
     Send,
     Tick,
 )
-from springmux.coordination.membership.events import ContactChanged
-from springmux.coordination.membership.view import MembershipView
 
 
-class DeliveryPart:
+class StateDelivery:
     """Delivery in one node, controller or not. ``rng`` spreads fetches in time and over peers."""
 
     def __init__(self, own: NodeId, rng: random.Random, settings: DeliverySettings | None = None) -> None:
@@ -76,12 +76,12 @@
         self._arrivals = ArrivalWatch()
         self._server = StateServer(recent, self._settings)
         self._fetcher = StateFetcher(rng, self._settings, self._is_near)
-        self._asker = RevisionAsker(rng, self._settings)
+        self._asker = RevisionRequester(rng, self._settings)
         self._confirmer = RevisionConfirmer(self._settings)
         self._handlers: dict[type[Event], Callable[[Any, float], list[Effect]]] = {
             CommandsCommitted: self._on_committed,
             ReplicaRestored: self._on_replica_restored,
-            PeerRevisionHeard: self._on_peer_revision,
+            PeerRevisionObserved: self._on_peer_revision,
             PeerLost: self._on_peer_lost,
             MembershipChanged: self._on_membership,
             LeadershipKnown: self._on_leadership,
@@ -96,7 +96,7 @@
             FetchState: self._on_fetch,
             StateChunk: self._on_chunk,
             NothingNewer: self._on_nothing_newer,
-            AskRevision: self._on_ask_revision,
+            RevisionRequest: self._on_ask_revision,
             RevisionConfirmed: self._on_revision_confirmed,
         }
 
@@ -136,7 +136,7 @@
         return self._asker.confirmed is not None and self._applied.revision >= self._asker.confirmed
 
     def handle(self, event: Event, now: float) -> list[Effect]:
-        """Take one event; see :class:`springmux.coordination.kernel.Part`."""
+        """Take one event; see :class:`springmux.coordination.state_machine.StateMachine`."""
         handler = self._handlers.get(type(event))
         return self._deliver_to_self(handler(event, now), now) if handler is not None else []
 
@@ -164,7 +164,7 @@
         effects = self._arrived(DeliveryWay.REPLICA, self._applied.replace(event.snapshot), now)
         return effects + self._confirmer.applied(self._replica_index, self._applied.revision, now)
 
-    def _on_peer_revision(self, event: PeerRevisionHeard, now: float) -> list[Effect]:
+    def _on_peer_revision(self, event: PeerRevisionObserved, now: float) -> list[Effect]:
         self._newest_heard = max(self._newest_heard, event.revision)
         self._arrivals.heard(event.revision, self._applied.revision, now)
         if event.revision > self._applied.revision:
@@ -208,7 +208,7 @@
 
     def _on_confirmed(self, event: ConfirmedRevision, now: float) -> list[Effect]:
         return self._confirmer.confirmed(
-            event.ticket, event.index, self._replica_index, self._applied.revision, now
+            event.correlation_id, event.index, self._replica_index, self._applied.revision, now
         )
 
     def _deliver_to_self(self, effects: list[Effect], now: float) -> list[Effect]:
@@ -271,14 +271,14 @@
             if fetched.kind is TransferKind.SNAPSHOT:
                 return self._applied.replace(fetched.content)
             return self._applied.take(decode_delta(fetched.content))
-        except (msgspec.DecodeError, ImageUnreadable) as error:
+        except (msgspec.DecodeError, UnreadableImageError) as error:
             fields = {"peer": sender, "kind": fetched.kind.value, "reason": str(error)}
-            return [Note("transfer_unreadable", NoteLevel.ERROR, fields)]
+            return [LogLine("transfer_unreadable", LogLevel.ERROR, fields)]
 
     def _on_nothing_newer(self, sender: NodeId, nothing: NothingNewer, now: float) -> list[Effect]:
         return self._fetcher.take_nothing(sender, nothing, self._applied.revision, now)
 
-    def _on_ask_revision(self, sender: NodeId, question: AskRevision, now: float) -> list[Effect]:
+    def _on_ask_revision(self, sender: NodeId, question: RevisionRequest, now: float) -> list[Effect]:
         return self._confirmer.ask(sender, question, now) if self._leading else []
 
     def _on_revision_confirmed(self, sender: NodeId, answer: RevisionConfirmed, now: float) -> list[Effect]:
--- a/src/springmux/control/events.py
+++ b/src/springmux/control/events.py
@@ -1,9 +1,9 @@
-"""Events that the order desk and the delivery share."""
+"""Events that the order coordinator and the delivery share."""
 
 from __future__ import annotations
 
 from springmux.coordination.identifiers import NodeId, Term
-from springmux.coordination.kernel import Event
+from springmux.coordination.state_machine import Event
 
 
 class LeadershipKnown(Event, frozen=True):
--- a/src/springmux/control/freshness/events.py
+++ b/src/springmux/control/freshness/events.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from springmux.coordination.identifiers import LogIndex
-from springmux.coordination.kernel import Event
+from springmux.coordination.state_machine import Event
 
 
 class ProofWanted(Event, frozen=True):
--- a/src/springmux/control/freshness/part.py
+++ b/src/springmux/control/freshness/freshness_monitor.py
@@ -19,11 +19,11 @@
 from springmux.control.delivery.events import MembershipChanged
 from springmux.control.events import LeadershipKnown
 from springmux.control.freshness.events import ProofWanted, QuorumConfirmed
-from springmux.control.freshness.messages import AskFreshness, FreshnessTold
+from springmux.control.freshness.messages import FreshnessReply, FreshnessRequest
 from springmux.control.freshness.settings import FreshnessSettings
 from springmux.coordination.identifiers import LogIndex, NodeId, Revision
-from springmux.coordination.kernel import NEVER, Effect, Event, MessageReceived, Send, Tick
 from springmux.coordination.membership.view import MembershipView
+from springmux.coordination.state_machine import NEVER, Effect, Event, MessageReceived, Send, Tick
 
 UNPROVEN_MS = -1
 REQUEST_BITS = 48
@@ -47,7 +47,7 @@
     sent_at: float
 
 
-class FreshnessPart:
+class FreshnessMonitor:
     """One node's lease on its control state being the newest.
 
     :param in_force: returns the revision in force at this node.
@@ -92,7 +92,7 @@
         return self._ask_at
 
     def handle(self, event: Event, now: float) -> list[Effect]:
-        """Take one event; see :class:`springmux.coordination.kernel.Part`."""
+        """Take one event; see :class:`springmux.coordination.state_machine.StateMachine`."""
         if isinstance(event, Tick):
             return self._ask_by_rhythm(now) if now >= self._ask_at else []
         if isinstance(event, ProofWanted):
@@ -111,20 +111,20 @@
 
     def _receive(self, event: MessageReceived, now: float) -> list[Effect]:
         message = event.message
-        if isinstance(message, AskFreshness):
+        if isinstance(message, FreshnessRequest):
             return [Send(event.sender, self._answer(message.request, now))]
-        if isinstance(message, FreshnessTold):
+        if isinstance(message, FreshnessReply):
             self._take_answer(message, now)
         return []
 
-    def _answer(self, request: int, now: float) -> FreshnessTold:
+    def _answer(self, request: int, now: float) -> FreshnessReply:
         age_s = self.proof_age_s(now)
         if age_s >= self._settings.told_s:
-            return FreshnessTold(request, UNPROVEN_MS, self._in_force())
+            return FreshnessReply(request, UNPROVEN_MS, self._in_force())
         # Rounded up: a proof may seem older than it is, never younger.
-        return FreshnessTold(request, int(age_s * 1000.0) + 1, self._in_force())
+        return FreshnessReply(request, int(age_s * 1000.0) + 1, self._in_force())
 
-    def _take_answer(self, told: FreshnessTold, now: float) -> None:
+    def _take_answer(self, told: FreshnessReply, now: float) -> None:
         question = next((asked for asked in self._questions if asked.request == told.request), None)
         if question is None or told.age_ms < 0:
             return
@@ -157,7 +157,7 @@
             return []
         self._request += 1
         self._questions.append(_Question(self._request, now))
-        return [Send(target, AskFreshness(self._request))]
+        return [Send(target, FreshnessRequest(self._request))]
 
     def _target(self, now: float) -> NodeId | None:
         """Return whom to ask: without a proof the leader, each second time; others may have none."""
--- a/src/springmux/control/freshness/messages.py
+++ b/src/springmux/control/freshness/messages.py
@@ -3,17 +3,17 @@
 from __future__ import annotations
 
 from springmux.coordination.identifiers import Revision
-from springmux.coordination.kernel import PeerMessage
+from springmux.coordination.state_machine import PeerMessage
 
 
-class AskFreshness(PeerMessage, frozen=True, tag="AskFreshness"):
+class FreshnessRequest(PeerMessage, frozen=True, tag="AskFreshness"):
     """Ask a node how old its proof is. ``request`` tells answers apart."""
 
     request: int
 
 
-class FreshnessTold(PeerMessage, frozen=True, tag="FreshnessTold"):
-    """Answer to :class:`AskFreshness`.
+class FreshnessReply(PeerMessage, frozen=True, tag="FreshnessTold"):
+    """Answer to :class:`FreshnessRequest`.
 
     Everything acknowledged up to ``age_ms`` before this was sent is in ``revision``. ``age_ms`` is -1 where
     the node has no proof.
@@ -24,4 +24,4 @@
     revision: Revision
 
 
-MESSAGES: tuple[type[PeerMessage], ...] = (AskFreshness, FreshnessTold)
+MESSAGES: tuple[type[PeerMessage], ...] = (FreshnessRequest, FreshnessReply)
--- a/src/springmux/control/gateway_change.py
+++ b/src/springmux/control/gateway_change.py
@@ -14,8 +14,8 @@
 
 from springmux.control.configuration import (
     MAX_REPORTED_ERRORS,
-    ConfigurationInvalid,
-    ConfigurationTooLarge,
+    ConfigurationTooLargeError,
+    InvalidConfigurationError,
     decode_document,
 )
 from springmux.control.gateway_configuration import (
@@ -87,14 +87,14 @@
 def parse_change(document: bytes, partial: bool, max_bytes: int) -> GatewayChange:
     """Return the change in a JSON document.
 
-    :raises ConfigurationTooLarge: before anything is read.
-    :raises ConfigurationInvalid: with the wrong fields, the first of each item.
+    :raises ConfigurationTooLargeError: before anything is read.
+    :raises InvalidConfigurationError: with the wrong fields, the first of each item.
     """
     if len(document) > max_bytes:
-        raise ConfigurationTooLarge(len(document), max_bytes)
+        raise ConfigurationTooLargeError(len(document), max_bytes)
     value = decode_document(document)
     if not isinstance(value, dict):
-        raise ConfigurationInvalid((FieldError("", "the document must be an object"),))
+        raise InvalidConfigurationError((FieldError("", "the document must be an object"),))
     return _Reader(value, partial).change()
 
 
@@ -126,7 +126,7 @@
             extras={} if self._partial else _without(self._value, WHOLE_MEMBERS),
         )
         if self._errors:
-            raise ConfigurationInvalid(reported(self._errors))
+            raise InvalidConfigurationError(reported(self._errors))
         return change
 
     def _sources(self) -> tuple[dict[str, Any], dict[str, Any]]:
--- a/src/springmux/control/gateway_section.py
+++ b/src/springmux/control/gateway_section.py
@@ -12,8 +12,8 @@
 from springmux.control.commands import ApplyGateway, Outcome
 from springmux.control.configuration import (
     MAX_DOCUMENT_BYTES,
-    ConfigurationInvalid,
-    ConfigurationTooLarge,
+    ConfigurationTooLargeError,
+    InvalidConfigurationError,
 )
 from springmux.control.gateway_change import (
     Entry,
@@ -86,7 +86,7 @@
         """Parse ahead, in a thread; ``apply`` then finds the result. Changes nothing else."""
         try:
             change = parse_change(command.document, command.partial, self._max_document_bytes)
-        except (ConfigurationInvalid, ConfigurationTooLarge):
+        except (InvalidConfigurationError, ConfigurationTooLargeError):
             return
         if len(self._prepared) >= PREPARED_CHANGES:
             self._prepared.clear()
@@ -104,16 +104,16 @@
                 message = f"the change builds on version {command.base_version}, the present one is {present}"
                 return conflict(message, {"version": present})
             self._present = self._next(change)
-        except ConfigurationTooLarge as error:
+        except ConfigurationTooLargeError as error:
             return invalid(FieldError("", str(error)))
-        except ConfigurationInvalid as error:
+        except InvalidConfigurationError as error:
             return invalid(*error.errors)
         return Verdict(Outcome.ACCEPTED, version=change.version)
 
     def restored(self, document: bytes) -> GatewaySection:
         """Return a section with a snapshot's document; this one doesn't change.
 
-        :raises ConfigurationInvalid: if the document is none that this program takes.
+        :raises InvalidConfigurationError: if the document is none that this program takes.
         """
         section = GatewaySection(self._max_document_bytes)
         if document:
@@ -131,12 +131,12 @@
         present = self.configuration.version
         if change.version <= present:
             message = f"must be above the present version {present}"
-            raise ConfigurationInvalid((FieldError("version", message),))
+            raise InvalidConfigurationError((FieldError("version", message),))
         base = self._present.items if change.partial else _Items()
         items, configuration = _built(_merged(base, change), change.version)
         document = _document(items, change.version)
         if len(document) > self._max_document_bytes:
-            raise ConfigurationTooLarge(len(document), self._max_document_bytes)
+            raise ConfigurationTooLargeError(len(document), self._max_document_bytes)
         return _Present(items, configuration, document)
 
 
@@ -165,7 +165,7 @@
 def _built(items: _Items, version: int) -> tuple[_Items, GatewayConfiguration]:
     """Return the items with their configuration.
 
-    :raises ConfigurationInvalid: with every wrong reference.
+    :raises InvalidConfigurationError: with every wrong reference.
     """
     tenants = items.tenants or {}
     key_tenants = tenants_by_key(tenants)
@@ -175,7 +175,7 @@
         *shared_keys(tenants, key_tenants),
     ]
     if errors:
-        raise ConfigurationInvalid(reported(errors))
+        raise InvalidConfigurationError(reported(errors))
     configuration = GatewayConfiguration(
         version=version,
         routes=tuple(entry.typed for entry in items.routes.values()),
--- a/src/springmux/control/order_desk.py
+++ b/src/springmux/control/order_coordinator.py
@@ -15,27 +15,27 @@
 from springmux.control.commands import (
     AnyCommand,
     CommandResult,
-    UnknownCommand,
+    UnknownCommandError,
     decode_command,
     encode_command,
 )
 from springmux.control.events import LeadershipKnown
 from springmux.control.order_events import (
-    AnswerOrder,
     CommandDecided,
     ProposalEnded,
     ProposeCommand,
+    ReplyToOrder,
     SubmitOrder,
 )
-from springmux.control.order_messages import ForwardOrder, OrderDecided, OrderNotTaken
+from springmux.control.order_messages import ForwardOrder, OrderDecided, OrderRejected
 from springmux.control.order_window import command_digest
 from springmux.coordination.identifiers import NodeId, Term
-from springmux.coordination.kernel import NEVER, Effect, Event, MessageReceived, Send, Tick
+from springmux.coordination.state_machine import NEVER, Effect, Event, MessageReceived, Send, Tick
 from springmux.vocabulary.errors import ApiError, ErrorCode, Fate, FieldError
 from springmux.vocabulary.names import OrderId
 
 
-class OrderDeskSettings(msgspec.Struct, frozen=True):
+class OrderSettings(msgspec.Struct, frozen=True):
     """Times in seconds. ``answer_timeout_s``: after it the client is told that there is no quorum."""
 
     answer_timeout_s: float = 5.0
@@ -46,12 +46,12 @@
 
 
 class DecidedOrders(Protocol):
-    """What the desk asks of the control state."""
+    """What the coordinator asks of the control state."""
 
     def recall(self, data: bytes) -> CommandResult | None:
         """Return the result that a command sent again gets, if its order was decided here.
 
-        :raises UnknownCommand: if the bytes can't be read.
+        :raises UnknownCommandError: if the bytes can't be read.
         """
         ...
 
@@ -74,15 +74,13 @@
     senders: set[NodeId]
 
 
-class OrderDesk:
+class OrderCoordinator:
     """The pure part; one in every node."""
 
-    def __init__(
-        self, own: NodeId, decided: DecidedOrders, settings: OrderDeskSettings | None = None
-    ) -> None:
+    def __init__(self, own: NodeId, decided: DecidedOrders, settings: OrderSettings | None = None) -> None:
         self._own = own
         self._decided = decided
-        self._settings = settings or OrderDeskSettings()
+        self._settings = settings or OrderSettings()
         self._pending: dict[str, _Pending] = {}
         self._proposals: dict[str, _Proposal] = {}
         self._held: dict[tuple[NodeId, str], bytes] = {}
@@ -98,7 +96,7 @@
         }
 
     def handle(self, event: Event, now: float) -> list[Effect]:
-        """Take one event; see :class:`springmux.coordination.kernel.Part`."""
+        """Take one event; see :class:`springmux.coordination.state_machine.StateMachine`."""
         handler = self._handlers.get(type(event))
         return handler(event, now) if handler is not None else []
 
@@ -112,17 +110,21 @@
         data = encode_command(event.command)
         refusal = self._refusal(event.command.order, data)
         if refusal is not None:
-            return [AnswerOrder(event.ticket, None, refusal)]
+            return [ReplyToOrder(event.correlation_id, None, refusal)]
         known = self._decided.recall(data)
         if known is not None:
-            return [AnswerOrder(event.ticket, known)]
+            return [ReplyToOrder(event.correlation_id, known)]
         key = _key(event.command)
-        client = (event.ticket, now + self._settings.answer_timeout_s)
+        client = (event.correlation_id, now + self._settings.answer_timeout_s)
         if key in self._pending:
             self._pending[key].waiting.append(client)
             return []
         if len(self._pending) >= self._settings.max_pending:
-            return [AnswerOrder(event.ticket, None, self._unavailable(ErrorCode.OVERLOADED, Fate.REFUSED))]
+            return [
+                ReplyToOrder(
+                    event.correlation_id, None, self._unavailable(ErrorCode.OVERLOADED, Fate.REFUSED)
+                )
+            ]
         pending = _Pending(key, event.command.order, data, [client])
         self._pending[key] = pending
         return self._dispatch(pending, now)
@@ -177,12 +179,12 @@
         return any(pending.order == order for pending in self._pending.values())
 
     def _on_proposal_ended(self, event: ProposalEnded, now: float) -> list[Effect]:
-        proposal = self._proposals.pop(event.ticket, None)
+        proposal = self._proposals.pop(event.correlation_id, None)
         if proposal is None or not event.storage_full or event.unknown:
             return []
-        not_taken = OrderNotTaken(event.ticket, ErrorCode.STORAGE_FULL)
+        not_taken = OrderRejected(event.correlation_id, ErrorCode.STORAGE_FULL)
         effects: list[Effect] = [Send(sender, not_taken) for sender in sorted(proposal.senders)]
-        return effects + self._give_up(event.ticket, ErrorCode.STORAGE_FULL)
+        return effects + self._give_up(event.correlation_id, ErrorCode.STORAGE_FULL)
 
     def _on_leadership(self, event: LeadershipKnown, now: float) -> list[Effect]:
         if event == self._leadership or event.term < self._leadership.term:
@@ -201,7 +203,7 @@
                 return self._on_forward(event.sender, key, data)
             case OrderDecided(key=key, result=result):
                 return self._answer(key, result)
-            case OrderNotTaken(key=key, code=code):
+            case OrderRejected(key=key, code=code):
                 return self._give_up(key, code)
             case _:
                 return []
@@ -229,12 +231,12 @@
             return []
         try:
             known = self._decided.recall(data)
-        except UnknownCommand:
-            return [Send(sender, OrderNotTaken(key, ErrorCode.INVALID_ORDER))]
+        except UnknownCommandError:
+            return [Send(sender, OrderRejected(key, ErrorCode.INVALID_ORDER))]
         if known is not None:
             return [Send(sender, OrderDecided(key, known))]
         if key not in self._proposals and len(self._proposals) >= self._settings.max_pending:
-            return [Send(sender, OrderNotTaken(key, ErrorCode.OVERLOADED))]
+            return [Send(sender, OrderRejected(key, ErrorCode.OVERLOADED))]
         return self._propose(key, decode_command(data).order, data, sender)
 
     def _on_tick(self, event: Tick, now: float) -> list[Effect]:
@@ -249,15 +251,19 @@
         """Answer the clients whose time is up."""
         fate = Fate.UNKNOWN if pending.attempts else Fate.REFUSED
         error = self._unavailable(ErrorCode.NO_QUORUM, fate)
-        expired = [ticket for ticket, until in pending.waiting if until <= now]
-        pending.waiting = [(ticket, until) for ticket, until in pending.waiting if until > now]
+        expired = [correlation_id for correlation_id, until in pending.waiting if until <= now]
+        pending.waiting = [
+            (correlation_id, until) for correlation_id, until in pending.waiting if until > now
+        ]
         if not pending.waiting:
             del self._pending[pending.key]
-        return [AnswerOrder(ticket, None, error) for ticket in expired]
+        return [ReplyToOrder(correlation_id, None, error) for correlation_id in expired]
 
     def _answer(self, key: str, result: CommandResult) -> list[Effect]:
         pending = self._pending.pop(key, None)
-        return [AnswerOrder(ticket, result) for ticket, _ in pending.waiting] if pending else []
+        return (
+            [ReplyToOrder(correlation_id, result) for correlation_id, _ in pending.waiting] if pending else []
+        )
 
     def _give_up(self, key: str, code: ErrorCode) -> list[Effect]:
         """Answer at once that the order isn't taken; an earlier attempt may still have been."""
@@ -265,7 +271,7 @@
         if pending is None:
             return []
         error = self._unavailable(code, Fate.REFUSED if pending.attempts <= 1 else Fate.UNKNOWN)
-        return [AnswerOrder(ticket, None, error) for ticket, _ in pending.waiting]
+        return [ReplyToOrder(correlation_id, None, error) for correlation_id, _ in pending.waiting]
 
     def _unavailable(self, code: ErrorCode, fate: Fate) -> ApiError:
         messages = {
--- a/src/springmux/control/order_events.py
+++ b/src/springmux/control/order_events.py
@@ -1,16 +1,16 @@
-"""Events and effects of the order desk, beside messages, ticks and ``LeadershipKnown``."""
+"""Events and effects of the order coordinator, beside messages, ticks and ``LeadershipKnown``."""
 
 from __future__ import annotations
 
 from springmux.control.commands import AnyCommand, CommandResult
-from springmux.coordination.kernel import Effect, Event
+from springmux.coordination.state_machine import Effect, Event
 from springmux.vocabulary.errors import ApiError
 
 
 class SubmitOrder(Event, frozen=True):
-    """An operator's command came in here. ``ticket`` names the waiting client."""
+    """An operator's command came in here. ``correlation_id`` names the waiting client."""
 
-    ticket: str
+    correlation_id: str
     command: AnyCommand
 
 
@@ -24,7 +24,7 @@
 class ProposalEnded(Event, frozen=True):
     """The replica dropped a proposal. ``unknown``: it may be committed all the same."""
 
-    ticket: str
+    correlation_id: str
     unknown: bool
     storage_full: bool = False
 
@@ -32,13 +32,13 @@
 class ProposeCommand(Effect, frozen=True):
     """Propose to the own, leading replica."""
 
-    ticket: str
+    correlation_id: str
     data: bytes
 
 
-class AnswerOrder(Effect, frozen=True):
+class ReplyToOrder(Effect, frozen=True):
     """Answer a client: with the result, or with an error that says when to come back."""
 
-    ticket: str
+    correlation_id: str
     result: CommandResult | None
     error: ApiError | None = None
--- a/src/springmux/control/order_messages.py
+++ b/src/springmux/control/order_messages.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from springmux.control.commands import CommandResult
-from springmux.coordination.kernel import PeerMessage
+from springmux.coordination.state_machine import PeerMessage
 from springmux.vocabulary.errors import ErrorCode
 
 
@@ -21,11 +21,11 @@
     result: CommandResult
 
 
-class OrderNotTaken(PeerMessage, frozen=True, tag="OrderNotTaken"):
+class OrderRejected(PeerMessage, frozen=True, tag="OrderNotTaken"):
     """The leader took nothing of this attempt (its disk is full, or it has too many)."""
 
     key: str
     code: ErrorCode
 
 
-MESSAGES: tuple[type[PeerMessage], ...] = (ForwardOrder, OrderDecided, OrderNotTaken)
+MESSAGES: tuple[type[PeerMessage], ...] = (ForwardOrder, OrderDecided, OrderRejected)
--- a/src/springmux/control/rollout_section.py
+++ b/src/springmux/control/rollout_section.py
@@ -1,7 +1,7 @@
 """Rollout records in the control state: which orders may follow which, per service.
 
 Only consistency with the committed state is checked here; a plan's own ranges are checked by
-:mod:`springmux.rollout.template` before the order is taken.
+:mod:`springmux.rollout.planning.template` before the order is taken.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from springmux.control.configuration_section import ServiceClaim
 from springmux.control.verdict import ACCEPTED, Verdict, conflict, invalid, not_found
 from springmux.coordination.identifiers import Revision
-from springmux.rollout.plan import TERMINAL_PHASES, RolloutDecision, RolloutPhase, RolloutRecord
+from springmux.rollout.planning.plan import TERMINAL_PHASES, RolloutDecision, RolloutPhase, RolloutRecord
 from springmux.vocabulary.errors import FieldError
 from springmux.vocabulary.names import RolloutId, ServiceName, VersionName
 
--- a/src/springmux/control/state.py
+++ b/src/springmux/control/state.py
@@ -29,16 +29,16 @@
     RevokeKey,
     SetClaimRing,
     SetRolloutStep,
-    UnknownCommand,
+    UnknownCommandError,
     decode_command,
 )
-from springmux.control.configuration import MAX_DOCUMENT_BYTES, ConfigurationInvalid
+from springmux.control.configuration import MAX_DOCUMENT_BYTES, InvalidConfigurationError
 from springmux.control.configuration_section import ConfigurationSection, ConfigurationVersion
 from springmux.control.gateway_section import GatewaySection
 from springmux.control.order_memory import OrderMemory
 from springmux.control.order_window import DEFAULT_MAX_BYTES, DEFAULT_MAX_ORDERS
 from springmux.control.rollout_section import EndedRollout, RolloutSection
-from springmux.control.state_image import ImageUnreadable, StateImage, decode_image, encode_image
+from springmux.control.state_image import StateImage, UnreadableImageError, decode_image, encode_image
 from springmux.control.templates_section import TemplatesSection
 from springmux.control.verdict import ACCEPTED, Verdict, conflict
 from springmux.control.view import EMPTY_VIEW, ControlView
@@ -71,14 +71,14 @@
 
         :returns: its result, or the first one if the order was decided before; ``None`` if the index
             was applied already.
-        :raises UnknownCommand: nothing changed.
+        :raises UnknownCommandError: nothing changed.
         """
         if index <= self._view.revision:
             return None
         try:
             command = decode_command(data)
         except msgspec.DecodeError as error:
-            raise UnknownCommand(f"command at index {index} can't be read: {error}") from error
+            raise UnknownCommandError(f"command at index {index} can't be read: {error}") from error
         result = self._orders.recall(command)
         if result is None:
             result = self._result(command, index, self._decide(command, index))
@@ -98,12 +98,12 @@
     def recall(self, data: bytes) -> CommandResult | None:
         """Return what ``data``, a command sent again, would get without being decided anew.
 
-        :raises UnknownCommand: if it can't be read.
+        :raises UnknownCommandError: if it can't be read.
         """
         try:
             return self._orders.recall(decode_command(data))
         except msgspec.DecodeError as error:
-            raise UnknownCommand(f"command can't be read: {error}") from error
+            raise UnknownCommandError(f"command can't be read: {error}") from error
 
     def prepare(self, data: bytes) -> None:
         """Parse a command's configuration document ahead. May run in a thread beside ``apply``.
@@ -168,13 +168,13 @@
     def restore(self, data: bytes) -> None:
         """Replace the whole state by a snapshot's.
 
-        :raises ImageUnreadable: nothing changed.
+        :raises UnreadableImageError: nothing changed.
         """
         image = decode_image(data)
         try:
             self._gateway = self._gateway.restored(image.gateway_document)
-        except ConfigurationInvalid as error:
-            raise ImageUnreadable(f"the gateway's configuration can't be read: {error}") from error
+        except InvalidConfigurationError as error:
+            raise UnreadableImageError(f"the gateway's configuration can't be read: {error}") from error
         self._configuration.restore(image.configuration, image.document, image.history, image.documents)
         self._accounts.restore(image.tenants, image.keys)
         self._templates.documents = dict(image.templates)
@@ -231,7 +231,7 @@
             case FinishRollout():
                 return self._rollouts.finish(command, index)
             case _:
-                raise UnknownCommand(f"no rule for {type(command).__name__}")
+                raise UnknownCommandError(f"no rule for {type(command).__name__}")
 
     def _apply_configuration(self, command: ApplyConfiguration, index: Revision) -> Verdict:
         verdict = self._configuration.apply(command, index, self._rollouts.claims())
--- a/src/springmux/control/state_image.py
+++ b/src/springmux/control/state_image.py
@@ -13,7 +13,7 @@
 from springmux.control.view import Configuration, KeyRecord, Tenant
 from springmux.coordination.claims.ring import ClaimRing
 from springmux.coordination.identifiers import Revision
-from springmux.rollout.plan import RolloutRecord
+from springmux.rollout.planning.plan import RolloutRecord
 from springmux.vocabulary.errors import SpringmuxError
 
 FORMAT = b"SMCTL\x02"
@@ -24,7 +24,7 @@
 _BODY_OFFSET = len(FORMAT) + _REVISION.size
 
 
-class ImageUnreadable(SpringmuxError):
+class UnreadableImageError(SpringmuxError):
     """The bytes are not an image of a format known here."""
 
 
@@ -59,20 +59,20 @@
 def image_revision(data: bytes) -> Revision:
     """Return the revision of the image in ``data`` without reading the rest.
 
-    :raises ImageUnreadable: if it isn't an image, or of another format.
+    :raises UnreadableImageError: if it isn't an image, or of another format.
     """
     if not data.startswith((FORMAT, FORMAT_PLAIN)) or len(data) < _BODY_OFFSET:
-        raise ImageUnreadable(f"control state begins with {data[: len(FORMAT)]!r}, known is {FORMAT!r}")
+        raise UnreadableImageError(f"control state begins with {data[: len(FORMAT)]!r}, known is {FORMAT!r}")
     return Revision(_REVISION.unpack_from(data, len(FORMAT))[0])
 
 
 def decode_image(data: bytes) -> StateImage:
     """Return the image in ``data``.
 
-    :raises ImageUnreadable: if it isn't one, or of another format.
+    :raises UnreadableImageError: if it isn't one, or of another format.
     """
     image_revision(data)
     try:
         return _decoder.decode(decompress(data[_BODY_OFFSET:]))
     except msgspec.DecodeError as error:
-        raise ImageUnreadable(f"control state can't be read: {error}") from error
+        raise UnreadableImageError(f"control state can't be read: {error}") from error
--- a/src/springmux/control/templates_section.py
+++ b/src/springmux/control/templates_section.py
@@ -20,7 +20,7 @@
 
 
 class TemplatesSection:
-    """Templates by name. What a template says is checked by :mod:`springmux.rollout.template`."""
+    """Templates by name. What a template says is checked by :mod:`springmux.rollout.planning.template`."""
 
     def __init__(self) -> None:
         self.documents: Mapping[str, bytes] = {}
--- a/src/springmux/coordination/claims/part.py
+++ b/src/springmux/coordination/claims/claim_coordinator.py
@@ -27,7 +27,7 @@
     ClaimReply,
     ClaimRequest,
     ClaimSettle,
-    ClaimSettleTaken,
+    ClaimSettleAck,
 )
 from springmux.coordination.claims.peers import PeerBoots
 from springmux.coordination.claims.persistence import ClaimPersistence
@@ -35,13 +35,13 @@
 from springmux.coordination.claims.store import ClaimStore
 from springmux.coordination.claims.synchronization import Synchronizer
 from springmux.coordination.identifiers import NodeId
-from springmux.coordination.kernel import (
+from springmux.coordination.state_machine import (
     NEVER,
     Effect,
     Event,
+    LogLevel,
+    LogLine,
     MessageReceived,
-    Note,
-    NoteLevel,
     PeerMessage,
     Send,
     Tick,
@@ -51,12 +51,12 @@
 """Boots are random numbers that fit a signed 64-bit integer on the wire."""
 
 
-class ClaimPart:
+class ClaimCoordinator:
     """Holder and claimant of one node.
 
     Takes ``HoldersChanged``, ``ClaimWanted``, ``ClaimEnded``, ``ClaimAbandoned``, ``ClaimsPersisted``,
     ``ClaimsPersistFailed``, ``MessageReceived`` and ``Tick``; gives ``Send``, ``PersistClaims``,
-    ``ClaimResolved`` and ``Note``. A granted claim must be ended.
+    ``ClaimResolved`` and ``LogLine``. A granted claim must be ended.
 
     :param recovered: what the node's journal held at start; ``None`` on a node without a disk, which
         keeps claims in memory only and never asks for ``PersistClaims``.
@@ -117,7 +117,7 @@
         self._holder.restore(recovered.claims, now)
         if not recovered.damage:
             return []
-        return [Note("claims_journal_damaged", NoteLevel.ERROR, {"reason": recovered.damage})]
+        return [LogLine("claims_journal_damaged", LogLevel.ERROR, {"reason": recovered.damage})]
 
     def _flush(self, now: float) -> list[Effect]:
         if self._persistence is None:
@@ -136,7 +136,7 @@
         last, self._last_seen = self._last_seen, now
         if last is None or now - last <= self._settings.tick_s + self._settings.pause_limit_s:
             return []
-        note = Note("claims_paused", NoteLevel.WARNING, {"paused_s": round(now - last, 3)})
+        note = LogLine("claims_paused", LogLevel.WARNING, {"paused_s": round(now - last, 3)})
         return [note, *self._synchronizer.restart(now, forget=True)]
 
     def _handle(self, event: Event, now: float) -> list[Effect]:
@@ -148,7 +148,7 @@
             case ClaimEnded():
                 return self._claimant.end(event, now)
             case ClaimAbandoned():
-                return self._claimant.abandon(event.ticket, now)
+                return self._claimant.abandon(event.correlation_id, now)
             case HoldersChanged():
                 return self._change_ring(event, now)
             case ClaimsPersisted(batch=batch):
@@ -176,8 +176,8 @@
                 return self._claimant.reply(sender, message, now)
             case ClaimSettle():
                 self._holder.settle(message, now)
-                return [Send(sender, ClaimSettleTaken(message.ticket))]
-            case ClaimSettleTaken():
+                return [Send(sender, ClaimSettleAck(message.attempt))]
+            case ClaimSettleAck():
                 self._claimant.settled(sender, message)
             case ClaimPull():
                 page = self._holder.page(sender, message, self._claimant.records(), now)
--- a/src/springmux/coordination/claims/claimant.py
+++ b/src/springmux/coordination/claims/claimant.py
@@ -7,18 +7,18 @@
 from springmux.coordination.claims.decision import ClaimDecision, ClaimVerdict
 from springmux.coordination.claims.events import ClaimEnded, ClaimResolved, ClaimSettings, ClaimWanted
 from springmux.coordination.claims.messages import (
+    ClaimAttempt,
     ClaimRecord,
     ClaimReply,
     ClaimRequest,
     ClaimSettle,
-    ClaimSettleTaken,
+    ClaimSettleAck,
     ClaimState,
-    ClaimTicket,
     HolderStatus,
 )
 from springmux.coordination.claims.ring import HolderSpan
 from springmux.coordination.identifiers import NodeId
-from springmux.coordination.kernel import NEVER, Effect, Send
+from springmux.coordination.state_machine import NEVER, Effect, Send
 
 
 class Phase(enum.Enum):
@@ -30,10 +30,10 @@
 
 
 class Claim:
-    """One ticket of this node. Its holders are those of the moment it was wanted."""
+    """One attempt of this node. Its holders are those of the moment it was wanted."""
 
-    def __init__(self, ticket: ClaimTicket, key: str, span: HolderSpan, now: float) -> None:
-        self.ticket = ticket
+    def __init__(self, attempt: ClaimAttempt, key: str, span: HolderSpan, now: float) -> None:
+        self.attempt = attempt
         self.key = key
         self.span = span
         self.phase = Phase.ASKING
@@ -68,7 +68,7 @@
 
 
 class Claimant:
-    """All tickets of this node that are asked, running or being settled."""
+    """All attempts of this node that are asked, running or being settled."""
 
     def __init__(self, own: NodeId, boot: int, settings: ClaimSettings) -> None:
         self._own = own
@@ -84,16 +84,16 @@
 
     def want(self, event: ClaimWanted, span: HolderSpan | None, now: float) -> list[Effect]:
         """Ask the holders; without a ring the answer is known at once."""
-        if span is None or not span.holders or event.ticket in self._claims:
-            return [_resolved(event.ticket, ClaimVerdict.UNAVAILABLE)]
-        ticket = ClaimTicket(self._own, self._boot, event.ticket)
-        claim = Claim(ticket, event.key, span, now)
-        self._claims[event.ticket] = claim
+        if span is None or not span.holders or event.correlation_id in self._claims:
+            return [_resolved(event.correlation_id, ClaimVerdict.UNAVAILABLE)]
+        attempt = ClaimAttempt(self._own, self._boot, event.correlation_id)
+        claim = Claim(attempt, event.key, span, now)
+        self._claims[event.correlation_id] = claim
         return self._ask(claim, now)
 
     def reply(self, sender: NodeId, message: ClaimReply, now: float) -> list[Effect]:
-        """Count a holder's answer; replies to tickets no longer asked are ignored."""
-        claim = self._find(message.ticket)
+        """Count a holder's answer; replies to attempts no longer asked are ignored."""
+        claim = self._find(message.attempt)
         if claim is None or sender not in claim.span.holders:
             return []
         if claim.phase is Phase.GRANTED and message.status is HolderStatus.GRANTED:
@@ -110,7 +110,7 @@
 
     def end(self, event: ClaimEnded, now: float) -> list[Effect]:
         """Settle a granted claim with all its holders."""
-        claim = self._claims.get(event.ticket)
+        claim = self._claims.get(event.correlation_id)
         if claim is None or claim.phase is not Phase.GRANTED:
             return []
         answer = event.answer if len(event.answer) <= self._settings.max_answer_bytes else b""
@@ -123,13 +123,13 @@
             return []
         return self._begin_settle(claim, False, b"", now)
 
-    def settled(self, sender: NodeId, message: ClaimSettleTaken) -> None:
+    def settled(self, sender: NodeId, message: ClaimSettleAck) -> None:
         """Note a holder's acknowledgement; with the last one the claim is forgotten."""
-        claim = self._find(message.ticket)
+        claim = self._find(message.attempt)
         if claim is not None and claim.phase is Phase.SETTLING:
             claim.unsettled.discard(sender)
             if not claim.unsettled:
-                del self._claims[claim.ticket.name]
+                del self._claims[claim.attempt.name]
 
     def include(self, holders: dict[str, HolderSpan]) -> None:
         """Settle also with holders that a ring change brought in (they may have pulled the claim)."""
@@ -151,9 +151,9 @@
         for claim in self._claims.values():
             settle = claim.settle
             if claim.phase is Phase.GRANTED:
-                found.append(ClaimRecord(claim.key, (claim.ticket,), ClaimState.RUNNING))
+                found.append(ClaimRecord(claim.key, (claim.attempt,), ClaimState.RUNNING))
             elif settle is not None and settle.ran:
-                found.append(ClaimRecord(claim.key, (claim.ticket,), ClaimState.FINISHED, settle.answer))
+                found.append(ClaimRecord(claim.key, (claim.attempt,), ClaimState.FINISHED, settle.answer))
         return found
 
     def tick(self, now: float) -> list[Effect]:
@@ -170,7 +170,7 @@
         if claim.phase is Phase.ASKING and now >= claim.since + self._settings.decision_timeout_s:
             return self._give_up(claim, now)
         if claim.phase is Phase.SETTLING and now >= claim.since + self._settings.settle_give_up_s:
-            del self._claims[claim.ticket.name]
+            del self._claims[claim.attempt.name]
             return []
         effects: list[Effect] = []
         if now >= claim.next_send:
@@ -183,10 +183,10 @@
         finished = next((each for each in claim.held.values() if each.state is ClaimState.FINISHED), None)
         if finished is not None:
             effects = self._begin_settle(claim, False, b"", now)
-            return [_resolved(claim.ticket.name, ClaimVerdict.FINISHED, finished.answer), *effects]
+            return [_resolved(claim.attempt.name, ClaimVerdict.FINISHED, finished.answer), *effects]
         if claim.has_majority():
             claim.phase = Phase.GRANTED
-            return [_resolved(claim.ticket.name, ClaimVerdict.GRANTED)]
+            return [_resolved(claim.attempt.name, ClaimVerdict.GRANTED)]
         refusing = len(set(claim.held) | claim.unready - set(claim.grants))
         if len(claim.span.holders) - refusing < claim.needed():
             return self._give_up(claim, now)
@@ -196,12 +196,12 @@
         """Refuse and withdraw. A key seen in another's hands is never called refused: it may be running."""
         verdict = ClaimVerdict.RUNNING if claim.held else ClaimVerdict.UNAVAILABLE
         effects = self._begin_settle(claim, False, b"", now)
-        return [_resolved(claim.ticket.name, verdict), *effects]
+        return [_resolved(claim.attempt.name, verdict), *effects]
 
     def _begin_settle(self, claim: Claim, ran: bool, answer: bytes, now: float) -> list[Effect]:
         claim.phase = Phase.SETTLING
         claim.since = now
-        claim.settle = ClaimSettle(claim.ticket, claim.key, ran, answer)
+        claim.settle = ClaimSettle(claim.attempt, claim.key, ran, answer)
         claim.unsettled = claim.later_holders.union(claim.span.holders)
         claim.settle_pace_s = self._settings.settle_resend_s
         return self._send_settle(claim, now)
@@ -210,7 +210,7 @@
         asking = claim.phase is Phase.ASKING
         pace_s = self._settings.resend_s if asking else self._settings.settle_resend_s
         claim.next_send = now + pace_s
-        request = ClaimRequest(claim.ticket, claim.key, claim.span.since, claim.span.until)
+        request = ClaimRequest(claim.attempt, claim.key, claim.span.since, claim.span.until)
         silent = [holder for holder in claim.span.holders if holder not in claim.grants]
         self._wake(claim)
         return [Send(holder, request) for holder in silent if not (asking and holder in claim.held)]
@@ -228,10 +228,10 @@
             deadline = min(deadline, claim.since + self._settings.decision_timeout_s)
         self._deadline = min(self._deadline, deadline)
 
-    def _find(self, ticket: ClaimTicket) -> Claim | None:
-        if ticket.node != self._own or ticket.boot != self._boot:
+    def _find(self, attempt: ClaimAttempt) -> Claim | None:
+        if attempt.node != self._own or attempt.boot != self._boot:
             return None
-        return self._claims.get(ticket.name)
+        return self._claims.get(attempt.name)
 
 
 def _resolved(name: str, verdict: ClaimVerdict, answer: bytes = b"") -> ClaimResolved:
--- a/src/springmux/coordination/claims/events.py
+++ b/src/springmux/coordination/claims/events.py
@@ -7,7 +7,7 @@
 from springmux.coordination.claims.decision import ClaimDecision
 from springmux.coordination.claims.journal import ClaimEntry
 from springmux.coordination.claims.ring import ClaimRing
-from springmux.coordination.kernel import Effect, Event
+from springmux.coordination.state_machine import Effect, Event
 
 
 class HoldersChanged(Event, frozen=True):
@@ -17,9 +17,9 @@
 
 
 class ClaimWanted(Event, frozen=True):
-    """A request on a non-repeatable route wants to run. ``ticket`` is unique within the node's run."""
+    """A request on a non-repeatable route is to run. ``correlation_id`` is unique within the node's run."""
 
-    ticket: str
+    correlation_id: str
     key: str
 
 
@@ -29,7 +29,7 @@
     A claim whose outcome is unknown is ended with ``ran`` true and no answer.
     """
 
-    ticket: str
+    correlation_id: str
     key: str
     ran: bool
     answer: bytes = b""
@@ -38,7 +38,7 @@
 class ClaimAbandoned(Event, frozen=True):
     """The caller went away before the decision: withdraw the claim, give no answer."""
 
-    ticket: str
+    correlation_id: str
 
 
 class PersistClaims(Effect, frozen=True):
@@ -66,9 +66,9 @@
 
 
 class ClaimResolved(Effect, frozen=True):
-    """The decision for one ticket; given exactly once for each :class:`ClaimWanted` not abandoned."""
+    """The decision for one correlation_id; given exactly once for each :class:`ClaimWanted` not abandoned."""
 
-    ticket: str
+    correlation_id: str
     decision: ClaimDecision
 
 
@@ -93,7 +93,7 @@
     max_answers_bytes: int = 64 * 1024 * 1024
     """Sum of kept answers at a holder; the oldest answers go first, their keys stay."""
     tombstone_s: float = 600.0
-    """How long a withdrawn ticket is refused; far above any delay of a message."""
+    """How long a withdrawn correlation_id is refused; far above any delay of a message."""
     max_tombstones: int = 50_000
     tick_s: float = 0.5
     """Pace of the own heartbeat by which a pause (freeze) is noticed."""
--- a/src/springmux/coordination/claims/holder.py
+++ b/src/springmux/coordination/claims/holder.py
@@ -1,12 +1,13 @@
-"""The holder's side: grants a key to the first ticket, keeps outcomes, answers pulls."""
+"""The holder's side: grants a key to the first attempt, keeps outcomes, answers pulls."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
 from springmux.coordination.claims.events import ClaimSettings
-from springmux.coordination.claims.journal import ClaimKept
+from springmux.coordination.claims.journal import ClaimStored
 from springmux.coordination.claims.messages import (
+    ClaimAttempt,
     ClaimPage,
     ClaimPull,
     ClaimRecord,
@@ -14,7 +15,6 @@
     ClaimRequest,
     ClaimSettle,
     ClaimState,
-    ClaimTicket,
     HolderStatus,
 )
 from springmux.coordination.claims.peers import PeerBoots
@@ -50,11 +50,11 @@
         self._synchronizer = synchronizer
         self.store = store
         self._persistence = persistence
-        self._granted: dict[str, ClaimTicket] = {}
+        self._granted: dict[str, ClaimAttempt] = {}
         self._hashed: dict[str, tuple[NodeId, ...]] = {}
         self._hashed_version = 0
 
-    def restore(self, claims: Iterable[ClaimKept], now: float) -> None:
+    def restore(self, claims: Iterable[ClaimStored], now: float) -> None:
         """Take back what the journal holds."""
         for kept in claims:
             self.store.restore(kept.record, now)
@@ -62,65 +62,65 @@
                 self._granted[kept.record.key] = kept.granted
 
     def decide(self, claimant: NodeId, request: ClaimRequest, now: float) -> ClaimReply | None:
-        """Grant the key to the first ticket that asks in step with this node's ring, and to no other.
+        """Grant the key to the first attempt that asks in step with this node's ring, and to no other.
 
         :returns: ``None`` where the disk is to be waited for, or can't be relied on: the claimant goes
             on with the two others.
         """
-        ticket = request.ticket
-        if self.store.is_buried(ticket):
-            return self._reply(ticket, HolderStatus.WITHDRAWN)
+        attempt = request.attempt
+        if self.store.is_buried(attempt):
+            return self._reply(attempt, HolderStatus.WITHDRAWN)
         record = self.store.find(request.key)
         if record is not None and record.state is ClaimState.FINISHED:
-            return self._reply(ticket, HolderStatus.HELD, record)
-        if record is not None and self._granted.get(request.key) != ticket:
-            return self._reply(ticket, HolderStatus.HELD, record)
+            return self._reply(attempt, HolderStatus.HELD, record)
+        if record is not None and self._granted.get(request.key) != attempt:
+            return self._reply(attempt, HolderStatus.HELD, record)
         peers = self._peers_in_step(request, now)
         if peers is None:
-            return self._reply(ticket, HolderStatus.NOT_READY)
+            return self._reply(attempt, HolderStatus.NOT_READY)
         persistence = self._persistence
         if record is not None:
-            waits = persistence is not None and persistence.is_pending(ticket)
-            return None if waits else self._grant(ticket, peers)
+            waits = persistence is not None and persistence.is_pending(attempt)
+            return None if waits else self._grant(attempt, peers)
         if persistence is not None and not persistence.is_usable():
             return None
-        self._granted[request.key] = ticket
-        self._keep(ClaimRecord(request.key, (ticket,), ClaimState.RUNNING), now)
+        self._granted[request.key] = attempt
+        self._keep(ClaimRecord(request.key, (attempt,), ClaimState.RUNNING), now)
         if persistence is None:
-            return self._grant(ticket, peers)
-        persistence.answer_later(PendingGrant(ticket, request.key, claimant))
+            return self._grant(attempt, peers)
+        persistence.answer_later(PendingGrant(attempt, request.key, claimant))
         return None
 
     def answer(self, grant: PendingGrant) -> ClaimReply | None:
         """Return the reply to a grant that is now durable; ``None`` if it was withdrawn meanwhile."""
         span = self._rings.span(grant.key)
-        if span is None or self._own not in span.holders or self._granted.get(grant.key) != grant.ticket:
+        if span is None or self._own not in span.holders or self._granted.get(grant.key) != grant.attempt:
             return None
-        return self._grant(grant.ticket, tuple(each for each in span.holders if each != self._own))
+        return self._grant(grant.attempt, tuple(each for each in span.holders if each != self._own))
 
     def settle(self, message: ClaimSettle, now: float) -> None:
         """Take a ticket's last word: it ran (kept), or it is withdrawn and never granted again."""
         record = self.store.find(message.key)
         if message.ran:
-            if record is None or record.state is ClaimState.RUNNING or message.ticket in record.tickets:
+            if record is None or record.state is ClaimState.RUNNING or message.attempt in record.attempts:
                 answer = message.answer if len(message.answer) <= self._settings.max_answer_bytes else b""
-                finished = ClaimRecord(message.key, (message.ticket,), ClaimState.FINISHED, answer)
+                finished = ClaimRecord(message.key, (message.attempt,), ClaimState.FINISHED, answer)
                 self._granted.pop(message.key, None)
                 self._keep(finished, now)
             return
-        self.store.bury(message.ticket, now)
-        if record is None or record.state is ClaimState.FINISHED or message.ticket not in record.tickets:
+        self.store.bury(message.attempt, now)
+        if record is None or record.state is ClaimState.FINISHED or message.attempt not in record.attempts:
             return
-        if self._granted.get(message.key) == message.ticket:
+        if self._granted.get(message.key) == message.attempt:
             del self._granted[message.key]
-        left = tuple(ticket for ticket in record.tickets if ticket != message.ticket)
+        left = tuple(attempt for attempt in record.attempts if attempt != message.attempt)
         if left:
             self._keep(ClaimRecord(record.key, left, record.state), now)
         else:
             self.store.remove(message.key)
 
     def merge(self, records: Iterable[ClaimRecord], now: float) -> None:
-        """Take a peer's records. Its tickets block the key here, but are not granted by this node."""
+        """Take a peer's records. Its attempts block the key here, but are not granted by this node."""
         for record in records:
             known = self.store.find(record.key)
             if record.state is ClaimState.FINISHED:
@@ -128,15 +128,15 @@
                     self._granted.pop(record.key, None)
                     self._keep(record, now)
                 continue
-            tickets = tuple(ticket for ticket in record.tickets if not self.store.is_buried(ticket))
+            attempts = tuple(attempt for attempt in record.attempts if not self.store.is_buried(attempt))
             if known is not None:
                 if known.state is ClaimState.FINISHED:
                     continue
-                tickets = known.tickets + tuple(each for each in tickets if each not in known.tickets)
-                if tickets == known.tickets:
+                attempts = known.attempts + tuple(each for each in attempts if each not in known.attempts)
+                if attempts == known.attempts:
                     continue
-            if tickets:
-                self._keep(ClaimRecord(record.key, tickets, ClaimState.RUNNING), now)
+            if attempts:
+                self._keep(ClaimRecord(record.key, attempts, ClaimState.RUNNING), now)
 
     def page(
         self, sender: NodeId, pull: ClaimPull, own_claims: Iterable[ClaimRecord], now: float
@@ -184,8 +184,8 @@
     def _keep(self, record: ClaimRecord, now: float) -> None:
         self.store.put(record, now, self._granted.get(record.key))
 
-    def _grant(self, ticket: ClaimTicket, peers: tuple[NodeId, ...]) -> ClaimReply:
-        return ClaimReply(ticket, HolderStatus.GRANTED, self._boot, self._boots.of(peers))
+    def _grant(self, attempt: ClaimAttempt, peers: tuple[NodeId, ...]) -> ClaimReply:
+        return ClaimReply(attempt, HolderStatus.GRANTED, self._boot, self._boots.of(peers))
 
     def _peers_in_step(self, request: ClaimRequest, now: float) -> tuple[NodeId, ...] | None:
         span = self._rings.span(request.key)
@@ -198,8 +198,8 @@
         return tuple(holder for holder in span.holders if holder != self._own)
 
     def _reply(
-        self, ticket: ClaimTicket, status: HolderStatus, record: ClaimRecord | None = None
+        self, attempt: ClaimAttempt, status: HolderStatus, record: ClaimRecord | None = None
     ) -> ClaimReply:
         if record is None:
-            return ClaimReply(ticket, status)
-        return ClaimReply(ticket, status, state=record.state, answer=record.answer)
+            return ClaimReply(attempt, status)
+        return ClaimReply(attempt, status, state=record.state, answer=record.answer)
--- a/src/springmux/coordination/claims/journal.py
+++ b/src/springmux/coordination/claims/journal.py
@@ -10,19 +10,19 @@
 
 import msgspec
 
-from springmux.coordination.claims.messages import ClaimRecord, ClaimTicket
+from springmux.coordination.claims.messages import ClaimAttempt, ClaimRecord
 from springmux.coordination.claims.ring import ClaimRing
 from springmux.coordination.identifiers import NodeId, ReplicaId
 
 
-class ClaimKept(msgspec.Struct, frozen=True, array_like=True, omit_defaults=True, tag="ClaimKept"):
-    """A key's record as it is now. ``granted``: the ticket that this holder itself granted, if any."""
+class ClaimStored(msgspec.Struct, frozen=True, array_like=True, omit_defaults=True, tag="ClaimKept"):
+    """A key's record as it is now. ``granted``: the attempt that this holder itself granted, if any."""
 
     record: ClaimRecord
-    granted: ClaimTicket | None = None
+    granted: ClaimAttempt | None = None
 
 
-class ClaimFreed(msgspec.Struct, frozen=True, array_like=True, tag="ClaimFreed"):
+class ClaimReleased(msgspec.Struct, frozen=True, array_like=True, tag="ClaimFreed"):
     """A key was withdrawn, pushed out or is past the window."""
 
     key: str
@@ -39,7 +39,7 @@
     complete: tuple[tuple[NodeId, int], ...]
 
 
-ClaimEntry = ClaimKept | ClaimFreed | HolderState
+ClaimEntry = ClaimStored | ClaimReleased | HolderState
 
 
 class RecoveredClaims(msgspec.Struct, frozen=True):
@@ -52,7 +52,7 @@
 
     replica: ReplicaId
     founded: bool
-    claims: tuple[ClaimKept, ...] = ()
+    claims: tuple[ClaimStored, ...] = ()
     state: HolderState | None = None
     damage: str = ""
 
@@ -61,21 +61,21 @@
     """Folds entries to what holds in the end, in the order of the last change."""
 
     def __init__(self) -> None:
-        self._kept: dict[str, ClaimKept] = {}
+        self._kept: dict[str, ClaimStored] = {}
         self.state: HolderState | None = None
 
     def take(self, entries: Iterable[ClaimEntry]) -> None:
         """Add entries, oldest first."""
         for entry in entries:
-            if isinstance(entry, ClaimKept):
+            if isinstance(entry, ClaimStored):
                 self._kept.pop(entry.record.key, None)
                 self._kept[entry.record.key] = entry
-            elif isinstance(entry, ClaimFreed):
+            elif isinstance(entry, ClaimReleased):
                 self._kept.pop(entry.key, None)
             else:
                 self.state = entry
 
-    def claims(self) -> tuple[ClaimKept, ...]:
+    def claims(self) -> tuple[ClaimStored, ...]:
         """Return the keys that are kept."""
         return tuple(self._kept.values())
 
--- a/src/springmux/coordination/claims/messages.py
+++ b/src/springmux/coordination/claims/messages.py
@@ -7,11 +7,11 @@
 import msgspec
 
 from springmux.coordination.identifiers import NodeId
-from springmux.coordination.kernel import PeerMessage
+from springmux.coordination.state_machine import PeerMessage
 
 
-class ClaimTicket(msgspec.Struct, frozen=True, array_like=True):
-    """Identity of one attempt: the claimant's node, its boot (random a start) and its own ticket."""
+class ClaimAttempt(msgspec.Struct, frozen=True, array_like=True):
+    """Identity of one attempt: the claimant's node, its boot (random a start) and its own attempt."""
 
     node: NodeId
     boot: int
@@ -30,12 +30,12 @@
 class ClaimRecord(msgspec.Struct, frozen=True, array_like=True):
     """One key at a holder. ``answer`` is kept where it was small enough.
 
-    ``tickets``: all that may have the key. A holder grants to one, but learns others' grants by pulling;
+    ``attempts``: all that may have the key. A holder grants to one, but learns others' grants by pulling;
     the key is free again only when each of them was withdrawn.
     """
 
     key: str
-    tickets: tuple[ClaimTicket, ...]
+    attempts: tuple[ClaimAttempt, ...]
     state: ClaimState
     answer: bytes = b""
 
@@ -45,17 +45,17 @@
 
     GRANTED = 0
     HELD = 1
-    """Another ticket has the key; the reply says in which state."""
+    """Another attempt has the key; the reply says in which state."""
     NOT_READY = 2
     """The holder is not in step (ring, synchronization or memory) and decides nothing."""
     WITHDRAWN = 3
-    """This ticket was withdrawn before."""
+    """This attempt was withdrawn before."""
 
 
 class ClaimRequest(PeerMessage, frozen=True, tag="ClaimRequest"):
     """Ask a holder for a key; ``since``..``until`` are the ring versions with the same holders."""
 
-    ticket: ClaimTicket
+    attempt: ClaimAttempt
     key: str
     since: int
     until: int
@@ -69,7 +69,7 @@
     has pulled from the others since, which then name its new boot.
     """
 
-    ticket: ClaimTicket
+    attempt: ClaimAttempt
     status: HolderStatus
     boot: int = 0
     peer_boots: tuple[tuple[NodeId, int], ...] = ()
@@ -78,21 +78,21 @@
 
 
 class ClaimSettle(PeerMessage, frozen=True, tag="ClaimSettle"):
-    """The claimant's last word on a ticket, resent until acknowledged.
+    """The claimant's last word on a attempt, resent until acknowledged.
 
     ``ran`` false: withdrawn or never dispatched, the key is free for others.
     """
 
-    ticket: ClaimTicket
+    attempt: ClaimAttempt
     key: str
     ran: bool
     answer: bytes = b""
 
 
-class ClaimSettleTaken(PeerMessage, frozen=True, tag="ClaimSettleTaken"):
+class ClaimSettleAck(PeerMessage, frozen=True, tag="ClaimSettleTaken"):
     """A holder has taken a :class:`ClaimSettle`."""
 
-    ticket: ClaimTicket
+    attempt: ClaimAttempt
 
 
 class ClaimPull(PeerMessage, frozen=True, tag="ClaimPull"):
@@ -131,7 +131,7 @@
     ClaimRequest,
     ClaimReply,
     ClaimSettle,
-    ClaimSettleTaken,
+    ClaimSettleAck,
     ClaimPull,
     ClaimPage,
 )
--- a/src/springmux/coordination/claims/persistence.py
+++ b/src/springmux/coordination/claims/persistence.py
@@ -10,15 +10,15 @@
 
 from springmux.coordination.claims.events import ClaimSettings, ClaimsPersistFailed, PersistClaims
 from springmux.coordination.claims.journal import ClaimEntry
-from springmux.coordination.claims.messages import ClaimTicket
+from springmux.coordination.claims.messages import ClaimAttempt
 from springmux.coordination.identifiers import NodeId
-from springmux.coordination.kernel import NEVER, Effect, Note, NoteLevel
+from springmux.coordination.state_machine import NEVER, Effect, LogLevel, LogLine
 
 
 class PendingGrant(msgspec.Struct, frozen=True):
     """A grant that waits for the disk."""
 
-    ticket: ClaimTicket
+    attempt: ClaimAttempt
     key: str
     claimant: NodeId
 
@@ -32,7 +32,7 @@
         self._queued_grants: list[PendingGrant] = []
         self._flying: tuple[ClaimEntry, ...] = ()
         self._flying_grants: list[PendingGrant] = []
-        self._pending: set[ClaimTicket] = set()
+        self._pending: set[ClaimAttempt] = set()
         self._batch = 0
         self._sent_at = NEVER
         self._retry_at = NEVER
@@ -57,12 +57,12 @@
 
     def answer_later(self, grant: PendingGrant) -> None:
         """Answer a grant once everything written so far is durable."""
-        self._pending.add(grant.ticket)
+        self._pending.add(grant.attempt)
         self._queued_grants.append(grant)
 
-    def is_pending(self, ticket: ClaimTicket) -> bool:
-        """Return whether a grant of this ticket waits for the disk."""
-        return ticket in self._pending
+    def is_pending(self, attempt: ClaimAttempt) -> bool:
+        """Return whether a grant of this attempt waits for the disk."""
+        return attempt in self._pending
 
     def is_usable(self) -> bool:
         """Return whether new grants have a prospect of being synced soon."""
@@ -87,10 +87,10 @@
         if batch != self._batch or self._sent_at == NEVER:
             return []
         if self._stalled:
-            self._notes.append(Note("claims_disk_resumed"))
+            self._notes.append(LogLine("claims_disk_resumed"))
         self._sent_at, self._stalled, self._flying = NEVER, False, ()
         grants, self._flying_grants = self._flying_grants, []
-        self._pending.difference_update(grant.ticket for grant in grants)
+        self._pending.difference_update(grant.attempt for grant in grants)
         return grants
 
     def failed(self, event: ClaimsPersistFailed, now: float) -> None:
@@ -100,7 +100,7 @@
         self._sent_at, self._stalled = NEVER, False
         if event.full:
             self._retry_at = now + self._settings.disk_retry_s
-            self._notes.append(Note("claims_disk_full", NoteLevel.ERROR, {"reason": event.reason}))
+            self._notes.append(LogLine("claims_disk_full", LogLevel.ERROR, {"reason": event.reason}))
         else:
             self._break("this holder grants nothing until it is restarted with a sound disk", event.reason)
 
@@ -115,10 +115,12 @@
         if self._stalled or waited_s < self._settings.disk_stall_s:
             return []
         self._stalled = True
-        return [Note("claims_disk_stalled", NoteLevel.WARNING, {"waited_s": round(waited_s, 3)})]
+        return [LogLine("claims_disk_stalled", LogLevel.WARNING, {"waited_s": round(waited_s, 3)})]
 
     def _break(self, effect: str, reason: str) -> None:
         self._broken = True
         self._queue.clear()
         self._queued_grants.clear()
-        self._notes.append(Note("claims_disk_failed", NoteLevel.ERROR, {"reason": reason, "effect": effect}))
+        self._notes.append(
+            LogLine("claims_disk_failed", LogLevel.ERROR, {"reason": reason, "effect": effect})
+        )
--- a/src/springmux/coordination/claims/ring.py
+++ b/src/springmux/coordination/claims/ring.py
@@ -4,7 +4,7 @@
 two consecutive holder sets of a key share at least two members. The order must come from one
 authority (the replicated control log): a leaderless view can't order two changes that meet.
 :func:`next_ring` is what the control leader proposes; every node hands the committed ring to its
-:class:`~springmux.coordination.claims.part.ClaimPart`.
+:class:`~springmux.coordination.claims.claim_coordinator.ClaimCoordinator`.
 """
 
 from __future__ import annotations
--- a/src/springmux/coordination/claims/store.py
+++ b/src/springmux/coordination/claims/store.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable, Iterator
 
 from springmux.coordination.claims.events import ClaimSettings
-from springmux.coordination.claims.journal import ClaimEntry, ClaimFreed, ClaimKept
-from springmux.coordination.claims.messages import ClaimRecord, ClaimState, ClaimTicket
+from springmux.coordination.claims.journal import ClaimEntry, ClaimReleased, ClaimStored
+from springmux.coordination.claims.messages import ClaimAttempt, ClaimRecord, ClaimState
 
 COMPACT_SLACK = 1024
 """Stale journal entries tolerated before the journal is rewritten."""
@@ -31,7 +31,7 @@
         self._answer_bytes = 0
         self._journal: list[tuple[int, str]] = []
         self._position = 0
-        self._tombstones: OrderedDict[ClaimTicket, float] = OrderedDict()
+        self._tombstones: OrderedDict[ClaimAttempt, float] = OrderedDict()
 
     def __len__(self) -> int:
         return len(self._records)
@@ -62,9 +62,9 @@
         """Return finished keys, the newest first."""
         return reversed(self._finished)
 
-    def put(self, record: ClaimRecord, now: float, granted: ClaimTicket | None = None) -> None:
+    def put(self, record: ClaimRecord, now: float, granted: ClaimAttempt | None = None) -> None:
         """Keep or replace the record of a key; ``granted`` is this node's own grant, for the journal."""
-        self._write(ClaimKept(record, granted))
+        self._write(ClaimStored(record, granted))
         self._put(record, now)
 
     def restore(self, record: ClaimRecord, now: float) -> None:
@@ -88,7 +88,7 @@
     def remove(self, key: str) -> None:
         """Forget a key."""
         if key in self._records:
-            self._write(ClaimFreed(key))
+            self._write(ClaimReleased(key))
             self._drop(key)
 
     def _drop(self, key: str) -> None:
@@ -101,16 +101,16 @@
         if len(self._journal) > 2 * len(self._records) + COMPACT_SLACK:
             self._journal = [each for each in self._journal if self._positions.get(each[1]) == each[0]]
 
-    def bury(self, ticket: ClaimTicket, now: float) -> None:
-        """Refuse a ticket from now on."""
-        self._tombstones[ticket] = now
-        self._tombstones.move_to_end(ticket)
+    def bury(self, attempt: ClaimAttempt, now: float) -> None:
+        """Refuse a attempt from now on."""
+        self._tombstones[attempt] = now
+        self._tombstones.move_to_end(attempt)
         while len(self._tombstones) > self._settings.max_tombstones:
             self._tombstones.popitem(last=False)
 
-    def is_buried(self, ticket: ClaimTicket) -> bool:
-        """Return whether the ticket was withdrawn."""
-        return ticket in self._tombstones
+    def is_buried(self, attempt: ClaimAttempt) -> bool:
+        """Return whether the attempt was withdrawn."""
+        return attempt in self._tombstones
 
     def expire(self, now: float) -> None:
         """Drop keys past the window and old tombstones; each looks at the oldest entries only."""
@@ -138,9 +138,9 @@
             key, size_bytes = self._answers.popitem(last=False)
             self._answer_bytes -= size_bytes
             record = self._records[key]
-            shortened = ClaimRecord(key, record.tickets, record.state)
+            shortened = ClaimRecord(key, record.attempts, record.state)
             self._records[key] = shortened
-            self._write(ClaimKept(shortened))
+            self._write(ClaimStored(shortened))
         while len(self._records) > self._settings.max_entries and self._finished:
             oldest = next(iter(self._finished))
             if oldest == newest and len(self._finished) == 1:
--- a/src/springmux/coordination/claims/synchronization.py
+++ b/src/springmux/coordination/claims/synchronization.py
@@ -19,7 +19,7 @@
 from springmux.coordination.claims.ring import ClaimRing, HolderSpan, RingHistory
 from springmux.coordination.claims.store import ClaimStore
 from springmux.coordination.identifiers import NodeId
-from springmux.coordination.kernel import NEVER, Effect, Send
+from springmux.coordination.state_machine import NEVER, Effect, Send
 
 
 class Cursor(msgspec.Struct, frozen=True):
--- a/src/springmux/coordination/consensus/core.py
+++ b/src/springmux/coordination/consensus/core.py
@@ -22,7 +22,7 @@
 from springmux.coordination.consensus.settings import ConsensusSettings
 from springmux.coordination.consensus.types import GroupMember, HardState, RecoveredState, SnapshotMeta
 from springmux.coordination.identifiers import GroupId, LogIndex, NodeId, ReplicaId, Term
-from springmux.coordination.kernel import NEVER, Effect, Note, NoteLevel, PeerMessage, Send
+from springmux.coordination.state_machine import NEVER, Effect, LogLevel, LogLine, PeerMessage, Send
 
 RESTART_AS_NEW = "restart as a new replica: "
 """Prefix of the stop reasons after which the folder may be emptied: nothing acknowledged is in it."""
@@ -84,7 +84,7 @@
     """A command whose commit is awaited."""
 
     index: LogIndex
-    ticket: str
+    correlation_id: str
 
 
 class ReadBatch(msgspec.Struct, frozen=True):
@@ -92,7 +92,7 @@
 
     round: int
     index: LogIndex
-    tickets: tuple[str, ...]
+    correlation_ids: tuple[str, ...]
 
 
 class Leadership(msgspec.Struct):
@@ -167,9 +167,9 @@
         """Add an effect to the answer of the present event."""
         self._effects.append(effect)
 
-    def note(self, name: str, level: NoteLevel = NoteLevel.INFO, **fields: object) -> None:
+    def note(self, name: str, level: LogLevel = LogLevel.INFO, **fields: object) -> None:
         """Log one structured line."""
-        self.emit(Note(name, level, dict(fields)))
+        self.emit(LogLine(name, level, dict(fields)))
 
     def send(self, node: NodeId, message: PeerMessage) -> None:
         """Send a message now."""
@@ -247,7 +247,9 @@
         if leadership is None:
             return
         for proposal in leadership.proposals:
-            self.emit(ProposalDropped(proposal.ticket, unknown=True, reason="leadership lost"))
-        tickets = [ticket for batch in leadership.read_batches for ticket in batch.tickets]
-        for ticket in [*tickets, *leadership.waiting_reads]:
-            self.emit(ReadConfirmed(ticket, None))
+            self.emit(ProposalDropped(proposal.correlation_id, unknown=True, reason="leadership lost"))
+        correlation_ids = [
+            correlation_id for batch in leadership.read_batches for correlation_id in batch.correlation_ids
+        ]
+        for correlation_id in [*correlation_ids, *leadership.waiting_reads]:
+            self.emit(ReadConfirmed(correlation_id, None))
--- a/src/springmux/coordination/consensus/durability.py
+++ b/src/springmux/coordination/consensus/durability.py
@@ -14,7 +14,7 @@
 from springmux.coordination.consensus.log import ReplicatedLog
 from springmux.coordination.consensus.types import GroupMembers, HardState, RecoveredState
 from springmux.coordination.identifiers import GroupId, LogIndex
-from springmux.coordination.kernel import NEVER
+from springmux.coordination.state_machine import NEVER
 
 Action = Callable[[], None]
 Founding = tuple[GroupId, GroupMembers]
--- a/src/springmux/coordination/consensus/effects.py
+++ b/src/springmux/coordination/consensus/effects.py
@@ -6,7 +6,7 @@
 
 from springmux.coordination.consensus.types import Entry, GroupMembers, HardState, SnapshotMeta
 from springmux.coordination.identifiers import GroupId, LogIndex, ReplicaId, Term
-from springmux.coordination.kernel import Effect, Event
+from springmux.coordination.state_machine import Effect, Event
 
 
 class Persist(Effect, frozen=True):
@@ -96,23 +96,23 @@
 
 
 class Propose(Event, frozen=True):
-    """Append a command (leader only). ``ticket`` names it in the answer."""
+    """Append a command (leader only). ``correlation_id`` names it in the answer."""
 
-    ticket: str
+    correlation_id: str
     data: bytes
 
 
 class ProposalCommitted(Effect, frozen=True):
     """The command is committed at ``index``; it is applied by the ``Apply`` effect before this one."""
 
-    ticket: str
+    correlation_id: str
     index: LogIndex
 
 
 class ProposalDropped(Effect, frozen=True):
     """The command was not taken (``unknown=False``) or its fate is not known (``unknown=True``)."""
 
-    ticket: str
+    correlation_id: str
     unknown: bool
     reason: str
 
@@ -120,13 +120,13 @@
 class ConfirmRead(Event, frozen=True):
     """Ask for a linearizable read point (ReadIndex, Ongaro 2014, section 6.4)."""
 
-    ticket: str
+    correlation_id: str
 
 
 class ReadConfirmed(Effect, frozen=True):
     """State applied up to ``index`` is current as of the request; ``index`` is ``None`` if refused."""
 
-    ticket: str
+    correlation_id: str
     index: LogIndex | None
 
 
--- a/src/springmux/coordination/consensus/events.py
+++ b/src/springmux/coordination/consensus/events.py
@@ -6,7 +6,7 @@
 
 from springmux.coordination.consensus.types import GroupMember
 from springmux.coordination.identifiers import NodeId
-from springmux.coordination.kernel import Event
+from springmux.coordination.state_machine import Event
 
 
 class FoundingCandidates(Event, frozen=True):
@@ -34,8 +34,8 @@
 
 
 class ChangeMember(Event, frozen=True):
-    """Change one member (leader only); answered like a proposal under ``ticket``."""
+    """Change one member (leader only); answered like a proposal under ``correlation_id``."""
 
-    ticket: str
+    correlation_id: str
     kind: MemberChangeKind
     member: GroupMember
--- a/src/springmux/coordination/consensus/founding.py
+++ b/src/springmux/coordination/consensus/founding.py
@@ -37,7 +37,7 @@
 )
 from springmux.coordination.consensus.types import GroupMember, GroupMembers
 from springmux.coordination.identifiers import GroupId, NodeId, ReplicaId, Term
-from springmux.coordination.kernel import NEVER
+from springmux.coordination.state_machine import NEVER
 
 GROUP_ID_BITS = 64
 """Random part of a group's identity; the founder's replica identity is the other part."""
--- a/src/springmux/coordination/consensus/joining.py
+++ b/src/springmux/coordination/consensus/joining.py
@@ -10,7 +10,7 @@
 from springmux.coordination.consensus.founding import Founding
 from springmux.coordination.consensus.messages import RaftJoinRequest
 from springmux.coordination.identifiers import NodeId
-from springmux.coordination.kernel import NEVER
+from springmux.coordination.state_machine import NEVER
 
 UNCALLED_TIMEOUTS = 3
 """Election timeouts without a leader after which a member asks around; an election takes one or two."""
--- a/src/springmux/coordination/consensus/membership_change.py
+++ b/src/springmux/coordination/consensus/membership_change.py
@@ -51,9 +51,9 @@
         """Carry out an operator's change, or say why not."""
         changed = self._ordered(event)
         if isinstance(changed, str):
-            self._core.emit(ProposalDropped(event.ticket, unknown=False, reason=changed))
+            self._core.emit(ProposalDropped(event.correlation_id, unknown=False, reason=changed))
         else:
-            self._proposals.append(event.ticket, EntryKind.MEMBERS, encode_members(changed))
+            self._proposals.append(event.correlation_id, EntryKind.MEMBERS, encode_members(changed))
 
     def on_join_request(self, message: RaftJoinRequest) -> None:
         """Take a replica up as a learner, note its new node, or pass its request to the leader."""
--- a/src/springmux/coordination/consensus/messages.py
+++ b/src/springmux/coordination/consensus/messages.py
@@ -8,7 +8,7 @@
 
 from springmux.coordination.consensus.types import Entry, GroupMembers, SnapshotMeta
 from springmux.coordination.identifiers import GroupId, LogIndex, NodeId, ReplicaId, Term
-from springmux.coordination.kernel import PeerMessage
+from springmux.coordination.state_machine import PeerMessage
 
 
 class ReplicaMessage(PeerMessage, frozen=True):
--- a/src/springmux/coordination/consensus/proposals.py
+++ b/src/springmux/coordination/consensus/proposals.py
@@ -24,16 +24,16 @@
         """Append the command, or say why not."""
         reason = self._refusal(event)
         if reason:
-            self._core.emit(ProposalDropped(event.ticket, unknown=False, reason=reason))
+            self._core.emit(ProposalDropped(event.correlation_id, unknown=False, reason=reason))
             return
-        self.append(event.ticket, EntryKind.COMMAND, event.data)
+        self.append(event.correlation_id, EntryKind.COMMAND, event.data)
 
-    def append(self, ticket: str, kind: EntryKind, data: bytes) -> None:
-        """Append an entry whose commit is answered under ``ticket``."""
+    def append(self, correlation_id: str, kind: EntryKind, data: bytes) -> None:
+        """Append an entry whose commit is answered under ``correlation_id``."""
         leadership = self._core.leadership
         assert leadership is not None
         index = self._replication.append(kind, data)
-        leadership.proposals.append(PendingProposal(index, ticket))
+        leadership.proposals.append(PendingProposal(index, correlation_id))
         leadership.uncommitted_bytes += len(data)
 
     def apply_committed(self) -> None:
@@ -57,7 +57,7 @@
         )
         while leadership.proposals and leadership.proposals[0].index <= last:
             proposal = leadership.proposals.popleft()
-            core.emit(ProposalCommitted(proposal.ticket, proposal.index))
+            core.emit(ProposalCommitted(proposal.correlation_id, proposal.index))
 
     def _refusal(self, event: Propose) -> str:
         core = self._core
--- a/src/springmux/coordination/consensus/reads.py
+++ b/src/springmux/coordination/consensus/reads.py
@@ -14,13 +14,13 @@
         self._core = core
         self._replication = replication
 
-    def on_request(self, ticket: str) -> None:
+    def on_request(self, correlation_id: str) -> None:
         """Queue a read; a replica that doesn't lead refuses at once."""
         leadership = self._core.leadership
         if leadership is None:
-            self._core.emit(ReadConfirmed(ticket, None))
+            self._core.emit(ReadConfirmed(correlation_id, None))
             return
-        leadership.waiting_reads.append(ticket)
+        leadership.waiting_reads.append(correlation_id)
 
     def release(self) -> None:
         """Confirm what a finished round covers, then begin a round for what waits."""
@@ -32,8 +32,8 @@
         batches = leadership.read_batches
         while batches and batches[0].round <= confirmed and core.applied_index >= batches[0].index:
             batch = batches.popleft()
-            for ticket in batch.tickets:
-                core.emit(ReadConfirmed(ticket, batch.index))
+            for correlation_id in batch.correlation_ids:
+                core.emit(ReadConfirmed(correlation_id, batch.index))
         if leadership.waiting_reads and not batches:
             self._begin_round(leadership)
             if self._confirmed_round(leadership) >= leadership.round:
@@ -41,9 +41,9 @@
 
     def _begin_round(self, leadership: Leadership) -> None:
         self._replication.broadcast_heartbeat()
-        tickets = tuple(leadership.waiting_reads)
+        correlation_ids = tuple(leadership.waiting_reads)
         leadership.waiting_reads = []
-        leadership.read_batches.append(ReadBatch(leadership.round, self._core.commit_index, tickets))
+        leadership.read_batches.append(ReadBatch(leadership.round, self._core.commit_index, correlation_ids))
 
     def _confirmed_round(self, leadership: Leadership) -> int:
         """The newest round that a majority of voters, this one among them, has answered."""
--- a/src/springmux/coordination/consensus/replica.py
+++ b/src/springmux/coordination/consensus/replica.py
@@ -62,7 +62,7 @@
 from springmux.coordination.consensus.transfer import Transfer
 from springmux.coordination.consensus.types import RecoveredState
 from springmux.coordination.identifiers import NodeId
-from springmux.coordination.kernel import NEVER, Effect, Event, MessageReceived, PeerMessage
+from springmux.coordination.state_machine import NEVER, Effect, Event, MessageReceived, PeerMessage
 
 
 class Replica:
@@ -163,7 +163,7 @@
             case Propose():
                 self._proposals.on_propose(event)
             case ConfirmRead():
-                self._reads.on_request(event.ticket)
+                self._reads.on_request(event.correlation_id)
             case TransferLeadership():
                 self._transfer.begin(event.target)
             case ChangeMember():
@@ -300,6 +300,6 @@
         reason = f"the replica has stopped: {core.stopped}"
         match event:
             case Propose() | ChangeMember():
-                core.emit(ProposalDropped(event.ticket, unknown=False, reason=reason))
+                core.emit(ProposalDropped(event.correlation_id, unknown=False, reason=reason))
             case ConfirmRead():
-                core.emit(ReadConfirmed(event.ticket, None))
+                core.emit(ReadConfirmed(event.correlation_id, None))
--- a/src/springmux/coordination/consensus/snapshot_transfer.py
+++ b/src/springmux/coordination/consensus/snapshot_transfer.py
@@ -19,7 +19,7 @@
 )
 from springmux.coordination.consensus.types import SnapshotMeta
 from springmux.coordination.identifiers import LogIndex, NodeId, ReplicaId, Term
-from springmux.coordination.kernel import NoteLevel
+from springmux.coordination.state_machine import LogLevel
 
 INSTALLED = -1
 """``wanted`` of a reply that says that the snapshot is in force."""
@@ -144,7 +144,7 @@
         """Storage could not install: drop the snapshot, the leader sends it again."""
         if self._ready is None or self._ready.meta.index != index:
             return False
-        self._core.note("snapshot_install_failed", NoteLevel.ERROR, index=index, reason=reason)
+        self._core.note("snapshot_install_failed", LogLevel.ERROR, index=index, reason=reason)
         self._ready = None
         self._installing = False
         self._core.durability.blocked = False
--- a/src/springmux/coordination/consensus/snapshots.py
+++ b/src/springmux/coordination/consensus/snapshots.py
@@ -10,7 +10,7 @@
     TakeSnapshot,
 )
 from springmux.coordination.identifiers import LogIndex
-from springmux.coordination.kernel import NEVER, NoteLevel
+from springmux.coordination.state_machine import NEVER, LogLevel
 
 
 class Snapshots:
@@ -59,4 +59,4 @@
         self._asked = None
         self._core.applied_bytes = self._core.settings.snapshot_bytes
         self._retry_at = self._core.now + self._core.settings.snapshot_retry_s
-        self._core.note("snapshot_failed", NoteLevel.ERROR, index=event.index, reason=event.reason)
+        self._core.note("snapshot_failed", LogLevel.ERROR, index=event.index, reason=event.reason)
--- a/src/springmux/coordination/consensus/transfer.py
+++ b/src/springmux/coordination/consensus/transfer.py
@@ -6,7 +6,7 @@
 from springmux.coordination.consensus.messages import RaftTimeoutNow
 from springmux.coordination.consensus.replication import Replication
 from springmux.coordination.identifiers import ReplicaId
-from springmux.coordination.kernel import NEVER
+from springmux.coordination.state_machine import NEVER
 
 
 class Transfer:
--- a/src/springmux/coordination/membership/contact_beacon.py
+++ b/src/springmux/coordination/membership/contact_beacon.py
@@ -10,10 +10,10 @@
 from dataclasses import dataclass
 
 from springmux.coordination.identifiers import NodeId, ZoneName
-from springmux.coordination.kernel import NEVER, Effect, Send
 from springmux.coordination.membership.contact_messages import ContactBeacon, ContactCount
 from springmux.coordination.membership.relay import range_targets, zone_targets
 from springmux.coordination.membership.settings import ContactSettings
+from springmux.coordination.state_machine import NEVER, Effect, Send
 
 HOP_S = 0.02
 """Added to a beacon's age at each hop for the transit time, which nobody measures."""
--- a/src/springmux/coordination/membership/contact_direct.py
+++ b/src/springmux/coordination/membership/contact_direct.py
@@ -12,8 +12,8 @@
 from collections.abc import Iterable
 
 from springmux.coordination.identifiers import NodeId
-from springmux.coordination.kernel import Effect, Send
-from springmux.coordination.membership.contact_messages import ContactBeat
+from springmux.coordination.membership.contact_messages import ContactHeartbeat
+from springmux.coordination.state_machine import Effect, Send
 
 _BEATS_KEPT = 32
 """At 0.4 s or more between beats these reach back far over the time for which evidence counts."""
@@ -33,9 +33,9 @@
         self._sequence += 1
         self._sent.append((self._sequence, now))
         heard = self._heard
-        return [Send(to=node, message=ContactBeat(self._sequence, heard.get(node, 0))) for node in nodes]
+        return [Send(to=node, message=ContactHeartbeat(self._sequence, heard.get(node, 0))) for node in nodes]
 
-    def take(self, sender: NodeId, beat: ContactBeat) -> None:
+    def take(self, sender: NodeId, beat: ContactHeartbeat) -> None:
         """Take in a peer's beat."""
         self._heard[sender] = beat.sequence
         sent_at = next((when for sequence, when in self._sent if sequence == beat.echo), None)
@@ -44,7 +44,7 @@
 
     def answer(self, sender: NodeId) -> Effect:
         """Return an echo for a node that isn't beaten regularly."""
-        return Send(to=sender, message=ContactBeat(self._sequence, self._heard[sender], answer=True))
+        return Send(to=sender, message=ContactHeartbeat(self._sequence, self._heard[sender], answer=True))
 
     def proven_since(self, nodes: Iterable[NodeId], since: float) -> int:
         """Return how many of ``nodes`` have evidence from ``since`` or later."""
--- a/src/springmux/coordination/membership/contact_messages.py
+++ b/src/springmux/coordination/membership/contact_messages.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from springmux.coordination.kernel import PeerMessage
+from springmux.coordination.state_machine import PeerMessage
 
 
-class ContactBeat(PeerMessage, frozen=True, tag="ContactBeat"):
+class ContactHeartbeat(PeerMessage, frozen=True, tag="ContactBeat"):
     """Heartbeat that proves a round trip: ``echo`` is the receiver's newest sequence seen by the sender.
 
     ``answer`` marks an answer outside the sender's own rhythm, which is never answered.
@@ -47,4 +47,4 @@
     levels: bytes
 
 
-MESSAGES: tuple[type[PeerMessage], ...] = (ContactBeat, ContactBeacon, ContactCount, ContactVector)
+MESSAGES: tuple[type[PeerMessage], ...] = (ContactHeartbeat, ContactBeacon, ContactCount, ContactVector)
--- a/src/springmux/coordination/membership/contact.py
+++ b/src/springmux/coordination/membership/contact_monitor.py
@@ -10,25 +10,34 @@
 import random
 
 from springmux.coordination.identifiers import NodeId
-from springmux.coordination.kernel import NEVER, Effect, Event, MessageReceived, Note, NoteLevel, Send, Tick
 from springmux.coordination.membership.contact_beacon import BeaconRelay
 from springmux.coordination.membership.contact_direct import RoundTrips
 from springmux.coordination.membership.contact_known import KnownNodes
 from springmux.coordination.membership.contact_messages import (
     ContactBeacon,
-    ContactBeat,
     ContactCount,
+    ContactHeartbeat,
     ContactVector,
 )
 from springmux.coordination.membership.contact_vector import FreshnessVector
 from springmux.coordination.membership.events import LeaderBeacon, MembershipUpdated
 from springmux.coordination.membership.settings import ContactSettings
+from springmux.coordination.state_machine import (
+    NEVER,
+    Effect,
+    Event,
+    LogLevel,
+    LogLine,
+    MessageReceived,
+    Send,
+    Tick,
+)
 
 _PROOFS_AFTER_PAUSE = 2
 _ASKED_AFTER_PAUSE = 6
 
 
-class ContactPart:
+class ContactMonitor:
     """Answers :meth:`connected`; sends what the evidence needs.
 
     :param has_seeds: whether the node was given seeds; without any it may be a fleet of its own.
@@ -183,8 +192,8 @@
             return []
         self._was_connected = is_connected
         if is_connected:
-            return [Note("contact_gained", NoteLevel.INFO, {"known": len(self._known)})]
-        return [Note("contact_lost", NoteLevel.WARNING, {"reason": self.reason(now)})]
+            return [LogLine("contact_gained", LogLevel.INFO, {"known": len(self._known)})]
+        return [LogLine("contact_lost", LogLevel.WARNING, {"reason": self.reason(now)})]
 
     def _tick(self, now: float) -> list[Effect]:
         effects = [] if self._direct else self._beacons.report(now)
@@ -226,7 +235,7 @@
         return self._beacons.originate(event.term, quorum_at, self._known.majority(), now)
 
     def _receive(self, sender: NodeId, message: object, now: float) -> list[Effect]:
-        if isinstance(message, ContactBeat):
+        if isinstance(message, ContactHeartbeat):
             return self._take_beat(sender, message, now)
         if isinstance(message, ContactBeacon):
             return self._beacons.take(sender, message, self._trusts(now), now)
@@ -238,7 +247,7 @@
             return self._beacons.answer(sender, now)
         return []
 
-    def _take_beat(self, sender: NodeId, beat: ContactBeat, now: float) -> list[Effect]:
+    def _take_beat(self, sender: NodeId, beat: ContactHeartbeat, now: float) -> list[Effect]:
         self._trips.take(sender, beat)
         beaten = self._direct and sender in self._known.present
         # Who lacks evidence of the other gets its echo at once, and doesn't wait for the rhythm.
--- a/src/springmux/coordination/membership/effects.py
+++ b/src/springmux/coordination/membership/effects.py
@@ -1,10 +1,10 @@
-"""Effects of membership beside ``Send`` and ``Note``."""
+"""Effects of membership beside ``Send`` and ``LogLine``."""
 
 from __future__ import annotations
 
 from springmux.coordination.identifiers import Address
-from springmux.coordination.kernel import Effect, PeerMessage
 from springmux.coordination.membership.view import MembershipView
+from springmux.coordination.state_machine import Effect, PeerMessage
 
 
 class SendToAddress(Effect, frozen=True):
--- a/src/springmux/coordination/membership/events.py
+++ b/src/springmux/coordination/membership/events.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from springmux.coordination.identifiers import Address, NodeId
-from springmux.coordination.kernel import Event
 from springmux.coordination.membership.view import MembershipView, NodeRecord
+from springmux.coordination.state_machine import Event
 
 
 class PeerReachable(Event, frozen=True):
@@ -49,7 +49,7 @@
 
 
 class ContactChanged(Event, frozen=True):
-    """The contact rule's answer changed (``ContactPart.connected``).
+    """The contact rule's answer changed (``ContactMonitor.connected``).
 
     ``peers``: the other known nodes, also those that membership still takes for dead.
     """
--- a/src/springmux/coordination/membership/beliefs.py
+++ b/src/springmux/coordination/membership/failure_detector.py
@@ -5,27 +5,27 @@
 import msgspec
 
 from springmux.coordination.identifiers import NodeId
-from springmux.coordination.kernel import NEVER, Effect, Note, NoteLevel
-from springmux.coordination.membership.messages import Piggyback, StatusRumour
-from springmux.coordination.membership.rumours import RumourQueue
+from springmux.coordination.membership.gossip_queue import GossipQueue
+from springmux.coordination.membership.messages import Piggyback, StatusUpdate
 from springmux.coordination.membership.settings import MembershipSettings
 from springmux.coordination.membership.suspicion import LocalHealth, Suspicion
 from springmux.coordination.membership.table import PRESENT, MemberTable
 from springmux.coordination.membership.view import NodeRecord, NodeStatus
+from springmux.coordination.state_machine import NEVER, Effect, LogLevel, LogLine
 
 _OLDER_LIVES = 2
 """So often the own name at another address may outbid this life without a warning: of an older life different
 nodes may know different incarnations."""
 
 
-class Beliefs:
+class FailureDetector:
     """Takes rumours in, decides suspicions, and defends the own record by raising its incarnation."""
 
     def __init__(
         self,
         own: NodeRecord,
         table: MemberTable,
-        queue: RumourQueue,
+        queue: GossipQueue,
         health: LocalHealth,
         settings: MembershipSettings,
     ) -> None:
@@ -58,7 +58,7 @@
         if record is None or record.status not in PRESENT:
             return []
         return self.take_status(
-            StatusRumour(node, record.incarnation, NodeStatus.SUSPECT, self.own.node), now
+            StatusUpdate(node, record.incarnation, NodeStatus.SUSPECT, self.own.node), now
         )
 
     def decide_suspicions(self, now: float) -> list[Effect]:
@@ -71,16 +71,16 @@
             if not self._health.may_declare_death(suspicion.started_at):
                 continue
             incarnation = suspicion.incarnation
-            rumour = StatusRumour(node, incarnation, NodeStatus.DEAD, self.own.node)
+            rumour = StatusUpdate(node, incarnation, NodeStatus.DEAD, self.own.node)
             effects += self.take_status(rumour, now)
         return effects
 
-    def buddy(self, target: NodeId) -> StatusRumour | None:
+    def buddy(self, target: NodeId) -> StatusUpdate | None:
         """Return what a node that isn't held as alive must hear at once (Lifeguard, buddy system)."""
         record = self._table.get(target)
         if record is None or record.status is NodeStatus.ALIVE:
             return None
-        return StatusRumour(target, record.incarnation, record.status, self.own.node)
+        return StatusUpdate(target, record.incarnation, record.status, self.own.node)
 
     def take_news(self, sender: NodeId, news: Piggyback, now: float) -> list[Effect]:
         """Take in what rode on a message."""
@@ -111,7 +111,7 @@
             self._queue.add(record, now)
         return _status_note(before, record)
 
-    def take_status(self, rumour: StatusRumour, now: float) -> list[Effect]:
+    def take_status(self, rumour: StatusUpdate, now: float) -> list[Effect]:
         """Take in a bare status; of an unknown node it says nothing."""
         if rumour.node == self.own.node:
             return self._defend(rumour.incarnation, rumour.status is not NodeStatus.ALIVE, now)
@@ -129,7 +129,7 @@
         self._queue.add(rumour, now)
         return _status_note(known, claimed)
 
-    def _suspect(self, rumour: StatusRumour, now: float) -> None:
+    def _suspect(self, rumour: StatusUpdate, now: float) -> None:
         suspicion = self._suspicions.get(rumour.node)
         if suspicion is None or suspicion.incarnation < rumour.incarnation:
             suspicion = Suspicion(rumour.incarnation, now)
@@ -145,7 +145,7 @@
             return []
         self.replace_own(self.own, incarnation + 1, now)
         self._health.add(1)
-        return [Note("membership_refuted", NoteLevel.INFO, {"incarnation": self.own.incarnation})]
+        return [LogLine("membership_refuted", LogLevel.INFO, {"incarnation": self.own.incarnation})]
 
     def _note_clash(self, record: NodeRecord) -> list[Effect]:
         """Warn of another process under the own name: an older life is outbid once and then silent."""
@@ -155,7 +155,7 @@
         if self._outbid <= _OLDER_LIVES:
             return []
         fields = {"address": record.peer_address, "incarnation": record.incarnation}
-        return [Note("membership_name_clash", NoteLevel.WARNING, fields)]
+        return [LogLine("membership_name_clash", LogLevel.WARNING, fields)]
 
     def replace_own(self, record: NodeRecord, incarnation: int, now: float) -> None:
         """Hold and spread another own record."""
@@ -169,5 +169,5 @@
     if before is not None and before.status is record.status:
         return []
     fields = {"node": record.node, "status": record.status.value, "incarnation": record.incarnation}
-    level = NoteLevel.WARNING if record.status is NodeStatus.DEAD else NoteLevel.INFO
-    return [Note("membership_status", level, fields)]
+    level = LogLevel.WARNING if record.status is NodeStatus.DEAD else LogLevel.INFO
+    return [LogLine("membership_status", level, fields)]
--- a/src/springmux/coordination/membership/rumours.py
+++ b/src/springmux/coordination/membership/gossip_queue.py
@@ -7,19 +7,19 @@
 from dataclasses import dataclass
 
 from springmux.coordination.identifiers import NodeId
-from springmux.coordination.membership.messages import NO_NEWS, Piggyback, StatusRumour
+from springmux.coordination.membership.messages import NO_NEWS, Piggyback, StatusUpdate
 from springmux.coordination.membership.settings import MembershipSettings
 from springmux.coordination.membership.view import NodeRecord, NodeStatus
 
 
 @dataclass
 class _Queued:
-    news: NodeRecord | StatusRumour
+    news: NodeRecord | StatusUpdate
     queued_at: float
     sent: int = 0
 
 
-class RumourQueue:
+class GossipQueue:
     """Newest news per node, least often sent first."""
 
     def __init__(self, settings: MembershipSettings) -> None:
@@ -29,7 +29,7 @@
     def __len__(self) -> int:
         return len(self._queue)
 
-    def add(self, news: NodeRecord | StatusRumour, now: float) -> None:
+    def add(self, news: NodeRecord | StatusUpdate, now: float) -> None:
         """Queue ``news`` in place of older news of the same node."""
         self._queue[news.node] = _Queued(news, now)
 
@@ -47,13 +47,13 @@
         """Drop news of all others: after a pause it may be outdated."""
         self._queue = {name: queued for name, queued in self._queue.items() if name == node}
 
-    def take(self, nodes: int, now: float, direct: StatusRumour | None = None) -> Piggyback:
+    def take(self, nodes: int, now: float, direct: StatusUpdate | None = None) -> Piggyback:
         """Return news for one message; ``direct`` goes first (Lifeguard's buddy system)."""
         if not self._queue and direct is None:
             return NO_NEWS
         limit = self._settings.retransmit_factor * max(1, math.ceil(math.log2(nodes + 1)))
         records: list[NodeRecord] = []
-        statuses: list[StatusRumour] = [direct] if direct else []
+        statuses: list[StatusUpdate] = [direct] if direct else []
         news_max = self._settings.news_per_message
         chosen = heapq.nsmallest(news_max, self._queue.items(), key=lambda item: item[1].sent)
         for node, queued in chosen:
--- a/src/springmux/coordination/membership/part.py
+++ b/src/springmux/coordination/membership/membership.py
@@ -11,9 +11,7 @@
 import msgspec
 
 from springmux.coordination.identifiers import Address, NodeId
-from springmux.coordination.kernel import NEVER, Effect, Event, MessageReceived, Note, NoteLevel, Send, Tick
 from springmux.coordination.membership import messages as wire
-from springmux.coordination.membership.beliefs import Beliefs
 from springmux.coordination.membership.effects import MembershipChanged, SendToAddress
 from springmux.coordination.membership.events import (
     LeaveBegun,
@@ -21,16 +19,27 @@
     PeerUnreachable,
     SeedsChanged,
 )
+from springmux.coordination.membership.failure_detector import FailureDetector
+from springmux.coordination.membership.gossip_queue import GossipQueue
 from springmux.coordination.membership.prober import MakePing, Prober
 from springmux.coordination.membership.remembered import MissingPeers, PeerRecorder, RememberedPeer
-from springmux.coordination.membership.rumours import RumourQueue
 from springmux.coordination.membership.settings import MembershipSettings
 from springmux.coordination.membership.suspicion import LocalHealth
 from springmux.coordination.membership.table import PRESENT, MemberTable
 from springmux.coordination.membership.view import MembershipView, NodeRecord, NodeStatus
+from springmux.coordination.state_machine import (
+    NEVER,
+    Effect,
+    Event,
+    LogLevel,
+    LogLine,
+    MessageReceived,
+    Send,
+    Tick,
+)
 
 
-class MembershipPart:
+class Membership:
     """Keeps the own record alive in the fleet and watches the others'.
 
     :param own: the node's record; its incarnation may be 0, it rises when older rumours are met.
@@ -50,10 +59,10 @@
         self._seeds = tuple(seed for seed in seeds if seed != own.peer_address)
         self._random = random
         self._table = MemberTable(own, self._settings)
-        self._queue = RumourQueue(self._settings)
+        self._queue = GossipQueue(self._settings)
         self._health = LocalHealth(self._settings)
         self._prober = Prober(self._settings, self._health, random)
-        self._beliefs = Beliefs(own, self._table, self._queue, self._health, self._settings)
+        self._beliefs = FailureDetector(own, self._table, self._queue, self._health, self._settings)
         others = [peer for peer in remembered or () if peer.node != own.node]
         self._missing = MissingPeers(others, random, self._settings)
         self._recorder = None if remembered is None else PeerRecorder(self._settings, others)
@@ -149,7 +158,7 @@
         self._health.reset_after_pause()
         self._beliefs.restart_suspicions(now)
         self._sync_at = now
-        return [Note("membership_paused", NoteLevel.WARNING, {"pause_s": round(now - last, 3)})]
+        return [LogLine("membership_paused", LogLevel.WARNING, {"pause_s": round(now - last, 3)})]
 
     def _tick(self, now: float) -> list[Effect]:
         effects: list[Effect] = []
--- a/src/springmux/coordination/membership/messages.py
+++ b/src/springmux/coordination/membership/messages.py
@@ -5,11 +5,11 @@
 import msgspec
 
 from springmux.coordination.identifiers import NodeId
-from springmux.coordination.kernel import PeerMessage
 from springmux.coordination.membership.view import NodeRecord, NodeStatus
+from springmux.coordination.state_machine import PeerMessage
 
 
-class StatusRumour(msgspec.Struct, frozen=True, array_like=True):
+class StatusUpdate(msgspec.Struct, frozen=True, array_like=True):
     """``accuser`` says that ``node`` has this status in this incarnation; shorter than a whole record."""
 
     node: NodeId
@@ -22,7 +22,7 @@
     """News that rides on another message: whole records of living nodes, bare statuses of the rest."""
 
     records: tuple[NodeRecord, ...] = ()
-    statuses: tuple[StatusRumour, ...] = ()
+    statuses: tuple[StatusUpdate, ...] = ()
 
 
 NO_NEWS = Piggyback()
--- a/src/springmux/coordination/membership/prober.py
+++ b/src/springmux/coordination/membership/prober.py
@@ -7,10 +7,10 @@
 from dataclasses import dataclass
 
 from springmux.coordination.identifiers import NodeId
-from springmux.coordination.kernel import NEVER, Effect, Send
 from springmux.coordination.membership.messages import MemberAck, MemberNack, MemberPing, MemberPingRequest
 from springmux.coordination.membership.settings import MembershipSettings
 from springmux.coordination.membership.suspicion import LocalHealth
+from springmux.coordination.state_machine import NEVER, Effect, Send
 
 MakePing = Callable[[NodeId, int], MemberPing]
 _RELAYS_MAX = 64
--- a/src/springmux/coordination/membership/remembered.py
+++ b/src/springmux/coordination/membership/remembered.py
@@ -12,8 +12,8 @@
 import msgspec
 
 from springmux.coordination.identifiers import Address, NodeId
-from springmux.coordination.kernel import NEVER, Effect
 from springmux.coordination.membership.settings import MembershipSettings
+from springmux.coordination.state_machine import NEVER, Effect
 
 REMEMBERED_MAX = 1024
 """More peers than a fleet is to have; a larger list would only cost disk."""
--- a/src/springmux/coordination/quota/messages.py
+++ b/src/springmux/coordination/quota/messages.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from springmux.coordination.kernel import PeerMessage
+from springmux.coordination.state_machine import PeerMessage
 
 
 class AccountDemand(msgspec.Struct, frozen=True, array_like=True):
@@ -28,7 +28,7 @@
     refused: float = 0.0
 
 
-class ShareGrant(msgspec.Struct, frozen=True, array_like=True):
+class AccountGrant(msgspec.Struct, frozen=True, array_like=True):
     """The owner's answer: ``spent`` may grow up to ``limit`` within the lease.
 
     ``rate``: this node's part of the quota in tokens/s. ``spare``: tokens that nobody has asked for.
@@ -42,7 +42,7 @@
     coming: bool = False
 
 
-class QuotaAsk(PeerMessage, frozen=True, tag="QuotaAsk"):
+class QuotaRequest(PeerMessage, frozen=True, tag="QuotaAsk"):
     """A node's active accounts of one owner. A later ``sequence`` of a ``boot`` replaces earlier ones."""
 
     boot: int
@@ -50,12 +50,12 @@
     demands: tuple[AccountDemand, ...]
 
 
-class QuotaShare(PeerMessage, frozen=True, tag="QuotaShare"):
+class QuotaReply(PeerMessage, frozen=True, tag="QuotaShare"):
     """The owner's answer to the ask with the same ``boot`` and ``sequence``."""
 
     boot: int
     sequence: int
-    grants: tuple[ShareGrant, ...]
+    grants: tuple[AccountGrant, ...]
 
 
-MESSAGES: tuple[type[PeerMessage], ...] = (QuotaAsk, QuotaShare)
+MESSAGES: tuple[type[PeerMessage], ...] = (QuotaRequest, QuotaReply)
--- a/src/springmux/coordination/quota/owner.py
+++ b/src/springmux/coordination/quota/owner.py
@@ -11,7 +11,7 @@
 
 from springmux.coordination.identifiers import NodeId
 from springmux.coordination.quota.events import AccountRate, QuotaSettings
-from springmux.coordination.quota.messages import AccountDemand, ShareGrant
+from springmux.coordination.quota.messages import AccountDemand, AccountGrant
 
 FRESH_LEVEL_S = 0.3
 """Saved seconds of quota that a new owner begins with: 3% of a window of ten seconds, enough to begin on."""
@@ -21,7 +21,7 @@
 """An ask period: each node has asked once, and given back what it doesn't need at once."""
 
 
-class AskSequence(msgspec.Struct, frozen=True):
+class RequestSequence(msgspec.Struct, frozen=True):
     """Place of an ask among those of one node's boot."""
 
     boot: int
@@ -36,7 +36,7 @@
 
     __slots__ = ("due", "heard_at", "limit", "sequence", "spent", "wanted")
 
-    def __init__(self, sequence: AskSequence, spent: float, limit: float) -> None:
+    def __init__(self, sequence: RequestSequence, spent: float, limit: float) -> None:
         self.sequence = sequence
         self.spent = spent
         self.limit = limit
@@ -70,7 +70,7 @@
         """Return tokens that may be granted now (negative: the account is in debt)."""
         return self.level - sum(ledger.outstanding() for ledger in self.ledgers.values())
 
-    def open_ledger(self, node: NodeId, sequence: AskSequence, demand: AccountDemand) -> Ledger:
+    def open_ledger(self, node: NodeId, sequence: RequestSequence, demand: AccountDemand) -> Ledger:
         """Begin with a node: charge only what no owner has answered and the node has not made itself.
 
         What it still holds was taken from a former bucket; it counts as outstanding here and is added.
@@ -99,7 +99,7 @@
             ledger.due = min(ledger.wanted, refused)
         return coming
 
-    def raise_limit(self, account: str, ledger: Ledger, least: float, coming: bool) -> ShareGrant:
+    def raise_limit(self, account: str, ledger: Ledger, least: float, coming: bool) -> AccountGrant:
         """Give what is wanted, or in shortage a part of what is free in proportion to all demands.
 
         A part too small for one request is not given: tokens spread in such pieces would lie idle.
@@ -117,7 +117,7 @@
                 free -= granted
         all_wanted = sum(each.wanted for each in self.ledgers.values())
         rate = self.rate.tokens_per_s * ledger.wanted / all_wanted if all_wanted > 0.0 else 0.0
-        return ShareGrant(account, ledger.limit, rate, max(0.0, free), coming)
+        return AccountGrant(account, ledger.limit, rate, max(0.0, free), coming)
 
 
 class Owner:
@@ -157,12 +157,12 @@
     def grant(
         self,
         sender: NodeId,
-        sequence: AskSequence,
+        sequence: RequestSequence,
         demand: AccountDemand,
         rate: AccountRate,
         fresh: bool,
         now: float,
-    ) -> ShareGrant | None:
+    ) -> AccountGrant | None:
         """Take a node's figures and raise its limit. ``None``: a late ask, overtaken by a newer one.
 
         :param fresh: this node may have taken the account over just now: shares of the former owner
