--- a/src/springmux/coordination/quota/part.py
+++ b/src/springmux/coordination/quota/quota_allocator.py
@@ -5,15 +5,6 @@
 import random
 
 from springmux.coordination.identifiers import NodeId
-from springmux.coordination.kernel import (
-    NEVER,
-    Effect,
-    Event,
-    MessageReceived,
-    PeerMessage,
-    Send,
-    Tick,
-)
 from springmux.coordination.membership.events import ContactChanged
 from springmux.coordination.quota.events import (
     AccountRate,
@@ -21,10 +12,19 @@
     QuotaMembersChanged,
     QuotaSettings,
 )
-from springmux.coordination.quota.messages import AccountDemand, QuotaAsk, QuotaShare
-from springmux.coordination.quota.owner import AskSequence, Owner
+from springmux.coordination.quota.messages import AccountDemand, QuotaReply, QuotaRequest
+from springmux.coordination.quota.owner import Owner, RequestSequence
 from springmux.coordination.quota.share import Share
 from springmux.coordination.rendezvous import first_holders
+from springmux.coordination.state_machine import (
+    NEVER,
+    Effect,
+    Event,
+    MessageReceived,
+    PeerMessage,
+    Send,
+    Tick,
+)
 
 BOOT_BITS = 62
 """Boots are random numbers that fit a signed 64-bit integer on the wire."""
@@ -33,7 +33,7 @@
 """Asks remembered for each owner: older answers are of no use."""
 
 
-class QuotaPart:
+class QuotaAllocator:
     """Implements :class:`~springmux.coordination.quota.gate.QuotaGate`; one for each node.
 
     Takes ``AccountsChanged``, ``QuotaMembersChanged``, ``MessageReceived`` and ``Tick``; gives ``Send``.
@@ -217,7 +217,7 @@
         kept[self._sequence] = demands
         while len(kept) > KEPT_ASKS:
             del kept[next(iter(kept))]
-        ask = QuotaAsk(self._boot, self._sequence, demands)
+        ask = QuotaRequest(self._boot, self._sequence, demands)
         if owner == self._own:
             self._take_share(owner, self._answer(owner, ask, now), now)
             return []
@@ -225,18 +225,18 @@
 
     def _receive(self, sender: NodeId, message: PeerMessage, now: float) -> list[Effect]:
         match message:
-            case QuotaAsk():
+            case QuotaRequest():
                 share = self._answer(sender, message, now)
                 return [Send(sender, share)] if share.grants else []
-            case QuotaShare():
+            case QuotaReply():
                 self._take_share(sender, message, now)
         return []
 
-    def _answer(self, sender: NodeId, ask: QuotaAsk, now: float) -> QuotaShare:
+    def _answer(self, sender: NodeId, ask: QuotaRequest, now: float) -> QuotaReply:
         """Answer for the accounts that this node believes to own; for others the asker looks elsewhere."""
         grants = []
         fresh = now < self._take_over_until
-        sequence = AskSequence(ask.boot, ask.sequence)
+        sequence = RequestSequence(ask.boot, ask.sequence)
         for demand in ask.demands:
             rate = self._rates.get(demand.account)
             if rate is None or self._owner_of(demand.account) != self._own:
@@ -246,9 +246,9 @@
                 grants.append(grant)
         if grants and self._next_sweep == NEVER:
             self._next_sweep = now + self._settings.lease_s
-        return QuotaShare(ask.boot, ask.sequence, tuple(grants))
+        return QuotaReply(ask.boot, ask.sequence, tuple(grants))
 
-    def _take_share(self, sender: NodeId, message: QuotaShare, now: float) -> None:
+    def _take_share(self, sender: NodeId, message: QuotaReply, now: float) -> None:
         kept = self._asked.get(sender)
         if message.boot != self._boot or kept is None or message.sequence not in kept:
             return
--- a/src/springmux/coordination/quota/share.py
+++ b/src/springmux/coordination/quota/share.py
@@ -5,7 +5,7 @@
 import math
 
 from springmux.coordination.quota.events import AccountRate, QuotaSettings
-from springmux.coordination.quota.messages import AccountDemand, ShareGrant
+from springmux.coordination.quota.messages import AccountDemand, AccountGrant
 
 SAVED_TARGETS = 4.0
 """Without its owner a node saves up to this many times what it would like at hand, as it asks nobody."""
@@ -99,7 +99,7 @@
             self._refused,
         )
 
-    def take(self, grant: ShareGrant, asked: AccountDemand, now: float) -> None:
+    def take(self, grant: AccountGrant, asked: AccountDemand, now: float) -> None:
         """Take the owner's answer to ``asked``."""
         self._unanswered_since = None
         self._lapsed = False
--- a/src/springmux/coordination/kernel.py
+++ b/src/springmux/coordination/state_machine.py
@@ -34,6 +34,15 @@
     """
 
 
+_NAMES_OF_SHORT_TAGS = {"use": "UsageReport", "sum": "UsageTotals", "zone-sum": "ZoneTotals"}
+
+
+def message_name(message: type[PeerMessage]) -> str:
+    """Return the name of a message type in metrics and logs: its tag, spelled out where that is short."""
+    tag = str(message.__struct_config__.tag)
+    return _NAMES_OF_SHORT_TAGS.get(tag, tag)
+
+
 class Tick(Event, frozen=True):
     """The part's ``next_deadline`` has come (or passed)."""
 
@@ -52,8 +61,8 @@
     message: PeerMessage
 
 
-class NoteLevel(enum.StrEnum):
-    """Severity of a :class:`Note`."""
+class LogLevel(enum.StrEnum):
+    """Severity of a :class:`LogLine`."""
 
     DEBUG = "debug"
     INFO = "info"
@@ -61,15 +70,15 @@
     ERROR = "error"
 
 
-class Note(Effect, frozen=True):
+class LogLine(Effect, frozen=True):
     """Write one structured log line. ``name`` is stable; never a key or a prompt's text in ``fields``."""
 
     name: str
-    level: NoteLevel = NoteLevel.INFO
+    level: LogLevel = LogLevel.INFO
     fields: dict[str, Any] = {}
 
 
-class Part(Protocol):
+class StateMachine(Protocol):
     """A pure state machine that a driver runs."""
 
     def handle(self, event: Event, now: float) -> list[Effect]:
--- a/src/springmux/coordination/usage/contact.py
+++ b/src/springmux/coordination/usage/contact.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from springmux.coordination.identifiers import NodeId, ZoneName
-from springmux.coordination.kernel import NEVER
 from springmux.coordination.membership.view import MembershipView
 from springmux.coordination.rendezvous import first_holders
+from springmux.coordination.state_machine import NEVER
 from springmux.coordination.usage.bucket import Standing
 from springmux.coordination.usage.events import UsageSettings
 
--- a/src/springmux/coordination/usage/events.py
+++ b/src/springmux/coordination/usage/events.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from springmux.coordination.kernel import Event
 from springmux.coordination.membership.view import MembershipView
+from springmux.coordination.state_machine import Event
 
 
 class AccountLimit(msgspec.Struct, frozen=True):
--- a/src/springmux/coordination/usage/messages.py
+++ b/src/springmux/coordination/usage/messages.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from springmux.coordination.identifiers import NodeId
-from springmux.coordination.kernel import PeerMessage
+from springmux.coordination.state_machine import PeerMessage
 
 
 class AccountUse(msgspec.Struct, frozen=True, array_like=True, omit_defaults=True):
--- a/src/springmux/coordination/usage/part.py
+++ b/src/springmux/coordination/usage/usage_exchange.py
@@ -6,7 +6,15 @@
 from collections.abc import Mapping
 
 from springmux.coordination.identifiers import NodeId
-from springmux.coordination.kernel import NEVER, Effect, Event, MessageReceived, PeerMessage, Send, Tick
+from springmux.coordination.state_machine import (
+    NEVER,
+    Effect,
+    Event,
+    MessageReceived,
+    PeerMessage,
+    Send,
+    Tick,
+)
 from springmux.coordination.usage.bucket import Bucket
 from springmux.coordination.usage.collector import Collector
 from springmux.coordination.usage.contact import FleetContact
@@ -34,7 +42,7 @@
 """Deadline of a report that was asked for at an unknown time: due once the last one is a period old."""
 
 
-class UsagePart:
+class UsageExchange:
     """One a node. Takes ``AccountLimitsChanged``, ``UsageMembersChanged``, ``MessageReceived`` and ``Tick``.
 
     ``admit``, ``give_back`` and ``note_engine_load`` only count; they may move ``next_deadline`` to the
--- a/src/springmux/coordination/usage/zone_relay.py
+++ b/src/springmux/coordination/usage/zone_relay.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Mapping
 
 from springmux.coordination.identifiers import NodeId, ZoneName
-from springmux.coordination.kernel import Effect, Send
+from springmux.coordination.state_machine import Effect, Send
 from springmux.coordination.usage.messages import UsageTotals, ZoneTotals
 
 LEAST_ZONE = 4
--- a/src/springmux/gateway/core.py
+++ b/src/springmux/gateway/core.py
@@ -10,12 +10,12 @@
 from springmux.control.gateway_configuration import EMPTY_GATEWAY
 from springmux.control.view import EMPTY_VIEW, ControlView
 from springmux.coordination.retry_budget import RetryBudget
-from springmux.coordination.usage.part import UsagePart
+from springmux.coordination.usage.usage_exchange import UsageExchange
 from springmux.gateway.placement import Placement
 from springmux.gateway.refusals import GatewayCounters
 from springmux.gateway.routing import RouteTable
 from springmux.rollout.outcome import VersionChooser
-from springmux.rollout.plan import RolloutRecord
+from springmux.rollout.planning.plan import RolloutRecord
 from springmux.vocabulary.engines import EnginesView
 from springmux.vocabulary.names import EngineId, ServiceName
 
@@ -53,7 +53,7 @@
         zone: str,
         source: random.Random,
         chooser: VersionChooser,
-        usage: UsagePart,
+        usage: UsageExchange,
         keys_current: Callable[[float], bool] = lambda now: True,
     ) -> None:
         """:param keys_current: says whether no key can have been taken away too long ago for this node."""
--- a/src/springmux/gateway/placement_tickets.py
+++ b/src/springmux/gateway/dispatches.py
@@ -47,7 +47,7 @@
         return self.slot.record
 
 
-class ExchangeLedger:
+class DispatchTracker:
     """Keeps the slots' counts and feeds health, pace and memory. ``models``: services with model engines."""
 
     def __init__(self, table: EngineTable, memory: PrefixMemory) -> None:
--- a/src/springmux/gateway/engine_health.py
+++ b/src/springmux/gateway/engine_health.py
@@ -1,7 +1,7 @@
 """What one node holds against one engine: suspicion, fullness, a stale entry, failures and pace.
 
 Suspicion is a circuit breaker with half-open trials (Nygard, "Release It!", 2007). An engine that answers
-but fails or dawdles is compared with its like in :mod:`springmux.gateway.engine_standing`.
+but fails or dawdles is compared with its like in :mod:`springmux.gateway.outlier_detection`.
 """
 
 from __future__ import annotations
--- a/src/springmux/gateway/engine_pool.py
+++ b/src/springmux/gateway/engine_pool.py
@@ -9,7 +9,7 @@
 
 from springmux.coordination.rendezvous import rendezvous_score
 from springmux.gateway.engine_health import EngineHealth
-from springmux.gateway.engine_standing import compare
+from springmux.gateway.outlier_detection import compare
 from springmux.vocabulary.engines import EngineRecord, EngineStatus, EnginesView
 from springmux.vocabulary.names import EngineId, ServiceName, VersionName
 
--- a/src/springmux/gateway/event_stream.py
+++ b/src/springmux/gateway/event_stream.py
@@ -10,7 +10,7 @@
 """Far above any event; a longer one is a fault of the engine."""
 
 
-class StreamFault(Exception):
+class MalformedStreamError(Exception):
     """The stream breaks the format: ids that don't rise, or an endless event."""
 
 
@@ -33,13 +33,13 @@
     def feed(self, data: bytes) -> bytes:
         """Return the whole events that ``data`` completes, without those that were passed on before.
 
-        :raises StreamFault: if an event skips ids or doesn't end.
+        :raises MalformedStreamError: if an event skips ids or doesn't end.
         """
         pending = self._pending + data
         end = _end_of_events(pending)
         self._pending = pending[end:]
         if len(self._pending) > MAX_EVENT_BYTES:
-            raise StreamFault("an event does not end")
+            raise MalformedStreamError("an event does not end")
         if end == 0:
             return b""
         return b"".join(event for event in _split(pending[:end]) if self._is_new(event))
@@ -57,7 +57,7 @@
             if number <= self._last_number:
                 return False
             if number > self._last_number + 1:
-                raise StreamFault(f"event {number} follows {self._last_number}")
+                raise MalformedStreamError(f"event {number} follows {self._last_number}")
         self.last_event_id = identity
         self._last_number = number
         self.events += 1
--- a/src/springmux/gateway/placement.py
+++ b/src/springmux/gateway/placement.py
@@ -16,11 +16,11 @@
 from collections.abc import Collection, Iterator, Mapping
 
 from springmux.control.gateway_configuration import GatewayService
+from springmux.gateway.dispatches import DispatchTracker, Ticket
 from springmux.gateway.engine_health import ExchangeOutcome
 from springmux.gateway.engine_pool import EngineGroup, EngineSlot, EngineTable, ServicePool
 from springmux.gateway.load_estimate import model_cost, plain_cost
 from springmux.gateway.placement_policy import DEFAULT_POLICY, PlacementPolicy
-from springmux.gateway.placement_tickets import ExchangeLedger, Ticket
 from springmux.gateway.prefix_memory import PrefixMemory
 from springmux.gateway.prompt_facts import NO_FACTS, PromptFacts
 from springmux.vocabulary.engines import EngineRecord, EnginesView
@@ -41,7 +41,7 @@
         self._random = source
         self._table = EngineTable()
         self._memory = PrefixMemory()
-        self._ledger = ExchangeLedger(self._table, self._memory)
+        self._ledger = DispatchTracker(self._table, self._memory)
         self._reported: list[EngineSlot] = []
 
     def update_engines(self, view: EnginesView, now: float) -> None:
--- a/src/springmux/gateway/routing.py
+++ b/src/springmux/gateway/routing.py
@@ -9,11 +9,11 @@
 from springmux.control.gateway_configuration import GatewayConfiguration, GatewayRoute, GatewayTenant
 
 
-class NoSuchRoute(Exception):
+class RouteNotFoundError(Exception):
     """No route of that host begins the path: answer 404."""
 
 
-class KeyRefused(Exception):
+class KeyRejectedError(Exception):
     """The route needs a key, and there is none or it is unknown: answer 401."""
 
 
@@ -41,14 +41,14 @@
 
         :param host: value of the Host header, with or without a port.
         :param path: path without its query.
-        :raises NoSuchRoute, KeyRefused: what the caller is told.
+        :raises RouteNotFoundError, KeyRejectedError: what the caller is told.
         """
         route = self._find(host, path)
         if route is None:
-            raise NoSuchRoute(path)
+            raise RouteNotFoundError(path)
         tenant = self._tenant(key)
         if tenant is None and self.configuration.requires_key and not route.public:
-            raise KeyRefused(route.name)
+            raise KeyRejectedError(route.name)
         return Admitted(route, tenant)
 
     def _find(self, host: str, path: str) -> GatewayRoute | None:
--- a/src/springmux/lab/bench/hollow_meter.py
+++ b/src/springmux/lab/bench/hollow_meter.py
@@ -14,7 +14,7 @@
 from springmux.control.commands import PutTenant
 from springmux.control.view import Tenant
 from springmux.coordination.identifiers import Address, NodeId, ZoneName
-from springmux.coordination.kernel import Effect, Event, PeerMessage
+from springmux.coordination.state_machine import Effect, Event, PeerMessage, message_name
 from springmux.simulation.hollow_fleet import FleetObserver, HollowFleet, HollowPlace, places_by_zone
 from springmux.simulation.hollow_node import Enveloped, HollowNode
 from springmux.simulation.world.world import Process
@@ -61,7 +61,7 @@
 
     def _envelope(self, message: PeerMessage) -> Enveloped:
         enveloped = super()._envelope(message)
-        name = type(message).__name__
+        name = message_name(type(message))
         data = wire.encode(enveloped.term, enveloped.leader, enveloped.revision, message)
         self.meter.messages[name] += 1
         self.meter.bytes[name] += len(data)
--- a/src/springmux/lab/bench/quota_cost.py
+++ b/src/springmux/lab/bench/quota_cost.py
@@ -11,10 +11,10 @@
 
 from springmux.agent import wire
 from springmux.coordination.identifiers import Address, NodeId, Revision, Term, ZoneName
-from springmux.coordination.kernel import Effect, Event, Send
 from springmux.coordination.membership.view import MembershipView, NodeRecord
 from springmux.coordination.quota.events import AccountRate, AccountsChanged, QuotaMembersChanged
-from springmux.coordination.quota.part import QuotaPart
+from springmux.coordination.quota.quota_allocator import QuotaAllocator
+from springmux.coordination.state_machine import Effect, Event, Send
 from springmux.lab.bench.report import BenchResult, Table
 from springmux.lab.bench.slopes import fit
 from springmux.simulation.world.world import Process, World
@@ -43,7 +43,7 @@
 class _QuotaProcess:
     """One node's quota part as a process of the virtual world."""
 
-    def __init__(self, part: QuotaPart, counters: _Counters) -> None:
+    def __init__(self, part: QuotaAllocator, counters: _Counters) -> None:
         self.part = part
         self._counters = counters
 
@@ -115,7 +115,7 @@
 
 
 def _process(name: NodeId, counters: _Counters) -> Process:
-    return _QuotaProcess(QuotaPart(name, random.Random(f"{SEED} {name}")), counters)
+    return _QuotaProcess(QuotaAllocator(name, random.Random(f"{SEED} {name}")), counters)
 
 
 def _tell_members_and_accounts(world: World, names: list[NodeId], tenants: list[str]) -> None:
--- a/src/springmux/lab/bench/state_size.py
+++ b/src/springmux/lab/bench/state_size.py
@@ -8,18 +8,18 @@
 import tracemalloc
 from collections.abc import Callable
 
-from springmux.agent.directory.part import DirectoryPart
+from springmux.agent.directory.engine_directory import EngineDirectory
 from springmux.agent.events import EngineAnnounced
 from springmux.control.commands import PutKey, PutTenant, encode_command
 from springmux.control.state import ControlState
 from springmux.control.view import Tenant
 from springmux.coordination.identifiers import Address, NodeId, Revision, ZoneName
-from springmux.coordination.kernel import MessageReceived
+from springmux.coordination.membership.membership import Membership
 from springmux.coordination.membership.messages import MemberState
-from springmux.coordination.membership.part import MembershipPart
 from springmux.coordination.membership.view import NodeRecord
 from springmux.coordination.quota.events import AccountRate, AccountsChanged
-from springmux.coordination.quota.part import QuotaPart
+from springmux.coordination.quota.quota_allocator import QuotaAllocator
+from springmux.coordination.state_machine import MessageReceived
 from springmux.lab.bench.report import BenchResult, Table
 from springmux.lab.bench.slopes import fit
 from springmux.router.engine_table import EngineTable
@@ -86,8 +86,8 @@
     return state
 
 
-def _quota(tenants: int) -> QuotaPart:
-    part = QuotaPart(NodeId("a"), random.Random(1))
+def _quota(tenants: int) -> QuotaAllocator:
+    part = QuotaAllocator(NodeId("a"), random.Random(1))
     rates = {f"tenant-{number}": AccountRate(100.0, 1000.0) for number in range(tenants)}
     part.handle(AccountsChanged(rates), 1.0)
     return part
@@ -106,7 +106,7 @@
 
 
 def _engines(count: int) -> object:
-    directory = DirectoryPart(NodeId("a"), random.Random(1))
+    directory = EngineDirectory(NodeId("a"), random.Random(1))
     for number in range(count):
         directory.handle(EngineAnnounced(_engine(number)), 1.0)
     table = EngineTable()
@@ -117,7 +117,7 @@
 def _prefixes(blocks: int) -> PrefixIndex:
     index = PrefixIndex()
     table = EngineTable()
-    directory = DirectoryPart(NodeId("a"), random.Random(1))
+    directory = EngineDirectory(NodeId("a"), random.Random(1))
     for number in range(8):
         directory.handle(EngineAnnounced(_engine(number)), 1.0)
     table.update(directory.view)
@@ -128,10 +128,10 @@
     return index
 
 
-def _members(nodes: int) -> MembershipPart:
+def _members(nodes: int) -> Membership:
     address = Address("10.0.0.1:7000")
     own = NodeRecord(NodeId("own"), ZoneName("zone-0"), address, address, address)
-    part = MembershipPart(own, (), random.Random(1))
+    part = Membership(own, (), random.Random(1))
     records = tuple(
         NodeRecord(
             NodeId(f"node-{number}"),
--- /dev/null
+++ b/src/springmux/lab/checks/__init__.py
@@ -0,0 +1,1 @@
+"""Checkers of the promises over a run's records."""
--- /dev/null
+++ b/src/springmux/lab/experiment/__init__.py
@@ -0,0 +1,1 @@
+"""One experiment: its plan, deployment, script and records."""
--- a/src/springmux/lab/demo.py
+++ b/src/springmux/lab/experiment/demo.py
@@ -4,9 +4,9 @@
 
 import asyncio
 
-from springmux.lab.fault_bench import FaultBench
-from springmux.lab.operators import Operators
-from springmux.lab.script import attempt
+from springmux.lab.experiment.script import attempt
+from springmux.lab.faults.injection import FaultBench
+from springmux.lab.operators.operators import Operators
 from springmux.simulation.engine_model import GOOD, VersionBehaviour
 
 DEMO_EXPERIMENT = "anuario"
--- a/src/springmux/lab/deployment.py
+++ b/src/springmux/lab/experiment/deployment.py
@@ -23,14 +23,26 @@
     write_settings,
 )
 from springmux.fleet.supervisor import Supervisor
-from springmux.lab.callers import CallersSettings, CallerTarget
-from springmux.lab.child_processes import ChildProcesses
-from springmux.lab.host import BackEndAction, BackEndHostPlace, BackEndOrder, HostedBackEnd, HostSettings
-from springmux.lab.operator_client import AdminNode, OperatorClient
-from springmux.lab.orders import put_configuration, put_key, put_tenant
-from springmux.lab.plan import BackEndPlan, ExperimentPlan
-from springmux.lab.records import OrderRecord, RunRecords, TenantQuota, back_end_events, call_records
-from springmux.lab.traffic import Surge
+from springmux.lab.experiment.child_processes import ChildProcesses
+from springmux.lab.experiment.plan import BackEndPlan, ExperimentPlan
+from springmux.lab.experiment.records import (
+    OrderRecord,
+    RunRecords,
+    TenantQuota,
+    back_end_events,
+    call_records,
+)
+from springmux.lab.load.clients import CallersSettings, CallerTarget
+from springmux.lab.load.traffic import Surge
+from springmux.lab.operators.operator_client import AdminNode, OperatorClient
+from springmux.lab.operators.orders import put_configuration, put_key, put_tenant
+from springmux.lab.stand_ins.host import (
+    BackEndAction,
+    BackEndHostPlace,
+    BackEndOrder,
+    HostedBackEnd,
+    HostSettings,
+)
 from springmux.simulation.engine_model import GOOD, VersionBehaviour
 from springmux.vocabulary.errors import SpringmuxError
 
@@ -116,7 +128,7 @@
         """Start nodes and back ends, apply configuration, tenants and keys, wait until all is ready.
 
         :raises DeploymentError: if something doesn't come up in time.
-        :raises OrderFailed: if the fleet refuses the experiment's configuration.
+        :raises OrderFailedError: if the fleet refuses the experiment's configuration.
         """
         progress(f"starting {len(self.nodes)} nodes")
         await asyncio.to_thread(self.supervisor.start_all)
--- a/src/springmux/lab/experiment.py
+++ b/src/springmux/lab/experiment/experiment.py
@@ -11,13 +11,13 @@
 
 import msgspec
 
-from springmux.lab.deployment import Deployment
-from springmux.lab.fault_bench import FaultBench
-from springmux.lab.operator_client import AdminNode
-from springmux.lab.plan import load_experiment
-from springmux.lab.records import RunRecords
-from springmux.lab.traffic import Surge
-from springmux.lab.watcher import Watcher
+from springmux.lab.experiment.deployment import Deployment
+from springmux.lab.experiment.plan import load_experiment
+from springmux.lab.experiment.records import RunRecords
+from springmux.lab.experiment.watcher import Watcher
+from springmux.lab.faults.injection import FaultBench
+from springmux.lab.load.traffic import Surge
+from springmux.lab.operators.operator_client import AdminNode
 
 CALLERS_START_S = 2.0
 """The callers' process needs so long to load and to make its prefixes."""
@@ -44,7 +44,7 @@
 
     :raises ExperimentError: if there is no such experiment.
     :raises DeploymentError: if its processes don't come up or fail.
-    :raises OrderFailed: if the fleet refuses an order that had to be accepted.
+    :raises OrderFailedError: if the fleet refuses an order that had to be accepted.
     """
     plan = load_experiment(options.experiment)
     _cancel_on_sigterm()
--- /dev/null
+++ b/src/springmux/lab/faults/__init__.py
@@ -0,0 +1,1 @@
+"""Faults of an experiment: the catalogue and how they are injected."""
--- /dev/null
+++ b/src/springmux/lab/judge/__init__.py
@@ -0,0 +1,1 @@
+"""Trials of the rollout's judge over simulated rollouts."""
--- a/src/springmux/lab/judge_trials.py
+++ b/src/springmux/lab/judge/judge_trials.py
@@ -1,6 +1,6 @@
 """Operating characteristics of the rollout's judge, measured over simulated rollouts.
 
-Prompts are generated with numpy from a seed and pass through the real :class:`EvidenceBook` and
+Prompts are generated with numpy from a seed and pass through the real :class:`EvidenceTable` and
 :class:`Judge`; network and engines are models. Beside the judge stand two baselines: a threshold on
 pooled counts and means, and the same judge without strata by expected cache hit.
 """
@@ -12,7 +12,7 @@
 import msgspec
 import numpy as np
 
-from springmux.lab.judge_rollouts import (
+from springmux.lab.judge.judge_rollouts import (
     CANDIDATE,
     NODES,
     SCENARIOS,
@@ -21,11 +21,11 @@
     RolloutOutcomes,
     Scenario,
 )
-from springmux.rollout.judgement.book import EvidenceBook
 from springmux.rollout.judgement.digest import merge_all
+from springmux.rollout.judgement.evidence_table import EvidenceTable
 from springmux.rollout.judgement.judge import Judge
 from springmux.rollout.outcome import BAD_ENDINGS, Ending, PromptOutcome
-from springmux.rollout.plan import RolloutPlan
+from springmux.rollout.planning.plan import RolloutPlan
 
 LAP_S = 0.5
 """Time between two looks at the merged evidence."""
@@ -59,7 +59,7 @@
     bad: int
 
 
-class _UnstratifiedBook(EvidenceBook):
+class _UnstratifiedBook(EvidenceTable):
     """The judge's evidence without strata by expected cache hit (a baseline)."""
 
     def _stratum(self, outcome: PromptOutcome) -> int:
@@ -106,8 +106,8 @@
 ) -> dict[str, _Stop]:
     """Run one rollout to its end under every method at once; return who stopped when."""
     judge = Judge(plan)
-    books: dict[str, Sequence[EvidenceBook]] = {
-        "judge": [EvidenceBook(SERVICE, STABLE, CANDIDATE, plan) for _ in range(NODES)],
+    books: dict[str, Sequence[EvidenceTable]] = {
+        "judge": [EvidenceTable(SERVICE, STABLE, CANDIDATE, plan) for _ in range(NODES)],
         "no strata": [_UnstratifiedBook(SERVICE, STABLE, CANDIDATE, plan) for _ in range(NODES)],
     }
     books = {method: fleet for method, fleet in books.items() if method in methods}
--- a/src/springmux/lab/stream_checker.py
+++ b/src/springmux/lab/load/stream_checker.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from springmux.lab.model_engine import piece_text
+from springmux.lab.stand_ins.model_engine import piece_text
 
 
 class _Delta(msgspec.Struct):
--- /dev/null
+++ b/src/springmux/lab/operators/__init__.py
@@ -0,0 +1,1 @@
+"""Operators of an experiment and their side of the admin interface."""
--- a/src/springmux/lab/operator_client.py
+++ b/src/springmux/lab/operators/operator_client.py
@@ -8,8 +8,8 @@
 import aiohttp
 import msgspec
 
-from springmux.lab.orders import Order
-from springmux.lab.records import OrderRecord
+from springmux.lab.experiment.records import OrderRecord
+from springmux.lab.operators.orders import Order
 from springmux.vocabulary.errors import SpringmuxError
 
 ORDER_TIMEOUT_S = 12.0
@@ -22,7 +22,7 @@
 """No answer, or one after which another node may do better under the same order id."""
 
 
-class OrderFailed(SpringmuxError):
+class OrderFailedError(SpringmuxError):
     """An order that had to be accepted was not; the message has the last answer."""
 
 
@@ -173,12 +173,12 @@
     async def give_accepted(self, order: Order, first: int = 0) -> OrderRecord:
         """Send an order that must be accepted.
 
-        :raises OrderFailed: if it was not.
+        :raises OrderFailedError: if it was not.
         """
         record = await self.give(order, first)
         if not record.accepted:
             paths = ", ".join(record.error_paths)
-            raise OrderFailed(f"{order.kind}: status {record.status} {record.code} {paths}".rstrip())
+            raise OrderFailedError(f"{order.kind}: status {record.status} {record.code} {paths}".rstrip())
         return record
 
     async def ready(self, node: AdminNode) -> bool:
--- a/src/springmux/lab/operators.py
+++ b/src/springmux/lab/operators/operators.py
@@ -12,16 +12,16 @@
 import aiohttp
 import msgspec
 
-from springmux.lab.fault_bench import FaultBench
-from springmux.lab.operator_client import OrderFailed
-from springmux.lab.orders import (
+from springmux.lab.experiment.records import OrderRecord, RevocationRecord
+from springmux.lab.faults.injection import FaultBench
+from springmux.lab.operators.operator_client import OrderFailedError
+from springmux.lab.operators.orders import (
     patch_configuration,
     put_configuration,
     put_key,
     put_tenant,
     revoke_key,
 )
-from springmux.lab.records import OrderRecord, RevocationRecord
 
 LIMIT_BYTES = 8 << 20
 """The stated limit of a configuration (default of the settings)."""
@@ -48,11 +48,11 @@
     async def next_version(self) -> int:
         """Return the number that the next configuration must have.
 
-        :raises OrderFailed: if no node answers.
+        :raises OrderFailedError: if no node answers.
         """
         state = await self._client.configuration()
         if state is None:
-            raise OrderFailed("no node tells the configuration's version")
+            raise OrderFailedError("no node tells the configuration's version")
         return state.version + 1
 
     async def patch(self, field: str, value: object) -> OrderRecord:
--- /dev/null
+++ b/src/springmux/lab/reporting/__init__.py
@@ -0,0 +1,1 @@
+"""Figures, plots and reports of a run."""
--- a/src/springmux/lab/soak/callers.py
+++ b/src/springmux/lab/soak/callers.py
@@ -11,7 +11,7 @@
 from springmux.lab.soak.history import ConfigurationHistory
 from springmux.lab.soak.judge import IN_FORCE_S, AskedRequest, Judge
 from springmux.lab.soak.nodes import FRONT_PORT, SoakNode
-from springmux.lab.soak.wire import CallerConnection, ConnectionOver
+from springmux.lab.soak.wire import CallerConnection, ConnectionClosedError
 
 CONNECT_TIMEOUT_S = 1.0
 RECONNECT_S = 0.1
@@ -72,7 +72,7 @@
             }
             try:
                 answer = await connection.ask("POST", asked.path, headers, b"soak", DEADLINE_S)
-            except (ConnectionOver, TimeoutError):
+            except (ConnectionClosedError, TimeoutError):
                 self._judge.unanswered(asked, self._engines.runs(asked.request), time.monotonic())
                 await asyncio.sleep(RECONNECT_S)
                 return
--- a/src/springmux/lab/soak/wire.py
+++ b/src/springmux/lab/soak/wire.py
@@ -21,7 +21,7 @@
         return self.headers.get("connection", "").lower() == "close"
 
 
-class ConnectionOver(Exception):
+class ConnectionClosedError(Exception):
     """The connection ended without a whole answer."""
 
 
@@ -59,7 +59,7 @@
     ) -> Answer:
         """Send a request and wait for its answer.
 
-        :raises ConnectionOver: if the connection ends first.
+        :raises ConnectionClosedError: if the connection ends first.
         :raises TimeoutError: if no whole answer comes in time.
         """
         lines = [f"{method} {target} HTTP/1.1", *(f"{name}: {value}" for name, value in headers.items())]
@@ -70,7 +70,7 @@
             async with asyncio.timeout(timeout_s):
                 return await self._answer()
         except (asyncio.IncompleteReadError, ConnectionError) as error:
-            raise ConnectionOver(type(error).__name__) from error
+            raise ConnectionClosedError(type(error).__name__) from error
 
     async def _answer(self) -> Answer:
         first, headers, body = await read_message(self._reader)
@@ -92,5 +92,5 @@
             return await connection.ask(method, target, headers, body, timeout_s)
         finally:
             connection.close()
-    except (OSError, ConnectionOver):
+    except (OSError, ConnectionClosedError):
         return None
--- /dev/null
+++ b/src/springmux/lab/stand_ins/__init__.py
@@ -0,0 +1,1 @@
+"""Stand-in engines and services, and their side of the engine interface."""
--- a/src/springmux/lab/call_service.py
+++ b/src/springmux/lab/stand_ins/call_service.py
@@ -9,8 +9,8 @@
 
 from aiohttp import web
 
-from springmux.lab.announcer import Announcer, EngineFigures, EngineIdentity
-from springmux.lab.records import Arrival, BackEndEvent, Ending, Execution
+from springmux.lab.experiment.records import Arrival, BackEndEvent, Ending, Execution
+from springmux.lab.stand_ins.announcer import Announcer, EngineFigures, EngineIdentity
 from springmux.simulation.engine_model import VersionBehaviour
 
 LEAVE_POLL_S = 0.05
--- a/src/springmux/node/admin_control.py
+++ b/src/springmux/node/admin/control_endpoints.py
@@ -12,18 +12,18 @@
 
 from springmux.control.commands import ApplyConfiguration, PutKey, PutTenant, RemoveTenant, RevokeKey
 from springmux.control.configuration import (
-    ConfigurationInvalid,
-    ConfigurationTooLarge,
+    ConfigurationTooLargeError,
+    InvalidConfigurationError,
     decode_document,
     parse_configuration,
 )
 from springmux.control.name_pattern import NAME_PATTERN
 from springmux.control.state import ControlState
 from springmux.control.view import ControlView, Tenant
-from springmux.node.admin_errors import bad_field, decode_failure, invalid
-from springmux.node.admin_orders import OrderDesk, operator, order_id
-from springmux.node.admin_rollouts import json_response
-from springmux.vocabulary.errors import ApiError, ApiErrorRaised, ErrorCode, FieldError
+from springmux.node.admin.errors import bad_field, decode_failure, invalid
+from springmux.node.admin.order_submission import OrderSubmitter, operator, order_id
+from springmux.node.admin.rollout_endpoints import json_response
+from springmux.vocabulary.errors import ApiError, ApiResponseError, ErrorCode, FieldError
 from springmux.vocabulary.names import KeyDigest, KeyId, TenantName
 
 _NAME = re.compile(NAME_PATTERN)
@@ -109,9 +109,9 @@
 class ControlEndpoints:
     """Turns operators' requests into orders. ``max_configuration_bytes`` bounds a document."""
 
-    def __init__(self, agent: ControlAgent, desk: OrderDesk, max_configuration_bytes: int) -> None:
+    def __init__(self, agent: ControlAgent, orders: OrderSubmitter, max_configuration_bytes: int) -> None:
         self._agent = agent
-        self._desk = desk
+        self._orders = orders
         self._max_bytes = max_configuration_bytes
 
     def add_routes(self, router: web.UrlDispatcher) -> None:
@@ -158,9 +158,9 @@
             raise _too_large(len(document), self._max_bytes)
         try:
             await asyncio.to_thread(parse)
-        except ConfigurationTooLarge as error:
+        except ConfigurationTooLargeError as error:
             raise _too_large(error.size_bytes, error.limit_bytes) from None
-        except ConfigurationInvalid as error:
+        except InvalidConfigurationError as error:
             count = len(error.errors)
             text = f"the configuration has {count} wrong field{'s' if count != 1 else ''}"
             raise invalid(ErrorCode.INVALID_CONFIGURATION, text, error.errors) from None
@@ -182,7 +182,7 @@
             document=document,
             partial=partial,
         )
-        return await self._desk.submit(command, ErrorCode.VERSION_CONFLICT)
+        return await self._orders.submit(command, ErrorCode.VERSION_CONFLICT)
 
     async def _list_tenants(self, _: web.Request) -> web.Response:
         tenants = self._agent.view.tenants
@@ -210,12 +210,12 @@
             weight=body.weight,
         )
         command = PutTenant(order=order_id(request), issued_by=operator(request), tenant=tenant)
-        return await self._desk.submit(command, ErrorCode.VERSION_CONFLICT)
+        return await self._orders.submit(command, ErrorCode.VERSION_CONFLICT)
 
     async def _remove_tenant(self, request: web.Request) -> web.Response:
         tenant = TenantName(_name(request.match_info["tenant"], "tenant"))
         command = RemoveTenant(order=order_id(request), issued_by=operator(request), tenant=tenant)
-        return await self._desk.submit(command, ErrorCode.VERSION_CONFLICT)
+        return await self._orders.submit(command, ErrorCode.VERSION_CONFLICT)
 
     async def _list_keys(self, _: web.Request) -> web.Response:
         keys = sorted(self._agent.view.keys.values(), key=lambda record: record.key)
@@ -230,25 +230,25 @@
             digest=_digest(body),
             tenant=TenantName(_name(body.tenant, "tenant")),
         )
-        return await self._desk.submit(command, ErrorCode.VERSION_CONFLICT)
+        return await self._orders.submit(command, ErrorCode.VERSION_CONFLICT)
 
     async def _revoke_key(self, request: web.Request) -> web.Response:
         key = KeyId(_name(request.match_info["key"], "key_id"))
         command = RevokeKey(order=order_id(request), issued_by=operator(request), key=key)
-        return await self._desk.submit(command, ErrorCode.VERSION_CONFLICT)
+        return await self._orders.submit(command, ErrorCode.VERSION_CONFLICT)
 
     async def _transfer(self, request: web.Request) -> web.Response:
         body = _decode(await request.read() or b"{}", TransferBody)
-        return await self._desk.transfer(body.target and _name(body.target, "target"))
+        return await self._orders.transfer(body.target and _name(body.target, "target"))
 
     async def _remove(self, request: web.Request) -> web.Response:
         replica = _decode(await request.read(), RemoveBody).replica
-        return await self._desk.remove(_name(replica, "replica"))
+        return await self._orders.remove(_name(replica, "replica"))
 
 
-def _too_large(size_bytes: int, limit_bytes: int) -> ApiErrorRaised:
+def _too_large(size_bytes: int, limit_bytes: int) -> ApiResponseError:
     text = f"the configuration has {size_bytes} bytes, the limit is {limit_bytes}"
-    return ApiErrorRaised(ApiError(code=ErrorCode.BODY_TOO_LARGE, message=text, status=413))
+    return ApiResponseError(ApiError(code=ErrorCode.BODY_TOO_LARGE, message=text, status=413))
 
 
 def _version(request: web.Request) -> int:
--- a/src/springmux/node/admin_engines.py
+++ b/src/springmux/node/admin/engine_endpoints.py
@@ -12,13 +12,13 @@
 
 from springmux.agent.events import EngineAnnounced, EngineDraining, EngineHeartbeat, EngineLeft
 from springmux.coordination.identifiers import Address, ZoneName
-from springmux.coordination.kernel import Event
+from springmux.coordination.state_machine import Event
 from springmux.node.addresses import check_address
-from springmux.node.admin_errors import bad_field, decode_failure
+from springmux.node.admin.errors import bad_field, decode_failure
 from springmux.node.health import NodeHealth
 from springmux.node.settings import NAME_PATTERN
 from springmux.vocabulary.engines import EngineLoad, EngineRecord, EngineStatus, EnginesView
-from springmux.vocabulary.errors import ApiErrorRaised
+from springmux.vocabulary.errors import ApiResponseError
 from springmux.vocabulary.names import EngineId, ServiceName, VersionName
 
 _NAME = re.compile(NAME_PATTERN)
@@ -120,7 +120,7 @@
         """Take a report, or refuse it where it would reach nobody else: the engine goes to another node."""
         deafness = self._health.deafness()
         if deafness is not None:
-            raise ApiErrorRaised(deafness)
+            raise ApiResponseError(deafness)
         self._submit(event)
         return web.Response(status=204)
 
--- a/src/springmux/node/admin_errors.py
+++ b/src/springmux/node/admin/errors.py
@@ -6,14 +6,14 @@
 from aiohttp import web
 from aiohttp.typedefs import Handler, Middleware
 
-from springmux.node.answers import NOT_FOUND_HINT, error_body, error_headers
+from springmux.node.client.error_responses import NOT_FOUND_HINT, error_body, error_headers
 from springmux.node.logs import EventLog
-from springmux.vocabulary.errors import ApiError, ApiErrorRaised, ErrorCode, FieldError
+from springmux.vocabulary.errors import ApiError, ApiResponseError, ErrorCode, FieldError
 
 
-def bad_field(path: str, message: str) -> ApiErrorRaised:
+def bad_field(path: str, message: str) -> ApiResponseError:
     """Return a 400 that names one wrong field."""
-    return ApiErrorRaised(
+    return ApiResponseError(
         ApiError(
             code=ErrorCode.INVALID_REQUEST,
             message=f"{path}: {message}",
@@ -23,7 +23,7 @@
     )
 
 
-def decode_failure(error: msgspec.DecodeError | RecursionError) -> ApiErrorRaised:
+def decode_failure(error: msgspec.DecodeError | RecursionError) -> ApiResponseError:
     """Return a 400 for a body that is not JSON, or not of the right shape."""
     if isinstance(error, RecursionError):
         return bad_field("$", "is nested too deeply")
@@ -31,14 +31,14 @@
     if isinstance(error, msgspec.ValidationError):
         message, _, path = text.partition(" - at `$.")
         return bad_field(path.rstrip("`") or "$", message)
-    return ApiErrorRaised(
+    return ApiResponseError(
         ApiError(code=ErrorCode.MALFORMED_JSON, message=f"the body is not JSON: {text}", status=400)
     )
 
 
-def invalid(code: ErrorCode, message: str, errors: tuple[FieldError, ...]) -> ApiErrorRaised:
+def invalid(code: ErrorCode, message: str, errors: tuple[FieldError, ...]) -> ApiResponseError:
     """Return a 422 with every wrong field."""
-    return ApiErrorRaised(ApiError(code=code, message=message, status=422, errors=errors))
+    return ApiResponseError(ApiError(code=code, message=message, status=422, errors=errors))
 
 
 def error_response(error: ApiError) -> web.Response:
@@ -53,7 +53,7 @@
     async def answer_errors(request: web.Request, handler: Handler) -> web.StreamResponse:
         try:
             return await handler(request)
-        except ApiErrorRaised as raised:
+        except ApiResponseError as raised:
             error = raised.error
         except web.HTTPRequestEntityTooLarge as raised_http:
             error = ApiError(code=ErrorCode.BODY_TOO_LARGE, message=raised_http.text or "", status=413)
--- a/src/springmux/node/admin_listener.py
+++ b/src/springmux/node/admin/listener.py
@@ -8,19 +8,19 @@
 from aiohttp import web
 
 from springmux.node.addresses import split_address
-from springmux.node.admin_control import ControlAgent, ControlEndpoints
-from springmux.node.admin_engines import EngineEndpoints
-from springmux.node.admin_errors import error_middleware
-from springmux.node.admin_orders import OrderDesk
-from springmux.node.admin_rollouts import RolloutEndpoints, RolloutsAgent, json_response
-from springmux.node.client_protocol import quiet_logger
+from springmux.node.admin.control_endpoints import ControlAgent, ControlEndpoints
+from springmux.node.admin.engine_endpoints import EngineEndpoints
+from springmux.node.admin.errors import error_middleware
+from springmux.node.admin.order_submission import OrderSubmitter
+from springmux.node.admin.rollout_endpoints import RolloutEndpoints, RolloutsAgent, json_response
+from springmux.node.admin.rollout_history import RolloutHistory
+from springmux.node.admin.service_rates import ServiceRates
+from springmux.node.client.protocol import quiet_logger
 from springmux.node.driver import AgentDriver
 from springmux.node.fault_injection import FaultInjector
 from springmux.node.health import HEALTH_BODY, HEALTH_PATH, READY_PATH, NodeHealth, ReadyAgent
 from springmux.node.logs import EventLog
-from springmux.node.metrics import EXPOSITION_TYPE, NodeMetrics
-from springmux.node.rollout_history import RolloutHistory
-from springmux.node.service_rates import ServiceRates
+from springmux.node.metrics.registry import EXPOSITION_TYPE, NodeMetrics
 from springmux.node.settings import NodeSettings
 
 BODY_MARGIN_BYTES = 64 << 10
@@ -70,14 +70,14 @@
             middlewares=[error_middleware(settings.node, log)],
         )
         router = self._application.router
-        desk = OrderDesk(driver, metrics, settings.order_timeout_s, settings.node)
+        orders = OrderSubmitter(driver, metrics, settings.order_timeout_s, settings.node)
         router.add_get(HEALTH_PATH, self._alive)
         router.add_get(READY_PATH, self._ready)
         router.add_get("/metrics", self._exposition)
         router.add_get("/v1/status", self._status)
         EngineEndpoints(driver.submit, lambda: agent.engines, health).add_routes(router)
-        ControlEndpoints(agent, desk, settings.max_configuration_bytes).add_routes(router)
-        RolloutEndpoints(agent, desk, history, rates).add_routes(router)
+        ControlEndpoints(agent, orders, settings.max_configuration_bytes).add_routes(router)
+        RolloutEndpoints(agent, orders, history, rates).add_routes(router)
         if fault_injector is not None:
             fault_injector.add_routes(router)
         self._runner = web.AppRunner(
--- a/src/springmux/node/admin_orders.py
+++ b/src/springmux/node/admin/order_submission.py
@@ -12,12 +12,12 @@
 
 from springmux.agent.effects import OrderAnswered
 from springmux.control.commands import AnyCommand, CommandResult, Outcome
-from springmux.node.admin_errors import bad_field
-from springmux.node.answers import error_headers
+from springmux.node.admin.errors import bad_field
+from springmux.node.admin.order_wait import answer_of
+from springmux.node.client.error_responses import error_headers
 from springmux.node.driver import AgentDriver, OrderCallback
-from springmux.node.metrics import NodeMetrics
-from springmux.node.order_wait import answer_of
-from springmux.vocabulary.errors import ApiError, ApiErrorRaised, ErrorCode, Fate
+from springmux.node.metrics.registry import NodeMetrics
+from springmux.vocabulary.errors import ApiError, ApiResponseError, ErrorCode, Fate
 from springmux.vocabulary.names import OrderId
 
 ORDER_HEADER = "X-Order-Id"
@@ -45,7 +45,7 @@
 def order_id(request: web.Request) -> OrderId:
     """Return the client's order id, or a new one.
 
-    :raises ApiErrorRaised: if it is not 1 to 200 printable characters.
+    :raises ApiResponseError: if it is not 1 to 200 printable characters.
     """
     value = request.headers.get(ORDER_HEADER)
     if value is None:
@@ -63,7 +63,7 @@
     return value
 
 
-class OrderDesk:
+class OrderSubmitter:
     """Waits for the answers of orders. ``timeout_s``: after it the order's fate is unknown here."""
 
     def __init__(self, driver: AgentDriver, metrics: NodeMetrics, timeout_s: float, node: str) -> None:
@@ -104,7 +104,7 @@
         if result is None:
             error = (answered.error if answered is not None else None) or self._unknown()
             self._metrics.count("orders_total", error.code)
-            raise ApiErrorRaised(error)
+            raise ApiResponseError(error)
         self._metrics.count("orders_total", result.outcome)
         if result.outcome is Outcome.ACCEPTED:
             return _accepted(result)
@@ -115,8 +115,8 @@
             return web.Response(status=409, body=body, headers=error_headers(error))
         if result.outcome is Outcome.NOT_FOUND:
             error = ApiError(code=ErrorCode.NOT_FOUND, message=result.message or "no such thing", status=404)
-            raise ApiErrorRaised(error)
-        raise ApiErrorRaised(
+            raise ApiResponseError(error)
+        raise ApiResponseError(
             ApiError(
                 code=ErrorCode.INVALID_ORDER,
                 message=result.message or "the order is not valid",
--- a/src/springmux/node/order_wait.py
+++ b/src/springmux/node/admin/order_wait.py
@@ -14,7 +14,7 @@
 ) -> OrderAnswered | None:
     """Submit an order and wait for its answer; ``None`` if none came in time: its fate is unknown here.
 
-    :param submit: gives the order to ``driver`` with the callback, and returns its ticket.
+    :param submit: gives the order to ``driver`` with the callback, and returns its correlation_id.
     """
     answer: asyncio.Future[OrderAnswered] = asyncio.get_running_loop().create_future()
 
@@ -22,11 +22,11 @@
         if not answer.done():
             answer.set_result(answered)
 
-    ticket = submit(take)
+    correlation_id = submit(take)
     try:
         async with asyncio.timeout(timeout_s):
             return await answer
     except TimeoutError:
         return None
     finally:
-        driver.forget_order(ticket)
+        driver.forget_order(correlation_id)
--- a/src/springmux/node/admin_rollouts.py
+++ b/src/springmux/node/admin/rollout_endpoints.py
@@ -11,23 +11,23 @@
 from springmux.control.commands import AbortRollout, PauseRollout, PromoteRollout, PutTemplate, ResumeRollout
 from springmux.control.view import ControlView
 from springmux.coordination.membership.view import MembershipView
-from springmux.node.admin_errors import bad_field, invalid
-from springmux.node.admin_orders import OrderDesk, operator, order_id
-from springmux.node.rollout_history import RolloutHistory
-from springmux.node.service_rates import ServiceRates
-from springmux.rollout.plan import RolloutPlan, RolloutRecord
-from springmux.rollout.preview import EngineCapacity, Preview, preview
-from springmux.rollout.standard_template import STANDARD_TEMPLATE
-from springmux.rollout.status import RolloutStatus
-from springmux.rollout.template import (
+from springmux.node.admin.errors import bad_field, invalid
+from springmux.node.admin.order_submission import OrderSubmitter, operator, order_id
+from springmux.node.admin.rollout_history import RolloutHistory
+from springmux.node.admin.service_rates import ServiceRates
+from springmux.rollout.planning.plan import RolloutPlan, RolloutRecord
+from springmux.rollout.planning.preview import EngineCapacity, Preview, preview
+from springmux.rollout.planning.standard_template import STANDARD_TEMPLATE
+from springmux.rollout.planning.template import (
     RolloutTemplate,
     TemplateError,
     parse_promote_body,
     parse_template,
     stamp,
 )
+from springmux.rollout.status import RolloutStatus
 from springmux.vocabulary.engines import EnginesView
-from springmux.vocabulary.errors import ApiError, ApiErrorRaised, ErrorCode, FieldError
+from springmux.vocabulary.errors import ApiError, ApiResponseError, ErrorCode, FieldError
 from springmux.vocabulary.names import RolloutId, ServiceName
 
 MAX_PROMPTS_PER_S = 1e9
@@ -64,10 +64,10 @@
     """Turns operators' rollout requests into orders and reads."""
 
     def __init__(
-        self, agent: RolloutsAgent, desk: OrderDesk, history: RolloutHistory, rates: ServiceRates
+        self, agent: RolloutsAgent, orders: OrderSubmitter, history: RolloutHistory, rates: ServiceRates
     ) -> None:
         self._agent = agent
-        self._desk = desk
+        self._orders = orders
         self._history = history
         self._rates = rates
 
@@ -105,7 +105,7 @@
         command = PutTemplate(
             order=order_id(request), issued_by=operator(request), name=name, document=document
         )
-        return await self._desk.submit(command, ErrorCode.ROLLOUT_CONFLICT)
+        return await self._orders.submit(command, ErrorCode.ROLLOUT_CONFLICT)
 
     def _template(self, name: str) -> RolloutTemplate:
         if name in ("", STANDARD_TEMPLATE.name):
@@ -169,25 +169,25 @@
             rollout=RolloutId(uuid.uuid5(uuid.NAMESPACE_OID, order).hex),
             plan=plan,
         )
-        return await self._desk.submit(command, ErrorCode.ROLLOUT_CONFLICT)
+        return await self._orders.submit(command, ErrorCode.ROLLOUT_CONFLICT)
 
     async def _pause(self, request: web.Request) -> web.Response:
         command = PauseRollout(
             order=order_id(request), issued_by=operator(request), service=_service(request)
         )
-        return await self._desk.submit(command, ErrorCode.ROLLOUT_CONFLICT)
+        return await self._orders.submit(command, ErrorCode.ROLLOUT_CONFLICT)
 
     async def _resume(self, request: web.Request) -> web.Response:
         command = ResumeRollout(
             order=order_id(request), issued_by=operator(request), service=_service(request)
         )
-        return await self._desk.submit(command, ErrorCode.ROLLOUT_CONFLICT)
+        return await self._orders.submit(command, ErrorCode.ROLLOUT_CONFLICT)
 
     async def _abort(self, request: web.Request) -> web.Response:
         command = AbortRollout(
             order=order_id(request), issued_by=operator(request), service=_service(request)
         )
-        return await self._desk.submit(command, ErrorCode.ROLLOUT_CONFLICT)
+        return await self._orders.submit(command, ErrorCode.ROLLOUT_CONFLICT)
 
     def _report(self, record: RolloutRecord) -> RolloutReport:
         return RolloutReport(record=record, status=self._agent.rollout_status(record.service))
@@ -200,7 +200,7 @@
         record = self._agent.view.rollouts.get(_service(request))
         if record is None:
             text = f"no rollout of {_service(request)!r}"
-            raise ApiErrorRaised(ApiError(code=ErrorCode.NOT_FOUND, message=text, status=404))
+            raise ApiResponseError(ApiError(code=ErrorCode.NOT_FOUND, message=text, status=404))
         return json_response(self._report(record))
 
     async def _show_history(self, request: web.Request) -> web.Response:
--- a/src/springmux/node/client_listener.py
+++ b/src/springmux/node/client/listener.py
@@ -9,16 +9,16 @@
 import msgspec
 from aiohttp import HttpVersion11, web
 
-from springmux.coordination.kernel import Tick
+from springmux.coordination.state_machine import Tick
 from springmux.node.addresses import split_address
-from springmux.node.answer_writer import AnswerWriter
-from springmux.node.answers import JSON_TYPE, refusal
-from springmux.node.client_protocol import ClientProtocol
+from springmux.node.client.error_responses import JSON_TYPE, refusal
+from springmux.node.client.protocol import ClientProtocol
+from springmux.node.client.request_runner import RequestRunner, RunnerServices
+from springmux.node.client.response_writer import ResponseWriter
 from springmux.node.health import HEALTH_BODY, HEALTH_PATH, READY_PATH, NodeHealth
-from springmux.node.request_runner import RequestRunner, RunnerServices
 from springmux.node.settings import NodeSettings
-from springmux.router.events import CallerRequest, KeyRevoked, StopRequested
-from springmux.vocabulary.errors import ApiError, ApiErrorRaised, ErrorCode
+from springmux.router.events import ClientRequest, KeyRevoked, StopRequested
+from springmux.vocabulary.errors import ApiError, ApiResponseError, ErrorCode
 from springmux.vocabulary.names import RequestId
 
 LISTEN_BACKLOG = 1024
@@ -140,7 +140,7 @@
 
     async def _serve(self, request: web.BaseRequest) -> web.StreamResponse:
         protocol = cast(ClientProtocol, request.protocol)
-        writer = AnswerWriter(
+        writer = ResponseWriter(
             cast(Any, protocol),
             keep_alive=request.keep_alive and not self._stopping,
             http_1_1=request.version >= HttpVersion11,
@@ -154,7 +154,7 @@
             self._check_head(request, request_id)
             body = await self._read_body(request, request_id)
             await self._run(request, request_id, body, writer, protocol)
-        except ApiErrorRaised as raised:
+        except ApiResponseError as raised:
             self._metrics.count("request_errors_total", raised.error.code)
             if not request.content.is_eof():
                 writer.keep_alive = False
@@ -162,7 +162,7 @@
         self._metrics.count("requests_total", str(writer.status))
         return cast(web.StreamResponse, _Written(writer.keep_alive))
 
-    def _answer_probe(self, request: web.BaseRequest, writer: AnswerWriter) -> web.StreamResponse:
+    def _answer_probe(self, request: web.BaseRequest, writer: ResponseWriter) -> web.StreamResponse:
         """Answer the platform's check, without a key and uncounted."""
         if not request.content.is_eof():
             writer.keep_alive = False
@@ -179,11 +179,11 @@
         request: web.BaseRequest,
         request_id: RequestId,
         body: bytes,
-        writer: AnswerWriter,
+        writer: ResponseWriter,
         protocol: ClientProtocol,
     ) -> None:
         headers = {name.lower(): value for name, value in request.headers.items()}
-        caller = CallerRequest(
+        caller = ClientRequest(
             request_id=request_id, method=request.method, path=request.path, headers=headers, body=body
         )
         runner = RequestRunner(self._services, caller, writer, self._over)
@@ -216,7 +216,7 @@
             self._idle.set()
 
     def _raise(self, code: ErrorCode, status: int, message: str, request_id: str) -> None:
-        raise ApiErrorRaised(refusal(code, message, status, self.node, request_id))
+        raise ApiResponseError(refusal(code, message, status, self.node, request_id))
 
     def _check_head(self, request: web.BaseRequest, request_id: str) -> None:
         size = sum(len(name) + len(value) + 4 for name, value in request._message.raw_headers)
@@ -224,7 +224,7 @@
             text = f"the headers are larger than {self.max_header_bytes} bytes"
             self._raise(ErrorCode.HEADERS_TOO_LARGE, 431, text, request_id)
         if self._stopping:
-            raise ApiErrorRaised(
+            raise ApiResponseError(
                 ApiError(
                     code=ErrorCode.STOPPING,
                     message="this node is stopping; use another one",
--- a/src/springmux/node/client_protocol.py
+++ b/src/springmux/node/client/protocol.py
@@ -11,13 +11,13 @@
 from aiohttp.http_exceptions import LineTooLong
 from aiohttp.web_protocol import RequestHandler
 
-from springmux.node.answer_writer import AnswerWriter
-from springmux.node.answers import error_body, error_headers, refusal
-from springmux.router.events import CallerGone
+from springmux.node.client.error_responses import error_body, error_headers, refusal
+from springmux.node.client.response_writer import ResponseWriter
+from springmux.router.events import ClientDisconnected
 from springmux.vocabulary.errors import ApiError, ErrorCode
 
 if TYPE_CHECKING:
-    from springmux.node.request_runner import RequestRunner
+    from springmux.node.client.request_runner import RequestRunner
 
 WRITE_BUFFER_BYTES = 512 << 10
 """More than the longest ordinary stream (2048 tokens at about 200 bytes), so that a slow caller
@@ -93,7 +93,7 @@
         runner = self.runner
         super().connection_lost(exc)
         if runner is not None:
-            runner.deliver(CallerGone())
+            runner.deliver(ClientDisconnected())
 
     def data_received(self, data: bytes) -> None:
         """Count bytes until a request's headers are whole."""
@@ -144,7 +144,7 @@
             code=code, message=message, status=status, node=self._owner.node, retry_after_s=retry_after_s
         )
         self._owner.count_error(error)
-        AnswerWriter(self, keep_alive=False, http_1_1=True, head_only=False).error(error)
+        ResponseWriter(self, keep_alive=False, http_1_1=True, head_only=False).error(error)
         self.force_close()
 
     def handle_error(
--- a/src/springmux/node/request_runner.py
+++ b/src/springmux/node/client/request_runner.py
@@ -14,30 +14,30 @@
 import msgspec
 
 from springmux.coordination.claims.decision import ClaimDecision
-from springmux.coordination.kernel import NEVER, Effect, Event, Note, Tick
-from springmux.node.answer_writer import AnswerWriter
+from springmux.coordination.state_machine import NEVER, Effect, Event, LogLine, Tick
+from springmux.node.client.response_writer import ResponseWriter
+from springmux.node.client.upstream import Exchange, UpstreamClient, UpstreamEvent
 from springmux.node.driver import AgentDriver
 from springmux.node.logs import EventLog
-from springmux.node.metrics import NodeMetrics
-from springmux.node.upstream import Exchange, UpstreamClient, UpstreamEvent
+from springmux.node.metrics.registry import NodeMetrics
 from springmux.router.effects import (
-    AnswerCut,
-    AnswerData,
-    AnswerEnd,
-    AnswerError,
-    AnswerHead,
-    AskClaim,
     CloseUpstream,
     Dispatch,
     FlowDone,
+    RequestClaim,
+    ResponseAborted,
+    ResponseData,
+    ResponseEnd,
+    ResponseError,
+    ResponseHead,
     SettleClaim,
 )
 from springmux.router.events import (
-    CallerBlocked,
-    CallerGone,
-    CallerReady,
-    CallerRequest,
     ClaimDecided,
+    ClientBlocked,
+    ClientDisconnected,
+    ClientReady,
+    ClientRequest,
     RequestBegun,
     UpstreamData,
 )
@@ -58,7 +58,7 @@
 class FlowOpener(Protocol):
     """What the listener needs of :class:`springmux.router.router.Router`."""
 
-    def open(self, request: CallerRequest, now: float) -> Flow:
+    def open(self, request: ClientRequest, now: float) -> Flow:
         """Make the flow of one request."""
 
     def set_wake_listener(self, listener: Callable[[RequestId], None]) -> None:
@@ -85,8 +85,8 @@
     def __init__(
         self,
         services: RunnerServices,
-        request: CallerRequest,
-        writer: AnswerWriter,
+        request: ClientRequest,
+        writer: ResponseWriter,
         on_over: Callable[[RequestRunner], None],
     ) -> None:
         self.request = request
@@ -117,15 +117,15 @@
 
     def abandon(self) -> None:
         """End the flow before it began: its caller left."""
-        self.deliver(CallerGone())
+        self.deliver(ClientDisconnected())
 
     async def drain(self) -> None:
         """Return when the caller's socket takes more; meanwhile its engine can't be judged."""
-        self.deliver(CallerBlocked())
+        self.deliver(ClientBlocked())
         try:
             await self._writer.drain()
         finally:
-            self.deliver(CallerReady())
+            self.deliver(ClientReady())
 
     def upstream_event(self, event: UpstreamEvent) -> None:
         """Take an engine's event (hot path)."""
@@ -156,7 +156,7 @@
 
     def _step(self, event: Event) -> None:
         for effect in self._flow.handle(event, self._clock()):
-            if type(effect) is AnswerData:
+            if type(effect) is ResponseData:
                 if not self._answered.done():
                     self._writer.data(effect.data)
             else:
@@ -179,9 +179,9 @@
         self.deliver(Tick())
 
     def _carry_out(self, effect: Effect) -> None:
-        if isinstance(effect, AnswerHead):
+        if isinstance(effect, ResponseHead):
             self._writer.head(effect.status, effect.headers, effect.length)
-        elif isinstance(effect, AnswerEnd):
+        elif isinstance(effect, ResponseEnd):
             self._writer.end()
             self._finish_answer()
         elif isinstance(effect, Dispatch):
@@ -191,11 +191,11 @@
             exchange = self._exchanges.pop(effect.attempt, None)
             if exchange is not None:
                 exchange.close(effect.reusable)
-        elif isinstance(effect, AnswerError):
+        elif isinstance(effect, ResponseError):
             self._services.metrics.count("request_errors_total", effect.error.code)
             self._writer.error(effect.error)
             self._finish_answer()
-        elif isinstance(effect, AnswerCut):
+        elif isinstance(effect, ResponseAborted):
             self._writer.cut()
             self._finish_answer()
         elif isinstance(effect, FlowDone):
@@ -204,19 +204,19 @@
             self._other(effect)
 
     def _other(self, effect: Effect) -> None:
-        if isinstance(effect, AskClaim):
+        if isinstance(effect, RequestClaim):
             self._ask_claim(effect.claim_key)
         elif isinstance(effect, SettleClaim):
-            ticket = self._claims.get(effect.claim_key, "")
-            self._services.driver.settle_claim(ticket, effect.claim_key, effect.ran, effect.answer)
-        elif isinstance(effect, Note):
+            correlation_id = self._claims.get(effect.claim_key, "")
+            self._services.driver.settle_claim(correlation_id, effect.claim_key, effect.ran, effect.answer)
+        elif isinstance(effect, LogLine):
             self._services.log.note(effect)
         else:
             raise TypeError(f"no I/O for effect {type(effect).__name__}")
 
     def _ask_claim(self, claim_key: str) -> None:
-        ticket = self._services.driver.request_claim(claim_key, self._claim_decided)
-        self._claims[claim_key] = ticket
+        correlation_id = self._services.driver.request_claim(claim_key, self._claim_decided)
+        self._claims[claim_key] = correlation_id
 
     def _claim_decided(self, decision: ClaimDecision) -> None:
         self.deliver(ClaimDecided(decision=decision))
@@ -234,8 +234,8 @@
             self._timer.cancel()
         for exchange in self._exchanges.values():
             exchange.close(reusable=False)
-        for ticket in self._claims.values():
-            self._services.driver.forget_claim(ticket)
+        for correlation_id in self._claims.values():
+            self._services.driver.forget_claim(correlation_id)
         self._on_over(self)
 
     def _crashed(self, error: Exception) -> None:
@@ -262,4 +262,4 @@
         self._finish_answer()
         # What the request holds (slot, quota, claim) is the flow's to give back.
         self._working = False
-        self.deliver(CallerGone())
+        self.deliver(ClientDisconnected())
--- a/src/springmux/node/answer_writer.py
+++ b/src/springmux/node/client/response_writer.py
@@ -10,7 +10,7 @@
 from http import HTTPStatus
 from typing import Protocol
 
-from springmux.node.answers import error_body, error_headers
+from springmux.node.client.error_responses import error_body, error_headers
 from springmux.router.effects import Headers
 from springmux.vocabulary.errors import ApiError
 
@@ -29,7 +29,7 @@
     async def _drain_helper(self) -> None: ...
 
 
-class AnswerWriter:
+class ResponseWriter:
     """The answer to one request. ``keep_alive`` may turn false, never true again.
 
     Head, pieces and end of one event go out together at :meth:`flush`: one system call, one packet.
@@ -110,7 +110,7 @@
         try:
             await self._connection._drain_helper()
         except ConnectionError:
-            return  # CallerGone comes on its own way
+            return  # ClientDisconnected comes on its own way
 
     def _write(self, data: bytes) -> None:
         self._pending.append(data)
--- a/src/springmux/node/daemon.py
+++ b/src/springmux/node/daemon.py
@@ -10,25 +10,25 @@
 
 from springmux.agent.agent import NodeAgent
 from springmux.agent.events import StopBegun, StopFinished
-from springmux.coordination.kernel import NoteLevel
-from springmux.node.admin_listener import AdminListener
-from springmux.node.agent_codec import AgentCodec
-from springmux.node.client_listener import ClientListener
+from springmux.coordination.state_machine import LogLevel
+from springmux.node.admin.listener import AdminListener
+from springmux.node.admin.rollout_history import SAMPLE_PERIOD_S, RolloutHistory
+from springmux.node.client.engine_prober import EngineProber
+from springmux.node.client.listener import ClientListener
+from springmux.node.client.request_runner import RunnerServices
+from springmux.node.client.upstream import UpstreamClient
 from springmux.node.driver import AgentDriver
-from springmux.node.engine_prober import EngineProber
 from springmux.node.fault_injection import FaultInjector
 from springmux.node.health import NodeHealth
 from springmux.node.lifecycle import EXIT_CRASHED, EXIT_KILLED, present_end, run_nodes, wait_for_end
 from springmux.node.logs import EventLog
-from springmux.node.metrics import NodeMetrics
-from springmux.node.peer_hello import HelloKeeper
-from springmux.node.peer_transport import PeerTransport
-from springmux.node.request_runner import RunnerServices
-from springmux.node.rollout_history import SAMPLE_PERIOD_S, RolloutHistory
+from springmux.node.metrics.registry import NodeMetrics
+from springmux.node.peer.agent_codec import AgentCodec
+from springmux.node.peer.handshake import HandshakeAuthenticator
+from springmux.node.peer.transport import PeerTransport
 from springmux.node.settings import NodeSettings
-from springmux.node.storage_open import OpenedStorage
-from springmux.node.storage_worker import StorageWorker
-from springmux.node.upstream import UpstreamClient
+from springmux.node.storage.opening import OpenedStorage
+from springmux.node.storage.worker import StorageWorker
 from springmux.storage.real_disk import RealDisk
 
 STORAGE_STOP_S = 2.0
@@ -96,7 +96,7 @@
     ) -> PeerTransport:
         settings = self._settings
         secret = settings.peer_secret.get_secret_value() if settings.peer_secret is not None else None
-        keeper = HelloKeeper(settings.fleet, settings.node, uuid.uuid4().hex, secret)
+        keeper = HandshakeAuthenticator(settings.fleet, settings.node, uuid.uuid4().hex, secret)
         return PeerTransport(
             AgentCodec(self.agent),
             keeper,
@@ -188,7 +188,7 @@
 def _handle_signals(stop_requested: asyncio.Event, log: EventLog) -> None:
     def on_signal(name: str) -> None:
         if stop_requested.is_set():
-            log.write("stopped_at_once", NoteLevel.WARNING, signal=name)
+            log.write("stopped_at_once", LogLevel.WARNING, signal=name)
             os._exit(EXIT_KILLED)
         log.write("signal", signal=name)
         stop_requested.set()
--- a/src/springmux/node/driver.py
+++ b/src/springmux/node/driver.py
@@ -36,11 +36,11 @@
     PersistFailed,
     ReplicaStopped,
 )
-from springmux.coordination.kernel import NEVER, Effect, Event, Note, NoteLevel, Send, Tick
+from springmux.coordination.state_machine import NEVER, Effect, Event, LogLevel, LogLine, Send, Tick
 from springmux.node.driver_protocols import AgentUnderDriver, PeerSender
 from springmux.node.logs import EventLog
-from springmux.node.metrics import NodeMetrics
-from springmux.node.storage_worker import STALL_AFTER_S, StorageEffect, StorageWorker
+from springmux.node.metrics.registry import NodeMetrics
+from springmux.node.storage.worker import STALL_AFTER_S, StorageEffect, StorageWorker
 from springmux.vocabulary.names import RequestId
 
 LAG_PROBE_S = 0.25
@@ -68,7 +68,7 @@
         self._probe: asyncio.TimerHandle | None = None
         self._inbox: deque[Event] = deque()
         self._working = False
-        self._tickets = 0
+        self._correlation_ids = 0
         self._orders: dict[str, OrderCallback] = {}
         self._claims: dict[str, ClaimCallback] = {}
         self._stopped = False
@@ -120,55 +120,55 @@
         if not self._working:
             self._arm()
 
-    def new_ticket(self, kind: str) -> str:
-        """Return a ticket that is unique in this process."""
-        self._tickets += 1
-        return f"{kind}-{self._tickets}"
+    def new_correlation_id(self, kind: str) -> str:
+        """Return a correlation_id that is unique in this process."""
+        self._correlation_ids += 1
+        return f"{kind}-{self._correlation_ids}"
 
     def submit_order(self, command: AnyCommand, callback: OrderCallback) -> str:
-        """Submit an operator's command; ``callback`` gets the answer once. Returns its ticket."""
-        ticket = self.new_ticket("order")
-        self._orders[ticket] = callback
-        self.submit(OrderSubmitted(ticket=ticket, command=command))
-        return ticket
+        """Submit an operator's command; ``callback`` gets the answer once. Returns its correlation_id."""
+        correlation_id = self.new_correlation_id("order")
+        self._orders[correlation_id] = callback
+        self.submit(OrderSubmitted(correlation_id=correlation_id, command=command))
+        return correlation_id
 
     def submit_transfer(self, target: str, callback: OrderCallback) -> str:
         """Ask for leadership to be moved; answered like an order."""
-        ticket = self.new_ticket("transfer")
-        self._orders[ticket] = callback
-        self.submit(LeadershipTransferRequested(ticket=ticket, target=target))
-        return ticket
+        correlation_id = self.new_correlation_id("transfer")
+        self._orders[correlation_id] = callback
+        self.submit(LeadershipTransferRequested(correlation_id=correlation_id, target=target))
+        return correlation_id
 
     def submit_removal(self, replica: str, callback: OrderCallback) -> str:
         """Ask for a replica to be removed; answered like an order."""
-        ticket = self.new_ticket("removal")
-        self._orders[ticket] = callback
-        self.submit(ControllerRemovalRequested(ticket=ticket, replica=replica))
-        return ticket
+        correlation_id = self.new_correlation_id("removal")
+        self._orders[correlation_id] = callback
+        self.submit(ControllerRemovalRequested(correlation_id=correlation_id, replica=replica))
+        return correlation_id
 
-    def forget_order(self, ticket: str) -> None:
+    def forget_order(self, correlation_id: str) -> None:
         """Drop a callback whose waiter gave up."""
-        self._orders.pop(ticket, None)
+        self._orders.pop(correlation_id, None)
 
     def request_claim(self, claim_key: str, callback: ClaimCallback) -> str:
-        """Ask for an at-most-once claim. Returns the ticket that :meth:`settle_claim` needs."""
-        ticket = self.new_ticket("claim")
-        self._claims[ticket] = callback
-        self.submit(ClaimRequested(ticket=ticket, claim_key=claim_key))
-        return ticket
+        """Ask for an at-most-once claim. Returns the correlation_id that :meth:`settle_claim` needs."""
+        correlation_id = self.new_correlation_id("claim")
+        self._claims[correlation_id] = callback
+        self.submit(ClaimRequested(correlation_id=correlation_id, claim_key=claim_key))
+        return correlation_id
 
-    def forget_claim(self, ticket: str) -> None:
+    def forget_claim(self, correlation_id: str) -> None:
         """Drop a claim's callback whose request ended before the decision."""
-        self._claims.pop(ticket, None)
+        self._claims.pop(correlation_id, None)
 
-    def settle_claim(self, ticket: str, claim_key: str, ran: bool, answer: bytes) -> None:
+    def settle_claim(self, correlation_id: str, claim_key: str, ran: bool, answer: bytes) -> None:
         """Say how a claimed request ended."""
-        self.submit(ClaimSettled(ticket=ticket, claim_key=claim_key, ran=ran, answer=answer))
+        self.submit(ClaimSettled(correlation_id=correlation_id, claim_key=claim_key, ran=ran, answer=answer))
 
     def abandon_waiters(self) -> None:
         """At the end of the process: nobody will answer what still waits."""
-        for ticket in list(self._claims):
-            callback = self._claims.pop(ticket)
+        for correlation_id in list(self._claims):
+            callback = self._claims.pop(correlation_id)
             callback(ClaimDecision(verdict=ClaimVerdict.UNAVAILABLE))
 
     def _guarded(self, call: Callable[[], list[Effect]]) -> None:
@@ -220,7 +220,7 @@
         elif isinstance(effect, SendToAddress):
             if self._transport is not None:
                 self._transport.send_to_address(effect.address, effect.message)
-        elif isinstance(effect, Note):
+        elif isinstance(effect, LogLine):
             self._log.note(effect)
         elif isinstance(effect, StorageEffect):
             self._store(effect)
@@ -235,11 +235,11 @@
 
     def _announce(self, effect: Effect) -> None:
         if isinstance(effect, OrderAnswered):
-            order_callback = self._orders.pop(effect.ticket, None)
+            order_callback = self._orders.pop(effect.correlation_id, None)
             if order_callback is not None:
                 order_callback(effect)
         elif isinstance(effect, ClaimAnswered):
-            claim_callback = self._claims.pop(effect.ticket, None)
+            claim_callback = self._claims.pop(effect.correlation_id, None)
             if claim_callback is not None:
                 claim_callback(effect.decision)
         elif isinstance(effect, ControlChanged):
@@ -287,12 +287,12 @@
         self.replica_stopped_reason = reason
         self._metrics.set("replica_stopped", 1)
         if reason.startswith(RESTART_AS_NEW):
-            self._log.write("replica_given_up", NoteLevel.WARNING, reason=reason)
+            self._log.write("replica_given_up", LogLevel.WARNING, reason=reason)
             self.replica_given_up.set()
             return
         self._log.write(
             "replica_stopped",
-            NoteLevel.ERROR,
+            LogLevel.ERROR,
             reason=reason,
             action="still routing; move the data folder away and restart to rejoin as a new replica",
         )
@@ -305,7 +305,7 @@
         lag_s = max(0.0, self._loop.time() - due)
         self._metrics.observe("loop_lag_seconds", lag_s)
         if lag_s > LAG_WARNING_S:
-            self._log.write("loop_lagged", NoteLevel.WARNING, lag_s=round(lag_s, 3))
+            self._log.write("loop_lagged", LogLevel.WARNING, lag_s=round(lag_s, 3))
         if self._storage is not None:
             waited_s = self._storage.oldest_wait_s()
             self._metrics.set("storage_waiting_seconds", waited_s)
--- a/src/springmux/node/driver_protocols.py
+++ b/src/springmux/node/driver_protocols.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from springmux.coordination.identifiers import Address, NodeId
-from springmux.coordination.kernel import Effect, Event, PeerMessage
+from springmux.coordination.state_machine import Effect, Event, PeerMessage
 
 
 class CommandPreparer(Protocol):
--- a/src/springmux/node/fault_injection.py
+++ b/src/springmux/node/fault_injection.py
@@ -14,8 +14,8 @@
 import msgspec
 from aiohttp import web
 
-from springmux.node.admin_errors import bad_field, decode_failure
-from springmux.storage.disk import Disk, DiskFile, DiskFull, FolderLock
+from springmux.node.admin.errors import bad_field, decode_failure
+from springmux.storage.disk import Disk, DiskFile, DiskFullError, FolderLock
 from springmux.storage.real_disk import RealDisk
 
 FAULTS_PATH = "/v1/lab/faults"
@@ -77,13 +77,13 @@
     def take_room(self, path: str, size_bytes: int) -> None:
         """Use up room for ``size_bytes``.
 
-        :raises DiskFull: if the disk is full and removed files left less.
+        :raises DiskFullError: if the disk is full and removed files left less.
         """
         with self._changed:
             if not self._faults.disk_full:
                 return
             if size_bytes > self._room_bytes:
-                raise DiskFull(path, "no space left on device (injected)")
+                raise DiskFullError(path, "no space left on device (injected)")
             self._room_bytes -= size_bytes
 
     def leave_room(self, size_bytes: int) -> None:
--- a/src/springmux/node/gateway/attempt.py
+++ b/src/springmux/node/gateway/attempt.py
@@ -10,18 +10,18 @@
 import msgspec
 
 from springmux.control.gateway_configuration import GatewayRouteKind
+from springmux.gateway.attempt_timeouts import Patience
 from springmux.gateway.attempts import AttemptEnd
-from springmux.gateway.event_stream import StreamFault
-from springmux.gateway.patience import Patience
+from springmux.gateway.event_stream import MalformedStreamError
 from springmux.gateway.placement import ExchangeOutcome
 from springmux.gateway.versions import VersionSelection
 from springmux.node.gateway.evidence import AttemptEvidence
 from springmux.node.gateway.silence_watch import SilenceWatch
 from springmux.node.http.types import (
-    AnswerHead,
     EngineExchange,
-    ExchangeFailed,
+    ExchangeFailedError,
     FailureKind,
+    ResponseHead,
 )
 from springmux.rollout.outcome import Ending
 from springmux.vocabulary.engines import EngineRecord
@@ -85,9 +85,9 @@
         """Carry the attempt out. Whatever happens, the engine's place is given back and its answer judged."""
         try:
             return await self._run()
-        except ExchangeFailed as failure:
+        except ExchangeFailedError as failure:
             return self._failed(failure.kind)
-        except StreamFault:
+        except MalformedStreamError:
             return self._failed(FailureKind.MALFORMED)
         except asyncio.CancelledError:
             task = asyncio.current_task()
@@ -128,7 +128,7 @@
             return await self._relay_stream(upstream, answer)
         return await self._relay_whole(upstream, answer)
 
-    def _is_ours(self, answer: AnswerHead) -> bool:
+    def _is_ours(self, answer: ResponseHead) -> bool:
         """Say whether an answer echoes this request's id. An engine may decline without naming it."""
         name = self._services.headers.names.request_id
         echoed = answer.header(name)
@@ -136,20 +136,20 @@
             return self._services.headers.declined(answer)
         return echoed == self._request.exchange.head.header(name)
 
-    def _check_head(self, answer: AnswerHead) -> None:
+    def _check_head(self, answer: ResponseHead) -> None:
         """Refuse an answer that the caller must not get.
 
-        :raises ExchangeFailed: it is a success that no engine signed, or its status would promise the caller
-            of a request that may not be repeated that it has not run.
+        :raises ExchangeFailedError: it is a success that no engine signed, or its status would
+            tell the client of a request that may not be repeated that it has not run.
         """
         if 200 <= answer.status < 300 and answer.header(self._services.headers.names.seal) is None:
-            raise ExchangeFailed(FailureKind.MALFORMED, "a success without a seal")
+            raise ExchangeFailedError(FailureKind.MALFORMED, "a success without a seal")
         if not self._request.route.repeatable and answer.status in PROMISES:
-            raise ExchangeFailed(FailureKind.MALFORMED, "a promise without the engine's word")
+            raise ExchangeFailedError(FailureKind.MALFORMED, "a promise without the engine's word")
 
-    async def _declined(self, upstream: EngineExchange, answer: AnswerHead) -> AttemptResult:
+    async def _declined(self, upstream: EngineExchange, answer: ResponseHead) -> AttemptResult:
         """Take the engine's word; its body is read only so that the connection can be kept."""
-        with contextlib.suppress(ExchangeFailed, TimeoutError):
+        with contextlib.suppress(ExchangeFailedError, TimeoutError):
             async with asyncio.timeout(DECLINE_BODY_S):
                 await self._drain(upstream)
         stale = answer.status == 421
@@ -161,7 +161,7 @@
         while await upstream.read():
             pass
 
-    async def _relay_whole(self, upstream: EngineExchange, answer: AnswerHead) -> AttemptResult:
+    async def _relay_whole(self, upstream: EngineExchange, answer: ResponseHead) -> AttemptResult:
         exchange = self._request.exchange
         if exchange.begun:  # a stream that another engine was to go on with
             self._outcome, self._ending = ExchangeOutcome.ERROR_STATUS, Ending.ERROR_STATUS
@@ -183,7 +183,9 @@
         exchange.respond(answer.status, headers, b"".join(parts))
         return AttemptResult(None)
 
-    async def _relay_large(self, upstream: EngineExchange, answer: AnswerHead, first: bytes) -> AttemptResult:
+    async def _relay_large(
+        self, upstream: EngineExchange, answer: ResponseHead, first: bytes
+    ) -> AttemptResult:
         exchange = self._request.exchange
         if self._watch is not None:
             self._watch.stop()
@@ -195,7 +197,7 @@
         self._judge_status(answer.status)
         return AttemptResult(None)
 
-    async def _relay_stream(self, upstream: EngineExchange, answer: AnswerHead) -> AttemptResult:
+    async def _relay_stream(self, upstream: EngineExchange, answer: ResponseHead) -> AttemptResult:
         """Pass a stream on as it comes. Its head waits for the first event: until then all can be undone."""
         exchange, events = self._request.exchange, self._request.events
         tail = b""
--- a/src/springmux/node/gateway/control_interface.py
+++ b/src/springmux/node/gateway/control_interface.py
@@ -9,6 +9,7 @@
 import msgspec
 
 from springmux.agent.agent import NodeAgent
+from springmux.node.admin.service_rates import ServiceRates
 from springmux.node.driver import AgentDriver
 from springmux.node.gateway.configuration_endpoints import ConfigurationEndpoints
 from springmux.node.gateway.engine_endpoints import EngineEndpoints
@@ -16,9 +17,8 @@
 from springmux.node.gateway.rollout_endpoints import RolloutEndpoints
 from springmux.node.gateway.settings import GatewaySettings
 from springmux.node.gateway.status_endpoint import gateway_status
-from springmux.node.http.types import BodyTooLarge, ServerExchange
-from springmux.node.metrics import NodeMetrics
-from springmux.node.service_rates import ServiceRates
+from springmux.node.http.types import BodyTooLargeError, ServerExchange
+from springmux.node.metrics.registry import NodeMetrics
 from springmux.vocabulary.errors import ErrorCode
 
 READY_PATH = "/readyz"
@@ -73,7 +73,7 @@
         path = exchange.head.target.partition(b"?")[0].decode("latin-1")
         try:
             reply = await self._reply(exchange, path)
-        except BodyTooLarge:
+        except BodyTooLargeError:
             reply = json_reply(413, ErrorCode.BODY_TOO_LARGE, "the body is too large")
         exchange.respond(reply.status, reply.headers, reply.body)
 
--- a/src/springmux/node/gateway/engine_endpoints.py
+++ b/src/springmux/node/gateway/engine_endpoints.py
@@ -12,7 +12,7 @@
 from springmux.agent.events import EngineHeartbeat, EngineLeft
 from springmux.agent.readiness import CUT_OFF, JOINING, STARTING, STOPPING
 from springmux.coordination.identifiers import Address, ZoneName
-from springmux.coordination.kernel import Event
+from springmux.coordination.state_machine import Event
 from springmux.node.gateway.replies import Reply, come_back, json_reply
 from springmux.node.http.types import ServerExchange
 from springmux.vocabulary.engines import EngineLoad, EngineRecord, EngineStatus
--- a/src/springmux/node/gateway/forwarder.py
+++ b/src/springmux/node/gateway/forwarder.py
@@ -14,14 +14,14 @@
 from springmux.gateway.prompt import parse_facts, quota_tokens
 from springmux.gateway.refusals import RefusalReason
 from springmux.gateway.request_trace import RequestOutcome, RequestTrace
-from springmux.gateway.routing import Admitted, KeyRefused, NoSuchRoute
+from springmux.gateway.routing import Admitted, KeyRejectedError, RouteNotFoundError
+from springmux.node.admin.service_rates import ServiceRates
 from springmux.node.gateway.forwarding import ForwardedRequest
 from springmux.node.gateway.headers import HeaderRules
 from springmux.node.gateway.refusal_log import RefusalLog
 from springmux.node.gateway.request_log import RequestLog
 from springmux.node.gateway.start_hold import StartHold, no_hold
-from springmux.node.http.types import BodyTooLarge, ClientGone, EngineClient, ServerExchange
-from springmux.node.service_rates import ServiceRates
+from springmux.node.http.types import BodyTooLargeError, ClientDisconnectedError, EngineClient, ServerExchange
 
 DEADLINE_MARGIN_S = 0.1
 """The engine is told the deadline too and answers for itself; the gateway's own answer comes just after."""
@@ -70,7 +70,7 @@
         trace = RequestTrace(exchange.received_at)
         try:
             await self._handle(exchange, trace)
-        except ClientGone:
+        except ClientDisconnectedError:
             return
         except asyncio.CancelledError:
             if not gone:
@@ -90,7 +90,7 @@
         try:
             async with asyncio.timeout_at(deadline):
                 body = await exchange.body()
-        except BodyTooLarge:
+        except BodyTooLargeError:
             self._refuse(exchange, attempts.BODY_TOO_LARGE, trace)
             return
         except TimeoutError:
@@ -122,9 +122,9 @@
         key_text = key.decode("latin-1") if key is not None else None
         try:
             admitted = self._core.table.admit(host.decode("latin-1"), path.decode("latin-1"), key_text)
-        except NoSuchRoute:
+        except RouteNotFoundError:
             return attempts.NO_ROUTE
-        except KeyRefused:
+        except KeyRejectedError:
             return attempts.NO_KEY if self._knows_keys() else attempts.KEYS_NOT_CURRENT
         if admitted.by_key and not self._knows_keys():
             return attempts.KEYS_NOT_CURRENT
--- a/src/springmux/node/gateway/headers.py
+++ b/src/springmux/node/gateway/headers.py
@@ -4,7 +4,7 @@
 
 from springmux.gateway.attempts import Refusal
 from springmux.gateway.dialect import HeaderNames
-from springmux.node.http.types import AnswerHead, Header, RequestHead
+from springmux.node.http.types import Header, RequestHead, ResponseHead
 from springmux.vocabulary.engines import EngineRecord
 
 HOP_BY_HOP = frozenset(
@@ -57,7 +57,7 @@
             kept.append((self.names.last_event_id, last_event_id))
         return RequestHead(method=head.method, target=head.target, headers=tuple(kept))
 
-    def answer_headers(self, head: AnswerHead) -> list[Header]:
+    def answer_headers(self, head: ResponseHead) -> list[Header]:
         """Return the headers of an engine's answer that the caller gets."""
         dropped = HOP_BY_HOP | _named_by_connection(head.headers)
         return [header for header in head.headers if header[0] not in dropped]
@@ -71,7 +71,7 @@
             headers.append((b"retry-after", b"%.2f" % refusal.retry_after_s))
         return headers
 
-    def declined(self, head: AnswerHead) -> bool:
+    def declined(self, head: ResponseHead) -> bool:
         """Say whether the engine states that it did not run the request."""
         return head.status == 421 or head.header(self.names.not_executed) is not None
 
--- a/src/springmux/node/gateway/process.py
+++ b/src/springmux/node/gateway/process.py
@@ -11,12 +11,12 @@
 from springmux.agent.agent import NodeAgent
 from springmux.agent.events import StopBegun, StopFinished
 from springmux.agent.readiness import STOPPING
-from springmux.coordination.kernel import NoteLevel
 from springmux.coordination.membership.events import SeedsChanged
+from springmux.coordination.state_machine import LogLevel
 from springmux.gateway.core import RetryBounds
 from springmux.gateway.dialect import OWN_HEADERS, HeaderNames
 from springmux.node.addresses import split_address
-from springmux.node.agent_codec import AgentCodec
+from springmux.node.admin.service_rates import ServiceRates
 from springmux.node.driver import AgentDriver
 from springmux.node.gateway.control_interface import ControlInterface, ReadyBody, ready_handler
 from springmux.node.gateway.forwarder import Forwarder, ForwarderServices
@@ -37,12 +37,12 @@
     wait_for_end,
 )
 from springmux.node.logs import EventLog
-from springmux.node.metrics import NodeMetrics
-from springmux.node.peer_hello import HelloKeeper
-from springmux.node.peer_transport import PeerTransport
-from springmux.node.service_rates import ServiceRates
-from springmux.node.storage_open import OpenedStorage
-from springmux.node.storage_worker import StorageWorker
+from springmux.node.metrics.registry import NodeMetrics
+from springmux.node.peer.agent_codec import AgentCodec
+from springmux.node.peer.handshake import HandshakeAuthenticator
+from springmux.node.peer.transport import PeerTransport
+from springmux.node.storage.opening import OpenedStorage
+from springmux.node.storage.worker import StorageWorker
 from springmux.vocabulary.errors import SettingsError
 
 STORAGE_STOP_S = 1.0
@@ -106,7 +106,7 @@
             rates=self._rates,
             refusals=self._refusals,
             start_hold=StartHold(asyncio.get_running_loop().time() + HOLD_S),
-            request_log=RequestLog(log) if log.writes(NoteLevel.DEBUG) else None,
+            request_log=RequestLog(log) if log.writes(LogLevel.DEBUG) else None,
         )
         control = ControlInterface(settings, self.agent, self.driver, self.metrics, self, self._rates)
         self._front = HttpServer(Forwarder(services).handle, self._front_limits, self._refusals.note_server)
@@ -209,7 +209,7 @@
         boot = f"{randomness.getrandbits(128):032x}"
         return PeerTransport(
             AgentCodec(self.agent),
-            HelloKeeper(settings.fleet, settings.node, boot, None),
+            HandshakeAuthenticator(settings.fleet, settings.node, boot, None),
             lambda: self.agent.membership,
             self.driver.submit,
             self._log,
@@ -265,7 +265,7 @@
         try:
             settings = load_gateway_settings(self._file)
         except SettingsError as error:
-            self._log.write("settings_not_reloaded", NoteLevel.ERROR, reason=str(error))
+            self._log.write("settings_not_reloaded", LogLevel.ERROR, reason=str(error))
             return
         self._settings = settings
         if self._process is not None:
@@ -278,7 +278,7 @@
     try:
         settings = load_gateway_settings(file)
     except SettingsError as error:
-        EventLog("unnamed").write("settings_wrong", NoteLevel.ERROR, reason=str(error))
+        EventLog("unnamed").write("settings_wrong", LogLevel.ERROR, reason=str(error))
         return EXIT_WRONG_SETTINGS
 
     async def main() -> int:
--- a/src/springmux/node/gateway/refusal_log.py
+++ b/src/springmux/node/gateway/refusal_log.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from springmux.coordination.kernel import NoteLevel
+from springmux.coordination.state_machine import LogLevel
 from springmux.gateway.refusals import CALLERS_FAULTS, GatewayCounters, RefusalReason, RefusalTally
 from springmux.node.http.types import RequestHead, ServerRefusal
 from springmux.node.logs import EventLog
@@ -52,7 +52,7 @@
             self._timer.cancel()
             self._timer = None
         for summary in self._tally.take():
-            level = NoteLevel.INFO if summary.reason in CALLERS_FAULTS else NoteLevel.WARNING
+            level = LogLevel.INFO if summary.reason in CALLERS_FAULTS else LogLevel.WARNING
             self._log.write(
                 "requests_refused",
                 level,
@@ -64,7 +64,7 @@
 
 
 def counter_values(counters: GatewayCounters) -> dict[tuple[str, ...], float]:
-    """Return the counters as values of :data:`springmux.node.metrics.METRICS`."""
+    """Return the counters as values of :data:`springmux.node.metrics.registry.METRICS`."""
     values: dict[tuple[str, ...], float] = {
         ("gateway_requests_total",): counters.requests,
         ("gateway_dispatches_total",): counters.dispatches,
--- a/src/springmux/node/gateway/request_log.py
+++ b/src/springmux/node/gateway/request_log.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from springmux.coordination.kernel import NoteLevel
+from springmux.coordination.state_machine import LogLevel
 from springmux.gateway.request_trace import RequestTrace
 from springmux.node.logs import EventLog
 
@@ -22,7 +22,7 @@
         first_at = trace.first_at
         self._log.write(
             EVENT,
-            NoteLevel.DEBUG,
+            LogLevel.DEBUG,
             request_id=trace.request_id,
             route=trace.route,
             tenant=trace.tenant,
--- a/src/springmux/node/gateway/silence_watch.py
+++ b/src/springmux/node/gateway/silence_watch.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-from springmux.gateway.patience import Patience
+from springmux.gateway.attempt_timeouts import Patience
 
 LOOK_AGAIN_S = 0.1
 
--- a/src/springmux/node/gateway/status_endpoint.py
+++ b/src/springmux/node/gateway/status_endpoint.py
@@ -11,7 +11,7 @@
 from springmux.agent.status import NodeStatusReport
 from springmux.coordination.consensus.effects import ReplicaStatus
 from springmux.coordination.identifiers import NodeId, Revision, Term
-from springmux.rollout.told import RolloutState, state_of, told_done
+from springmux.rollout.reported_state import RolloutState, state_of, told_done
 from springmux.vocabulary.engines import EngineStatus
 from springmux.vocabulary.names import ServiceName, VersionName
 
--- a/src/springmux/node/http/bodies.py
+++ b/src/springmux/node/http/bodies.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 from springmux.node.http.framing import content_length, transfer_codings
-from springmux.node.http.heads import MalformedMessage
+from springmux.node.http.heads import MalformedMessageError
 from springmux.node.http.types import RequestHead
 
 _HEX_DIGITS = b"0123456789abcdefABCDEF"
@@ -27,7 +27,7 @@
     def feed(self, data: bytes) -> bytes:
         """Return the body's bytes in ``data``.
 
-        :raises MalformedMessage: if the framing is broken.
+        :raises MalformedMessageError: if the framing is broken.
         """
         ...
 
@@ -85,7 +85,7 @@
     def feed(self, data: bytes) -> bytes:
         """Return the body's bytes in ``data``.
 
-        :raises MalformedMessage: if the framing is broken.
+        :raises MalformedMessageError: if the framing is broken.
         """
         data = self._carry + data
         self._carry = b""
@@ -115,17 +115,17 @@
 
     def _keep(self, part: bytes) -> None:
         if self._state is _State.AFTER_DATA and part != b"\r":
-            raise MalformedMessage("a chunk is longer than its size")
+            raise MalformedMessageError("a chunk is longer than its size")
         if len(part) > _MAX_LINE_BYTES or b"\n" in part:
-            raise MalformedMessage("a line of the chunked body has no proper end")
+            raise MalformedMessageError("a line of the chunked body has no proper end")
         self._carry = part
 
     def _take_line(self, line: bytes) -> None:
         if len(line) > _MAX_LINE_BYTES or b"\n" in line:
-            raise MalformedMessage("a line of the chunked body is not valid")
+            raise MalformedMessageError("a line of the chunked body is not valid")
         if self._state is _State.AFTER_DATA:
             if line:
-                raise MalformedMessage("a chunk is longer than its size")
+                raise MalformedMessageError("a chunk is longer than its size")
             self._state = _State.SIZE
         elif self._state is _State.SIZE:
             self._take_size(line)
@@ -134,12 +134,12 @@
         else:
             self._trailer_bytes += len(line)
             if self._trailer_bytes > _MAX_TRAILER_BYTES:
-                raise MalformedMessage("the trailers are too long")
+                raise MalformedMessageError("the trailers are too long")
 
     def _take_size(self, line: bytes) -> None:
         digits = line.split(b";", 1)[0].rstrip(b" \t")
         if not digits or len(digits) > _MAX_SIZE_DIGITS or digits.strip(_HEX_DIGITS):
-            raise MalformedMessage("a chunk's size is not a number")
+            raise MalformedMessageError("a chunk's size is not a number")
         self._remaining = int(digits, 16)
         self._state = _State.DATA if self._remaining else _State.TRAILER
 
@@ -147,15 +147,15 @@
 def request_body_decoder(head: RequestHead) -> tuple[BodyDecoder, int | None]:
     """Return the decoder of a request's body, and its announced length if any.
 
-    :raises MalformedMessage: if its framing is not valid; only ``chunked`` is spoken as a coding.
+    :raises MalformedMessageError: if its framing is not valid; only ``chunked`` is spoken as a coding.
     """
     codings = transfer_codings(head.headers)
     if codings:
         if codings != [b"chunked"] or head.header(b"content-length") is not None:
-            raise MalformedMessage("the body's framing is not valid")
+            raise MalformedMessageError("the body's framing is not valid")
         return ChunkedDecoder(), None
     try:
         length = content_length(head.headers)
     except ValueError as error:
-        raise MalformedMessage(str(error)) from None
+        raise MalformedMessageError(str(error)) from None
     return LengthDecoder(length or 0), length
--- a/src/springmux/node/http/client.py
+++ b/src/springmux/node/http/client.py
@@ -9,7 +9,7 @@
 from springmux.node.http.client_connection import EngineConnection
 from springmux.node.http.client_exchange import HttpEngineExchange
 from springmux.node.http.framing import encode_request
-from springmux.node.http.types import AnswerHead, ExchangeFailed, FailureKind, RequestHead
+from springmux.node.http.types import ExchangeFailedError, FailureKind, RequestHead, ResponseHead
 
 _DEFAULT_IDLE_S = 10.0
 # An engine closes at its own timeout; the margin keeps a request from meeting that close.
@@ -36,12 +36,12 @@
         head: RequestHead,
         body: bytes,
         connect_timeout_s: float,
-        accept: Callable[[AnswerHead], bool],
+        accept: Callable[[ResponseHead], bool],
     ) -> HttpEngineExchange:
         """Connect or reuse a connection, write the request, and return the exchange.
 
         :param address: ``host:port``; an IPv6 host in brackets.
-        :raises ExchangeFailed: ``CONNECT`` or ``NOT_SENT``; nothing was sent.
+        :raises ExchangeFailedError: ``CONNECT`` or ``NOT_SENT``; nothing was sent.
         """
         request = encode_request(head, body)
         # The framing of a late answer to HEAD can't be told, so such a request has a connection of its own.
@@ -57,7 +57,7 @@
             connection.user = None
             connection.abort()
             if connection.fresh:
-                raise ExchangeFailed(FailureKind.NOT_SENT, "the connection ended before the request")
+                raise ExchangeFailedError(FailureKind.NOT_SENT, "the connection ended before the request")
             connection = self._take_idle(address)
 
     def close(self) -> None:
@@ -79,7 +79,7 @@
 
     async def _connect(self, address: str, timeout_s: float) -> EngineConnection:
         if self._closed:
-            raise ExchangeFailed(FailureKind.CONNECT, "the client is closed")
+            raise ExchangeFailedError(FailureKind.CONNECT, "the client is closed")
         loop = asyncio.get_running_loop()
         connection = EngineConnection(address, self._lost)
         try:
@@ -87,17 +87,17 @@
             async with asyncio.timeout(timeout_s):
                 await loop.create_connection(lambda: connection, host, port)
         except TimeoutError:
-            raise ExchangeFailed(FailureKind.CONNECT, "timeout") from None
+            raise ExchangeFailedError(FailureKind.CONNECT, "timeout") from None
         except (OSError, ValueError) as error:
-            raise ExchangeFailed(FailureKind.CONNECT, str(error)) from None
+            raise ExchangeFailedError(FailureKind.CONNECT, str(error)) from None
         if self._closed:
             connection.abort()
-            raise ExchangeFailed(FailureKind.CONNECT, "the client is closed")
+            raise ExchangeFailedError(FailureKind.CONNECT, "the client is closed")
         if not connection.lost:
             self._connections.add(connection)
         return connection
 
-    def _keep(self, connection: EngineConnection, answer: AnswerHead) -> None:
+    def _keep(self, connection: EngineConnection, answer: ResponseHead) -> None:
         life_s = _idle_life_s(answer)
         if life_s is None or self._closed or self._max_idle < 1:
             connection.user = None
@@ -127,7 +127,7 @@
     return host.removeprefix("[").removesuffix("]"), int(port)
 
 
-def _idle_life_s(answer: AnswerHead) -> float | None:
+def _idle_life_s(answer: ResponseHead) -> float | None:
     """Return how long an idle connection may be kept, from ``Keep-Alive``; ``None``: not at all."""
     found = _TIMEOUT.search(answer.header(b"keep-alive") or b"")
     if found is None:
--- a/src/springmux/node/http/client_exchange.py
+++ b/src/springmux/node/http/client_exchange.py
@@ -9,9 +9,9 @@
 from springmux.node.http.bodies import BodyDecoder, ChunkedDecoder, LengthDecoder, UntilEndDecoder
 from springmux.node.http.client_connection import EngineConnection
 from springmux.node.http.framing import has_no_body
-from springmux.node.http.heads import AnswerHeadReader, MalformedMessage
+from springmux.node.http.heads import MalformedMessageError, ResponseHeadReader
 from springmux.node.http.sockets import SILENT_ERRORS
-from springmux.node.http.types import AnswerHead, ExchangeFailed, FailureKind
+from springmux.node.http.types import ExchangeFailedError, FailureKind, ResponseHead
 
 # Bytes that may wait unread before reading from the engine stops (the task's figure).
 _MAX_UNREAD_BYTES = 256 * 1024
@@ -29,16 +29,16 @@
         self,
         connection: EngineConnection,
         method: bytes,
-        accept: Callable[[AnswerHead], bool],
-        give_back: Callable[[EngineConnection, AnswerHead], None],
+        accept: Callable[[ResponseHead], bool],
+        give_back: Callable[[EngineConnection, ResponseHead], None],
     ) -> None:
         self._connection: EngineConnection | None = connection
         self._method = method
         self._accept = accept
         self._give_back = give_back
-        self._reader: AnswerHeadReader | None = AnswerHeadReader()
+        self._reader: ResponseHeadReader | None = ResponseHeadReader()
         self._decoder: BodyDecoder | None = None
-        self._head: AnswerHead | None = None
+        self._head: ResponseHead | None = None
         self._done = False
         self._reusable = method != b"HEAD"
         self._failure: Exception | None = None
@@ -48,10 +48,10 @@
 
     # What the caller uses.
 
-    async def head(self) -> AnswerHead:
+    async def head(self) -> ResponseHead:
         """Return the answer's head; answers that ``accept`` refuses are skipped whole.
 
-        :raises ExchangeFailed: see :class:`FailureKind`.
+        :raises ExchangeFailedError: see :class:`FailureKind`.
         """
         while self._head is None:
             if self._failure is not None:
@@ -62,7 +62,7 @@
     async def read(self) -> bytes:
         """Return the next bytes of the body as they come; empty at its proper end.
 
-        :raises ExchangeFailed: ``CUT_SHORT`` or ``MALFORMED``.
+        :raises ExchangeFailedError: ``CUT_SHORT`` or ``MALFORMED``.
         """
         while not self._pieces:
             if self._failure is not None:
@@ -104,7 +104,7 @@
         try:
             while data and self._failure is None:
                 data = self._take(data)
-        except MalformedMessage as error:
+        except MalformedMessageError as error:
             self._fail(FailureKind.MALFORMED, str(error))
             self._drop_connection()
 
@@ -141,20 +141,20 @@
             return self._take_head(self._reader, data)
         return self._take_body(data)
 
-    def _take_head(self, reader: AnswerHeadReader, data: bytes) -> bytes:
+    def _take_head(self, reader: ResponseHeadReader, data: bytes) -> bytes:
         used = reader.feed(data)
         if reader.size_bytes > _MAX_HEAD_BYTES:
-            raise MalformedMessage("the answer's head is too long")
+            raise MalformedMessageError("the answer's head is too long")
         if used is None:
             return b""
         head = reader.head()
         if head.status < 200:
-            self._reader = AnswerHeadReader()
+            self._reader = ResponseHeadReader()
         else:
             self._begin_answer(head, reader.keep_alive)
         return data[used:]
 
-    def _begin_answer(self, head: AnswerHead, keep_alive: bool) -> None:
+    def _begin_answer(self, head: ResponseHead, keep_alive: bool) -> None:
         connection = self._connection
         if not keep_alive or connection is None or connection.unsent_bytes:
             self._reusable = False
@@ -166,7 +166,7 @@
             self._drop_connection()
             return
         if not accepted and self._method == b"HEAD":
-            raise MalformedMessage("an answer of unknown framing in place of one to HEAD")
+            raise MalformedMessageError("an answer of unknown framing in place of one to HEAD")
         self._reader = None
         self._decoder = self._make_decoder(head)
         if accepted:
@@ -175,7 +175,7 @@
         if self._decoder.done:
             self._end_answer()
 
-    def _make_decoder(self, head: AnswerHead) -> BodyDecoder:
+    def _make_decoder(self, head: ResponseHead) -> BodyDecoder:
         if self._method == b"HEAD" or has_no_body(head.status):
             return LengthDecoder(0)
         if head.chunked:
@@ -209,7 +209,7 @@
             self._done = True
             self._wake()
         else:
-            self._reader = AnswerHeadReader()  # the skipped one was somebody else's
+            self._reader = ResponseHeadReader()  # the skipped one was somebody else's
 
     # Waiting and ends.
 
@@ -225,7 +225,7 @@
     def _fail(self, kind: FailureKind, reason: str) -> None:
         if self._done or self._failure is not None:
             return
-        self._failure = ExchangeFailed(kind, reason)
+        self._failure = ExchangeFailedError(kind, reason)
         self._reader = None
         self._wake()
 
--- a/src/springmux/node/http/framing.py
+++ b/src/springmux/node/http/framing.py
@@ -16,7 +16,7 @@
 _METHODS_WITH_BODY = frozenset((b"POST", b"PUT", b"PATCH"))
 
 
-def encode_answer_head(status: int, headers: Iterable[Header], framing: Iterable[Header]) -> bytes:
+def encode_response_head(status: int, headers: Iterable[Header], framing: Iterable[Header]) -> bytes:
     """Return an answer's head: the headers as given, then those that the server adds."""
     parts = [_STATUS_LINES.get(status) or b"HTTP/1.1 %d \r\n" % status]
     parts.extend(b"%b: %b\r\n" % header for header in headers)
--- a/src/springmux/node/http/heads.py
+++ b/src/springmux/node/http/heads.py
@@ -9,13 +9,13 @@
 import httptools
 
 from springmux.node.http.framing import content_length, transfer_codings
-from springmux.node.http.types import AnswerHead, Header, RequestHead
+from springmux.node.http.types import Header, RequestHead, ResponseHead
 
 _HEAD_END = b"\r\n\r\n"
 _SWITCHING_PROTOCOLS = 101
 
 
-class MalformedMessage(Exception):
+class MalformedMessageError(Exception):
     """Bytes that are not a valid HTTP/1.x message."""
 
 
@@ -34,7 +34,7 @@
     def feed(self, data: bytes) -> int | None:
         """Take bytes; return how many belonged to the head if it is whole now, else ``None``.
 
-        :raises MalformedMessage: if they can't begin a valid head.
+        :raises MalformedMessageError: if they can't begin a valid head.
         """
         joined = self._tail + data
         found = joined.find(_HEAD_END)
@@ -42,13 +42,13 @@
             self._tail = joined[-(len(_HEAD_END) - 1) :]
             self._parse(data)
             if self._complete:
-                raise MalformedMessage("the head has no proper end")
+                raise MalformedMessageError("the head has no proper end")
             return None
         used = found + len(_HEAD_END) - len(self._tail)
         self._parse(data[:used])
         self._parser = None
         if not self._complete:
-            raise MalformedMessage("the head is not whole at its end")
+            raise MalformedMessageError("the head is not whole at its end")
         return used
 
     def _parse(self, data: bytes) -> None:
@@ -60,7 +60,7 @@
             # An upgrade is never made: the message goes on as if it hadn't been offered (RFC 9110, 7.8).
             return
         except httptools.HttpParserError as error:
-            raise MalformedMessage(str(error)) from None
+            raise MalformedMessageError(str(error)) from None
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Take a header (called by the parser)."""
@@ -70,7 +70,7 @@
         """Note the head's end (called by the parser)."""
         assert self._parser is not None
         if self._complete:
-            raise MalformedMessage("two heads in one")
+            raise MalformedMessageError("two heads in one")
         self._complete = True
         self.keep_alive = self._parser.should_keep_alive()
         self.version = self._parser.get_http_version()
@@ -98,15 +98,15 @@
     def head(self) -> RequestHead:
         """Return the head, once whole.
 
-        :raises MalformedMessage: if its version is not one that we speak.
+        :raises MalformedMessageError: if its version is not one that we speak.
         """
         del self._request_parser
         if self.version not in ("1.0", "1.1"):
-            raise MalformedMessage("not HTTP/1.0 or HTTP/1.1")
+            raise MalformedMessageError("not HTTP/1.0 or HTTP/1.1")
         return RequestHead(method=self._method, target=self._target, headers=tuple(self._headers))
 
 
-class AnswerHeadReader(_HeadReader):
+class ResponseHeadReader(_HeadReader):
     """Reads the head of one answer."""
 
     def __init__(self) -> None:
@@ -120,19 +120,19 @@
         self._status = self._answer_parser.get_status_code()
         super().on_headers_complete()
 
-    def head(self) -> AnswerHead:
+    def head(self) -> ResponseHead:
         """Return the head, once whole.
 
-        :raises MalformedMessage: if its framing is not valid, or it switches protocols, which nobody asked.
+        :raises MalformedMessageError: if its framing is not valid, or it switches protocols.
         """
         del self._answer_parser
         if self._status == _SWITCHING_PROTOCOLS:
-            raise MalformedMessage("the engine switches protocols")
+            raise MalformedMessageError("the engine switches protocols")
         headers = tuple(self._headers)
         try:
             length = content_length(headers)
         except ValueError as error:
-            raise MalformedMessage(str(error)) from None
+            raise MalformedMessageError(str(error)) from None
         codings = transfer_codings(headers)
         chunked = bool(codings) and codings[-1] == b"chunked"
-        return AnswerHead(status=self._status, headers=headers, length=length, chunked=chunked)
+        return ResponseHead(status=self._status, headers=headers, length=length, chunked=chunked)
--- a/src/springmux/node/http/server.py
+++ b/src/springmux/node/http/server.py
@@ -10,8 +10,8 @@
 from springmux.node.http.server_connection import ServerConnection
 from springmux.node.http.server_exchange import HttpServerExchange
 from springmux.node.http.types import (
-    BodyTooLarge,
-    ClientGone,
+    BodyTooLargeError,
+    ClientDisconnectedError,
     Handler,
     RefusalListener,
     RequestHead,
@@ -145,9 +145,9 @@
     async def _serve(self, exchange: HttpServerExchange) -> None:
         try:
             await self._handler(exchange)
-        except ClientGone:
+        except ClientDisconnectedError:
             exchange.abort()
-        except BodyTooLarge:
+        except BodyTooLargeError:
             exchange.fail(413)
         except asyncio.CancelledError:
             exchange.abort()
--- a/src/springmux/node/http/server_connection.py
+++ b/src/springmux/node/http/server_connection.py
@@ -9,8 +9,8 @@
 
 from springmux.node.http.bodies import request_body_decoder
 from springmux.node.http.connection_owner import ConnectionOwner
-from springmux.node.http.framing import encode_answer_head
-from springmux.node.http.heads import MalformedMessage, RequestHeadReader
+from springmux.node.http.framing import encode_response_head
+from springmux.node.http.heads import MalformedMessageError, RequestHeadReader
 from springmux.node.http.server_exchange import HttpServerExchange
 from springmux.node.http.sockets import reset, send_without_delay
 from springmux.node.http.types import Header, RequestHead, ServerRefusal
@@ -192,7 +192,7 @@
                 self._refuse(ServerRefusal.HEADERS_TOO_LARGE)
             elif used is not None:
                 self._begin_exchange(self._reader, data[used:])
-        except MalformedMessage:
+        except MalformedMessageError:
             self._refuse(ServerRefusal.MALFORMED)
 
     def _begin_head(self) -> None:
@@ -237,7 +237,7 @@
         self._expects_continue = False
         try:
             rest = exchange.feed(data)
-        except MalformedMessage:
+        except MalformedMessageError:
             self._give_up(exchange, ServerRefusal.MALFORMED)
             return
         if exchange.too_large:
@@ -287,7 +287,7 @@
     ) -> None:
         self._owner.refused(refusal, head)
         framing = ((b"content-length", b"0"), (b"connection", b"close"))
-        self._transport.write(encode_answer_head(_STATUSES[refusal], headers, framing))
+        self._transport.write(encode_response_head(_STATUSES[refusal], headers, framing))
         self._linger()
 
     def _linger(self) -> None:
--- a/src/springmux/node/http/server_exchange.py
+++ b/src/springmux/node/http/server_exchange.py
@@ -11,11 +11,11 @@
 from springmux.node.http.framing import (
     LAST_CHUNK,
     describe_exception,
-    encode_answer_head,
     encode_chunk,
+    encode_response_head,
     has_no_body,
 )
-from springmux.node.http.types import BodyTooLarge, ClientGone, Header, RequestHead
+from springmux.node.http.types import BodyTooLargeError, ClientDisconnectedError, Header, RequestHead
 
 if TYPE_CHECKING:
     from springmux.node.http.server_connection import ServerConnection
@@ -76,12 +76,12 @@
     async def body(self) -> bytes:
         """Return the whole body.
 
-        :raises BodyTooLarge: if it is over the limit; answer 413.
-        :raises ClientGone: if the client left before its end.
+        :raises BodyTooLargeError: if it is over the limit; answer 413.
+        :raises ClientDisconnectedError: if the client left before its end.
         """
         while True:
             if self.too_large:
-                raise BodyTooLarge
+                raise BodyTooLargeError
             if self._body is not None:
                 return self._body
             if self._decoder.done:
@@ -89,7 +89,7 @@
                 self._parts.clear()
                 return self._body
             if self.gone or self.finished:
-                raise ClientGone
+                raise ClientDisconnectedError
             self._connection.invite_body()
             waiter = asyncio.get_running_loop().create_future()
             self._waiters.append(waiter)
@@ -113,10 +113,10 @@
     async def write(self, data: bytes) -> None:
         """Send a part of the body at once; waits while the client's socket is full.
 
-        :raises ClientGone: if the client left.
+        :raises ClientDisconnectedError: if the client left.
         """
         if self.gone or self.finished:
-            raise ClientGone
+            raise ClientDisconnectedError
         if not self._begun:
             raise RuntimeError("write before begin")
         if not data or self._bodiless:
@@ -128,7 +128,7 @@
         self._connection.send(encode_chunk(data) if self._chunked else data)
         await self._connection.drained()
         if self.gone:
-            raise ClientGone
+            raise ClientDisconnectedError
 
     def end(self) -> None:
         """End the body properly; a body shorter than announced is a reset."""
@@ -161,7 +161,7 @@
     def feed(self, data: bytes) -> bytes:
         """Take bytes of the body; return those after its end.
 
-        :raises MalformedMessage: if its framing is broken.
+        :raises MalformedMessageError: if its framing is broken.
         """
         part = self._decoder.feed(data)
         self._size_bytes += len(part)
@@ -188,7 +188,7 @@
         return True
 
     def leave(self) -> None:
-        """Note that the client is gone: whoever waits gets ClientGone."""
+        """Note that the client is gone: whoever waits gets ClientDisconnectedError."""
         if self.gone or self.finished:
             return
         self.gone = True
@@ -226,7 +226,7 @@
             framing.append((b"transfer-encoding", b"chunked"))
         if self._connection.decide_close():
             framing.append(_CLOSE)
-        return encode_answer_head(status, headers, framing)
+        return encode_response_head(status, headers, framing)
 
 
 def _call(callback: Callable[[], None]) -> None:
--- a/src/springmux/node/http/types.py
+++ b/src/springmux/node/http/types.py
@@ -27,7 +27,7 @@
         return None
 
 
-class AnswerHead(msgspec.Struct, frozen=True):
+class ResponseHead(msgspec.Struct, frozen=True):
     """An answer's status and headers. ``length``: from Content-Length; ``None`` if chunked or unframed."""
 
     status: int
@@ -43,11 +43,11 @@
         return None
 
 
-class BodyTooLarge(Exception):
+class BodyTooLargeError(Exception):
     """A client's body is over the limit. Nothing of it is kept; the connection ends after the answer."""
 
 
-class ClientGone(Exception):
+class ClientDisconnectedError(Exception):
     """The client closed or reset its connection, or the connection was aborted."""
 
 
@@ -61,8 +61,8 @@
     async def body(self) -> bytes:
         """Return the whole body.
 
-        :raises BodyTooLarge: if it is over the limit; answer 413.
-        :raises ClientGone: if the client left before its end.
+        :raises BodyTooLargeError: if it is over the limit; answer 413.
+        :raises ClientDisconnectedError: if the client left before its end.
         """
         ...
 
@@ -77,7 +77,7 @@
     async def write(self, data: bytes) -> None:
         """Send a part of the body at once; waits while the client's socket is full.
 
-        :raises ClientGone: if the client left.
+        :raises ClientDisconnectedError: if the client left.
         """
         ...
 
@@ -150,7 +150,7 @@
     """The answer began and ended before its announced end, or by a reset."""
 
 
-class ExchangeFailed(Exception):
+class ExchangeFailedError(Exception):
     """An exchange with an engine failed; ``kind`` says how."""
 
     def __init__(self, kind: FailureKind, reason: str = "") -> None:
@@ -161,17 +161,17 @@
 class EngineExchange(Protocol):
     """One request to one engine over one connection."""
 
-    async def head(self) -> AnswerHead:
+    async def head(self) -> ResponseHead:
         """Return the answer's head; answers that ``accept`` refuses are skipped whole.
 
-        :raises ExchangeFailed: see :class:`FailureKind`.
+        :raises ExchangeFailedError: see :class:`FailureKind`.
         """
         ...
 
     async def read(self) -> bytes:
         """Return the next bytes of the body as they come; empty at its proper end.
 
-        :raises ExchangeFailed: ``CUT_SHORT`` or ``MALFORMED``.
+        :raises ExchangeFailedError: ``CUT_SHORT`` or ``MALFORMED``.
         """
         ...
 
@@ -193,13 +193,13 @@
         head: RequestHead,
         body: bytes,
         connect_timeout_s: float,
-        accept: Callable[[AnswerHead], bool],
+        accept: Callable[[ResponseHead], bool],
     ) -> EngineExchange:
         """Connect or reuse a connection, write the request, and return the exchange.
 
         :param accept: says whether an answer belongs to this request (by its echoed id). One that doesn't is
             a late answer of somebody else: it is read and dropped, and the next one is waited for.
-        :raises ExchangeFailed: ``CONNECT`` or ``NOT_SENT``; nothing was sent.
+        :raises ExchangeFailedError: ``CONNECT`` or ``NOT_SENT``; nothing was sent.
         """
         ...
 
--- a/src/springmux/node/lifecycle.py
+++ b/src/springmux/node/lifecycle.py
@@ -7,11 +7,11 @@
 from pathlib import Path
 from typing import Any, Protocol
 
-from springmux.coordination.kernel import NoteLevel
+from springmux.coordination.state_machine import LogLevel
 from springmux.node.driver import AgentDriver
 from springmux.node.logs import EventLog
-from springmux.node.storage_open import OpenedStorage, open_storage, set_aside_replica
-from springmux.storage.disk import Disk, FolderLocked
+from springmux.node.storage.opening import OpenedStorage, open_storage, set_aside_replica
+from springmux.storage.disk import Disk, FolderLockedError
 from springmux.storage.real_disk import RealDisk
 
 EXIT_STOPPED = 0
@@ -81,8 +81,8 @@
             ending = await _run_once(make_node(opened), log)
             if ending == BEGIN_ANEW and data_folder is not None:
                 await asyncio.to_thread(set_aside_replica, data_folder, log, make_disk)
-    except FolderLocked as error:
-        log.write("data_folder_locked", NoteLevel.ERROR, reason=str(error), action="stop the other process")
+    except FolderLockedError as error:
+        log.write("data_folder_locked", LogLevel.ERROR, reason=str(error), action="stop the other process")
         return EXIT_CANNOT_START
     return ending
 
@@ -91,7 +91,7 @@
     try:
         await node.start()
     except OSError as error:
-        log.write("cannot_listen", NoteLevel.ERROR, reason=str(error), action="free the address or change it")
+        log.write("cannot_listen", LogLevel.ERROR, reason=str(error), action="free the address or change it")
         await node.close()
         return EXIT_CANNOT_START
     return await node.wait()
--- a/src/springmux/node/logs.py
+++ b/src/springmux/node/logs.py
@@ -10,16 +10,16 @@
 from datetime import UTC, datetime
 from typing import Any, TextIO
 
-from springmux.coordination.kernel import Note, NoteLevel
+from springmux.coordination.state_machine import LogLevel, LogLine
 
 FORBIDDEN_FIELDS = frozenset({"key", "body", "prompt", "authorization", "secret", "peer_secret"})
 """Field names whose values are blanked as a last resort; nobody should log them at all."""
 
 _SEVERITIES = {
-    NoteLevel.DEBUG: 10,
-    NoteLevel.INFO: 20,
-    NoteLevel.WARNING: 30,
-    NoteLevel.ERROR: 40,
+    LogLevel.DEBUG: 10,
+    LogLevel.INFO: 20,
+    LogLevel.WARNING: 30,
+    LogLevel.ERROR: 40,
 }
 """Ranks of the levels, as in the standard library's logging."""
 
@@ -48,20 +48,20 @@
         self._node = node
         self._output = output or sys.stderr
         self._render = _console_renderer() if line_format == "console" else _json_line
-        self._threshold = _SEVERITIES[NoteLevel(level)]
+        self._threshold = _SEVERITIES[LogLevel(level)]
         self._lock = threading.Lock()
 
-    def writes(self, level: NoteLevel) -> bool:
+    def writes(self, level: LogLevel) -> bool:
         """Say whether lines of this level are written."""
         return _SEVERITIES[level] >= self._threshold
 
-    def write(self, name: str, level: NoteLevel = NoteLevel.INFO, **fields: Any) -> None:
+    def write(self, name: str, level: LogLevel = LogLevel.INFO, **fields: Any) -> None:
         """Write one line named ``name``."""
         if _SEVERITIES[level] >= self._threshold:
             self._write(name, level, fields, {})
 
-    def note(self, note: Note) -> None:
-        """Write a part's :class:`Note`."""
+    def note(self, note: LogLine) -> None:
+        """Write a part's :class:`LogLine`."""
         if _SEVERITIES[note.level] >= self._threshold:
             fields = {_RENAMED.get(name, name): value for name, value in note.fields.items()}
             self._write(note.name, note.level, fields, {})
@@ -71,11 +71,9 @@
         import traceback
 
         text = "".join(traceback.format_exception(error)).rstrip("\n")
-        self._write(name, NoteLevel.ERROR, {}, {"exception": text})
+        self._write(name, LogLevel.ERROR, {}, {"exception": text})
 
-    def _write(
-        self, name: str, level: NoteLevel, fields: Mapping[str, Any], after: Mapping[str, Any]
-    ) -> None:
+    def _write(self, name: str, level: LogLevel, fields: Mapping[str, Any], after: Mapping[str, Any]) -> None:
         now = datetime.now(UTC).isoformat().replace("+00:00", "Z")
         line = {
             "node": self._node,
--- /dev/null
+++ b/src/springmux/node/metrics/__init__.py
@@ -0,0 +1,1 @@
+"""Prometheus metrics of a node."""
--- a/src/springmux/node/metrics.py
+++ b/src/springmux/node/metrics/registry.py
@@ -9,8 +9,6 @@
 
 import msgspec
 
-from springmux.coordination.kernel import PeerMessage
-
 
 class MetricKind(enum.StrEnum):
     """Prometheus type of a metric."""
@@ -88,15 +86,6 @@
 )
 
 
-_LABELS_OF_SHORT_TAGS = {"use": "UsageReport", "sum": "UsageTotals", "zone-sum": "ZoneTotals"}
-
-
-def message_label(message: type[PeerMessage]) -> str:
-    """Return the label under which messages of a type are counted: the tag, spelled out where it is short."""
-    tag = str(message.__struct_config__.tag)
-    return _LABELS_OF_SHORT_TAGS.get(tag, tag)
-
-
 _SPECS = {spec.name: spec for spec in METRICS}
 _Place = tuple[str, ...]
 """A metric's name and its labels' values."""
@@ -167,7 +156,7 @@
 
     def exposition(self) -> bytes:
         """Return the text exposition format. The library is loaded at the first scrape."""
-        from springmux.node.metrics_exposition import render
+        from springmux.node.metrics.exposition import render
 
         values = dict(self._values)
         for source in self._sources:
--- /dev/null
+++ b/src/springmux/node/peer/__init__.py
@@ -0,0 +1,1 @@
+"""The peers' channel: framing, handshake, connections, and the envelope of messages."""
--- a/src/springmux/node/agent_codec.py
+++ b/src/springmux/node/peer/agent_codec.py
@@ -7,10 +7,10 @@
 import msgspec
 
 from springmux.agent import wire
-from springmux.agent.events import LeadershipHeard
-from springmux.control.delivery.events import PeerRevisionHeard
+from springmux.agent.events import LeaderObserved
+from springmux.control.delivery.events import PeerRevisionObserved
 from springmux.coordination.identifiers import NodeId, Revision, Term
-from springmux.coordination.kernel import Event, MessageReceived, PeerMessage
+from springmux.coordination.state_machine import Event, MessageReceived, PeerMessage
 
 
 class Placed(Protocol):
@@ -45,10 +45,10 @@
         term, leader, revision = self._agent.place
         events: list[Event] = []
         if envelope.leader and (envelope.term > term or leader is None):
-            events.append(LeadershipHeard(envelope.term, envelope.leader))
+            events.append(LeaderObserved(envelope.term, envelope.leader))
         # Of a peer that is ahead every message counts: the fetch from it may have been lost.
         if envelope.revision > revision or self._told.get(sender) != envelope.revision:
             self._told[sender] = envelope.revision
-            events.append(PeerRevisionHeard(sender, envelope.term, envelope.revision))
+            events.append(PeerRevisionObserved(sender, envelope.term, envelope.revision))
         events.append(MessageReceived(sender, envelope.message))
         return events
--- a/src/springmux/node/peer_channel.py
+++ b/src/springmux/node/peer/channel.py
@@ -11,10 +11,10 @@
 
 from springmux.coordination.identifiers import Address
 from springmux.node.logs import EventLog
-from springmux.node.metrics import NodeMetrics
-from springmux.node.peer_frames import FrameConnection
-from springmux.node.peer_hello import HelloError, HelloKeeper
-from springmux.node.peer_link import CONNECT_TIMEOUT_S, FIRST_CONNECT_TIMEOUT_S, PeerLink
+from springmux.node.metrics.registry import NodeMetrics
+from springmux.node.peer.frames import FrameConnection
+from springmux.node.peer.handshake import HandshakeAuthenticator, HandshakeError
+from springmux.node.peer.link import CONNECT_TIMEOUT_S, FIRST_CONNECT_TIMEOUT_S, PeerLink
 
 ATTEMPT_TIMEOUT_S = 1.0
 """Connection and handshake together."""
@@ -91,7 +91,7 @@
         self,
         address: Address,
         lane: str,
-        keeper: HelloKeeper,
+        keeper: HandshakeAuthenticator,
         log: EventLog,
         metrics: NodeMetrics,
         randomness: random.Random,
@@ -174,7 +174,7 @@
                 if not self._queue:
                     return
                 continue  # something was queued while the idle connection was closing
-            except HelloError as error:
+            except HandshakeError as error:
                 self._metrics.count("peer_refused_hellos_total", error.reason)
             except (TimeoutError, OSError) as error:
                 if not greeted and failures == 0:
@@ -196,7 +196,7 @@
     async def _reach(self, connect_timeout_s: float = CONNECT_TIMEOUT_S) -> PeerLink:
         """Return a connection whose handshake is over.
 
-        :raises HelloError: if the other side is no peer.
+        :raises HandshakeError: if the other side is no peer.
         :raises OSError: if it can't be reached in time.
         """
         link = PeerLink(self._address)
@@ -239,7 +239,7 @@
         """Try whether a second connection gets through where the first one does not."""
         try:
             link = await self._reach()
-        except (HelloError, TimeoutError, OSError):
+        except (HandshakeError, TimeoutError, OSError):
             return
         if self._connection is unanswered and unanswered.unanswered:
             self._replacement = link
--- a/src/springmux/node/peer_frames.py
+++ b/src/springmux/node/peer/frames.py
@@ -1,6 +1,6 @@
 """Frames of the peers' channel over TCP: a length of 4 bytes (big-endian), then so many bytes.
 
-The first frames of a connection are the handshake (:mod:`springmux.node.peer_hello`).
+The first frames of a connection are the handshake (:mod:`springmux.node.peer.handshake`).
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 _LINGER_NOT = struct.pack("ii", 1, 0)
 
 
-class FrameTooLarge(SpringmuxError):
+class FrameTooLargeError(SpringmuxError):
     """The other side announced a frame over the limit, both in bytes."""
 
     def __init__(self, size_bytes: int, limit_bytes: int) -> None:
@@ -65,7 +65,7 @@
     def next(self) -> bytes | None:
         """Return the next whole payload, or ``None`` until more bytes are fed.
 
-        :raises FrameTooLarge: as soon as the header is read.
+        :raises FrameTooLargeError: as soon as the header is read.
         """
         begin = self._begin + HEADER_BYTES
         if begin > len(self._buffer):
@@ -73,7 +73,7 @@
             return None
         size_bytes = int.from_bytes(self._buffer[self._begin : begin], "big")
         if size_bytes > self.limit_bytes:
-            raise FrameTooLarge(size_bytes, self.limit_bytes)
+            raise FrameTooLargeError(size_bytes, self.limit_bytes)
         end = begin + size_bytes
         if end > len(self._buffer):
             self._drop_taken()
@@ -187,7 +187,7 @@
         try:
             while self.open and (payload := self._reader.next()) is not None:
                 self._received(payload)
-        except FrameTooLarge:
+        except FrameTooLargeError:
             self.abort()
 
     def pause_writing(self) -> None:
--- a/src/springmux/node/peer_hello.py
+++ b/src/springmux/node/peer/handshake.py
@@ -18,7 +18,7 @@
 NONCE_BYTES = 16
 
 
-class HelloError(SpringmuxError):
+class HandshakeError(SpringmuxError):
     """The other side is not a peer of this fleet. ``reason`` is a stable word for metrics."""
 
     def __init__(self, reason: str) -> None:
@@ -65,15 +65,15 @@
 def decode_handshake(data: bytes) -> Handshake:
     """Return the handshake message in ``data``.
 
-    :raises HelloError: if it is none.
+    :raises HandshakeError: if it is none.
     """
     try:
         return _decoder.decode(data)
     except msgspec.DecodeError:
-        raise HelloError("malformed") from None
+        raise HandshakeError("malformed") from None
 
 
-class HelloKeeper:
+class HandshakeAuthenticator:
     """Makes and checks the handshake of one node."""
 
     def __init__(self, fleet: str, node: str, boot: str, secret: str | None) -> None:
@@ -95,30 +95,30 @@
     def welcome(self, challenge: Challenge, hello: Hello) -> Welcome:
         """Check a hello and answer it.
 
-        :raises HelloError: if it is of another fleet, of this node's name, or does not know the secret.
+        :raises HandshakeError: if it is of another fleet, of this node's name, or does not know the secret.
         """
         if hello.fleet != self._fleet:
-            raise HelloError("fleet")
+            raise HandshakeError("fleet")
         if hello.node == self._node:
-            raise HelloError("own_name")
+            raise HandshakeError("own_name")
         expected = self._proof("hello", challenge.nonce, hello.fleet, hello.node, hello.boot, hello.lane)
         if not hmac.compare_digest(expected, hello.proof):
-            raise HelloError("secret")
+            raise HandshakeError("secret")
         proof = self._proof("welcome", hello.nonce, self._fleet, self._node, self._boot)
         return Welcome(self._fleet, self._node, self._boot, proof)
 
     def check_welcome(self, hello: Hello, welcome: Welcome) -> None:
         """Check the accepting side's answer.
 
-        :raises HelloError: if it is of another fleet, of this node's name, or does not know the secret.
+        :raises HandshakeError: if it is of another fleet, of this node's name, or does not know the secret.
         """
         if welcome.fleet != self._fleet:
-            raise HelloError("fleet")
+            raise HandshakeError("fleet")
         if welcome.node == self._node:
-            raise HelloError("own_name")
+            raise HandshakeError("own_name")
         expected = self._proof("welcome", hello.nonce, welcome.fleet, welcome.node, welcome.boot)
         if not hmac.compare_digest(expected, welcome.proof):
-            raise HelloError("secret")
+            raise HandshakeError("secret")
 
     def _proof(self, purpose: str, nonce: bytes, *names: str) -> bytes:
         if self._secret is None:
--- a/src/springmux/node/peer_link.py
+++ b/src/springmux/node/peer/link.py
@@ -8,11 +8,11 @@
 
 from springmux.coordination.identifiers import Address
 from springmux.node.addresses import split_address
-from springmux.node.peer_frames import FrameConnection
-from springmux.node.peer_hello import (
+from springmux.node.peer.frames import FrameConnection
+from springmux.node.peer.handshake import (
     Challenge,
-    HelloError,
-    HelloKeeper,
+    HandshakeAuthenticator,
+    HandshakeError,
     Welcome,
     decode_handshake,
     encode_handshake,
@@ -57,19 +57,19 @@
         async with asyncio.timeout(timeout_s):
             await self._loop.create_connection(lambda: self.connection, host, port)
 
-    async def greet(self, keeper: HelloKeeper, lane: str) -> None:
+    async def greet(self, keeper: HandshakeAuthenticator, lane: str) -> None:
         """Carry out the connecting side's handshake.
 
-        :raises HelloError: if the other side is no peer, or ended the connection.
+        :raises HandshakeError: if the other side is no peer, or ended the connection.
         """
         challenge = decode_handshake(await self._receive())
         if not isinstance(challenge, Challenge):
-            raise HelloError("malformed")
+            raise HandshakeError("malformed")
         hello = keeper.hello(challenge, lane)
         self.connection.send((encode_handshake(hello),))
         welcome = decode_handshake(await self._receive())
         if not isinstance(welcome, Welcome):
-            raise HelloError("malformed")
+            raise HandshakeError("malformed")
         keeper.check_welcome(hello, welcome)
         self.node = welcome.node
 
@@ -86,7 +86,7 @@
     async def _receive(self) -> bytes:
         while not self._frames:
             if self._over:
-                raise HelloError("closed")
+                raise HandshakeError("closed")
             self._woken.clear()
             await self._woken.wait()
         return self._frames.popleft()
--- a/src/springmux/node/peer_reception.py
+++ b/src/springmux/node/peer/reception.py
@@ -6,15 +6,15 @@
 from collections.abc import Callable
 
 from springmux.coordination.identifiers import NodeId
-from springmux.coordination.kernel import NoteLevel
+from springmux.coordination.state_machine import LogLevel
 from springmux.node.logs import EventLog
-from springmux.node.metrics import NodeMetrics
-from springmux.node.peer_frames import FrameConnection
-from springmux.node.peer_hello import (
+from springmux.node.metrics.registry import NodeMetrics
+from springmux.node.peer.frames import FrameConnection
+from springmux.node.peer.handshake import (
     Challenge,
+    HandshakeAuthenticator,
+    HandshakeError,
     Hello,
-    HelloError,
-    HelloKeeper,
     decode_handshake,
     encode_handshake,
 )
@@ -33,7 +33,7 @@
 
     def __init__(
         self,
-        keeper: HelloKeeper,
+        keeper: HandshakeAuthenticator,
         receive: Callable[[PeerReception, NodeId, bytes], None],
         ended: Callable[[PeerReception], None],
         log: EventLog,
@@ -90,9 +90,9 @@
         try:
             hello = decode_handshake(payload)
             if not isinstance(hello, Hello) or self._challenge is None:
-                raise HelloError("malformed")
+                raise HandshakeError("malformed")
             welcome = self._keeper.welcome(self._challenge, hello)
-        except HelloError as error:
+        except HandshakeError as error:
             self._refuse(error.reason)
             self.connection.close()
             return
@@ -105,7 +105,7 @@
         self._refused = True
         self._metrics.count("peer_refused_hellos_total", reason)
         address = self.connection.remote_host
-        self._log.write("peer_refused", NoteLevel.WARNING, reason=reason, address=address)
+        self._log.write("peer_refused", LogLevel.WARNING, reason=reason, address=address)
 
     def _cancel_timers(self) -> None:
         for timer in (self._limit, self._beginning):
--- a/src/springmux/node/peer_transport.py
+++ b/src/springmux/node/peer/transport.py
@@ -13,16 +13,16 @@
 
 from springmux.agent.events import PeerReachable, PeerUnreachable
 from springmux.coordination.identifiers import Address, NodeId
-from springmux.coordination.kernel import Event, MessageReceived, NoteLevel, PeerMessage
 from springmux.coordination.membership.view import MembershipView
+from springmux.coordination.state_machine import Event, LogLevel, MessageReceived, PeerMessage, message_name
 from springmux.node.addresses import split_address
 from springmux.node.logs import EventLog
-from springmux.node.metrics import NodeMetrics, message_label
-from springmux.node.peer_channel import Outgoing, PeerChannel
-from springmux.node.peer_frames import MAX_MESSAGE_BYTES
-from springmux.node.peer_hello import HelloKeeper
-from springmux.node.peer_reception import PeerReception
-from springmux.node.unknown_peers import UnknownPeerLog
+from springmux.node.metrics.registry import NodeMetrics
+from springmux.node.peer.channel import Outgoing, PeerChannel
+from springmux.node.peer.frames import MAX_MESSAGE_BYTES
+from springmux.node.peer.handshake import HandshakeAuthenticator
+from springmux.node.peer.reception import PeerReception
+from springmux.node.peer.unknown_peers import UnknownPeerLog
 
 LARGE_BYTES = 64 << 10
 """From this size a message goes on the second connection (one socket buffer's worth)."""
@@ -59,7 +59,7 @@
     def __init__(
         self,
         codec: Codec,
-        keeper: HelloKeeper,
+        keeper: HandshakeAuthenticator,
         membership: Callable[[], MembershipView],
         deliver: Callable[[Event], None],
         log: EventLog,
@@ -109,7 +109,7 @@
         record = self._membership().nodes.get(to)
         if record is None:
             self._metrics.count("peer_dropped_messages_total", "unknown_node")
-            self._unknown.dropped(to, message_label(type(message)), asyncio.get_running_loop().time())
+            self._unknown.dropped(to, message_name(type(message)), asyncio.get_running_loop().time())
             return
         self.send_to_address(record.peer_address, message)
 
@@ -123,14 +123,14 @@
         except (OverflowError, UnicodeError) as error:
             # A peer may have handed in what can't be passed on; that is no reason to end.
             self._metrics.count("peer_dropped_messages_total", "unencodable")
-            name = message_label(type(message))
-            self._log.write("peer_message_unencodable", NoteLevel.ERROR, message=name, error=str(error))
+            name = message_name(type(message))
+            self._log.write("peer_message_unencodable", LogLevel.ERROR, message=name, error=str(error))
             return
         if len(data) > MAX_MESSAGE_BYTES:
             self._metrics.count("peer_dropped_messages_total", "too_large")
             return
         lane = "large" if len(data) >= LARGE_BYTES else "small"
-        self._channel(address, lane).send(Outgoing(message_label(type(message)), data))
+        self._channel(address, lane).send(Outgoing(message_name(type(message)), data))
 
     def _channel(self, address: Address, lane: str) -> PeerChannel:
         found = self._channels.get((address, lane))
@@ -189,9 +189,7 @@
             self._metrics.count("peer_dropped_messages_total", "undecodable")
             if not reception.reported:  # a peer of a newer version sends many: one line a connection
                 reception.reported = True
-                self._log.write(
-                    "peer_message_undecodable", NoteLevel.WARNING, sender=sender, error=str(error)
-                )
+                self._log.write("peer_message_undecodable", LogLevel.WARNING, sender=sender, error=str(error))
             return
         for event in events:
             self._count_received(event, len(data))
@@ -199,6 +197,6 @@
 
     def _count_received(self, event: Event, size_bytes: int) -> None:
         if isinstance(event, MessageReceived):
-            name = message_label(type(event.message))
+            name = message_name(type(event.message))
             self._metrics.count("peer_received_messages_total", name)
             self._metrics.count("peer_received_bytes_total", name, amount=size_bytes)
--- a/src/springmux/node/unknown_peers.py
+++ b/src/springmux/node/peer/unknown_peers.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from springmux.coordination.identifiers import NodeId
-from springmux.coordination.kernel import NoteLevel
+from springmux.coordination.state_machine import LogLevel
 from springmux.node.logs import EventLog
 
 LINE_PERIOD_S = 5.0
@@ -28,6 +28,4 @@
             return
         self._next_line_at[node] = now + LINE_PERIOD_S
         dropped = self._dropped.pop(node)
-        self._log.write(
-            "peer_address_unknown", NoteLevel.WARNING, peer=node, message=message, dropped=dropped
-        )
+        self._log.write("peer_address_unknown", LogLevel.WARNING, peer=node, message=message, dropped=dropped)
--- a/src/springmux/node/storage_open.py
+++ b/src/springmux/node/storage/opening.py
@@ -9,12 +9,12 @@
 
 from springmux.coordination.claims.journal import RecoveredClaims
 from springmux.coordination.consensus.types import RecoveredState
-from springmux.coordination.kernel import NoteLevel
 from springmux.coordination.membership.remembered import RememberedPeer
+from springmux.coordination.state_machine import LogLevel
 from springmux.node.logs import EventLog
 from springmux.storage.claim_journal import ClaimJournal
-from springmux.storage.disk import Disk, DiskError, FolderLocked
-from springmux.storage.errors import StorageDamaged
+from springmux.storage.disk import Disk, DiskError, FolderLockedError
+from springmux.storage.errors import StorageDamagedError
 from springmux.storage.peer_list import PeerList
 from springmux.storage.real_disk import RealDisk
 from springmux.storage.replica_store import ReplicaStore
@@ -49,20 +49,20 @@
     A damaged or wiped one is set aside and begins anew under another identity; a disk that fails
     leaves the node routing without a replica.
 
-    :raises FolderLocked: another process uses the folder.
+    :raises FolderLockedError: another process uses the folder.
     """
     disk = make_disk(data_folder)
     store = ReplicaStore(disk, REPLICA_FOLDER, first_start=first_start)
     try:
         return _opened(disk, store, log)
-    except StorageDamaged as damage:
+    except StorageDamagedError as damage:
         log.write(
             "replica_damaged",
-            NoteLevel.ERROR,
+            LogLevel.ERROR,
             reason=str(damage),
             action="its files were kept with the ending .damaged; it rejoins as a new replica",
         )
-    except FolderLocked:
+    except FolderLockedError:
         raise
     except DiskError as error:
         return _unusable(error, log)
@@ -70,7 +70,7 @@
         store.set_aside()
         # No mark of the first start: what the damaged replica promised is lost.
         return _opened(disk, ReplicaStore(disk, REPLICA_FOLDER), log)
-    except (StorageDamaged, DiskError) as error:
+    except (StorageDamagedError, DiskError) as error:
         return _unusable(error, log)
 
 
@@ -79,14 +79,14 @@
 
     A disk that fails is logged only: the replica will be told again to begin anew.
 
-    :raises FolderLocked: the folder is still in use.
+    :raises FolderLockedError: the folder is still in use.
     """
     try:
         ReplicaStore(make_disk(data_folder), REPLICA_FOLDER).set_aside()
-    except FolderLocked:
+    except FolderLockedError:
         raise
     except DiskError as error:
-        log.write("replica_not_set_aside", NoteLevel.ERROR, reason=str(error), action="mend the disk")
+        log.write("replica_not_set_aside", LogLevel.ERROR, reason=str(error), action="mend the disk")
 
 
 def _opened(disk: Disk, store: ReplicaStore, log: EventLog) -> OpenedStorage:
@@ -118,9 +118,9 @@
     try:
         peers = peer_list.load()
     except DiskError as error:
-        log.write("peer_list_unusable", NoteLevel.ERROR, reason=str(error))
+        log.write("peer_list_unusable", LogLevel.ERROR, reason=str(error))
         return ()
-    level = NoteLevel.ERROR if peer_list.damage else NoteLevel.INFO
+    level = LogLevel.ERROR if peer_list.damage else LogLevel.INFO
     log.write("peer_list_opened", level, peers=len(peers), damage=peer_list.damage)
     return peers
 
@@ -130,11 +130,11 @@
     try:
         claims = journal.open(new_replica)
     except DiskError as error:
-        log.write("claim_journal_unusable", NoteLevel.ERROR, reason=str(error))
+        log.write("claim_journal_unusable", LogLevel.ERROR, reason=str(error))
         return None
     log.write(
         "claim_journal_opened",
-        NoteLevel.ERROR if claims.damage else NoteLevel.INFO,
+        LogLevel.ERROR if claims.damage else LogLevel.INFO,
         claims=len(claims.claims),
         cut_bytes=journal.cut_bytes,
         damage=claims.damage,
@@ -145,7 +145,7 @@
 def _unusable(error: Exception, log: EventLog) -> OpenedStorage:
     log.write(
         "replica_unusable",
-        NoteLevel.ERROR,
+        LogLevel.ERROR,
         reason=str(error),
         action="the node routes without a replica; mend or replace the disk and restart it",
     )
--- a/src/springmux/node/storage_worker.py
+++ b/src/springmux/node/storage/worker.py
@@ -26,11 +26,11 @@
 )
 from springmux.coordination.consensus.types import SnapshotMeta
 from springmux.coordination.identifiers import LogIndex
-from springmux.coordination.kernel import Event
 from springmux.coordination.membership.remembered import RememberPeers
-from springmux.node.metrics import NodeMetrics
+from springmux.coordination.state_machine import Event
+from springmux.node.metrics.registry import NodeMetrics
 from springmux.storage.claim_journal import ClaimJournal
-from springmux.storage.disk import DiskFull
+from springmux.storage.disk import DiskFullError
 from springmux.storage.peer_list import PeerList
 
 STALL_AFTER_S = 0.25
@@ -145,7 +145,7 @@
     def _persist(self, effect: Persist) -> Event:
         try:
             self._store.persist(effect)
-        except DiskFull as error:
+        except DiskFullError as error:
             return PersistFailed(batch=effect.batch, full=True, reason=str(error))
         except Exception as error:  # whatever it was, the batch is not known to be durable
             return PersistFailed(batch=effect.batch, full=False, reason=f"{type(error).__name__}: {error}")
@@ -156,7 +156,7 @@
             if self._journal is None:
                 raise RuntimeError("this node has no claim journal")
             self._journal.append(effect.records)
-        except DiskFull as error:
+        except DiskFullError as error:
             return ClaimsPersistFailed(batch=effect.batch, full=True, reason=str(error))
         except Exception as error:  # as for the log's batches
             reason = f"{type(error).__name__}: {error}"
--- a/src/springmux/rollout/abort_wishes.py
+++ b/src/springmux/rollout/abort_requests.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 
 from springmux.coordination.identifiers import NodeId
-from springmux.coordination.kernel import NEVER, Effect, Note, NoteLevel, Send
-from springmux.rollout.effects import AbortWanted
+from springmux.coordination.state_machine import NEVER, Effect, LogLevel, LogLine, Send
+from springmux.rollout.effects import ProposeAbort
 from springmux.rollout.leadership import Leadership
 from springmux.rollout.messages import RolloutAbortNotice, RolloutToken
 from springmux.rollout.participant import Participant
@@ -17,7 +17,7 @@
 """A wished abort is wished again after this until the record is terminal."""
 
 
-class AbortWishes:
+class AbortRequests:
     """Aborts wished by one node. ``leadership`` returns the node's leadership while it has it."""
 
     def __init__(
@@ -102,6 +102,6 @@
             "test": decision.test,
         }
         return [
-            AbortWanted(record.service, record.rollout, decision),
-            Note("rollout_abort_wanted", NoteLevel.WARNING, fields),
+            ProposeAbort(record.service, record.rollout, decision),
+            LogLine("rollout_abort_wanted", LogLevel.WARNING, fields),
         ]
--- a/src/springmux/rollout/effects.py
+++ b/src/springmux/rollout/effects.py
@@ -5,12 +5,12 @@
 
 from __future__ import annotations
 
-from springmux.coordination.kernel import Effect
-from springmux.rollout.plan import RolloutDecision, RolloutPhase
+from springmux.coordination.state_machine import Effect
+from springmux.rollout.planning.plan import RolloutDecision, RolloutPhase
 from springmux.vocabulary.names import RolloutId, ServiceName
 
 
-class AbortWanted(Effect, frozen=True):
+class ProposeAbort(Effect, frozen=True):
     """Commit the abort of a rollout. Repeated about each second until the record is terminal."""
 
     service: ServiceName
@@ -18,7 +18,7 @@
     decision: RolloutDecision
 
 
-class StepWanted(Effect, frozen=True):
+class ProposeStep(Effect, frozen=True):
     """Commit a step (leader only). A step of the same weight is a checkpoint of ``elapsed_s``."""
 
     service: ServiceName
@@ -29,7 +29,7 @@
     elapsed_s: float
 
 
-class FinishWanted(Effect, frozen=True):
+class ProposeFinish(Effect, frozen=True):
     """Commit that the candidate is stable (leader only)."""
 
     service: ServiceName
--- a/src/springmux/rollout/events.py
+++ b/src/springmux/rollout/events.py
@@ -7,9 +7,9 @@
 import msgspec
 
 from springmux.coordination.identifiers import Revision, Term
-from springmux.coordination.kernel import Event
 from springmux.coordination.membership.view import MembershipView
-from springmux.rollout.plan import RolloutRecord
+from springmux.coordination.state_machine import Event
+from springmux.rollout.planning.plan import RolloutRecord
 from springmux.vocabulary.engines import EnginesView
 from springmux.vocabulary.names import ServiceName, VersionName
 
--- a/src/springmux/rollout/issuer.py
+++ b/src/springmux/rollout/issuer.py
@@ -6,8 +6,8 @@
 
 from springmux.coordination.identifiers import ZoneName
 from springmux.rollout.ledger import Need, allot, credit_pool, zone_order, zone_weights
-from springmux.rollout.plan import RolloutRecord
-from springmux.rollout.token import (
+from springmux.rollout.planning.plan import RolloutRecord
+from springmux.rollout.token_ring.token import (
     BASIS_POINTS,
     Account,
     AccountTotals,
--- a/src/springmux/rollout/judgement/book.py
+++ b/src/springmux/rollout/judgement/evidence_table.py
@@ -27,7 +27,7 @@
 )
 from springmux.rollout.judgement.lateness import StableLatencies
 from springmux.rollout.outcome import BAD_ENDINGS, Ending, FirstTokenWatch, PromptOutcome
-from springmux.rollout.plan import RolloutPlan
+from springmux.rollout.planning.plan import RolloutPlan
 from springmux.vocabulary.names import EngineId, RouteName, ServiceName, VersionName
 
 EPOCHS = 8
@@ -129,7 +129,7 @@
         )
 
 
-class EvidenceBook:
+class EvidenceTable:
     """Takes outcomes of one service during one rollout and gives a cumulative digest.
 
     :param plan: its limits and term; the defaults of a plan if not given.
--- a/src/springmux/rollout/judgement/judge.py
+++ b/src/springmux/rollout/judgement/judge.py
@@ -12,7 +12,6 @@
 
 import msgspec
 
-from springmux.rollout.judgement.book import EPOCHS
 from springmux.rollout.judgement.chance import (
     chance_of_bad,
     log_error_rise_excluded,
@@ -26,7 +25,8 @@
     EpochEvidence,
     EvidenceDigest,
 )
-from springmux.rollout.plan import RolloutDecision, RolloutPlan
+from springmux.rollout.judgement.evidence_table import EPOCHS
+from springmux.rollout.planning.plan import RolloutDecision, RolloutPlan
 
 GUARD_BAD = 25
 """Bad answers from which the plain guard looks; half of the fifty that start the rollback's clock."""
--- a/src/springmux/rollout/leadership.py
+++ b/src/springmux/rollout/leadership.py
@@ -7,17 +7,17 @@
 import msgspec
 
 from springmux.coordination.identifiers import NodeId, Term, ZoneName
-from springmux.coordination.kernel import NEVER, Effect, Note, NoteLevel
+from springmux.coordination.state_machine import NEVER, Effect, LogLevel, LogLine
 from springmux.rollout.events import RolloutSettings
 from springmux.rollout.issuer import MEASURE_RATES_S, IssuedRollout
 from springmux.rollout.judgement.digest import EMPTY_DIGEST
 from springmux.rollout.ledger import allowance_part
 from springmux.rollout.messages import RolloutToken
 from springmux.rollout.participant import ACTIVE_PHASES, Participant
-from springmux.rollout.plan import RolloutPhase, RolloutRecord
-from springmux.rollout.rings import RELAY, WHOLE_FLEET, RingLayout, way_from
+from springmux.rollout.planning.plan import RolloutPhase, RolloutRecord
 from springmux.rollout.steering import Steering
-from springmux.rollout.token import RolloutEntry, index_of_zone
+from springmux.rollout.token_ring.rings import RELAY, WHOLE_FLEET, RingLayout, way_from
+from springmux.rollout.token_ring.token import RolloutEntry, index_of_zone
 from springmux.rollout.version_filter import LEASE_S
 from springmux.vocabulary.engines import EnginesView
 from springmux.vocabulary.names import RolloutId
@@ -143,7 +143,7 @@
         effects: list[Effect] = []
         if self._lap is not None and not self._lap.home:
             fields = {"term": self.term, "sequence": self._lap.sequence}
-            effects.append(Note("rollout_token_reissued", NoteLevel.WARNING, fields))
+            effects.append(LogLine("rollout_token_reissued", LogLevel.WARNING, fields))
         self._sequence += 1
         self._lap = Lap(self._sequence, now)
         ring = RELAY if layout.relayed else WHOLE_FLEET
--- a/src/springmux/rollout/messages.py
+++ b/src/springmux/rollout/messages.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from springmux.coordination.identifiers import NodeId, Term, ZoneName
-from springmux.coordination.kernel import PeerMessage
-from springmux.rollout.plan import RolloutDecision
-from springmux.rollout.token import RolloutEntry
+from springmux.coordination.state_machine import PeerMessage
+from springmux.rollout.planning.plan import RolloutDecision
+from springmux.rollout.token_ring.token import RolloutEntry
 from springmux.vocabulary.names import RolloutId, ServiceName
 
 
@@ -13,7 +13,7 @@
     """The circulating token: one lap of one ring.
 
     ``issuer`` launched the lap and gets it back. ``(term, sequence)`` grows with every lap; a node takes each
-    at most once and ignores older ones (fencing). ``ring``: see :mod:`springmux.rollout.rings`.
+    at most once and ignores older ones (fencing). ``ring``: see :mod:`springmux.rollout.token_ring.rings`.
     ``itinerary``: the nodes still to be visited. ``zones``: names behind the accounts' zone indexes.
     """
 
--- a/src/springmux/rollout/participant.py
+++ b/src/springmux/rollout/participant.py
@@ -8,15 +8,15 @@
 import xxhash
 
 from springmux.coordination.identifiers import NodeId, ZoneName
-from springmux.coordination.kernel import NEVER
+from springmux.coordination.state_machine import NEVER
 from springmux.rollout.elapsed import ElapsedClock
-from springmux.rollout.judgement.book import EvidenceBook
 from springmux.rollout.judgement.digest import EMPTY_DIGEST, EvidenceDigest, merge, subtract
+from springmux.rollout.judgement.evidence_table import EvidenceTable
 from springmux.rollout.judgement.judge import Judge, Verdict
-from springmux.rollout.load_step import is_load_step
-from springmux.rollout.plan import TERMINAL_PHASES, RolloutDecision, RolloutPhase, RolloutRecord
+from springmux.rollout.planning.load_step import is_load_step
+from springmux.rollout.planning.plan import TERMINAL_PHASES, RolloutDecision, RolloutPhase, RolloutRecord
 from springmux.rollout.status import SampleHistory
-from springmux.rollout.token import RolloutEntry, index_of_zone, recover_accounts, with_account
+from springmux.rollout.token_ring.token import RolloutEntry, index_of_zone, recover_accounts, with_account
 from springmux.rollout.version_filter import ServiceGate
 
 HISTORY_LAPS = 256
@@ -97,7 +97,7 @@
         self._own = own
         self._zone = zone
         self._rng = rng
-        self._book = EvidenceBook(record.service, record.stable, record.candidate, record.plan)
+        self._book = EvidenceTable(record.service, record.stable, record.candidate, record.plan)
         self._judge = Judge(record.plan)
         self._judged = EMPTY_DIGEST
         self._history = EvidenceHistory(EMPTY_DIGEST)
--- a/src/springmux/rollout/preview.py
+++ b/src/springmux/rollout/planning/preview.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from springmux.rollout.judgement.judge import GUARD_BAD_ONE_ENGINE
-from springmux.rollout.plan import RolloutPlan
-from springmux.rollout.schedule import Schedule, ScheduleImpossible, can_carry, plan_schedule
+from springmux.rollout.planning.plan import RolloutPlan
+from springmux.rollout.planning.schedule import Schedule, ScheduleImpossibleError, can_carry, plan_schedule
 
 FEW_CANARY_PROMPTS = 50
 """Below this many canary answers a fault of a tenth of the answers is often missed (judge's trials)."""
@@ -52,7 +52,7 @@
     schedule: Schedule | None = None
     try:
         schedule = plan_schedule(plan, prompts_per_s)
-    except ScheduleImpossible as error:
+    except ScheduleImpossibleError as error:
         refusal = str(error)
     if not refusal and capacity is not None:
         refusal = _capacity_refusal(plan, capacity)
--- a/src/springmux/rollout/schedule.py
+++ b/src/springmux/rollout/planning/schedule.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from springmux.rollout.ledger import EXPOSE_TARGET, accruing_share, allowance_part
-from springmux.rollout.plan import RolloutPhase, RolloutPlan
+from springmux.rollout.planning.plan import RolloutPhase, RolloutPlan
 from springmux.vocabulary.errors import SpringmuxError
 
 STEP_SHARES = (12 / 60, 2 / 60, 1 / 60, 1 / 60)
@@ -69,7 +69,7 @@
     prompts_per_s: float
 
 
-class ScheduleImpossible(SpringmuxError):
+class ScheduleImpossibleError(SpringmuxError):
     """The plan can't keep its promises; the message holds the arithmetic."""
 
 
@@ -78,7 +78,7 @@
 
     The first step is shortened, and the canary lengthened, as far as the last step needs the credit.
 
-    :raises ScheduleImpossible: if the time is too short, or the share too small for the steps.
+    :raises ScheduleImpossibleError: if the time is too short, or the share too small for the steps.
     """
     durations = step_durations(plan)
     _check_canary(plan, durations)
@@ -88,7 +88,7 @@
         if last.funded >= plan.pacing.last_step_paid or prompts_per_s <= 0:
             return schedule
         if durations[0] <= MINIMUM_STEP_S:
-            raise ScheduleImpossible(
+            raise ScheduleImpossibleError(
                 f"the step to weight {last.weight:g} needs {last.demand} credits in"
                 f" {last.end_s - last.start_s:.1f} s at {prompts_per_s:g} prompts/s, and only"
                 f" {last.funded:.0%} of them are there ({last.budget} accrued by {last.end_s:.0f} s):"
@@ -117,13 +117,13 @@
     canary_s = plan.by_s - reserve_of(plan) - sum(durations)
     needed_s = MINIMUM_CANARY_S if plan.by_s >= SHORT_TERM_S else CANARY_OF_SHORT_TERM * plan.by_s
     if canary_s < needed_s:
-        raise ScheduleImpossible(
+        raise ScheduleImpossibleError(
             f"by_s {plan.by_s:g} leaves {canary_s:.1f} s of canary after steps of {sum(durations):.1f} s and"
             f" {reserve_of(plan):.1f} s of reserve; at least {needed_s:g} s are needed"
         )
     share = EXPOSE_TARGET * plan.expose_share
     if plan.canary_weight > share:
-        raise ScheduleImpossible(
+        raise ScheduleImpossibleError(
             f"canary_weight {plan.canary_weight:g} spends more than the {share:g} of the prompts that accrue"
             f" as credit ({EXPOSE_TARGET:g} of expose_share {plan.expose_share:g})"
         )
--- a/src/springmux/rollout/standard_template.py
+++ b/src/springmux/rollout/planning/standard_template.py
@@ -4,7 +4,12 @@
 
 from typing import Any
 
-from springmux.rollout.template import STANDARD_TEMPLATE_NAME, Parameter, ParameterType, RolloutTemplate
+from springmux.rollout.planning.template import (
+    STANDARD_TEMPLATE_NAME,
+    Parameter,
+    ParameterType,
+    RolloutTemplate,
+)
 
 
 def _standard(name: str, kind: ParameterType, description: str, **bounds: Any) -> Parameter:
--- a/src/springmux/rollout/registry.py
+++ b/src/springmux/rollout/registry.py
@@ -6,13 +6,13 @@
 from collections.abc import Iterable
 
 from springmux.coordination.identifiers import NodeId, Revision, ZoneName
-from springmux.coordination.kernel import Effect, Note, NoteLevel
+from springmux.coordination.state_machine import Effect, LogLevel, LogLine
 from springmux.rollout.events import ControlViewChanged, RolloutSettings
-from springmux.rollout.load_step import is_load_step, load_weight, loaded_engines
 from springmux.rollout.participant import Participant
-from springmux.rollout.plan import TERMINAL_PHASES, RolloutPhase, RolloutRecord
+from springmux.rollout.planning.load_step import is_load_step, load_weight, loaded_engines
+from springmux.rollout.planning.plan import TERMINAL_PHASES, RolloutPhase, RolloutRecord
 from springmux.rollout.steering import engines_limit, ready_capacity, ready_count
-from springmux.rollout.token import RolloutEntry
+from springmux.rollout.token_ring.token import RolloutEntry
 from springmux.rollout.version_filter import ServiceGate, VersionFilter
 from springmux.vocabulary.engines import EnginesView
 from springmux.vocabulary.names import RolloutId, ServiceName, VersionName
@@ -123,7 +123,7 @@
     return {participant.record.rollout: participant for participant in participants}
 
 
-def _record_note(record: RolloutRecord) -> Note:
+def _record_note(record: RolloutRecord) -> LogLine:
     fields = {
         "service": record.service,
         "rollout": record.rollout,
@@ -131,4 +131,4 @@
         "weight": record.weight,
         "step": record.step,
     }
-    return Note("rollout_record", NoteLevel.INFO, fields)
+    return LogLine("rollout_record", LogLevel.INFO, fields)
--- a/src/springmux/rollout/part.py
+++ b/src/springmux/rollout/rollout_coordinator.py
@@ -1,8 +1,8 @@
 """The rollout in one node: token, lease, ledger, evidence and, at the control leader, the schedule.
 
-Pure (see :mod:`springmux.coordination.kernel`). The data plane uses :attr:`RolloutPart.filter`; everything
-else comes in as events. Any node whose merged evidence calls for it turns the token to *abort*; only the
-leader, who issues the token, raises a weight or finishes.
+Pure (see :mod:`springmux.coordination.state_machine`). The data plane uses :attr:`RolloutCoordinator.filter`;
+everything else comes in as events. Any node whose merged evidence calls for it turns the token to *abort*;
+only the leader, who issues the token, raises a weight or finishes.
 """
 
 from __future__ import annotations
@@ -13,21 +13,30 @@
 import msgspec
 
 from springmux.coordination.identifiers import NodeId, ZoneName
-from springmux.coordination.kernel import NEVER, Effect, Event, MessageReceived, Note, NoteLevel, Send, Tick
 from springmux.coordination.membership.view import NodeRecord
-from springmux.rollout.abort_wishes import AbortWishes
+from springmux.coordination.state_machine import (
+    NEVER,
+    Effect,
+    Event,
+    LogLevel,
+    LogLine,
+    MessageReceived,
+    Send,
+    Tick,
+)
+from springmux.rollout.abort_requests import AbortRequests
 from springmux.rollout.events import ControlViewChanged, EnginesChanged, FleetChanged, IssuerChanged
 from springmux.rollout.events import RolloutSettings as RolloutSettings
-from springmux.rollout.laps import Passage, TokenPasser
 from springmux.rollout.leadership import Leadership
 from springmux.rollout.messages import RolloutAbortNotice, RolloutToken, RolloutTokenAck
 from springmux.rollout.participant import Participant, Visit
 from springmux.rollout.registry import RolloutRegistry, by_rollout
 from springmux.rollout.reporting import build_status
-from springmux.rollout.rings import RELAY, RingLayout, lay_out, way_from
 from springmux.rollout.status import RolloutSample, RolloutStatus
-from springmux.rollout.token import RolloutEntry
-from springmux.rollout.zone_ring import ZoneRing
+from springmux.rollout.token_ring.rings import RELAY, RingLayout, lay_out, way_from
+from springmux.rollout.token_ring.token import RolloutEntry
+from springmux.rollout.token_ring.token_passing import Passage, TokenPasser
+from springmux.rollout.token_ring.zone_ring import ZoneRing
 from springmux.vocabulary.names import ServiceName
 
 ZONE_LAP_S = 0.9
@@ -37,7 +46,7 @@
 """Returns a token's entry with what this node, or the ring it leads, has to add."""
 
 
-class RolloutPart:
+class RolloutCoordinator:
     """One node's part in all rollouts. ``random`` draws the node's account numbers."""
 
     def __init__(self, own: NodeId, zone: ZoneName, random: random.Random, settings: RolloutSettings) -> None:
@@ -53,7 +62,7 @@
         self._zone_ring: ZoneRing | None = None
         self._seen = (-1, -1)
         self._seen_relay = (-1, -1)
-        self._aborts = AbortWishes(own, self._registry, lambda: self._leadership)
+        self._aborts = AbortRequests(own, self._registry, lambda: self._leadership)
 
     def handle(self, event: Event, now: float) -> list[Effect]:
         """Take one event; see the kernel."""
@@ -108,7 +117,7 @@
         leadership = Leadership(self._own, event.term, sequence, self._registry.settings, now)
         self._leadership = leadership
         leadership.follow(self._registry.under_way(), now)
-        note = Note("rollout_issuer", NoteLevel.INFO, {"term": event.term, "sequence": sequence})
+        note = LogLine("rollout_issuer", LogLevel.INFO, {"term": event.term, "sequence": sequence})
         # Who decided an abort may be gone before it was committed.
         aborted = [known for known in self._registry.under_way() if known.aborted]
         return [note, *(effect for known in aborted for effect in self._aborts.want(known, now))]
--- a/src/springmux/rollout/steering.py
+++ b/src/springmux/rollout/steering.py
@@ -4,14 +4,14 @@
 
 import msgspec
 
-from springmux.coordination.kernel import Effect, Note, NoteLevel
-from springmux.rollout.effects import AbortWanted, FinishWanted, StepWanted
+from springmux.coordination.state_machine import Effect, LogLevel, LogLine
+from springmux.rollout.effects import ProposeAbort, ProposeFinish, ProposeStep
 from springmux.rollout.issuer import IssuedRollout
 from springmux.rollout.judgement.final_look import final_look
-from springmux.rollout.load_step import is_load_step, load_weight
 from springmux.rollout.participant import ACTIVE_PHASES, Participant
-from springmux.rollout.plan import RolloutDecision, RolloutPhase
-from springmux.rollout.schedule import ANSWER_S, NextStep, Progress, StepKind, next_step
+from springmux.rollout.planning.load_step import is_load_step, load_weight
+from springmux.rollout.planning.plan import RolloutDecision, RolloutPhase
+from springmux.rollout.planning.schedule import ANSWER_S, NextStep, Progress, StepKind, next_step
 from springmux.rollout.status import EvidenceSummary, RolloutSample
 from springmux.vocabulary.engines import EnginesView
 from springmux.vocabulary.names import ServiceName, VersionName
@@ -76,8 +76,8 @@
         self._abort_due_at = now + WISH_REPEAT_S
         fields = {"service": record.service, "rollout": record.rollout, "reason": self._refused.reason}
         return [
-            AbortWanted(record.service, record.rollout, self._refused),
-            Note("rollout_abort_wanted", NoteLevel.WARNING, fields),
+            ProposeAbort(record.service, record.rollout, self._refused),
+            LogLine("rollout_abort_wanted", LogLevel.WARNING, fields),
         ]
 
     def _progress(self, engines: EnginesView | None, now: float) -> Progress:
@@ -103,7 +103,7 @@
             return []
         self.waiting = reason
         record = self.participant.record
-        return [Note("rollout_waits", NoteLevel.INFO, {"service": record.service, "reason": reason})]
+        return [LogLine("rollout_waits", LogLevel.INFO, {"service": record.service, "reason": reason})]
 
     def _wish(self, step: NextStep, now: float) -> list[Effect]:
         record = self.participant.record
@@ -119,12 +119,12 @@
         fields |= msgspec.structs.asdict(summarize(self.participant, self.issued))
         if step.kind is StepKind.FINISH:
             return [
-                FinishWanted(record.service, record.rollout, elapsed_s),
-                Note("rollout_finish_wanted", NoteLevel.INFO, fields),
+                ProposeFinish(record.service, record.rollout, elapsed_s),
+                LogLine("rollout_finish_wanted", LogLevel.INFO, fields),
             ]
         return [
-            StepWanted(record.service, record.rollout, step.phase, number, step.weight, elapsed_s),
-            Note("rollout_step_wanted", NoteLevel.INFO, {**fields, "weight": step.weight}),
+            ProposeStep(record.service, record.rollout, step.phase, number, step.weight, elapsed_s),
+            LogLine("rollout_step_wanted", LogLevel.INFO, {**fields, "weight": step.weight}),
         ]
 
     def _sample(self, now: float) -> RolloutSample:
--- a/src/springmux/rollout/laps.py
+++ b/src/springmux/rollout/token_ring/token_passing.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from springmux.coordination.identifiers import NodeId
-from springmux.coordination.kernel import NEVER, Effect, Note, NoteLevel, Send
+from springmux.coordination.state_machine import NEVER, Effect, LogLevel, LogLine, Send
 from springmux.rollout.messages import RolloutToken, RolloutTokenAck
 
 HOP_TIMEOUT_S = 0.12
@@ -73,9 +73,9 @@
         if hop.to == hop.token.issuer:
             return self._retry_home(hop, now)
         self._avoid_until[hop.to] = now + AVOID_S
-        note = Note(
+        note = LogLine(
             "rollout_token_hop_skipped",
-            NoteLevel.WARNING,
+            LogLevel.WARNING,
             {"to": hop.to, "term": hop.token.term, "sequence": hop.token.sequence},
         )
         passage = self.pass_on(hop.token, now)
--- a/src/springmux/router/admission.py
+++ b/src/springmux/router/admission.py
@@ -14,7 +14,7 @@
 from typing import TypeVar
 
 from springmux.control.view import AdmissionLimits, KeyRecord, TrafficClass
-from springmux.router.errors import Refusal
+from springmux.router.errors import RefusalError
 from springmux.vocabulary.errors import ErrorCode
 from springmux.vocabulary.names import KeyId, RequestId, TenantName
 
@@ -115,7 +115,7 @@
         """Return a granted or queued ticket.
 
         :param pressed: the engines of the route's service report queues.
-        :raises Refusal: ``overloaded``, 429 over a share or 503 when the node is full.
+        :raises RefusalError: ``overloaded``, 429 over a share or 503 when the node is full.
         """
         state = self._classes[traffic_class]
         try:
@@ -123,7 +123,7 @@
             granted = state.queued == 0 and self._has_free(traffic_class)
             if not granted:
                 self._check_queue(state, key)
-        except Refusal:
+        except RefusalError:
             self.sheds[traffic_class] += 1
             raise
         ticket = Ticket(
@@ -214,7 +214,7 @@
         ahead = min(state.queued, queued_of_tenant * max(1, len(state.queues)))
         wait_s = (ahead + 1) * state.hold_s / max(1, state.in_flight)
         if state.queued >= limits.queue_length or wait_s > limits.queue_timeout_s:
-            raise Refusal(
+            raise RefusalError(
                 ErrorCode.OVERLOADED, "the node is full", retry_after_s=max(OVERLOAD_RETRY_S, wait_s)
             )
 
@@ -265,8 +265,8 @@
     return value
 
 
-def _over_share(whose: str, hold_s: float) -> Refusal:
-    return Refusal(
+def _over_share(whose: str, hold_s: float) -> RefusalError:
+    return RefusalError(
         ErrorCode.OVERLOADED,
         f"the {whose} has its share of a full node",
         status=429,
--- a/src/springmux/router/attempt.py
+++ b/src/springmux/router/attempt.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from springmux.control.view import RouteKind
-from springmux.coordination.kernel import NEVER
+from springmux.coordination.state_machine import NEVER
 from springmux.rollout.outcome import Ending, PromptOutcome
 from springmux.router.core import RouterCore
 from springmux.router.parse import ParsedRequest
--- a/src/springmux/router/authentication.py
+++ b/src/springmux/router/authentication.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 
 from springmux.control.view import ControlView, KeyRecord
-from springmux.router.errors import Refusal
+from springmux.router.errors import RefusalError
 from springmux.vocabulary.errors import ErrorCode
 from springmux.vocabulary.names import KeyDigest
 
@@ -16,16 +16,16 @@
 def authenticate(headers: Mapping[str, str], view: ControlView) -> KeyRecord:
     """Return the record of the caller's key.
 
-    :raises Refusal: ``missing_key``, ``unknown_key`` or ``revoked_key`` (401).
+    :raises RefusalError: ``missing_key``, ``unknown_key`` or ``revoked_key`` (401).
     """
     value = headers.get("authorization", "")
     if value[: len(BEARER)].lower() != BEARER or len(value) == len(BEARER):
-        raise Refusal(ErrorCode.MISSING_KEY, "send the header Authorization: Bearer KEY")
+        raise RefusalError(ErrorCode.MISSING_KEY, "send the header Authorization: Bearer KEY")
     key = value[len(BEARER) :].strip()
     digest = KeyDigest(hashlib.sha256(key.encode(errors="surrogateescape")).hexdigest())
     record = view.keys.get(digest)
     if record is None or record.tenant not in view.tenants:
-        raise Refusal(ErrorCode.UNKNOWN_KEY, "the key is not known")
+        raise RefusalError(ErrorCode.UNKNOWN_KEY, "the key is not known")
     if record.revoked:
-        raise Refusal(ErrorCode.REVOKED_KEY, "the key was revoked")
+        raise RefusalError(ErrorCode.REVOKED_KEY, "the key was revoked")
     return record
--- a/src/springmux/router/claim.py
+++ b/src/springmux/router/claim.py
@@ -5,9 +5,9 @@
 import xxhash
 
 from springmux.control.view import KeyRecord
-from springmux.router.effects import AnswerHead, AskClaim, SettleClaim
-from springmux.router.kept_answer import KeptAnswer, encode_answer
+from springmux.router.effects import RequestClaim, ResponseHead, SettleClaim
 from springmux.router.parse import ParsedRequest
+from springmux.router.stored_response import StoredResponse, encode_answer
 from springmux.vocabulary.names import RequestId
 
 
@@ -33,14 +33,14 @@
         self._running = running
         self._kept = b""
 
-    def ask(self) -> AskClaim:
+    def ask(self) -> RequestClaim:
         """Begin."""
         self._running.add(self.key)
-        return AskClaim(self.key)
+        return RequestClaim(self.key)
 
-    def keep(self, head: AnswerHead, body: bytes) -> None:
+    def keep(self, head: ResponseHead, body: bytes) -> None:
         """Keep the whole answer for resends."""
-        self._kept = encode_answer(KeptAnswer(head.status, head.headers, body, self.body_digest))
+        self._kept = encode_answer(StoredResponse(head.status, head.headers, body, self.body_digest))
 
     def settle(self, ran: bool) -> list[SettleClaim]:
         """End; ``ran``: a byte may have reached an engine."""
--- a/src/springmux/router/core.py
+++ b/src/springmux/router/core.py
@@ -60,7 +60,7 @@
 
 
 @dataclass(slots=True)
-class AnswerLengths:
+class ResponseLengths:
     """Smoothed length of answers by route, in tokens, to reserve quota and to weigh load."""
 
     _by_route: dict[RouteName, float] = field(default_factory=dict)
@@ -102,7 +102,7 @@
         self.admission = Admission(AdmissionLimits())
         self.retry_budget = _retry_budget(AdmissionLimits())
         self.losses = LossWatch(chooser.observe)
-        self.answer_lengths = AnswerLengths()
+        self.answer_lengths = ResponseLengths()
         self.counters = Counters()
         self.wake_listener: Callable[[RequestId], None] | None = None
         self.claims_running: set[str] = set()
--- a/src/springmux/router/dispatching.py
+++ b/src/springmux/router/dispatching.py
@@ -6,7 +6,7 @@
 from springmux.router.attempt import Attempt
 from springmux.router.core import RouterCore
 from springmux.router.effects import Dispatch, Headers
-from springmux.router.events import CallerRequest
+from springmux.router.events import ClientRequest
 from springmux.router.parse import ParsedRequest
 
 CONNECT_TIMEOUT_S = 0.5
@@ -15,7 +15,7 @@
 
 def dispatch_effect(
     core: RouterCore,
-    request: CallerRequest,
+    request: ClientRequest,
     parsed: ParsedRequest,
     attempt: Attempt,
     deadline: float,
--- a/src/springmux/router/effects.py
+++ b/src/springmux/router/effects.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from springmux.coordination.kernel import Effect
+from springmux.coordination.state_machine import Effect
 from springmux.vocabulary.engines import EngineRecord
 from springmux.vocabulary.errors import ApiError
 
 Headers = tuple[tuple[str, str], ...]
 
 
-class AskClaim(Effect, frozen=True):
+class RequestClaim(Effect, frozen=True):
     """Take the at-most-once claim ``claim_key``, then give ``ClaimDecided``."""
 
     claim_key: str
@@ -42,7 +42,7 @@
     reusable: bool
 
 
-class AnswerHead(Effect, frozen=True):
+class ResponseHead(Effect, frozen=True):
     """Begin the answer to the caller. ``length`` is ``None`` for a stream (chunked)."""
 
     status: int
@@ -50,23 +50,23 @@
     length: int | None
 
 
-class AnswerData(Effect, frozen=True):
+class ResponseData(Effect, frozen=True):
     """Write bytes of the answer to the caller at once."""
 
     data: bytes
 
 
-class AnswerEnd(Effect, frozen=True):
+class ResponseEnd(Effect, frozen=True):
     """The answer is whole."""
 
 
-class AnswerError(Effect, frozen=True):
+class ResponseError(Effect, frozen=True):
     """Answer with a typed error; nothing was written to the caller before."""
 
     error: ApiError
 
 
-class AnswerCut(Effect, frozen=True):
+class ResponseAborted(Effect, frozen=True):
     """Break off an answer that was begun: close the caller's connection without a proper end."""
 
 
--- a/src/springmux/router/errors.py
+++ b/src/springmux/router/errors.py
@@ -45,7 +45,7 @@
 _encoder = msgspec.json.Encoder()
 
 
-class Refusal(Exception):
+class RefusalError(Exception):
     """A check says no: the request never runs. Caught by the flow, which adds request and node."""
 
     def __init__(
--- a/src/springmux/router/events.py
+++ b/src/springmux/router/events.py
@@ -8,11 +8,11 @@
 import msgspec
 
 from springmux.coordination.claims.decision import ClaimDecision
-from springmux.coordination.kernel import Event
+from springmux.coordination.state_machine import Event
 from springmux.vocabulary.names import RequestId
 
 
-class CallerRequest(msgspec.Struct, frozen=True):
+class ClientRequest(msgspec.Struct, frozen=True):
     """A caller's whole request as the listener read it. Header names are lower case."""
 
     request_id: RequestId
@@ -27,7 +27,7 @@
 
 
 class ClaimDecided(Event, frozen=True):
-    """The claim asked for by ``AskClaim`` was decided."""
+    """The claim asked for by ``RequestClaim`` was decided."""
 
     decision: ClaimDecision
 
@@ -77,15 +77,15 @@
 """Everything that an exchange with an engine can bring."""
 
 
-class CallerGone(Event, frozen=True):
+class ClientDisconnected(Event, frozen=True):
     """The caller closed its connection."""
 
 
-class CallerBlocked(Event, frozen=True):
-    """The caller's socket is full: nothing more is read from the engine until ``CallerReady``."""
+class ClientBlocked(Event, frozen=True):
+    """The caller's socket is full: nothing more is read from the engine until ``ClientReady``."""
 
 
-class CallerReady(Event, frozen=True):
+class ClientReady(Event, frozen=True):
     """The caller's socket takes more again, and the engine's bytes are read again."""
 
 
--- a/src/springmux/router/exchange_state.py
+++ b/src/springmux/router/exchange_state.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 from springmux.control.view import RouteKind
-from springmux.coordination.kernel import NEVER, Effect
+from springmux.coordination.state_machine import NEVER, Effect
 from springmux.rollout.outcome import Ending
 from springmux.router.attempt import Attempt
 from springmux.router.core import RouterCore
 from springmux.router.effects import CloseUpstream
-from springmux.router.events import CallerRequest, UpstreamEnd, UpstreamEvent
+from springmux.router.events import ClientRequest, UpstreamEnd, UpstreamEvent
 from springmux.router.parse import ParsedRequest
 from springmux.router.prefix_index import PromptPrefix, hash_prefix
 from springmux.router.retry_policy import RetryPolicy
@@ -42,7 +42,7 @@
     )
 
     def __init__(
-        self, core: RouterCore, request: CallerRequest, parsed: ParsedRequest, deadline: float, now: float
+        self, core: RouterCore, request: ClientRequest, parsed: ParsedRequest, deadline: float, now: float
     ) -> None:
         self._core = core
         self._request = request
--- a/src/springmux/router/flow.py
+++ b/src/springmux/router/flow.py
@@ -9,19 +9,18 @@
 
 from springmux.control.view import KeyRecord
 from springmux.coordination.claims.decision import ClaimVerdict
-from springmux.coordination.kernel import Effect, Event, Tick
+from springmux.coordination.state_machine import Effect, Event, Tick
 from springmux.rollout.outcome import Ending
 from springmux.router import parse
-from springmux.router.answers import models_body, models_head, replay_headers
 from springmux.router.authentication import authenticate
 from springmux.router.claim import Claim, claim_key
-from springmux.router.effects import AnswerData, AnswerEnd, AnswerHead
-from springmux.router.errors import RETRY_AFTER_S, Refusal
+from springmux.router.effects import ResponseData, ResponseEnd, ResponseHead
+from springmux.router.errors import RETRY_AFTER_S, RefusalError
 from springmux.router.events import (
-    CallerBlocked,
-    CallerGone,
-    CallerReady,
     ClaimDecided,
+    ClientBlocked,
+    ClientDisconnected,
+    ClientReady,
     KeyRevoked,
     RequestBegun,
     StopRequested,
@@ -33,11 +32,12 @@
 )
 from springmux.router.exchange import Exchange
 from springmux.router.exchange_state import FROZEN_S
-from springmux.router.kept_answer import decode_answer
 from springmux.router.parse import ParsedRequest
 from springmux.router.place import Place, check_connected, check_serving
 from springmux.router.progress import Progress
 from springmux.router.request_state import CLAIM_LEAVE_S, RequestState, Stage
+from springmux.router.responses import models_body, models_head, replay_headers
+from springmux.router.stored_response import decode_answer
 from springmux.vocabulary.errors import ErrorCode, Fate
 
 CLAIM_WAIT_S = 1.5
@@ -65,7 +65,7 @@
         if self._head_sent and self._exchange is not None and isinstance(event, UpstreamData):
             piece = self._exchange.take_piece(event, now) if self.stage is Stage.RUNNING else None
             if piece is not None:
-                return [AnswerData(piece)]
+                return [ResponseData(piece)]
         effects: list[Effect] = []
         self._effects = effects
         if self.stage is Stage.DONE:
@@ -79,11 +79,11 @@
             self._begin(now)
         elif isinstance(event, ClaimDecided):
             self._take_claim(event, now)
-        elif isinstance(event, CallerGone):
+        elif isinstance(event, ClientDisconnected):
             self._caller_gone(now)
-        elif isinstance(event, CallerBlocked | CallerReady):
+        elif isinstance(event, ClientBlocked | ClientReady):
             if self._exchange is not None and self.stage is Stage.RUNNING:
-                self._exchange.caller_blocked(isinstance(event, CallerBlocked), now)
+                self._exchange.caller_blocked(isinstance(event, ClientBlocked), now)
         elif isinstance(event, KeyRevoked):
             self._end_early(ErrorCode.REVOKED_KEY, "the key was revoked", None, now)
         elif isinstance(event, StopRequested):
@@ -112,7 +112,7 @@
                 self.stage = Stage.QUEUED
                 wait_until = now + core.admission.limits.queue_timeout_s
                 self._stage_until = min(self._deadline, wait_until)
-        except Refusal as refusal:
+        except RefusalError as refusal:
             self._refuse(refusal, now)
 
     def _admitted(self, parsed: ParsedRequest, place: Place, key: KeyRecord, now: float) -> None:
@@ -132,7 +132,7 @@
                 self._reserved(parsed, key, now)
             elif now >= self._stage_until:
                 raise place.quota_refusal(now)
-        except Refusal as refusal:
+        except RefusalError as refusal:
             self._refuse(refusal, now)
 
     def _reserved(self, parsed: ParsedRequest, key: KeyRecord, now: float) -> None:
@@ -178,7 +178,7 @@
             self._fail(ErrorCode.INVALID_REQUEST, _OTHER_BODY, Fate.UNKNOWN, None, now, status=422)
             return
         headers = replay_headers(self.request.request_id, self._core.node, kept)
-        self._answer(AnswerHead(kept.status, headers, len(kept.body)), kept.body, now)
+        self._answer(ResponseHead(kept.status, headers, len(kept.body)), kept.body, now)
 
     def _duplicate(self, message: str, now: float) -> None:
         self._fail(ErrorCode.DUPLICATE_REQUEST, message, Fate.UNKNOWN, RETRY_AFTER_S, now)
@@ -190,7 +190,7 @@
             return
         try:
             check_connected(self._core, now)
-        except Refusal as refusal:
+        except RefusalError as refusal:
             self._refuse(refusal, now)
             return
         self._core.retry_budget.note_request(now)
@@ -216,7 +216,7 @@
             self._head_sent = True
             effects.append(progress.head)
         if progress.data:
-            effects.append(AnswerData(progress.data))
+            effects.append(ResponseData(progress.data))
         if progress.failure is not None:
             failure = progress.failure
             self._fail(failure.code, failure.message, failure.fate, failure.retry_after_s, now)
@@ -224,7 +224,7 @@
             head = progress.head
             if self._claim is not None and head is not None and head.length is not None:
                 self._claim.keep(head, progress.data)
-            effects.append(AnswerEnd())
+            effects.append(ResponseEnd())
             self._conclude(now)
 
     def _take_tick(self, now: float) -> None:
@@ -257,10 +257,10 @@
             if not place.granted or now >= self._deadline:
                 place.count_shed()
                 message = "no slot came free in time"
-                raise Refusal(ErrorCode.OVERLOADED, message, retry_after_s=RETRY_AFTER_S)
+                raise RefusalError(ErrorCode.OVERLOADED, message, retry_after_s=RETRY_AFTER_S)
             check_connected(self._core, now)
             self._admitted(parsed, place, key, now)
-        except Refusal as refusal:
+        except RefusalError as refusal:
             self._refuse(refusal, now)
 
     def _caller_gone(self, now: float) -> None:
@@ -287,6 +287,6 @@
         self._fail(code, message, fate, retry_after_s, now)
 
 
-def _claim_unavailable() -> Refusal:
+def _claim_unavailable() -> RefusalError:
     message = "no two claim holders answered; it did not run"
-    return Refusal(ErrorCode.CLAIM_UNAVAILABLE, message, retry_after_s=RETRY_AFTER_S)
+    return RefusalError(ErrorCode.CLAIM_UNAVAILABLE, message, retry_after_s=RETRY_AFTER_S)
--- a/src/springmux/router/parse.py
+++ b/src/springmux/router/parse.py
@@ -12,8 +12,8 @@
 import xxhash
 
 from springmux.control.view import Configuration, Route, RouteKind
-from springmux.router.errors import Refusal
-from springmux.router.events import CallerRequest
+from springmux.router.errors import RefusalError
+from springmux.router.events import ClientRequest
 from springmux.vocabulary.errors import ErrorCode, FieldError
 from springmux.vocabulary.names import RequestId, RouteName
 
@@ -88,10 +88,10 @@
     return path.partition("?")[0]
 
 
-def check_path(request: CallerRequest) -> None:
+def check_path(request: ClientRequest) -> None:
     """Check path and method.
 
-    :raises Refusal: ``not_found`` or ``method_not_allowed``.
+    :raises RefusalError: ``not_found`` or ``method_not_allowed``.
     """
     path = plain_path(request.path)
     if path == MODELS_PATH:
@@ -99,15 +99,15 @@
     elif path == CHAT_PATH or path.startswith(CALLS_PREFIX):
         allowed = "POST"
     else:
-        raise Refusal(ErrorCode.NOT_FOUND, f"no such path; prompts go to {CHAT_PATH}")
+        raise RefusalError(ErrorCode.NOT_FOUND, f"no such path; prompts go to {CHAT_PATH}")
     if request.method != allowed:
-        raise Refusal(ErrorCode.METHOD_NOT_ALLOWED, f"{path} takes {allowed} only")
+        raise RefusalError(ErrorCode.METHOD_NOT_ALLOWED, f"{path} takes {allowed} only")
 
 
-def parse_request(request: CallerRequest, configuration: Configuration) -> ParsedRequest:
+def parse_request(request: ClientRequest, configuration: Configuration) -> ParsedRequest:
     """Return what ``request`` asks for (its path was checked before).
 
-    :raises Refusal: unknown route, wrong body, or a body over the route's limit.
+    :raises RefusalError: unknown route, wrong body, or a body over the route's limit.
     """
     path = plain_path(request.path)
     if path == CHAT_PATH:
@@ -115,7 +115,7 @@
     return _parse_call(request, path, configuration)
 
 
-def _parse_chat(request: CallerRequest, configuration: Configuration) -> ParsedRequest:
+def _parse_chat(request: ClientRequest, configuration: Configuration) -> ParsedRequest:
     _check_size(request.body, _largest_prompt_body(configuration))
     body = _decode(_chat_decoder, request.body)
     route = _route(configuration, body.model, RouteKind.PROMPT)
@@ -138,7 +138,7 @@
     )
 
 
-def _parse_call(request: CallerRequest, path: str, configuration: Configuration) -> ParsedRequest:
+def _parse_call(request: ClientRequest, path: str, configuration: Configuration) -> ParsedRequest:
     route = _route(configuration, path[len(CALLS_PREFIX) :], RouteKind.CALL)
     _check_size(request.body, route.max_body_bytes)
     _decode(_object_decoder, request.body)
@@ -162,24 +162,26 @@
         message, _, path = str(error).partition(" - at `$.")
         raise _invalid(path.rstrip("`"), message) from None
     except (msgspec.DecodeError, RecursionError) as error:
-        raise Refusal(ErrorCode.MALFORMED_JSON, f"the body is not JSON: {error}") from None
+        raise RefusalError(ErrorCode.MALFORMED_JSON, f"the body is not JSON: {error}") from None
 
 
 def _check_utf8(body: bytes) -> None:
     try:
         body.decode()
     except UnicodeDecodeError:
-        raise Refusal(ErrorCode.MALFORMED_JSON, "the body is not UTF-8") from None
+        raise RefusalError(ErrorCode.MALFORMED_JSON, "the body is not UTF-8") from None
 
 
-def _invalid(path: str, message: str) -> Refusal:
+def _invalid(path: str, message: str) -> RefusalError:
     text = f"{path}: {message}" if path else message
-    return Refusal(ErrorCode.INVALID_REQUEST, text, errors=(FieldError(path, message),))
+    return RefusalError(ErrorCode.INVALID_REQUEST, text, errors=(FieldError(path, message),))
 
 
 def _check_size(body: bytes, limit_bytes: int) -> None:
     if len(body) > limit_bytes:
-        raise Refusal(ErrorCode.BODY_TOO_LARGE, f"the body has {len(body)} bytes, the limit is {limit_bytes}")
+        raise RefusalError(
+            ErrorCode.BODY_TOO_LARGE, f"the body has {len(body)} bytes, the limit is {limit_bytes}"
+        )
 
 
 def _largest_prompt_body(configuration: Configuration) -> int:
@@ -190,7 +192,7 @@
 def _route(configuration: Configuration, name: str, kind: RouteKind) -> Route:
     route = configuration.routes.get(RouteName(name))
     if route is None or route.kind is not kind:
-        raise Refusal(ErrorCode.UNKNOWN_ROUTE, f"no {kind} route of that name in the configuration")
+        raise RefusalError(ErrorCode.UNKNOWN_ROUTE, f"no {kind} route of that name in the configuration")
     return route
 
 
