--- a/src/springmux/router/place.py
+++ b/src/springmux/router/place.py
@@ -5,7 +5,7 @@
 from springmux.control.view import KeyRecord, RouteKind
 from springmux.router.admission import Ticket, TicketState
 from springmux.router.core import RouterCore
-from springmux.router.errors import RETRY_AFTER_S, Refusal
+from springmux.router.errors import RETRY_AFTER_S, RefusalError
 from springmux.router.parse import ParsedRequest
 from springmux.vocabulary.errors import ErrorCode
 from springmux.vocabulary.names import RequestId
@@ -23,23 +23,23 @@
 def check_serving(core: RouterCore, now: float) -> None:
     """Check that the node takes new requests at all.
 
-    :raises Refusal: ``not_ready``, ``stopping`` or ``cut_off``.
+    :raises RefusalError: ``not_ready``, ``stopping`` or ``cut_off``.
     """
     if not core.ready:
         code = CODE_OF_REASON.get(core.not_ready_reason, ErrorCode.NOT_READY)
         message = f"the node is not ready: {core.not_ready_reason}"
-        raise Refusal(code, message, retry_after_s=RETRY_AFTER_S)
+        raise RefusalError(code, message, retry_after_s=RETRY_AFTER_S)
     check_connected(core, now)
 
 
 def check_connected(core: RouterCore, now: float) -> None:
     """Check, at this very moment, that the node is not cut off (it may just have been thawed).
 
-    :raises Refusal: ``cut_off``.
+    :raises RefusalError: ``cut_off``.
     """
     if not core.connected(now):
         message = "the node hears no majority of the fleet"
-        raise Refusal(ErrorCode.CUT_OFF, message, retry_after_s=RETRY_AFTER_S)
+        raise RefusalError(ErrorCode.CUT_OFF, message, retry_after_s=RETRY_AFTER_S)
 
 
 class Place:
@@ -52,7 +52,7 @@
     ) -> None:
         """Take a slot or queue.
 
-        :raises Refusal: ``overloaded``.
+        :raises RefusalError: ``overloaded``.
         """
         self._core = core
         self._parsed = parsed
@@ -81,7 +81,7 @@
 
         :param again: the request waited for the quota's owner and tries once more.
         :returns: ``False`` if the owner has yet to say whether there are tokens.
-        :raises Refusal: ``quota_exceeded``.
+        :raises RefusalError: ``quota_exceeded``.
         """
         if self._parsed.route.kind is not RouteKind.PROMPT:
             return True
@@ -101,11 +101,11 @@
         answer_tokens = self._core.answer_lengths.expected(parsed.route.name, parsed.max_tokens)
         return parsed.prompt_tokens + answer_tokens
 
-    def quota_refusal(self, now: float) -> Refusal:
+    def quota_refusal(self, now: float) -> RefusalError:
         """Return the refusal for want of the tokens that were asked for."""
         retry_after_s = self._core.quota.retry_after_s(self._key.tenant, self._asked, now)
         message = "the tenant's token quota is used up"
-        return Refusal(ErrorCode.QUOTA_EXCEEDED, message, retry_after_s=retry_after_s)
+        return RefusalError(ErrorCode.QUOTA_EXCEEDED, message, retry_after_s=retry_after_s)
 
     def next_quota_look_at(self, wait_until: float) -> float:
         """Return when a request that waits for the quota's owner tries again."""
--- a/src/springmux/router/progress.py
+++ b/src/springmux/router/progress.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from springmux.coordination.kernel import Effect
-from springmux.router.effects import AnswerHead
+from springmux.coordination.state_machine import Effect
+from springmux.router.effects import ResponseHead
 from springmux.router.errors import RETRY_AFTER_S
 from springmux.router.events import UpstreamCause
 from springmux.vocabulary.errors import ErrorCode, Fate
@@ -35,7 +35,7 @@
     """
 
     effects: list[Effect] = []
-    head: AnswerHead | None = None
+    head: ResponseHead | None = None
     data: bytes = b""
     whole: bool = False
     failure: ExchangeFailure | None = None
--- a/src/springmux/router/reply.py
+++ b/src/springmux/router/reply.py
@@ -5,11 +5,11 @@
 from springmux.control.view import RouteKind
 from springmux.coordination.identifiers import NodeId
 from springmux.rollout.outcome import Ending
-from springmux.router.answer_check import AnswerChecker, head_fault
-from springmux.router.answers import engine_headers
-from springmux.router.effects import AnswerHead, Headers
+from springmux.router.effects import Headers, ResponseHead
 from springmux.router.events import UpstreamHead
 from springmux.router.parse import ParsedRequest
+from springmux.router.response_check import ResponseChecker, head_fault
+from springmux.router.responses import engine_headers
 from springmux.router.stream_check import StreamChecker
 from springmux.vocabulary.errors import ErrorCode
 from springmux.vocabulary.names import EngineId, RequestId
@@ -35,7 +35,7 @@
     ) -> None:
         self.status = event.status
         self.stream: StreamChecker | None = None
-        self.answer: AnswerChecker | None = None
+        self.answer: ResponseChecker | None = None
         self.version = ""
         self._broke_off = False
         self._headers: Headers = ()
@@ -53,7 +53,7 @@
             self._begin_stream(event, request_id)
         else:
             completion = parsed.route.kind is RouteKind.PROMPT and event.status < 400
-            self.answer = AnswerChecker(event.headers, request_id if completion else "")
+            self.answer = ResponseChecker(event.headers, request_id if completion else "")
             self.fault = self.answer.fault
 
     def _begin_stream(self, event: UpstreamHead, request_id: RequestId) -> None:
@@ -104,10 +104,10 @@
         engine_error = self.stream is not None and self.stream.engine_error
         return Ending.ERROR_STATUS if engine_error else Ending.BROKEN
 
-    def head(self) -> AnswerHead:
+    def head(self) -> ResponseHead:
         """Return the head for the caller; of a whole answer only after its end was checked."""
         length = len(self.answer.body) if self.answer is not None else None
-        return AnswerHead(self.status, self._headers, length)
+        return ResponseHead(self.status, self._headers, length)
 
     def pieces(self) -> int:
         """Return how many valid pieces of a stream came."""
--- a/src/springmux/router/request_state.py
+++ b/src/springmux/router/request_state.py
@@ -9,12 +9,19 @@
 from collections.abc import Callable
 
 from springmux.control.view import KeyRecord
-from springmux.coordination.kernel import NEVER, Effect
+from springmux.coordination.state_machine import NEVER, Effect
 from springmux.router.claim import Claim
 from springmux.router.core import RouterCore
-from springmux.router.effects import AnswerCut, AnswerData, AnswerEnd, AnswerError, AnswerHead, FlowDone
-from springmux.router.errors import STATUS_OF_CODE, Refusal, error_event
-from springmux.router.events import CallerRequest
+from springmux.router.effects import (
+    FlowDone,
+    ResponseAborted,
+    ResponseData,
+    ResponseEnd,
+    ResponseError,
+    ResponseHead,
+)
+from springmux.router.errors import STATUS_OF_CODE, RefusalError, error_event
+from springmux.router.events import ClientRequest
 from springmux.router.exchange import Exchange
 from springmux.router.parse import ParsedRequest
 from springmux.router.place import Place
@@ -62,7 +69,7 @@
     )
 
     def __init__(
-        self, core: RouterCore, request: CallerRequest, forget: Callable[[RequestState], None]
+        self, core: RouterCore, request: ClientRequest, forget: Callable[[RequestState], None]
     ) -> None:
         """:param forget: called once with this object when it is over."""
         self._core = core
@@ -91,8 +98,8 @@
             return self._stage_until
         return NEVER if self.stage is Stage.DONE else min(self._deadline, self._stage_until)
 
-    def _refuse(self, refusal: Refusal, now: float) -> None:
-        self._effects.append(AnswerError(refusal.error(self._core.node, self.request.request_id)))
+    def _refuse(self, refusal: RefusalError, now: float) -> None:
+        self._effects.append(ResponseError(refusal.error(self._core.node, self.request.request_id)))
         self._conclude(now)
 
     def _fail(
@@ -118,14 +125,14 @@
         )
         if self._head_sent:
             # No last chunk follows: HTTP itself says that the answer is not whole (RFC 9112, section 8).
-            self._effects.append(AnswerData(error_event(error)))
-            self._effects.append(AnswerCut())
+            self._effects.append(ResponseData(error_event(error)))
+            self._effects.append(ResponseAborted())
         else:
-            self._effects.append(AnswerError(error))
+            self._effects.append(ResponseError(error))
         self._conclude(now)
 
-    def _answer(self, head: AnswerHead, body: bytes, now: float) -> None:
-        self._effects.extend((head, AnswerData(body), AnswerEnd()))
+    def _answer(self, head: ResponseHead, body: bytes, now: float) -> None:
+        self._effects.extend((head, ResponseData(body), ResponseEnd()))
         self._conclude(now)
 
     def _conclude(self, now: float) -> None:
--- a/src/springmux/router/answer_check.py
+++ b/src/springmux/router/response_check.py
@@ -53,7 +53,7 @@
     return ""
 
 
-class AnswerChecker:
+class ResponseChecker:
     """Gathers one answer. ``fault`` is empty while all is well; ``body`` is whole after :meth:`end`."""
 
     __slots__ = ("_completion_id", "_length", "_parts", "_size", "body", "fault", "prompt_tokens", "tokens")
--- a/src/springmux/router/answers.py
+++ b/src/springmux/router/responses.py
@@ -8,8 +8,8 @@
 
 from springmux.control.view import Configuration, RouteKind
 from springmux.coordination.identifiers import NodeId
-from springmux.router.effects import AnswerHead, Headers
-from springmux.router.kept_answer import KeptAnswer
+from springmux.router.effects import Headers, ResponseHead
+from springmux.router.stored_response import StoredResponse
 from springmux.vocabulary.names import RequestId
 
 _OWN_HEADERS = frozenset({"x-request-id", "x-node"})
@@ -54,7 +54,7 @@
     return headers
 
 
-def replay_headers(request_id: RequestId, node: NodeId, answer: KeptAnswer) -> Headers:
+def replay_headers(request_id: RequestId, node: NodeId, answer: StoredResponse) -> Headers:
     """Return the headers of a kept answer, under the resend's own request id."""
     kept = tuple(pair for pair in answer.headers if pair[0].lower() not in _OWN_HEADERS)
     return (*own_headers(request_id, node), *kept, ("X-Replayed", "true"))
@@ -66,7 +66,7 @@
     return _encoder.encode(_ModelList([_Model(name) for name in names]))
 
 
-def models_head(request_id: RequestId, node: NodeId, body: bytes) -> AnswerHead:
+def models_head(request_id: RequestId, node: NodeId, body: bytes) -> ResponseHead:
     """Return the head for :func:`models_body`."""
     headers = (*own_headers(request_id, node), ("Content-Type", "application/json"))
-    return AnswerHead(200, headers, len(body))
+    return ResponseHead(200, headers, len(body))
--- a/src/springmux/router/router.py
+++ b/src/springmux/router/router.py
@@ -10,7 +10,7 @@
 from springmux.coordination.quota.gate import QuotaGate
 from springmux.rollout.outcome import VersionChooser
 from springmux.router.core import RouterCore, RouterStatus
-from springmux.router.events import CallerRequest
+from springmux.router.events import ClientRequest
 from springmux.router.flow import RequestFlow
 from springmux.router.request_state import RequestState, Stage
 from springmux.vocabulary.engines import EngineRecord, EnginesView
@@ -61,7 +61,7 @@
         self._core.ready = ready
         self._core.not_ready_reason = reason
 
-    def open(self, request: CallerRequest, now: float) -> RequestFlow:
+    def open(self, request: ClientRequest, now: float) -> RequestFlow:
         """Return a new flow for ``request``; the driver gives it ``RequestBegun`` next."""
         self._core.losses.settle(now)
         flow = RequestFlow(self._core, request, self._forget)
--- a/src/springmux/router/stream_check.py
+++ b/src/springmux/router/stream_check.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from springmux.router.answer_check import Usage
+from springmux.router.response_check import Usage
 
 MAX_EVENT_BYTES = 256 * 1024
 """Bound of one event; a piece is a token or a few, so this only stops a runaway engine."""
--- a/src/springmux/simulation/history.py
+++ b/src/springmux/simulation/history.py
@@ -6,7 +6,7 @@
 
 from springmux.control.commands import AnyCommand, CommandResult
 from springmux.coordination.identifiers import NodeId, Revision, Term
-from springmux.rollout.plan import RolloutPhase
+from springmux.rollout.planning.plan import RolloutPhase
 from springmux.simulation.world.faults import AnyFault
 from springmux.vocabulary.errors import ApiError, ErrorCode, Fate
 from springmux.vocabulary.names import (
@@ -88,7 +88,7 @@
 
     at: float
     node: NodeId
-    ticket: str
+    correlation_id: str
     command: AnyCommand
 
 
@@ -97,7 +97,7 @@
 
     at: float
     node: NodeId
-    ticket: str
+    correlation_id: str
     order: OrderId
     result: CommandResult | None
     error: ApiError | None
--- a/src/springmux/simulation/hollow_disk.py
+++ b/src/springmux/simulation/hollow_disk.py
@@ -20,12 +20,12 @@
     SnapshotTaken,
 )
 from springmux.coordination.consensus.types import RecoveredState
-from springmux.coordination.kernel import Event
 from springmux.coordination.membership.remembered import RememberedPeer, RememberPeers
+from springmux.coordination.state_machine import Event
 from springmux.simulation.world.scheduler import Scheduler
 from springmux.storage.claim_journal import ClaimJournal
-from springmux.storage.disk import DiskError, DiskFull
-from springmux.storage.errors import StorageDamaged
+from springmux.storage.disk import DiskError, DiskFullError
+from springmux.storage.errors import StorageDamagedError
 from springmux.storage.memory_disk import MemoryDisk
 from springmux.storage.peer_list import PeerList
 from springmux.storage.replica_store import ReplicaStore
@@ -85,7 +85,7 @@
                 self.first_start = recovered.first_start
                 self._store = store
                 return recovered
-            except StorageDamaged:
+            except StorageDamagedError:
                 store.set_aside()
                 first_start = False
             except DiskError:
@@ -181,9 +181,9 @@
 
 def _failure(effect: StorageEffect, error: DiskError) -> Event | None:
     if isinstance(effect, Persist):
-        return PersistFailed(effect.batch, isinstance(error, DiskFull), str(error))
+        return PersistFailed(effect.batch, isinstance(error, DiskFullError), str(error))
     if isinstance(effect, PersistClaims):
-        return ClaimsPersistFailed(effect.batch, isinstance(error, DiskFull), str(error))
+        return ClaimsPersistFailed(effect.batch, isinstance(error, DiskFullError), str(error))
     if isinstance(effect, CompactLog | RememberPeers):
         return None
     return SnapshotFailed(effect.meta.index, str(error))
--- a/src/springmux/simulation/hollow_fleet.py
+++ b/src/springmux/simulation/hollow_fleet.py
@@ -21,7 +21,7 @@
 from springmux.coordination.consensus.core import RESTART_AS_NEW
 from springmux.coordination.consensus.effects import ReplicaStopped
 from springmux.coordination.identifiers import Address, NodeId, ZoneName
-from springmux.coordination.kernel import Effect, Note
+from springmux.coordination.state_machine import Effect, LogLine
 from springmux.simulation.hollow_disk import HollowDisk, StorageEffect
 from springmux.simulation.hollow_node import HollowNode
 from springmux.simulation.traffic.flow_driver import FlowOutput
@@ -69,7 +69,7 @@
     def readiness_changed(self, node: NodeId, change: ReadinessChanged, now: float) -> None:
         """A node became ready or not."""
 
-    def note(self, node: NodeId, note: Note, now: float) -> None:
+    def note(self, node: NodeId, note: LogLine, now: float) -> None:
         """A node wrote a log line."""
 
     def fault(self, fault: AnyFault, now: float) -> None:
@@ -104,7 +104,7 @@
         self.seeds: tuple[Address, ...] = ()
         """The seeds in the settings, in force from a node's next start."""
         self._disks: dict[NodeId, HollowDisk] = {}
-        self._tickets = 0
+        self._correlation_ids = 0
         for number, place in enumerate(places):
             self._add(place, Address(f"10.0.{number // 250}.{number % 250 + 1}:7000"))
         self.seeds = self._first_seeds()
@@ -194,19 +194,19 @@
         return leading[0] if len(leading) == 1 else None
 
     def submit(self, node: NodeId, command: AnyCommand) -> str:
-        """Hand an operator's command to a node; the answer goes to the observers. Returns its ticket."""
-        ticket = self.next_ticket()
-        self.submit_as(ticket, node, command)
-        return ticket
+        """Hand an operator's command to a node; the answer goes to the observers. Returns its id."""
+        correlation_id = self.next_correlation_id()
+        self.submit_as(correlation_id, node, command)
+        return correlation_id
 
-    def next_ticket(self) -> str:
-        """Return a fresh ticket for :meth:`submit_as`."""
-        self._tickets += 1
-        return f"order-{self._tickets}"
+    def next_correlation_id(self) -> str:
+        """Return a fresh correlation_id for :meth:`submit_as`."""
+        self._correlation_ids += 1
+        return f"order-{self._correlation_ids}"
 
-    def submit_as(self, ticket: str, node: NodeId, command: AnyCommand) -> None:
-        """Hand an operator's command to a node under a ticket that the caller already knows."""
-        self.world.give(node, OrderSubmitted(ticket, command))
+    def submit_as(self, correlation_id: str, node: NodeId, command: AnyCommand) -> None:
+        """Hand an operator's command to a node under a correlation_id that the caller already knows."""
+        self.world.give(node, OrderSubmitted(correlation_id, command))
 
     def run_until(self, condition: Callable[[], bool], within_s: float, step_s: float = 0.05) -> bool:
         """Let the world go on until ``condition`` holds; ``False`` if it doesn't ``within_s``."""
@@ -266,7 +266,7 @@
                 observer.flows_revoked(node, effect, now)
             elif isinstance(effect, ReadinessChanged):
                 observer.readiness_changed(node, effect, now)
-            elif isinstance(effect, Note):
+            elif isinstance(effect, LogLine):
                 observer.note(node, effect, now)
 
     def on_fault(self, fault: AnyFault, now: float) -> None:
--- a/src/springmux/simulation/hollow_node.py
+++ b/src/springmux/simulation/hollow_node.py
@@ -12,18 +12,18 @@
 
 from springmux.agent.agent import NodeAgent
 from springmux.agent.effects import SendToAddress
-from springmux.agent.events import AgentSettings, LeadershipHeard
-from springmux.control.delivery.events import PeerRevisionHeard
+from springmux.agent.events import AgentSettings, LeaderObserved
+from springmux.control.delivery.events import PeerRevisionObserved
 from springmux.coordination.claims.journal import RecoveredClaims
 from springmux.coordination.consensus.types import RecoveredState
 from springmux.coordination.identifiers import Address, NodeId, Revision, Term
-from springmux.coordination.kernel import Effect, Event, MessageReceived, PeerMessage, Send, Tick
 from springmux.coordination.membership.remembered import RememberedPeer
+from springmux.coordination.state_machine import Effect, Event, MessageReceived, PeerMessage, Send, Tick
 from springmux.router.events import UpstreamData
 from springmux.simulation.traffic.flow_driver import CallerArrived, FlowDriver, FlowInput
 
 
-class Enveloped(PeerMessage, frozen=True):
+class Enveloped(PeerMessage, frozen=True, tag="Enveloped"):
     """A message with its sender's place, as :mod:`springmux.agent.wire` puts it on the wire."""
 
     term: Term
@@ -92,8 +92,8 @@
         effects: list[Effect] = []
         term, leader, _ = self.agent.place
         if envelope.leader and (envelope.term > term or leader is None):
-            effects += self.agent.handle(LeadershipHeard(envelope.term, envelope.leader), now)
-        heard = PeerRevisionHeard(sender, envelope.term, envelope.revision)
+            effects += self.agent.handle(LeaderObserved(envelope.term, envelope.leader), now)
+        heard = PeerRevisionObserved(sender, envelope.term, envelope.revision)
         effects += self.agent.handle(heard, now)
         effects += self.agent.handle(MessageReceived(sender, envelope.message), now)
         return self._outward(self.flows.after_agent(effects, now))
--- a/src/springmux/simulation/operators.py
+++ b/src/springmux/simulation/operators.py
@@ -24,7 +24,7 @@
 )
 from springmux.control.view import Tenant
 from springmux.coordination.identifiers import NodeId
-from springmux.rollout.plan import RolloutPlan
+from springmux.rollout.planning.plan import RolloutPlan
 from springmux.simulation.deployments import Deployment
 from springmux.simulation.history import History, Ordered, OrderSeen
 from springmux.simulation.hollow_fleet import FleetObserver, HollowFleet
@@ -45,7 +45,7 @@
     result: CommandResult | None = None
     sends: int = 0
     gave_up: bool = False
-    ticket: str = ""
+    correlation_id: str = ""
 
 
 def key_text(tenant: TenantName, number: int) -> str:
@@ -206,24 +206,26 @@
         if world.process(target) is None:
             world.scheduler.after(RESEND_AFTER_S, lambda: self._send(errand))
             return
-        # Submitted in an event of its own, so that the ticket is known before the answer.
+        # Submitted in an event of its own, so that the correlation_id is known before the answer.
         world.scheduler.at(world.now, lambda: self._submit(errand, target))
         world.scheduler.after(ANSWER_WAIT_S, lambda: self._send(errand) if errand.sends == sent else None)
 
     def _submit(self, errand: Errand, target: NodeId) -> None:
-        ticket = self._fleet.next_ticket()
-        self._by_ticket[ticket] = errand
-        errand.ticket = ticket
-        self._history.ordered.append(Ordered(self._fleet.world.now, target, ticket, errand.command))
-        self._fleet.submit_as(ticket, target, errand.command)
+        correlation_id = self._fleet.next_correlation_id()
+        self._by_ticket[correlation_id] = errand
+        errand.correlation_id = correlation_id
+        self._history.ordered.append(Ordered(self._fleet.world.now, target, correlation_id, errand.command))
+        self._fleet.submit_as(correlation_id, target, errand.command)
 
     def order_answered(self, node: NodeId, answer: OrderAnswered, now: float) -> None:
         """Take an answer, or lose it and send the order again elsewhere."""
-        errand = self._by_ticket.pop(answer.ticket, None)
+        errand = self._by_ticket.pop(answer.correlation_id, None)
         if errand is None:
             return
         lost = self._random.random() < self._lost_answers
-        seen = OrderSeen(now, node, answer.ticket, errand.command.order, answer.result, answer.error, lost)
+        seen = OrderSeen(
+            now, node, answer.correlation_id, errand.command.order, answer.result, answer.error, lost
+        )
         self._history.orders.append(seen)
         if answer.result is not None and not lost:
             errand.result = errand.result or answer.result
--- a/src/springmux/simulation/placement/engine.py
+++ b/src/springmux/simulation/placement/engine.py
@@ -11,7 +11,7 @@
 from collections import OrderedDict, deque
 from dataclasses import dataclass, field
 
-from springmux.gateway.placement_tickets import Ticket
+from springmux.gateway.dispatches import Ticket
 from springmux.gateway.prompt_facts import PromptFacts
 
 
@@ -45,7 +45,7 @@
     first_event_s: float = -1.0
     kept_tokens: int = 0
     engine: int = -1
-    ticket: Ticket | None = None
+    correlation_id: Ticket | None = None
     left: int = 0
     read: int = 0
 
--- a/src/springmux/simulation/placement/world.py
+++ b/src/springmux/simulation/placement/world.py
@@ -119,7 +119,7 @@
         engine = choose(request.node, request, now)
         request.engine = engine
         self.in_flight[request.node][engine] += 1
-        request.ticket = self.nodes[request.node].began(self.records[engine], request.facts, now)
+        request.correlation_id = self.nodes[request.node].began(self.records[engine], request.facts, now)
         self.engines[engine].waiting.append(request)
         if not self.engines[engine].busy:
             self.engines[engine].busy = True
@@ -143,11 +143,11 @@
             heapq.heappush(engine.decoding, (last_step, next(self._numbers), request))
         while engine.decoding and engine.decoding[0][0] <= engine.step:
             done = heapq.heappop(engine.decoding)[2]
-            assert done.ticket is not None
+            assert done.correlation_id is not None
             self.in_flight[done.node][number] -= 1
-            self.nodes[done.node].ended(done.ticket, ExchangeOutcome.OK, end)
+            self.nodes[done.node].ended(done.correlation_id, ExchangeOutcome.OK, end)
         self._at(end, lambda at: self._step(number, at))
 
     def _first_event(self, request: Request, now: float) -> None:
-        assert request.ticket is not None
-        self.nodes[request.node].first_event(request.ticket, now)
+        assert request.correlation_id is not None
+        self.nodes[request.node].first_event(request.correlation_id, now)
--- a/src/springmux/simulation/rollout_baselines.py
+++ b/src/springmux/simulation/rollout_baselines.py
@@ -1,4 +1,4 @@
-"""Simpler ways to roll out, to compare with: they replace parts of the rollout within one process.
+"""Simpler ways to roll out, to compare with: they replace components of the rollout within one process.
 
 They are no options of the product, so they are put in place from here, and only while a trial runs.
 """
@@ -13,12 +13,12 @@
 import msgspec
 
 from springmux.rollout import issuer, participant
-from springmux.rollout.judgement.book import EvidenceBook
 from springmux.rollout.judgement.digest import EvidenceDigest
+from springmux.rollout.judgement.evidence_table import EvidenceTable
 from springmux.rollout.judgement.judge import Judge, Verdict
 from springmux.rollout.outcome import FirstTokenWatch, PromptOutcome
-from springmux.rollout.plan import RolloutDecision, RolloutPhase, RolloutPlan
-from springmux.rollout.token import AccountTotals
+from springmux.rollout.planning.plan import RolloutDecision, RolloutPhase, RolloutPlan
+from springmux.rollout.token_ring.token import AccountTotals
 
 UNLIMITED_CREDITS = 1_000_000
 FIXED_CANARY = 0.10
@@ -54,7 +54,7 @@
         return Verdict(False, True, None)
 
 
-class WarmthBlindBook(EvidenceBook):
+class WarmthBlindBook(EvidenceTable):
     """Compares every prompt of a route with every other, whatever was expected in the cache."""
 
     def record(self, outcome: PromptOutcome, now: float, watch: FirstTokenWatch | None = None) -> None:
@@ -76,7 +76,7 @@
 
 
 _JUDGED_BY_THRESHOLD = _Replaced(participant, "Judge", ThresholdJudge)
-_BLIND_TO_WARMTH = _Replaced(participant, "EvidenceBook", WarmthBlindBook)
+_BLIND_TO_WARMTH = _Replaced(participant, "EvidenceTable", WarmthBlindBook)
 _WITHOUT_LEDGER = _Replaced(issuer, "credit_pool", unlimited_pool)
 _REPLACED = {
     Variant.SPRINGMUX: (),
@@ -88,7 +88,7 @@
 
 @contextmanager
 def in_force(variant: Variant) -> Iterator[None]:
-    """Put a variant's parts in place of the product's until the block ends."""
+    """Put a variant's components in place of the product's until the block ends."""
     replaced = _REPLACED[variant]
     kept = [getattr(each.module, each.name) for each in replaced]
     for each in replaced:
--- a/src/springmux/simulation/traffic/back_ends.py
+++ b/src/springmux/simulation/traffic/back_ends.py
@@ -5,7 +5,7 @@
 import random
 
 from springmux.coordination.identifiers import Address, NodeId, ZoneName
-from springmux.coordination.kernel import Effect, Event
+from springmux.coordination.state_machine import Effect, Event
 from springmux.router.effects import CloseUpstream, Dispatch
 from springmux.router.events import (
     UpstreamCause,
--- a/src/springmux/simulation/traffic/callers.py
+++ b/src/springmux/simulation/traffic/callers.py
@@ -7,9 +7,9 @@
 import msgspec
 
 from springmux.coordination.identifiers import NodeId, ZoneName
-from springmux.coordination.kernel import Effect
-from springmux.router.effects import AnswerCut, AnswerData, AnswerEnd, AnswerError, AnswerHead
-from springmux.router.events import CallerGone, CallerRequest
+from springmux.coordination.state_machine import Effect
+from springmux.router.effects import ResponseAborted, ResponseData, ResponseEnd, ResponseError, ResponseHead
+from springmux.router.events import ClientDisconnected, ClientRequest
 from springmux.simulation.deployments import StreamSize
 from springmux.simulation.history import CallerSaw, History
 from springmux.simulation.hollow_fleet import FleetObserver, HollowFleet
@@ -55,7 +55,7 @@
         self.sending = sending
         self.sent_at = now
         self.reader = StreamReader()
-        self.head: AnswerHead | None = None
+        self.head: ResponseHead | None = None
         self.body = b""
         self.tried: list[NodeId] = []
         self.key = ""
@@ -157,12 +157,12 @@
         if call.key in keys and len(keys) > 1:
             keys.remove(call.key)
 
-    def _caller_request(self, planned: PlannedRequest, request: RequestId, key: str) -> CallerRequest:
+    def _caller_request(self, planned: PlannedRequest, request: RequestId, key: str) -> ClientRequest:
         headers = {"authorization": f"Bearer {key}"}
         if planned.stream.prompt:
-            return CallerRequest(request, "POST", "/v1/chat/completions", headers, planned.body)
+            return ClientRequest(request, "POST", "/v1/chat/completions", headers, planned.body)
         headers["idempotency-key"] = planned.action
-        return CallerRequest(request, "POST", f"/v1/calls/{planned.stream.route}", headers, planned.body)
+        return ClientRequest(request, "POST", f"/v1/calls/{planned.stream.route}", headers, planned.body)
 
     def _give_up(self, request: RequestId) -> None:
         call = self._calls.get(request)
@@ -170,7 +170,7 @@
             return
         world = self._fleet.world
         if world.boot(call.node) == call.boot:
-            world.give(call.node, FlowInput(request, CallerGone()))
+            world.give(call.node, FlowInput(request, ClientDisconnected()))
         self._end(call, fate=Fate.UNKNOWN)
 
     # What nodes answer
@@ -181,16 +181,16 @@
         if call is None:
             return
         effect: Effect = output.effect
-        if isinstance(effect, AnswerData):
+        if isinstance(effect, ResponseData):
             self._take_data(call, effect.data)
-        elif isinstance(effect, AnswerHead):
+        elif isinstance(effect, ResponseHead):
             call.head = effect
-        elif isinstance(effect, AnswerEnd):
+        elif isinstance(effect, ResponseEnd):
             self._whole(call)
-        elif isinstance(effect, AnswerError):
+        elif isinstance(effect, ResponseError):
             error = effect.error
             self._end(call, code=error.code, fate=error.fate, retry_after_s=error.retry_after_s)
-        elif isinstance(effect, AnswerCut):
+        elif isinstance(effect, ResponseAborted):
             self._cut(call)
 
     def _take_data(self, call: _Call, data: bytes) -> None:
@@ -279,7 +279,7 @@
             self._end(call, fate=Fate.UNKNOWN)
 
 
-def _read_call_answer(body: bytes, head: AnswerHead) -> tuple[str, str]:
+def _read_call_answer(body: bytes, head: ResponseHead) -> tuple[str, str]:
     """Return the action that the answer is for, and what is wrong with it."""
     if head.length != len(body):
         return "", "an answer of another length than announced"
--- a/src/springmux/simulation/traffic/engine_reports.py
+++ b/src/springmux/simulation/traffic/engine_reports.py
@@ -10,7 +10,7 @@
 
 from springmux.agent.events import EngineAnnounced, EngineDraining, EngineHeartbeat, EngineLeft
 from springmux.coordination.identifiers import NodeId
-from springmux.coordination.kernel import Event
+from springmux.coordination.state_machine import Event
 from springmux.simulation.world.scheduler import Scheduler
 from springmux.vocabulary.engines import EngineLoad, EngineRecord, EngineStatus
 
--- a/src/springmux/simulation/traffic/flow_driver.py
+++ b/src/springmux/simulation/traffic/flow_driver.py
@@ -7,9 +7,9 @@
 from springmux.agent.agent import NodeAgent
 from springmux.agent.effects import ClaimAnswered, FlowsRevoked
 from springmux.agent.events import ClaimRequested, ClaimSettled
-from springmux.coordination.kernel import NEVER, Effect, Event, Note, Tick
-from springmux.router.effects import AskClaim, FlowDone, SettleClaim
-from springmux.router.events import CallerRequest, ClaimDecided, KeyRevoked, RequestBegun
+from springmux.coordination.state_machine import NEVER, Effect, Event, LogLine, Tick
+from springmux.router.effects import FlowDone, RequestClaim, SettleClaim
+from springmux.router.events import ClaimDecided, ClientRequest, KeyRevoked, RequestBegun
 from springmux.router.flow import RequestFlow
 from springmux.vocabulary.engines import EngineRecord
 from springmux.vocabulary.names import RequestId
@@ -18,7 +18,7 @@
 class CallerArrived(Event, frozen=True):
     """A caller's whole request came to the node."""
 
-    request: CallerRequest
+    request: ClientRequest
 
 
 class FlowInput(Event, frozen=True):
@@ -55,7 +55,7 @@
         self._timers: list[tuple[float, RequestId]] = []
         self._armed: dict[RequestId, float] = {}
         self._claims: dict[str, RequestId] = {}
-        self._tickets: dict[RequestId, str] = {}
+        self._correlation_ids: dict[RequestId, str] = {}
         self._tickets_made = 0
         self._woken: list[RequestId] = []
         self._to_probe: list[EngineRecord] = []
@@ -66,7 +66,7 @@
         """Return when a flow wants a tick."""
         return self._timers[0][0] if self._timers else NEVER
 
-    def arrive(self, request: CallerRequest, now: float) -> list[Effect]:
+    def arrive(self, request: ClientRequest, now: float) -> list[Effect]:
         """Open a flow for a caller's request."""
         flow = self._agent.router.open(request, now)
         self._flows[request.request_id] = flow
@@ -93,7 +93,7 @@
         for effect in effects:
             outward.append(effect)
             if isinstance(effect, ClaimAnswered):
-                request = self._claims.pop(effect.ticket, None)
+                request = self._claims.pop(effect.correlation_id, None)
                 if request is not None:
                     outward += self._give(request, ClaimDecided(decision=effect.decision), now)
             elif isinstance(effect, FlowsRevoked):
@@ -129,28 +129,30 @@
             heapq.heappush(self._timers, (deadline, request))
 
     def _carry_out(self, request: RequestId, effect: Effect, now: float) -> list[Effect]:
-        if isinstance(effect, AskClaim):
+        if isinstance(effect, RequestClaim):
             return self._ask_claim(request, effect, now)
         if isinstance(effect, SettleClaim):
-            ticket = self._tickets.get(request, "")
-            settled = ClaimSettled(ticket, effect.claim_key, effect.ran, effect.answer)
+            correlation_id = self._correlation_ids.get(request, "")
+            settled = ClaimSettled(correlation_id, effect.claim_key, effect.ran, effect.answer)
             return self.after_agent(self._agent.handle(settled, now), now)
-        if isinstance(effect, Note):
+        if isinstance(effect, LogLine):
             return [effect]
         if isinstance(effect, FlowDone):
             self._forget(request)
         return [FlowOutput(request, effect)]
 
-    def _ask_claim(self, request: RequestId, effect: AskClaim, now: float) -> list[Effect]:
+    def _ask_claim(self, request: RequestId, effect: RequestClaim, now: float) -> list[Effect]:
         self._tickets_made += 1
-        ticket = f"{self._boot_name}/{self._tickets_made}"
-        self._claims[ticket] = request
-        self._tickets[request] = ticket
-        return self.after_agent(self._agent.handle(ClaimRequested(ticket, effect.claim_key), now), now)
+        correlation_id = f"{self._boot_name}/{self._tickets_made}"
+        self._claims[correlation_id] = request
+        self._correlation_ids[request] = correlation_id
+        return self.after_agent(
+            self._agent.handle(ClaimRequested(correlation_id, effect.claim_key), now), now
+        )
 
     def _forget(self, request: RequestId) -> None:
         self._flows.pop(request, None)
         self._armed.pop(request, None)
-        ticket = self._tickets.pop(request, None)
-        if ticket is not None:
-            self._claims.pop(ticket, None)
+        correlation_id = self._correlation_ids.pop(request, None)
+        if correlation_id is not None:
+            self._claims.pop(correlation_id, None)
--- a/src/springmux/simulation/world/__init__.py
+++ b/src/springmux/simulation/world/__init__.py
@@ -1,4 +1,4 @@
-"""The virtual world: seeded time, network and faults around any pure parts.
+"""The virtual world: seeded time, network and faults around any pure components.
 
 Owns the clock, the event queue, the network model, the fault schedule and its shrinking. Knows the
 kernel's contract only, no part by name; may import ``coordination``.
--- a/src/springmux/simulation/world/clock.py
+++ b/src/springmux/simulation/world/clock.py
@@ -16,7 +16,7 @@
 
 
 class WallClocks:
-    """Wall time as each node sees it. Skew touches labels only: parts get the monotonic time."""
+    """Wall time as each node sees it. Skew touches labels only: components get the monotonic time."""
 
     def __init__(self, clock: VirtualClock) -> None:
         self._clock = clock
--- a/src/springmux/simulation/world/network.py
+++ b/src/springmux/simulation/world/network.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from springmux.coordination.identifiers import NodeId, ZoneName
-from springmux.coordination.kernel import PeerMessage
+from springmux.coordination.state_machine import PeerMessage, message_name
 
 
 class Latency(msgspec.Struct, frozen=True):
@@ -139,7 +139,7 @@
 
         Raises ``KeyError`` for a node that was never placed.
         """
-        kind = type(message).__name__
+        kind = message_name(type(message))
         counters, settings, draw = self.counters, self.settings, self._random.random
         counters.messages[(source, kind)] += 1
         queued_s = self._count_bytes(source, kind, message, now) if settings.count_bytes else 0.0
--- a/src/springmux/simulation/world/world.py
+++ b/src/springmux/simulation/world/world.py
@@ -8,7 +8,15 @@
 from typing import Protocol
 
 from springmux.coordination.identifiers import NodeId, ZoneName
-from springmux.coordination.kernel import NEVER, Effect, Event, MessageReceived, PeerMessage, Send, Tick
+from springmux.coordination.state_machine import (
+    NEVER,
+    Effect,
+    Event,
+    MessageReceived,
+    PeerMessage,
+    Send,
+    Tick,
+)
 from springmux.simulation.world.clock import VirtualClock, WallClocks
 from springmux.simulation.world.faults import (
     AnyFault,
@@ -30,7 +38,7 @@
 
 
 class Process(Protocol):
-    """What runs on a node: a pure part, or a composition of parts."""
+    """What runs on a node: a pure part, or a composition of components."""
 
     def start(self, now: float) -> list[Effect]:
         """Begin at monotonic time ``now``."""
--- a/src/springmux/storage/appended_file.py
+++ b/src/springmux/storage/appended_file.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from springmux.storage.disk import DiskFailed, DiskFile, DiskFull
+from springmux.storage.disk import DiskFailedError, DiskFile, DiskFullError
 
 
 class AppendedFile:
@@ -15,12 +15,12 @@
     def append(self, data: bytes) -> None:
         """Write and sync ``data``; on return it is durable.
 
-        :raises DiskFull: nothing of it counts; the file stays usable.
-        :raises DiskFailed: the file can't be written any more.
+        :raises DiskFullError: nothing of it counts; the file stays usable.
+        :raises DiskFailedError: the file can't be written any more.
         """
         try:
             self._file.append(data)
-        except DiskFull:
+        except DiskFullError:
             # A part-written record is removed, so that nothing ever follows it.
             self._file.truncate(self.sound_bytes)
             raise
@@ -30,7 +30,7 @@
     def cut(self) -> None:
         """Remove what a torn write left after the sound records.
 
-        :raises DiskFailed: the file can't be written any more.
+        :raises DiskFailedError: the file can't be written any more.
         """
         self._file.truncate(self.sound_bytes)
         self.sync()
@@ -38,12 +38,12 @@
     def sync(self) -> None:
         """Sync the file. Any failure is final, also for want of space: what it kept isn't known.
 
-        :raises DiskFailed: the file can't be written any more.
+        :raises DiskFailedError: the file can't be written any more.
         """
         try:
             self._file.fsync()
-        except DiskFull as error:
-            raise DiskFailed(error.path, error.reason) from error
+        except DiskFullError as error:
+            raise DiskFailedError(error.path, error.reason) from error
 
     def close(self) -> None:
         """Release the file."""
--- a/src/springmux/storage/claim_journal.py
+++ b/src/springmux/storage/claim_journal.py
@@ -21,8 +21,8 @@
     entries_record,
     parse_journal,
 )
-from springmux.storage.disk import Disk, DiskError, DiskFailed, DiskFull
-from springmux.storage.errors import LogCorrupt
+from springmux.storage.disk import Disk, DiskError, DiskFailedError, DiskFullError
+from springmux.storage.errors import LogCorruptError
 
 DAMAGED_NAME = "claims.journal.damaged"
 REWRITE_MIN_BYTES = 4 << 20
@@ -63,7 +63,7 @@
         if self._disk.exists(self._path):
             try:
                 return self._read()
-            except LogCorrupt as error:
+            except LogCorruptError as error:
                 damage = str(error)
                 self._disk.rename(self._path, f"{self._folder}/{DAMAGED_NAME}")
                 self._disk.fsync_folder(self._folder)
@@ -78,17 +78,17 @@
     def append(self, entries: Sequence[ClaimEntry]) -> None:
         """Write entries and sync them; on return they are durable.
 
-        :raises DiskFull: nothing of them counts; the journal stays usable.
-        :raises DiskFailed: the journal can't be written any more.
+        :raises DiskFullError: nothing of them counts; the journal stays usable.
+        :raises DiskFailedError: the journal can't be written any more.
         """
         if self._broken or self._file is None:
-            raise DiskFailed(self._path, self._broken or "the journal is not open")
+            raise DiskFailedError(self._path, self._broken or "the journal is not open")
         data = entries_record(entries)
         if self._file.sound_bytes + len(data) > MAX_BYTES:
-            raise DiskFull(self._path, f"the journal would exceed {MAX_BYTES} bytes")
+            raise DiskFullError(self._path, f"the journal would exceed {MAX_BYTES} bytes")
         try:
             self._file.append(data)
-        except DiskFailed as error:
+        except DiskFailedError as error:
             self._broken = error.reason
             raise
         self._fold.take(entries)
@@ -134,14 +134,14 @@
     def _finish_rewrite(self) -> None:
         """Put the new file in the old one's place.
 
-        :raises DiskFailed: after the renaming it isn't known which of them lasts, so it ends here.
+        :raises DiskFailedError: after the renaming it isn't known which of them lasts, so it ends here.
         """
         assert self._rewrite is not None
         self._rewrite.seal()
         try:
             size_bytes = self._rewrite.take_place()
             file = AppendedFile(self._disk.open(self._path), size_bytes)
-        except DiskFailed as error:
+        except DiskFailedError as error:
             self._broken = error.reason
             raise
         self.close()
--- a/src/springmux/storage/claim_journal_file.py
+++ b/src/springmux/storage/claim_journal_file.py
@@ -14,7 +14,7 @@
 from springmux.coordination.claims.journal import ClaimEntry, JournalFold
 from springmux.coordination.identifiers import ReplicaId
 from springmux.storage.disk import Disk, DiskError, DiskFile
-from springmux.storage.errors import LogCorrupt
+from springmux.storage.errors import LogCorruptError
 from springmux.storage.records import RecordType, encode_record, has_record_after, read_records
 
 JOURNAL_NAME = "claims.journal"
@@ -51,7 +51,7 @@
 def parse_journal(path: str, data: bytes, replica: ReplicaId) -> ParsedJournal:
     """Return what ``data`` holds.
 
-    :raises LogCorrupt: if what was durable is damaged, or belongs to another replica.
+    :raises LogCorruptError: if what was durable is damaged, or belongs to another replica.
     """
     start: JournalStart | None = None
     fold, sealed, sound_bytes = JournalFold(), False, 0
@@ -64,12 +64,12 @@
             sealed = sealed or record.type is RecordType.CLAIMS_SEAL
             sound_bytes = record.end
     except msgspec.DecodeError as error:
-        raise LogCorrupt(path, sound_bytes, f"record can't be read: {error}") from error
+        raise LogCorruptError(path, sound_bytes, f"record can't be read: {error}") from error
     torn = sound_bytes < len(data)
     if start is None or not sealed or (torn and has_record_after(data, sound_bytes)):
-        raise LogCorrupt(path, sound_bytes, "checksum or framing is wrong, and it is no torn tail")
+        raise LogCorruptError(path, sound_bytes, "checksum or framing is wrong, and it is no torn tail")
     if start.replica != replica:
-        raise LogCorrupt(path, 0, "journal belongs to another replica")
+        raise LogCorruptError(path, 0, "journal belongs to another replica")
     return ParsedJournal(start, fold, sound_bytes)
 
 
@@ -115,7 +115,7 @@
     def take_place(self) -> int:
         """Give the sealed file the journal's name; return its size.
 
-        :raises DiskFailed: which of the two files has the name isn't known.
+        :raises DiskFailedError: which of the two files has the name isn't known.
         """
         self._disk.rename(f"{self._folder}/{TEMPORARY_NAME}", f"{self._folder}/{JOURNAL_NAME}")
         self._disk.fsync_folder(self._folder)
--- a/src/springmux/storage/disk.py
+++ b/src/springmux/storage/disk.py
@@ -22,18 +22,18 @@
         self.reason = reason
 
 
-class DiskFull(DiskError):
+class DiskFullError(DiskError):
     """No space is left. Nothing that was synced before is lost, and the call may be tried again later."""
 
 
-class DiskFailed(DiskError):
+class DiskFailedError(DiskError):
     """The disk failed. After a failed fsync it's unknown what was kept, so the call can't be tried again.
 
     Source: Rebello et al., "Can Applications Recover from fsync Failures?", USENIX ATC 2020.
     """
 
 
-class FolderLocked(DiskError):
+class FolderLockedError(DiskError):
     """Another process works in the folder."""
 
 
@@ -44,8 +44,8 @@
     def append(self, data: bytes) -> None:
         """Write ``data`` at the end.
 
-        :raises DiskFull: part of ``data`` may have been written; cut it off with ``truncate``.
-        :raises DiskFailed: the disk failed.
+        :raises DiskFullError: part of ``data`` may have been written; cut it off with ``truncate``.
+        :raises DiskFailedError: the disk failed.
         """
 
     @abc.abstractmethod
@@ -56,8 +56,8 @@
     def fsync(self) -> None:
         """Return once everything written is durable.
 
-        :raises DiskFull: the file system found no space only now (delayed allocation).
-        :raises DiskFailed: the disk failed.
+        :raises DiskFullError: the file system found no space only now (delayed allocation).
+        :raises DiskFailedError: the disk failed.
         """
 
     @abc.abstractmethod
@@ -74,7 +74,7 @@
 
 
 class Disk(abc.ABC):
-    """A place for files. Every call may raise :class:`DiskFailed`."""
+    """A place for files. Every call may raise :class:`DiskFailedError`."""
 
     @abc.abstractmethod
     def make_folder(self, path: str) -> None:
@@ -112,7 +112,7 @@
     def preallocate(self, path: str, size_bytes: int) -> None:
         """Make a file that occupies ``size_bytes``.
 
-        :raises DiskFull: there is no room; the file isn't left behind.
+        :raises DiskFullError: there is no room; the file isn't left behind.
         """
 
     @abc.abstractmethod
@@ -123,14 +123,14 @@
     def lock(self, path: str) -> FolderLock:
         """Take the lock file at ``path``.
 
-        :raises FolderLocked: another process has it.
+        :raises FolderLockedError: another process has it.
         """
 
 
 def write_atomically(disk: Disk, folder: str, name: str, data: bytes) -> None:
     """Make or replace ``folder/name`` so that after a crash either the old or the whole new is there.
 
-    :raises DiskFull: there is no room; the old content stays.
+    :raises DiskFullError: there is no room; the old content stays.
     """
     temporary = f"{folder}/{name}.tmp"
     disk.remove(temporary)
@@ -141,7 +141,7 @@
             file.fsync()
         finally:
             file.close()
-    except DiskFull:
+    except DiskFullError:
         disk.remove(temporary)
         raise
     disk.rename(temporary, f"{folder}/{name}")
--- a/src/springmux/storage/errors.py
+++ b/src/springmux/storage/errors.py
@@ -5,11 +5,11 @@
 from springmux.vocabulary.errors import SpringmuxError
 
 
-class StorageDamaged(SpringmuxError):
+class StorageDamagedError(SpringmuxError):
     """What was durable is damaged or gone. The replica stops, and rejoins as a new one."""
 
 
-class LogCorrupt(StorageDamaged):
+class LogCorruptError(StorageDamagedError):
     """A segment holds damage that no torn write explains. ``offset`` is in bytes from its beginning."""
 
     def __init__(self, file: str, offset: int, reason: str) -> None:
@@ -19,9 +19,9 @@
         self.reason = reason
 
 
-class SnapshotMissing(StorageDamaged):
+class SnapshotMissingError(StorageDamagedError):
     """No sound snapshot reaches the log's beginning."""
 
 
-class FolderWiped(StorageDamaged):
+class FolderWipedError(StorageDamagedError):
     """The folder was in use before, but its identity or log is gone."""
--- a/src/springmux/storage/log_recovery.py
+++ b/src/springmux/storage/log_recovery.py
@@ -1,7 +1,7 @@
 """Reading a write-ahead log back: segments in order, records in order, damage told from a torn tail.
 
 A file's tail that holds no whole record is what a power cut leaves of a write that nobody was told
-of; it is to be cut off. Damage with a whole record beyond it is reported (:class:`LogCorrupt`):
+of; it is to be cut off. Damage with a whole record beyond it is reported (:class:`LogCorruptError`):
 cutting there would lose acknowledged entries. Damage to the very last batch can't be told from a
 torn write. See Alagappan et al., "Protocol-Aware Recovery for Consensus-Based Storage", FAST 2018,
 section 3.
@@ -17,7 +17,7 @@
 from springmux.coordination.consensus.types import Entry, GroupMembers, HardState
 from springmux.coordination.identifiers import GroupId, LogIndex, ReplicaId, Term
 from springmux.storage.disk import Disk
-from springmux.storage.errors import LogCorrupt
+from springmux.storage.errors import LogCorruptError
 from springmux.storage.records import (
     BatchRecord,
     RawRecord,
@@ -96,7 +96,7 @@
 def replay_log(disk: Disk, folder: str, replica: ReplicaId) -> ReplayedLog:
     """Read the log of ``replica`` without changing anything.
 
-    :raises LogCorrupt: if what was durable is damaged or missing.
+    :raises LogCorruptError: if what was durable is damaged or missing.
     """
     names = segment_names(disk, folder)
     _check_numbers(names)
@@ -104,7 +104,7 @@
     for name in names:
         reader.read_segment(name, disk.read(f"{folder}/{name}"), is_last=name == names[-1])
     if not reader.log.segments:
-        raise LogCorrupt(folder, 0, "the log has no segment")
+        raise LogCorruptError(folder, 0, "the log has no segment")
     return reader.log
 
 
@@ -112,7 +112,7 @@
     numbers = [int(name[4:14]) for name in names]
     for earlier, later in itertools.pairwise(numbers):
         if later != earlier + 1:
-            raise LogCorrupt(segment_name(earlier + 1), 0, "segment is missing")
+            raise LogCorruptError(segment_name(earlier + 1), 0, "segment is missing")
 
 
 class _LogReader:
@@ -129,7 +129,7 @@
             segment.sound_bytes = record.end
         segment.torn_bytes = len(data) - segment.sound_bytes
         if segment.torn_bytes and (not is_last or has_record_after(data, segment.sound_bytes)):
-            raise LogCorrupt(
+            raise LogCorruptError(
                 name, segment.sound_bytes, "checksum or framing is wrong, and it is no torn tail"
             )
         if segment.sound_bytes:
@@ -137,29 +137,29 @@
         elif is_last and self.log.segments:
             self.log.unborn = name
         else:
-            raise LogCorrupt(name, 0, "segment has no start record")
+            raise LogCorruptError(name, 0, "segment has no start record")
 
     def _read_record(self, record: RawRecord, segment: Segment) -> None:
         if (record.type is RecordType.SEGMENT_START) != (record.offset == 0):
-            raise LogCorrupt(segment.name, record.offset, "start record is missing or misplaced")
+            raise LogCorruptError(segment.name, record.offset, "start record is missing or misplaced")
         try:
             if record.type is RecordType.SEGMENT_START:
                 self._take_start(decode_start(record.payload), segment)
             else:
                 self._take_batch(decode_batch(record.payload), record.offset, segment)
         except msgspec.DecodeError as error:
-            raise LogCorrupt(segment.name, record.offset, f"record can't be read: {error}") from error
+            raise LogCorruptError(segment.name, record.offset, f"record can't be read: {error}") from error
 
     def _take_start(self, start: SegmentStart, segment: Segment) -> None:
         content = self.log.content
         if start.replica != self._replica or start.number != segment.number:
-            raise LogCorrupt(segment.name, 0, "segment belongs to another replica or place")
+            raise LogCorruptError(segment.name, 0, "segment belongs to another replica or place")
         if start.replaces_log or not self.log.segments:
             content.entries.clear()
             content.base_index = start.base_index
         elif start.base_index != content.last_index():
             reason = f"entries after {content.last_index()} are missing before this segment"
-            raise LogCorrupt(segment.name, 0, reason)
+            raise LogCorruptError(segment.name, 0, reason)
         content.hard_state = start.hard_state
         content.group = start.group
         content.founding_members = start.founding_members
@@ -178,7 +178,7 @@
         for entry in batch.entries:
             expected = content.last_index() + 1
             if entry.index != expected:
-                raise LogCorrupt(segment.name, offset, f"entry {entry.index} where {expected} should be")
+                raise LogCorruptError(segment.name, offset, f"entry {entry.index} where {expected} should be")
             content.entries.append(entry)
             segment.last_index = max(segment.last_index, entry.index)
 
--- a/src/springmux/storage/memory_disk.py
+++ b/src/springmux/storage/memory_disk.py
@@ -10,7 +10,14 @@
 import posixpath
 import random
 
-from springmux.storage.disk import Disk, DiskFailed, DiskFile, DiskFull, FolderLock, FolderLocked
+from springmux.storage.disk import (
+    Disk,
+    DiskFailedError,
+    DiskFile,
+    DiskFullError,
+    FolderLock,
+    FolderLockedError,
+)
 
 
 class _Content:
@@ -61,7 +68,7 @@
         room = self._disk.free_bytes("")
         self._content.live += data[: max(0, room)]
         if len(data) > room:
-            raise DiskFull(self._path, "no space left on device")
+            raise DiskFullError(self._path, "no space left on device")
 
     def truncate(self, size_bytes: int) -> None:
         """Cut the live bytes; durable after the next fsync."""
@@ -79,7 +86,7 @@
 
     def _check(self) -> None:
         if self._boot != self._disk.boot:
-            raise DiskFailed(self._path, "file was open when the power went")
+            raise DiskFailedError(self._path, "file was open when the power went")
         self._disk.check(self._path)
 
 
@@ -117,13 +124,13 @@
     def check(self, path: str) -> None:
         """Raise the failure that the disk is set to.
 
-        :raises DiskFailed: while ``failing`` is set, or after ``calls_until_failure`` calls.
+        :raises DiskFailedError: while ``failing`` is set, or after ``calls_until_failure`` calls.
         """
         if self.calls_until_failure is not None:
             self.calls_until_failure -= 1
             self.failing = self.failing or self.calls_until_failure < 0
         if self.failing:
-            raise DiskFailed(path, "input/output error")
+            raise DiskFailedError(path, "input/output error")
 
     def note_sync(self) -> None:
         """Count one sync and the time it would take."""
@@ -211,7 +218,7 @@
         """Count ``size_bytes`` as taken."""
         self.check(path)
         if self.free_bytes("") < size_bytes:
-            raise DiskFull(path, "no space left on device")
+            raise DiskFullError(path, "no space left on device")
         self.open(path)
         self._content(path).reserved_bytes = size_bytes
 
@@ -224,13 +231,13 @@
         """Take the lock."""
         self.check(path)
         if path in self._locked:
-            raise FolderLocked(path, "another process uses this data folder")
+            raise FolderLockedError(path, "another process uses this data folder")
         self._locked.add(path)
         return MemoryLock(self._locked, path)
 
     def _content(self, path: str) -> _Content:
         if path not in self._live:
-            raise DiskFailed(path, "no such file")
+            raise DiskFailedError(path, "no such file")
         return self._live[path]
 
     def _change(self, change: _NameChange) -> None:
--- a/src/springmux/storage/peer_list.py
+++ b/src/springmux/storage/peer_list.py
@@ -29,7 +29,7 @@
     def load(self) -> tuple[RememberedPeer, ...]:
         """Return the peers; none if there is no list, or only a damaged one.
 
-        :raises DiskFailed: the disk failed.
+        :raises DiskFailedError: the disk failed.
         """
         self.damage = ""
         path = f"{self._folder}/{PEERS_NAME}"
--- a/src/springmux/storage/real_disk.py
+++ b/src/springmux/storage/real_disk.py
@@ -9,7 +9,14 @@
 from contextlib import contextmanager
 from pathlib import Path
 
-from springmux.storage.disk import Disk, DiskFailed, DiskFile, DiskFull, FolderLock, FolderLocked
+from springmux.storage.disk import (
+    Disk,
+    DiskFailedError,
+    DiskFile,
+    DiskFullError,
+    FolderLock,
+    FolderLockedError,
+)
 
 FULL_ERRORS = frozenset({errno.ENOSPC, errno.EDQUOT})
 FILE_MODE = 0o600
@@ -24,8 +31,8 @@
     except OSError as error:
         reason = error.strerror or str(error)
         if error.errno in FULL_ERRORS:
-            raise DiskFull(path, reason) from error
-        raise DiskFailed(path, reason) from error
+            raise DiskFullError(path, reason) from error
+        raise DiskFailedError(path, reason) from error
 
 
 class RealFile(DiskFile):
@@ -133,7 +140,7 @@
                     os.posix_fallocate(descriptor, 0, size_bytes)
                 finally:
                     os.close(descriptor)
-        except DiskFull:
+        except DiskFullError:
             self.remove(path)
             raise
 
@@ -152,8 +159,8 @@
         except OSError as error:
             os.close(descriptor)
             if error.errno in (errno.EAGAIN, errno.EACCES):
-                raise FolderLocked(path, "another process uses this data folder") from error
-            raise DiskFailed(path, error.strerror or str(error)) from error
+                raise FolderLockedError(path, "another process uses this data folder") from error
+            raise DiskFailedError(path, error.strerror or str(error)) from error
         return RealLock(descriptor)
 
     @staticmethod
--- a/src/springmux/storage/replica_store.py
+++ b/src/springmux/storage/replica_store.py
@@ -16,8 +16,8 @@
 from springmux.coordination.consensus.effects import Persist
 from springmux.coordination.consensus.types import Entry, EntryKind, RecoveredState, SnapshotMeta
 from springmux.coordination.identifiers import LogIndex, ReplicaId
-from springmux.storage.disk import Disk, DiskFull, FolderLock, write_atomically
-from springmux.storage.errors import FolderWiped, SnapshotMissing
+from springmux.storage.disk import Disk, DiskFullError, FolderLock, write_atomically
+from springmux.storage.errors import FolderWipedError, SnapshotMissingError
 from springmux.storage.log_recovery import LogContent, holds_batches, segment_names
 from springmux.storage.records import BatchRecord
 from springmux.storage.reserve import DEFAULT_RESERVE_BYTES, SpaceReserve
@@ -71,8 +71,8 @@
     def open(self) -> RecoveredState:
         """Lock the folder, make or read the replica, and be ready to persist.
 
-        :raises FolderLocked: another process uses the folder.
-        :raises StorageDamaged: durable state is damaged or gone; see :meth:`set_aside`.
+        :raises FolderLockedError: another process uses the folder.
+        :raises StorageDamagedError: durable state is damaged or gone; see :meth:`set_aside`.
         :raises DiskError: the disk failed, or has no room for a first start.
         """
         self._disk.make_folder(self._folder)
@@ -89,14 +89,14 @@
         Batches with commands are refused while the reserve isn't held; those with only hard state,
         truncations and the group's own entries may use it.
 
-        :raises DiskFull: nothing of the batch counts; later ones may succeed.
-        :raises DiskFailed: the store can't go on.
+        :raises DiskFullError: nothing of the batch counts; later ones may succeed.
+        :raises DiskFailedError: the store can't go on.
         """
         record = _batch_record(batch)
         self._reserve.take()
         if _has_commands(batch.entries):
             if not self._reserve.held:
-                raise DiskFull(self._folder, "free space is below the reserve; commands are refused")
+                raise DiskFullError(self._folder, "free space is below the reserve; commands are refused")
             self._opened_log().append(record)
             return
         self._with_reserve(lambda: self._opened_log().append(record))
@@ -110,7 +110,7 @@
         """Store the state machine's snapshot; the log stays until :meth:`compact`.
 
         :returns: the metadata with the data's size.
-        :raises DiskFull: nothing changed.
+        :raises DiskFullError: nothing changed.
         """
         saved: list[SnapshotMeta] = []
         self._with_reserve(lambda: saved.append(self._snapshots.save(meta, data)))
@@ -156,13 +156,13 @@
         if not self._disk.exists(self._path(MARK_NAME)):
             self._found()
         elif not self._disk.exists(self._path(IDENTITY_NAME)):
-            raise FolderWiped(f"{self._folder}: {IDENTITY_NAME} is gone from a folder that was in use")
+            raise FolderWipedError(f"{self._folder}: {IDENTITY_NAME} is gone from a folder that was in use")
         self._remove_temporary_files()
         self._reserve.take_anew()
         replica = ReplicaId(self._disk.read(self._path(IDENTITY_NAME)).decode().strip())
         self._log = WriteAheadLog(self._disk, self._folder, replica, self._segment_bytes)
         if not segment_names(self._disk, self._folder):
-            raise FolderWiped(f"{self._folder}: the log is gone from a folder that was in use")
+            raise FolderWipedError(f"{self._folder}: the log is gone from a folder that was in use")
         content = self._log.open()
         return self._join(replica, content, self._snapshots.load())
 
@@ -174,7 +174,7 @@
     def _found(self) -> None:
         """Make a new replica: log, identity, and last the mark that makes them count."""
         if holds_batches(self._disk, self._folder) or self._snapshots.oldest_index():
-            raise FolderWiped(f"{self._folder}: {MARK_NAME} is gone from a folder that was in use")
+            raise FolderWipedError(f"{self._folder}: {MARK_NAME} is gone from a folder that was in use")
         replica = self._new_identity()
         log = WriteAheadLog(self._disk, self._folder, replica, self._segment_bytes)
         log.create()
@@ -196,7 +196,7 @@
     ) -> RecoveredState:
         chosen = next((s for s in snapshots if _reaches(content, s.meta)), None)
         if chosen is None and (snapshots or self._snapshots.damaged or content.base_index > 0):
-            raise SnapshotMissing(
+            raise SnapshotMissingError(
                 f"{self._folder}: the log begins after {content.base_index}, no sound snapshot reaches it"
             )
         self.findings = StorageFindings(
@@ -223,7 +223,7 @@
         """Do a write; if the disk is full, give up the reserve and do it once more."""
         try:
             write()
-        except DiskFull:
+        except DiskFullError:
             if not self._reserve.held:
                 raise
             self._reserve.give_up()
--- a/src/springmux/storage/reserve.py
+++ b/src/springmux/storage/reserve.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from springmux.storage.disk import Disk, DiskFull
+from springmux.storage.disk import Disk, DiskFullError
 
 DEFAULT_RESERVE_BYTES = 16 << 20
 """Room for two segments, or for a snapshot of some ten thousand tenants."""
@@ -29,7 +29,7 @@
         try:
             self._disk.preallocate(self._path, self._size_bytes)
             self.held = True
-        except DiskFull:
+        except DiskFullError:
             self.held = False
 
     def take_anew(self) -> None:
--- a/src/springmux/storage/snapshots.py
+++ b/src/springmux/storage/snapshots.py
@@ -39,7 +39,7 @@
     def save(self, meta: SnapshotMeta, data: bytes) -> SnapshotMeta:
         """Store a snapshot durably, then remove all but the newest two.
 
-        :raises DiskFull: nothing changed.
+        :raises DiskFullError: nothing changed.
         """
         stored = msgspec.structs.replace(meta, size_bytes=len(data))
         encoded_meta = _encoder.encode(stored)
--- a/src/springmux/storage/write_ahead_log.py
+++ b/src/springmux/storage/write_ahead_log.py
@@ -9,7 +9,7 @@
 
 from springmux.coordination.identifiers import LogIndex, ReplicaId
 from springmux.storage.appended_file import AppendedFile
-from springmux.storage.disk import Disk, DiskFailed, DiskFile, DiskFull
+from springmux.storage.disk import Disk, DiskFailedError, DiskFile, DiskFullError
 from springmux.storage.log_recovery import (
     LogContent,
     ReplayedLog,
@@ -51,7 +51,7 @@
     def open(self) -> LogContent:
         """Read the log, cut a torn tail, and be ready to append.
 
-        :raises LogCorrupt: if what was durable is damaged or missing.
+        :raises LogCorruptError: if what was durable is damaged or missing.
         """
         replayed = replay_log(self._disk, self._folder, self._replica)
         self._segments = replayed.segments
@@ -65,8 +65,8 @@
     def append(self, batch: BatchRecord) -> None:
         """Write one batch and sync it; on return it is durable.
 
-        :raises DiskFull: nothing of the batch counts; the log stays usable.
-        :raises DiskFailed: the log can't be written any more.
+        :raises DiskFullError: nothing of the batch counts; the log stays usable.
+        :raises DiskFailedError: the log can't be written any more.
         :raises ValueError: if the entries don't follow what is there.
         """
         self._check_usable()
@@ -82,14 +82,14 @@
     def reset(self, base_index: LogIndex) -> None:
         """Drop every entry and go on after ``base_index`` (a snapshot was installed).
 
-        :raises DiskFull: nothing changed.
+        :raises DiskFullError: nothing changed.
         """
         self._check_usable()
         before = self._last_index
         self._last_index = base_index
         try:
             self._begin_segment(self._segments[-1].number + 1, replaces_log=True)
-        except DiskFull:
+        except DiskFullError:
             self._last_index = before
             raise
         self._remove_segments(len(self._segments) - 1)
@@ -110,7 +110,7 @@
 
     def _check_usable(self) -> None:
         if self._broken or self._file is None:
-            raise DiskFailed(self._folder, self._broken or "the log is not open")
+            raise DiskFailedError(self._folder, self._broken or "the log is not open")
 
     def _check_sequence(self, batch: BatchRecord) -> None:
         """Refuse a batch that would leave a gap; reading it back would look like damage."""
@@ -125,7 +125,7 @@
         assert self._file is not None
         try:
             self._file.append(data)
-        except DiskFailed as error:
+        except DiskFailedError as error:
             self._broken = error.reason
             raise
         self._segments[-1].sound_bytes = self._file.sound_bytes
@@ -135,7 +135,7 @@
         assert self._file is not None
         try:
             self._file.sync()
-        except DiskFailed as error:
+        except DiskFailedError as error:
             self._broken = error.reason
             raise
 
@@ -157,7 +157,7 @@
         data = encode_start(self._start_record(number, replaces_log=replaces_log))
         try:
             file = self._open_with(self._path(segment_name(number)), data)
-        except DiskFailed as error:
+        except DiskFailedError as error:
             self._broken = error.reason
             raise
         self.close()
@@ -182,7 +182,7 @@
         file = self._disk.open(path)
         try:
             file.append(data)
-        except DiskFull:
+        except DiskFullError:
             file.close()
             self._disk.remove(path)
             raise
--- a/src/springmux/vocabulary/errors.py
+++ b/src/springmux/vocabulary/errors.py
@@ -80,7 +80,7 @@
     """Root of every exception that springmux raises on purpose."""
 
 
-class ApiErrorRaised(SpringmuxError):
+class ApiResponseError(SpringmuxError):
     """Carries an :class:`ApiError` up to the boundary that answers it."""
 
     def __init__(self, error: ApiError) -> None:
--- a/tests/support/consensus_cluster.py
+++ b/tests/support/consensus_cluster.py
@@ -26,7 +26,7 @@
     SnapshotMeta,
 )
 from springmux.coordination.identifiers import GroupId, LogIndex, NodeId, ReplicaId, Term
-from springmux.coordination.kernel import Effect, Event, MessageReceived, PeerMessage, Send, Tick
+from springmux.coordination.state_machine import Effect, Event, MessageReceived, PeerMessage, Send, Tick
 
 State = list[tuple[int, bytes]]
 _ENCODER = msgspec.msgpack.Encoder()
@@ -127,7 +127,7 @@
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._sequence = 0
         self._identities = 0
-        self._tickets = 0
+        self._correlation_ids = 0
         for node in nodes:
             self.add(node)
         self._at(0.0, self._gossip)
@@ -235,24 +235,24 @@
             self._schedule_tick(machine)
 
     def propose(self, node: str, data: bytes) -> str:
-        self._tickets += 1
-        ticket = f"p{self._tickets}"
-        self.give(node, fx.Propose(ticket, data))
-        return ticket
+        self._correlation_ids += 1
+        correlation_id = f"p{self._correlation_ids}"
+        self.give(node, fx.Propose(correlation_id, data))
+        return correlation_id
 
     def commit(self, data: bytes = b"x") -> str:
         """Propose at the leader and wait for the acknowledgement."""
-        ticket = self.propose(self.await_leader().node, data)
-        self.run_until(lambda: ticket in self.acknowledged or ticket in self.dropped)
-        assert ticket in self.acknowledged, self.dropped[ticket].reason
-        return ticket
+        correlation_id = self.propose(self.await_leader().node, data)
+        self.run_until(lambda: correlation_id in self.acknowledged or correlation_id in self.dropped)
+        assert correlation_id in self.acknowledged, self.dropped[correlation_id].reason
+        return correlation_id
 
     def read(self, node: str) -> str:
-        self._tickets += 1
-        ticket = f"q{self._tickets}"
-        self._read_floor[ticket] = max(self.acknowledged.values(), default=0)
-        self.give(node, fx.ConfirmRead(ticket))
-        return ticket
+        self._correlation_ids += 1
+        correlation_id = f"q{self._correlation_ids}"
+        self._read_floor[correlation_id] = max(self.acknowledged.values(), default=0)
+        self.give(node, fx.ConfirmRead(correlation_id))
+        return correlation_id
 
     def settle(self) -> None:
         """Heal everything, let it come to rest, and check that nothing acknowledged is missing."""
@@ -343,10 +343,10 @@
             case fx.InstallSnapshot():
                 self._write(machine, lambda: self._install(machine, effect.meta, effect.data))
             case fx.ProposalCommitted():
-                self.acknowledged[effect.ticket] = effect.index
+                self.acknowledged[effect.correlation_id] = effect.index
                 assert effect.index <= machine.applied, "answered before it was applied"
             case fx.ProposalDropped():
-                self.dropped[effect.ticket] = effect
+                self.dropped[effect.correlation_id] = effect
             case fx.ReadConfirmed():
                 self._check_read(machine, effect)
             case fx.ReplicaStopped():
@@ -441,7 +441,7 @@
             )
 
     def _check_read(self, machine: Machine, effect: fx.ReadConfirmed) -> None:
-        self.reads[effect.ticket] = effect.index
+        self.reads[effect.correlation_id] = effect.index
         if effect.index is not None:
-            assert effect.index >= self._read_floor[effect.ticket], "a stale read was confirmed"
+            assert effect.index >= self._read_floor[effect.correlation_id], "a stale read was confirmed"
             assert machine.applied >= effect.index
--- a/tests/support/gossip_harness.py
+++ b/tests/support/gossip_harness.py
@@ -11,15 +11,24 @@
 import msgspec
 
 from springmux.agent.directory.effects import EnginesChanged
-from springmux.agent.directory.part import DirectoryPart
+from springmux.agent.directory.engine_directory import EngineDirectory
 from springmux.agent.events import EngineAnnounced, EngineHeartbeat
 from springmux.coordination.identifiers import Address, NodeId, ZoneName
-from springmux.coordination.kernel import Effect, Event, MessageReceived, Note, PeerMessage, Send, Tick
-from springmux.coordination.membership.contact import ContactPart
+from springmux.coordination.membership.contact_monitor import ContactMonitor
 from springmux.coordination.membership.effects import MembershipChanged, SendToAddress
 from springmux.coordination.membership.events import MembershipUpdated
-from springmux.coordination.membership.part import MembershipPart
+from springmux.coordination.membership.membership import Membership
 from springmux.coordination.membership.view import NodeRecord, NodeStatus
+from springmux.coordination.state_machine import (
+    Effect,
+    Event,
+    LogLine,
+    MessageReceived,
+    PeerMessage,
+    Send,
+    Tick,
+    message_name,
+)
 from springmux.vocabulary.engines import EngineLoad, EngineRecord, EngineStatus, EnginesView
 from springmux.vocabulary.names import EngineId, ServiceName, VersionName
 
@@ -27,7 +36,7 @@
 
 
 def part_name(message: PeerMessage) -> str:
-    name = type(message).__name__
+    name = message_name(type(message))
     return next(part for prefix, part in PART_OF_PREFIX.items() if name.startswith(prefix))
 
 
@@ -51,15 +60,15 @@
         self.parts = parts
         self.frozen = False
         self.waiting: list[tuple[NodeId, PeerMessage]] = []
-        self.notes: list[tuple[float, Note]] = []
+        self.notes: list[tuple[float, LogLine]] = []
         self.engines: EnginesView | None = None
 
     @property
-    def membership(self) -> MembershipPart:
+    def membership(self) -> Membership:
         return self.parts["membership"]  # type: ignore[return-value]
 
     @property
-    def contact(self) -> ContactPart:
+    def contact(self) -> ContactMonitor:
         return self.parts["contact"]  # type: ignore[return-value]
 
     def give(self, part: str, event: Event) -> None:
@@ -72,7 +81,7 @@
             self.network.send(self, effect.to, effect.message)
         elif isinstance(effect, SendToAddress):
             self.network.send_to_address(self, effect.address, effect.message)
-        elif isinstance(effect, Note):
+        elif isinstance(effect, LogLine):
             self.notes.append((self.network.now, effect))
         elif isinstance(effect, EnginesChanged):
             self.engines = effect.view
@@ -116,11 +125,11 @@
         for record in records or self.records:
             source = random.Random(self.random.random())
             parts: dict[str, object] = {
-                "membership": MembershipPart(record, self.seeds, source),
-                "contact": ContactPart(record.node, True, source),
+                "membership": Membership(record, self.seeds, source),
+                "contact": ContactMonitor(record.node, True, source),
             }
             if self.with_directory:
-                parts["directory"] = DirectoryPart(record.node, source)
+                parts["directory"] = EngineDirectory(record.node, source)
             node = VirtualNode(self, record, parts)
             self.nodes[record.node] = node
             for part in parts:
--- a/tests/support/playbook.py
+++ b/tests/support/playbook.py
@@ -24,7 +24,7 @@
 )
 from springmux.coordination.claims.decision import ClaimDecision, ClaimVerdict
 from springmux.coordination.identifiers import Address, NodeId, Revision
-from springmux.coordination.kernel import Effect, Event, Tick
+from springmux.coordination.state_machine import Effect, Event, Tick
 from springmux.rollout.outcome import PromptOutcome, VersionChoice
 from springmux.router import effects as out
 from springmux.router import events as ev
@@ -145,7 +145,7 @@
 class Scene:
     """One request on the stage; ``effects`` is everything that its flow asked for."""
 
-    def __init__(self, playbook: Playbook, request: ev.CallerRequest) -> None:
+    def __init__(self, playbook: Playbook, request: ev.ClientRequest) -> None:
         self.playbook = playbook
         self.request = request
         self.flow = playbook.router.open(request, playbook.now)
@@ -206,17 +206,17 @@
 
     @property
     def error(self) -> ApiError:
-        (answer,) = self.all(out.AnswerError)
+        (answer,) = self.all(out.ResponseError)
         return answer.error
 
     @property
     def body(self) -> bytes:
-        return b"".join(effect.data for effect in self.all(out.AnswerData))
+        return b"".join(effect.data for effect in self.all(out.ResponseData))
 
     @property
     def whole(self) -> bool:
         """Whether the caller takes its answer as complete."""
-        return bool(self.all(out.AnswerEnd)) and not self.all(out.AnswerCut)
+        return bool(self.all(out.ResponseEnd)) and not self.all(out.ResponseAborted)
 
 
 @dataclass
@@ -292,7 +292,7 @@
         self.requests += 1
         path = f"/v1/calls/{call}" if call else "/v1/chat/completions"
         headers = {"authorization": f"Bearer {key}"} | changes.pop("headers", {})
-        request = ev.CallerRequest(
+        request = ev.ClientRequest(
             RequestId(f"r{self.requests}"), "POST", path, headers, body or (b"{}" if call else chat())
         )
         scene = Scene(self, msgspec.structs.replace(request, **changes))
--- a/tests/unit/agent/test_changes_while_stopping.py
+++ b/tests/unit/agent/test_changes_while_stopping.py
@@ -8,9 +8,9 @@
 from springmux.agent.events import StopBegun, StopFinished
 from springmux.control.delivery.arrival import DeliveryWay
 from springmux.coordination.identifiers import NodeId
-from springmux.coordination.kernel import Effect
 from springmux.coordination.membership.events import LeaveBegun
 from springmux.coordination.membership.view import MembershipView, NodeStatus
+from springmux.coordination.state_machine import Effect
 from springmux.simulation.hollow_fleet import HollowFleet
 from tests.support.changing_operator import ChangingOperator
 from tests.unit.agent.test_all_seeds_restarted import (
@@ -65,7 +65,7 @@
 
 
 def leave_at_once(agent: NodeAgent, event: StopBegun, now: float) -> list[Effect]:
-    return agent._routing.give(agent._parts.membership, LeaveBegun(), now)
+    return agent._routing.give(agent._components.membership, LeaveBegun(), now)
 
 
 def test_the_check_sees_nodes_that_say_at_once_that_they_have_left(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/unit/agent/test_deadlines.py
+++ b/tests/unit/agent/test_deadlines.py
@@ -1,10 +1,10 @@
 """The remembered deadlines: never later than the parts' own."""
 
 from springmux.agent.deadlines import Deadlines
-from springmux.coordination.kernel import NEVER, Effect, Event
+from springmux.coordination.state_machine import NEVER, Effect, Event
 
 
-class Part:
+class StateMachine:
     """A part with a settable deadline that counts how often it is asked."""
 
     def __init__(self, deadline: float) -> None:
@@ -20,7 +20,7 @@
 
 
 def test_a_touched_part_is_asked_again_and_the_others_are_not() -> None:
-    moved, still = Part(5.0), Part(3.0)
+    moved, still = StateMachine(5.0), StateMachine(3.0)
     deadlines = Deadlines((moved, still), ())
     assert deadlines.earliest() == 3.0
     moved.deadline = 1.0
@@ -30,7 +30,7 @@
 
 
 def test_a_volatile_part_is_always_asked() -> None:
-    quota = Part(NEVER)
+    quota = StateMachine(NEVER)
     deadlines = Deadlines((quota,), (quota,))
     assert deadlines.earliest() == NEVER
     quota.deadline = 2.0
@@ -38,15 +38,15 @@
 
 
 def test_due_parts_come_in_their_order() -> None:
-    first, second, third = Part(2.0), Part(9.0), Part(1.0)
+    first, second, third = StateMachine(2.0), StateMachine(9.0), StateMachine(1.0)
     assert Deadlines((first, second, third), ()).due(2.0) == [first, third]
 
 
 def test_after_a_change_of_all_every_part_is_asked() -> None:
-    parts = Part(4.0), Part(5.0)
-    deadlines = Deadlines(parts, ())
+    components = StateMachine(4.0), StateMachine(5.0)
+    deadlines = Deadlines(components, ())
     deadlines.earliest()
-    for part in parts:
+    for part in components:
         part.deadline = 1.0
     deadlines.touch_all()
-    assert deadlines.due(1.0) == list(parts)
+    assert deadlines.due(1.0) == list(components)
--- a/tests/unit/agent/test_fleet_found_again.py
+++ b/tests/unit/agent/test_fleet_found_again.py
@@ -6,7 +6,7 @@
 import pytest
 
 from springmux.coordination.identifiers import Address, NodeId
-from springmux.coordination.membership.part import MembershipPart
+from springmux.coordination.membership.membership import Membership
 from springmux.simulation.hollow_fleet import HollowFleet
 from springmux.simulation.world.faults import CutNode, Heal, Kill, Restart, Wipe
 from springmux.storage.peer_list import PeerList
@@ -66,7 +66,7 @@
 
 
 def test_the_check_sees_controllers_that_do_not_wait(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(MembershipPart, "awaits_remembered", lambda part, now: False)
+    monkeypatch.setattr(Membership, "awaits_remembered", lambda part, now: False)
     assert acknowledged_while_alone(0) > 0
 
 
--- a/tests/unit/bad_days/gateway_fleet.py
+++ b/tests/unit/bad_days/gateway_fleet.py
@@ -22,18 +22,18 @@
 )
 from springmux.control.view import EMPTY_VIEW
 from springmux.coordination.identifiers import Address, NodeId, ReplicaId, Revision, ZoneName
-from springmux.coordination.kernel import Effect, MessageReceived, Send, Tick
 from springmux.coordination.membership.view import MembershipView, NodeRecord
+from springmux.coordination.state_machine import Effect, MessageReceived, Send, Tick
 from springmux.coordination.usage.events import AccountLimit, AccountLimitsChanged, UsageMembersChanged
-from springmux.coordination.usage.part import UsagePart
+from springmux.coordination.usage.usage_exchange import UsageExchange
 from springmux.gateway.core import GatewayCore, RetryBounds
 from springmux.gateway.dialect import OWN_HEADERS
+from springmux.node.admin.service_rates import ServiceRates
 from springmux.node.gateway.forwarder import Forwarder, ForwarderServices
 from springmux.node.gateway.headers import HeaderRules
 from springmux.node.gateway.refusal_log import RefusalLog
 from springmux.node.http.types import RequestHead
 from springmux.node.logs import EventLog
-from springmux.node.service_rates import ServiceRates
 from springmux.rollout.outcome import VersionChoice
 from springmux.vocabulary.engines import EngineRecord, EngineStatus, EnginesView
 from springmux.vocabulary.names import EngineId, RouteName, ServiceName, VersionName
@@ -100,7 +100,7 @@
         self, name: str, farm: EngineFarm, source: random.Random, chooser: Chooser | None = None
     ) -> None:
         self.name = NodeId(name)
-        self.usage = UsagePart(self.name, random.Random(source.random()))
+        self.usage = UsageExchange(self.name, random.Random(source.random()))
         chosen_by = chooser or Chooser(VersionChoice(()))
         self.core = GatewayCore("north", random.Random(source.random()), chosen_by, self.usage)
         log = RefusalLog(self.core.counters, EventLog(name, output=io.StringIO()), OWN_HEADERS.request_id)
--- a/tests/unit/bad_days/model_engines.py
+++ b/tests/unit/bad_days/model_engines.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from springmux.gateway.dialect import OWN_HEADERS
-from springmux.node.http.types import AnswerHead, ExchangeFailed, FailureKind, RequestHead
+from springmux.node.http.types import ExchangeFailedError, FailureKind, RequestHead, ResponseHead
 from tests.unit.node_gateway.scripted_engines import now
 
 EVENTS = 5
@@ -105,7 +105,7 @@
         self,
         engine: ModelEngine,
         head: RequestHead,
-        accept: Callable[[AnswerHead], bool],
+        accept: Callable[[ResponseHead], bool],
         source: random.Random,
     ) -> None:
         self._engine = engine
@@ -128,7 +128,7 @@
         first = int(head.header(OWN_HEADERS.last_event_id) or b"0") + 1
         return [stream_event(self._id, number) for number in range(first, EVENTS + 1)]
 
-    async def head(self) -> AnswerHead:
+    async def head(self) -> ResponseHead:
         """Return the head of this request's answer; one that ``accept`` refuses is skipped."""
         if self.declined:
             self._pieces = []
@@ -136,7 +136,7 @@
             return self._answer(status, self._id, (OWN_HEADERS.not_executed, b"1"))
         await self._pause(LATE_S if self._drawn["late"] else self._engine.behaviour.service_s)
         if self._drawn["losing"]:
-            raise ExchangeFailed(FailureKind.RESET)
+            raise ExchangeFailedError(FailureKind.RESET)
         if self._drawn["failing"]:
             self._pieces = [b"broken"]
             return self._answer(500, self._id)
@@ -148,15 +148,15 @@
                 return other
         return self._answer(200, self._id)
 
-    def _answer(self, status: int, request_id: bytes, *more: tuple[bytes, bytes]) -> AnswerHead:
+    def _answer(self, status: int, request_id: bytes, *more: tuple[bytes, bytes]) -> ResponseHead:
         self._answering = True
         seal = (OWN_HEADERS.seal, b"seal of " + self._engine.name.encode())
-        return AnswerHead(status, ((OWN_HEADERS.request_id, request_id), seal, *more), None, True)
+        return ResponseHead(status, ((OWN_HEADERS.request_id, request_id), seal, *more), None, True)
 
     async def read(self) -> bytes:
         """Return the next piece."""
         if self._cut:
-            raise ExchangeFailed(FailureKind.CUT_SHORT)
+            raise ExchangeFailedError(FailureKind.CUT_SHORT)
         if not self._pieces:
             return b""
         await self._pause(self._engine.behaviour.service_s / EVENTS)
@@ -187,7 +187,7 @@
             if engine.mode is Mode.UP:
                 return
             await engine.broken.wait()
-        raise ExchangeFailed(FailureKind.CUT_SHORT if self._answering else FailureKind.RESET)
+        raise ExchangeFailedError(FailureKind.CUT_SHORT if self._answering else FailureKind.RESET)
 
 
 @dataclass
@@ -208,16 +208,16 @@
         head: RequestHead,
         body: bytes,
         connect_timeout_s: float,
-        accept: Callable[[AnswerHead], bool],
+        accept: Callable[[ResponseHead], bool],
     ) -> ModelExchange:
         """Connect to the engine at ``address`` and hand it the request."""
         engine = self.engines[address.partition(":")[0]]
         self.tries.append((now(), engine.name))
         if engine.mode is Mode.CRASHED:
-            raise ExchangeFailed(FailureKind.CONNECT)
+            raise ExchangeFailedError(FailureKind.CONNECT)
         if engine.mode is Mode.DARK:
             await asyncio.sleep(connect_timeout_s)
-            raise ExchangeFailed(FailureKind.CONNECT)
+            raise ExchangeFailedError(FailureKind.CONNECT)
         exchange = ModelExchange(engine, head, accept, self.source)
         request_id = head.header(OWN_HEADERS.request_id) or b""
         self.arrivals.append((now(), request_id))
--- a/tests/unit/bad_days/test_changes_delivered.py
+++ b/tests/unit/bad_days/test_changes_delivered.py
@@ -5,7 +5,7 @@
 import pytest
 
 from springmux.control.commands import encode_command
-from springmux.control.delivery.part import DeliveryPart
+from springmux.control.delivery.state_delivery import StateDelivery
 from springmux.coordination.identifiers import NodeId
 from tests.unit.control.delivery.support import Fleet
 from tests.unit.control.support import put_tenant
@@ -39,5 +39,5 @@
 
 
 def test_the_checker_sees_nodes_that_do_not_heed_what_others_have(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(DeliveryPart, "_on_peer_revision", lambda part, event, now: [])
+    monkeypatch.setattr(StateDelivery, "_on_peer_revision", lambda part, event, now: [])
     assert late_nodes() > 0
--- a/tests/unit/bad_days/test_early_answers.py
+++ b/tests/unit/bad_days/test_early_answers.py
@@ -9,7 +9,7 @@
 
 from springmux.node.http.client import PooledEngineClient
 from springmux.node.http.client_connection import EngineConnection
-from springmux.node.http.types import ExchangeFailed, RequestHead
+from springmux.node.http.types import ExchangeFailedError, RequestHead
 from tests.unit.http.test_client import OK
 from tests.unit.http.wires import PATIENCE_S, Wire, any_answer, engine
 
@@ -21,7 +21,7 @@
 
 async def _ask(client: PooledEngineClient, address: str, body: bytes) -> None:
     exchange = await client.send(address, HEAD, body, PATIENCE_S, any_answer)
-    with contextlib.suppress(ExchangeFailed):
+    with contextlib.suppress(ExchangeFailedError):
         await exchange.head()
         while await exchange.read():
             pass
--- a/tests/unit/bad_days/test_engine_reports.py
+++ b/tests/unit/bad_days/test_engine_reports.py
@@ -11,12 +11,12 @@
 import msgspec
 import pytest
 
-from springmux.agent.directory import part as directory_module
+from springmux.agent.directory import engine_directory as directory_module
+from springmux.agent.directory.engine_directory import EngineDirectory
 from springmux.agent.directory.entry import DirectoryEntry, heard_again
-from springmux.agent.directory.part import DirectoryPart
 from springmux.agent.readiness import CUT_OFF, JOINING, STARTING, STOPPING
 from springmux.coordination.identifiers import NodeId
-from springmux.coordination.kernel import Event
+from springmux.coordination.state_machine import Event
 from springmux.node.gateway import engine_endpoints
 from springmux.node.gateway.engine_endpoints import EngineEndpoints, HeartbeatBody
 from springmux.vocabulary.engines import EngineRecord, EngineStatus
@@ -47,7 +47,7 @@
 
     def __init__(self, fleet: GatewayFleet, reason: str = "") -> None:
         self._fleet = fleet
-        self.directory = DirectoryPart(NodeId("n0"), random.Random(1))
+        self.directory = EngineDirectory(NodeId("n0"), random.Random(1))
         self._endpoints = EngineEndpoints(HearingNode(reason), self._hear)  # type: ignore[arg-type]
 
     async def put(self, engine: str, sequence: int, state: str = "ready") -> int:
--- a/tests/unit/bad_days/test_engines_lost.py
+++ b/tests/unit/bad_days/test_engines_lost.py
@@ -7,10 +7,11 @@
 import msgspec
 import pytest
 
-from springmux.gateway import engine_pool, engine_standing
+from springmux.gateway import engine_pool
+from springmux.gateway import outlier_detection as engine_standing
+from springmux.gateway.attempt_timeouts import Patience
 from springmux.gateway.dialect import OWN_HEADERS
 from springmux.gateway.engine_health import EngineHealth
-from springmux.gateway.patience import Patience
 from springmux.node.gateway.headers import HeaderRules
 from springmux.node.http.types import RequestHead
 from springmux.vocabulary.engines import EngineStatus
--- a/tests/unit/bad_days/test_machines_lost.py
+++ b/tests/unit/bad_days/test_machines_lost.py
@@ -13,7 +13,7 @@
 from springmux.coordination.identifiers import NodeId
 from springmux.simulation.world.faults import FullDisk
 from springmux.storage.appended_file import AppendedFile
-from springmux.storage.disk import DiskFull
+from springmux.storage.disk import DiskFullError
 from springmux.storage.memory_disk import MemoryFile
 from unit.simulation.site import SITE_B, SMALL_SIX, Site
 
@@ -106,7 +106,7 @@
     append = AppendedFile.append
 
     def append_what_fits(file: AppendedFile, data: bytes) -> None:
-        with contextlib.suppress(DiskFull):
+        with contextlib.suppress(DiskFullError):
             append(file, data)
 
     monkeypatch.setattr(AppendedFile, "append", append_what_fits)
--- a/tests/unit/bad_days/test_quota_faults.py
+++ b/tests/unit/bad_days/test_quota_faults.py
@@ -7,7 +7,7 @@
 import pytest
 
 from springmux.coordination.usage.contact import FleetContact
-from springmux.coordination.usage.part import UsagePart
+from springmux.coordination.usage.usage_exchange import UsageExchange
 from tests.unit.usage.scenarios import SWELL_AT, SWELL_END, cut, with_faults
 from tests.unit.usage.world import World
 
@@ -69,7 +69,7 @@
 
 
 def test_the_checker_sees_nodes_that_take_a_freeze_for_refill(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(UsagePart, "_look_at_clock", lambda part, now: setattr(part, "_now", now))
+    monkeypatch.setattr(UsageExchange, "_look_at_clock", lambda part, now: setattr(part, "_now", now))
     assert excess(all_freeze_each_two_seconds) > 0.0
 
 
--- a/tests/unit/bad_days/test_traffic_swells.py
+++ b/tests/unit/bad_days/test_traffic_swells.py
@@ -10,7 +10,7 @@
 
 from springmux.coordination.retry_budget import RetryBudget
 from springmux.coordination.usage.bucket import Bucket
-from springmux.coordination.usage.part import UsagePart
+from springmux.coordination.usage.usage_exchange import UsageExchange
 from springmux.gateway import placement
 from springmux.gateway.placement_policy import PlacementPolicy
 from springmux.node.gateway.forwarder import Forwarder
@@ -151,7 +151,7 @@
 
 
 def test_the_checker_sees_declined_requests_that_use_quota(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(UsagePart, "give_back", lambda *_: None)
+    monkeypatch.setattr(UsageExchange, "give_back", lambda *_: None)
     assert refused_below_the_rate(engines_full_for_a_while()) >= 0.02
 
 
--- a/tests/unit/claims/network.py
+++ b/tests/unit/claims/network.py
@@ -4,6 +4,7 @@
 
 import random
 
+from springmux.coordination.claims.claim_coordinator import ClaimCoordinator
 from springmux.coordination.claims.decision import ClaimDecision, ClaimVerdict
 from springmux.coordination.claims.events import (
     ClaimEnded,
@@ -16,10 +17,17 @@
     PersistClaims,
 )
 from springmux.coordination.claims.journal import ClaimEntry, JournalFold, RecoveredClaims
-from springmux.coordination.claims.part import ClaimPart
 from springmux.coordination.claims.ring import ClaimRing, RingMember
 from springmux.coordination.identifiers import NodeId, ReplicaId, ZoneName
-from springmux.coordination.kernel import Effect, Event, MessageReceived, Note, PeerMessage, Send, Tick
+from springmux.coordination.state_machine import (
+    Effect,
+    Event,
+    LogLine,
+    MessageReceived,
+    PeerMessage,
+    Send,
+    Tick,
+)
 
 NODES = tuple(NodeId(name) for name in ("a", "b", "c", "d", "e"))
 
@@ -52,11 +60,11 @@
         self.disks = {node: ClaimDisk(ReplicaId(f"{node}-1")) for node in NODES} if durable else {}
         self.notes: list[str] = []
         self.ring = self.ring_of(1, nodes)
-        self.parts: dict[NodeId, ClaimPart] = {}
+        self.parts: dict[NodeId, ClaimCoordinator] = {}
         self.frozen: set[NodeId] = set()
         self.bag: list[tuple[NodeId, NodeId, PeerMessage]] = []
         self.decisions: dict[str, ClaimDecision] = {}
-        self.owner: dict[str, tuple[NodeId, ClaimPart, str]] = {}
+        self.owner: dict[str, tuple[NodeId, ClaimCoordinator, str]] = {}
         for node in NODES:
             self.restart(node)
 
@@ -69,7 +77,9 @@
     def restart(self, node: NodeId) -> None:
         """Begin another boot; what was not synced is lost."""
         recovered = self.disks[node].recover() if self.disks else None
-        self.parts[node] = ClaimPart(node, random.Random(self.random.random()), ClaimSettings(), recovered)
+        self.parts[node] = ClaimCoordinator(
+            node, random.Random(self.random.random()), ClaimSettings(), recovered
+        )
         self.give(node, HoldersChanged(self.ring))
 
     def power_cut(self, nodes: tuple[NodeId, ...], wiped: tuple[NodeId, ...] = ()) -> None:
@@ -100,14 +110,14 @@
         if node not in self.frozen:
             self._carry_out(node, self.parts[node].handle(event, self.now))
 
-    def claim(self, node: NodeId, ticket: str, key: str = "key") -> None:
-        self.owner[ticket] = (node, self.parts[node], key)
-        self.give(node, ClaimWanted(ticket, key))
+    def claim(self, node: NodeId, attempt: str, key: str = "key") -> None:
+        self.owner[attempt] = (node, self.parts[node], key)
+        self.give(node, ClaimWanted(attempt, key))
 
-    def end(self, ticket: str, ran: bool = True, answer: bytes = b"") -> None:
-        node, part, key = self.owner[ticket]
+    def end(self, attempt: str, ran: bool = True, answer: bytes = b"") -> None:
+        node, part, key = self.owner[attempt]
         if self.parts[node] is part:
-            self.give(node, ClaimEnded(ticket, key, ran, answer))
+            self.give(node, ClaimEnded(attempt, key, ran, answer))
 
     def deliver(self, index: int, keep: bool = False) -> None:
         sender, to, message = self.bag[index] if keep else self.bag.pop(index)
@@ -137,12 +147,12 @@
         taken, self.bag = self.bag, []
         return taken
 
-    def verdict(self, ticket: str) -> ClaimVerdict | None:
-        decision = self.decisions.get(ticket)
+    def verdict(self, attempt: str) -> ClaimVerdict | None:
+        decision = self.decisions.get(attempt)
         return decision.verdict if decision else None
 
     def granted(self) -> list[str]:
-        return [ticket for ticket in self.decisions if self.verdict(ticket) is ClaimVerdict.GRANTED]
+        return [attempt for attempt in self.decisions if self.verdict(attempt) is ClaimVerdict.GRANTED]
 
     def _carry_out(self, node: NodeId, effects: list[Effect]) -> None:
         for effect in effects:
@@ -151,8 +161,8 @@
             elif isinstance(effect, PersistClaims):
                 assert self.disks[node].writing is None, "two batches in flight"
                 self.disks[node].writing = effect
-            elif isinstance(effect, Note):
+            elif isinstance(effect, LogLine):
                 self.notes.append(effect.name)
             elif isinstance(effect, ClaimResolved):
-                assert effect.ticket not in self.decisions, "decided twice"
-                self.decisions[effect.ticket] = effect.decision
+                assert effect.correlation_id not in self.decisions, "decided twice"
+                self.decisions[effect.correlation_id] = effect.decision
--- a/tests/unit/claims/test_durability.py
+++ b/tests/unit/claims/test_durability.py
@@ -11,7 +11,7 @@
 from springmux.coordination.claims.ring import HolderSpan
 from springmux.coordination.claims.synchronization import Synchronizer
 from springmux.coordination.identifiers import NodeId
-from springmux.coordination.kernel import MessageReceived
+from springmux.coordination.state_machine import MessageReceived
 from unit.claims.network import NODES, ClaimNetwork
 
 A, B, C, D, E = NODES
@@ -28,10 +28,10 @@
     return network
 
 
-def granted(network: ClaimNetwork, ticket: str, key: str = "key", without: tuple[NodeId, ...] = ()) -> bool:
-    network.claim(D, ticket, key)
+def granted(network: ClaimNetwork, attempt: str, key: str = "key", without: tuple[NodeId, ...] = ()) -> bool:
+    network.claim(D, attempt, key)
     network.settle_down(0.3, without=without)
-    return network.verdict(ticket) is GRANTED
+    return network.verdict(attempt) is GRANTED
 
 
 @RULE
@@ -210,4 +210,4 @@
     for _ in range(3):
         persistence.write(entries.records[0])
     assert not persistence.is_usable()
-    assert [type(effect).__name__ for effect in persistence.flush(0.0)] == ["Note"]
+    assert [type(effect).__name__ for effect in persistence.flush(0.0)] == ["LogLine"]
--- a/tests/unit/claims/test_model.py
+++ b/tests/unit/claims/test_model.py
@@ -35,8 +35,8 @@
     def run(self) -> list[str]:
         for _ in range(STEPS):
             self.step()
-            running = [ticket for ticket in self.network.granted() if ticket not in self.freed]
-            keys = [self.network.owner[ticket][2] for ticket in running]
+            running = [attempt for attempt in self.network.granted() if attempt not in self.freed]
+            keys = [self.network.owner[attempt][2] for attempt in running]
             if len(set(keys)) < len(keys):
                 return running
         return []
@@ -67,13 +67,13 @@
             network.advance(self.random.choice((0.05, 0.1, 0.3, 0.6, 2.5)))
 
     def end_one(self) -> None:
-        for ticket in self.network.granted():
-            node = self.network.owner[ticket][0]
-            if ticket not in self.freed and node not in self.network.frozen:
+        for attempt in self.network.granted():
+            node = self.network.owner[attempt][0]
+            if attempt not in self.freed and node not in self.network.frozen:
                 never_dispatched = self.random.random() < 0.5
                 if never_dispatched:
-                    self.freed.add(ticket)
-                self.network.end(ticket, ran=not never_dispatched)
+                    self.freed.add(attempt)
+                self.network.end(attempt, ran=not never_dispatched)
 
     def synchronize(self) -> None:
         """Let pulls through, so that restarts and ring changes come often within a walk."""
--- a/tests/unit/claims/test_ring.py
+++ b/tests/unit/claims/test_ring.py
@@ -6,12 +6,12 @@
 
 import pytest
 
-from springmux.agent.ring_keeper import (
+from springmux.agent.claim_ring_manager import (
     CHANGE_PERIOD_S,
     FEW_DISKS_WAIT_S,
     GONE_AFTER_S,
     LEFT_AFTER_S,
-    ClaimRingKeeper,
+    ClaimRingManager,
 )
 from springmux.coordination.claims.ring import (
     RING_MEMBERS_MAX,
@@ -104,7 +104,7 @@
     """A ring keeper whose orders are committed at once."""
 
     def __init__(self, *records: NodeRecord) -> None:
-        self.keeper = ClaimRingKeeper()
+        self.keeper = ClaimRingManager()
         self.keeper.lead(True, 0.0)
         self.view = view_of(*records)
         self.ring: ClaimRing | None = None
--- a/tests/unit/claims/test_schedules.py
+++ b/tests/unit/claims/test_schedules.py
@@ -17,11 +17,11 @@
     ClaimReply,
     ClaimRequest,
     ClaimSettle,
-    ClaimSettleTaken,
+    ClaimSettleAck,
 )
 from springmux.coordination.claims.ring import HolderSpan
 from springmux.coordination.identifiers import NodeId
-from springmux.coordination.kernel import PeerMessage
+from springmux.coordination.state_machine import PeerMessage
 from unit.claims.network import NODES, ClaimNetwork
 
 A, B, C, D, E = NODES
@@ -44,7 +44,7 @@
 
 
 def deliver(network: ClaimNetwork, kind: type[PeerMessage], *, to: NodeId | None = None, of: str = "") -> int:
-    """Deliver all present messages of one kind, to one node and about one ticket where given."""
+    """Deliver all present messages of one kind, to one node and about one attempt where given."""
     chosen = [entry for entry in network.bag if _matches(entry, kind, to, of)]
     for entry in chosen:
         network.deliver(network.bag.index(entry))
@@ -53,8 +53,10 @@
 
 def _matches(entry: tuple[NodeId, NodeId, PeerMessage], kind: type, to: NodeId | None, of: str) -> bool:
     _, receiver, message = entry
-    ticket = getattr(message, "ticket", None)
-    return isinstance(message, kind) and to in (None, receiver) and (not of or (ticket and ticket.name == of))
+    attempt = getattr(message, "attempt", None)
+    return (
+        isinstance(message, kind) and to in (None, receiver) and (not of or (attempt and attempt.name == of))
+    )
 
 
 def lose(network: ClaimNetwork, kind: type[PeerMessage], to: NodeId) -> None:
@@ -168,7 +170,7 @@
     network.end("t1", answer=b"done")
     lose(network, ClaimSettle, to=A)
     network.settle_down(1.0)
-    deliver(network, ClaimSettleTaken)
+    deliver(network, ClaimSettleAck)
     assert network.parts[A]._holder.store.find("key").answer == b"done"
 
 
@@ -245,7 +247,7 @@
     for record in records:
         if holder.store.find(record.key) is None:
             holder.store.put(record, now)
-            holder._granted[record.key] = record.tickets[0]
+            holder._granted[record.key] = record.attempts[0]
 
 
 @INTACT_BROKEN
--- a/tests/unit/claims/test_store.py
+++ b/tests/unit/claims/test_store.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from springmux.coordination.claims.events import ClaimSettings
-from springmux.coordination.claims.messages import ClaimRecord, ClaimState, ClaimTicket
+from springmux.coordination.claims.messages import ClaimAttempt, ClaimRecord, ClaimState
 from springmux.coordination.claims.store import ClaimStore
 from springmux.coordination.identifiers import NodeId
 
-TICKET = ClaimTicket(NodeId("a"), 1, "t")
+TICKET = ClaimAttempt(NodeId("a"), 1, "t")
 
 
 def finished(key: str, answer: bytes = b"") -> ClaimRecord:
--- a/tests/unit/compatibility/encoded_types.py
+++ b/tests/unit/compatibility/encoded_types.py
@@ -10,7 +10,7 @@
 from springmux.coordination.claims.journal import ClaimEntry
 from springmux.coordination.consensus.types import GroupMembers, SnapshotMeta
 from springmux.coordination.membership.remembered import RememberedPeer
-from springmux.node.peer_hello import Handshake
+from springmux.node.peer.handshake import Handshake
 from springmux.storage.claim_journal_file import JournalStart
 from springmux.storage.records import BatchRecord, SegmentStart
 
--- a/tests/unit/compatibility/outer_names.py
+++ b/tests/unit/compatibility/outer_names.py
@@ -23,19 +23,17 @@
 from springmux.control import documents, gateway_documents
 from springmux.control.commands import Outcome
 from springmux.control.delivery.arrival import DeliveryWay
+from springmux.coordination.state_machine import message_name
 from springmux.gateway.dialect import OWN_HEADERS
 from springmux.gateway.refusals import RefusalReason
-from springmux.node import (
-    admin_control,
-    admin_engines,
-    admin_listener,
-    admin_orders,
-    admin_rollouts,
-    answers,
-    health,
-    lifecycle,
-    rollout_history,
-)
+from springmux.node import health, lifecycle
+from springmux.node.admin import control_endpoints as admin_control
+from springmux.node.admin import engine_endpoints as admin_engines
+from springmux.node.admin import listener as admin_listener
+from springmux.node.admin import order_submission as admin_orders
+from springmux.node.admin import rollout_endpoints as admin_rollouts
+from springmux.node.admin import rollout_history
+from springmux.node.client import error_responses as answers
 from springmux.node.gateway import (
     control_interface,
     engine_endpoints,
@@ -45,12 +43,12 @@
     status_endpoint,
 )
 from springmux.node.gateway.settings import GatewaySettings
-from springmux.node.metrics import METRICS, PREFIX, message_label
+from springmux.node.metrics.registry import METRICS, PREFIX
 from springmux.node.settings import NodeSettings
-from springmux.node.storage_worker import FAILURE_KINDS
-from springmux.rollout import template
-from springmux.rollout.preview import Preview
-from springmux.rollout.standard_template import STANDARD_TEMPLATE
+from springmux.node.storage.worker import FAILURE_KINDS
+from springmux.rollout.planning import template
+from springmux.rollout.planning.preview import Preview
+from springmux.rollout.planning.standard_template import STANDARD_TEMPLATE
 from springmux.router.errors import STATUS_OF_CODE
 from springmux.vocabulary.errors import ErrorCode, Fate
 from unit.compatibility.shapes import Shape, shape_of
@@ -125,7 +123,7 @@
             for spec in METRICS
         },
         "metric labels": {
-            "message": sorted(message_label(message) for message in wire.ALL_MESSAGES),
+            "message": sorted(message_name(message) for message in wire.ALL_MESSAGES),
             "reason": sorted(RefusalReason),
             "kind": sorted(FAILURE_KINDS.values()),
             "way": sorted(DeliveryWay),
--- a/tests/unit/compatibility/test_encoded_bytes.py
+++ b/tests/unit/compatibility/test_encoded_bytes.py
@@ -13,7 +13,7 @@
 from springmux.control.state_image import decode_image, encode_image
 from springmux.coordination.claims.journal import ClaimEntry
 from springmux.coordination.identifiers import NodeId, Revision, Term
-from springmux.node.peer_hello import Handshake, decode_handshake, encode_handshake
+from springmux.node.peer.handshake import Handshake, decode_handshake, encode_handshake
 from springmux.storage.records import RecordType
 from unit.compatibility.encoded_types import encoded_types
 from unit.compatibility.shapes import example_of, shape_of
--- a/tests/unit/consensus/test_cluster.py
+++ b/tests/unit/consensus/test_cluster.py
@@ -9,7 +9,7 @@
 from springmux.coordination.consensus.events import ChangeMember, MemberChangeKind, StopAnnounced
 from springmux.coordination.consensus.settings import ConsensusSettings
 from springmux.coordination.consensus.types import GroupMember
-from springmux.coordination.kernel import Tick
+from springmux.coordination.state_machine import Tick
 from tests.support.consensus_cluster import Cluster
 
 THREE = ("a", "b", "c")
@@ -77,18 +77,18 @@
     for node in others(cluster, leader):
         cluster.machines[node].stalled = True
 
-    ticket = cluster.propose(leader, b"on one disk only")
+    correlation_id = cluster.propose(leader, b"on one disk only")
     cluster.run(5.0)
-    assert ticket not in cluster.acknowledged
+    assert correlation_id not in cluster.acknowledged
 
     for node in others(cluster, leader):
         cluster.unstall(node)
-    cluster.run_until(lambda: ticket in cluster.acknowledged, 5.0)
+    cluster.run_until(lambda: correlation_id in cluster.acknowledged, 5.0)
 
 
 def test_power_loss_of_all_after_an_acknowledgement_loses_nothing() -> None:
     cluster = founded()
-    tickets = [cluster.commit(b"%d" % number) for number in range(50)]
+    correlation_ids = [cluster.commit(b"%d" % number) for number in range(50)]
     for node in THREE:
         cluster.crash(node)
     begin = cluster.now
@@ -98,7 +98,7 @@
     cluster.await_leader()
     assert cluster.now - begin < 4.0
     cluster.settle()
-    assert set(tickets) <= set(cluster.acknowledged)
+    assert set(correlation_ids) <= set(cluster.acknowledged)
 
 
 def test_after_a_power_loss_of_all_each_replica_has_its_state_before_there_is_a_leader() -> None:
@@ -143,7 +143,7 @@
     leader = cluster.await_leader().node
     wiped, other = others(cluster, leader)
     cluster.isolate(other)
-    ticket = cluster.commit(b"on the leader and the machine that is wiped next")
+    correlation_id = cluster.commit(b"on the leader and the machine that is wiped next")
     cluster.wipe(wiped)
     cluster.crash(leader)
     cluster.cut.clear()
@@ -153,7 +153,7 @@
 
     cluster.restart(leader)
     cluster.settle()
-    assert ticket in cluster.acknowledged
+    assert correlation_id in cluster.acknowledged
 
 
 def test_lost_voter_is_replaced_by_a_learner_at_another_node() -> None:
@@ -178,13 +178,13 @@
     lost = next(node for node in sorted(cluster.voters()) if node != leader.node)
     cluster.crash(lost)
     cluster.run_until(lambda: cluster.voters() == {"a", "b", "c", "d"} - {lost}, 10.0)
-    ticket = cluster.commit(b"while it was away")
+    correlation_id = cluster.commit(b"while it was away")
     member = leader.status.members.find(cluster.machines[lost].disk.replica)
     assert member is not None and not member.voter
 
     cluster.restart(lost)
 
-    index = cluster.acknowledged[ticket]
+    index = cluster.acknowledged[correlation_id]
     cluster.run_until(lambda: cluster.machines[lost].status.applied_index >= index, 0.5)
 
 
@@ -379,9 +379,9 @@
 def test_too_large_a_command_is_refused() -> None:
     cluster = founded()
 
-    ticket = cluster.propose(cluster.await_leader().node, bytes(12 * MIB + 1))
+    correlation_id = cluster.propose(cluster.await_leader().node, bytes(12 * MIB + 1))
 
-    assert "exceeds" in cluster.dropped[ticket].reason
+    assert "exceeds" in cluster.dropped[correlation_id].reason
 
 
 def test_reads_share_one_heartbeat_round_and_only_the_leader_confirms() -> None:
@@ -390,9 +390,11 @@
     cluster.run(0.01)
     cluster.keep_sent = True
 
-    tickets = [cluster.read(leader) for _ in range(20)]
+    correlation_ids = [cluster.read(leader) for _ in range(20)]
     refused = cluster.read(others(cluster, leader)[0])
-    cluster.run_until(lambda: all(cluster.reads.get(ticket) for ticket in tickets), 0.2)
+    cluster.run_until(
+        lambda: all(cluster.reads.get(correlation_id) for correlation_id in correlation_ids), 0.2
+    )
 
     assert cluster.reads[refused] is None
     heartbeats = [message for *_, message in cluster.sent if isinstance(message, wire.RaftHeartbeat)]
@@ -403,12 +405,12 @@
     cluster = founded()
     broken = cluster.await_leader()
     broken.stalled = True
-    ticket = cluster.propose(broken.node, b"x")
+    correlation_id = cluster.propose(broken.node, b"x")
     batch = broken.replica._core.durability._in_flight.number
 
     cluster.give(broken.node, PersistFailed(batch, False, "input/output error"))
     assert broken.stops == ["the disk failed: input/output error"]
-    assert cluster.dropped[ticket].unknown
+    assert cluster.dropped[correlation_id].unknown
     refused = cluster.propose(broken.node, b"y")
     assert not cluster.dropped[refused].unknown
     cluster.await_leader(others(cluster, broken.node))
--- a/tests/unit/consensus/test_founding.py
+++ b/tests/unit/consensus/test_founding.py
@@ -10,7 +10,7 @@
 from springmux.coordination.consensus.events import FoundingCandidates
 from springmux.coordination.consensus.settings import ConsensusSettings
 from springmux.coordination.consensus.types import GroupMember, GroupMembers
-from springmux.coordination.kernel import MessageReceived, Tick
+from springmux.coordination.state_machine import MessageReceived, Tick
 from tests.support.consensus_cluster import Cluster
 
 FIVE = ("a", "b", "c", "d", "e")
--- a/tests/unit/consensus/test_random_faults.py
+++ b/tests/unit/consensus/test_random_faults.py
@@ -59,8 +59,8 @@
             self.cluster.check_logs()
         self._end()
         self.cluster.settle()
-        ticket = self.cluster.read(self.cluster.await_leader().node)
-        self.cluster.run_until(lambda: self.cluster.reads.get(ticket) is not None)
+        correlation_id = self.cluster.read(self.cluster.await_leader().node)
+        self.cluster.run_until(lambda: self.cluster.reads.get(correlation_id) is not None)
         return self.cluster
 
     def _end(self) -> None:
--- a/tests/unit/consensus/test_replica.py
+++ b/tests/unit/consensus/test_replica.py
@@ -23,7 +23,7 @@
     RecoveredState,
     SnapshotMeta,
 )
-from springmux.coordination.kernel import MessageReceived, PeerMessage, Send, Tick
+from springmux.coordination.state_machine import MessageReceived, PeerMessage, Send, Tick
 
 MEMBERS = GroupMembers(tuple(GroupMember(f"r{n}", n, True) for n in "abc"))
 
--- a/tests/unit/control/delivery/support.py
+++ b/tests/unit/control/delivery/support.py
@@ -8,22 +8,27 @@
 
 import msgspec
 
-from springmux.control.delivery.effects import ApplyCommands, AskLeaderRevision, ProvideSnapshot, ReplaceState
+from springmux.control.delivery.effects import (
+    ApplyCommands,
+    ConfirmLeaderRevision,
+    ProvideSnapshot,
+    ReplaceState,
+)
 from springmux.control.delivery.events import (
     CommandsCommitted,
     ConfirmedRevision,
     MembershipChanged,
-    PeerRevisionHeard,
+    PeerRevisionObserved,
     SnapshotProvided,
 )
-from springmux.control.delivery.part import DeliveryPart
 from springmux.control.delivery.settings import DeliverySettings
+from springmux.control.delivery.state_delivery import StateDelivery
 from springmux.control.events import LeadershipKnown
 from springmux.control.state import ControlState
 from springmux.coordination.consensus.types import Entry, EntryKind
 from springmux.coordination.identifiers import Address, LogIndex, NodeId, ReplicaId, Term, ZoneName
-from springmux.coordination.kernel import Effect, Event, MessageReceived, PeerMessage, Send, Tick
 from springmux.coordination.membership.view import MembershipView, NodeRecord, NodeStatus
+from springmux.coordination.state_machine import Effect, Event, MessageReceived, PeerMessage, Send, Tick
 
 LEADER = NodeId("n00")
 FRAME_BYTES = 200
@@ -48,7 +53,7 @@
 
     def __init__(self, name: NodeId, seed: int, settings: DeliverySettings) -> None:
         self.name = name
-        self.part = DeliveryPart(name, random.Random(f"{seed}/{name}"), settings)
+        self.part = StateDelivery(name, random.Random(f"{seed}/{name}"), settings)
         self.state = ControlState()
         self.revisions = [0]
         self.replaced = 0
@@ -153,8 +158,8 @@
                 view = node.state.view()
                 provided = SnapshotProvided(view.revision, node.state.snapshot())
                 self._later(0.02, lambda: self.give(node, provided))
-            case AskLeaderRevision(ticket=ticket):
-                confirmed = ConfirmedRevision(ticket, LogIndex(len(self.log)))
+            case ConfirmLeaderRevision(correlation_id=correlation_id):
+                confirmed = ConfirmedRevision(correlation_id, LogIndex(len(self.log)))
                 self._later(0.01, lambda: self.give(node, confirmed))
         assert node.part.revision >= node.state.view().revision
 
@@ -168,7 +173,7 @@
             if node.name in self.down or to in self.down:
                 return
             target = self.nodes[to]
-            self.give(target, PeerRevisionHeard(node.name, TERM, revision))
+            self.give(target, PeerRevisionObserved(node.name, TERM, revision))
             self.give(target, MessageReceived(node.name, message))
 
         for _ in range(2 if self.rng.random() < self.loss / 2 else 1):
@@ -192,7 +197,7 @@
             return
         to = self.rng.choice([record.node for record in self.records])
         if node.name not in self.down and to not in self.down and self.rng.random() >= self.loss:
-            heard = PeerRevisionHeard(node.name, TERM, node.part.revision)
+            heard = PeerRevisionObserved(node.name, TERM, node.part.revision)
             self.give(self.nodes[to], heard)
         self._later(0.2, lambda: self._gossip(node))
 
--- a/tests/unit/control/delivery/test_arrival.py
+++ b/tests/unit/control/delivery/test_arrival.py
@@ -6,28 +6,28 @@
 
 from springmux.control.commands import encode_command
 from springmux.control.delivery.arrival import Arrival, DeliveryWay
-from springmux.control.delivery.events import CommandsCommitted, PeerRevisionHeard
+from springmux.control.delivery.events import CommandsCommitted, PeerRevisionObserved
 from springmux.control.delivery.messages import DeliveredCommand, FetchState, PushCommands
-from springmux.control.delivery.part import DeliveryPart
+from springmux.control.delivery.state_delivery import StateDelivery
 from springmux.coordination.consensus.types import Entry, EntryKind
 from springmux.coordination.identifiers import LogIndex, NodeId, Revision, Term
-from springmux.coordination.kernel import MessageReceived, Note, Send, Tick
+from springmux.coordination.state_machine import LogLine, MessageReceived, Send, Tick
 from tests.unit.control.support import put_tenant
 
 OWN, PEER, OTHER = NodeId("own"), NodeId("peer"), NodeId("other")
 COMMAND = encode_command(put_tenant("order", "tenant"))
 
 
-def part() -> DeliveryPart:
-    return DeliveryPart(OWN, random.Random(1))
+def part() -> StateDelivery:
+    return StateDelivery(OWN, random.Random(1))
 
 
 def delivered(previous: int, index: int) -> DeliveredCommand:
     return DeliveredCommand(Revision(previous), Revision(index), COMMAND)
 
 
-def heard(revision: int) -> PeerRevisionHeard:
-    return PeerRevisionHeard(PEER, Term(1), Revision(revision))
+def heard(revision: int) -> PeerRevisionObserved:
+    return PeerRevisionObserved(PEER, Term(1), Revision(revision))
 
 
 def test_a_push_that_nobody_announced_was_not_waited_for() -> None:
@@ -57,18 +57,18 @@
     node.handle(heard(3), 0.0)
     effects = []
     now = 0.0
-    while not any(isinstance(effect, Note) for effect in effects):
+    while not any(isinstance(effect, LogLine) for effect in effects):
         now = max(now, node.next_deadline())
         effects = node.handle(Tick(), now)
-    notes = [effect for effect in effects if isinstance(effect, Note)]
+    notes = [effect for effect in effects if isinstance(effect, LogLine)]
     assert [(note.name, note.fields["peer"]) for note in notes] == [("transfer_given_up", PEER)]
     assert now < 1.0
 
 
 def test_a_fetched_state_is_told_as_such() -> None:
-    ahead, behind = part(), DeliveryPart(OTHER, random.Random(2))
+    ahead, behind = part(), StateDelivery(OTHER, random.Random(2))
     ahead.handle(MessageReceived(PEER, PushCommands(Term(1), Revision(3), (delivered(0, 3),))), 1.0)
-    behind.handle(PeerRevisionHeard(OWN, Term(1), Revision(3)), 2.0)
+    behind.handle(PeerRevisionObserved(OWN, Term(1), Revision(3)), 2.0)
     asked = behind.handle(Tick(), behind.next_deadline())
     fetches = [effect.message for effect in asked if isinstance(effect, Send)]
     assert [type(message) for message in fetches] == [FetchState]
--- a/tests/unit/control/delivery/test_delivery.py
+++ b/tests/unit/control/delivery/test_delivery.py
@@ -12,37 +12,37 @@
 from hypothesis import strategies as st
 
 from springmux.control.commands import ApplyGateway, CommandResult, Outcome, PutTemplate, encode_command
-from springmux.control.delivery.effects import ApplyCommands, AskLeaderRevision, ProvideSnapshot
+from springmux.control.delivery.effects import ApplyCommands, ConfirmLeaderRevision, ProvideSnapshot
 from springmux.control.delivery.events import (
     CommandsCommitted,
     ConfirmedRevision,
-    PeerRevisionHeard,
+    PeerRevisionObserved,
     ReplicaRestored,
     SnapshotProvided,
 )
 from springmux.control.delivery.messages import (
     MESSAGES,
-    AskRevision,
     DeliveredCommand,
     FetchState,
     NothingNewer,
     PushCommands,
     RevisionConfirmed,
+    RevisionRequest,
     StateChunk,
     TransferKind,
 )
-from springmux.control.delivery.part import DeliveryPart
 from springmux.control.delivery.recent_log import RecentLog
 from springmux.control.delivery.relay_tree import branches_of_leader, split
 from springmux.control.delivery.serving import transfer_checksum
 from springmux.control.delivery.settings import DeliverySettings
+from springmux.control.delivery.state_delivery import StateDelivery
 from springmux.control.events import LeadershipKnown
 from springmux.control.order_messages import MESSAGES as ORDER_MESSAGES
-from springmux.control.order_messages import ForwardOrder, OrderDecided, OrderNotTaken
+from springmux.control.order_messages import ForwardOrder, OrderDecided, OrderRejected
 from springmux.coordination.consensus.types import Entry, EntryKind
 from springmux.coordination.identifiers import LogIndex, NodeId, Revision, Term
-from springmux.coordination.kernel import MessageReceived, PeerMessage, Send, Tick
 from springmux.coordination.membership.view import NodeStatus
+from springmux.coordination.state_machine import MessageReceived, PeerMessage, Send, Tick
 from springmux.vocabulary.errors import ErrorCode
 from springmux.vocabulary.names import OrderId
 from tests.unit.control.delivery.support import LEADER, Fleet, member, view_of
@@ -70,8 +70,8 @@
     return MessageReceived(LEADER, PushCommands(Term(3), commands[-1].index, commands))
 
 
-def plain_part(name: str = "n05") -> DeliveryPart:
-    return DeliveryPart(NodeId(name), random.Random(1))
+def plain_part(name: str = "n05") -> StateDelivery:
+    return StateDelivery(NodeId(name), random.Random(1))
 
 
 def test_a_push_reaches_36_nodes_without_repair_and_with_bounded_fan_out() -> None:
@@ -286,14 +286,14 @@
 def test_the_leader_answers_only_after_a_confirmation_begun_after_the_question() -> None:
     part = plain_part("n00")
     (own,) = part.handle(LeadershipKnown(Term(3), LEADER, leading=True), 0.0)
-    assert isinstance(own, AskLeaderRevision)
-    assert part.handle(MessageReceived(NodeId("n07"), AskRevision(5)), 0.0) == []
-    (second,) = part.handle(ConfirmedRevision(own.ticket, LogIndex(0)), 0.1)
-    assert isinstance(second, AskLeaderRevision)
+    assert isinstance(own, ConfirmLeaderRevision)
+    assert part.handle(MessageReceived(NodeId("n07"), RevisionRequest(5)), 0.0) == []
+    (second,) = part.handle(ConfirmedRevision(own.correlation_id, LogIndex(0)), 0.1)
+    assert isinstance(second, ConfirmLeaderRevision)
     assert part.ready
     part.handle(CommandsCommitted((Entry(LogIndex(1), Term(3), EntryKind.COMMAND, b"d"),)), 0.2)
-    assert part.handle(ConfirmedRevision(own.ticket, LogIndex(1)), 0.2) == []
-    assert part.handle(ConfirmedRevision(second.ticket, LogIndex(2)), 0.2) == []
+    assert part.handle(ConfirmedRevision(own.correlation_id, LogIndex(1)), 0.2) == []
+    assert part.handle(ConfirmedRevision(second.correlation_id, LogIndex(2)), 0.2) == []
     barrier = Entry(LogIndex(2), Term(3), EntryKind.BARRIER, b"")
     (answer,) = part.handle(CommandsCommitted((barrier,)), 0.3)
     assert answer == Send(NodeId("n07"), RevisionConfirmed(5, Revision(1)))
@@ -404,11 +404,11 @@
         FetchState(1, Revision(0), TransferKind.SNAPSHOT, Revision(7), 500),
         StateChunk(1, TransferKind.DELTA, Revision(7), 9, 2**62, 0, b"abc", 3),
         NothingNewer(1, Revision(7)),
-        AskRevision(2**48),
+        RevisionRequest(2**48),
         RevisionConfirmed(2**48, Revision(7)),
         ForwardOrder("k", b"data"),
         OrderDecided("k", result),
-        OrderNotTaken("k", ErrorCode.STORAGE_FULL),
+        OrderRejected("k", ErrorCode.STORAGE_FULL),
     ]
     known = MESSAGES + ORDER_MESSAGES
     assert {type(example) for example in examples} == set(known)
@@ -419,7 +419,7 @@
 
 @pytest.mark.parametrize("seed", range(10))
 def test_a_peer_that_does_not_answer_is_left_for_another(seed: int) -> None:
-    part = DeliveryPart(NodeId("n05"), random.Random(seed))
+    part = StateDelivery(NodeId("n05"), random.Random(seed))
     part.handle(push(delivered(4, 7)), 0.0)
     part.handle(MessageReceived(NodeId("n02"), PushCommands(Term(3), Revision(7))), 0.0)
     asked: list[NodeId] = []
@@ -487,8 +487,8 @@
 
 
 def test_a_higher_term_of_a_peer_without_a_leader_does_not_hide_the_leader() -> None:
-    part = DeliveryPart(NodeId("n01"), random.Random(1))
-    part.handle(PeerRevisionHeard(NodeId("n02"), Term(9), Revision(0)), 0.0)
+    part = StateDelivery(NodeId("n01"), random.Random(1))
+    part.handle(PeerRevisionObserved(NodeId("n02"), Term(9), Revision(0)), 0.0)
     (question,) = part.handle(LeadershipKnown(Term(1), LEADER), 0.1)
     assert isinstance(question, Send) and question.to == LEADER
 
--- a/tests/unit/control/delivery/test_fetching.py
+++ b/tests/unit/control/delivery/test_fetching.py
@@ -11,7 +11,7 @@
 from springmux.control.delivery.serving import transfer_checksum
 from springmux.control.delivery.settings import DeliverySettings
 from springmux.coordination.identifiers import NodeId, Revision
-from springmux.coordination.kernel import Effect, Send
+from springmux.coordination.state_machine import Effect, Send
 
 OWN = Revision(5)
 NEWER = Revision(6)
--- a/tests/unit/control/freshness/test_freshness.py
+++ b/tests/unit/control/freshness/test_freshness.py
@@ -9,13 +9,13 @@
 
 from springmux.control.delivery.events import MembershipChanged
 from springmux.control.events import LeadershipKnown
-from springmux.control.freshness import part as part_module
+from springmux.control.freshness import freshness_monitor as part_module
 from springmux.control.freshness.events import ProofWanted
-from springmux.control.freshness.messages import AskFreshness, FreshnessTold
-from springmux.control.freshness.part import FreshnessPart
+from springmux.control.freshness.freshness_monitor import FreshnessMonitor
+from springmux.control.freshness.messages import FreshnessReply, FreshnessRequest
 from springmux.control.freshness.settings import LEAST_LEASE_S, FreshnessSettings, lease_for
 from springmux.coordination.identifiers import LogIndex, NodeId, Revision, Term
-from springmux.coordination.kernel import MessageReceived, Send, Tick
+from springmux.coordination.state_machine import MessageReceived, Send, Tick
 from tests.unit.control.freshness.world import REVOCATION_S, FleetNode, FreshnessWorld
 
 
@@ -42,7 +42,7 @@
 
 def test_without_the_promise_nothing_is_asked_and_all_is_current() -> None:
     """Given no lease, the part sends nothing by itself and every state is good."""
-    part = FreshnessPart(
+    part = FreshnessMonitor(
         NodeId("n"),
         random.Random(1),
         FreshnessSettings(),
@@ -94,9 +94,9 @@
     world = FreshnessWorld(1)
     node.part.handle(_members(world, node), 0.0)
     (asked,) = node.part.handle(Tick(), 10.0)
-    assert isinstance(asked, Send) and isinstance(asked.message, AskFreshness)
+    assert isinstance(asked, Send) and isinstance(asked.message, FreshnessRequest)
     node.revision = Revision(6)
-    told = FreshnessTold(asked.message.request, 100, Revision(7))
+    told = FreshnessReply(asked.message.request, 100, Revision(7))
     node.part.handle(MessageReceived(asked.to, told), 10.2)
     assert not node.part.current(10.3)
     node.revision = Revision(7)
@@ -109,8 +109,8 @@
     world = FreshnessWorld(1)
     node.part.handle(_members(world, node), 0.0)
     (asked,) = node.part.handle(Tick(), 10.0)
-    assert isinstance(asked, Send) and isinstance(asked.message, AskFreshness)
-    told = FreshnessTold(asked.message.request, 500, Revision(0))
+    assert isinstance(asked, Send) and isinstance(asked.message, FreshnessRequest)
+    told = FreshnessReply(asked.message.request, 500, Revision(0))
     node.part.handle(MessageReceived(asked.to, told), 13.0)
     lease_s = lease_for(REVOCATION_S).lease_s
     assert node.part.current(9.5 + lease_s - 0.01)
@@ -120,7 +120,7 @@
 def test_an_answer_to_nobodys_question_is_no_proof() -> None:
     """Given an answer to a question of an earlier life, nothing is proven."""
     node = FleetNode("n0", False, 1, 0.0)
-    node.part.handle(MessageReceived(NodeId("c0"), FreshnessTold(12345, 0, Revision(0))), 10.0)
+    node.part.handle(MessageReceived(NodeId("c0"), FreshnessReply(12345, 0, Revision(0))), 10.0)
     assert not node.part.current(10.0)
 
 
@@ -133,7 +133,7 @@
 def test_a_proof_that_is_wanted_is_asked_of_the_leader_at_once() -> None:
     """Given no lease and somebody who waits, the leader is asked, and its answer is the proof."""
     node = FleetNode("n0", False, 1, 0.0)
-    part = FreshnessPart(
+    part = FreshnessMonitor(
         node.name,
         random.Random(1),
         FreshnessSettings(),
@@ -143,8 +143,8 @@
     assert part.handle(ProofWanted(), 10.0) == []  # nobody is known to lead
     part.handle(LeadershipKnown(Term(1), NodeId("c0"), False), 10.0)
     (asked,) = part.handle(ProofWanted(), 10.0)
-    assert isinstance(asked, Send) and isinstance(asked.message, AskFreshness) and asked.to == "c0"
-    told = FreshnessTold(asked.message.request, 300, Revision(3))
+    assert isinstance(asked, Send) and isinstance(asked.message, FreshnessRequest) and asked.to == "c0"
+    told = FreshnessReply(asked.message.request, 300, Revision(3))
     part.handle(MessageReceived(asked.to, told), 10.1)
     assert part.proof_age_s(10.1) == pytest.approx(0.4)
     assert part.next_deadline() == float("inf")
@@ -192,20 +192,20 @@
 def test_the_check_catches_a_lease_that_is_dated_from_the_answer(monkeypatch: pytest.MonkeyPatch) -> None:
     """Given a part that trusts an answer's age alone, some bad day shows a stale key."""
 
-    def trusting(self: FreshnessPart, told: FreshnessTold, now: float) -> None:
+    def trusting(self: FreshnessMonitor, told: FreshnessReply, now: float) -> None:
         self._proofs.append(part_module._Proof(told.revision, now))
         self._ask_at = now + 0.5
 
-    monkeypatch.setattr(FreshnessPart, "_take_answer", trusting)
+    monkeypatch.setattr(FreshnessMonitor, "_take_answer", trusting)
     assert any(_bad_day(seed).stale for seed in range(10))
 
 
 def test_the_check_catches_a_lease_that_never_ends(monkeypatch: pytest.MonkeyPatch) -> None:
     """Given a part that is always current, as it was before there were leases, a bad day shows it."""
-    monkeypatch.setattr(FreshnessPart, "current", lambda self, now: True)
+    monkeypatch.setattr(FreshnessMonitor, "current", lambda self, now: True)
     assert _bad_day(1).stale
 
 
 def test_messages_are_small() -> None:
     """Given an answer, it takes well under a hundred bytes: twice a second at every node."""
-    assert len(msgspec.msgpack.encode(FreshnessTold(1 << 47, 4000, Revision(1 << 30)))) < 60
+    assert len(msgspec.msgpack.encode(FreshnessReply(1 << 47, 4000, Revision(1 << 30)))) < 60
--- a/tests/unit/control/freshness/world.py
+++ b/tests/unit/control/freshness/world.py
@@ -14,11 +14,11 @@
 from springmux.control.delivery.events import MembershipChanged
 from springmux.control.events import LeadershipKnown
 from springmux.control.freshness.events import QuorumConfirmed
-from springmux.control.freshness.part import FreshnessPart
+from springmux.control.freshness.freshness_monitor import FreshnessMonitor
 from springmux.control.freshness.settings import lease_for
 from springmux.coordination.identifiers import Address, LogIndex, NodeId, ReplicaId, Revision, Term, ZoneName
-from springmux.coordination.kernel import Effect, Event, MessageReceived, PeerMessage, Send, Tick
 from springmux.coordination.membership.view import MembershipView, NodeRecord
+from springmux.coordination.state_machine import Effect, Event, MessageReceived, PeerMessage, Send, Tick
 
 REVOCATION_S = 5.0
 STEP_S = 0.02
@@ -43,8 +43,8 @@
         self.waiting: list[Event] = []
         self.part = self._new_part()
 
-    def _new_part(self) -> FreshnessPart:
-        return FreshnessPart(
+    def _new_part(self) -> FreshnessMonitor:
+        return FreshnessMonitor(
             self.name,
             random.Random(self.seed),
             lease_for(REVOCATION_S),
--- a/tests/unit/control/test_configuration.py
+++ b/tests/unit/control/test_configuration.py
@@ -10,8 +10,8 @@
 from springmux.control.configuration import (
     MAX_DOCUMENT_BYTES,
     MAX_REPORTED_ERRORS,
-    ConfigurationInvalid,
-    ConfigurationTooLarge,
+    ConfigurationTooLargeError,
+    InvalidConfigurationError,
     canonical_document,
     parse_configuration,
 )
@@ -45,7 +45,7 @@
 
 
 def errors_of(document: Any) -> dict[str, str]:
-    with pytest.raises(ConfigurationInvalid) as caught:
+    with pytest.raises(InvalidConfigurationError) as caught:
         parse_configuration(json.dumps(document).encode())
     return {error.path: error.message for error in caught.value.errors}
 
@@ -102,7 +102,7 @@
 
 @pytest.mark.parametrize("document", [b"", b"{", b"\xff", b"[]", b"null", b'{"limits": NaN}', b"[" * 100_000])
 def test_what_is_no_document_is_refused(document: bytes) -> None:
-    with pytest.raises(ConfigurationInvalid):
+    with pytest.raises(InvalidConfigurationError):
         parse_configuration(document)
 
 
@@ -113,13 +113,13 @@
     data = json.dumps(document).encode()
     assert MAX_DOCUMENT_BYTES * 0.9 < len(data) < MAX_DOCUMENT_BYTES
     assert len(parse_configuration(data).routes) == 90_000
-    with pytest.raises(ConfigurationTooLarge):
+    with pytest.raises(ConfigurationTooLargeError):
         parse_configuration(b" " * (MAX_DOCUMENT_BYTES + 1))
 
 
 def test_a_document_wrong_throughout_is_answered_by_a_bounded_list() -> None:
     routes = {f"r{number}": {} for number in range(5_000)}
-    with pytest.raises(ConfigurationInvalid) as caught:
+    with pytest.raises(InvalidConfigurationError) as caught:
         parse_configuration(json.dumps({"routes": routes}).encode())
     assert len(caught.value.errors) == MAX_REPORTED_ERRORS + 1
     assert caught.value.errors[-1].message == "and 14000 more errors"
--- a/tests/unit/control/test_gateway_section.py
+++ b/tests/unit/control/test_gateway_section.py
@@ -24,7 +24,7 @@
 from springmux.control.gateway_documents import normal_host
 from springmux.control.gateway_section import GatewaySection
 from springmux.control.state import ControlState
-from springmux.control.state_image import ImageUnreadable, decode_image, encode_image
+from springmux.control.state_image import UnreadableImageError, decode_image, encode_image
 from springmux.vocabulary.names import OrderId, RouteName, ServiceName, TenantName
 from tests.unit.control.gateway_support import change, patch, read_back, whole, with_gateway
 from tests.unit.control.support import Log, put_tenant
@@ -399,7 +399,7 @@
     log = with_gateway()
     before = log.state.snapshot()
     broken = before.replace(b'"path_prefix"', b'"path_prefax"')
-    with pytest.raises(ImageUnreadable):
+    with pytest.raises(UnreadableImageError):
         log.state.restore(broken)
     assert log.state.snapshot() == before
 
--- a/tests/unit/control/test_state.py
+++ b/tests/unit/control/test_state.py
@@ -20,16 +20,16 @@
     ResumeRollout,
     RevokeKey,
     SetClaimRing,
-    UnknownCommand,
+    UnknownCommandError,
     encode_command,
 )
 from springmux.control.order_memory import MAX_SYSTEM_ORDERS
 from springmux.control.persistent_map import PersistentMap
 from springmux.control.state import ControlState
-from springmux.control.state_image import ImageUnreadable
+from springmux.control.state_image import UnreadableImageError
 from springmux.coordination.claims.ring import ClaimRing, RingMember
 from springmux.coordination.identifiers import NodeId, Revision, ZoneName
-from springmux.rollout.plan import RolloutPhase
+from springmux.rollout.planning.plan import RolloutPhase
 from springmux.vocabulary.names import KeyId, OrderId, RolloutId, ServiceName, TenantName
 from tests.unit.control.support import (
     DOCUMENT,
@@ -147,7 +147,7 @@
     log = configured()
     revision = log.state.view().revision
     assert log.state.apply(revision, encode_command(put_tenant("t"))) is None
-    with pytest.raises(UnknownCommand):
+    with pytest.raises(UnknownCommandError):
         log.state.apply(Revision(revision + 5), b"\x81\xa4type\xa3New")
     assert log.state.view().revision == revision
 
@@ -343,7 +343,7 @@
 def test_an_unreadable_snapshot_changes_nothing(data: bytes) -> None:
     log = configured()
     before = log.state.snapshot()
-    with pytest.raises(ImageUnreadable):
+    with pytest.raises(UnreadableImageError):
         log.state.restore(data)
     assert log.state.snapshot() == before
 
--- a/tests/unit/directory/test_batches.py
+++ b/tests/unit/directory/test_batches.py
@@ -3,11 +3,11 @@
 import random
 
 from springmux.agent.directory.effects import EnginesChanged
-from springmux.agent.directory.part import DirectoryPart
+from springmux.agent.directory.engine_directory import EngineDirectory
 from springmux.agent.directory.settings import DirectorySettings
 from springmux.agent.events import EngineAnnounced
 from springmux.coordination.identifiers import Address, NodeId
-from springmux.coordination.kernel import Effect, Tick
+from springmux.coordination.state_machine import Effect, Tick
 from springmux.vocabulary.engines import EngineRecord
 from springmux.vocabulary.names import EngineId, ServiceName, VersionName
 
@@ -24,13 +24,13 @@
 
 
 def test_a_small_directory_publishes_every_change_at_once() -> None:
-    part = DirectoryPart(NodeId("a"), random.Random(1))
+    part = EngineDirectory(NodeId("a"), random.Random(1))
     assert [views(part.handle(announced(number), 1.0)) for number in range(3)] == [[1], [2], [3]]
 
 
 def test_a_large_directory_publishes_changes_that_come_together_once() -> None:
     settings = DirectorySettings(batch_from_engines=2, batch_s_per_engine=0.1)
-    part = DirectoryPart(NodeId("a"), random.Random(1), settings)
+    part = EngineDirectory(NodeId("a"), random.Random(1), settings)
     for number in range(3):
         part.handle(announced(number), 1.0)
     assert views(part.handle(announced(3), 1.1)) == []
@@ -42,7 +42,7 @@
 
 def test_reading_the_view_meanwhile_loses_no_change() -> None:
     settings = DirectorySettings(batch_from_engines=0, batch_s_per_engine=0.1)
-    part = DirectoryPart(NodeId("a"), random.Random(1), settings)
+    part = EngineDirectory(NodeId("a"), random.Random(1), settings)
     part.handle(announced(0), 1.0)
     part.handle(announced(1), 1.01)
     assert len(part.view.engines) == 2
--- a/tests/unit/directory/test_homes.py
+++ b/tests/unit/directory/test_homes.py
@@ -5,30 +5,30 @@
 import msgspec
 
 from springmux.agent.directory import messages as wire
+from springmux.agent.directory.engine_directory import EngineDirectory
 from springmux.agent.directory.entry import DirectoryEntry
-from springmux.agent.directory.homes import Watch
-from springmux.agent.directory.part import DirectoryPart
+from springmux.agent.directory.owner_nodes import Watch
 from springmux.agent.directory.settings import DirectorySettings
-from springmux.coordination.kernel import MessageReceived, Send, Tick
 from springmux.coordination.membership.events import ContactChanged, MembershipUpdated
 from springmux.coordination.membership.view import MembershipView
+from springmux.coordination.state_machine import MessageReceived, Send, Tick
 from springmux.vocabulary.engines import EngineRecord, EngineStatus
 from tests.support.gossip_harness import record_of
 
 RECORDS = [record_of(index, 3) for index in range(3)]
 OWN, SECOND, THIRD = (record.node for record in RECORDS)
 ENGINE = EngineRecord("engine", "text", "v1", "10.0.0.1:1", 8, incarnation=5)
-LIFE = wire.EngineLife(ENGINE.engine, ENGINE.incarnation)
-VOTE = wire.DirectorySilent((LIFE,))
+LIFE = wire.EngineIncarnation(ENGINE.engine, ENGINE.incarnation)
+VOTE = wire.EngineTimeoutVote((LIFE,))
 
 
 def home(heard_at=1.0):
     """Return one of three homes, which heard the engine last at ``heard_at``."""
-    part = DirectoryPart(OWN, random.Random(1))
+    part = EngineDirectory(OWN, random.Random(1))
     view = MembershipView(own=OWN, nodes={record.node: record for record in RECORDS})
     part.handle(MembershipUpdated(view), heard_at)
     part.handle(MessageReceived(SECOND, wire.DirectoryRelay((DirectoryEntry(ENGINE),), 1)), heard_at)
-    part.handle(MessageReceived(SECOND, wire.DirectoryHeard((LIFE,))), heard_at)
+    part.handle(MessageReceived(SECOND, wire.EngineHeartbeatsRelay((LIFE,))), heard_at)
     return part
 
 
@@ -55,15 +55,15 @@
 def test_vote_about_an_engine_that_was_just_heard_is_answered():
     part = home()
     effects = part.handle(MessageReceived(SECOND, VOTE), 1.5)
-    assert effects == [Send(SECOND, wire.DirectoryHeard((LIFE,)))]
+    assert effects == [Send(SECOND, wire.EngineHeartbeatsRelay((LIFE,)))]
     assert part.handle(MessageReceived(SECOND, VOTE), 2.5) == [], "else two homes could keep it alive in turn"
 
 
 def test_old_votes_lapse():
     part = home()
     run(part, 1.1, 3.9)
-    other_life = wire.EngineLife(ENGINE.engine, incarnation=4)
-    part.handle(MessageReceived(THIRD, wire.DirectorySilent((other_life,))), 5.0)
+    other_life = wire.EngineIncarnation(ENGINE.engine, incarnation=4)
+    part.handle(MessageReceived(THIRD, wire.EngineTimeoutVote((other_life,))), 5.0)
     assert status(part) is EngineStatus.READY, "a vote about an older life is none"
     watch = Watch(DirectorySettings())
     assert watch.vote(SECOND, LIFE, 1.0) == 1
@@ -100,7 +100,7 @@
     run(part, 1.1, 5.0)
     part.handle(MessageReceived(THIRD, VOTE), 5.1)
     before = part.view.engines[ENGINE.engine]
-    part.handle(MessageReceived(SECOND, wire.DirectoryHeard((LIFE,))), 6.0)
+    part.handle(MessageReceived(SECOND, wire.EngineHeartbeatsRelay((LIFE,))), 6.0)
     after = part.view.engines[ENGINE.engine]
     assert (before.status, after.status) == (EngineStatus.LOST, EngineStatus.READY)
     assert after.age_key > before.age_key
--- a/tests/unit/directory/test_stops.py
+++ b/tests/unit/directory/test_stops.py
@@ -6,14 +6,14 @@
 import pytest
 
 from springmux.agent.directory import messages as wire
+from springmux.agent.directory.engine_directory import EngineDirectory
 from springmux.agent.directory.entry import DirectoryEntry
-from springmux.agent.directory.part import DirectoryPart
 from springmux.agent.directory.settings import DirectorySettings
 from springmux.agent.events import EngineAnnounced, EngineDraining, EngineLeft
-from springmux.coordination.kernel import MessageReceived, Send, Tick
 from springmux.coordination.membership.events import MembershipUpdated
 from springmux.coordination.membership.relay import HASH_END
 from springmux.coordination.membership.view import MembershipView, NodeStatus
+from springmux.coordination.state_machine import MessageReceived, Send, Tick
 from springmux.vocabulary.engines import EngineRecord, EngineStatus
 from tests.support.gossip_harness import record_of
 
@@ -25,7 +25,7 @@
 
 
 def node(own=OWN):
-    part = DirectoryPart(OWN.node, random.Random(1))
+    part = EngineDirectory(OWN.node, random.Random(1))
     for record in (OWN, own):
         nodes = {each.node: each for each in (record, MATE, OTHER)}
         part.handle(MembershipUpdated(MembershipView(own=OWN.node, nodes=nodes)), 0.0)
--- a/tests/unit/docs/test_design.py
+++ b/tests/unit/docs/test_design.py
@@ -3,7 +3,7 @@
 import re
 
 from springmux.agent.wire import ALL_MESSAGES
-from springmux.lab.faults import FAULTS
+from springmux.lab.faults.catalogue import FAULTS
 from springmux.simulation import scenario_faults
 from springmux.simulation.checkers import all_checkers
 from springmux.simulation.world import faults
--- a/tests/unit/docs/test_operations.py
+++ b/tests/unit/docs/test_operations.py
@@ -6,7 +6,7 @@
 
 from springmux.agent import gateway_readiness, readiness
 from springmux.gateway.refusals import CALLERS_FAULTS, RefusalReason
-from springmux.node.metrics import METRICS, PREFIX
+from springmux.node.metrics.registry import METRICS, PREFIX
 from springmux.vocabulary.errors import ErrorCode
 from tests.unit.docs import pages
 
@@ -36,7 +36,7 @@
         return True
     levels = {node.attr for node in ast.walk(call) if isinstance(node, ast.Attribute)}
     handed = any(isinstance(argument, ast.Name) and argument.id == "level" for argument in call.args)
-    return callee in {"Note", "note", "write"} and bool(levels & ALARMING or handed)
+    return callee in {"LogLine", "note", "write"} and bool(levels & ALARMING or handed)
 
 
 def test_every_error_code_has_its_advice() -> None:
--- a/tests/unit/gateway/test_event_stream.py
+++ b/tests/unit/gateway/test_event_stream.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from springmux.gateway.event_stream import EventStream, StreamFault
+from springmux.gateway.event_stream import EventStream, MalformedStreamError
 
 
 def _event(number: int) -> bytes:
@@ -47,7 +47,7 @@
     """Given an event that skips ids, the stream is not passed on as if it were whole."""
     stream = EventStream()
     stream.feed(_event(1))
-    with pytest.raises(StreamFault):
+    with pytest.raises(MalformedStreamError):
         stream.feed(_event(3))
 
 
--- a/tests/unit/gateway/test_patience.py
+++ b/tests/unit/gateway/test_patience.py
@@ -6,8 +6,8 @@
 
 from springmux.control.gateway_configuration import Backend, GatewayRoute, GatewayRouteKind
 from springmux.coordination.retry_budget import RetryBudget
+from springmux.gateway.attempt_timeouts import Patience
 from springmux.gateway.attempts import AttemptEnd, AttemptRules
-from springmux.gateway.patience import Patience
 from springmux.vocabulary.names import RouteName, ServiceName
 
 ROUTE = GatewayRoute(
--- a/tests/unit/gateway/test_routing.py
+++ b/tests/unit/gateway/test_routing.py
@@ -12,7 +12,7 @@
     GatewayTenant,
 )
 from springmux.gateway.prompt import engine_priority, parse_facts, quota_tokens
-from springmux.gateway.routing import KeyRefused, NoSuchRoute, RouteTable
+from springmux.gateway.routing import KeyRejectedError, RouteNotFoundError, RouteTable
 from springmux.vocabulary.names import RouteName, ServiceName, TenantName
 
 
@@ -70,14 +70,14 @@
 @pytest.mark.parametrize(("host", "path"), [("c.example", "/x/"), ("b.example", "/x/"), ("b.example", "/o")])
 def test_no_route(host: str, path: str) -> None:
     """Given another host, or a path that no prefix begins, there is no route."""
-    with pytest.raises(NoSuchRoute):
+    with pytest.raises(RouteNotFoundError):
         TABLE.admit(host, path, "k1")
 
 
 def test_keys_are_needed_except_on_public_routes() -> None:
     """Given tenants, a missing or unknown key is refused, but not on a public route."""
     for key in (None, "k2"):
-        with pytest.raises(KeyRefused):
+        with pytest.raises(KeyRejectedError):
             TABLE.admit("a.example", "/", key)
         assert TABLE.admit("b.example", "/o/", key).tenant is None
     assert TABLE.admit("b.example", "/o/", "k1").tenant is TENANT
--- a/tests/unit/http/test_client.py
+++ b/tests/unit/http/test_client.py
@@ -11,7 +11,7 @@
 from springmux.node.http.client import PooledEngineClient
 from springmux.node.http.client_connection import EngineConnection
 from springmux.node.http.client_exchange import HttpEngineExchange
-from springmux.node.http.types import AnswerHead, ExchangeFailed, FailureKind, RequestHead
+from springmux.node.http.types import ExchangeFailedError, FailureKind, RequestHead, ResponseHead
 from tests.unit.http.wires import GET, GET_BYTES, PATIENCE_S, Script, Wire, any_answer, ask, engine
 
 OK = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
@@ -32,7 +32,7 @@
 
 
 async def failure_of(client: PooledEngineClient, address: str) -> FailureKind:
-    with pytest.raises(ExchangeFailed) as caught:
+    with pytest.raises(ExchangeFailedError) as caught:
         await ask(client, address)
     return caught.value.kind
 
@@ -148,7 +148,7 @@
         assert (await exchange.head()).length is None
         assert await exchange.read() == b"ok"
         got.set()
-        with pytest.raises(ExchangeFailed) as caught:
+        with pytest.raises(ExchangeFailedError) as caught:
             await exchange.read()
         assert caught.value.kind is FailureKind.CUT_SHORT
 
@@ -170,7 +170,7 @@
             for filler in (one, two):
                 filler.setblocking(False)
                 filler.connect_ex(full.getsockname())
-            with pytest.raises(ExchangeFailed) as caught:
+            with pytest.raises(ExchangeFailedError) as caught:
                 await PooledEngineClient().send(address, GET, b"", 0.05, any_answer)
             assert caught.value.kind is FailureKind.CONNECT
 
@@ -180,7 +180,7 @@
     silence = OSError(errno.ETIMEDOUT, "timed out")
     before = HttpEngineExchange(connection, b"GET", any_answer, lambda *_: None)
     before.connection_ended(silence)
-    with pytest.raises(ExchangeFailed) as caught:
+    with pytest.raises(ExchangeFailedError) as caught:
         await before.head()
     assert caught.value.kind is FailureKind.SILENT
 
@@ -199,7 +199,7 @@
 
 
 async def test_answers_that_are_not_ours_are_skipped_whole_and_the_next_is_given() -> None:
-    def ours(head: AnswerHead) -> bool:
+    def ours(head: ResponseHead) -> bool:
         return head.header(b"id") == b"2"
 
     late = b"HTTP/1.1 200 OK\r\nid: 1\r\ntransfer-encoding: chunked\r\n\r\n4\r\nlate\r\n0\r\n\r\n"
@@ -215,7 +215,7 @@
 async def test_only_an_answer_that_is_not_ours_is_a_reset() -> None:
     async with engine(answers(OK)) as there, asyncio.timeout(PATIENCE_S):
         exchange = await PooledEngineClient().send(there.address, GET, b"", 1.0, lambda _: False)
-        with pytest.raises(ExchangeFailed) as caught:
+        with pytest.raises(ExchangeFailedError) as caught:
             await exchange.head()
         assert caught.value.kind is FailureKind.RESET
 
@@ -277,7 +277,7 @@
         waiting = asyncio.create_task(exchange.head())
         await asyncio.sleep(0)
         exchange.abort()
-        with pytest.raises(ExchangeFailed):
+        with pytest.raises(ExchangeFailedError):
             await waiting
 
 
--- a/tests/unit/http/test_client_pool.py
+++ b/tests/unit/http/test_client_pool.py
@@ -7,7 +7,7 @@
 import pytest
 
 from springmux.node.http.client import PooledEngineClient
-from springmux.node.http.types import ExchangeFailed, FailureKind, RequestHead
+from springmux.node.http.types import ExchangeFailedError, FailureKind, RequestHead
 from tests.unit.http.test_client import OK, answers
 from tests.unit.http.wires import GET, GET_BYTES, PATIENCE_S, Script, Wire, any_answer, ask, engine
 
@@ -30,7 +30,7 @@
         for _ in range(3):
             assert await ask(client, there.address) == b"ok"
         client.close()
-        with pytest.raises(ExchangeFailed):
+        with pytest.raises(ExchangeFailedError):
             await ask(client, there.address)
 
 
@@ -170,7 +170,7 @@
         exchange = await client.send(there.address, GET, b"", 1.0, any_answer)
         await exchange.head()
         client.close()
-        with pytest.raises(ExchangeFailed) as caught:
+        with pytest.raises(ExchangeFailedError) as caught:
             while await exchange.read():
                 pass
         assert caught.value.kind is FailureKind.CUT_SHORT
--- a/tests/unit/http/test_server.py
+++ b/tests/unit/http/test_server.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from springmux.node.http.types import BodyTooLarge, ClientGone, ServerExchange, ServerLimits
+from springmux.node.http.types import BodyTooLargeError, ClientDisconnectedError, ServerExchange, ServerLimits
 from tests.unit.http.wires import PATIENCE_S, serving
 
 GET = b"GET /a?b=c HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -139,7 +139,7 @@
 @pytest.mark.parametrize("request_bytes", [LENGTH_HEAD, CHUNKED_HEAD + CHUNKED_BODY])
 async def test_a_body_over_the_limit_is_told_to_the_handler(request_bytes: bytes) -> None:
     async def handler(exchange: ServerExchange) -> None:
-        with pytest.raises(BodyTooLarge):
+        with pytest.raises(BodyTooLargeError):
             await exchange.body()
         exchange.respond(413, (), b"no")
 
@@ -267,7 +267,7 @@
         exchange.begin(200, (), None)
         await exchange.write(b"a")
         exchange.abort()
-        with pytest.raises(ClientGone):
+        with pytest.raises(ClientDisconnectedError):
             await exchange.write(b"b")
 
     async with serving(handler) as site:
--- a/tests/unit/http/test_server_ends.py
+++ b/tests/unit/http/test_server_ends.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from springmux.node.http.types import ClientGone, ServerExchange, ServerLimits
+from springmux.node.http.types import ClientDisconnectedError, ServerExchange, ServerLimits
 from tests.unit.http.test_server import GET, OK, OK_CLOSE, say_ok
 from tests.unit.http.wires import PATIENCE_S, serving
 
@@ -30,7 +30,7 @@
             exchange.begin(200, (), None)
         ready.set()
         await gone.wait()
-        with pytest.raises(ClientGone):
+        with pytest.raises(ClientDisconnectedError):
             await exchange.write(b"a")
         late = asyncio.Event()
         exchange.on_gone(late.set)
@@ -53,7 +53,7 @@
     seen = asyncio.Event()
 
     async def handler(exchange: ServerExchange) -> None:
-        with pytest.raises(ClientGone):
+        with pytest.raises(ClientDisconnectedError):
             await exchange.body()
         seen.set()
 
@@ -70,7 +70,7 @@
     async def handler(exchange: ServerExchange) -> None:
         exchange.begin(200, (), None)
         waiting.set()
-        with pytest.raises(ClientGone):
+        with pytest.raises(ClientDisconnectedError):
             while True:
                 await exchange.write(b"x" * (1 << 20))
         seen.set()
@@ -102,7 +102,7 @@
     seen = asyncio.Event()
 
     async def handler(exchange: ServerExchange) -> None:
-        with pytest.raises(ClientGone):
+        with pytest.raises(ClientDisconnectedError):
             await exchange.body()
         seen.set()
 
--- a/tests/unit/http/wires.py
+++ b/tests/unit/http/wires.py
@@ -10,7 +10,7 @@
 
 from springmux.node.http.client import PooledEngineClient
 from springmux.node.http.server import HttpServer
-from springmux.node.http.types import AnswerHead, Handler, RequestHead, ServerLimits, ServerRefusal
+from springmux.node.http.types import Handler, RequestHead, ResponseHead, ServerLimits, ServerRefusal
 
 PATIENCE_S = 10.0
 """After this a test is stuck; no test waits for it in good order."""
@@ -157,7 +157,7 @@
 GET_BYTES = b"GET /v1/models?a=b HTTP/1.1\r\nhost: engine\r\n\r\n"
 
 
-def any_answer(_: AnswerHead) -> bool:
+def any_answer(_: ResponseHead) -> bool:
     return True
 
 
--- a/tests/unit/judgement/support.py
+++ b/tests/unit/judgement/support.py
@@ -4,11 +4,11 @@
 
 import random
 
-from springmux.rollout.judgement.book import EvidenceBook
 from springmux.rollout.judgement.digest import EvidenceDigest
+from springmux.rollout.judgement.evidence_table import EvidenceTable
 from springmux.rollout.judgement.judge import Judge, Verdict
 from springmux.rollout.outcome import Ending, PromptOutcome
-from springmux.rollout.plan import RolloutPlan
+from springmux.rollout.planning.plan import RolloutPlan
 from springmux.vocabulary.names import EngineId, RouteName, ServiceName, VersionName
 
 SERVICE = ServiceName("text")
@@ -35,8 +35,8 @@
     )  # fmt: skip
 
 
-def new_book(plan: RolloutPlan = PLAN) -> EvidenceBook:
-    return EvidenceBook(SERVICE, STABLE, CANDIDATE, plan)
+def new_book(plan: RolloutPlan = PLAN) -> EvidenceTable:
+    return EvidenceTable(SERVICE, STABLE, CANDIDATE, plan)
 
 
 def judge(digest: EvidenceDigest) -> Verdict:
--- a/tests/unit/lab/support.py
+++ b/tests/unit/lab/support.py
@@ -4,8 +4,7 @@
 
 import msgspec
 
-from springmux.lab.model_engine import piece_text
-from springmux.lab.records import (
+from springmux.lab.experiment.records import (
     Arrival,
     CallRecord,
     Ending,
@@ -14,6 +13,7 @@
     RunRecords,
     StatusSample,
 )
+from springmux.lab.stand_ins.model_engine import piece_text
 
 BEGAN_AT_S = 100.0
 ENDED_AT_S = 200.0
--- a/tests/unit/lab/test_commands.py
+++ b/tests/unit/lab/test_commands.py
@@ -8,7 +8,7 @@
 from typer.testing import CliRunner
 
 from springmux.cli.lab import application
-from springmux.lab.faults import FAULTS
+from springmux.lab.faults.catalogue import FAULTS
 
 
 def test_list_names_every_experiment_and_fault() -> None:
--- a/tests/unit/lab/test_fault_injection.py
+++ b/tests/unit/lab/test_fault_injection.py
@@ -10,7 +10,7 @@
 import pytest
 
 from springmux.node.fault_injection import FaultInjector, NodeFaults
-from springmux.storage.disk import DiskFull
+from springmux.storage.disk import DiskFullError
 
 JOIN_S = 10.0
 """Only a broken test waits so long."""
@@ -30,12 +30,12 @@
     old, new = disk.open("old"), disk.open("new")
     old.append(b"12345")
     injector.set(NodeFaults(disk_full=True))
-    with pytest.raises(DiskFull):
+    with pytest.raises(DiskFullError):
         new.append(b"1")
     assert disk.free_bytes("") == 0
     disk.remove("old")
     new.append(b"123")
-    with pytest.raises(DiskFull):
+    with pytest.raises(DiskFullError):
         new.append(b"456")
     injector.set(NodeFaults())
     new.append(b"456")
--- a/tests/unit/lab/test_plan_and_traffic.py
+++ b/tests/unit/lab/test_plan_and_traffic.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from springmux.lab import script
-from springmux.lab.faults import FAULTS, choose_faults
-from springmux.lab.plan import ExperimentError, built_in_experiments, load_experiment
-from springmux.lab.traffic import PlannedRequest, Surge, TrafficSource
+from springmux.lab.experiment import script
+from springmux.lab.experiment.plan import ExperimentError, built_in_experiments, load_experiment
+from springmux.lab.faults.catalogue import FAULTS, choose_faults
+from springmux.lab.load.traffic import PlannedRequest, Surge, TrafficSource
 
 ANUARIO = load_experiment("anuario")
 
--- a/tests/unit/lab/test_promises.py
+++ b/tests/unit/lab/test_promises.py
@@ -4,9 +4,16 @@
 
 import msgspec
 
-from springmux.lab import promises, quota_promises, rollout_promises
-from springmux.lab.records import Arrival, DrainRecord, Execution, QuotaWindow, TenantQuota, Trouble
-from springmux.lab.verdict import Verdict
+from springmux.lab.checks import promises, quota_promises, rollout_promises
+from springmux.lab.checks.verdict import Verdict
+from springmux.lab.experiment.records import (
+    Arrival,
+    DrainRecord,
+    Execution,
+    QuotaWindow,
+    TenantQuota,
+    Trouble,
+)
 from tests.unit.lab.support import bad_endings, call, prompts, records, rollout
 
 
--- a/tests/unit/lab/test_request_losses.py
+++ b/tests/unit/lab/test_request_losses.py
@@ -12,7 +12,7 @@
 
 from springmux.cli.main import application
 from springmux.gateway.request_trace import RequestOutcome, RequestTrace
-from springmux.lab.request_losses import Dimension, losses_by, read_requests
+from springmux.lab.reporting.request_losses import Dimension, losses_by, read_requests
 from springmux.node.gateway.request_log import RequestLog
 from springmux.node.logs import EventLog
 from tests.unit.node_gateway.scripted_engines import play
--- a/tests/unit/lab/test_stream_checker.py
+++ b/tests/unit/lab/test_stream_checker.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from springmux.lab.stream_checker import StreamChecker
+from springmux.lab.load.stream_checker import StreamChecker
 from tests.unit.lab.support import DONE, chunk
 
 STREAM = "request-000001"
--- a/tests/unit/membership/test_absent_seeds.py
+++ b/tests/unit/membership/test_absent_seeds.py
@@ -3,12 +3,12 @@
 import random
 
 from springmux.coordination.identifiers import Address, NodeId, ZoneName
-from springmux.coordination.kernel import MessageReceived, Tick
 from springmux.coordination.membership.effects import SendToAddress
 from springmux.coordination.membership.events import SeedsChanged
+from springmux.coordination.membership.membership import Membership
 from springmux.coordination.membership.messages import MemberJoin, MemberState
-from springmux.coordination.membership.part import MembershipPart
 from springmux.coordination.membership.view import NodeRecord
+from springmux.coordination.state_machine import MessageReceived, Tick
 
 SEEDS = (Address("10.0.0.1:7000"), Address("10.0.0.2:7000"))
 
@@ -18,7 +18,7 @@
     return NodeRecord(NodeId(f"n{number}"), ZoneName("z"), address, address, address)
 
 
-def asked_seeds(part: MembershipPart, until: float) -> set[Address]:
+def asked_seeds(part: Membership, until: float) -> set[Address]:
     asked = set()
     now = 1.0
     while now < until:
@@ -29,8 +29,8 @@
     return asked
 
 
-def part_that_knows(*numbers: int) -> MembershipPart:
-    part = MembershipPart(record(9), SEEDS, random.Random(1))
+def part_that_knows(*numbers: int) -> Membership:
+    part = Membership(record(9), SEEDS, random.Random(1))
     state = MemberState(tuple(record(number) for number in numbers))
     part.handle(MessageReceived(NodeId("n1"), state), 0.9)
     return part
@@ -55,7 +55,7 @@
 
 
 def test_a_node_that_met_nobody_asks_the_seeds_of_a_reload_at_once() -> None:
-    part = MembershipPart(record(9), SEEDS, random.Random(1))
+    part = Membership(record(9), SEEDS, random.Random(1))
     part.handle(Tick(), 0.9)
     new = Address("10.0.0.7:7000")
     part.handle(SeedsChanged((new,)), 1.0)
--- a/tests/unit/membership/test_contact.py
+++ b/tests/unit/membership/test_contact.py
@@ -6,13 +6,13 @@
 import pytest
 
 from springmux.coordination.identifiers import NodeId
-from springmux.coordination.kernel import MessageReceived, Send, Tick
-from springmux.coordination.membership.contact import ContactPart
-from springmux.coordination.membership.contact_messages import ContactBeacon, ContactBeat
+from springmux.coordination.membership.contact_messages import ContactBeacon, ContactHeartbeat
+from springmux.coordination.membership.contact_monitor import ContactMonitor
 from springmux.coordination.membership.contact_vector import FreshnessVector
 from springmux.coordination.membership.events import LeaderBeacon, MembershipUpdated
 from springmux.coordination.membership.relay import HASH_END, range_targets, zone_targets
 from springmux.coordination.membership.view import MembershipView, NodeStatus
+from springmux.coordination.state_machine import MessageReceived, Send, Tick
 from tests.support.gossip_harness import Network, record_of
 
 KNOWN_S = 2.0
@@ -127,8 +127,8 @@
 
 def test_node_alone():
     own = record_of(0, 1)
-    assert ContactPart(own.node, False, random.Random(1)).connected(0.0)
-    unjoined = ContactPart(own.node, True, random.Random(1))
+    assert ContactMonitor(own.node, False, random.Random(1)).connected(0.0)
+    unjoined = ContactMonitor(own.node, True, random.Random(1))
     unjoined.handle(view_of(own.node, [own]), 0.0)
     assert not unjoined.connected(0.0)
     assert unjoined.reason(0.0) == "not joined any node yet"
@@ -136,12 +136,12 @@
 
 def test_message_out_of_a_buffer_proves_nothing_only_an_echo_does():
     own, peer = record_of(0, 1), record_of(1, 1)
-    part = ContactPart(own.node, True, random.Random(1))
+    part = ContactMonitor(own.node, True, random.Random(1))
     part.handle(view_of(own.node, [own, peer]), 0.0)
     beat = next(e.message for e in part.handle(Tick(), 0.0) if isinstance(e, Send))
-    part.handle(MessageReceived(peer.node, ContactBeat(500)), 0.1)
+    part.handle(MessageReceived(peer.node, ContactHeartbeat(500)), 0.1)
     assert not part.connected(0.1)
-    part.handle(MessageReceived(peer.node, ContactBeat(501, echo=beat.sequence)), 0.3)
+    part.handle(MessageReceived(peer.node, ContactHeartbeat(501, echo=beat.sequence)), 0.3)
     assert part.connected(1.5)
     assert not part.connected(1.6), "evidence is dated when the echoed beat was sent"
 
@@ -180,7 +180,7 @@
 def test_cut_however_long_makes_no_majority_of_a_minority():
     """Else both halves of a fleet would serve, each its own state."""
     own, peer = record_of(0, 1), record_of(1, 1)
-    part = ContactPart(own.node, True, random.Random(1))
+    part = ContactMonitor(own.node, True, random.Random(1))
     part.handle(view_of(own.node, [own, peer]), 0.0)
     part.handle(view_of(own.node, [own, msgspec.structs.replace(peer, status=NodeStatus.DEAD)]), 5.0)
     for now in range(6, 4000, 6):
@@ -230,7 +230,7 @@
 
 def test_old_beacon_is_no_evidence():
     records = [record_of(i, 4) for i in range(40)]
-    part = ContactPart(records[0].node, True, random.Random(1))
+    part = ContactMonitor(records[0].node, True, random.Random(1))
     part.handle(view_of(records[0].node, records), 0.0)
     part.handle(MessageReceived(records[1].node, ContactBeacon(2, 9, age_ms=100)), 0.1)
     assert part.connected(0.1)
--- a/tests/unit/membership/test_gossip_targets.py
+++ b/tests/unit/membership/test_gossip_targets.py
@@ -8,12 +8,12 @@
 import pytest
 
 from springmux.coordination.identifiers import NodeId
-from springmux.coordination.kernel import MessageReceived, Send, Tick
 from springmux.coordination.membership import messages as wire
-from springmux.coordination.membership.part import MembershipPart
-from springmux.coordination.membership.rumours import RumourQueue
+from springmux.coordination.membership.gossip_queue import GossipQueue
+from springmux.coordination.membership.membership import Membership
 from springmux.coordination.membership.settings import MembershipSettings
 from springmux.coordination.membership.view import NodeRecord
+from springmux.coordination.state_machine import MessageReceived, Send, Tick
 from tests.support.gossip_harness import Network, record_of
 
 SETTINGS = MembershipSettings()
@@ -27,7 +27,7 @@
 def gossip_targets(nodes: int, seed: int) -> list[list[NodeId]]:
     """Return whom node 0 of a fleet sends its news to, round after round."""
     records = [record_of(index, ZONES) for index in range(nodes)]
-    part = MembershipPart(records[0], (records[1].peer_address,), random.Random(seed))
+    part = Membership(records[0], (records[1].peer_address,), random.Random(seed))
     part.handle(Tick(), 0.0)
     state = wire.MemberState(tuple(records[1:]))
     part.handle(MessageReceived(records[1].node, state), 0.1)
@@ -60,7 +60,7 @@
 
 
 def copies(heard_again: int, record: NodeRecord) -> int:
-    queue = RumourQueue(SETTINGS)
+    queue = GossipQueue(SETTINGS)
     queue.add(record, 0.0)
     for _ in range(heard_again):
         queue.heard_again(record)
@@ -78,7 +78,7 @@
 
 
 def test_other_news_of_the_same_node_spares_none() -> None:
-    queue = RumourQueue(SETTINGS)
+    queue = GossipQueue(SETTINGS)
     record = record_of(1, ZONES)
     newer = msgspec.structs.replace(record, incarnation=1)
     queue.add(newer, 0.0)
--- a/tests/unit/membership/test_membership_rules.py
+++ b/tests/unit/membership/test_membership_rules.py
@@ -4,13 +4,13 @@
 
 import msgspec
 
-from springmux.coordination.kernel import MessageReceived, Note, Send, Tick
 from springmux.coordination.membership import messages as wire
 from springmux.coordination.membership.effects import MembershipChanged, SendToAddress
 from springmux.coordination.membership.events import LeaveBegun, OwnRecordChanged, PeerUnreachable
-from springmux.coordination.membership.part import MembershipPart
+from springmux.coordination.membership.membership import Membership
 from springmux.coordination.membership.settings import MembershipSettings
 from springmux.coordination.membership.view import NodeStatus
+from springmux.coordination.state_machine import LogLine, MessageReceived, Send, Tick
 from tests.support.gossip_harness import record_of
 
 OWN, PEER, OTHER = record_of(0, 2), record_of(1, 2), record_of(2, 2)
@@ -18,7 +18,7 @@
 
 
 def joined(*records):
-    part = MembershipPart(OWN, (PEER.peer_address,), random.Random(1))
+    part = Membership(OWN, (PEER.peer_address,), random.Random(1))
     part.handle(Tick(), 0.0)
     part.handle(MessageReceived(PEER.node, wire.MemberState((OWN, *records))), 0.1)
     return part
@@ -29,12 +29,12 @@
 
 
 def rumour(record, status, incarnation=0, accuser=OTHER.node):
-    news = wire.Piggyback(statuses=(wire.StatusRumour(record.node, incarnation, status, accuser),))
+    news = wire.Piggyback(statuses=(wire.StatusUpdate(record.node, incarnation, status, accuser),))
     return MessageReceived(OTHER.node, wire.MemberGossip(news))
 
 
 def test_first_message_goes_to_seed_addresses_except_the_own():
-    part = MembershipPart(OWN, (OWN.peer_address, PEER.peer_address), random.Random(1))
+    part = Membership(OWN, (OWN.peer_address, PEER.peer_address), random.Random(1))
     effects = part.handle(Tick(), 0.0)
     assert [e for e in effects if isinstance(e, SendToAddress)] == [
         SendToAddress(PEER.peer_address, wire.MemberJoin(OWN))
@@ -64,7 +64,7 @@
         own = part.view.nodes[OWN.node]
         twin = msgspec.structs.replace(OWN, incarnation=own.incarnation + 1, peer_address="10.1.1.1:7")
         effects = part.handle(MessageReceived(PEER.node, wire.MemberState((twin,))), 0.2)
-        warned.append(any(isinstance(e, Note) and e.name == "membership_name_clash" for e in effects))
+        warned.append(any(isinstance(e, LogLine) and e.name == "membership_name_clash" for e in effects))
     assert warned == [False, False, True, True]
 
 
@@ -72,7 +72,7 @@
     part = joined(PEER)
     effects = part.handle(rumour(OWN, NodeStatus.SUSPECT), 0.2)
     assert part.view.nodes[OWN.node].incarnation == 1
-    assert any(isinstance(e, Note) and e.name == "membership_refuted" for e in effects)
+    assert any(isinstance(e, LogLine) and e.name == "membership_refuted" for e in effects)
 
 
 def test_dead_node_returns_at_another_address_only_with_a_higher_incarnation():
@@ -146,7 +146,7 @@
     part.handle(MessageReceived(ping.to, wire.MemberAck(ping.message.sequence, 0)), 60.01)
     part.handle(Tick(), 60.05)
     assert part.view.nodes[PEER.node].status is NodeStatus.SUSPECT
-    assert any(isinstance(e, Note) and e.name == "membership_paused" for e in effects)
+    assert any(isinstance(e, LogLine) and e.name == "membership_paused" for e in effects)
     assert part.health_factor > 1
 
 
@@ -192,7 +192,7 @@
             part.handle(MessageReceived(ping.to, wire.MemberAck(ping.message.sequence, 0)), now)
     own = part.view.nodes[OWN.node]
     assert own in pings[PEER.node].news.records
-    assert wire.StatusRumour(PEER.node, 0, NodeStatus.SUSPECT, OWN.node) in pings[PEER.node].news.statuses
+    assert wire.StatusUpdate(PEER.node, 0, NodeStatus.SUSPECT, OWN.node) in pings[PEER.node].news.statuses
 
 
 def test_an_accused_node_is_told_who_accuses_it():
@@ -209,7 +209,7 @@
 
 
 def test_a_stranger_that_introduces_itself_is_answered_and_asked_for_the_fleet():
-    part = MembershipPart(OWN, (), random.Random(1))
+    part = Membership(OWN, (), random.Random(1))
     news = wire.Piggyback(records=(PEER,))
     effects = part.handle(MessageReceived(PEER.node, wire.MemberPing(5, PEER.incarnation, news)), 0.1)
     assert [ack.to for ack in sent(effects, wire.MemberAck)] == [PEER.node]
--- a/tests/unit/membership/test_remembered_peers.py
+++ b/tests/unit/membership/test_remembered_peers.py
@@ -5,13 +5,13 @@
 import random
 
 from springmux.coordination.identifiers import Address, NodeId, ZoneName
-from springmux.coordination.kernel import Effect, MessageReceived, Tick
 from springmux.coordination.membership.effects import SendToAddress
+from springmux.coordination.membership.membership import Membership
 from springmux.coordination.membership.messages import MemberJoin, MemberState
-from springmux.coordination.membership.part import MembershipPart
 from springmux.coordination.membership.remembered import REMEMBERED_MAX, RememberedPeer, RememberPeers
 from springmux.coordination.membership.settings import MembershipSettings
 from springmux.coordination.membership.view import NodeRecord, NodeStatus
+from springmux.coordination.state_machine import Effect, MessageReceived, Tick
 
 STARTED_AT = 50.0
 SETTINGS = MembershipSettings(remembered_wait_s=3.0)
@@ -26,18 +26,18 @@
     return tuple(RememberedPeer(record(n).node, record(n).peer_address) for n in numbers)
 
 
-def started(*numbers: int) -> MembershipPart:
+def started(*numbers: int) -> Membership:
     """Return a node 9 that remembers nodes ``numbers`` and has no seeds, just started."""
-    part = MembershipPart(record(9), (), random.Random(1), SETTINGS, remembered(*numbers))
+    part = Membership(record(9), (), random.Random(1), SETTINGS, remembered(*numbers))
     part.handle(Tick(), STARTED_AT)
     return part
 
 
-def heard(part: MembershipPart, *records: NodeRecord, at: float = STARTED_AT + 0.1) -> None:
+def heard(part: Membership, *records: NodeRecord, at: float = STARTED_AT + 0.1) -> None:
     part.handle(MessageReceived(records[0].node, MemberState(records)), at)
 
 
-def run(part: MembershipPart, until: float, start: float = STARTED_AT) -> list[Effect]:
+def run(part: Membership, until: float, start: float = STARTED_AT) -> list[Effect]:
     effects: list[Effect] = []
     now = start
     while now < until:
@@ -112,7 +112,7 @@
 
 
 def test_a_node_without_a_disk_writes_nothing() -> None:
-    part = MembershipPart(record(9), (), random.Random(1), SETTINGS)
+    part = Membership(record(9), (), random.Random(1), SETTINGS)
     part.handle(Tick(), STARTED_AT)
     heard(part, record(1))
     assert lists(run(part, STARTED_AT + 5.0)) == []
--- a/tests/unit/membership/test_view_batches.py
+++ b/tests/unit/membership/test_view_batches.py
@@ -4,11 +4,11 @@
 
 import random
 
-from springmux.coordination.kernel import Effect, MessageReceived, Tick
 from springmux.coordination.membership import messages as wire
 from springmux.coordination.membership.effects import MembershipChanged
-from springmux.coordination.membership.part import MembershipPart
+from springmux.coordination.membership.membership import Membership
 from springmux.coordination.membership.settings import MembershipSettings
+from springmux.coordination.state_machine import Effect, MessageReceived, Tick
 from tests.support.gossip_harness import record_of
 
 SETTINGS = MembershipSettings()
@@ -18,9 +18,9 @@
     return [effect for effect in effects if isinstance(effect, MembershipChanged)]
 
 
-def fleet_of(nodes: int) -> MembershipPart:
+def fleet_of(nodes: int) -> Membership:
     records = [record_of(index, 4) for index in range(nodes)]
-    part = MembershipPart(records[0], (records[1].peer_address,), random.Random(1))
+    part = Membership(records[0], (records[1].peer_address,), random.Random(1))
     part.handle(Tick(), 0.0)
     part.handle(MessageReceived(records[1].node, wire.MemberState(tuple(records[1:]))), 1.0)
     return part
--- a/tests/unit/node/support.py
+++ b/tests/unit/node/support.py
@@ -31,17 +31,17 @@
 )
 from springmux.coordination.claims.decision import ClaimDecision, ClaimVerdict
 from springmux.coordination.identifiers import Address, NodeId, Revision
-from springmux.coordination.kernel import NEVER, Effect, Event, Tick
 from springmux.coordination.membership.view import MembershipView
+from springmux.coordination.state_machine import NEVER, Effect, Event, Tick
 from springmux.fleet.layout import free_ports
-from springmux.node.client_listener import ClientListener
+from springmux.node.client.listener import ClientListener
+from springmux.node.client.request_runner import RunnerServices
+from springmux.node.client.upstream import UpstreamClient
 from springmux.node.driver import AgentDriver
 from springmux.node.health import NodeHealth
 from springmux.node.logs import EventLog
-from springmux.node.metrics import NodeMetrics
-from springmux.node.request_runner import RunnerServices
+from springmux.node.metrics.registry import NodeMetrics
 from springmux.node.settings import NodeSettings
-from springmux.node.upstream import UpstreamClient
 from springmux.rollout.outcome import PromptOutcome, VersionChoice
 from springmux.router.router import Router
 from springmux.vocabulary.engines import EngineRecord, EnginesView
@@ -171,7 +171,7 @@
         if isinstance(event, Tick):
             self.deadline = NEVER
         if isinstance(event, ClaimRequested):
-            return [ClaimAnswered(event.ticket, ClaimDecision(ClaimVerdict.GRANTED))]
+            return [ClaimAnswered(event.correlation_id, ClaimDecision(ClaimVerdict.GRANTED))]
         if isinstance(event, OrderSubmitted):
             return self.on_order(event)
         return []
--- a/tests/unit/node/test_admin.py
+++ b/tests/unit/node/test_admin.py
@@ -23,15 +23,15 @@
     PutKey,
 )
 from springmux.coordination.identifiers import Revision
-from springmux.coordination.kernel import Effect
-from springmux.node import admin_control
-from springmux.node.admin_listener import AdminListener
+from springmux.coordination.state_machine import Effect
+from springmux.node.admin import control_endpoints as admin_control
+from springmux.node.admin.listener import AdminListener
+from springmux.node.admin.rollout_history import RolloutHistory
+from springmux.node.admin.service_rates import ServiceRates
 from springmux.node.driver import AgentDriver
 from springmux.node.health import NodeHealth
 from springmux.node.logs import EventLog
-from springmux.node.metrics import NodeMetrics
-from springmux.node.rollout_history import RolloutHistory
-from springmux.node.service_rates import ServiceRates
+from springmux.node.metrics.registry import NodeMetrics
 from springmux.vocabulary.engines import EngineStatus
 from springmux.vocabulary.errors import ApiError, ErrorCode, FieldError
 from tests.unit.node.support import LONG_S, FakeAgent, make_settings, make_view, until
@@ -87,7 +87,7 @@
 def answering(outcome: Outcome, **values: Any) -> Any:
     def on_order(event: OrderSubmitted) -> list[Effect]:
         result = CommandResult(event.command.order, outcome, Revision(9), **values)
-        return [OrderAnswered(event.ticket, result)]
+        return [OrderAnswered(event.correlation_id, result)]
 
     return on_order
 
@@ -227,7 +227,7 @@
 async def test_a_refused_order_says_when_to_come_back() -> None:
     async with admin_node() as admin:
         error = ApiError(ErrorCode.NO_QUORUM, "no quorum", 503, retry_after_s=0.4)
-        admin.agent.on_order = lambda event: [OrderAnswered(event.ticket, None, error)]
+        admin.agent.on_order = lambda event: [OrderAnswered(event.correlation_id, None, error)]
         status, document, headers = await admin.ask("POST", "/v1/keys/k1/revoke")
         assert (status, document["error"]["code"], headers["Retry-After"]) == (503, "no_quorum", "1")
         assert document["error"]["node"] == "n1"
--- a/tests/unit/node/test_daemon.py
+++ b/tests/unit/node/test_daemon.py
@@ -19,7 +19,7 @@
 from springmux.node.lifecycle import EXIT_CRASHED, EXIT_STOPPED
 from springmux.node.logs import EventLog
 from springmux.node.settings import NodeSettings
-from springmux.node.storage_open import open_storage
+from springmux.node.storage.opening import open_storage
 from tests.unit.node.support import (
     KEY,
     LONG_S,
--- a/tests/unit/node/test_driver.py
+++ b/tests/unit/node/test_driver.py
@@ -32,12 +32,12 @@
 )
 from springmux.coordination.consensus.types import GroupMembers, SnapshotMeta
 from springmux.coordination.identifiers import LogIndex, Revision, Term
-from springmux.coordination.kernel import NEVER, Effect, Event, Note, Tick
+from springmux.coordination.state_machine import NEVER, Effect, Event, LogLine, Tick
 from springmux.node.driver import AgentDriver
 from springmux.node.logs import EventLog
-from springmux.node.metrics import NodeMetrics
-from springmux.node.storage_worker import StorageWorker
-from springmux.storage.disk import DiskFailed, DiskFull
+from springmux.node.metrics.registry import NodeMetrics
+from springmux.node.storage.worker import StorageWorker
+from springmux.storage.disk import DiskFailedError, DiskFullError
 from springmux.vocabulary.names import KeyId, OrderId
 from tests.unit.node.support import until
 
@@ -130,7 +130,7 @@
     def answer(event: Event) -> list[Effect]:
         order.append(type(event).__name__)
         if isinstance(event, Tick):
-            return [Persist(batch=1), Note(name="after")]
+            return [Persist(batch=1), LogLine(name="after")]
         assert '"after"' in lines.getvalue()
         return []
 
@@ -148,12 +148,12 @@
     agent = RecordingAgent()
     driver, _ = make_driver(agent)
     got: list[object] = []
-    ticket = driver.submit_order(RevokeKey(order=OrderId("o"), key=KeyId("k")), got.append)
+    correlation_id = driver.submit_order(RevokeKey(order=OrderId("o"), key=KeyId("k")), got.append)
     forgotten = driver.submit_order(RevokeKey(order=OrderId("p"), key=KeyId("k")), got.append)
     claim = driver.request_claim("c", got.append)
     driver.forget_order(forgotten)
     decision = ClaimDecision(ClaimVerdict.GRANTED)
-    order = OrderAnswered(ticket, None)
+    order = OrderAnswered(correlation_id, None)
     agent.answer = lambda _: [
         order, order, OrderAnswered(forgotten, None), ClaimAnswered(claim, decision)
     ]  # fmt: skip
@@ -224,7 +224,7 @@
         def write(self, text: str) -> int:
             raise OSError(28, "no space left")
 
-    agent = RecordingAgent(lambda _: [Note("something")])
+    agent = RecordingAgent(lambda _: [LogLine("something")])
     driver = AgentDriver(agent, EventLog("n1", output=FullDisk()), NodeMetrics())
     driver.submit(Persisted(1))
     assert not driver.crashed.done()
@@ -246,7 +246,11 @@
 
 @pytest.mark.parametrize(
     ("error", "full"),
-    [(DiskFull("log", "no space"), True), (DiskFailed("log", "io"), False), (ValueError("bug"), False)],
+    [
+        (DiskFullError("log", "no space"), True),
+        (DiskFailedError("log", "io"), False),
+        (ValueError("bug"), False),
+    ],
 )
 async def test_a_failed_write_is_never_reported_as_durable(error: Exception, full: bool) -> None:
     got: list[Event] = []
@@ -291,13 +295,13 @@
 def test_notes_below_the_level_are_dropped() -> None:
     lines = io.StringIO()
     log = EventLog("n1", level="warning", output=lines)
-    log.note(Note(name="quiet"))
+    log.note(LogLine(name="quiet"))
     assert lines.getvalue() == ""
 
 
 def test_a_note_about_another_node_keeps_both_names() -> None:
     lines = io.StringIO()
-    EventLog("n1", output=lines).note(Note(name="membership_status", fields={"node": "n2"}))
+    EventLog("n1", output=lines).note(LogLine(name="membership_status", fields={"node": "n2"}))
     line = json.loads(lines.getvalue())
     assert (line["event"], line["node"], line["about_node"]) == ("membership_status", "n1", "n2")
 
--- a/tests/unit/node/test_engine_exchange.py
+++ b/tests/unit/node/test_engine_exchange.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from springmux.node.upstream import UpstreamClient
+from springmux.node.client.upstream import UpstreamClient
 from tests.unit.node.support import (
     LONG_S,
     STREAM,
--- a/tests/unit/node/test_hostile_peers.py
+++ b/tests/unit/node/test_hostile_peers.py
@@ -19,8 +19,8 @@
 from springmux.coordination.consensus.effects import Persist, Persisted
 from springmux.coordination.consensus.types import HardState, RecoveredState
 from springmux.coordination.identifiers import Address, NodeId, ReplicaId, Revision, Term
-from springmux.coordination.kernel import Event, Note, Tick
-from springmux.node.agent_codec import AgentCodec
+from springmux.coordination.state_machine import Event, LogLine, Tick
+from springmux.node.peer.agent_codec import AgentCodec
 from springmux.vocabulary.names import OrderId, TenantName
 
 VALUES: dict[type[inspect.Type], tuple[Any, ...]] = {
@@ -76,7 +76,7 @@
             for effect in self.agent.handle(waiting.pop(), self.now):
                 if isinstance(effect, Persist):
                     waiting.append(Persisted(effect.batch))
-                elif isinstance(effect, Note):
+                elif isinstance(effect, LogLine):
                     self.notes.append(effect.name)
         self.agent.next_deadline()
 
--- a/tests/unit/node/test_lean_imports.py
+++ b/tests/unit/node/test_lean_imports.py
@@ -9,14 +9,14 @@
 
 LEAN_MODULES = (
     "springmux.agent.agent",
-    "springmux.node.agent_codec",
+    "springmux.node.peer.agent_codec",
     "springmux.node.driver",
     "springmux.node.gateway.process",
     "springmux.node.logs",
-    "springmux.node.metrics",
-    "springmux.node.peer_transport",
-    "springmux.node.storage_open",
-    "springmux.node.storage_worker",
+    "springmux.node.metrics.registry",
+    "springmux.node.peer.transport",
+    "springmux.node.storage.opening",
+    "springmux.node.storage.worker",
 )
 HEAVY_PACKAGES = ("aiohttp", "numpy", "prometheus_client", "pydantic", "rich", "structlog", "typer")
 
--- a/tests/unit/node/test_lifecycle.py
+++ b/tests/unit/node/test_lifecycle.py
@@ -11,6 +11,7 @@
 import pytest
 
 from springmux.agent.effects import OrderAnswered
+from springmux.node.admin.order_wait import answer_of
 from springmux.node.driver import AgentDriver, OrderCallback
 from springmux.node.lifecycle import (
     BEGIN_ANEW,
@@ -21,9 +22,8 @@
     wait_for_end,
 )
 from springmux.node.logs import EventLog
-from springmux.node.metrics import NodeMetrics
-from springmux.node.order_wait import answer_of
-from springmux.node.storage_open import OpenedStorage, open_storage
+from springmux.node.metrics.registry import NodeMetrics
+from springmux.node.storage.opening import OpenedStorage, open_storage
 from tests.unit.node.support import FakeAgent, make_view
 
 
--- a/tests/unit/node/test_logs.py
+++ b/tests/unit/node/test_logs.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from springmux.coordination.kernel import Note, NoteLevel
+from springmux.coordination.state_machine import LogLevel, LogLine
 from springmux.node.logs import FORBIDDEN_FIELDS, EventLog
 
 
@@ -19,31 +19,31 @@
 
 def test_a_line_holds_the_writer_the_fields_and_what_happened_when() -> None:
     log, output = written()
-    log.write("peer_refused", NoteLevel.WARNING, reason="secret", count=3, path=NoteLevel)
+    log.write("peer_refused", LogLevel.WARNING, reason="secret", count=3, path=LogLevel)
     (text,) = output.getvalue().splitlines()
     line = json.loads(text)
     assert list(line) == ["node", "reason", "count", "path", "event", "level", "timestamp"]
     assert (line["node"], line["event"], line["level"]) == ("n1", "peer_refused", "warning")
-    assert (line["reason"], line["count"], line["path"]) == ("secret", 3, str(NoteLevel))
+    assert (line["reason"], line["count"], line["path"]) == ("secret", 3, str(LogLevel))
     assert re.fullmatch(r"\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d(\.\d{6})?Z", line["timestamp"])
 
 
 def test_the_name_of_an_event_and_its_level_stay_the_lines_own() -> None:
     log, output = written()
-    log.note(Note("moved", fields={"node": "n2", "event": "x", "name": "y", "level": "z"}))
+    log.note(LogLine("moved", fields={"node": "n2", "event": "x", "name": "y", "level": "z"}))
     line = json.loads(output.getvalue())
     assert (line["node"], line["event"], line["level"]) == ("n1", "moved", "info")
     assert [line[f"about_{name}"] for name in ("node", "event", "name", "level")] == ["n2", "x", "y", "z"]
 
 
-@pytest.mark.parametrize("threshold", list(NoteLevel))
-def test_lines_below_the_threshold_are_not_written(threshold: NoteLevel) -> None:
+@pytest.mark.parametrize("threshold", list(LogLevel))
+def test_lines_below_the_threshold_are_not_written(threshold: LogLevel) -> None:
     log, output = written(threshold.value)
-    for level in NoteLevel:
+    for level in LogLevel:
         log.write("by_write", level)
-        log.note(Note("by_note", level))
+        log.note(LogLine("by_note", level))
     levels = [json.loads(line)["level"] for line in output.getvalue().splitlines()]
-    order = list(NoteLevel)
+    order = list(LogLevel)
     assert levels == [level for level in order[order.index(threshold) :] for _ in range(2)]
 
 
@@ -51,7 +51,7 @@
 def test_secrets_are_blanked_and_a_crash_carries_its_traceback(line_format: str) -> None:
     log, output = written(line_format=line_format)
     log.write("careless", **dict.fromkeys(FORBIDDEN_FIELDS, "hidden"))
-    log.note(Note("careless", fields=dict.fromkeys(FORBIDDEN_FIELDS, "hidden")))
+    log.note(LogLine("careless", fields=dict.fromkeys(FORBIDDEN_FIELDS, "hidden")))
     try:
         raise LookupError("broken")
     except LookupError as error:
@@ -78,5 +78,5 @@
 
     log = EventLog("n1", output=Full())
     log.write("lost")
-    log.note(Note("lost"))
+    log.note(LogLine("lost"))
     log.crash("lost", ValueError())
--- a/tests/unit/node/test_peer_transport.py
+++ b/tests/unit/node/test_peer_transport.py
@@ -12,11 +12,11 @@
 
 from springmux.agent.events import PeerReachable, PeerUnreachable
 from springmux.coordination.identifiers import Address, NodeId, ZoneName
-from springmux.coordination.kernel import Event, MessageReceived, PeerMessage
 from springmux.coordination.membership.view import MembershipView, NodeRecord
+from springmux.coordination.state_machine import Event, MessageReceived, PeerMessage
 from springmux.node.logs import EventLog
-from springmux.node.metrics import NodeMetrics
-from springmux.node.peer_channel import (
+from springmux.node.metrics.registry import NodeMetrics
+from springmux.node.peer.channel import (
     ATTEMPT_TIMEOUT_S,
     BACKOFF_LIMIT_S,
     IDLE_CLOSE_S,
@@ -28,28 +28,28 @@
     SendQueue,
     connect_timeout_s,
 )
-from springmux.node.peer_frames import (
+from springmux.node.peer.frames import (
     MAX_HANDSHAKE_BYTES,
     MAX_MESSAGE_BYTES,
     FrameConnection,
     FrameReader,
-    FrameTooLarge,
+    FrameTooLargeError,
     frame_header,
 )
-from springmux.node.peer_hello import (
+from springmux.node.peer.handshake import (
     Challenge,
+    HandshakeAuthenticator,
     Hello,
-    HelloKeeper,
     Welcome,
     decode_handshake,
     encode_handshake,
 )
-from springmux.node.peer_link import CONNECT_TIMEOUT_S
-from springmux.node.peer_transport import LARGE_BYTES, PeerTransport
+from springmux.node.peer.link import CONNECT_TIMEOUT_S
+from springmux.node.peer.transport import LARGE_BYTES, PeerTransport
 from tests.unit.node.support import LONG_S, free_address, until
 
 
-class TransportProbe(PeerMessage, frozen=True):
+class TransportProbe(PeerMessage, frozen=True, tag="TransportProbe"):
     """Message of these tests."""
 
     number: int
@@ -85,7 +85,7 @@
         view = MembershipView(own=NodeId(name), nodes=records)
         self.transport = PeerTransport(
             PlainCodec(),
-            HelloKeeper(fleet, name, f"boot-{name}", secret),
+            HandshakeAuthenticator(fleet, name, f"boot-{name}", secret),
             lambda: view,
             self.events.append,
             EventLog(name, output=self.log_lines),
@@ -178,7 +178,7 @@
         assert isinstance(challenge, Challenge)
         return challenge
 
-    async def greet(self, keeper: HelloKeeper) -> None:
+    async def greet(self, keeper: HandshakeAuthenticator) -> None:
         self.send(encode_handshake(keeper.hello(await self.challenge(), "small")))
         assert await self.receive() is not None
 
@@ -195,7 +195,7 @@
 
 async def test_a_hello_heard_before_proves_nothing_later() -> None:
     async with two_peers("s", "s") as (_, b):
-        keeper = HelloKeeper("f", "a", "boot", "s")
+        keeper = HandshakeAuthenticator("f", "a", "boot", "s")
 
         async def attempt(recorded: Hello | None) -> tuple[Hello, bytes | None]:
             async with raw_peer(b.address) as peer:
@@ -242,7 +242,7 @@
 
 async def test_frames_arrive_whole_however_the_network_cuts_them() -> None:
     async with two_peers() as (_, b), raw_peer(b.address) as peer:
-        await peer.greet(HelloKeeper("f", "a", "boot", None))
+        await peer.greet(HandshakeAuthenticator("f", "a", "boot", None))
         data = msgspec.msgpack.encode(TransportProbe(1, b"filling"))
         stream = (frame_header(len(data)) + data) * 3
         for place in range(0, len(stream), 3):
@@ -253,7 +253,7 @@
 
 async def test_a_frame_over_the_limit_ends_the_connection_unread() -> None:
     async with two_peers() as (_, b), raw_peer(b.address) as peer:
-        await peer.greet(HelloKeeper("f", "a", "boot", None))
+        await peer.greet(HandshakeAuthenticator("f", "a", "boot", None))
         peer.send_raw(frame_header(MAX_MESSAGE_BYTES + 1))
         assert await peer.receive() is None
 
@@ -287,7 +287,7 @@
         async with raw_peer(b.address) as peer:
             await until(lambda: len(b.transport._receptions) == 1)
             b.cut = False
-            await peer.greet(HelloKeeper("f", "a", "boot", None))
+            await peer.greet(HandshakeAuthenticator("f", "a", "boot", None))
 
 
 async def test_peer_connections_find_dead_machines_by_themselves() -> None:
@@ -438,7 +438,7 @@
 
 
 async def test_a_peer_that_speaks_after_its_welcome_is_dropped() -> None:
-    keeper = HelloKeeper("f", "b", "boot", None)
+    keeper = HandshakeAuthenticator("f", "b", "boot", None)
 
     async def talkative(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         peer = RawPeer(reader, writer)
@@ -479,7 +479,7 @@
     reader = FrameReader(3)
     reader.feed(frame_header(3) + b"abc" + frame_header(4))
     assert reader.next() == b"abc"
-    with pytest.raises(FrameTooLarge):
+    with pytest.raises(FrameTooLargeError):
         reader.next()
 
 
@@ -503,7 +503,7 @@
 async def test_an_undecodable_message_is_dropped_and_the_connection_goes_on() -> None:
     async with two_peers() as (a, b):
 
-        class Strange(PeerMessage, frozen=True):
+        class Strange(PeerMessage, frozen=True, tag="Strange"):
             number: int
 
         a.transport.send(NodeId("b"), Strange(1))
