--- a/tests/unit/node/test_request_runner.py
+++ b/tests/unit/node/test_request_runner.py
@@ -7,11 +7,11 @@
 import pytest
 
 from springmux.control.view import TrafficClass
-from springmux.coordination.kernel import Tick
-from springmux.node.answer_writer import AnswerWriter
-from springmux.node.request_runner import RequestRunner
-from springmux.node.upstream import UpstreamClient
-from springmux.router.events import CallerRequest
+from springmux.coordination.state_machine import Tick
+from springmux.node.client.request_runner import RequestRunner
+from springmux.node.client.response_writer import ResponseWriter
+from springmux.node.client.upstream import UpstreamClient
+from springmux.router.events import ClientRequest
 from springmux.router.flow import RequestFlow
 from springmux.vocabulary.names import RequestId
 from tests.unit.node.support import (
@@ -41,8 +41,8 @@
 
 async def test_a_caller_who_left_before_its_flow_began_leaves_nothing_behind() -> None:
     async with running_node() as bench:
-        request = CallerRequest(RequestId("r1"), "POST", "/v1/chat/completions", {}, b"{}")
-        writer = AnswerWriter(GoneConnection(), keep_alive=True, http_1_1=True, head_only=False)
+        request = ClientRequest(RequestId("r1"), "POST", "/v1/chat/completions", {}, b"{}")
+        writer = ResponseWriter(GoneConnection(), keep_alive=True, http_1_1=True, head_only=False)
         over: list[RequestRunner] = []
         runner = RequestRunner(bench.listener._services, request, writer, over.append)
         runner.abandon()
--- a/tests/unit/node/test_unknown_peers.py
+++ b/tests/unit/node/test_unknown_peers.py
@@ -7,7 +7,7 @@
 
 from springmux.coordination.identifiers import NodeId
 from springmux.node.logs import EventLog
-from springmux.node.unknown_peers import LINE_PERIOD_S, MAX_NODES, UnknownPeerLog
+from springmux.node.peer.unknown_peers import LINE_PERIOD_S, MAX_NODES, UnknownPeerLog
 
 STRANGER = NodeId("stranger")
 
--- a/tests/unit/node_gateway/scripted_engines.py
+++ b/tests/unit/node_gateway/scripted_engines.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from springmux.node.http.types import AnswerHead, ExchangeFailed, FailureKind, Header, RequestHead
+from springmux.node.http.types import ExchangeFailedError, FailureKind, Header, RequestHead, ResponseHead
 
 ID: Header = (b"x-request-id", b"r1")
 SEAL = b"x-answer-seal"
@@ -55,16 +55,16 @@
 
 
 FOREVER = Pause(1e6)
-Step = AnswerHead | bytes | FailureKind | Pause
+Step = ResponseHead | bytes | FailureKind | Pause
 Script = Sequence[Step]
 
 
 def answer(
     status: int, *headers: Header, seal: bytes | None = b"s1", length: int | None = None
-) -> AnswerHead:
+) -> ResponseHead:
     """Return an engine's head."""
     own = ((SEAL, seal),) if seal is not None else ()
-    return AnswerHead(status, (ID, *own, *headers), None, True)
+    return ResponseHead(status, (ID, *own, *headers), None, True)
 
 
 def events(first: int, last: int) -> bytes:
@@ -84,14 +84,14 @@
         self.aborted = False
         self.released = False
 
-    async def head(self) -> AnswerHead:
+    async def head(self) -> ResponseHead:
         step = await self._next()
-        assert isinstance(step, AnswerHead)
+        assert isinstance(step, ResponseHead)
         return step
 
     async def read(self) -> bytes:
         step = await self._next()
-        assert not isinstance(step, AnswerHead)
+        assert not isinstance(step, ResponseHead)
         return step
 
     def release(self) -> None:
@@ -102,13 +102,13 @@
         self.aborted = True
         self.ended_at = now()
 
-    async def _next(self) -> AnswerHead | bytes:
+    async def _next(self) -> ResponseHead | bytes:
         while self._steps:
             step = self._steps.pop(0)
             if isinstance(step, Pause):
                 await asyncio.sleep(step.seconds)
             elif isinstance(step, FailureKind):
-                raise ExchangeFailed(step)
+                raise ExchangeFailedError(step)
             else:
                 return step
         return b""
@@ -138,16 +138,16 @@
         head: RequestHead,
         body: bytes,
         connect_timeout_s: float,
-        accept: Callable[[AnswerHead], bool],
+        accept: Callable[[ResponseHead], bool],
     ) -> ScriptedExchange:
         self.tried.append(address)
         assert self.scripts, "an engine too many"
         script = list(self.scripts.pop(0))
         if script and script[0] is FailureKind.SILENT:
             await asyncio.sleep(connect_timeout_s)  # a connection that does not come up
-            raise ExchangeFailed(FailureKind.CONNECT)
+            raise ExchangeFailedError(FailureKind.CONNECT)
         if script and script[0] in (FailureKind.CONNECT, FailureKind.NOT_SENT):
-            raise ExchangeFailed(FailureKind(script[0]))
+            raise ExchangeFailedError(FailureKind(script[0]))
         exchange = ScriptedExchange(script)
         self.sent.append(Sent(address, head, body, now(), exchange))
         return exchange
--- a/tests/unit/node_gateway/stand_ins.py
+++ b/tests/unit/node_gateway/stand_ins.py
@@ -21,15 +21,15 @@
 )
 from springmux.control.view import EMPTY_VIEW
 from springmux.coordination.identifiers import Address, NodeId
-from springmux.coordination.usage.part import UsagePart
+from springmux.coordination.usage.usage_exchange import UsageExchange
 from springmux.gateway.core import GatewayCore
 from springmux.gateway.dialect import OWN_HEADERS
+from springmux.node.admin.service_rates import ServiceRates
 from springmux.node.gateway.forwarder import Forwarder, ForwarderServices
 from springmux.node.gateway.headers import HeaderRules
 from springmux.node.gateway.refusal_log import RefusalLog
-from springmux.node.http.types import BodyTooLarge, ClientGone, Header, RequestHead
+from springmux.node.http.types import BodyTooLargeError, ClientDisconnectedError, Header, RequestHead
 from springmux.node.logs import EventLog
-from springmux.node.service_rates import ServiceRates
 from springmux.rollout.outcome import FirstTokenWatch, PromptOutcome, VersionChoice
 from springmux.vocabulary.engines import EngineRecord, EnginesView
 from springmux.vocabulary.names import EngineId, RouteName, ServiceName, TenantName, VersionName
@@ -66,7 +66,7 @@
 
     async def body(self) -> bytes:
         if self._body is None:
-            raise BodyTooLarge
+            raise BodyTooLargeError
         return self._body
 
     def respond(self, status: int, headers: Sequence[Header], body: bytes) -> None:
@@ -81,7 +81,7 @@
     async def write(self, data: bytes) -> None:
         assert self.begun and not self.ended and not self.aborted
         if self._gone:
-            raise ClientGone
+            raise ClientDisconnectedError
         self.data += data
         if self._slow_s:
             await asyncio.sleep(self._slow_s)
@@ -176,7 +176,7 @@
         self.client = ScriptedClient(*scripts)
         self.chooser = Chooser(choice)
         self.core = GatewayCore(
-            "north", random.Random(1), self.chooser, UsagePart(NodeId("n1"), random.Random(2))
+            "north", random.Random(1), self.chooser, UsageExchange(NodeId("n1"), random.Random(2))
         )
         self.core.retry_budget.set_floor(20)
         self._configuration = GatewayConfiguration(
--- a/tests/unit/node_gateway/test_configuration_reads.py
+++ b/tests/unit/node_gateway/test_configuration_reads.py
@@ -10,7 +10,7 @@
 
 from springmux.agent.agent import NodeAgent
 from springmux.control.freshness.events import ProofWanted
-from springmux.coordination.kernel import Event
+from springmux.coordination.state_machine import Event
 from springmux.node.driver import AgentDriver
 from springmux.node.gateway.configuration_endpoints import (
     PROOF_WAIT_S,
--- a/tests/unit/node_gateway/test_core.py
+++ b/tests/unit/node_gateway/test_core.py
@@ -10,7 +10,7 @@
 from springmux.control.gateway_configuration import GatewayConfiguration
 from springmux.control.view import EMPTY_VIEW
 from springmux.coordination.identifiers import NodeId
-from springmux.coordination.usage.part import UsagePart
+from springmux.coordination.usage.usage_exchange import UsageExchange
 from springmux.gateway.core import GatewayCore, RetryBounds
 from springmux.rollout.outcome import VersionChoice
 from tests.unit.node_gateway.stand_ins import SAFE, Chooser
@@ -18,7 +18,7 @@
 
 def _core() -> GatewayCore:
     return GatewayCore(
-        "north", random.Random(1), Chooser(VersionChoice(())), UsagePart(NodeId("n1"), random.Random(2))
+        "north", random.Random(1), Chooser(VersionChoice(())), UsageExchange(NodeId("n1"), random.Random(2))
     )
 
 
--- a/tests/unit/node_gateway/test_engine_endpoints.py
+++ b/tests/unit/node_gateway/test_engine_endpoints.py
@@ -10,7 +10,7 @@
 from springmux.agent.agent import NodeAgent
 from springmux.agent.events import EngineHeartbeat, EngineLeft
 from springmux.agent.readiness import CUT_OFF, JOINING, STARTING, STOPPING
-from springmux.coordination.kernel import Event
+from springmux.coordination.state_machine import Event
 from springmux.node.gateway.engine_endpoints import EngineEndpoints
 from springmux.node.http.types import ServerExchange
 
--- a/tests/unit/node_gateway/test_operators.py
+++ b/tests/unit/node_gateway/test_operators.py
@@ -19,7 +19,7 @@
 from springmux.node.http.client import PooledEngineClient
 from springmux.node.http.types import RequestHead
 from springmux.node.logs import EventLog
-from springmux.node.storage_open import open_storage
+from springmux.node.storage.opening import open_storage
 from tests.unit.cli.support import run
 from tests.unit.node.support import LONG_S, free_address
 
--- a/tests/unit/node_gateway/test_refusals.py
+++ b/tests/unit/node_gateway/test_refusals.py
@@ -15,7 +15,7 @@
 from springmux.node.gateway.refusal_log import MAX_ID_LENGTH, RefusalLog, counter_values
 from springmux.node.http.types import FailureKind, RequestHead, ServerRefusal
 from springmux.node.logs import EventLog
-from springmux.node.metrics import NodeMetrics
+from springmux.node.metrics.registry import NodeMetrics
 from tests.unit.node_gateway.scripted_engines import DECLINE, FOREVER, Script, answer, events, play
 from tests.unit.node_gateway.stand_ins import RESUMABLE, SAFE, STREAM, UNSAFE, Node, tenant
 
--- a/tests/unit/quota/fleet.py
+++ b/tests/unit/quota/fleet.py
@@ -8,11 +8,11 @@
 import msgspec
 
 from springmux.coordination.identifiers import Address, NodeId, ZoneName
-from springmux.coordination.kernel import Effect, Event
 from springmux.coordination.membership.view import MembershipView, NodeRecord
 from springmux.coordination.quota.events import AccountRate, AccountsChanged, QuotaMembersChanged
-from springmux.coordination.quota.part import QuotaPart
+from springmux.coordination.quota.quota_allocator import QuotaAllocator
 from springmux.coordination.rendezvous import first_holders
+from springmux.coordination.state_machine import Effect, Event
 from springmux.simulation.world.network import NetworkSettings
 from springmux.simulation.world.world import Process, World
 
@@ -28,7 +28,7 @@
     """One node: its quota part, told the accounts and the members at its start."""
 
     def __init__(self, node: NodeId, boot: int, fleet: QuotaFleet) -> None:
-        self.part = QuotaPart(node, random.Random(f"{node} {boot}"))
+        self.part = QuotaAllocator(node, random.Random(f"{node} {boot}"))
         self._fleet = fleet
 
     def start(self, now: float) -> list[Effect]:
--- a/tests/unit/quota/test_part.py
+++ b/tests/unit/quota/test_part.py
@@ -7,21 +7,21 @@
 import pytest
 
 from springmux.coordination.identifiers import Address, NodeId, ZoneName
-from springmux.coordination.kernel import NEVER, Effect, MessageReceived, Send, Tick
 from springmux.coordination.membership.view import MembershipView, NodeRecord
 from springmux.coordination.quota.events import AccountRate, AccountsChanged, QuotaMembersChanged
-from springmux.coordination.quota.messages import AccountDemand, QuotaAsk, QuotaShare, ShareGrant
+from springmux.coordination.quota.messages import AccountDemand, AccountGrant, QuotaReply, QuotaRequest
 from springmux.coordination.quota.owner import FRESH_LEVEL_S
-from springmux.coordination.quota.part import QuotaPart
+from springmux.coordination.quota.quota_allocator import QuotaAllocator
 from springmux.coordination.rendezvous import first_holders
+from springmux.coordination.state_machine import NEVER, Effect, MessageReceived, Send, Tick
 
 NODES = (NodeId("a"), NodeId("b"))
 OWNER = first_holders("tenant", NODES, 1)[0]
 ASKER = next(node for node in NODES if node != OWNER)
 
 
-def make(node: NodeId, nodes: tuple[NodeId, ...] = NODES) -> QuotaPart:
-    part = QuotaPart(node, random.Random(1))
+def make(node: NodeId, nodes: tuple[NodeId, ...] = NODES) -> QuotaAllocator:
+    part = QuotaAllocator(node, random.Random(1))
     address = Address("127.0.0.1:1")
     records = {name: NodeRecord(name, ZoneName("z"), address, address, address) for name in nodes}
     part.handle(AccountsChanged({"tenant": AccountRate(1000.0, 2000.0)}), 0.0)
@@ -29,28 +29,28 @@
     return part
 
 
-def asked(effects: list[Effect]) -> QuotaAsk:
+def asked(effects: list[Effect]) -> QuotaRequest:
     (effect,) = effects
     assert isinstance(effect, Send)
     assert effect.to == OWNER
-    assert isinstance(effect.message, QuotaAsk)
+    assert isinstance(effect.message, QuotaRequest)
     return effect.message
 
 
-def answer(ask: QuotaAsk, limit: float, spare: float = 0.0) -> MessageReceived:
-    grant = ShareGrant("tenant", limit, rate=250.0, spare=spare)
-    return MessageReceived(OWNER, QuotaShare(ask.boot, ask.sequence, (grant,)))
+def answer(ask: QuotaRequest, limit: float, spare: float = 0.0) -> MessageReceived:
+    grant = AccountGrant("tenant", limit, rate=250.0, spare=spare)
+    return MessageReceived(OWNER, QuotaReply(ask.boot, ask.sequence, (grant,)))
 
 
 def ask_of(spent: float, wanted: float, sequence: int, boot: int = 7) -> MessageReceived:
     demand = AccountDemand("tenant", spent, wanted, 100.0, spent)
-    return MessageReceived(ASKER, QuotaAsk(boot, sequence, (demand,)))
+    return MessageReceived(ASKER, QuotaRequest(boot, sequence, (demand,)))
 
 
 def granted(effects: list[Effect]) -> float:
     (effect,) = effects
     assert isinstance(effect, Send)
-    assert isinstance(effect.message, QuotaShare)
+    assert isinstance(effect.message, QuotaReply)
     return effect.message.grants[0].limit
 
 
@@ -138,7 +138,7 @@
 def test_a_new_owner_begins_with_little_and_charges_what_none_has_answered() -> None:
     owner = make(OWNER)
     demand = AccountDemand("tenant", 1000.0, 5000.0, 100.0, acknowledged=900.0, minted=60.0)
-    limit = granted(owner.handle(MessageReceived(ASKER, QuotaAsk(7, 1, (demand,))), 1.0))
+    limit = granted(owner.handle(MessageReceived(ASKER, QuotaRequest(7, 1, (demand,))), 1.0))
     assert limit == pytest.approx(1000.0 + FRESH_LEVEL_S * 1000.0 - 40.0)
 
 
@@ -192,7 +192,7 @@
 
     def ask(sender: NodeId, sequence: int, wanted: float, refused: float) -> MessageReceived:
         demand = AccountDemand("tenant", 0.0, wanted, refused, refused=refused)
-        return MessageReceived(sender, QuotaAsk(7, sequence, (demand,)))
+        return MessageReceived(sender, QuotaRequest(7, sequence, (demand,)))
 
     assert granted(owner.handle(ask(holder, 1, 1500.0, 0.0), 21.0)) == 1500.0
     assert granted(owner.handle(ask(asker, 1, 900.0, 900.0), 21.01)) == 0.0
--- a/tests/unit/rollout/test_load_step.py
+++ b/tests/unit/rollout/test_load_step.py
@@ -8,12 +8,12 @@
 import msgspec
 import pytest
 
-from springmux.rollout.judgement.book import LOADED_RATIO, EvidenceBook
-from springmux.rollout.load_step import FULLEST, LOAD_FACTOR, load_weight, loaded_engines
+from springmux.rollout.judgement.evidence_table import LOADED_RATIO, EvidenceTable
 from springmux.rollout.outcome import Ending
-from springmux.rollout.plan import RolloutPhase
-from springmux.rollout.schedule import plan_schedule
-from springmux.rollout.standard_plan import plan_for
+from springmux.rollout.planning.load_step import FULLEST, LOAD_FACTOR, load_weight, loaded_engines
+from springmux.rollout.planning.plan import RolloutPhase
+from springmux.rollout.planning.schedule import plan_schedule
+from springmux.rollout.planning.standard_plan import plan_for
 from springmux.rollout.version_filter import EVEN_LAST_WEIGHT, ServiceGate
 from springmux.vocabulary.names import RolloutId, RouteName, VersionName
 from tests.unit.judgement.support import outcome
@@ -64,7 +64,7 @@
 
 def latency_bets(loaded: bool, first_token_s: float, prompt_bytes: int) -> int:
     """Return the bet against a candidate answer beside four stable ones of 0.1 s."""
-    book = EvidenceBook(SERVICE, STABLE, VersionName("v2"))
+    book = EvidenceTable(SERVICE, STABLE, VersionName("v2"))
     for number in range(4):
         answer = outcome(STABLE, first_token_s=0.1 + 0.001 * number, prompt_bytes=prompt_bytes)
         book.record(answer, 1.0)
@@ -84,7 +84,7 @@
     """Given cold caches and more load than a stable engine's, a good version is many times slower."""
     assert latency_bets(False, 0.9, 600) > 0
     assert latency_bets(True, 0.9, 600) == 0
-    book = EvidenceBook(SERVICE, STABLE, VersionName("v2"))
+    book = EvidenceTable(SERVICE, STABLE, VersionName("v2"))
     book.record(outcome(STABLE), 1.0)
     book.loaded = True
     assert book.watch(CAPTION, 600, 0.0, 1.1) is None
@@ -95,7 +95,7 @@
 
 
 def test_the_mean_time_of_stable_answers_is_known_from_the_first_one() -> None:
-    book = EvidenceBook(SERVICE, STABLE, VersionName("v2"))
+    book = EvidenceTable(SERVICE, STABLE, VersionName("v2"))
     assert book.stable_answer_s == 0.0
     answer = msgspec.structs.replace(outcome(STABLE, first_token_s=0.1), token_gap_s=0.02, tokens=21)
     book.record(answer, 1.0)
@@ -156,7 +156,7 @@
 def candidate_prompts(last_step: bool) -> int:
     """Return how many of 1,000 prompts of one route choose the candidate at a weight widened to the whole."""
     gate = ServiceGate(STABLE)
-    gate.begin(RolloutId("r1"), CANDIDATE, 7, EvidenceBook(SERVICE, STABLE, CANDIDATE), even_routes=True)
+    gate.begin(RolloutId("r1"), CANDIDATE, 7, EvidenceTable(SERVICE, STABLE, CANDIDATE), even_routes=True)
     keys = random.Random(1)
     gate.choose(keys.getrandbits(64), 0.0, CAPTION)
     gate.renew(1.0, 1, 0.0, last_step=last_step)
--- a/tests/unit/rollout/test_part.py
+++ b/tests/unit/rollout/test_part.py
@@ -10,15 +10,15 @@
 from springmux.control.commands import ApplyConfiguration, encode_command
 from springmux.control.state import ControlState
 from springmux.coordination.identifiers import Address, NodeId, Revision, Term, ZoneName
-from springmux.coordination.kernel import NEVER, Effect, MessageReceived, Send, Tick
 from springmux.coordination.membership.view import MembershipView, NodeRecord
-from springmux.rollout.effects import AbortWanted, StepWanted
+from springmux.coordination.state_machine import NEVER, Effect, MessageReceived, Send, Tick
+from springmux.rollout.effects import ProposeAbort, ProposeStep
 from springmux.rollout.events import ControlViewChanged, EnginesChanged, FleetChanged, IssuerChanged
-from springmux.rollout.laps import HOP_TIMEOUT_S
 from springmux.rollout.messages import RolloutAbortNotice, RolloutToken, RolloutTokenAck
-from springmux.rollout.part import RolloutPart, RolloutSettings
-from springmux.rollout.plan import RolloutDecision, RolloutPhase, RolloutRecord
-from springmux.rollout.rings import RELAY, WHOLE_FLEET, lay_out
+from springmux.rollout.planning.plan import RolloutDecision, RolloutPhase, RolloutRecord
+from springmux.rollout.rollout_coordinator import RolloutCoordinator, RolloutSettings
+from springmux.rollout.token_ring.rings import RELAY, WHOLE_FLEET, lay_out
+from springmux.rollout.token_ring.token_passing import HOP_TIMEOUT_S
 from springmux.vocabulary.names import OrderId
 from tests.unit.rollout.virtual_fleet import CANDIDATE, SERVICE, STABLE, engines_view, record_of
 
@@ -30,8 +30,8 @@
     return NodeRecord(NodeId(name), ZoneName(zone), ADDRESS, ADDRESS, ADDRESS)
 
 
-def part(own: NodeId, record: RolloutRecord | None = None) -> RolloutPart:
-    made = RolloutPart(own, ZoneName("z"), random.Random(own), RolloutSettings())
+def part(own: NodeId, record: RolloutRecord | None = None) -> RolloutCoordinator:
+    made = RolloutCoordinator(own, ZoneName("z"), random.Random(own), RolloutSettings())
     made.handle(FleetChanged(MembershipView(own, {n: node_record(n) for n in (A, B, C, D)})), 0.0)
     made.handle(EnginesChanged(engines_view()), 0.0)
     made.handle(view(record or record_of()), 0.0)
@@ -43,7 +43,7 @@
     return ControlViewChanged(rollouts, {SERVICE: STABLE}, Revision(revision))
 
 
-def lead(made: RolloutPart, term: int = 1, now: float = 0.0) -> RolloutToken:
+def lead(made: RolloutCoordinator, term: int = 1, now: float = 0.0) -> RolloutToken:
     made.handle(IssuerChanged(True, Term(term)), now)
     return next(token for _, token in tokens(made.handle(Tick(), now)))
 
@@ -54,7 +54,7 @@
 
 
 def test_a_quiet_fleet_sends_nothing() -> None:
-    made = RolloutPart(A, ZoneName("z"), random.Random(1), RolloutSettings())
+    made = RolloutCoordinator(A, ZoneName("z"), random.Random(1), RolloutSettings())
     made.handle(view(None), 0.0)
     assert made.handle(IssuerChanged(True, Term(1)), 0.0)[0] is not None
     assert made.next_deadline() == NEVER
@@ -127,9 +127,9 @@
     node = part(B, overdue)
     leader = part(A, overdue)
     token = lead(leader)
-    assert not any(isinstance(e, StepWanted) for e in node.handle(MessageReceived(A, token), 1.0))
+    assert not any(isinstance(e, ProposeStep) for e in node.handle(MessageReceived(A, token), 1.0))
     leader.handle(Tick(), 0.5)
-    wanted = [e for e in leader.handle(Tick(), 1.2) if isinstance(e, StepWanted)]
+    wanted = [e for e in leader.handle(Tick(), 1.2) if isinstance(e, ProposeStep)]
     assert [(e.weight, e.step, e.phase) for e in wanted] == [(0.10, 1, RolloutPhase.SHIFTING)]
 
 
@@ -138,14 +138,14 @@
     lead(made)
     decision = RolloutDecision("c", "errors")
     notice = RolloutAbortNotice(SERVICE, record_of().rollout, decision)
-    wanted = AbortWanted(SERVICE, record_of().rollout, decision)
+    wanted = ProposeAbort(SERVICE, record_of().rollout, decision)
     assert wanted in made.handle(MessageReceived(C, notice), 0.1)
     flagged = tokens(made.handle(Tick(), 0.1))
     assert flagged[0][1].entries[0].aborted
     assert wanted in made.handle(Tick(), 1.2)
     made.handle(view(record_of(phase=RolloutPhase.ABORTED, decision=decision), 2), 1.3)
     later = [effect for second in range(2, 9) for effect in made.handle(Tick(), float(second))]
-    assert not any(isinstance(effect, AbortWanted) for effect in later)
+    assert not any(isinstance(effect, ProposeAbort) for effect in later)
     assert made.next_deadline() == NEVER
 
 
@@ -156,7 +156,7 @@
     entry = msgspec.structs.replace(token.entries[0], aborted=True, decision=decision)
     made.handle(MessageReceived(A, msgspec.structs.replace(token, entries=(entry,))), 0.1)
     effects = made.handle(IssuerChanged(True, Term(2)), 1.7)
-    assert AbortWanted(SERVICE, record_of().rollout, decision) in effects
+    assert ProposeAbort(SERVICE, record_of().rollout, decision) in effects
 
 
 def test_a_deployment_s_exceptions_reach_the_issuer() -> None:
@@ -171,7 +171,7 @@
     with_exceptions = msgspec.structs.replace(view(record_of(elapsed_s=43.0), 2), settings=settings)
     made.handle(with_exceptions, 0.1)
     made.handle(Tick(), 0.5)
-    assert not any(isinstance(effect, StepWanted) for effect in made.handle(Tick(), 1.2))
+    assert not any(isinstance(effect, ProposeStep) for effect in made.handle(Tick(), 1.2))
     status = made.status(SERVICE, 1.2)
     assert status is not None
     assert status.waiting == "6 candidate engines ready, minimum_ready_engines is 7"
--- a/tests/unit/rollout/test_participant.py
+++ b/tests/unit/rollout/test_participant.py
@@ -11,8 +11,14 @@
 from springmux.coordination.identifiers import NodeId, ZoneName
 from springmux.rollout.outcome import Ending, PromptOutcome
 from springmux.rollout.participant import Participant, Visit
-from springmux.rollout.plan import RolloutDecision, RolloutPhase
-from springmux.rollout.token import Account, RolloutEntry, merge_accounts, recover_accounts, total_accounts
+from springmux.rollout.planning.plan import RolloutDecision, RolloutPhase
+from springmux.rollout.token_ring.token import (
+    Account,
+    RolloutEntry,
+    merge_accounts,
+    recover_accounts,
+    total_accounts,
+)
 from springmux.rollout.version_filter import LEASE_S, ServiceGate
 from springmux.vocabulary.names import EngineId, RouteName
 from tests.unit.rollout.virtual_fleet import CANDIDATE, SERVICE, STABLE, record_of
--- a/tests/unit/rollout/test_schedule.py
+++ b/tests/unit/rollout/test_schedule.py
@@ -5,8 +5,14 @@
 import msgspec
 import pytest
 
-from springmux.rollout.plan import RolloutPhase
-from springmux.rollout.schedule import Progress, ScheduleImpossible, StepKind, next_step, plan_schedule
+from springmux.rollout.planning.plan import RolloutPhase
+from springmux.rollout.planning.schedule import (
+    Progress,
+    ScheduleImpossibleError,
+    StepKind,
+    next_step,
+    plan_schedule,
+)
 from tests.unit.rollout.virtual_fleet import PLAN
 
 
@@ -45,18 +51,18 @@
 
 
 def test_a_term_too_short_is_refused_with_the_arithmetic() -> None:
-    with pytest.raises(ScheduleImpossible, match=r"by_s 10 leaves 2\.6 s of canary"):
+    with pytest.raises(ScheduleImpossibleError, match=r"by_s 10 leaves 2\.6 s of canary"):
         plan_schedule(msgspec.structs.replace(PLAN, by_s=10.0), 123.0)
 
 
 def test_a_share_that_cannot_pay_the_last_step_is_refused() -> None:
     plan = msgspec.structs.replace(PLAN, expose_share=0.045, canary_weight=0.035, expose_allowance=0)
-    with pytest.raises(ScheduleImpossible, match="give a longer by_s or a larger expose_share"):
+    with pytest.raises(ScheduleImpossibleError, match="give a longer by_s or a larger expose_share"):
         plan_schedule(plan, 123.0)
 
 
 def test_a_canary_above_the_share_is_refused() -> None:
-    with pytest.raises(ScheduleImpossible, match="spends more than"):
+    with pytest.raises(ScheduleImpossibleError, match="spends more than"):
         plan_schedule(msgspec.structs.replace(PLAN, canary_weight=0.09), 123.0)
 
 
--- a/tests/unit/rollout/test_short_term_parts.py
+++ b/tests/unit/rollout/test_short_term_parts.py
@@ -9,7 +9,6 @@
 
 from springmux.coordination.identifiers import NodeId, Revision, ZoneName
 from springmux.rollout.events import ControlViewChanged, RolloutSettings
-from springmux.rollout.judgement.book import EvidenceBook
 from springmux.rollout.judgement.digest import (
     EngineEvidence,
     EngineUse,
@@ -17,14 +16,15 @@
     EvidenceDigest,
     RouteEvidence,
 )
+from springmux.rollout.judgement.evidence_table import EvidenceTable
 from springmux.rollout.judgement.final_look import final_look
 from springmux.rollout.outcome import FirstTokenWatch
-from springmux.rollout.part import RolloutPart
-from springmux.rollout.plan import JudgeLimits, RolloutPhase
-from springmux.rollout.plan_checks import validate_plan
-from springmux.rollout.schedule import plan_schedule
-from springmux.rollout.standard_plan import plan_for
-from springmux.rollout.told import DONE_SETTLE_S, RolloutState, state_of, told_done
+from springmux.rollout.planning.plan import JudgeLimits, RolloutPhase
+from springmux.rollout.planning.plan_checks import validate_plan
+from springmux.rollout.planning.schedule import plan_schedule
+from springmux.rollout.planning.standard_plan import plan_for
+from springmux.rollout.reported_state import DONE_SETTLE_S, RolloutState, state_of, told_done
+from springmux.rollout.rollout_coordinator import RolloutCoordinator
 from springmux.rollout.version_filter import NO_VERSIONS, THIN_ROUTE_WEIGHT, route_weights
 from springmux.vocabulary.names import RouteName, VersionName
 from tests.unit.judgement.support import outcome
@@ -72,8 +72,8 @@
     assert state_of(record_of(phase=RolloutPhase.PAUSED), confirmed=True) is RolloutState.RUNNING
 
 
-def unconfigured_part() -> RolloutPart:
-    return RolloutPart(NodeId("n00"), ZoneName("z0"), random.Random(1), RolloutSettings())
+def unconfigured_part() -> RolloutCoordinator:
+    return RolloutCoordinator(NodeId("n00"), ZoneName("z0"), random.Random(1), RolloutSettings())
 
 
 def view(revision: int, **changes: object) -> ControlViewChanged:
@@ -113,8 +113,8 @@
     assert route_weights({}, 0.06) == {}
 
 
-def watched_book() -> tuple[EvidenceBook, FirstTokenWatch]:
-    book = EvidenceBook(SERVICE, STABLE, VersionName("v2"))
+def watched_book() -> tuple[EvidenceTable, FirstTokenWatch]:
+    book = EvidenceTable(SERVICE, STABLE, VersionName("v2"))
     for number in range(4):
         book.record(outcome(STABLE, first_token_s=0.1 + 0.01 * number), 1.0)
     watch = book.watch(CAPTION, 600, 0.0, 1.5)
@@ -122,7 +122,7 @@
     return book, watch
 
 
-def first_token_bets(book: EvidenceBook) -> list[int]:
+def first_token_bets(book: EvidenceTable) -> list[int]:
     return [epoch.first_token_steep for route in book.digest().routes for epoch in route.epochs]
 
 
--- a/tests/unit/rollout/test_short_terms_simulated.py
+++ b/tests/unit/rollout/test_short_terms_simulated.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from springmux.rollout.standard_plan import plan_for
+from springmux.rollout.planning.standard_plan import plan_for
 from springmux.simulation.engine_model import VersionBehaviour
 from springmux.simulation.rollout_baselines import Variant
 from springmux.simulation.rollout_trial import AFTER_END_S, RolloutScenario, RolloutTrial, TrialResult
--- a/tests/unit/rollout/test_standard_plan.py
+++ b/tests/unit/rollout/test_standard_plan.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from springmux.rollout.standard_plan import plan_for
+from springmux.rollout.planning.standard_plan import plan_for
 from springmux.vocabulary.names import ServiceName, VersionName
 
 
--- a/tests/unit/rollout/virtual_fleet.py
+++ b/tests/unit/rollout/virtual_fleet.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from springmux.agent.rollout_orders import RolloutWish, command_for
+from springmux.agent.rollout_orders import RolloutProposal, command_for
 from springmux.control.commands import (
     AnyCommand,
     ApplyConfiguration,
@@ -22,13 +22,13 @@
 )
 from springmux.control.state import ControlState
 from springmux.coordination.identifiers import Address, NodeId, Revision, Term, ZoneName
-from springmux.coordination.kernel import NEVER, Effect, Event, MessageReceived, Note, Send, Tick
 from springmux.coordination.membership.view import MembershipView, NodeRecord
+from springmux.coordination.state_machine import NEVER, Effect, Event, LogLine, MessageReceived, Send, Tick
 from springmux.rollout.events import ControlViewChanged, EnginesChanged, FleetChanged, IssuerChanged
 from springmux.rollout.messages import RolloutToken
 from springmux.rollout.outcome import Ending, PromptOutcome
-from springmux.rollout.part import RolloutPart, RolloutSettings
-from springmux.rollout.plan import TERMINAL_PHASES, RolloutPhase, RolloutPlan, RolloutRecord
+from springmux.rollout.planning.plan import TERMINAL_PHASES, RolloutPhase, RolloutPlan, RolloutRecord
+from springmux.rollout.rollout_coordinator import RolloutCoordinator, RolloutSettings
 from springmux.vocabulary.engines import EngineRecord, EngineStatus, EnginesView
 from springmux.vocabulary.names import EngineId, OrderId, RolloutId, RouteName, ServiceName, VersionName
 
@@ -102,7 +102,7 @@
         self._apply(PromoteRollout(order=OrderId("promote"), rollout=RolloutId("r1"), plan=plan))
         self.names = [NodeId(f"n{n:02d}") for n in range(nodes)]
         self.zone = {name: ZoneName(f"z{n % zones}") for n, name in enumerate(self.names)}
-        self.parts: dict[NodeId, RolloutPart] = {}
+        self.parts: dict[NodeId, RolloutCoordinator] = {}
         self.leader: NodeId | None = self.names[0]
         self.term = 1
         self.cut: set[NodeId] = set()
@@ -113,7 +113,7 @@
         self.prompts = 0
         self.sent_by_zone: dict[ZoneName, int] = dict.fromkeys(self.zone.values(), 0)
         self.over_at: float | None = None
-        self.notes: list[Note] = []
+        self.notes: list[LogLine] = []
         self.bytes_sent: dict[NodeId, int] = dict.fromkeys(self.names, 0)
         self.token_sizes: list[int] = []
         self.worst_excess = -1e9
@@ -132,7 +132,7 @@
         """Start a node, or start it again with nothing in memory but the control state."""
         self.dead.discard(name)
         rng = random.Random(self.rng.getrandbits(32))
-        self.parts[name] = RolloutPart(name, self.zone[name], rng, RolloutSettings())
+        self.parts[name] = RolloutCoordinator(name, self.zone[name], rng, RolloutSettings())
         self._give(name, self._view_event())
         self._give(name, self._fleet_event(name))
         self._give(name, EnginesChanged(self.engines))
@@ -266,9 +266,9 @@
     def _carry_out(self, name: NodeId, effect: Effect) -> None:
         if isinstance(effect, Send):
             self._send(name, effect)
-        elif isinstance(effect, Note):
+        elif isinstance(effect, LogLine):
             self.notes.append(effect)
-        elif isinstance(effect, RolloutWish) and self._can_commit(name):
+        elif isinstance(effect, RolloutProposal) and self._can_commit(name):
             self.at(COMMIT_S, lambda: self.order(command_for(effect)))
 
     def _usable(self, name: NodeId) -> bool:
--- a/tests/unit/router/test_admission.py
+++ b/tests/unit/router/test_admission.py
@@ -5,7 +5,7 @@
 import pytest
 
 from springmux.control.view import AdmissionLimits
-from springmux.coordination.kernel import Tick
+from springmux.coordination.state_machine import Tick
 from springmux.router import effects as out
 from springmux.router import events as ev
 from springmux.vocabulary.engines import EngineLoad
@@ -19,7 +19,7 @@
 
 
 def admitted(scene: Scene) -> bool:
-    return bool(scene.all(out.Dispatch)) or bool(scene.all(out.AskClaim))
+    return bool(scene.all(out.Dispatch)) or bool(scene.all(out.RequestClaim))
 
 
 def fill(playbook: Playbook, count: int, route: str, keys: str = "ann ben cleo") -> list[Scene]:
@@ -48,7 +48,7 @@
     playbook = Playbook(limits=SMALL)
     scenes = fill(playbook, 30, "draft")
 
-    refused = [scene for scene in scenes if scene.all(out.AnswerError)]
+    refused = [scene for scene in scenes if scene.all(out.ResponseError)]
     assert refused
     for scene in refused:
         assert (scene.error.code, scene.error.fate) == ("overloaded", "refused")
@@ -70,7 +70,7 @@
     playbook.router.set_wake_listener(woken.append)
     waiting, running = waiting_and_running(playbook)
 
-    running[0].give(ev.CallerGone())
+    running[0].give(ev.ClientDisconnected())
 
     assert woken == [waiting.request.request_id]
     assert waiting.flow.next_deadline() <= playbook.now
@@ -92,7 +92,7 @@
 def test_a_waiting_request_chooses_its_engine_when_it_is_dispatched() -> None:
     playbook = Playbook(limits=SMALL)
     waiting, running = waiting_and_running(playbook)
-    running[0].give(ev.CallerGone())
+    running[0].give(ev.ClientDisconnected())
     playbook.see([engine("e9")])
 
     waiting.give(Tick())
@@ -109,7 +109,7 @@
 
     assert (waiting.error.code, waiting.error.fate) == ("revoked_key", "refused")
     assert playbook.router.status().queued["bulk"] == 0
-    running[0].give(ev.CallerGone())
+    running[0].give(ev.ClientDisconnected())
     assert playbook.router.status().in_flight["bulk"] == 9
 
 
@@ -118,7 +118,7 @@
     """A key beside its own tenant's other key; a tenant beside another tenant."""
     playbook = Playbook(limits=SMALL)
     swollen = fill(playbook, 40, "draft", swelling)
-    refused = [scene for scene in swollen if scene.all(out.AnswerError)]
+    refused = [scene for scene in swollen if scene.all(out.ResponseError)]
 
     late = playbook.open(chat("draft"), key=other)
 
@@ -140,7 +140,7 @@
     first = fill(playbook, 10, "draft")
     playbook.now += 300.0
     for scene in first:
-        scene.give(ev.CallerGone())
+        scene.give(ev.ClientDisconnected())
     fill(playbook, 10, "draft")
 
     late = playbook.open(chat("draft"), key="cleo")
@@ -156,7 +156,7 @@
     north = playbook.open(chat("draft"), key="ben")
     south = playbook.open(chat("draft"), key="cleo")
 
-    running[0].give(ev.CallerGone())
+    running[0].give(ev.ClientDisconnected())
     north.give(Tick(), 0.05)
     south.give(Tick())
 
--- a/tests/unit/router/test_bad_input.py
+++ b/tests/unit/router/test_bad_input.py
@@ -43,7 +43,7 @@
 def test_refused_at_once(name: str, request_changes: dict[str, Any], status: int, code: str) -> None:
     scene = Playbook().open(**request_changes)
 
-    assert [type(effect) for effect in scene.effects] == [out.AnswerError, out.FlowDone]
+    assert [type(effect) for effect in scene.effects] == [out.ResponseError, out.FlowDone]
     assert (scene.error.status, scene.error.code, scene.error.fate) == (status, code, "refused")
     assert (scene.error.request_id, scene.error.node) == ("r1", "node-1")
 
@@ -60,7 +60,7 @@
     playbook.revoke("ann")
 
     assert playbook.open().error.code == "revoked_key"
-    assert not playbook.open(key="ben").all(out.AnswerError)
+    assert not playbook.open(key="ben").all(out.ResponseError)
 
 
 @pytest.mark.parametrize(
--- a/tests/unit/router/test_ejection.py
+++ b/tests/unit/router/test_ejection.py
@@ -7,7 +7,7 @@
 from springmux.control.view import AdmissionLimits
 from springmux.coordination.claims.decision import ClaimVerdict
 from springmux.router import effects as out
-from springmux.router.events import CallerGone, UpstreamCause
+from springmux.router.events import ClientDisconnected, UpstreamCause
 from springmux.vocabulary.engines import EngineLoad, EngineRecord
 from springmux.vocabulary.names import EngineId
 from support.playbook import DONE, Playbook, Scene, chat, engine, piece
@@ -101,7 +101,7 @@
         scene = playbook.open(call="approve")
         scene.claim(ClaimVerdict.GRANTED)
         assert scene.dispatched().engine.engine == "p1"
-        scene.give(CallerGone())
+        scene.give(ClientDisconnected())
 
 
 def test_never_more_than_a_third_is_out() -> None:
--- a/tests/unit/router/test_engine_choice.py
+++ b/tests/unit/router/test_engine_choice.py
@@ -9,7 +9,7 @@
 from springmux.control.view import AdmissionLimits
 from springmux.rollout.outcome import VersionChoice
 from springmux.router import effects as out
-from springmux.router.events import CallerGone, StopRequested, UpstreamCause
+from springmux.router.events import ClientDisconnected, StopRequested, UpstreamCause
 from springmux.router.prefix_index import MAX_HOLDERS, PrefixIndex, hash_prefix
 from springmux.vocabulary.engines import EngineLoad, EngineRecord
 from springmux.vocabulary.names import EngineId
@@ -32,7 +32,7 @@
     for number in numbers:
         scene = playbook.open(long_prompt(number))
         found[number] = where(scene)
-        scene.give(CallerGone())
+        scene.give(ClientDisconnected())
     return found
 
 
@@ -80,7 +80,7 @@
     scene.data(piece("r1", 0))
 
     assert (before > 1000, slot.outstanding_tokens) == (True, 64)
-    scene.give(CallerGone())
+    scene.give(ClientDisconnected())
     assert (slot.outstanding_tokens, slot.in_flight) == (0, 0)
 
 
--- a/tests/unit/router/test_fates.py
+++ b/tests/unit/router/test_fates.py
@@ -6,7 +6,7 @@
 
 from springmux.control.view import AdmissionLimits
 from springmux.coordination.claims.decision import ClaimVerdict
-from springmux.coordination.kernel import Tick
+from springmux.coordination.state_machine import Tick
 from springmux.router import effects as out
 from springmux.router import events as ev
 from springmux.router.events import UpstreamCause
@@ -26,15 +26,15 @@
 def test_nothing_is_sent_before_the_claim_is_granted() -> None:
     scene = approval(Playbook())
 
-    assert [type(effect) for effect in scene.effects] == [out.AskClaim]
+    assert [type(effect) for effect in scene.effects] == [out.RequestClaim]
 
 
 def test_one_action_is_one_claim_per_tenant_and_route() -> None:
     playbook = Playbook()
-    keys = [approval(playbook, action).all(out.AskClaim)[0].claim_key for action in ("a1", "a2")]
+    keys = [approval(playbook, action).all(out.RequestClaim)[0].claim_key for action in ("a1", "a2")]
     south = playbook.open(call="approve", key="cleo", headers={"idempotency-key": "a1"})
 
-    assert len({*keys, south.all(out.AskClaim)[0].claim_key}) == 3
+    assert len({*keys, south.all(out.RequestClaim)[0].claim_key}) == 3
 
 
 def test_a_whole_answer_is_kept_and_replayed_to_a_resend() -> None:
@@ -49,7 +49,7 @@
 
     assert not second.all(out.Dispatch)
     assert second.body == b'{"slot":7}'
-    headers = dict(second.all(out.AnswerHead)[0].headers)
+    headers = dict(second.all(out.ResponseHead)[0].headers)
     assert (headers["X-Replayed"], headers["X-Request-Id"]) == ("true", "r2")
 
 
@@ -96,9 +96,9 @@
     second = approval(playbook)
 
     assert (second.error.status, second.error.fate) == (409, "unknown")
-    assert not second.all(out.AskClaim)
+    assert not second.all(out.RequestClaim)
     first.claim(ClaimVerdict.UNAVAILABLE)
-    assert approval(playbook).all(out.AskClaim)
+    assert approval(playbook).all(out.RequestClaim)
 
 
 def test_a_late_grant_is_given_back() -> None:
@@ -115,7 +115,7 @@
 
 def test_a_thawed_node_still_waits_for_the_grant_that_it_must_give_back() -> None:
     scene = approval(Playbook())
-    scene.give(ev.CallerGone())
+    scene.give(ev.ClientDisconnected())
     scene.give(Tick(), after=60.0)
     assert not scene.over
 
@@ -197,7 +197,7 @@
         scene = approval(playbook, f"a{number}")
         scene.claim(ClaimVerdict.GRANTED)
         scene.answer(b'{"error":"no such page"}', status=422)
-        assert scene.all(out.AnswerHead)[0].status == 422
+        assert scene.all(out.ResponseHead)[0].status == 422
         assert scene.all(out.SettleClaim)[0].answer
 
     assert playbook.chooser.endings() == ["rejected"] * 9
@@ -230,7 +230,7 @@
     scene.data(body)
     scene.end()
 
-    assert not scene.all(out.AnswerHead)
+    assert not scene.all(out.ResponseHead)
     assert scene.error.code == "engine_protocol"
     assert not any(close.reusable for close in scene.all(out.CloseUpstream))
 
@@ -238,7 +238,7 @@
 def test_a_whole_completion_must_carry_the_request_id() -> None:
     scene = Playbook(limits=AdmissionLimits(retry_floor=0)).open(chat(stream=False))
     scene.answer(b'{"id":"r5","choices":[]}')
-    assert not scene.all(out.AnswerHead)
+    assert not scene.all(out.ResponseHead)
 
     right = Playbook().open(chat(stream=False))
     right.answer(b'{"id":"r1","choices":[],"usage":{"prompt_tokens":9,"completion_tokens":4}}')
@@ -256,7 +256,7 @@
     scene.fail(UpstreamCause.RESET, sent=True)
 
     assert len(scene.all(out.Dispatch)) == 2
-    assert scene.all(out.AnswerCut)
+    assert scene.all(out.ResponseAborted)
 
 
 def test_a_node_cut_off_between_two_attempts_does_not_retry() -> None:
@@ -308,7 +308,7 @@
     sale = granted(playbook)
     asking = approval(playbook, "a2")
     for scene in (prompt, sale, asking):
-        scene.give(ev.CallerGone())
+        scene.give(ev.ClientDisconnected())
     asking.claim(ClaimVerdict.GRANTED)
 
     assert prompt.all(out.CloseUpstream) == [out.CloseUpstream(1, reusable=False)]
@@ -332,6 +332,6 @@
 
     assert b"event: error" in ann.body
     assert b"revoked_key" in ann.body
-    assert ann.all(out.AnswerCut)
+    assert ann.all(out.ResponseAborted)
     assert not ann.whole
     assert not ben.over
--- a/tests/unit/router/test_streams.py
+++ b/tests/unit/router/test_streams.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from springmux.control.view import AdmissionLimits
-from springmux.coordination.kernel import Event, Tick
+from springmux.coordination.state_machine import Event, Tick
 from springmux.router import effects as out
 from springmux.router import events as ev
 from springmux.router.events import UpstreamCause
@@ -90,7 +90,7 @@
     assert passed_pieces(scene) == list(range(len(passed_pieces(scene))))
     assert b'"r2"' not in scene.body
     assert scene.over
-    assert scene.all(out.AnswerError) or b"event: error" in scene.body
+    assert scene.all(out.ResponseError) or b"event: error" in scene.body
     assert not any(close.reusable for close in scene.all(out.CloseUpstream))
 
 
@@ -102,7 +102,7 @@
 def test_the_first_bytes_go_out_only_with_a_valid_piece(first: bytes) -> None:
     scene = begun(AdmissionLimits())
     scene.data(first)
-    assert not scene.all(out.AnswerHead)
+    assert not scene.all(out.ResponseHead)
     assert len(scene.all(out.Dispatch)) == 2
 
     scene.head()
@@ -118,7 +118,7 @@
     scene.give(ev.UpstreamData(1, piece("r1", 0)))
     scene.give(ev.UpstreamFailed(1, UpstreamCause.RESET, True))
 
-    assert not scene.all(out.AnswerHead)
+    assert not scene.all(out.ResponseHead)
     assert not scene.over
     scene.head()
     scene.data(piece("r1", 0))
@@ -139,7 +139,9 @@
     together = piece("r1", 0) + piece("r1", 1)
     effects = scene.data(together + b"data: {")
 
-    assert [effect for effect in effects if isinstance(effect, out.AnswerData)] == [out.AnswerData(together)]
+    assert [effect for effect in effects if isinstance(effect, out.ResponseData)] == [
+        out.ResponseData(together)
+    ]
 
 
 def test_comments_are_dropped() -> None:
@@ -171,7 +173,8 @@
 
 
 @pytest.mark.parametrize(
-    "late", [ev.UpstreamData(1, b"more"), ev.UpstreamFailed(1, UpstreamCause.RESET, True), ev.CallerGone()]
+    "late",
+    [ev.UpstreamData(1, b"more"), ev.UpstreamFailed(1, UpstreamCause.RESET, True), ev.ClientDisconnected()],
 )
 def test_anything_but_the_proper_end_closes_the_connection(late: Event) -> None:
     scene = begun()
@@ -191,17 +194,17 @@
 
     assert scene.playbook.now == pytest.approx(109.9)
     assert b"engine_broke_off" in scene.body
-    assert scene.all(out.AnswerCut)
-    assert not scene.all(out.AnswerEnd)
+    assert scene.all(out.ResponseAborted)
+    assert not scene.all(out.ResponseEnd)
 
 
 def test_a_caller_who_reads_slowly_is_no_silence_of_the_engine() -> None:
     scene = begun()
     scene.data(piece("r1", 0))
-    scene.give(ev.CallerBlocked(), after=1.0)
+    scene.give(ev.ClientBlocked(), after=1.0)
     assert scene.flow.next_deadline() == pytest.approx(130.0)
 
-    scene.give(ev.CallerReady(), after=20.0)
+    scene.give(ev.ClientReady(), after=20.0)
     assert scene.flow.next_deadline() == pytest.approx(126.0)
     scene.data(piece("r1", 1, last=True) + DONE)
 
@@ -214,9 +217,9 @@
 def test_a_deadline_that_a_slow_caller_used_up_is_not_the_engines(ready_again: bool) -> None:
     scene = begun()
     scene.data(piece("r1", 0))
-    scene.give(ev.CallerBlocked())
+    scene.give(ev.ClientBlocked())
     if ready_again:
-        scene.give(ev.CallerReady(), after=28.0)
+        scene.give(ev.ClientReady(), after=28.0)
     scene.tick()
 
     assert b"deadline_exceeded" in scene.body
@@ -226,8 +229,8 @@
 def test_an_engine_silent_after_its_caller_reads_again_is_to_blame() -> None:
     scene = begun()
     scene.data(piece("r1", 0))
-    scene.give(ev.CallerBlocked())
-    scene.give(ev.CallerReady(), after=9.0)
+    scene.give(ev.ClientBlocked())
+    scene.give(ev.ClientReady(), after=9.0)
     scene.tick()
 
     assert scene.playbook.now == pytest.approx(114.0)
--- a/tests/unit/simulation/site.py
+++ b/tests/unit/simulation/site.py
@@ -94,7 +94,9 @@
     def trouble(self, node: NodeId) -> None:
         """Give no orders to a node from now on; those that it has may stay unanswered."""
         self.troubled.add(node)
-        self._spoilt |= {ticket for ticket, (_, asked, _) in self.asked.items() if asked == node}
+        self._spoilt |= {
+            correlation_id for correlation_id, (_, asked, _) in self.asked.items() if asked == node
+        }
 
     def kill(self, node: NodeId) -> None:
         self.trouble(node)
@@ -218,19 +220,19 @@
         self._numbers += 1
         name = TenantName(f"t{self._numbers}")
         node = self.random.choice(sound)
-        ticket = self.fleet.next_ticket()
-        self.asked[ticket] = (self.world.now, node, name)
+        correlation_id = self.fleet.next_correlation_id()
+        self.asked[correlation_id] = (self.world.now, node, name)
         order = PutTenant(order=OrderId(f"o{self._numbers}"), tenant=Tenant(name, 1000.0, 1000.0))
-        self.fleet.submit_as(ticket, node, order)
-        return ticket
+        self.fleet.submit_as(correlation_id, node, order)
+        return correlation_id
 
     def order_answered(self, node: NodeId, answer: OrderAnswered, now: float) -> None:
-        asked_at, _, name = self.asked.pop(answer.ticket)
+        asked_at, _, name = self.asked.pop(answer.correlation_id)
         if answer.result is not None and answer.result.outcome is Outcome.ACCEPTED:
             self.acknowledged[name] = now
-        elif answer.ticket not in self._spoilt:
+        elif answer.correlation_id not in self._spoilt:
             self.refused += 1
-        if answer.ticket not in self._spoilt:
+        if answer.correlation_id not in self._spoilt:
             self.slowest_s = max(self.slowest_s, now - asked_at)
 
     def longest_gap_s(self, since: float) -> float:
--- a/tests/unit/simulation/test_mutations.py
+++ b/tests/unit/simulation/test_mutations.py
@@ -12,17 +12,18 @@
 from springmux.control.order_window import OrderWindow
 from springmux.coordination.claims.decision import ClaimDecision, ClaimVerdict
 from springmux.coordination.consensus.replication import Replication
-from springmux.coordination.membership.contact import ContactPart
-from springmux.coordination.quota.part import QuotaPart
+from springmux.coordination.membership.contact_monitor import ContactMonitor
+from springmux.coordination.quota.quota_allocator import QuotaAllocator
 from springmux.coordination.retry_budget import RetryBudget
-from springmux.rollout import schedule, steering
+from springmux.rollout import steering
 from springmux.rollout.judgement.judge import Judge, Verdict
+from springmux.rollout.planning import schedule
 from springmux.rollout.version_filter import ServiceGate
-from springmux.router.answer_check import AnswerChecker
 from springmux.router.engine_table import EngineTable
 from springmux.router.events import ClaimDecided
 from springmux.router.exchange import Exchange
 from springmux.router.flow import RequestFlow
+from springmux.router.response_check import ResponseChecker
 from springmux.router.retry_policy import RetryPolicy
 from springmux.router.stream_check import StreamChecker
 from springmux.simulation import run as run_module
@@ -56,26 +57,26 @@
 
 
 def test_answer_is_cut_short(patch: pytest.MonkeyPatch) -> None:
-    end = AnswerChecker.end
+    end = ResponseChecker.end
 
-    def drop_last_byte(checker: AnswerChecker) -> None:
+    def drop_last_byte(checker: ResponseChecker) -> None:
         end(checker)
         checker.body = checker.body[:-1]
 
-    patch.setattr(AnswerChecker, "end", drop_last_byte)
+    patch.setattr(ResponseChecker, "end", drop_last_byte)
     assert "whole and own answer" in broken_rules(small_run())
 
 
 def test_answer_of_another_action(patch: pytest.MonkeyPatch) -> None:
-    end = AnswerChecker.end
+    end = ResponseChecker.end
     bodies = [b""]
 
-    def swap(checker: AnswerChecker) -> None:
+    def swap(checker: ResponseChecker) -> None:
         end(checker)
         bodies.append(checker.body)
         checker.body = bodies[-2] or checker.body
 
-    patch.setattr(AnswerChecker, "end", swap)
+    patch.setattr(ResponseChecker, "end", swap)
     assert "whole and own answer" in broken_rules(small_run())
 
 
@@ -139,14 +140,14 @@
 
 
 def test_cut_off_node_goes_on_serving(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(ContactPart, "connected", lambda contact, now: True)
+    patch.setattr(ContactMonitor, "connected", lambda contact, now: True)
     faults = [CutNode(at=13.0, node="town-1"), Heal(at=23.0)]
     assert "in force" in broken_rules(small_run(faults=faults))
 
 
 def test_node_is_ready_before_it_has_the_newest_state(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(Readiness, "_find_reason", lambda readiness, *given: "")
-    patch.setattr(ContactPart, "connected", lambda contact, now: True)
+    patch.setattr(ContactMonitor, "connected", lambda contact, now: True)
     faults = [
         Kill(at=16.0, node="town-1"),
         Restart(at=18.0, node="town-1"),
@@ -188,14 +189,14 @@
 
 
 def test_quota_is_ignored(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(QuotaPart, "reserve", lambda quota, account, amount, *rest: True)
+    patch.setattr(QuotaAllocator, "reserve", lambda quota, account, amount, *rest: True)
     assert "quota" in broken_rules(_swollen())
 
 
 def test_quota_is_given_out_by_half(patch: pytest.MonkeyPatch) -> None:
-    reserve = QuotaPart.reserve
+    reserve = QuotaAllocator.reserve
     patch.setattr(
-        QuotaPart,
+        QuotaAllocator,
         "reserve",
         lambda quota, account, amount, *rest: reserve(quota, account, 2.0 * amount, *rest),
     )
--- a/tests/unit/simulation/test_rollout_scenarios.py
+++ b/tests/unit/simulation/test_rollout_scenarios.py
@@ -51,11 +51,11 @@
 
 @pytest.mark.parametrize("variant", Variant)
 def test_a_variant_is_in_force_only_within_its_block(variant: Variant) -> None:
-    before = (participant.Judge, participant.EvidenceBook, issuer.credit_pool)
+    before = (participant.Judge, participant.EvidenceTable, issuer.credit_pool)
     with in_force(variant):
-        within = (participant.Judge, participant.EvidenceBook, issuer.credit_pool)
+        within = (participant.Judge, participant.EvidenceTable, issuer.credit_pool)
         assert (within == before) is (variant is Variant.SPRINGMUX)
-    assert (participant.Judge, participant.EvidenceBook, issuer.credit_pool) == before
+    assert (participant.Judge, participant.EvidenceTable, issuer.credit_pool) == before
 
 
 def test_scenarios_have_names_of_their_own() -> None:
--- a/tests/unit/simulation/test_seeds.py
+++ b/tests/unit/simulation/test_seeds.py
@@ -7,8 +7,8 @@
 import pytest
 
 from springmux.coordination.identifiers import Address, NodeId
-from springmux.coordination.kernel import Effect
-from springmux.coordination.membership.part import MembershipPart
+from springmux.coordination.membership.membership import Membership
+from springmux.coordination.state_machine import Effect
 from springmux.simulation.world.faults import Kill, Restart
 from springmux.storage.peer_list import PeerList
 from unit.simulation.site import SITE_A, Site
@@ -47,23 +47,23 @@
     assert len(site.groups()) == 1
 
 
-def ask_no_absent_seed(part: MembershipPart, present: tuple[NodeId, ...], now: float) -> list[Effect]:
+def ask_no_absent_seed(part: Membership, present: tuple[NodeId, ...], now: float) -> list[Effect]:
     part._seed_at = max(part._seed_at, now + 1.0)
     return []
 
 
 @pytest.mark.parametrize(
     ("method", "mutation"),
-    [("_introduced", lambda part, news: news), ("_receive", MembershipPart._take_message)],
+    [("_introduced", lambda part, news: news), ("_receive", Membership._take_message)],
     ids=["a suspect isn't told the sender's address", "who introduces itself isn't asked for the fleet"],
 )
 def test_the_check_sees_nodes_that_are_not_found(
     method: str, mutation: Callable[..., object], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(MembershipPart, method, mutation)
+    monkeypatch.setattr(Membership, method, mutation)
     # Two other ways to be found: what the own disk remembers, and the others' question to an absent seed.
     monkeypatch.setattr(PeerList, "load", lambda peer_list: ())
-    monkeypatch.setattr(MembershipPart, "_ask_absent_seed", ask_no_absent_seed)
+    monkeypatch.setattr(Membership, "_ask_absent_seed", ask_no_absent_seed)
     node = NodeId("z1-1")
     assert not found_and_whole(restarted(node, (), 0.6), node)
 
--- a/tests/unit/storage/test_claim_journal.py
+++ b/tests/unit/storage/test_claim_journal.py
@@ -7,28 +7,28 @@
 
 import pytest
 
-from springmux.coordination.claims.journal import ClaimEntry, ClaimFreed, ClaimKept, HolderState
-from springmux.coordination.claims.messages import ClaimRecord, ClaimState, ClaimTicket
+from springmux.coordination.claims.journal import ClaimEntry, ClaimReleased, ClaimStored, HolderState
+from springmux.coordination.claims.messages import ClaimAttempt, ClaimRecord, ClaimState
 from springmux.coordination.claims.ring import ClaimRing, RingMember
 from springmux.coordination.identifiers import NodeId, ReplicaId, ZoneName
 from springmux.storage import claim_journal_file
 from springmux.storage.claim_journal import DAMAGED_NAME, ClaimJournal
 from springmux.storage.claim_journal_file import JOURNAL_NAME
-from springmux.storage.disk import Disk, DiskFailed, DiskFull
+from springmux.storage.disk import Disk, DiskFailedError, DiskFullError
 from springmux.storage.memory_disk import MemoryDisk
 from springmux.storage.real_disk import RealDisk
 from tests.unit.storage.support import FOLDER
 
 REPLICA = ReplicaId("r1")
 PATH = f"{FOLDER}/{JOURNAL_NAME}"
-TICKET = ClaimTicket(NodeId("n1"), 7, "claim-1")
+TICKET = ClaimAttempt(NodeId("n1"), 7, "claim-1")
 RING = ClaimRing(3, (RingMember(NodeId("n1"), ZoneName("z"), REPLICA),))
 STATE = HolderState((RING,), ((NodeId("n2"), 3),))
 
 
-def kept(key: str, state: ClaimState = ClaimState.RUNNING, answer: bytes = b"") -> ClaimKept:
+def kept(key: str, state: ClaimState = ClaimState.RUNNING, answer: bytes = b"") -> ClaimStored:
     granted = TICKET if state is ClaimState.RUNNING else None
-    return ClaimKept(ClaimRecord(key, (TICKET,), state, answer), granted)
+    return ClaimStored(ClaimRecord(key, (TICKET,), state, answer), granted)
 
 
 def journal_on(disk: Disk, replica: ReplicaId = REPLICA, rewrite_min_bytes: int = 1 << 20) -> ClaimJournal:
@@ -46,7 +46,7 @@
 
 def test_the_last_word_on_each_key_comes_back_after_a_power_cut() -> None:
     disk = written(
-        [kept("a"), kept("b")], [kept("a", ClaimState.FINISHED, b"done"), STATE], [ClaimFreed("b")]
+        [kept("a"), kept("b")], [kept("a", ClaimState.FINISHED, b"done"), STATE], [ClaimReleased("b")]
     )
     disk.power_cut()
     recovered = journal_on(disk).open(new_replica=False)
@@ -99,7 +99,7 @@
     journal.open(new_replica=True)
     journal.append([STATE])
     for number in range(500):
-        journal.append([kept(f"key{number}"), ClaimFreed(f"key{number - 10}")])
+        journal.append([kept(f"key{number}"), ClaimReleased(f"key{number - 10}")])
     assert len(disk.read(PATH)) < 5000
     recovered = journal_on(disk).open(new_replica=False)
     assert recovered.claims == tuple(kept(f"key{number}") for number in range(490, 500))
@@ -113,14 +113,14 @@
     disk = MemoryDisk()
     journal = journal_on(disk, rewrite_min_bytes=800)
     journal.open(new_replica=True)
-    acknowledged: dict[str, ClaimKept] = {}
+    acknowledged: dict[str, ClaimStored] = {}
     disk.calls_until_failure = rng.randint(60, 250)
     try:
         for number in range(100):
             entry = kept(f"key{number % 13}", ClaimState.FINISHED, b"%d" % number)
             journal.append([entry])
             acknowledged[entry.record.key] = entry
-    except DiskFailed:
+    except DiskFailedError:
         pass
     assert len(acknowledged) == 13
     disk.failing, disk.calls_until_failure = False, None
@@ -150,7 +150,7 @@
     journal = journal_on(disk)
     journal.open(new_replica=False)
     disk.capacity_bytes = len(disk.read(PATH)) + 20
-    with pytest.raises(DiskFull):
+    with pytest.raises(DiskFullError):
         journal.append([kept("b")])
     disk.capacity_bytes = 1 << 40
     journal.append([kept("c")])
@@ -162,8 +162,8 @@
     journal = journal_on(disk)
     journal.open(new_replica=False)
     disk.failing = True
-    with pytest.raises(DiskFailed):
+    with pytest.raises(DiskFailedError):
         journal.append([kept("a")])
     disk.failing = False
-    with pytest.raises(DiskFailed):
+    with pytest.raises(DiskFailedError):
         journal.append([kept("b")])
--- a/tests/unit/storage/test_peer_list.py
+++ b/tests/unit/storage/test_peer_list.py
@@ -8,7 +8,7 @@
 
 from springmux.coordination.identifiers import Address, NodeId
 from springmux.coordination.membership.remembered import RememberedPeer
-from springmux.storage.disk import DiskFull
+from springmux.storage.disk import DiskFullError
 from springmux.storage.memory_disk import MemoryDisk
 from springmux.storage.peer_list import PEERS_NAME, PeerList
 from tests.unit.storage.support import FOLDER
@@ -58,6 +58,6 @@
     disk = MemoryDisk()
     PeerList(disk, FOLDER).save(peers("a"))
     disk.capacity_bytes = 0
-    with pytest.raises(DiskFull):
+    with pytest.raises(DiskFullError):
         PeerList(disk, FOLDER).save(peers("a", "bb"))
     assert PeerList(disk, FOLDER).load() == peers("a")
--- a/tests/unit/storage/test_real_disk.py
+++ b/tests/unit/storage/test_real_disk.py
@@ -9,7 +9,7 @@
 import pytest
 
 from springmux.coordination.identifiers import LogIndex
-from springmux.storage.disk import DiskFailed, DiskFull, FolderLocked, write_atomically
+from springmux.storage.disk import DiskFailedError, DiskFullError, FolderLockedError, write_atomically
 from springmux.storage.real_disk import RealDisk, RealFile
 from springmux.storage.replica_store import ReplicaStore
 from tests.unit.storage.support import SMALL_SEGMENT_BYTES, appending, entry, meta
@@ -44,7 +44,7 @@
 def test_a_folder_is_for_one_store_at_a_time(tmp_path: Path) -> None:
     store = store_in(tmp_path)
     store.open()
-    with pytest.raises(FolderLocked):
+    with pytest.raises(FolderLockedError):
         store_in(tmp_path).open()
     store.close()
     store_in(tmp_path).open()
@@ -52,13 +52,13 @@
 
 def test_a_full_device_is_a_typed_error() -> None:
     file = RealFile("full", os.open("/dev/full", os.O_WRONLY))
-    with pytest.raises(DiskFull):
+    with pytest.raises(DiskFullError):
         file.append(b"x")
     file.close()
 
 
 def test_any_other_error_is_a_failure_that_names_the_file(tmp_path: Path) -> None:
-    with pytest.raises(DiskFailed, match="missing/file"):
+    with pytest.raises(DiskFailedError, match="missing/file"):
         RealDisk(tmp_path).open("missing/file")
 
 
@@ -70,7 +70,7 @@
 
     monkeypatch.setattr(os, "posix_fallocate", no_room)
     disk = RealDisk(tmp_path)
-    with pytest.raises(DiskFull):
+    with pytest.raises(DiskFullError):
         disk.preallocate("reserve", 1 << 20)
     assert disk.list_folder("") == []
 
--- a/tests/unit/storage/test_replica_store.py
+++ b/tests/unit/storage/test_replica_store.py
@@ -11,8 +11,8 @@
 from springmux.coordination.consensus.effects import Persist
 from springmux.coordination.consensus.types import EntryKind, HardState
 from springmux.coordination.identifiers import GroupId, LogIndex, ReplicaId, Term
-from springmux.storage.disk import DiskFailed, DiskFull, FolderLocked
-from springmux.storage.errors import FolderWiped, LogCorrupt, SnapshotMissing
+from springmux.storage.disk import DiskFailedError, DiskFullError, FolderLockedError
+from springmux.storage.errors import FolderWipedError, LogCorruptError, SnapshotMissingError
 from springmux.storage.memory_disk import MemoryDisk
 from springmux.storage.replica_store import ReplicaStore
 from tests.unit.storage.support import FOLDER, MEMBERS, RESERVE_BYTES, appending, entry, meta, store_on
@@ -50,7 +50,7 @@
 def test_a_power_cut_at_any_call_of_the_first_start_leaves_a_folder_that_opens(calls: int) -> None:
     disk = MemoryDisk()
     disk.calls_until_failure = calls
-    with contextlib.suppress(DiskFailed):
+    with contextlib.suppress(DiskFailedError):
         store_on(disk).open()
     disk.failing, disk.calls_until_failure = False, None
     disk.power_cut(random.Random(calls))
@@ -143,7 +143,7 @@
     name = segments(disk)[segment]
     assert len(segments(disk)) > 2
     disk.corrupt(f"{FOLDER}/{name}", 30)
-    with pytest.raises(LogCorrupt) as caught:
+    with pytest.raises(LogCorruptError) as caught:
         store_on(disk).open()
     assert (caught.value.file, caught.value.offset) == (name, 0)
 
@@ -157,7 +157,7 @@
     record = disk.read(path).rfind(b"\xc5SM1", 0, first_entry)
     assert disk.read(path).find(b"\xc5SM1", first_entry) > first_entry
     disk.corrupt(path, first_entry + 7)
-    with pytest.raises(LogCorrupt) as caught:
+    with pytest.raises(LogCorruptError) as caught:
         store_on(disk).open()
     assert caught.value.offset == record
 
@@ -176,7 +176,7 @@
     disk = MemoryDisk()
     filled(disk, 22).close()
     disk.remove(f"{FOLDER}/{segments(disk)[1]}")
-    with pytest.raises(LogCorrupt, match="segment is missing"):
+    with pytest.raises(LogCorruptError, match="segment is missing"):
         store_on(disk).open()
 
 
@@ -186,7 +186,7 @@
     first = f"{FOLDER}/{segments(disk)[0]}"
     record_bytes = len(disk.read(first)) - disk.read(first).rfind(b"\xc5SM1")
     disk.open(first).truncate(len(disk.read(first)) - record_bytes)
-    with pytest.raises(LogCorrupt, match="are missing before this segment"):
+    with pytest.raises(LogCorruptError, match="are missing before this segment"):
         store_on(disk).open()
 
 
@@ -197,7 +197,7 @@
     filled(disk, 22).close()
     disk.corrupt(f"{FOLDER}/{segments(disk)[0]}", 30)
     store = store_on(disk, 2)
-    with pytest.raises(LogCorrupt):
+    with pytest.raises(LogCorruptError):
         store.open()
     store.set_aside()
     recovered = store.open()
@@ -212,14 +212,14 @@
     filled(disk, 2).close()
     for name in segments(disk) if lost == "log" else [lost]:
         disk.remove(f"{FOLDER}/{name}")
-    with pytest.raises(FolderWiped):
+    with pytest.raises(FolderWipedError):
         store_on(disk).open()
 
 
 def test_two_processes_do_not_share_a_folder() -> None:
     disk = MemoryDisk()
     store = opened(disk)
-    with pytest.raises(FolderLocked):
+    with pytest.raises(FolderLockedError):
         store_on(disk).open()
     store.close()
     store_on(disk).open()
@@ -262,7 +262,7 @@
     store.install_snapshot(meta(50), b"state-50")
     store.close()
     disk.corrupt(f"{FOLDER}/snapshot-{50:020d}.snapshot", 25)
-    with pytest.raises(SnapshotMissing):
+    with pytest.raises(SnapshotMissingError):
         store_on(disk).open()
 
 
@@ -297,11 +297,11 @@
     store = filled(disk, 3)
     capacity = disk.capacity_bytes
     disk.capacity_bytes = capacity - disk.free_bytes(FOLDER) + 20
-    with pytest.raises(DiskFull):
+    with pytest.raises(DiskFullError):
         store.persist(appending(entry(4), term=2))
     store.persist(appending(entry(4, 5, b"", EntryKind.BARRIER), term=5))
     assert not store.accepts_commands()
-    with pytest.raises(DiskFull):
+    with pytest.raises(DiskFullError):
         store.persist(appending(entry(5, 5)))
     disk.capacity_bytes += 2 * RESERVE_BYTES
     assert store.accepts_commands()
@@ -327,10 +327,10 @@
     disk = MemoryDisk()
     store = filled(disk, 3)
     disk.failing = True
-    with pytest.raises(DiskFailed):
+    with pytest.raises(DiskFailedError):
         store.persist(appending(entry(4)))
     disk.failing = False
-    with pytest.raises(DiskFailed):
+    with pytest.raises(DiskFailedError):
         store.persist(appending(entry(4)))
     disk.power_cut()
     assert len(store_on(disk).open().entries) == 3
--- a/tests/unit/storage/test_store_property.py
+++ b/tests/unit/storage/test_store_property.py
@@ -10,7 +10,7 @@
 
 from springmux.coordination.consensus.types import Entry, HardState, RecoveredState, SnapshotMeta
 from springmux.coordination.identifiers import LogIndex, ReplicaId, Term
-from springmux.storage.disk import DiskFailed, DiskFull
+from springmux.storage.disk import DiskFailedError, DiskFullError
 from springmux.storage.memory_disk import MemoryDisk
 from tests.unit.storage.support import appending, entry, meta, store_on
 
@@ -45,7 +45,7 @@
         new = [entry(first + i, self.term, b"d" * size_bytes) for i in range(count)]
         try:
             self.store.persist(appending(*new, truncate_from=truncate_from, term=self.term))
-        except DiskFull:
+        except DiskFullError:
             return
         self.entries = [e for e in self.entries if e.index < first] + new
         self.hard_state = HardState(Term(self.term), ReplicaId("r1"))
@@ -60,7 +60,7 @@
         snapshot = meta(at.index, at.term)
         try:
             self.snapshot = self.store.take_snapshot(snapshot, f"state-{at.index}".encode())
-        except DiskFull:
+        except DiskFullError:
             return
         self.store.compact(LogIndex(at.index + 1 - keep))
 
@@ -69,7 +69,7 @@
         snapshot = meta(self.last_index() + ahead, self.term)
         try:
             self.store.install_snapshot(snapshot, f"state-{snapshot.index}".encode())
-        except DiskFull:
+        except DiskFullError:
             self.unknown = (self.entries, self.hard_state, self.snapshot)
             self.snapshot, self.entries = snapshot, []
             self.restart()
@@ -106,7 +106,7 @@
                 self.snapshot_and_compact(0.7, 0)
             else:
                 self.install(5)
-        except DiskFailed:
+        except DiskFailedError:
             if self.snapshot is before[2]:
                 self.unknown = before
                 self.expect_after(action)
--- a/tests/unit/template/test_preview.py
+++ b/tests/unit/template/test_preview.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from springmux.rollout.plan import RolloutPlan
-from springmux.rollout.preview import EngineCapacity, preview
+from springmux.rollout.planning.plan import RolloutPlan
+from springmux.rollout.planning.preview import EngineCapacity, preview
 from springmux.vocabulary.names import ServiceName, VersionName
 
 PLAN = RolloutPlan(ServiceName("text"), VersionName("v2"))
--- a/tests/unit/usage/test_part.py
+++ b/tests/unit/usage/test_part.py
@@ -5,8 +5,8 @@
 import pytest
 
 from springmux.coordination.identifiers import Address, NodeId, ZoneName
-from springmux.coordination.kernel import MessageReceived, Send, Tick
 from springmux.coordination.membership.view import MembershipView, NodeRecord
+from springmux.coordination.state_machine import MessageReceived, Send, Tick
 from springmux.coordination.usage.events import AccountLimit, AccountLimitsChanged, UsageMembersChanged
 from springmux.coordination.usage.messages import (
     AccountTotal,
@@ -15,7 +15,7 @@
     UsageReport,
     UsageTotals,
 )
-from springmux.coordination.usage.part import UsagePart
+from springmux.coordination.usage.usage_exchange import UsageExchange
 
 A, B, C = NodeId("a"), NodeId("b"), NodeId("c")
 WARM = 1.5
@@ -36,7 +36,7 @@
         return 0.999999
 
 
-def run(node: UsagePart, until: float) -> list:
+def run(node: UsageExchange, until: float) -> list:
     """Give the ticks that are due."""
     effects = []
     while node.next_deadline() <= until:
@@ -45,8 +45,8 @@
     return effects
 
 
-def part(*present: NodeId, rate: float = 1000.0, burst: float = 1200.0) -> UsagePart:
-    made = UsagePart(A, Unlucky(1))
+def part(*present: NodeId, rate: float = 1000.0, burst: float = 1200.0) -> UsageExchange:
+    made = UsageExchange(A, Unlucky(1))
     made.handle(UsageMembersChanged(view(A, *present)), 0.0)
     made.handle(AccountLimitsChanged({"t": AccountLimit(rate, burst)}), 0.0)
     return made
@@ -100,7 +100,7 @@
 
 
 def test_callers_that_are_sent_away_come_back_spread_over_time() -> None:
-    node = UsagePart(A, random.Random(1))
+    node = UsageExchange(A, random.Random(1))
     node.handle(UsageMembersChanged(view(A, B)), 0.0)
     node.handle(AccountLimitsChanged({"t": AccountLimit(1000.0, 1200.0)}), 0.0)
     use = AccountUse("t", 1500, 6000, -300, 1500)
@@ -232,7 +232,7 @@
     assert node.admit("t", 1000.0, WARM + 3.0) is not None
 
 
-def collecting_part() -> tuple[UsagePart, tuple[NodeId, ...]]:
+def collecting_part() -> tuple[UsageExchange, tuple[NodeId, ...]]:
     present = tuple(NodeId(f"n{index:02}") for index in range(29))
     node = part(A, *present)
     collectors = node._contact.collectors
--- a/tests/unit/usage/test_zone_relay.py
+++ b/tests/unit/usage/test_zone_relay.py
@@ -8,12 +8,12 @@
 import pytest
 
 from springmux.coordination.identifiers import Address, NodeId, ReplicaId, ZoneName
-from springmux.coordination.kernel import Effect, MessageReceived, Send, Tick
 from springmux.coordination.membership.view import MembershipView, NodeRecord
-from springmux.coordination.usage import part as usage_part
+from springmux.coordination.state_machine import Effect, MessageReceived, Send, Tick
+from springmux.coordination.usage import usage_exchange as usage_part
 from springmux.coordination.usage.events import AccountLimit, AccountLimitsChanged, UsageMembersChanged
 from springmux.coordination.usage.messages import EngineLoad, UsageTotals, ZoneTotals
-from springmux.coordination.usage.part import UsagePart
+from springmux.coordination.usage.usage_exchange import UsageExchange
 from springmux.coordination.usage.zone_relay import send_each, tell_all
 from tests.unit.usage.world import RATE, USUAL, WARM_S, Load, World
 
@@ -71,8 +71,8 @@
     return NodeRecord(NodeId(f"z{zone}-{number}"), ZoneName(f"z{zone}"), where, where, where, replica=replica)
 
 
-def started(own: str) -> UsagePart:
-    part = UsagePart(NodeId(own), random.Random(1))
+def started(own: str) -> UsageExchange:
+    part = UsageExchange(NodeId(own), random.Random(1))
     records = [member(zone, number) for zone in range(3) for number in range(10)]
     part.handle(AccountLimitsChanged({"t": AccountLimit(1000.0, 1000.0)}), 0.0)
     part.handle(UsageMembersChanged(MembershipView(NodeId(own), {r.node: r for r in records})), 0.0)
--- a/tests/unit/usage/world.py
+++ b/tests/unit/usage/world.py
@@ -11,10 +11,10 @@
 
 from springmux.agent import wire
 from springmux.coordination.identifiers import Address, NodeId, ReplicaId, Revision, Term, ZoneName
-from springmux.coordination.kernel import Effect, Event, MessageReceived, Send, Tick
 from springmux.coordination.membership.view import MembershipView, NodeRecord
+from springmux.coordination.state_machine import Effect, Event, MessageReceived, Send, Tick, message_name
 from springmux.coordination.usage.events import AccountLimit, AccountLimitsChanged, UsageMembersChanged
-from springmux.coordination.usage.part import UsagePart
+from springmux.coordination.usage.usage_exchange import UsageExchange
 
 WINDOW_S = 8.0
 TOLERANCE = 1.1
@@ -74,7 +74,7 @@
         self.now = 0.0
         self.counter = itertools.count()
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
-        self.parts: dict[int, UsagePart] = {}
+        self.parts: dict[int, UsageExchange] = {}
         self.inboxes: dict[int, list[Callable[[], None]]] = {}
         self.frozen: set[int] = set()
         self.dead: set[int] = set()
@@ -105,7 +105,7 @@
     def start(self, node: int) -> None:
         """Start a node, for the first time or again: with nothing remembered."""
         self.dead.discard(node)
-        self.parts[node] = UsagePart(self.name(node), random.Random(self.random.getrandbits(64)))
+        self.parts[node] = UsageExchange(self.name(node), random.Random(self.random.getrandbits(64)))
         self.inboxes[node] = []
         self.give(node, AccountLimitsChanged(self.limits))
         self.give(node, UsageMembersChanged(self.view(node, range(self.size))))
@@ -123,7 +123,7 @@
             to = int(effect.to.removeprefix("node-"))
             assert to != sender
             data = wire.encode(Term(7), self.name(0), Revision(1234), effect.message)
-            kind = type(effect.message).__name__
+            kind = message_name(type(effect.message))
             self.bytes[kind] += len(data)
             if self.zone(sender) != self.zone(to):
                 self.bytes_between_zones[kind] += len(data)
@@ -137,7 +137,7 @@
                 self.now + self.random.uniform(*DELAY_S), lambda e=event, t=to, p=part: self.deliver(t, e, p)
             )
 
-    def deliver(self, to: int, event: Event, part: UsagePart) -> None:
+    def deliver(self, to: int, event: Event, part: UsageExchange) -> None:
         if to in self.dead or self.parts[to] is not part:
             return
         if to in self.frozen:
@@ -151,7 +151,7 @@
         if due != float("inf"):
             self.at(max(due, self.now), lambda: self.tick(node, part, due))
 
-    def tick(self, node: int, part: UsagePart, due: float) -> None:
+    def tick(self, node: int, part: UsageExchange, due: float) -> None:
         if node in self.dead or node in self.frozen or self.parts[node] is not part:
             return
         if part.next_deadline() <= self.now and part.next_deadline() == due:
--- a/tests/unit/world/test_world.py
+++ b/tests/unit/world/test_world.py
@@ -7,12 +7,12 @@
 import pytest
 
 from springmux.coordination.identifiers import NodeId, ZoneName
-from springmux.coordination.kernel import (
+from springmux.coordination.state_machine import (
     NEVER,
     Effect,
     Event,
+    LogLine,
     MessageReceived,
-    Note,
     PeerMessage,
     Send,
     Tick,
@@ -39,7 +39,7 @@
 STEADY = NetworkSettings(within_zone=Latency(0.01, 0.0), between_zones=Latency(0.02, 0.0))
 
 
-class WorldProbe(PeerMessage, frozen=True):
+class WorldProbe(PeerMessage, frozen=True, tag="WorldProbe"):
     """A numbered message of the test processes."""
 
     number: int
@@ -57,7 +57,7 @@
 
     def start(self, now: float) -> list[Effect]:
         self.next_at = now + self.period_s
-        return [Note("started")]
+        return [LogLine("started")]
 
     def handle(self, event: Event, now: float) -> list[Effect]:
         if isinstance(event, MessageReceived) and isinstance(event.message, WorldProbe):
