--- a/src/springmux/cli/reference.py
+++ b/src/springmux/cli/reference.py
@@ -22,7 +22,7 @@
 from springmux.cli.main import application
 from springmux.control import documents
 from springmux.node.lifecycle import EXIT_CANNOT_START, EXIT_CRASHED, EXIT_KILLED, EXIT_STOPPED
-from springmux.node.metrics.registry import METRICS, PREFIX
+from springmux.node.metrics.table import METRICS, PREFIX
 from springmux.node.settings import NAME_PATTERN, NodeSettings
 from springmux.router.errors import STATUS_OF_CODE
 from springmux.vocabulary.errors import ErrorCode, Fate
--- a/src/springmux/node/admin/listener.py
+++ b/src/springmux/node/admin/listener.py
@@ -20,7 +20,8 @@
 from springmux.node.fault_injection import FaultInjector
 from springmux.node.health import HEALTH_BODY, HEALTH_PATH, READY_PATH, NodeHealth, ReadyAgent
 from springmux.node.logs import EventLog
-from springmux.node.metrics.registry import EXPOSITION_TYPE, NodeMetrics
+from springmux.node.metrics.registry import NodeMetrics
+from springmux.node.metrics.table import EXPOSITION_TYPE
 from springmux.node.settings import NodeSettings
 
 BODY_MARGIN_BYTES = 64 << 10
--- a/src/springmux/node/gateway/replies.py
+++ b/src/springmux/node/gateway/replies.py
@@ -9,7 +9,7 @@
 from springmux.node.admin.order_wait import answer_of
 from springmux.node.driver import AgentDriver
 from springmux.node.http.types import Header
-from springmux.node.metrics.registry import EXPOSITION_TYPE
+from springmux.node.metrics.table import EXPOSITION_TYPE
 from springmux.vocabulary.errors import ErrorCode, FieldError
 
 JSON_HEADERS: tuple[Header, ...] = ((b"content-type", b"application/json"),)
--- a/src/springmux/node/metrics/exposition.py
+++ b/src/springmux/node/metrics/exposition.py
@@ -13,7 +13,7 @@
 )
 from prometheus_client.registry import Collector
 
-from springmux.node.metrics.registry import PREFIX, HistogramState, MetricKind, MetricSpec
+from springmux.node.metrics.table import PREFIX, HistogramState, MetricKind, MetricSpec
 
 
 def render(
--- a/tests/unit/compatibility/outer_names.py
+++ b/tests/unit/compatibility/outer_names.py
@@ -43,7 +43,7 @@
     status_endpoint,
 )
 from springmux.node.gateway.settings import GatewaySettings
-from springmux.node.metrics.registry import METRICS, PREFIX
+from springmux.node.metrics.table import METRICS, PREFIX
 from springmux.node.settings import NodeSettings
 from springmux.node.storage.worker import FAILURE_KINDS
 from springmux.rollout.planning import template
--- a/tests/unit/docs/test_operations.py
+++ b/tests/unit/docs/test_operations.py
@@ -6,7 +6,7 @@
 
 from springmux.agent import gateway_readiness, readiness
 from springmux.gateway.refusals import CALLERS_FAULTS, RefusalReason
-from springmux.node.metrics.registry import METRICS, PREFIX
+from springmux.node.metrics.table import METRICS, PREFIX
 from springmux.vocabulary.errors import ErrorCode
 from tests.unit.docs import pages
 
--- a/tests/unit/node/test_metrics.py
+++ b/tests/unit/node/test_metrics.py
@@ -8,7 +8,8 @@
 import pytest
 from prometheus_client.parser import text_string_to_metric_families
 
-from springmux.node.metrics.registry import METRICS, PREFIX, MetricKind, NodeMetrics
+from springmux.node.metrics.registry import NodeMetrics
+from springmux.node.metrics.table import METRICS, PREFIX, MetricKind
 
 STRANGE_LABELS = ("", "plain", 'quo"ted', "back\\slash", "line\nend", "ü")
 
