--- a/src/springmux/cli/lab.py
+++ b/src/springmux/cli/lab.py
@@ -27,8 +27,8 @@
 if TYPE_CHECKING:
     from springmux.lab.checks.verdict import Verdict
     from springmux.lab.experiment.experiment import RunOptions, Script
-    from springmux.lab.experiment.records import RunRecords
     from springmux.lab.load.traffic import Surge
+    from springmux.lab.records import RunRecords
 
 RUN_CODES = "Exit codes: 0 no promise was broken, 1 one was broken or the run failed, 2 wrong usage."
 
@@ -80,8 +80,8 @@
     """
     from springmux.lab.experiment import script
     from springmux.lab.experiment.experiment import RunOptions
-    from springmux.lab.experiment.plan import ExperimentError, load_experiment
     from springmux.lab.faults.catalogue import choose_faults
+    from springmux.lab.plan import ExperimentError, load_experiment
 
     try:
         plan = load_experiment(experiment)
@@ -98,8 +98,8 @@
 @application.command("list")
 def list_all() -> None:
     """List the built-in experiments and the faults."""
-    from springmux.lab.experiment.plan import built_in_experiments
     from springmux.lab.faults.catalogue import FAULTS
+    from springmux.lab.plan import built_in_experiments
 
     typer.echo("Experiments:")
     for plan in built_in_experiments():
--- a/src/springmux/lab/operators/operator_client.py
+++ b/src/springmux/lab/admin/operator_client.py
@@ -8,8 +8,8 @@
 import aiohttp
 import msgspec
 
-from springmux.lab.experiment.records import OrderRecord
-from springmux.lab.operators.orders import Order
+from springmux.lab.admin.orders import Order
+from springmux.lab.records import OrderRecord
 from springmux.vocabulary.errors import SpringmuxError
 
 ORDER_TIMEOUT_S = 12.0
--- a/src/springmux/lab/bench/relay_stage.py
+++ b/src/springmux/lab/bench/relay_stage.py
@@ -17,7 +17,7 @@
 from springmux.fleet.supervisor import Supervisor
 from springmux.lab.bench.processes import Helper
 from springmux.lab.bench.relay_caller import KEY, ROUTE, CallerCount, CallerPlan
-from springmux.lab.experiment.plan import BackEndPlan
+from springmux.lab.plan import BackEndPlan
 from springmux.lab.stand_ins.host import HostedBackEnd, HostSettings
 from springmux.simulation.engine_model import EngineSpec
 from springmux.vocabulary.errors import SpringmuxError
--- a/src/springmux/lab/checks/control_promises.py
+++ b/src/springmux/lab/checks/control_promises.py
@@ -4,9 +4,9 @@
 
 from collections import defaultdict
 
+from springmux.lab.checks.measure import Span, fault_spans
 from springmux.lab.checks.verdict import Checker, Verdict, judged, untested
-from springmux.lab.experiment.records import OrderRecord, RunRecords, StatusSample
-from springmux.lab.reporting.measure import Span, fault_spans
+from springmux.lab.records import OrderRecord, RunRecords, StatusSample
 
 DELIVERY_BOUND_S = 2.0
 RECOVERY_BOUND_S = 12.0
--- a/src/springmux/lab/reporting/measure.py
+++ b/src/springmux/lab/checks/measure.py
@@ -10,7 +10,7 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from springmux.lab.experiment.records import CallRecord, FaultEvent
+from springmux.lab.records import CallRecord, FaultEvent
 
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 LOWEST_MS = 1
--- a/src/springmux/lab/checks/promises.py
+++ b/src/springmux/lab/checks/promises.py
@@ -5,11 +5,11 @@
 from collections import Counter, defaultdict
 
 from springmux.lab.checks.control_promises import CONTROL_CHECKERS
+from springmux.lab.checks.measure import worst_share
 from springmux.lab.checks.quota_promises import QUOTA_CHECKERS
 from springmux.lab.checks.rollout_promises import ROLLOUT_CHECKERS
 from springmux.lab.checks.verdict import Checker, Verdict, judged, untested
-from springmux.lab.experiment.records import CallRecord, RunRecords
-from springmux.lab.reporting.measure import worst_share
+from springmux.lab.records import CallRecord, RunRecords
 
 DRAIN_BOUND_S = 2.0
 REPEAT_SHARE = 0.20
--- a/src/springmux/lab/checks/quota_promises.py
+++ b/src/springmux/lab/checks/quota_promises.py
@@ -5,7 +5,7 @@
 from collections import defaultdict, deque
 
 from springmux.lab.checks.verdict import Checker, Verdict, judged, untested
-from springmux.lab.experiment.records import CallRecord, QuotaWindow, RunRecords, TenantQuota
+from springmux.lab.records import CallRecord, QuotaWindow, RunRecords, TenantQuota
 
 QUOTA_TOLERANCE = 0.10
 """The brief's "much beyond" and "well below", as the design reads them."""
--- a/src/springmux/lab/checks/rollout_promises.py
+++ b/src/springmux/lab/checks/rollout_promises.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
+from springmux.lab.checks.measure import count_between
 from springmux.lab.checks.verdict import Checker, Verdict, judged, untested
-from springmux.lab.experiment.records import RolloutRun, RunRecords
-from springmux.lab.reporting.measure import count_between
+from springmux.lab.records import RolloutRun, RunRecords
 
 ROLLBACK_BOUND_S = 5.0
 TOLD_ANSWERS = 50
--- a/src/springmux/lab/checks/verdict.py
+++ b/src/springmux/lab/checks/verdict.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from springmux.lab.experiment.records import RunRecords
+from springmux.lab.records import RunRecords
 
 MAX_EVIDENCE = 10
 """Events shown with a broken promise; the records have the others."""
--- /dev/null
+++ b/src/springmux/lab/deployment/__init__.py
@@ -0,0 +1,1 @@
+"""Bringing a deployment up as processes on loopback, and tearing it down."""
--- a/src/springmux/lab/experiment/deployment.py
+++ b/src/springmux/lab/deployment/deployment.py
@@ -23,19 +23,19 @@
     write_settings,
 )
 from springmux.fleet.supervisor import Supervisor
-from springmux.lab.experiment.child_processes import ChildProcesses
-from springmux.lab.experiment.plan import BackEndPlan, ExperimentPlan
-from springmux.lab.experiment.records import (
+from springmux.lab.admin.operator_client import AdminNode, OperatorClient
+from springmux.lab.admin.orders import put_configuration, put_key, put_tenant
+from springmux.lab.deployment.child_processes import ChildProcesses
+from springmux.lab.load.clients import CallersSettings, CallerTarget
+from springmux.lab.load.traffic import Surge
+from springmux.lab.plan import BackEndPlan, ExperimentPlan
+from springmux.lab.records import (
     OrderRecord,
     RunRecords,
     TenantQuota,
     back_end_events,
     call_records,
 )
-from springmux.lab.load.clients import CallersSettings, CallerTarget
-from springmux.lab.load.traffic import Surge
-from springmux.lab.operators.operator_client import AdminNode, OperatorClient
-from springmux.lab.operators.orders import put_configuration, put_key, put_tenant
 from springmux.lab.stand_ins.host import (
     BackEndAction,
     BackEndHostPlace,
--- a/src/springmux/lab/experiment/demo.py
+++ b/src/springmux/lab/experiment/demo.py
@@ -6,7 +6,7 @@
 
 from springmux.lab.experiment.script import attempt
 from springmux.lab.faults.injection import FaultBench
-from springmux.lab.operators.operators import Operators
+from springmux.lab.faults.operators import Operators
 from springmux.simulation.engine_model import GOOD, VersionBehaviour
 
 DEMO_EXPERIMENT = "anuario"
--- a/src/springmux/lab/experiment/experiment.py
+++ b/src/springmux/lab/experiment/experiment.py
@@ -11,13 +11,13 @@
 
 import msgspec
 
-from springmux.lab.experiment.deployment import Deployment
-from springmux.lab.experiment.plan import load_experiment
-from springmux.lab.experiment.records import RunRecords
+from springmux.lab.admin.operator_client import AdminNode
+from springmux.lab.deployment.deployment import Deployment
 from springmux.lab.experiment.watcher import Watcher
 from springmux.lab.faults.injection import FaultBench
 from springmux.lab.load.traffic import Surge
-from springmux.lab.operators.operator_client import AdminNode
+from springmux.lab.plan import load_experiment
+from springmux.lab.records import RunRecords
 
 CALLERS_START_S = 2.0
 """The callers' process needs so long to load and to make its prefixes."""
--- a/src/springmux/lab/experiment/script.py
+++ b/src/springmux/lab/experiment/script.py
@@ -9,11 +9,11 @@
 import aiohttp
 import msgspec
 
-from springmux.lab.experiment.plan import ExperimentPlan
-from springmux.lab.experiment.records import Trouble
 from springmux.lab.faults.catalogue import FaultScenario
 from springmux.lab.faults.injection import FaultBench
 from springmux.lab.load.traffic import Surge
+from springmux.lab.plan import ExperimentPlan
+from springmux.lab.records import Trouble
 from springmux.simulation.engine_model import GOOD, VersionBehaviour
 from springmux.vocabulary.errors import SpringmuxError
 
--- a/src/springmux/lab/experiment/watcher.py
+++ b/src/springmux/lab/experiment/watcher.py
@@ -6,8 +6,8 @@
 import contextlib
 import time
 
-from springmux.lab.experiment.records import RolloutRun, RunRecords, StatusSample
-from springmux.lab.operators.operator_client import AdminNode, OperatorClient
+from springmux.lab.admin.operator_client import AdminNode, OperatorClient
+from springmux.lab.records import RolloutRun, RunRecords, StatusSample
 
 SAMPLE_PERIOD_S = 0.25
 """An eighth of the bound of 2 s for a change to be in force; a dozen nodes cost 48 small reads a second."""
--- a/src/springmux/lab/faults/catalogue.py
+++ b/src/springmux/lab/faults/catalogue.py
@@ -8,13 +8,13 @@
 
 import msgspec
 
-from springmux.lab.experiment.plan import ExperimentError, ExperimentPlan
-from springmux.lab.experiment.records import QuotaWindow, Recovery
+from springmux.lab.admin.operator_client import AdminNode
 from springmux.lab.faults.injection import FaultBench
+from springmux.lab.faults.operators import Operators
 from springmux.lab.faults.surges import QUOTA_SURGE_S, SURGE_S, burst_surge, prefix_surge, tenant_surge
 from springmux.lab.load.traffic import Surge
-from springmux.lab.operators.operator_client import AdminNode
-from springmux.lab.operators.operators import Operators
+from springmux.lab.plan import ExperimentError, ExperimentPlan
+from springmux.lab.records import QuotaWindow, Recovery
 from springmux.node.fault_injection import NodeFaults
 
 CUT_S = 22.0
--- a/src/springmux/lab/faults/injection.py
+++ b/src/springmux/lab/faults/injection.py
@@ -12,11 +12,11 @@
 import msgspec
 
 from springmux.fleet.layout import NodeLayout
-from springmux.lab.experiment.deployment import Deployment
-from springmux.lab.experiment.plan import BackEndPlan
-from springmux.lab.experiment.records import DrainRecord, FaultEvent, RolloutRun, RunRecords
-from springmux.lab.operators.operator_client import AdminNode
-from springmux.lab.operators.orders import promote, steer_rollout
+from springmux.lab.admin.operator_client import AdminNode
+from springmux.lab.admin.orders import promote, steer_rollout
+from springmux.lab.deployment.deployment import Deployment
+from springmux.lab.plan import BackEndPlan
+from springmux.lab.records import DrainRecord, FaultEvent, RolloutRun, RunRecords
 from springmux.lab.stand_ins.host import BackEndAction, BackEndOrder
 from springmux.node.fault_injection import FAULTS_PATH, NodeFaults
 from springmux.rollout.planning.plan import RolloutPlan
--- a/src/springmux/lab/operators/operators.py
+++ b/src/springmux/lab/faults/operators.py
@@ -12,16 +12,16 @@
 import aiohttp
 import msgspec
 
-from springmux.lab.experiment.records import OrderRecord, RevocationRecord
-from springmux.lab.faults.injection import FaultBench
-from springmux.lab.operators.operator_client import OrderFailedError
-from springmux.lab.operators.orders import (
+from springmux.lab.admin.operator_client import OrderFailedError
+from springmux.lab.admin.orders import (
     patch_configuration,
     put_configuration,
     put_key,
     put_tenant,
     revoke_key,
 )
+from springmux.lab.faults.injection import FaultBench
+from springmux.lab.records import OrderRecord, RevocationRecord
 
 LIMIT_BYTES = 8 << 20
 """The stated limit of a configuration (default of the settings)."""
--- a/src/springmux/lab/faults/surges.py
+++ b/src/springmux/lab/faults/surges.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from springmux.lab.experiment.plan import ExperimentPlan, TrafficPlan
 from springmux.lab.load.traffic import Surge
+from springmux.lab.plan import ExperimentPlan, TrafficPlan
 from springmux.simulation.engine_model import BYTES_PER_TOKEN
 
 SURGE_S = 10.0
--- a/src/springmux/lab/load/clients.py
+++ b/src/springmux/lab/load/clients.py
@@ -12,10 +12,10 @@
 import aiohttp
 import msgspec
 
-from springmux.lab.experiment.plan import load_experiment
-from springmux.lab.experiment.records import CallRecord, LineWriter
 from springmux.lab.load.stream_checker import StreamChecker
 from springmux.lab.load.traffic import PlannedRequest, Surge, TrafficSource
+from springmux.lab.plan import load_experiment
+from springmux.lab.records import CallRecord, LineWriter
 
 READINESS_PERIOD_S = 1.0
 """The platform checks readiness each second."""
--- a/src/springmux/lab/load/traffic.py
+++ b/src/springmux/lab/load/traffic.py
@@ -9,7 +9,7 @@
 import msgspec
 import numpy as np
 
-from springmux.lab.experiment.plan import ExperimentPlan, TrafficPlan
+from springmux.lab.plan import ExperimentPlan, TrafficPlan
 from springmux.simulation.engine_model import BYTES_PER_TOKEN
 
 _WORDS = np.array(
--- a/src/springmux/lab/operators/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Operators of an experiment and their side of the admin interface."""
--- a/src/springmux/lab/experiment/plan.py
+++ b/src/springmux/lab/plan.py
@@ -9,7 +9,7 @@
 from springmux.simulation.engine_model import EngineSpec
 from springmux.vocabulary.errors import SpringmuxError
 
-BUILT_IN_FOLDER = Path(__file__).parents[1] / "experiments"
+BUILT_IN_FOLDER = Path(__file__).parent / "experiments"
 
 
 class ExperimentError(SpringmuxError):
--- a/src/springmux/lab/reporting/plots.py
+++ b/src/springmux/lab/reporting/plots.py
@@ -12,8 +12,8 @@
 from matplotlib.axes import Axes
 from matplotlib.figure import Figure
 
-from springmux.lab.experiment.records import CallRecord, RunRecords
-from springmux.lab.reporting.measure import fault_spans
+from springmux.lab.checks.measure import fault_spans
+from springmux.lab.records import CallRecord, RunRecords
 
 matplotlib.use("Agg")
 
--- a/src/springmux/lab/reporting/report.py
+++ b/src/springmux/lab/reporting/report.py
@@ -8,10 +8,10 @@
 
 import msgspec
 
+from springmux.lab.checks.measure import PERCENTILES, latency_rows
 from springmux.lab.checks.verdict import Verdict
-from springmux.lab.experiment.records import RunRecords
+from springmux.lab.records import RunRecords
 from springmux.lab.reporting import plots
-from springmux.lab.reporting.measure import PERCENTILES, latency_rows
 
 REPORT_FILE = "report.md"
 RECORDS_FILE = "records.json"
--- a/src/springmux/lab/stand_ins/call_service.py
+++ b/src/springmux/lab/stand_ins/call_service.py
@@ -9,7 +9,7 @@
 
 from aiohttp import web
 
-from springmux.lab.experiment.records import Arrival, BackEndEvent, Ending, Execution
+from springmux.lab.records import Arrival, BackEndEvent, Ending, Execution
 from springmux.lab.stand_ins.announcer import Announcer, EngineFigures, EngineIdentity
 from springmux.simulation.engine_model import VersionBehaviour
 
--- a/src/springmux/lab/stand_ins/host.py
+++ b/src/springmux/lab/stand_ins/host.py
@@ -2,7 +2,7 @@
 
 ``springmux lab backends --settings FILE`` runs it. The control listener (loopback) takes
 ``POST /control`` with one :class:`BackEndOrder` and answers ``GET /back-ends``. Every arrival, execution and
-ending goes to a file (:mod:`springmux.lab.experiment.records`).
+ending goes to a file (:mod:`springmux.lab.records`).
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 import msgspec
 from aiohttp import web
 
-from springmux.lab.experiment.plan import BackEndPlan
-from springmux.lab.experiment.records import LineWriter
+from springmux.lab.plan import BackEndPlan
+from springmux.lab.records import LineWriter
 from springmux.lab.stand_ins.announcer import EngineIdentity
 from springmux.lab.stand_ins.call_service import CallService
 from springmux.lab.stand_ins.model_engine import ModelEngine
--- a/src/springmux/lab/stand_ins/model_engine.py
+++ b/src/springmux/lab/stand_ins/model_engine.py
@@ -11,7 +11,7 @@
 import msgspec
 from aiohttp import web
 
-from springmux.lab.experiment.records import Arrival, BackEndEvent, Ending
+from springmux.lab.records import Arrival, BackEndEvent, Ending
 from springmux.lab.stand_ins.announcer import Announcer, EngineFigures, EngineIdentity
 from springmux.simulation.engine_model import (
     BYTES_PER_TOKEN,
--- a/src/springmux/node/admin/listener.py
+++ b/src/springmux/node/admin/listener.py
@@ -14,7 +14,6 @@
 from springmux.node.admin.order_submission import OrderSubmitter
 from springmux.node.admin.rollout_endpoints import RolloutEndpoints, RolloutsAgent, json_response
 from springmux.node.admin.rollout_history import RolloutHistory
-from springmux.node.admin.service_rates import ServiceRates
 from springmux.node.client.protocol import quiet_logger
 from springmux.node.driver import AgentDriver
 from springmux.node.fault_injection import FaultInjector
@@ -22,6 +21,7 @@
 from springmux.node.logs import EventLog
 from springmux.node.metrics.registry import NodeMetrics
 from springmux.node.metrics.table import EXPOSITION_TYPE
+from springmux.node.service_rates import ServiceRates
 from springmux.node.settings import NodeSettings
 
 BODY_MARGIN_BYTES = 64 << 10
--- a/src/springmux/node/admin/order_submission.py
+++ b/src/springmux/node/admin/order_submission.py
@@ -13,10 +13,10 @@
 from springmux.agent.effects import OrderAnswered
 from springmux.control.commands import AnyCommand, CommandResult, Outcome
 from springmux.node.admin.errors import bad_field
-from springmux.node.admin.order_wait import answer_of
 from springmux.node.client.error_responses import error_headers
 from springmux.node.driver import AgentDriver, OrderCallback
 from springmux.node.metrics.registry import NodeMetrics
+from springmux.node.order_wait import answer_of
 from springmux.vocabulary.errors import ApiError, ApiResponseError, ErrorCode, Fate
 from springmux.vocabulary.names import OrderId
 
--- a/src/springmux/node/client/upstream.py
+++ b/src/springmux/node/client/upstream.py
@@ -13,8 +13,8 @@
 import msgspec
 from yarl import URL
 
-from springmux.node.admin.service_rates import ServiceRates
 from springmux.node.metrics.registry import NodeMetrics
+from springmux.node.service_rates import ServiceRates
 from springmux.router.effects import Dispatch
 from springmux.router.events import (
     UpstreamCause,
--- a/src/springmux/node/gateway/control_interface.py
+++ b/src/springmux/node/gateway/control_interface.py
@@ -9,7 +9,6 @@
 import msgspec
 
 from springmux.agent.agent import NodeAgent
-from springmux.node.admin.service_rates import ServiceRates
 from springmux.node.driver import AgentDriver
 from springmux.node.gateway.configuration_endpoints import ConfigurationEndpoints
 from springmux.node.gateway.engine_endpoints import EngineEndpoints
@@ -19,6 +18,7 @@
 from springmux.node.gateway.status_endpoint import gateway_status
 from springmux.node.http.types import BodyTooLargeError, ServerExchange
 from springmux.node.metrics.registry import NodeMetrics
+from springmux.node.service_rates import ServiceRates
 from springmux.vocabulary.errors import ErrorCode
 
 READY_PATH = "/readyz"
--- a/src/springmux/node/gateway/forwarder.py
+++ b/src/springmux/node/gateway/forwarder.py
@@ -15,13 +15,13 @@
 from springmux.gateway.refusals import RefusalReason
 from springmux.gateway.request_trace import RequestOutcome, RequestTrace
 from springmux.gateway.routing import Admitted, KeyRejectedError, RouteNotFoundError
-from springmux.node.admin.service_rates import ServiceRates
 from springmux.node.gateway.forwarding import ForwardedRequest
 from springmux.node.gateway.headers import HeaderRules
 from springmux.node.gateway.refusal_log import RefusalLog
 from springmux.node.gateway.request_log import RequestLog
 from springmux.node.gateway.start_hold import StartHold, no_hold
 from springmux.node.http.types import BodyTooLargeError, ClientDisconnectedError, EngineClient, ServerExchange
+from springmux.node.service_rates import ServiceRates
 
 DEADLINE_MARGIN_S = 0.1
 """The engine is told the deadline too and answers for itself; the gateway's own answer comes just after."""
--- a/src/springmux/node/gateway/process.py
+++ b/src/springmux/node/gateway/process.py
@@ -16,7 +16,6 @@
 from springmux.gateway.core import RetryBounds
 from springmux.gateway.dialect import OWN_HEADERS, HeaderNames
 from springmux.node.addresses import split_address
-from springmux.node.admin.service_rates import ServiceRates
 from springmux.node.driver import AgentDriver
 from springmux.node.gateway.control_interface import ControlInterface, ReadyBody, ready_handler
 from springmux.node.gateway.forwarder import Forwarder, ForwarderServices
@@ -41,6 +40,7 @@
 from springmux.node.peer.agent_codec import AgentCodec
 from springmux.node.peer.handshake import HandshakeAuthenticator
 from springmux.node.peer.transport import PeerTransport
+from springmux.node.service_rates import ServiceRates
 from springmux.node.storage.opening import OpenedStorage
 from springmux.node.storage.worker import StorageWorker
 from springmux.vocabulary.errors import SettingsError
--- a/src/springmux/node/gateway/replies.py
+++ b/src/springmux/node/gateway/replies.py
@@ -6,10 +6,10 @@
 
 from springmux.agent.effects import OrderAnswered
 from springmux.control.commands import AnyCommand, CommandResult, Outcome
-from springmux.node.admin.order_wait import answer_of
 from springmux.node.driver import AgentDriver
 from springmux.node.http.types import Header
 from springmux.node.metrics.table import EXPOSITION_TYPE
+from springmux.node.order_wait import answer_of
 from springmux.vocabulary.errors import ErrorCode, FieldError
 
 JSON_HEADERS: tuple[Header, ...] = ((b"content-type", b"application/json"),)
--- a/src/springmux/node/gateway/rollout_endpoints.py
+++ b/src/springmux/node/gateway/rollout_endpoints.py
@@ -11,11 +11,11 @@
 
 from springmux.agent.agent import NodeAgent
 from springmux.control.commands import CONTENT_ORDER_PREFIX, PromoteRollout
-from springmux.node.admin.service_rates import ServiceRates
 from springmux.node.driver import AgentDriver
 from springmux.node.gateway.replies import Reply, come_back, json_reply, order_reply, submit
 from springmux.node.gateway.settings import GatewaySettings
 from springmux.node.http.types import ServerExchange
+from springmux.node.service_rates import ServiceRates
 from springmux.rollout.planning.standard_plan import plan_for
 from springmux.rollout.reported_state import state_of, told_done
 from springmux.vocabulary.engines import EngineStatus
--- a/src/springmux/simulation/hollow_fleet.py
+++ b/src/springmux/simulation/hollow_fleet.py
@@ -22,9 +22,9 @@
 from springmux.coordination.consensus.effects import ReplicaStopped
 from springmux.coordination.identifiers import Address, NodeId, ZoneName
 from springmux.coordination.state_machine import Effect, LogLine
+from springmux.simulation.flow_driver import FlowOutput
 from springmux.simulation.hollow_disk import HollowDisk, StorageEffect
 from springmux.simulation.hollow_node import HollowNode
-from springmux.simulation.traffic.flow_driver import FlowOutput
 from springmux.simulation.world.faults import (
     AnyFault,
     FullDisk,
--- a/src/springmux/simulation/hollow_node.py
+++ b/src/springmux/simulation/hollow_node.py
@@ -1,6 +1,6 @@
 """A whole node in virtual time: the real agent, a disk in memory, no sockets.
 
-Requests run through the real flows (:class:`~springmux.simulation.traffic.flow_driver.FlowDriver`).
+Requests run through the real flows (:class:`~springmux.simulation.flow_driver.FlowDriver`).
 Runs as a :class:`~springmux.simulation.world.world.Process`. Messages travel in an envelope as on the
 wire, so that a node learns terms, leaders and revisions in the same way.
 """
@@ -20,7 +20,7 @@
 from springmux.coordination.membership.remembered import RememberedPeer
 from springmux.coordination.state_machine import Effect, Event, MessageReceived, PeerMessage, Send, Tick
 from springmux.router.events import UpstreamData
-from springmux.simulation.traffic.flow_driver import CallerArrived, FlowDriver, FlowInput
+from springmux.simulation.flow_driver import CallerArrived, FlowDriver, FlowInput
 
 
 class Enveloped(PeerMessage, frozen=True, tag="Enveloped"):
--- a/src/springmux/simulation/traffic/back_ends.py
+++ b/src/springmux/simulation/traffic/back_ends.py
@@ -16,6 +16,7 @@
 )
 from springmux.simulation.deployments import BackEndSize, Deployment
 from springmux.simulation.engine_model import GOOD, AnswerFault, EngineModel, VersionBehaviour
+from springmux.simulation.flow_driver import FlowInput, FlowOutput, ProbeEngine
 from springmux.simulation.history import (
     BadAnswer,
     Dispatched,
@@ -27,7 +28,6 @@
 )
 from springmux.simulation.hollow_fleet import FleetObserver, HollowFleet
 from springmux.simulation.hollow_node import HollowNode
-from springmux.simulation.traffic.flow_driver import FlowInput, FlowOutput, ProbeEngine
 from springmux.simulation.traffic.hollow_engine import EngineExchange, HollowEngine, engine_address
 from springmux.simulation.world.faults import AnyFault, Kill, PowerCut, Restart
 from springmux.simulation.world.world import Process
--- a/src/springmux/simulation/traffic/callers.py
+++ b/src/springmux/simulation/traffic/callers.py
@@ -11,9 +11,9 @@
 from springmux.router.effects import ResponseAborted, ResponseData, ResponseEnd, ResponseError, ResponseHead
 from springmux.router.events import ClientDisconnected, ClientRequest
 from springmux.simulation.deployments import StreamSize
+from springmux.simulation.flow_driver import CallerArrived, FlowInput, FlowOutput
 from springmux.simulation.history import CallerSaw, History
 from springmux.simulation.hollow_fleet import FleetObserver, HollowFleet
-from springmux.simulation.traffic.flow_driver import CallerArrived, FlowInput, FlowOutput
 from springmux.simulation.traffic.requests import PlannedRequest, RequestSource
 from springmux.simulation.traffic.stream_reader import StreamReader
 from springmux.simulation.world.faults import AnyFault, Kill, PowerCut, Restart
--- a/tests/unit/lab/support.py
+++ b/tests/unit/lab/support.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from springmux.lab.experiment.records import (
+from springmux.lab.records import (
     Arrival,
     CallRecord,
     Ending,
--- a/tests/unit/lab/test_control_promises.py
+++ b/tests/unit/lab/test_control_promises.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from springmux.lab.checks import control_promises
-from springmux.lab.experiment.records import FaultEvent, Recovery, RevocationRecord
+from springmux.lab.records import FaultEvent, Recovery, RevocationRecord
 from tests.unit.lab.support import order, records, sample
 
 CHANGE = order("o1", 200, revision=7)
--- a/tests/unit/lab/test_plan_and_traffic.py
+++ b/tests/unit/lab/test_plan_and_traffic.py
@@ -8,9 +8,9 @@
 import pytest
 
 from springmux.lab.experiment import script
-from springmux.lab.experiment.plan import ExperimentError, built_in_experiments, load_experiment
 from springmux.lab.faults.catalogue import FAULTS, choose_faults
 from springmux.lab.load.traffic import PlannedRequest, Surge, TrafficSource
+from springmux.lab.plan import ExperimentError, built_in_experiments, load_experiment
 
 ANUARIO = load_experiment("anuario")
 
--- a/tests/unit/lab/test_promises.py
+++ b/tests/unit/lab/test_promises.py
@@ -6,7 +6,7 @@
 
 from springmux.lab.checks import promises, quota_promises, rollout_promises
 from springmux.lab.checks.verdict import Verdict
-from springmux.lab.experiment.records import (
+from springmux.lab.records import (
     Arrival,
     DrainRecord,
     Execution,
--- a/tests/unit/lab/test_report.py
+++ b/tests/unit/lab/test_report.py
@@ -6,9 +6,9 @@
 
 import pytest
 
+from springmux.lab.checks.measure import latency_rows, worst_share
 from springmux.lab.checks.promises import check_all
-from springmux.lab.experiment.records import Execution, FaultEvent
-from springmux.lab.reporting.measure import latency_rows, worst_share
+from springmux.lab.records import Execution, FaultEvent
 from springmux.lab.reporting.report import write_report
 from tests.unit.lab.support import call, prompts, records, rollout
 
--- a/tests/unit/node/test_admin.py
+++ b/tests/unit/node/test_admin.py
@@ -27,11 +27,11 @@
 from springmux.node.admin import control_endpoints as admin_control
 from springmux.node.admin.listener import AdminListener
 from springmux.node.admin.rollout_history import RolloutHistory
-from springmux.node.admin.service_rates import ServiceRates
 from springmux.node.driver import AgentDriver
 from springmux.node.health import NodeHealth
 from springmux.node.logs import EventLog
 from springmux.node.metrics.registry import NodeMetrics
+from springmux.node.service_rates import ServiceRates
 from springmux.vocabulary.engines import EngineStatus
 from springmux.vocabulary.errors import ApiError, ErrorCode, FieldError
 from tests.unit.node.support import LONG_S, FakeAgent, make_settings, make_view, until
--- a/tests/unit/node/test_lifecycle.py
+++ b/tests/unit/node/test_lifecycle.py
@@ -11,7 +11,6 @@
 import pytest
 
 from springmux.agent.effects import OrderAnswered
-from springmux.node.admin.order_wait import answer_of
 from springmux.node.driver import AgentDriver, OrderCallback
 from springmux.node.lifecycle import (
     BEGIN_ANEW,
@@ -23,6 +22,7 @@
 )
 from springmux.node.logs import EventLog
 from springmux.node.metrics.registry import NodeMetrics
+from springmux.node.order_wait import answer_of
 from springmux.node.storage.opening import OpenedStorage, open_storage
 from tests.unit.node.support import FakeAgent, make_view
 
