--- a/src/springmux/node/http/connection_owner.py
+++ b/src/springmux/node/http/connection_owner.py
@@ -2,13 +2,22 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Protocol
+from typing import Protocol
 
+from springmux.node.http.server_exchange import HttpServerExchange
 from springmux.node.http.types import RequestHead, ServerLimits, ServerRefusal
 
-if TYPE_CHECKING:
-    from springmux.node.http.server_connection import ServerConnection
-    from springmux.node.http.server_exchange import HttpServerExchange
+
+class OwnedConnection(Protocol):
+    """What the server does to a client's connection."""
+
+    def close_if_idle(self) -> None:
+        """Close the connection unless a request is in flight."""
+        ...
+
+    def cut(self) -> None:
+        """Reset the connection, whatever is in flight."""
+        ...
 
 
 class ConnectionOwner(Protocol):
@@ -20,7 +29,7 @@
         """Return the bounds in force."""
         ...
 
-    def connected(self, connection: ServerConnection) -> bool:
+    def connected(self, connection: OwnedConnection) -> bool:
         """Take in a new connection; ``False`` if there are too many."""
         ...
 
@@ -28,7 +37,7 @@
         """Note that a request was refused or cut. ``head``: the request's, if it was read."""
         ...
 
-    def disconnected(self, connection: ServerConnection) -> None:
+    def disconnected(self, connection: OwnedConnection) -> None:
         """Forget a connection."""
         ...
 
--- a/src/springmux/node/http/server.py
+++ b/src/springmux/node/http/server.py
@@ -6,6 +6,7 @@
 import logging
 from collections.abc import Callable
 
+from springmux.node.http.connection_owner import OwnedConnection
 from springmux.node.http.framing import describe_exception
 from springmux.node.http.server_connection import ServerConnection
 from springmux.node.http.server_exchange import HttpServerExchange
@@ -44,8 +45,8 @@
         self._limits = limits
         self._on_refused = on_refused
         self._listener: asyncio.Server | None = None
-        self._connections: set[ServerConnection] = set()
-        self._refused: set[ServerConnection] = set()
+        self._connections: set[OwnedConnection] = set()
+        self._refused: set[OwnedConnection] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         self._open_requests = 0
         self._quiet: asyncio.Event = asyncio.Event()
@@ -103,7 +104,7 @@
         """Return the bounds in force."""
         return self._limits()
 
-    def connected(self, connection: ServerConnection) -> bool:
+    def connected(self, connection: OwnedConnection) -> bool:
         """Take in a new connection; ``False`` if there are too many."""
         self._quiet.clear()
         if len(self._connections) >= self._limits().max_connections:
@@ -116,7 +117,7 @@
         """Tell the listener of a refusal."""
         self._on_refused(refusal, head)
 
-    def disconnected(self, connection: ServerConnection) -> None:
+    def disconnected(self, connection: OwnedConnection) -> None:
         """Forget a connection."""
         self._connections.discard(connection)
         self._refused.discard(connection)
--- a/src/springmux/node/http/server_exchange.py
+++ b/src/springmux/node/http/server_exchange.py
@@ -5,7 +5,7 @@
 import asyncio
 import logging
 from collections.abc import Callable, Sequence
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from springmux.node.http.bodies import BodyDecoder
 from springmux.node.http.framing import (
@@ -17,14 +17,42 @@
 )
 from springmux.node.http.types import BodyTooLargeError, ClientDisconnectedError, Header, RequestHead
 
-if TYPE_CHECKING:
-    from springmux.node.http.server_connection import ServerConnection
-
 _log = logging.getLogger(__name__)
 
 _CLOSE: Header = (b"connection", b"close")
 
 
+class ExchangeConnection(Protocol):
+    """What an exchange needs of the connection that it runs on."""
+
+    def send(self, data: bytes) -> None:
+        """Write bytes of the response."""
+        ...
+
+    async def drained(self) -> None:
+        """Wait until the client takes more bytes.
+
+        :raises ClientDisconnectedError: if the client left.
+        """
+        ...
+
+    def invite_body(self) -> None:
+        """Send ``100 Continue`` if the client waits for it (RFC 9110, section 10.1.1)."""
+        ...
+
+    def decide_close(self) -> bool:
+        """Return whether the connection closes after this response."""
+        ...
+
+    def answered(self, exchange: HttpServerExchange) -> None:
+        """Go on to the next request: the response is complete."""
+        ...
+
+    def reset(self) -> None:
+        """Reset the connection."""
+        ...
+
+
 class HttpServerExchange:
     """Implements :class:`~springmux.node.http.types.ServerExchange` on one connection.
 
@@ -33,7 +61,7 @@
 
     def __init__(
         self,
-        connection: ServerConnection,
+        connection: ExchangeConnection,
         head: RequestHead,
         decoder: BodyDecoder,
         received_at: float,
