--- a/src/springmux/lab/faults/injection.py
+++ b/src/springmux/lab/faults/injection.py
@@ -18,7 +18,8 @@
 from springmux.lab.plan import BackEndPlan
 from springmux.lab.records import DrainRecord, FaultEvent, RolloutRun, RunRecords
 from springmux.lab.stand_ins.host import BackEndAction, BackEndOrder
-from springmux.node.fault_injection import FAULTS_PATH, NodeFaults
+from springmux.node.admin.fault_endpoint import FAULTS_PATH
+from springmux.node.fault_injection import NodeFaults
 from springmux.rollout.planning.plan import RolloutPlan
 from springmux.simulation.engine_model import VersionBehaviour
 from springmux.vocabulary.names import ServiceName, VersionName
--- a/src/springmux/node/admin/listener.py
+++ b/src/springmux/node/admin/listener.py
@@ -11,6 +11,7 @@
 from springmux.node.admin.control_endpoints import ControlAgent, ControlEndpoints
 from springmux.node.admin.engine_endpoints import EngineEndpoints
 from springmux.node.admin.errors import error_middleware
+from springmux.node.admin.fault_endpoint import FaultEndpoint
 from springmux.node.admin.order_submission import OrderSubmitter
 from springmux.node.admin.rollout_endpoints import RolloutEndpoints, RolloutsAgent, json_response
 from springmux.node.admin.rollout_history import RolloutHistory
@@ -80,7 +81,7 @@
         ControlEndpoints(agent, orders, settings.max_configuration_bytes).add_routes(router)
         RolloutEndpoints(agent, orders, history, rates).add_routes(router)
         if fault_injector is not None:
-            fault_injector.add_routes(router)
+            FaultEndpoint(fault_injector).add_routes(router)
         self._runner = web.AppRunner(
             self._application, access_log=None, logger=quiet_logger, shutdown_timeout=CLOSE_TIMEOUT_S
         )
--- a/src/springmux/node/fault_injection.py
+++ b/src/springmux/node/fault_injection.py
@@ -1,7 +1,6 @@
 """Faults that experiments cause inside a node: peers cut off, a bad disk, a wall clock that jumps.
 
-Only with the setting ``fault_injection``. ``POST /v1/lab/faults`` on the admin listener replaces the
-faults in force by those in its body; what the body leaves out is whole again.
+Only with the setting ``fault_injection``; :mod:`springmux.node.admin.fault_endpoint` sets them.
 """
 
 from __future__ import annotations
@@ -12,15 +11,10 @@
 from pathlib import Path
 
 import msgspec
-from aiohttp import web
 
-from springmux.node.admin.errors import bad_field, decode_failure
 from springmux.storage.disk import Disk, DiskFile, DiskFullError, FolderLock
 from springmux.storage.real_disk import RealDisk
 
-FAULTS_PATH = "/v1/lab/faults"
-MAX_DISK_DELAY_S = 3600.0
-
 
 class NodeFaults(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
     """Faults in force in one node. ``disk_delay_s``: before each write, sync or rename.
@@ -44,10 +38,6 @@
         self._room_bytes = 0
         self._real_time = time.time
 
-    def add_routes(self, router: web.UrlDispatcher) -> None:
-        """Register the path that sets faults."""
-        router.add_post(FAULTS_PATH, self._set)
-
     def cut(self) -> bool:
         """Whether the node is cut off from its peers."""
         return self._faults.cut
@@ -96,16 +86,6 @@
         with self._changed:
             return self._room_bytes if self._faults.disk_full else real_bytes
 
-    async def _set(self, request: web.Request) -> web.Response:
-        try:
-            faults = msgspec.json.decode(await request.read(), type=NodeFaults)
-        except msgspec.DecodeError as error:
-            raise decode_failure(error) from None
-        if not 0.0 <= faults.disk_delay_s <= MAX_DISK_DELAY_S:
-            raise bad_field("disk_delay_s", f"must be 0 to {MAX_DISK_DELAY_S:g}")
-        self.set(faults)
-        return web.Response(status=204)
-
 
 class FaultyFile(DiskFile):
     """A file on a disk with faults."""
