--- a/src/springmux/agent/agent.py
+++ b/src/springmux/agent/agent.py
@@ -40,7 +40,7 @@
 from springmux.agent.reporting import build_status
 from springmux.agent.status import NodeStatusReport
 from springmux.control.delivery.arrival import Arrival
-from springmux.control.delivery.events import PeerLost, PeerRevisionObserved, ReplicaRestored
+from springmux.control.delivery.events import PeerRevisionObserved, ReplicaRestored
 from springmux.control.freshness.events import ProofWanted
 from springmux.control.order_events import SubmitOrder
 from springmux.control.state import ControlState
@@ -265,7 +265,7 @@
 
     def _on_peer_unreachable(self, event: PeerUnreachable, now: float) -> list[Effect]:
         effects = self._routing.give(self._components.membership, event, now)
-        return effects + self._routing.give(self._components.delivery, PeerLost(event.node), now)
+        return effects + self._routing.give(self._components.delivery, event, now)
 
     def _on_leadership_heard(self, event: LeaderObserved, now: float) -> list[Effect]:
         if not self._routing.leadership.hear(event.term, event.leader):
--- a/src/springmux/agent/gateway_readiness.py
+++ b/src/springmux/agent/gateway_readiness.py
@@ -70,7 +70,7 @@
             return NO_CONFIGURATION
         if self._state_since is None:
             self._state_since = now
-        older = view.revision < self._components.delivery.newest_heard
+        older = view.revision < self._components.delivery.newest_observed
         if older and now < self._state_since + NEWER_STATE_LIMIT_S:
             return OLDER_STATE
         if not caught_up and now < self._state_since + DIRECTORY_LIMIT_S:
--- a/src/springmux/agent/readiness.py
+++ b/src/springmux/agent/readiness.py
@@ -43,7 +43,7 @@
         if self.connected == was_connected:
             return False
         if self.connected:
-            self._missed_up_to = self._components.delivery.newest_heard
+            self._missed_up_to = self._components.delivery.newest_observed
             self._catch_up_until = now + CATCH_UP_LIMIT_S
             self._was_connected = True
         return True
--- a/src/springmux/control/delivery/applied_commands.py
+++ b/src/springmux/control/delivery/applied_commands.py
@@ -1,4 +1,4 @@
-"""How far this node's state follows the committed commands; lets through only what comes next."""
+"""How far this node has applied the committed commands; only the next ones in order pass."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class AppliedCommands:
-    """The revision given to the agent. ``recent`` keeps the newest commands for peers that are behind."""
+    """The revision handed to the agent. ``recent`` keeps the newest commands for peers that are behind."""
 
     def __init__(self, recent: RecentLog) -> None:
         self._recent = recent
@@ -22,11 +22,11 @@
 
     @property
     def revision(self) -> Revision:
-        """Index of the newest command given to the agent."""
+        """Index of the newest command handed to the agent."""
         return self._revision
 
-    def new_among(self, entries: Sequence[Entry]) -> tuple[DeliveredCommand, ...]:
-        """Return the commands that are new here. The replica skips none, so the first follows ours."""
+    def select_new(self, entries: Sequence[Entry]) -> tuple[DeliveredCommand, ...]:
+        """Return the commands newer than the present revision, to which the first one is next."""
         commands: list[DeliveredCommand] = []
         previous = self._revision
         for entry in entries:
@@ -35,8 +35,8 @@
                 previous = Revision(entry.index)
         return tuple(commands)
 
-    def take(self, commands: Sequence[DeliveredCommand]) -> list[Effect]:
-        """Give the agent what follows the present revision without a gap."""
+    def apply(self, commands: Sequence[DeliveredCommand]) -> list[Effect]:
+        """Hand the agent the commands that follow the present revision without a gap."""
         following: list[DeliveredCommand] = []
         revision = self._revision
         for command in commands:
@@ -53,9 +53,9 @@
         return [ApplyCommands(tuple(following))]
 
     def replace(self, snapshot: bytes) -> list[Effect]:
-        """Replace the state by an image, if that is newer.
+        """Replace the state by a snapshot, if that is newer.
 
-        :raises UnreadableImageError: if ``snapshot`` is no image.
+        :raises UnreadableImageError: if ``snapshot`` can't be read.
         """
         revision = image_revision(snapshot)
         if revision <= self._revision:
--- a/src/springmux/control/delivery/arrival.py
+++ b/src/springmux/control/delivery/arrival.py
@@ -1,4 +1,4 @@
-"""By which way a newer control state came to a node, and since when the node knew that it was behind."""
+"""How a newer control state reached a node, and since when the node knew that it was behind."""
 
 from __future__ import annotations
 
@@ -9,41 +9,44 @@
 from springmux.coordination.identifiers import Revision
 
 
-class DeliveryWay(enum.StrEnum):
-    """How commands reach a node."""
+class DeliveryMethod(enum.StrEnum):
+    """How committed commands reach a node."""
 
     REPLICA = "replica"
-    """The own replica committed them, or had them on disk."""
+    """The node's own replica committed them, or recovered them from disk."""
     PUSH = "push"
-    """The leader sent them through the relay tree."""
+    """The leader pushed them through the relay tree."""
     TRANSFER = "transfer"
     """They were fetched from a peer that was ahead."""
 
 
 class Arrival(msgspec.Struct, frozen=True):
-    """``behind_since``: monotonic time at which the node first heard of a revision that it lacked."""
+    """The newest delivery of commands.
 
-    way: DeliveryWay
+    ``behind_since``: monotonic time at which the node first learned of a revision that it lacked.
+    """
+
+    method: DeliveryMethod
     behind_since: float
 
 
-class ArrivalWatch:
-    """Tells the newest arrival. A node that hears of no newer revision doesn't know that it is behind."""
+class ArrivalTracker:
+    """Record the newest arrival. A node that learns of no newer revision doesn't know that it is behind."""
 
     def __init__(self) -> None:
         self.newest: Arrival | None = None
         self._behind_since: float | None = None
 
-    def heard(self, revision: Revision, own: Revision, now: float) -> None:
-        """Take note of a revision that a peer has."""
+    def observe_revision(self, revision: Revision, own: Revision, now: float) -> None:
+        """Record a revision that a peer has."""
         if revision > own and self._behind_since is None:
             self._behind_since = now
 
-    def arrived(self, way: DeliveryWay, is_newest: bool, now: float) -> None:
-        """Take note of new commands.
+    def record_arrival(self, method: DeliveryMethod, is_newest: bool, now: float) -> None:
+        """Record that new commands were applied.
 
-        :param is_newest: whether no newer revision was heard of.
+        :param is_newest: whether no newer revision is known.
         """
         since = self._behind_since if self._behind_since is not None else now
-        self.newest = Arrival(way, since)
+        self.newest = Arrival(method, since)
         self._behind_since = None if is_newest else now
--- a/src/springmux/control/delivery/effects.py
+++ b/src/springmux/control/delivery/effects.py
@@ -1,4 +1,4 @@
-"""What the delivery asks of the agent, beside ``Send`` and ``LogLine``."""
+"""Effects that state delivery requests from the agent, besides ``Send`` and ``LogLine``."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 
 class ReplaceState(Effect, frozen=True):
-    """Restore the control state from an image that is newer than it."""
+    """Restore the control state from a newer snapshot."""
 
     snapshot: bytes
     revision: Revision
 
 
 class ProvideSnapshot(Effect, frozen=True):
-    """Make an image of the present state, then give back ``SnapshotProvided``."""
+    """Take a snapshot of the present state and reply with ``SnapshotProvided``."""
 
 
 class ConfirmLeaderRevision(Effect, frozen=True):
-    """Ask the own, leading replica for a read point, then give back ``ConfirmedRevision``."""
+    """Request a read index from the node's own leading replica; the reply is ``ConfirmedRevision``."""
 
     correlation_id: str
--- a/src/springmux/control/delivery/events.py
+++ b/src/springmux/control/delivery/events.py
@@ -1,4 +1,7 @@
-"""What the delivery is told, beside messages, ticks and ``control.events.LeadershipKnown``."""
+"""Events of state delivery.
+
+It also handles messages, ticks, ``control.events.LeadershipKnown`` and membership's ``PeerUnreachable``.
+"""
 
 from __future__ import annotations
 
@@ -9,13 +12,13 @@
 
 
 class CommandsCommitted(Event, frozen=True):
-    """The own replica's ``Apply``: entries of every kind, in order."""
+    """The node's own replica committed entries (its ``Apply``), of every kind and in order."""
 
     entries: tuple[Entry, ...]
 
 
 class ReplicaRestored(Event, frozen=True):
-    """The own replica has a snapshot (recovered at start, or installed): the log up to ``index``.
+    """The node's own replica recovered or installed a snapshot that covers the log up to ``index``.
 
     It comes before the first :class:`CommandsCommitted` after that snapshot.
     """
@@ -24,12 +27,6 @@
     snapshot: bytes
 
 
-class PeerLost(Event, frozen=True):
-    """The transport lost the connection to a peer: what it was sending won't come."""
-
-    node: NodeId
-
-
 class PeerRevisionObserved(Event, frozen=True):
     """A peer's message carried its term and revision in the envelope."""
 
@@ -39,20 +36,20 @@
 
 
 class MembershipChanged(Event, frozen=True):
-    """The picture of the fleet's nodes changed."""
+    """The membership view changed."""
 
     view: MembershipView
 
 
 class ConfirmedRevision(Event, frozen=True):
-    """Answer to ``ConfirmLeaderRevision`` (the replica's ``ReadConfirmed``); ``None``: refused."""
+    """Reply to ``ConfirmLeaderRevision``. ``index`` is ``None`` if the replica refused."""
 
     correlation_id: str
     index: LogIndex | None
 
 
 class SnapshotProvided(Event, frozen=True):
-    """Answer to ``ProvideSnapshot``: the state's image."""
+    """Reply to ``ProvideSnapshot``."""
 
     revision: Revision
     snapshot: bytes
--- a/src/springmux/control/delivery/fetching.py
+++ b/src/springmux/control/delivery/fetching.py
@@ -1,4 +1,4 @@
-"""The side of a transfer that is behind: whom it asks, what it has got, when it asks another."""
+"""Fetch missing control state from a peer that is ahead: choice of peer, reassembly, timeouts."""
 
 from __future__ import annotations
 
@@ -7,27 +7,27 @@
 
 import msgspec
 
-from springmux.control.delivery.messages import FetchState, NothingNewer, StateChunk, TransferKind
+from springmux.control.delivery.messages import FetchState, NoNewerRevision, StateChunk, TransferKind
 from springmux.control.delivery.serving import transfer_checksum
 from springmux.control.delivery.settings import DeliverySettings
 from springmux.coordination.identifiers import NodeId, Revision
 from springmux.coordination.state_machine import NEVER, Effect, LogLevel, LogLine, Send
 
 
-class Fetched(msgspec.Struct, frozen=True):
-    """A whole transfer with the right checksum."""
+class CompletedTransfer(msgspec.Struct, frozen=True):
+    """A complete transfer whose checksum was verified."""
 
     kind: TransferKind
     target: Revision
     content: bytes
 
 
-class _Running(msgspec.Struct):
-    """What is being fetched. Transfers of one kind and target are equal byte for byte at every peer."""
+class _ActiveTransfer(msgspec.Struct):
+    """A transfer being received. Those of one kind and target are equal byte for byte at every peer."""
 
     peer: NodeId
     first_request: int
-    """Answers to this request and later ones are of use: a peer that was given up may only be slow."""
+    """Replies from this request on are accepted: a peer that was abandoned may only be slow."""
     request: int
     revision: Revision
     deadline: float
@@ -38,12 +38,23 @@
     checksum: int = 0
     window_end: int = 0
     content: bytearray = msgspec.field(default_factory=bytearray)
-    early: dict[int, bytes] = msgspec.field(default_factory=dict)
-    """Chunks that overtook one before them, by offset."""
+    out_of_order: dict[int, bytes] = msgspec.field(default_factory=dict)
+    """Chunks received before one that precedes them, by offset."""
+
+
+class ChunkResult(msgspec.Struct, frozen=True):
+    """Outcome of a received chunk: the transfer if the chunk completed it, and the effects to execute."""
+
+    completed: CompletedTransfer | None = None
+    effects: tuple[Effect, ...] = ()
 
 
 class StateFetcher:
-    """At most one transfer at a time, from one of the peers known to be ahead."""
+    """Fetch from the peers known to be ahead, one transfer at a time.
+
+    :param rng: jitters the start of transfers and chooses among equal peers.
+    :param is_near: returns whether a node is in the same zone.
+    """
 
     def __init__(
         self, rng: random.Random, settings: DeliverySettings, is_near: Callable[[NodeId], bool]
@@ -51,171 +62,186 @@
         self._rng = rng
         self._settings = settings
         self._is_near = is_near
-        self._ahead: dict[NodeId, Revision] = {}
-        self._resting_until: dict[NodeId, float] = {}
-        self._running: _Running | None = None
-        self._begin_at = NEVER
+        self._peers_ahead: dict[NodeId, Revision] = {}
+        self._cooldown_until: dict[NodeId, float] = {}
+        self._active: _ActiveTransfer | None = None
+        self._start_at = NEVER
         self._request = 0
 
     def next_deadline(self) -> float:
-        """Return when to begin a transfer, or to give up waiting for a chunk."""
-        return self._running.deadline if self._running is not None else self._begin_at
-
-    def heard(self, node: NodeId, revision: Revision, own: Revision, now: float) -> None:
-        """Note that ``node`` has ``revision``; after a grace for the push, fetch it."""
-        self._ahead[node] = max(revision, self._ahead.get(node, revision))
-        if revision > own and self._begin_at == NEVER:
-            spread = self._rng.uniform(0.5, 1.0)
-            self._begin_at = now + self._settings.fetch_grace_s * spread
-
-    def begin_now(self, node: NodeId, revision: Revision, own: Revision, now: float) -> list[Effect]:
-        """Fetch without grace: a push showed that something is missing, or it must be fetched."""
-        self._ahead[node] = max(revision, self._ahead.get(node, revision))
-        self._resting_until.pop(node, None)
-        return [] if self._running is not None else self._ask_next(own, now)
+        """Return when to start a transfer, or when the wait for a chunk times out."""
+        return self._active.deadline if self._active is not None else self._start_at
+
+    def observe_revision(self, node: NodeId, revision: Revision, own: Revision, now: float) -> None:
+        """Record that ``node`` has ``revision``; fetch it after a grace period for the push."""
+        self._peers_ahead[node] = max(revision, self._peers_ahead.get(node, revision))
+        if revision > own and self._start_at == NEVER:
+            jitter = self._rng.uniform(0.5, 1.0)
+            self._start_at = now + self._settings.fetch_grace_s * jitter
+
+    def fetch_immediately(self, node: NodeId, revision: Revision, own: Revision, now: float) -> list[Effect]:
+        """Fetch from ``node`` without a grace period, since no push will bring ``revision``."""
+        self._peers_ahead[node] = max(revision, self._peers_ahead.get(node, revision))
+        self._cooldown_until.pop(node, None)
+        return [] if self._active is not None else self._start_next(own, now)
 
     def tick(self, own: Revision, now: float) -> list[Effect]:
-        """Begin, or ask again, or ask another peer."""
-        running = self._running
-        if running is None:
-            return self._ask_next(own, now) if now >= self._begin_at else []
-        if now < running.deadline:
+        """Start a transfer that is due; on a timeout, retry or go on at another peer."""
+        transfer = self._active
+        if transfer is None:
+            return self._start_next(own, now) if now >= self._start_at else []
+        if now < transfer.deadline:
             return []
-        if running.revision != own:
-            return self._ask_next(own, now)
-        fell_silent = len(running.content) > 0 and self._has_another(running, own, now)
-        if running.attempts < self._settings.fetch_attempts and not fell_silent:
-            running.attempts += 1
-            return [self._ask(running, now)]
-        return self._give_up(running, own, now)
-
-    def peer_lost(self, peer: NodeId, own: Revision, now: float) -> list[Effect]:
-        """The connection to ``peer`` is lost: what it was to send won't come."""
-        running = self._running
-        if running is None or running.peer != peer:
+        if transfer.revision != own:
+            return self._start_next(own, now)
+        stalled = len(transfer.content) > 0 and self._has_alternative(transfer, own, now)
+        if transfer.attempts < self._settings.fetch_attempts and not stalled:
+            transfer.attempts += 1
+            return [self._request_chunks(transfer, now)]
+        return self._give_up(transfer, own, now)
+
+    def peer_unreachable(self, peer: NodeId, own: Revision, now: float) -> list[Effect]:
+        """Abandon a transfer from ``peer``, whose connection is lost."""
+        transfer = self._active
+        if transfer is None or transfer.peer != peer:
             return []
-        return self._give_up(running, own, now)
+        return self._give_up(transfer, own, now)
 
-    def _give_up(self, running: _Running, own: Revision, now: float) -> list[Effect]:
-        """Go on at another peer, with what has come so far."""
-        self._rest(running.peer, now)
-        fields = {"peer": running.peer, "revision": own, "received_bytes": len(running.content)}
+    def _give_up(self, transfer: _ActiveTransfer, own: Revision, now: float) -> list[Effect]:
+        """Continue at another peer, keeping the bytes received so far."""
+        self._cool_down(transfer.peer, now)
+        fields = {"peer": transfer.peer, "revision": own, "received_bytes": len(transfer.content)}
         given_up = LogLine("transfer_given_up", LogLevel.INFO, fields)
-        return [given_up, *self._ask_next(own, now)]
+        return [given_up, *self._start_next(own, now)]
 
-    def _has_another(self, running: _Running, own: Revision, now: float) -> bool:
-        """Whether a peer beside the asked one is ahead and isn't left alone for not answering."""
+    def _has_alternative(self, transfer: _ActiveTransfer, own: Revision, now: float) -> bool:
+        """Return whether another peer is ahead that isn't in its cooldown."""
         return any(
-            node != running.peer and revision > own and self._resting_until.get(node, 0.0) <= now
-            for node, revision in self._ahead.items()
+            node != transfer.peer and revision > own and self._cooldown_until.get(node, 0.0) <= now
+            for node, revision in self._peers_ahead.items()
         )
 
-    def take_chunk(
-        self, sender: NodeId, chunk: StateChunk, own: Revision, now: float
-    ) -> tuple[Fetched | None, list[Effect]]:
-        """Add a chunk; return the transfer once it is whole, and what to send."""
-        running = self._running
-        if running is None or not running.first_request <= chunk.request <= running.request:
-            return None, []
-        is_newest = (sender, chunk.request) == (running.peer, running.request)
-        if (chunk.kind, chunk.target, chunk.checksum) != (running.kind, running.target, running.checksum):
-            if running.kind is not None and not is_newest:
-                return None, []
-            _start_over(running, chunk)
-        if _add(running, chunk):
-            running.deadline = now + self._wait_s(running)
-        received = len(running.content)
-        if received < running.total_bytes:
-            return None, [self._ask(running, now)] if received >= running.window_end else []
-        self._running = None
-        content = bytes(running.content)
-        if transfer_checksum(content) != running.checksum:
-            self.no_progress(sender, now)
-            return None, []
-        return Fetched(chunk.kind, chunk.target, content), []
-
-    def take_nothing(self, sender: NodeId, nothing: NothingNewer, own: Revision, now: float) -> list[Effect]:
-        """The asked peer isn't ahead (any more); ask another that is."""
-        self._ahead[sender] = nothing.revision
-        running = self._running
-        if running is None or (sender, nothing.request) != (running.peer, running.request):
+    def receive_chunk(self, sender: NodeId, chunk: StateChunk, now: float) -> ChunkResult:
+        """Add a chunk to the active transfer; request the next window or complete the transfer."""
+        transfer = self._active
+        if transfer is None or not self._accepts(transfer, sender, chunk):
+            return ChunkResult()
+        if not _is_part_of(transfer, chunk):
+            _restart(transfer, chunk)
+        if _append_chunk(transfer, chunk):
+            transfer.deadline = now + self._chunk_timeout_s(transfer)
+        received = len(transfer.content)
+        if received >= transfer.total_bytes:
+            return self._complete(transfer, sender, now)
+        if received >= transfer.window_end:
+            return ChunkResult(effects=(self._request_chunks(transfer, now),))
+        return ChunkResult()
+
+    def _accepts(self, transfer: _ActiveTransfer, sender: NodeId, chunk: StateChunk) -> bool:
+        """Return whether a chunk replies to this transfer; only the newest request may change its content."""
+        if not transfer.first_request <= chunk.request <= transfer.request:
+            return False
+        is_newest = (sender, chunk.request) == (transfer.peer, transfer.request)
+        return is_newest or transfer.kind is None or _is_part_of(transfer, chunk)
+
+    def _complete(self, transfer: _ActiveTransfer, sender: NodeId, now: float) -> ChunkResult:
+        self._active = None
+        content = bytes(transfer.content)
+        if transfer.kind is None or transfer_checksum(content) != transfer.checksum:
+            self.back_off(sender, now)
+            return ChunkResult()
+        return ChunkResult(CompletedTransfer(transfer.kind, transfer.target, content))
+
+    def receive_no_newer(
+        self, sender: NodeId, reply: NoNewerRevision, own: Revision, now: float
+    ) -> list[Effect]:
+        """Record that ``sender`` isn't ahead; if it was the active peer, fetch from another one."""
+        self._peers_ahead[sender] = reply.revision
+        transfer = self._active
+        if transfer is None or (sender, reply.request) != (transfer.peer, transfer.request):
             return []
-        self._running = None
-        return self._ask_next(own, now)
-
-    def go_on(self, own: Revision, now: float) -> list[Effect]:
-        """After a transfer: ask at once for what is still missing."""
-        return [] if self._running is not None else self._ask_next(own, now)
-
-    def no_progress(self, peer: NodeId, now: float) -> None:
-        """A whole transfer brought nothing; wait before the next, so as not to ask without end."""
-        self._rest(peer, now)
-        self._begin_at = now + self._settings.fetch_timeout_s
-
-    def _ask_next(self, own: Revision, now: float) -> list[Effect]:
-        left, self._running = self._running, None
-        self._begin_at = NEVER
-        peer = self._choose(own, now)
+        self._active = None
+        return self._start_next(own, now)
+
+    def fetch_next(self, own: Revision, now: float) -> list[Effect]:
+        """Fetch what is still missing after a transfer."""
+        return [] if self._active is not None else self._start_next(own, now)
+
+    def back_off(self, peer: NodeId, now: float) -> None:
+        """Delay the next transfer after one from ``peer`` that made no progress, to avoid a busy loop."""
+        self._cool_down(peer, now)
+        self._start_at = now + self._settings.fetch_timeout_s
+
+    def _start_next(self, own: Revision, now: float) -> list[Effect]:
+        abandoned, self._active = self._active, None
+        self._start_at = NEVER
+        peer = self._choose_peer(own, now)
         if peer is None:
             return []
         self._request += 1
-        self._running = _Running(peer, self._request, self._request, own, now)
-        if left is not None and left.revision == own:
-            self._running = msgspec.structs.replace(left, peer=peer, request=self._request, attempts=1)
-        return [self._ask(self._running, now)]
+        self._active = _ActiveTransfer(peer, self._request, self._request, own, now)
+        if abandoned is not None and abandoned.revision == own:
+            self._active = msgspec.structs.replace(abandoned, peer=peer, request=self._request, attempts=1)
+        return [self._request_chunks(self._active, now)]
 
-    def _ask(self, running: _Running, now: float) -> Effect:
-        running.deadline = now + self._wait_s(running)
+    def _request_chunks(self, transfer: _ActiveTransfer, now: float) -> Effect:
+        transfer.deadline = now + self._chunk_timeout_s(transfer)
         fetch = FetchState(
-            request=running.request,
-            revision=running.revision,
-            kind=running.kind,
-            target=running.target,
-            offset=len(running.content),
+            request=transfer.request,
+            revision=transfer.revision,
+            kind=transfer.kind,
+            target=transfer.target,
+            offset=len(transfer.content),
         )
-        return Send(running.peer, fetch)
+        return Send(transfer.peer, fetch)
 
-    def _wait_s(self, running: _Running) -> float:
-        """Return how long to wait for the next chunk of those on their way.
+    def _chunk_timeout_s(self, transfer: _ActiveTransfer) -> float:
+        """Return how long to wait for the next chunk of those in flight.
 
-        The peer's link may be carrying the same for as many others as it pushes to. To ask again, here or
-        elsewhere, before it can have come would only fill the links with copies.
+        The peer's link may carry the same chunks for ``fan_out`` nodes. A retry before a chunk can have
+        arrived would only congest the links with duplicates.
         """
-        due_bytes = max(0, min(running.window_end, running.total_bytes) - len(running.content))
+        due_bytes = max(0, min(transfer.window_end, transfer.total_bytes) - len(transfer.content))
         settings = self._settings
         shared_link_bytes_s = settings.slowest_link_bytes_s / settings.fan_out
         return settings.fetch_timeout_s + min(due_bytes, settings.chunk_bytes) / shared_link_bytes_s
 
-    def _choose(self, own: Revision, now: float) -> NodeId | None:
-        """Prefer peers that answer, then near ones; else at random, so that load spreads."""
-        self._ahead = {node: revision for node, revision in self._ahead.items() if revision > own}
-        self._resting_until = {node: until for node, until in self._resting_until.items() if until > now}
-        candidates = sorted(self._ahead)
-        answering = [node for node in candidates if node not in self._resting_until] or candidates
+    def _choose_peer(self, own: Revision, now: float) -> NodeId | None:
+        """Return a peer that is ahead: preferably responsive, then near; at random among equals."""
+        self._peers_ahead = {node: revision for node, revision in self._peers_ahead.items() if revision > own}
+        self._cooldown_until = {node: until for node, until in self._cooldown_until.items() if until > now}
+        candidates = sorted(self._peers_ahead)
+        answering = [node for node in candidates if node not in self._cooldown_until] or candidates
         near = [node for node in answering if self._is_near(node)] or answering
         return self._rng.choice(near) if near else None
 
-    def _rest(self, peer: NodeId, now: float) -> None:
-        self._resting_until[peer] = now + self._settings.peer_rest_s
-
-
-def _start_over(running: _Running, chunk: StateChunk) -> None:
-    """The peer sends another transfer than the one begun; drop what is there of the old one."""
-    running.kind = chunk.kind
-    running.target = chunk.target
-    running.total_bytes = chunk.total_bytes
-    running.checksum = chunk.checksum
-    running.content = bytearray()
-    running.early = {}
-
-
-def _add(running: _Running, chunk: StateChunk) -> bool:
-    """Add a chunk in its place; return whether it led on, which alone counts as progress."""
-    before = len(running.content)
-    running.early[chunk.offset] = chunk.data
-    running.window_end = max(chunk.window_end, len(running.content))
-    while (data := running.early.pop(len(running.content), b"")) != b"":
-        running.content += data
-        running.attempts = 1
-    running.early = {offset: data for offset, data in running.early.items() if offset > len(running.content)}
-    return len(running.content) > before
+    def _cool_down(self, peer: NodeId, now: float) -> None:
+        self._cooldown_until[peer] = now + self._settings.peer_cooldown_s
+
+
+def _is_part_of(transfer: _ActiveTransfer, chunk: StateChunk) -> bool:
+    return (chunk.kind, chunk.target, chunk.checksum) == (transfer.kind, transfer.target, transfer.checksum)
+
+
+def _restart(transfer: _ActiveTransfer, chunk: StateChunk) -> None:
+    """Start over with the transfer of ``chunk``, since the peer sends another one than before."""
+    transfer.kind = chunk.kind
+    transfer.target = chunk.target
+    transfer.total_bytes = chunk.total_bytes
+    transfer.checksum = chunk.checksum
+    transfer.content = bytearray()
+    transfer.out_of_order = {}
+
+
+def _append_chunk(transfer: _ActiveTransfer, chunk: StateChunk) -> bool:
+    """Insert a chunk at its offset; return whether the contiguous content grew."""
+    before = len(transfer.content)
+    transfer.out_of_order[chunk.offset] = chunk.data
+    transfer.window_end = max(chunk.window_end, len(transfer.content))
+    while (data := transfer.out_of_order.pop(len(transfer.content), b"")) != b"":
+        transfer.content += data
+        transfer.attempts = 1
+    transfer.out_of_order = {
+        offset: data for offset, data in transfer.out_of_order.items() if offset > len(transfer.content)
+    }
+    return len(transfer.content) > before
--- a/src/springmux/control/delivery/messages.py
+++ b/src/springmux/control/delivery/messages.py
@@ -1,4 +1,4 @@
-"""Messages of the delivery between nodes."""
+"""Messages of state delivery between nodes."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class DeliveredCommand(msgspec.Struct, frozen=True, array_like=True):
-    """A committed command with its place.
+    """A committed command with its log position.
 
-    Log indexes of commands have gaps (members, barriers), so each names the one before it: a copy at
-    ``previous_index`` may apply it, an older copy misses something.
+    Log indexes of commands have gaps (members, barriers), so each names its predecessor: a state at
+    ``previous_index`` may apply it, an older one lacks commands in between.
     """
 
     previous_index: Revision
@@ -23,18 +23,18 @@
 
 
 class TransferKind(enum.StrEnum):
-    """What a transfer's bytes are."""
+    """Content of a transfer."""
 
     DELTA = "delta"
-    """Encoded commands after the asker's revision."""
+    """Encoded commands after the requester's revision."""
     SNAPSHOT = "snapshot"
-    """An image of the whole control state."""
+    """A snapshot of the whole control state."""
 
 
 class PushCommands(PeerMessage, frozen=True, tag="PushCommands"):
-    """New commands from the leader, to be passed on to ``relay_to``.
+    """New commands from the leader, to be forwarded to ``relay_to``.
 
-    Without ``commands`` it says only that ``revision`` is there to be fetched.
+    Without ``commands`` it only announces that ``revision`` can be fetched.
     """
 
     term: Term
@@ -44,7 +44,7 @@
 
 
 class FetchState(PeerMessage, frozen=True, tag="FetchState"):
-    """Ask for what follows ``revision``; with ``kind``, for a transfer's bytes from ``offset`` on."""
+    """Request what follows ``revision``; with ``kind``, a transfer's bytes from ``offset`` on."""
 
     request: int
     revision: Revision
@@ -54,9 +54,9 @@
 
 
 class StateChunk(PeerMessage, frozen=True, tag="StateChunk"):
-    """Bytes of a transfer that brings the asker to ``target``.
+    """Bytes of a transfer that brings the requester to ``target``.
 
-    ``checksum`` is of all its bytes; after ``window_end`` the asker asks for more.
+    ``checksum`` covers all of its bytes. After ``window_end`` the requester sends its next request.
     """
 
     request: int
@@ -69,21 +69,21 @@
     window_end: int
 
 
-class NothingNewer(PeerMessage, frozen=True, tag="NothingNewer"):
-    """The asked node is at ``revision`` itself, no further than the asker."""
+class NoNewerRevision(PeerMessage, frozen=True, tag="NothingNewer"):
+    """Reply to :class:`FetchState`: the node is at ``revision`` itself, no further than the requester."""
 
     request: int
     revision: Revision
 
 
 class RevisionRequest(PeerMessage, frozen=True, tag="AskRevision"):
-    """Ask the leader which revision is the newest acknowledged, confirmed by a quorum after this."""
+    """Request the newest acknowledged revision from the leader, confirmed by a quorum after this request."""
 
     request: int
 
 
 class RevisionConfirmed(PeerMessage, frozen=True, tag="RevisionConfirmed"):
-    """Answer to :class:`RevisionRequest`: nothing newer than ``revision`` had been acknowledged then."""
+    """Reply to :class:`RevisionRequest`: nothing newer than ``revision`` had been acknowledged then."""
 
     request: int
     revision: Revision
@@ -93,7 +93,7 @@
     PushCommands,
     FetchState,
     StateChunk,
-    NothingNewer,
+    NoNewerRevision,
     RevisionRequest,
     RevisionConfirmed,
 )
--- a/src/springmux/control/delivery/recent_log.py
+++ b/src/springmux/control/delivery/recent_log.py
@@ -1,4 +1,4 @@
-"""The newest committed commands, bounded, to bring others up to date without a whole image."""
+"""A bounded log of the newest committed commands, to bring peers up to date without a snapshot."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class RecentLog:
-    """Commands without a gap. The newest one is kept however large it is."""
+    """Consecutive commands. The newest one is kept whatever its size."""
 
     def __init__(self, max_commands: int, max_bytes: int) -> None:
         self._max_commands = max_commands
@@ -19,22 +19,22 @@
         self._size_bytes = 0
 
     def extend(self, commands: Iterable[DeliveredCommand]) -> None:
-        """Add commands that follow the newest one, and let the oldest go."""
+        """Append commands that follow the newest one; evict the oldest beyond the bounds."""
         for command in commands:
             self._commands.append(command)
             self._size_bytes += len(command.data)
-        while len(self._commands) > 1 and self._is_over():
+        while len(self._commands) > 1 and self._exceeds_bounds():
             self._size_bytes -= len(self._commands.popleft().data)
 
     def clear(self) -> None:
-        """Forget all (the state was replaced)."""
+        """Remove all commands (the state was replaced)."""
         self._commands.clear()
         self._size_bytes = 0
 
     def after(self, revision: Revision, max_bytes: int) -> tuple[DeliveredCommand, ...] | None:
-        """Return what follows ``revision``, at least one command and else up to ``max_bytes``.
+        """Return the commands after ``revision``: at least one, and further ones up to ``max_bytes``.
 
-        ``None``: the log doesn't reach back to ``revision``.
+        Return ``None`` if the log doesn't reach back to ``revision``.
         """
         later = self._later(revision)
         if not later or later[0].previous_index > revision:
@@ -55,5 +55,5 @@
         later.reverse()
         return later
 
-    def _is_over(self) -> bool:
+    def _exceeds_bounds(self) -> bool:
         return len(self._commands) > self._max_commands or self._size_bytes > self._max_bytes
--- a/src/springmux/control/delivery/relay_tree.py
+++ b/src/springmux/control/delivery/relay_tree.py
@@ -1,4 +1,4 @@
-"""Who passes a push on to whom: from the leader to a relay in each zone, from it through the zone."""
+"""The relay tree of a push: from the leader to a relay in each zone, from there through the zone."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Branch(msgspec.Struct, frozen=True):
-    """One node to send to, and the nodes that it is to pass the push on to."""
+    """One node to send to, and the nodes to which it forwards the push."""
 
     to: NodeId
     relay_to: tuple[NodeId, ...] = ()
@@ -40,21 +40,21 @@
 
 
 def split(nodes: tuple[NodeId, ...], branches: int) -> list[Branch]:
-    """Share ``nodes`` out over at most ``branches`` branches; the first ones are the heads."""
+    """Distribute ``nodes`` over at most ``branches`` branches; the first nodes are the heads."""
     heads = nodes[:branches]
     rest = nodes[branches:]
     return [Branch(head, rest[number :: len(heads)]) for number, head in enumerate(heads)]
 
 
 def send_along(branches: list[Branch], push: PushCommands) -> list[Effect]:
-    """Return the sends of a push along branches."""
+    """Return the effects that send a push along ``branches``."""
     return [Send(branch.to, msgspec.structs.replace(push, relay_to=branch.relay_to)) for branch in branches]
 
 
 def _ranked(zone: ZoneName, records: list[NodeRecord]) -> tuple[NodeId, ...]:
-    """Order a zone's nodes: first the alive that stay, then the controllers, then by rendezvous hash.
+    """Order a zone's nodes: alive ones that stay first, then controllers, then by rendezvous hash.
 
-    A relay sends a change several times over its link. Controllers are the machines set aside for that.
+    A relay sends a change several times over its link. Controllers have the capacity for that.
     """
 
     def rank(record: NodeRecord) -> tuple[bool, bool, int, NodeId]:
--- a/src/springmux/control/delivery/serving.py
+++ b/src/springmux/control/delivery/serving.py
@@ -1,4 +1,4 @@
-"""The side of a transfer that has the newer state."""
+"""Serve the control state to peers that are behind."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from springmux.control.delivery.messages import (
     DeliveredCommand,
     FetchState,
-    NothingNewer,
+    NoNewerRevision,
     StateChunk,
     TransferKind,
 )
@@ -21,11 +21,11 @@
 from springmux.coordination.identifiers import NodeId, Revision
 from springmux.coordination.state_machine import NEVER, Effect, Send
 
-KEPT_DELTAS = 4
-"""After a large command most nodes ask for the same delta; encode it once."""
-MAX_WAITING = 1000
-IMAGE_TIMEOUT_S = 5.0
-"""An image takes the agent well under a second; after this it's asked for again."""
+MAX_CACHED_DELTAS = 4
+"""After a large command most nodes request the same delta; it is encoded once."""
+MAX_WAITING_PEERS = 1000
+SNAPSHOT_TIMEOUT_S = 5.0
+"""A snapshot takes the agent well under a second; after this it is requested again."""
 _encoder = msgspec.msgpack.Encoder()
 
 
@@ -37,9 +37,9 @@
 
 
 class StateServer:
-    """Answers :class:`FetchState`: from the recent log if it reaches back, else from an image.
+    """Answer :class:`FetchState`: from the recent log if it reaches back far enough, else from a snapshot.
 
-    An image is asked of the agent once and serves all who ask while the recent log leads on from it.
+    A snapshot is requested from the agent once and serves all peers while the recent log continues from it.
     """
 
     def __init__(self, recent: RecentLog, settings: DeliverySettings) -> None:
@@ -49,36 +49,36 @@
         self._snapshot: _Transfer | None = None
         self._keep_until = NEVER
         self._waiting: dict[NodeId, FetchState] = {}
-        self._asked_at = -NEVER
+        self._snapshot_requested_at = -NEVER
 
     def next_deadline(self) -> float:
-        """Return when what is kept is to be dropped."""
+        """Return when cached transfers expire."""
         return self._keep_until
 
     def tick(self, now: float) -> None:
-        """Drop an image and deltas that nobody fetched for a while; an image takes some MiB."""
+        """Drop a snapshot and deltas that nobody fetched for a while; a snapshot takes some MiB."""
         if now >= self._keep_until:
             self._snapshot = None
             self._deltas.clear()
             self._keep_until = NEVER
 
     def answer(self, sender: NodeId, fetch: FetchState, own: Revision, now: float) -> list[Effect]:
-        """Return the next chunk, or have an image made first."""
+        """Return the next window of chunks, or request a snapshot first."""
         if own <= fetch.revision:
-            return [Send(sender, NothingNewer(fetch.request, own))]
-        transfer = self._wanted(fetch) or self._delta(fetch.revision) or self._usable_snapshot(own)
+            return [Send(sender, NoNewerRevision(fetch.request, own))]
+        transfer = self._resumed_transfer(fetch) or self._delta(fetch.revision) or self._usable_snapshot(own)
         if transfer is not None:
             return self._chunks(sender, fetch, transfer, now)
-        if len(self._waiting) < MAX_WAITING:
+        if len(self._waiting) < MAX_WAITING_PEERS:
             self._waiting[sender] = fetch
-        if now < self._asked_at + IMAGE_TIMEOUT_S:
+        if now < self._snapshot_requested_at + SNAPSHOT_TIMEOUT_S:
             return []
-        self._asked_at = now
+        self._snapshot_requested_at = now
         return [ProvideSnapshot()]
 
     def provide(self, revision: Revision, snapshot: bytes, now: float) -> list[Effect]:
-        """Take the image that was asked for and answer who waits for it."""
-        self._asked_at = -NEVER
+        """Cache the requested snapshot and answer the peers that wait for it."""
+        self._snapshot_requested_at = -NEVER
         self._snapshot = _transfer(TransferKind.SNAPSHOT, revision, snapshot)
         waiting, self._waiting = self._waiting, {}
         effects: list[Effect] = []
@@ -86,14 +86,14 @@
             if revision > fetch.revision:
                 effects += self._chunks(sender, fetch, self._snapshot, now)
             else:
-                effects.append(Send(sender, NothingNewer(fetch.request, revision)))
+                effects.append(Send(sender, NoNewerRevision(fetch.request, revision)))
         return effects
 
-    def _wanted(self, fetch: FetchState) -> _Transfer | None:
-        """Return the transfer that the asker is in the middle of, if it's still here."""
+    def _resumed_transfer(self, fetch: FetchState) -> _Transfer | None:
+        """Return the transfer that the requester has begun, if it is still cached."""
         if fetch.kind is TransferKind.SNAPSHOT:
-            kept = self._snapshot
-            return kept if kept is not None and kept.target == fetch.target else None
+            snapshot = self._snapshot
+            return snapshot if snapshot is not None and snapshot.target == fetch.target else None
         return self._deltas.get((fetch.revision, fetch.target))
 
     def _delta(self, revision: Revision) -> _Transfer | None:
@@ -103,32 +103,32 @@
         key = (revision, commands[-1].index)
         if key not in self._deltas:
             self._deltas[key] = _transfer(TransferKind.DELTA, key[1], _encoder.encode(commands))
-            if len(self._deltas) > KEPT_DELTAS:
+            if len(self._deltas) > MAX_CACHED_DELTAS:
                 self._deltas.popitem(last=False)
         return self._deltas[key]
 
     def _usable_snapshot(self, own: Revision) -> _Transfer | None:
-        """Return the kept image if it's the present state, or the recent log leads on from it."""
-        kept = self._snapshot
-        if kept is None:
+        """Return the cached snapshot if it is the present state, or the recent log continues from it."""
+        snapshot = self._snapshot
+        if snapshot is None:
             return None
-        is_useful = kept.target == own or self._recent.after(kept.target, 0) is not None
-        return kept if is_useful else None
+        is_usable = snapshot.target == own or self._recent.after(snapshot.target, 0) is not None
+        return snapshot if is_usable else None
 
     def _chunks(self, sender: NodeId, fetch: FetchState, transfer: _Transfer, now: float) -> list[Effect]:
-        """Return one window of chunks; of another transfer than the one asked for, from its beginning."""
+        """Return one window of chunks; a transfer other than the requested one starts at its beginning."""
         self._keep_until = now + self._settings.snapshot_keep_s
         is_same = (fetch.kind, fetch.target) == (transfer.kind, transfer.target)
-        begin = fetch.offset if is_same else 0
-        end = min(begin + self._settings.window_chunks * self._settings.chunk_bytes, len(transfer.content))
+        start = fetch.offset if is_same else 0
+        end = min(start + self._settings.window_chunks * self._settings.chunk_bytes, len(transfer.content))
         return [
             Send(sender, _chunk(fetch.request, transfer, offset, size_bytes, end))
-            for offset, size_bytes in self._pieces(begin, end)
+            for offset, size_bytes in self._chunk_ranges(start, end)
         ]
 
-    def _pieces(self, begin: int, end: int) -> Iterator[tuple[int, int]]:
-        """Yield offset and size of each chunk from ``begin`` to ``end``."""
-        offset = begin
+    def _chunk_ranges(self, start: int, end: int) -> Iterator[tuple[int, int]]:
+        """Yield offset and size of each chunk from ``start`` to ``end``."""
+        offset = start
         while offset < end:
             is_first = offset == 0
             most = self._settings.first_chunk_bytes if is_first else self._settings.chunk_bytes
@@ -140,7 +140,7 @@
 def decode_delta(content: bytes) -> tuple[DeliveredCommand, ...]:
     """Return the commands of a delta.
 
-    :raises msgspec.DecodeError: if it holds something else.
+    :raises msgspec.DecodeError: if ``content`` is no encoded delta.
     """
     return msgspec.msgpack.decode(content, type=tuple[DeliveredCommand, ...])
 
--- a/src/springmux/control/delivery/settings.py
+++ b/src/springmux/control/delivery/settings.py
@@ -1,4 +1,4 @@
-"""Bounds and times of the delivery."""
+"""Settings of state delivery."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 
 class DeliverySettings(msgspec.Struct, frozen=True):
-    """Defaults aim at every node within 2 s of an acknowledgement, at 12 to 360 nodes.
+    """Bounds and times; the defaults bring a change to every node of 12 to 360 within 2 s.
 
     ``fan_out``: most nodes that one node pushes to. ``pair_zone_size``: a larger zone gets two relays.
     ``push_max_bytes``: larger batches are only announced, and fetched in chunks.
-    ``chunk_bytes``: largest piece of a transfer, so that heartbeats are never long behind one.
+    ``chunk_bytes``: largest chunk of a transfer, so that heartbeats never queue long behind one.
     ``window_chunks``: chunks sent for one request, so that a far zone doesn't wait a round trip for each.
-    ``fetch_grace_s``: time that a node gives the push before it fetches, with random spread.
-    ``first_chunk_bytes``: the first piece is small, so that the asker soon learns how much is coming.
-    ``fetch_timeout_s``: wait for the first piece. For the next ones it grows by what one takes over the
-    slowest link that a fleet may have (5 Mbit/s, less its frames), shared by ``fan_out`` askers.
-    ``fetch_attempts``: how often a peer is asked that sends nothing. One that falls silent in the middle of a
-    transfer is left at once if another peer has what is missing.
-    ``peer_rest_s``: how long a peer that didn't answer is left alone while others know as much.
+    ``fetch_grace_s``: delay before a node fetches what a push may still bring, with random jitter.
+    ``first_chunk_bytes``: small, so that the requester soon learns the size of the transfer.
+    ``fetch_timeout_s``: timeout of the first chunk. For the next ones it grows by the time of one chunk over
+    the slowest link that a fleet may have (5 Mbit/s, less its frames), shared by ``fan_out`` requesters.
+    ``fetch_attempts``: requests to a peer that sends nothing. A peer that stalls in the middle of a transfer
+    is abandoned at once if another one has the missing state.
+    ``peer_cooldown_s``: how long a peer that didn't answer is avoided while others are as far ahead.
     """
 
     fan_out: int = 8
@@ -34,6 +34,6 @@
     fetch_timeout_s: float = 0.4
     slowest_link_bytes_s: float = 500_000
     fetch_attempts: int = 2
-    peer_rest_s: float = 2.0
-    ask_interval_s: float = 0.5
+    peer_cooldown_s: float = 2.0
+    request_interval_s: float = 0.5
     snapshot_keep_s: float = 30.0
--- a/src/springmux/control/delivery/state_delivery.py
+++ b/src/springmux/control/delivery/state_delivery.py
@@ -1,8 +1,8 @@
-"""Brings committed commands to this node, in order, once, and never an older state after a newer.
+"""Deliver committed commands to this node: in order, once, and never an older state after a newer one.
 
-Three ways in, one way out: the own replica's entries, pushes through the relay tree, and transfers
-from peers that are ahead all end in :meth:`AppliedCommands.take`, which lets through only what follows
-the present revision. What was committed can't differ between them, so whichever comes first counts.
+The own replica's entries, pushes through the relay tree and transfers from peers that are ahead all end in
+:meth:`AppliedCommands.apply`, which accepts only what follows the present revision. Committed commands
+can't differ between the three sources, so the first to arrive is applied.
 """
 
 from __future__ import annotations
@@ -14,23 +14,22 @@
 import msgspec
 
 from springmux.control.delivery.applied_commands import AppliedCommands
-from springmux.control.delivery.arrival import Arrival, ArrivalWatch, DeliveryWay
+from springmux.control.delivery.arrival import Arrival, ArrivalTracker, DeliveryMethod
 from springmux.control.delivery.confirmation import RevisionConfirmer, RevisionRequester
 from springmux.control.delivery.effects import ApplyCommands, ReplaceState
 from springmux.control.delivery.events import (
     CommandsCommitted,
     ConfirmedRevision,
     MembershipChanged,
-    PeerLost,
     PeerRevisionObserved,
     ReplicaRestored,
     SnapshotProvided,
 )
-from springmux.control.delivery.fetching import Fetched, StateFetcher
+from springmux.control.delivery.fetching import CompletedTransfer, StateFetcher
 from springmux.control.delivery.messages import (
     DeliveredCommand,
     FetchState,
-    NothingNewer,
+    NoNewerRevision,
     PushCommands,
     RevisionConfirmed,
     RevisionRequest,
@@ -44,7 +43,7 @@
 from springmux.control.events import LeadershipKnown
 from springmux.control.state_image import UnreadableImageError
 from springmux.coordination.identifiers import LogIndex, NodeId, Revision, Term
-from springmux.coordination.membership.events import ContactChanged
+from springmux.coordination.membership.events import ContactChanged, PeerUnreachable
 from springmux.coordination.membership.view import MembershipView
 from springmux.coordination.state_machine import (
     Effect,
@@ -59,34 +58,37 @@
 
 
 class StateDelivery:
-    """Delivery in one node, controller or not. ``rng`` spreads fetches in time and over peers."""
+    """State delivery in one node, controller or not.
+
+    :param rng: jitters fetches in time and spreads them over peers.
+    """
 
     def __init__(self, own: NodeId, rng: random.Random, settings: DeliverySettings | None = None) -> None:
         self._own = own
         self._settings = settings or DeliverySettings()
         self._members = MembershipView(own, {})
-        self._newest_heard = Revision(0)
+        self._newest_observed = Revision(0)
         self._replica_index = LogIndex(0)
         self._term = Term(0)
         self._leader: NodeId | None = None
         self._leading = False
-        self._held_push: PushCommands | None = None
+        self._pending_announcement: PushCommands | None = None
         recent = RecentLog(self._settings.recent_commands, self._settings.recent_bytes)
         self._applied = AppliedCommands(recent)
-        self._arrivals = ArrivalWatch()
+        self._arrivals = ArrivalTracker()
         self._server = StateServer(recent, self._settings)
         self._fetcher = StateFetcher(rng, self._settings, self._is_near)
-        self._asker = RevisionRequester(rng, self._settings)
+        self._requester = RevisionRequester(rng, self._settings)
         self._confirmer = RevisionConfirmer(self._settings)
         self._handlers: dict[type[Event], Callable[[Any, float], list[Effect]]] = {
             CommandsCommitted: self._on_committed,
             ReplicaRestored: self._on_replica_restored,
             PeerRevisionObserved: self._on_peer_revision,
-            PeerLost: self._on_peer_lost,
+            PeerUnreachable: self._on_peer_unreachable,
             MembershipChanged: self._on_membership,
             LeadershipKnown: self._on_leadership,
             ContactChanged: self._on_contact,
-            ConfirmedRevision: self._on_confirmed,
+            ConfirmedRevision: self._on_confirmed_revision,
             SnapshotProvided: self._on_snapshot_provided,
             MessageReceived: self._on_message,
             Tick: self._on_tick,
@@ -95,63 +97,63 @@
             PushCommands: self._on_push,
             FetchState: self._on_fetch,
             StateChunk: self._on_chunk,
-            NothingNewer: self._on_nothing_newer,
-            RevisionRequest: self._on_ask_revision,
+            NoNewerRevision: self._on_no_newer_revision,
+            RevisionRequest: self._on_revision_request,
             RevisionConfirmed: self._on_revision_confirmed,
         }
 
     @property
     def revision(self) -> Revision:
-        """Index of the newest command given to the agent; goes into every envelope."""
+        """Index of the newest command handed to the agent; part of every message envelope."""
         return self._applied.revision
 
     @property
     def newest_arrival(self) -> Arrival | None:
-        """How the newest commands came here; ``None`` before the first."""
+        """How the newest commands reached this node; ``None`` before the first."""
         return self._arrivals.newest
 
     @property
     def replica_index(self) -> LogIndex:
-        """Log index up to which the own replica's commands were given to the agent."""
+        """Log index up to which the own replica's commands were handed to the agent."""
         return self._replica_index
 
     @property
-    def newest_heard(self) -> Revision:
-        """The newest revision that a peer said to have."""
-        return self._newest_heard
+    def newest_observed(self) -> Revision:
+        """The newest revision that a peer reported."""
+        return self._newest_observed
 
     @property
     def confirmed(self) -> Revision | None:
         """The revision that a quorum confirmed since this process started, or ``None``."""
-        return self._asker.confirmed
+        return self._requester.confirmed
 
     @property
     def confirming(self) -> bool:
-        """Whether the leader's answer since the start, or since the last cut, is missing."""
-        return self._asker.asking
+        """Whether the leader's reply since the start, or since contact was restored, is outstanding."""
+        return self._requester.awaiting_reply
 
     @property
     def ready(self) -> bool:
-        """Whether the state is at least as new as the newest one acknowledged before this start."""
-        return self._asker.confirmed is not None and self._applied.revision >= self._asker.confirmed
+        """Whether the state includes everything acknowledged before this process started."""
+        return self._requester.confirmed is not None and self._applied.revision >= self._requester.confirmed
 
     def handle(self, event: Event, now: float) -> list[Effect]:
-        """Take one event; see :class:`springmux.coordination.state_machine.StateMachine`."""
+        """Handle one event; return the effects to execute."""
         handler = self._handlers.get(type(event))
         return self._deliver_to_self(handler(event, now), now) if handler is not None else []
 
     def next_deadline(self) -> float:
-        """Return when a :class:`Tick` is wanted."""
+        """Return the monotonic time of the next :class:`Tick`."""
         return min(
             self._fetcher.next_deadline(),
-            self._asker.next_deadline(self._leader),
+            self._requester.next_deadline(self._leader),
             self._confirmer.next_deadline(),
             self._server.next_deadline(),
         )
 
     def _on_committed(self, event: CommandsCommitted, now: float) -> list[Effect]:
-        commands = self._applied.new_among(event.entries)
-        effects = self._arrived(DeliveryWay.REPLICA, self._applied.take(commands), now)
+        commands = self._applied.select_new(event.entries)
+        effects = self._record_arrival(DeliveryMethod.REPLICA, self._applied.apply(commands), now)
         if event.entries:
             self._replica_index = max(self._replica_index, event.entries[-1].index)
         if commands and self._leading:
@@ -161,20 +163,20 @@
 
     def _on_replica_restored(self, event: ReplicaRestored, now: float) -> list[Effect]:
         self._replica_index = max(self._replica_index, event.index)
-        effects = self._arrived(DeliveryWay.REPLICA, self._applied.replace(event.snapshot), now)
+        effects = self._record_arrival(DeliveryMethod.REPLICA, self._applied.replace(event.snapshot), now)
         return effects + self._confirmer.applied(self._replica_index, self._applied.revision, now)
 
     def _on_peer_revision(self, event: PeerRevisionObserved, now: float) -> list[Effect]:
-        self._newest_heard = max(self._newest_heard, event.revision)
-        self._arrivals.heard(event.revision, self._applied.revision, now)
+        self._newest_observed = max(self._newest_observed, event.revision)
+        self._arrivals.observe_revision(event.revision, self._applied.revision, now)
         if event.revision > self._applied.revision:
-            self._fetcher.heard(event.node, event.revision, self._applied.revision, now)
+            self._fetcher.observe_revision(event.node, event.revision, self._applied.revision, now)
         return []
 
-    def _on_peer_lost(self, event: PeerLost, now: float) -> list[Effect]:
-        return self._fetcher.peer_lost(event.node, self._applied.revision, now)
+    def _on_peer_unreachable(self, event: PeerUnreachable, now: float) -> list[Effect]:
+        return self._fetcher.peer_unreachable(event.node, self._applied.revision, now)
 
-    def _on_membership(self, event: MembershipChanged, now: float) -> list[Effect]:
+    def _on_membership(self, event: MembershipChanged, _now: float) -> list[Effect]:
         self._members = event.view
         return []
 
@@ -188,31 +190,31 @@
             self._confirmer.stop()
         self._leading = event.leading
         if is_new:
-            self._asker.leader_changed()
-        return self._ask_if_due(now)
+            self._requester.leader_changed()
+        return self._request_if_due(now)
 
-    def _on_tick(self, event: Tick, now: float) -> list[Effect]:
+    def _on_tick(self, _event: Tick, now: float) -> list[Effect]:
         self._server.tick(now)
         effects = self._fetcher.tick(self._applied.revision, now)
         effects += self._confirmer.tick(now)
-        return effects + self._ask_if_due(now)
+        return effects + self._request_if_due(now)
 
     def _on_contact(self, event: ContactChanged, now: float) -> list[Effect]:
-        """After a cut, peers may not know what was acknowledged meanwhile either: ask the leader."""
-        if event.connected and self._asker.confirmed is not None:
-            self._asker.ask_anew()
-        return self._ask_if_due(now)
+        """Request the revision once contact is restored: peers may lack what was acknowledged, too."""
+        if event.connected and self._requester.confirmed is not None:
+            self._requester.restart()
+        return self._request_if_due(now)
 
-    def _ask_if_due(self, now: float) -> list[Effect]:
-        return self._asker.tick(self._leader, now)
+    def _request_if_due(self, now: float) -> list[Effect]:
+        return self._requester.tick(self._leader, now)
 
-    def _on_confirmed(self, event: ConfirmedRevision, now: float) -> list[Effect]:
+    def _on_confirmed_revision(self, event: ConfirmedRevision, now: float) -> list[Effect]:
         return self._confirmer.confirmed(
             event.correlation_id, event.index, self._replica_index, self._applied.revision, now
         )
 
     def _deliver_to_self(self, effects: list[Effect], now: float) -> list[Effect]:
-        """Take what this node sends to itself (it asks itself when it leads) without the network."""
+        """Handle messages that this node sends to itself (as the leader) without the network."""
         rest: list[Effect] = []
         for effect in effects:
             if isinstance(effect, Send) and effect.to == self._own:
@@ -232,64 +234,67 @@
         if push.commands or push.revision <= self._applied.revision:
             effects = self._relay(push)
         else:
-            self._held_push = push
+            self._pending_announcement = push
             effects = []
-        self._arrivals.heard(push.revision, self._applied.revision, now)
-        effects += self._arrived(DeliveryWay.PUSH, self._applied.take(push.commands), now)
+        self._arrivals.observe_revision(push.revision, self._applied.revision, now)
+        effects += self._record_arrival(DeliveryMethod.PUSH, self._applied.apply(push.commands), now)
         if push.revision > self._applied.revision:
-            effects += self._fetcher.begin_now(sender, push.revision, self._applied.revision, now)
+            effects += self._fetcher.fetch_immediately(sender, push.revision, self._applied.revision, now)
         return effects
 
     def _relay(self, push: PushCommands) -> list[Effect]:
         return send_along(split(push.relay_to, self._settings.fan_out), push)
 
-    def _relay_held(self) -> list[Effect]:
-        """Pass an announcement on once others can fetch here what it announces."""
-        push = self._held_push
+    def _relay_pending_announcement(self) -> list[Effect]:
+        """Forward an announcement once this node can serve the announced revision."""
+        push = self._pending_announcement
         if push is None or push.revision > self._applied.revision:
             return []
-        self._held_push = None
+        self._pending_announcement = None
         return self._relay(push)
 
     def _on_fetch(self, sender: NodeId, fetch: FetchState, now: float) -> list[Effect]:
         return self._server.answer(sender, fetch, self._applied.revision, now)
 
     def _on_chunk(self, sender: NodeId, chunk: StateChunk, now: float) -> list[Effect]:
-        fetched, effects = self._fetcher.take_chunk(sender, chunk, self._applied.revision, now)
-        if fetched is None:
+        result = self._fetcher.receive_chunk(sender, chunk, now)
+        effects = list(result.effects)
+        if result.completed is None:
             return effects
         before = self._applied.revision
-        effects += self._arrived(DeliveryWay.TRANSFER, self._take_fetched(sender, fetched), now)
+        effects += self._record_arrival(
+            DeliveryMethod.TRANSFER, self._apply_transfer(sender, result.completed), now
+        )
         if self._applied.revision == before:
-            self._fetcher.no_progress(sender, now)
+            self._fetcher.back_off(sender, now)
             return effects
-        effects += self._relay_held()
-        return effects + self._fetcher.go_on(self._applied.revision, now)
+        effects += self._relay_pending_announcement()
+        return effects + self._fetcher.fetch_next(self._applied.revision, now)
 
-    def _take_fetched(self, sender: NodeId, fetched: Fetched) -> list[Effect]:
+    def _apply_transfer(self, sender: NodeId, transfer: CompletedTransfer) -> list[Effect]:
         try:
-            if fetched.kind is TransferKind.SNAPSHOT:
-                return self._applied.replace(fetched.content)
-            return self._applied.take(decode_delta(fetched.content))
+            if transfer.kind is TransferKind.SNAPSHOT:
+                return self._applied.replace(transfer.content)
+            return self._applied.apply(decode_delta(transfer.content))
         except (msgspec.DecodeError, UnreadableImageError) as error:
-            fields = {"peer": sender, "kind": fetched.kind.value, "reason": str(error)}
+            fields = {"peer": sender, "kind": transfer.kind.value, "reason": str(error)}
             return [LogLine("transfer_unreadable", LogLevel.ERROR, fields)]
 
-    def _on_nothing_newer(self, sender: NodeId, nothing: NothingNewer, now: float) -> list[Effect]:
-        return self._fetcher.take_nothing(sender, nothing, self._applied.revision, now)
+    def _on_no_newer_revision(self, sender: NodeId, reply: NoNewerRevision, now: float) -> list[Effect]:
+        return self._fetcher.receive_no_newer(sender, reply, self._applied.revision, now)
 
-    def _on_ask_revision(self, sender: NodeId, question: RevisionRequest, now: float) -> list[Effect]:
-        return self._confirmer.ask(sender, question, now) if self._leading else []
+    def _on_revision_request(self, sender: NodeId, request: RevisionRequest, now: float) -> list[Effect]:
+        return self._confirmer.request(sender, request, now) if self._leading else []
 
-    def _on_revision_confirmed(self, sender: NodeId, answer: RevisionConfirmed, now: float) -> list[Effect]:
-        if self._asker.take(answer) and answer.revision > self._applied.revision:
-            return self._fetcher.begin_now(sender, answer.revision, self._applied.revision, now)
+    def _on_revision_confirmed(self, sender: NodeId, reply: RevisionConfirmed, now: float) -> list[Effect]:
+        if self._requester.accept(reply) and reply.revision > self._applied.revision:
+            return self._fetcher.fetch_immediately(sender, reply.revision, self._applied.revision, now)
         return []
 
-    def _arrived(self, way: DeliveryWay, effects: list[Effect], now: float) -> list[Effect]:
-        """Take note of the way of what brought the state on; return ``effects`` unchanged."""
+    def _record_arrival(self, method: DeliveryMethod, effects: list[Effect], now: float) -> list[Effect]:
+        """Record the delivery method if ``effects`` advance the state; return them unchanged."""
         if any(isinstance(effect, ApplyCommands | ReplaceState) for effect in effects):
-            self._arrivals.arrived(way, self._applied.revision >= self._newest_heard, now)
+            self._arrivals.record_arrival(method, self._applied.revision >= self._newest_observed, now)
         return effects
 
     def _push(self, commands: tuple[DeliveredCommand, ...]) -> list[Effect]:
--- a/src/springmux/node/driver.py
+++ b/src/springmux/node/driver.py
@@ -265,12 +265,12 @@
         if effect.arrival is None:
             return
         behind_s = self._loop.time() - effect.arrival.behind_since
-        self._metrics.count("control_changes_total", effect.arrival.way)
+        self._metrics.count("control_changes_total", effect.arrival.method)
         self._metrics.observe("control_behind_seconds", behind_s)
         self._log.write(
             "control_in_force",
             revision=effect.revision,
-            way=effect.arrival.way,
+            way=effect.arrival.method,
             behind_ms=round(behind_s * 1000),
             gateway_version=effect.gateway_version,
         )
--- a/tests/unit/agent/test_changes_while_stopping.py
+++ b/tests/unit/agent/test_changes_while_stopping.py
@@ -6,7 +6,7 @@
 
 from springmux.agent.agent import NodeAgent
 from springmux.agent.events import StopBegun, StopFinished
-from springmux.control.delivery.arrival import DeliveryWay
+from springmux.control.delivery.arrival import DeliveryMethod
 from springmux.coordination.identifiers import NodeId
 from springmux.coordination.membership.events import LeaveBegun
 from springmux.coordination.membership.view import MembershipView, NodeStatus
@@ -51,17 +51,17 @@
     return late
 
 
-def ways(fleet: HollowFleet) -> set[DeliveryWay]:
+def ways(fleet: HollowFleet) -> set[DeliveryMethod]:
     """Return by which ways the newest changes came to the stopping nodes."""
     arrivals = [fleet.agents()[node].newest_arrival for node in STOPPING]
-    return {arrival.way for arrival in arrivals if arrival is not None}
+    return {arrival.method for arrival in arrivals if arrival is not None}
 
 
 @pytest.mark.parametrize("seed", [2, 3, 4])
 def test_a_stopping_node_has_each_change_in_time_until_it_is_gone(seed: int) -> None:
     fleet = stopping_fleet(seed)
     assert late_while_stopping(fleet) == []
-    assert ways(fleet) == {DeliveryWay.PUSH}
+    assert ways(fleet) == {DeliveryMethod.PUSH}
 
 
 def leave_at_once(agent: NodeAgent, event: StopBegun, now: float) -> list[Effect]:
@@ -81,7 +81,7 @@
     )
     fleet = stopping_fleet(3)
     late_while_stopping(fleet)
-    assert DeliveryWay.TRANSFER in ways(fleet)
+    assert DeliveryMethod.TRANSFER in ways(fleet)
 
 
 def test_who_is_stopping_gives_its_duties_away_at_once_and_is_present_until_it_has_finished() -> None:
--- a/tests/unit/compatibility/outer_names.py
+++ b/tests/unit/compatibility/outer_names.py
@@ -22,7 +22,7 @@
 from springmux.cli.main import application
 from springmux.control import documents, gateway_documents
 from springmux.control.commands import Outcome
-from springmux.control.delivery.arrival import DeliveryWay
+from springmux.control.delivery.arrival import DeliveryMethod
 from springmux.coordination.state_machine import message_name
 from springmux.gateway.dialect import OWN_HEADERS
 from springmux.gateway.refusals import RefusalReason
@@ -126,7 +126,7 @@
             "message": sorted(message_name(message) for message in wire.ALL_MESSAGES),
             "reason": sorted(RefusalReason),
             "kind": sorted(FAILURE_KINDS.values()),
-            "way": sorted(DeliveryWay),
+            "way": sorted(DeliveryMethod),
             "outcome": sorted(Outcome),
         },
         "error codes": {code: STATUS_OF_CODE.get(code) for code in ErrorCode},
--- a/tests/unit/control/delivery/test_arrival.py
+++ b/tests/unit/control/delivery/test_arrival.py
@@ -5,7 +5,7 @@
 import random
 
 from springmux.control.commands import encode_command
-from springmux.control.delivery.arrival import Arrival, DeliveryWay
+from springmux.control.delivery.arrival import Arrival, DeliveryMethod
 from springmux.control.delivery.events import CommandsCommitted, PeerRevisionObserved
 from springmux.control.delivery.messages import DeliveredCommand, FetchState, PushCommands
 from springmux.control.delivery.state_delivery import StateDelivery
@@ -33,7 +33,7 @@
 def test_a_push_that_nobody_announced_was_not_waited_for() -> None:
     node = part()
     node.handle(MessageReceived(PEER, PushCommands(Term(1), Revision(3), (delivered(0, 3),))), 5.0)
-    assert node.newest_arrival == Arrival(DeliveryWay.PUSH, 5.0)
+    assert node.newest_arrival == Arrival(DeliveryMethod.PUSH, 5.0)
 
 
 def test_a_node_is_behind_from_the_first_word_of_a_newer_revision_on() -> None:
@@ -41,15 +41,15 @@
     node.handle(heard(3), 5.0)
     node.handle(heard(4), 6.0)
     node.handle(MessageReceived(PEER, PushCommands(Term(1), Revision(3), (delivered(0, 3),))), 7.0)
-    assert node.newest_arrival == Arrival(DeliveryWay.PUSH, 5.0)
+    assert node.newest_arrival == Arrival(DeliveryMethod.PUSH, 5.0)
     node.handle(MessageReceived(PEER, PushCommands(Term(1), Revision(4), (delivered(3, 4),))), 8.0)
-    assert node.newest_arrival == Arrival(DeliveryWay.PUSH, 7.0)
+    assert node.newest_arrival == Arrival(DeliveryMethod.PUSH, 7.0)
 
 
 def test_the_own_replicas_commands_are_told_apart() -> None:
     node = part()
     node.handle(CommandsCommitted((Entry(LogIndex(2), Term(1), EntryKind.COMMAND, COMMAND),)), 5.0)
-    assert node.newest_arrival == Arrival(DeliveryWay.REPLICA, 5.0)
+    assert node.newest_arrival == Arrival(DeliveryMethod.REPLICA, 5.0)
 
 
 def test_a_peer_that_answers_no_fetch_is_named() -> None:
@@ -75,4 +75,4 @@
     for answer in ahead.handle(MessageReceived(OTHER, fetches[0]), 2.5):
         assert isinstance(answer, Send)
         behind.handle(MessageReceived(OWN, answer.message), 2.6)
-    assert behind.newest_arrival == Arrival(DeliveryWay.TRANSFER, 2.0)
+    assert behind.newest_arrival == Arrival(DeliveryMethod.TRANSFER, 2.0)
--- a/tests/unit/control/delivery/test_fetching.py
+++ b/tests/unit/control/delivery/test_fetching.py
@@ -25,7 +25,7 @@
     """Return a fetcher that knows of newer states at peers and has asked one of them at time 0."""
     made = StateFetcher(random.Random(3), SETTINGS, lambda node: False)
     for name in ahead:
-        made.heard(NodeId(name), NEWER, OWN, 0.0)
+        made.observe_revision(NodeId(name), NEWER, OWN, 0.0)
     return made
 
 
@@ -68,9 +68,9 @@
 def test_a_lost_connection_moves_the_transfer_to_another_peer_at_once() -> None:
     made = fetcher("a", "b")
     peer, fetch = begun(made)
-    made.take_chunk(peer, chunk(fetch, 0, 4096), OWN, 0.3)
+    made.receive_chunk(peer, chunk(fetch, 0, 4096), 0.3)
 
-    ((other, again),) = asked(made.peer_lost(peer, OWN, 0.31))
+    ((other, again),) = asked(made.peer_unreachable(peer, OWN, 0.31))
 
     assert other != peer
     assert (again.target, again.offset) == (NEWER, 4096)
@@ -80,7 +80,7 @@
     made = fetcher("a", "b")
     peer, _ = begun(made)
     other = NodeId("b") if peer == "a" else NodeId("a")
-    assert made.peer_lost(other, OWN, 0.3) == []
+    assert made.peer_unreachable(other, OWN, 0.3) == []
 
 
 def test_a_peer_that_sends_nothing_is_left_in_time() -> None:
@@ -103,7 +103,7 @@
 def test_a_peer_that_falls_silent_in_the_middle_leaves_time_to_fetch_the_rest(received: int) -> None:
     made = fetcher("a", "b")
     peer, fetch = begun(made)
-    made.take_chunk(peer, chunk(fetch, 0, received), OWN, 0.3)
+    made.receive_chunk(peer, chunk(fetch, 0, received), 0.3)
 
     at, other, again = first_asked_after(made, 0.3)
 
--- a/tests/unit/node/test_driver.py
+++ b/tests/unit/node/test_driver.py
@@ -17,7 +17,7 @@
 )
 from springmux.agent.events import CommandsPrepared
 from springmux.control.commands import RevokeKey
-from springmux.control.delivery.arrival import Arrival, DeliveryWay
+from springmux.control.delivery.arrival import Arrival, DeliveryMethod
 from springmux.coordination.claims.decision import ClaimDecision, ClaimVerdict
 from springmux.coordination.consensus.core import RESTART_AS_NEW
 from springmux.coordination.consensus.effects import (
@@ -309,7 +309,7 @@
 async def test_a_newer_control_state_is_logged_with_its_way_and_how_long_it_was_known_of() -> None:
     metrics = NodeMetrics()
     lines = io.StringIO()
-    arrival = Arrival(DeliveryWay.TRANSFER, asyncio.get_running_loop().time() - 3.0)
+    arrival = Arrival(DeliveryMethod.TRANSFER, asyncio.get_running_loop().time() - 3.0)
     agent = RecordingAgent(lambda _: [ControlChanged(Revision(7), 5, arrival)])
     driver = AgentDriver(agent, EventLog("n1", output=lines), metrics)
     driver.submit(CommandsPrepared())
