--- a/src/springmux/control/order_memory.py
+++ b/src/springmux/control/decided_order_store.py
@@ -1,4 +1,4 @@
-"""What the control state remembers of decided orders: operators' and the leader's own, apart."""
+"""Results of decided orders in the control state, for operators and for the leader separately."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 SYSTEM_ISSUER = "system"
 """``issued_by`` of the leader's own commands."""
 MAX_SYSTEM_ORDERS = 1000
-"""They are sent again for seconds at most; a rollout takes some tens of them a minute."""
+"""The leader resends for seconds at most; a rollout takes some tens of orders a minute."""
 
 
-class OrderMemory:
-    """Two windows, so that a busy rollout never pushes an operator's order out."""
+class DecidedOrderStore:
+    """Two windows, so that a busy rollout never evicts an operator's order."""
 
     def __init__(self, max_orders: int, max_order_bytes: int) -> None:
         self.operators = OrderWindow(max_orders, max_order_bytes)
@@ -24,7 +24,7 @@
         return self.operators.find(order) or self.system.find(order)
 
     def recall(self, command: AnyCommand) -> CommandResult | None:
-        """Return the first result of a command sent again, or ``None`` if it must be decided."""
+        """Return the first result of a resent command, or ``None`` if the command must be decided."""
         found = self.find(command.order) if command.order else None
         if found is None:
             return None
@@ -39,10 +39,10 @@
         )
 
     def remember(self, command: AnyCommand, result: CommandResult) -> None:
-        """Keep the result, unless it is a refusal of an order that is to be decided anew.
+        """Store the result, unless the order was rejected and a resent one must be decided anew.
 
-        A refused step of the leader may be due later (after a pause). A gateway change's order is made
-        from its content, so that the operator can't take a new one.
+        A rejected step of the leader may be due later (after a pause). The order id of a gateway change is a
+        hash of its content, so that the operator can't choose a new one.
         """
         is_system = command.issued_by == SYSTEM_ISSUER
         only_accepted = is_system or isinstance(command, ApplyGateway)
--- a/src/springmux/control/events.py
+++ b/src/springmux/control/events.py
@@ -1,4 +1,4 @@
-"""Events that the order coordinator and the delivery share."""
+"""Events that several state machines of ``control`` handle."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 
 class LeadershipKnown(Event, frozen=True):
-    """Who leads the control log as far as this node knows.
+    """The leader of the control log as far as this node knows.
 
-    ``leading``: it is this node's own replica, confirmed by its barrier.
+    ``leading``: this node's own replica leads, confirmed by its barrier entry.
     """
 
     term: Term
--- a/src/springmux/control/order_coordinator.py
+++ b/src/springmux/control/order_coordinator.py
@@ -1,8 +1,8 @@
-"""Takes operators' orders at any node and sees each through to the leader and its answer back.
+"""Accept operators' orders at any node, forward them to the leader and return the results.
 
-An order may be sent to several leaders, several times: the state machine decides an order id once
-and gives the first answer again, so resending is harmless. A client is answered when the command is
-applied here or the leader says it is applied there, whichever is seen first.
+An order may be sent to several leaders, several times: the state machine decides an order id once and
+repeats the first result, so a retry is harmless. A client gets its reply when the command is applied at
+this node or the leader reports that it is applied there, whichever comes first.
 """
 
 from __future__ import annotations
@@ -34,11 +34,17 @@
 from springmux.vocabulary.errors import ApiError, ErrorCode, Fate, FieldError
 from springmux.vocabulary.names import OrderId
 
+_UNKNOWN_ORDER_MESSAGE = "the leader's program does not know this kind of order"
+_RESEND_ADVICE = "; send it again under the same order id"
+
 
 class OrderSettings(msgspec.Struct, frozen=True):
-    """Times in seconds. ``answer_timeout_s``: after it the client is told that there is no quorum."""
+    """Timeouts and bounds.
+
+    ``reply_timeout_s``: after it a client gets the error that there is no quorum.
+    """
 
-    answer_timeout_s: float = 5.0
+    reply_timeout_s: float = 5.0
     resend_s: float = 1.0
     retry_after_s: float = 2.0
     max_pending: int = 1000
@@ -46,45 +52,52 @@
 
 
 class DecidedOrders(Protocol):
-    """What the coordinator asks of the control state."""
+    """The coordinator's view of the control state."""
 
     def recall(self, data: bytes) -> CommandResult | None:
-        """Return the result that a command sent again gets, if its order was decided here.
+        """Return the first result of a resent command if its order was decided here, else ``None``.
 
         :raises UnknownCommandError: if the bytes can't be read.
         """
         ...
 
 
-class _Pending(msgspec.Struct):
-    """An order taken here. ``waiting``: clients with the times at which they are given up."""
+class _WaitingClient(msgspec.Struct, frozen=True):
+    """A client's request for an order. ``deadline``: monotonic time at which it gets an error."""
+
+    correlation_id: str
+    deadline: float
+
+
+class _PendingOrder(msgspec.Struct):
+    """An order accepted at this node that is not yet decided."""
 
     key: str
     order: OrderId
     data: bytes
-    waiting: list[tuple[str, float]]
+    clients: list[_WaitingClient]
     resend_at: float = NEVER
     attempts: int = 0
 
 
 class _Proposal(msgspec.Struct):
-    """A command proposed by this leader, and the nodes that forwarded it."""
+    """A command that this leader proposed, and the nodes that forwarded it."""
 
     order: OrderId
     senders: set[NodeId]
 
 
 class OrderCoordinator:
-    """The pure part; one in every node."""
+    """The pure state machine of orders; one in every node."""
 
     def __init__(self, own: NodeId, decided: DecidedOrders, settings: OrderSettings | None = None) -> None:
         self._own = own
         self._decided = decided
         self._settings = settings or OrderSettings()
-        self._pending: dict[str, _Pending] = {}
+        self._pending: dict[str, _PendingOrder] = {}
         self._proposals: dict[str, _Proposal] = {}
-        self._held: dict[tuple[NodeId, str], bytes] = {}
-        """Orders forwarded to this node before its leadership was confirmed, by sender and key."""
+        self._early_forwards: dict[tuple[NodeId, str], bytes] = {}
+        """Orders that were forwarded here before this node's leadership was confirmed, by sender and key."""
         self._leadership = LeadershipKnown(Term(0), None)
         self._handlers: dict[type[Event], Callable[[Any, float], list[Effect]]] = {
             SubmitOrder: self._on_submit,
@@ -96,40 +109,37 @@
         }
 
     def handle(self, event: Event, now: float) -> list[Effect]:
-        """Take one event; see :class:`springmux.coordination.state_machine.StateMachine`."""
+        """Handle one event; return the effects to execute."""
         handler = self._handlers.get(type(event))
         return handler(event, now) if handler is not None else []
 
     def next_deadline(self) -> float:
-        """Return when a :class:`Tick` is wanted."""
+        """Return the monotonic time of the next :class:`Tick`."""
         deadlines = [pending.resend_at for pending in self._pending.values()]
-        deadlines += [until for pending in self._pending.values() for _, until in pending.waiting]
+        deadlines += [client.deadline for pending in self._pending.values() for client in pending.clients]
         return min(deadlines, default=NEVER)
 
     def _on_submit(self, event: SubmitOrder, now: float) -> list[Effect]:
         data = encode_command(event.command)
-        refusal = self._refusal(event.command.order, data)
-        if refusal is not None:
-            return [ReplyToOrder(event.correlation_id, None, refusal)]
+        invalid = self._validate(event.command.order, data)
+        if invalid is not None:
+            return [ReplyToOrder(event.correlation_id, None, invalid)]
         known = self._decided.recall(data)
         if known is not None:
             return [ReplyToOrder(event.correlation_id, known)]
         key = _key(event.command)
-        client = (event.correlation_id, now + self._settings.answer_timeout_s)
+        client = _WaitingClient(event.correlation_id, now + self._settings.reply_timeout_s)
         if key in self._pending:
-            self._pending[key].waiting.append(client)
+            self._pending[key].clients.append(client)
             return []
         if len(self._pending) >= self._settings.max_pending:
-            return [
-                ReplyToOrder(
-                    event.correlation_id, None, self._unavailable(ErrorCode.OVERLOADED, Fate.REFUSED)
-                )
-            ]
-        pending = _Pending(key, event.command.order, data, [client])
+            overloaded = self._unavailable(ErrorCode.OVERLOADED, Fate.REFUSED)
+            return [ReplyToOrder(event.correlation_id, None, overloaded)]
+        pending = _PendingOrder(key, event.command.order, data, [client])
         self._pending[key] = pending
         return self._dispatch(pending, now)
 
-    def _refusal(self, order: OrderId, data: bytes) -> ApiError | None:
+    def _validate(self, order: OrderId, data: bytes) -> ApiError | None:
         if not order:
             missing = (FieldError("order", "an order needs an id, so that it can be sent again"),)
             return ApiError(ErrorCode.INVALID_ORDER, "the order has no id", 422, errors=missing)
@@ -138,11 +148,11 @@
             return ApiError(ErrorCode.BODY_TOO_LARGE, message, 413)
         return None
 
-    def _dispatch(self, pending: _Pending, now: float) -> list[Effect]:
-        """Propose here or forward to the leader; without a leader wait for one."""
+    def _dispatch(self, pending: _PendingOrder, now: float) -> list[Effect]:
+        """Propose the order here or forward it to the leader; without a leader, wait for one."""
         pending.resend_at = now + self._settings.resend_s
         if self._leadership.leading:
-            # One that another node forwarded counts as an attempt too: it may be committed.
+            # A proposal forwarded by another node counts as an attempt, too: it may be committed.
             if pending.key not in self._proposals or not pending.attempts:
                 pending.attempts += 1
             return self._propose(pending.key, pending.order, pending.data, None)
@@ -161,30 +171,29 @@
             running.senders.add(sender)
         return []
 
-    def _on_decided(self, event: CommandDecided, now: float) -> list[Effect]:
+    def _on_decided(self, event: CommandDecided, _now: float) -> list[Effect]:
         order = event.result.order
         if not self._concerns(order):
             return []
         key = _key(decode_command(event.data))
-        effects: list[Effect] = []
         proposal = self._proposals.pop(key, None)
-        for sender in sorted(proposal.senders) if proposal is not None else ():
-            effects.append(Send(sender, OrderDecided(key, event.result)))
-        return effects + self._answer(key, event.result)
+        senders = sorted(proposal.senders) if proposal is not None else ()
+        effects: list[Effect] = [Send(sender, OrderDecided(key, event.result)) for sender in senders]
+        return effects + self._reply_with(key, event.result)
 
     def _concerns(self, order: OrderId) -> bool:
-        """Say whether the order is one of this desk's (most commands are others')."""
+        """Return whether this node proposed or accepted the order (most commands are others')."""
         if any(proposal.order == order for proposal in self._proposals.values()):
             return True
         return any(pending.order == order for pending in self._pending.values())
 
-    def _on_proposal_ended(self, event: ProposalEnded, now: float) -> list[Effect]:
+    def _on_proposal_ended(self, event: ProposalEnded, _now: float) -> list[Effect]:
         proposal = self._proposals.pop(event.correlation_id, None)
         if proposal is None or not event.storage_full or event.unknown:
             return []
-        not_taken = OrderRejected(event.correlation_id, ErrorCode.STORAGE_FULL)
-        effects: list[Effect] = [Send(sender, not_taken) for sender in sorted(proposal.senders)]
-        return effects + self._give_up(event.correlation_id, ErrorCode.STORAGE_FULL)
+        rejected = OrderRejected(event.correlation_id, ErrorCode.STORAGE_FULL)
+        effects: list[Effect] = [Send(sender, rejected) for sender in sorted(proposal.senders)]
+        return effects + self._reject(event.correlation_id, ErrorCode.STORAGE_FULL)
 
     def _on_leadership(self, event: LeadershipKnown, now: float) -> list[Effect]:
         if event == self._leadership or event.term < self._leadership.term:
@@ -192,42 +201,42 @@
         self._leadership = event
         if not event.leading:
             self._proposals.clear()
-        effects = self._take_held(event)
+        effects = self._handle_early_forwards(event)
         for pending in self._pending.values():
             effects += self._dispatch(pending, now)
         return effects
 
-    def _on_message(self, event: MessageReceived, now: float) -> list[Effect]:
+    def _on_message(self, event: MessageReceived, _now: float) -> list[Effect]:
         match event.message:
             case ForwardOrder(key=key, data=data):
                 return self._on_forward(event.sender, key, data)
             case OrderDecided(key=key, result=result):
-                return self._answer(key, result)
+                return self._reply_with(key, result)
             case OrderRejected(key=key, code=code):
-                return self._give_up(key, code)
+                return self._reject(key, code)
             case _:
                 return []
 
-    def _take_held(self, event: LeadershipKnown) -> list[Effect]:
+    def _handle_early_forwards(self, event: LeadershipKnown) -> list[Effect]:
         if event.leader == self._own and not event.leading:
             return []
-        held, self._held = self._held, {}
+        forwards, self._early_forwards = self._early_forwards, {}
         effects: list[Effect] = []
-        for (sender, key), data in held.items() if event.leading else ():
+        for (sender, key), data in forwards.items() if event.leading else ():
             effects += self._on_forward(sender, key, data)
         return effects
 
-    def _hold(self, sender: NodeId, key: str, data: bytes) -> None:
-        """Keep an order that came between this node's election and its first commit, some round trips later.
+    def _defer(self, sender: NodeId, key: str, data: bytes) -> None:
+        """Keep an order that arrives between this node's election and its first commit.
 
-        Every node that had orders waiting sends them at once to whom it hears to be elected.
+        Every node with pending orders forwards them as soon as it learns of an elected leader.
         """
-        if self._leadership.leader == self._own and len(self._held) < self._settings.max_pending:
-            self._held[(sender, key)] = data
+        if self._leadership.leader == self._own and len(self._early_forwards) < self._settings.max_pending:
+            self._early_forwards[(sender, key)] = data
 
     def _on_forward(self, sender: NodeId, key: str, data: bytes) -> list[Effect]:
         if not self._leadership.leading:
-            self._hold(sender, key, data)
+            self._defer(sender, key, data)
             return []
         try:
             known = self._decided.recall(data)
@@ -239,51 +248,47 @@
             return [Send(sender, OrderRejected(key, ErrorCode.OVERLOADED))]
         return self._propose(key, decode_command(data).order, data, sender)
 
-    def _on_tick(self, event: Tick, now: float) -> list[Effect]:
+    def _on_tick(self, _event: Tick, now: float) -> list[Effect]:
         effects: list[Effect] = []
         for pending in list(self._pending.values()):
             effects += self._expire(pending, now)
-            if pending.waiting and now >= pending.resend_at:
+            if pending.clients and now >= pending.resend_at:
                 effects += self._dispatch(pending, now)
         return effects
 
-    def _expire(self, pending: _Pending, now: float) -> list[Effect]:
-        """Answer the clients whose time is up."""
+    def _expire(self, pending: _PendingOrder, now: float) -> list[Effect]:
+        """Reply with an error to the clients whose deadline has passed."""
         fate = Fate.UNKNOWN if pending.attempts else Fate.REFUSED
         error = self._unavailable(ErrorCode.NO_QUORUM, fate)
-        expired = [correlation_id for correlation_id, until in pending.waiting if until <= now]
-        pending.waiting = [
-            (correlation_id, until) for correlation_id, until in pending.waiting if until > now
-        ]
-        if not pending.waiting:
+        expired = [client for client in pending.clients if client.deadline <= now]
+        pending.clients = [client for client in pending.clients if client.deadline > now]
+        if not pending.clients:
             del self._pending[pending.key]
-        return [ReplyToOrder(correlation_id, None, error) for correlation_id in expired]
+        return [ReplyToOrder(client.correlation_id, None, error) for client in expired]
 
-    def _answer(self, key: str, result: CommandResult) -> list[Effect]:
+    def _reply_with(self, key: str, result: CommandResult) -> list[Effect]:
         pending = self._pending.pop(key, None)
-        return (
-            [ReplyToOrder(correlation_id, result) for correlation_id, _ in pending.waiting] if pending else []
-        )
+        clients = pending.clients if pending is not None else ()
+        return [ReplyToOrder(client.correlation_id, result) for client in clients]
 
-    def _give_up(self, key: str, code: ErrorCode) -> list[Effect]:
-        """Answer at once that the order isn't taken; an earlier attempt may still have been."""
+    def _reject(self, key: str, code: ErrorCode) -> list[Effect]:
+        """Reply at once that the order was rejected; an earlier attempt may still have been committed."""
         pending = self._pending.pop(key, None)
         if pending is None:
             return []
         error = self._unavailable(code, Fate.REFUSED if pending.attempts <= 1 else Fate.UNKNOWN)
-        return [ReplyToOrder(correlation_id, None, error) for correlation_id, _ in pending.waiting]
+        return [ReplyToOrder(client.correlation_id, None, error) for client in pending.clients]
 
     def _unavailable(self, code: ErrorCode, fate: Fate) -> ApiError:
+        # docs/REFERENCE.md is generated from the codes and the status in this function.
         messages = {
             ErrorCode.NO_QUORUM: "no leader with a majority of the controllers decided the order in time",
             ErrorCode.STORAGE_FULL: "the leader's disk is full; nothing was changed",
             ErrorCode.OVERLOADED: "too many orders are under way",
         }
-        default = "the leader's program does not know this kind of order"
-        advice = "; send it again under the same order id"
         return ApiError(
             code=code,
-            message=messages.get(code, default) + advice,
+            message=messages.get(code, _UNKNOWN_ORDER_MESSAGE) + _RESEND_ADVICE,
             status=503,
             fate=fate,
             retry_after_s=self._settings.retry_after_s,
@@ -291,5 +296,5 @@
 
 
 def _key(command: AnyCommand) -> str:
-    """Name an order together with its command: an id used twice names two."""
+    """Return a key of an order and its command, so that an id used for two commands gives two keys."""
     return f"{command.order}/{command_digest(command).hex()}"
--- a/src/springmux/control/order_events.py
+++ b/src/springmux/control/order_events.py
@@ -1,4 +1,4 @@
-"""Events and effects of the order coordinator, beside messages, ticks and ``LeadershipKnown``."""
+"""Events and effects of the order coordinator, besides messages, ticks and ``LeadershipKnown``."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class SubmitOrder(Event, frozen=True):
-    """An operator's command came in here. ``correlation_id`` names the waiting client."""
+    """A client submitted a command to this node. ``correlation_id`` matches the reply to it."""
 
     correlation_id: str
     command: AnyCommand
@@ -30,14 +30,14 @@
 
 
 class ProposeCommand(Effect, frozen=True):
-    """Propose to the own, leading replica."""
+    """Propose a command to the node's own leading replica."""
 
     correlation_id: str
     data: bytes
 
 
 class ReplyToOrder(Effect, frozen=True):
-    """Answer a client: with the result, or with an error that says when to come back."""
+    """Reply to a client with the result, or with an error that says when to retry."""
 
     correlation_id: str
     result: CommandResult | None
--- a/src/springmux/control/order_messages.py
+++ b/src/springmux/control/order_messages.py
@@ -1,4 +1,4 @@
-"""Messages of the order desks between nodes."""
+"""Messages between the order coordinators of nodes."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 
 
 class ForwardOrder(PeerMessage, frozen=True, tag="ForwardOrder"):
-    """Have the leader decide a command. ``key`` names order and command in the answer."""
+    """Forward a command to the leader. ``key`` identifies order and command in the reply."""
 
     key: str
     data: bytes
 
 
 class OrderDecided(PeerMessage, frozen=True, tag="OrderDecided"):
-    """The leader's answer: the command is committed and applied there."""
+    """The leader's reply: the command is committed and applied there."""
 
     key: str
     result: CommandResult
 
 
 class OrderRejected(PeerMessage, frozen=True, tag="OrderNotTaken"):
-    """The leader took nothing of this attempt (its disk is full, or it has too many)."""
+    """The leader rejected this attempt (its disk is full, or it has too many orders)."""
 
     key: str
     code: ErrorCode
--- a/src/springmux/control/order_window.py
+++ b/src/springmux/control/order_window.py
@@ -1,4 +1,4 @@
-"""Results of the newest orders, so that an order sent again gets its first answer again."""
+"""A bounded window of the newest orders' results, so that a resent order gets its first result."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 from springmux.vocabulary.names import OrderId, RolloutId, VersionName
 
 DEFAULT_MAX_ORDERS = 10_000
-"""At one order a second, a resend is recognised for nearly three hours."""
+"""At one order a second, a resent order is recognised for nearly three hours."""
 DEFAULT_MAX_BYTES = 8 << 20
-"""Bounds the window in snapshots; a refused configuration's errors may be some hundred KiB."""
+"""Bounds the window in snapshots; a rejected configuration's errors may be some hundred KiB."""
 DIGEST_BYTES = 16
 ENTRY_OVERHEAD_BYTES = 64
 
@@ -37,10 +37,10 @@
 
 
 def command_digest(command: AnyCommand) -> bytes:
-    """Return what makes two commands the same order.
+    """Return the digest by which a command is recognised as resent.
 
-    A rollout's id and stable version are left out: the node that takes the order makes or measures them,
-    and a resend may go to another. A gateway change is its content, whoever sends it.
+    It leaves out a rollout's id and stable version, which the node that accepts the order chooses (a client
+    may resend to another node), and the sender of a gateway change.
     """
     if isinstance(command, PromoteRollout):
         command = msgspec.structs.replace(command, rollout=RolloutId(""), stable=VersionName(""))
@@ -54,7 +54,7 @@
 
 
 class OrderWindow:
-    """The newest orders, bounded in number and bytes; the oldest leave first, alike on every node."""
+    """The newest orders, bounded in number and bytes; the oldest are evicted first, alike on every node."""
 
     def __init__(self, max_orders: int = DEFAULT_MAX_ORDERS, max_bytes: int = DEFAULT_MAX_BYTES) -> None:
         self._max_orders = max_orders
@@ -67,7 +67,7 @@
         return self._orders.get(order)
 
     def record(self, order: OrderId, digest: bytes, result: CommandResult) -> None:
-        """Keep a result, and let the oldest go beyond the bounds."""
+        """Store a result; evict the oldest beyond the bounds."""
         size_bytes = len(msgspec.msgpack.encode(result)) + ENTRY_OVERHEAD_BYTES
         self._add(DecidedOrder(order, digest, result, size_bytes))
         while len(self._orders) > self._max_orders or self._size_bytes > self._max_bytes:
@@ -79,7 +79,7 @@
         return tuple(self._orders.values())
 
     def replace(self, decided: Iterable[DecidedOrder]) -> None:
-        """Take over the orders of a snapshot, oldest first."""
+        """Replace all orders by those of a snapshot, oldest first."""
         self._orders.clear()
         self._size_bytes = 0
         for order in decided:
--- a/src/springmux/control/state.py
+++ b/src/springmux/control/state.py
@@ -34,8 +34,8 @@
 )
 from springmux.control.configuration import MAX_DOCUMENT_BYTES, InvalidConfigurationError
 from springmux.control.configuration_section import ConfigurationSection, ConfigurationVersion
+from springmux.control.decided_order_store import DecidedOrderStore
 from springmux.control.gateway_section import GatewaySection
-from springmux.control.order_memory import OrderMemory
 from springmux.control.order_window import DEFAULT_MAX_BYTES, DEFAULT_MAX_ORDERS
 from springmux.control.rollout_section import EndedRollout, RolloutSection
 from springmux.control.state_image import StateImage, UnreadableImageError, decode_image, encode_image
@@ -62,7 +62,7 @@
         self._accounts = AccountsSection()
         self._templates = TemplatesSection()
         self._rollouts = RolloutSection()
-        self._orders = OrderMemory(max_orders, max_order_bytes)
+        self._orders = DecidedOrderStore(max_orders, max_order_bytes)
         self._claim_ring: ClaimRing | None = None
         self._view = EMPTY_VIEW
 
--- a/src/springmux/control/verdict.py
+++ b/src/springmux/control/verdict.py
@@ -1,4 +1,4 @@
-"""What a section of the control state says to a command; the state machine makes the result of it."""
+"""Decisions of the control state's sections on commands; the state machine makes results of them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Verdict(msgspec.Struct, frozen=True):
-    """Outcome of a command with what its sender is told. Nothing changed unless it is accepted."""
+    """Outcome of a command with the details for its sender. Nothing changed unless it is accepted."""
 
     outcome: Outcome
     message: str = ""
@@ -24,15 +24,15 @@
 
 
 def conflict(message: str, winner: dict[str, Any] | None = None) -> Verdict:
-    """The command lost against what stands; ``winner`` says what that is."""
+    """Return the verdict on a command that lost to an earlier one; ``winner`` describes that one."""
     return Verdict(Outcome.CONFLICT, message, winner=winner)
 
 
 def invalid(*errors: FieldError) -> Verdict:
-    """The command's fields are wrong."""
+    """Return the verdict on a command with wrong fields."""
     return Verdict(Outcome.INVALID, "; ".join(error.message for error in errors[:3]), errors=errors)
 
 
 def not_found(message: str) -> Verdict:
-    """The command is about something that isn't there."""
+    """Return the verdict on a command whose subject doesn't exist."""
     return Verdict(Outcome.NOT_FOUND, message)
--- a/src/springmux/node/driver.py
+++ b/src/springmux/node/driver.py
@@ -27,6 +27,7 @@
     LeadershipTransferRequested,
     OrderSubmitted,
 )
+from springmux.agent.storage_effects import StorageEffect
 from springmux.control.commands import AnyCommand
 from springmux.coordination.claims.decision import ClaimDecision, ClaimVerdict
 from springmux.coordination.consensus.core import RESTART_AS_NEW
@@ -40,7 +41,7 @@
 from springmux.node.driver_protocols import AgentUnderDriver, PeerSender
 from springmux.node.logs import EventLog
 from springmux.node.metrics.registry import NodeMetrics
-from springmux.node.storage.worker import STALL_AFTER_S, StorageEffect, StorageWorker
+from springmux.node.storage.worker import STALL_AFTER_S, StorageWorker
 from springmux.vocabulary.names import RequestId
 
 LAG_PROBE_S = 0.25
--- a/src/springmux/node/storage/worker.py
+++ b/src/springmux/node/storage/worker.py
@@ -13,6 +13,7 @@
 from typing import Protocol
 
 from springmux.agent.effects import WriteSnapshot
+from springmux.agent.storage_effects import StorageEffect
 from springmux.coordination.claims.events import ClaimsPersisted, ClaimsPersistFailed, PersistClaims
 from springmux.coordination.consensus.effects import (
     CompactLog,
@@ -63,9 +64,6 @@
         """Release the folder."""
 
 
-StorageEffect = Persist | WriteSnapshot | InstallSnapshot | CompactLog | PersistClaims | RememberPeers
-
-
 class StorageWorker:
     """Owns store, claim journal and list of peers: nothing else calls them after start.
 
--- a/src/springmux/simulation/hollow_disk.py
+++ b/src/springmux/simulation/hollow_disk.py
@@ -6,6 +6,7 @@
 from collections.abc import Callable
 
 from springmux.agent.effects import WriteSnapshot
+from springmux.agent.storage_effects import StorageEffect
 from springmux.coordination.claims.events import ClaimsPersisted, ClaimsPersistFailed, PersistClaims
 from springmux.coordination.claims.journal import RecoveredClaims
 from springmux.coordination.consensus.effects import (
@@ -37,8 +38,6 @@
 SMALL_RESERVE_BYTES = 64 * 1024
 SEGMENT_BYTES = 256 * 1024
 
-StorageEffect = Persist | WriteSnapshot | InstallSnapshot | CompactLog | PersistClaims | RememberPeers
-
 
 class HollowDisk:
     """The disk of one machine, across its boots.
--- a/src/springmux/simulation/hollow_fleet.py
+++ b/src/springmux/simulation/hollow_fleet.py
@@ -17,12 +17,13 @@
     ReadinessChanged,
 )
 from springmux.agent.events import AgentSettings, CommandsPrepared, OrderSubmitted
+from springmux.agent.storage_effects import StorageEffect
 from springmux.control.commands import AnyCommand
 from springmux.coordination.consensus.core import RESTART_AS_NEW
 from springmux.coordination.consensus.effects import ReplicaStopped
 from springmux.coordination.identifiers import Address, NodeId, ZoneName
 from springmux.coordination.state_machine import Effect, LogLine
-from springmux.simulation.hollow_disk import HollowDisk, StorageEffect
+from springmux.simulation.hollow_disk import HollowDisk
 from springmux.simulation.hollow_node import HollowNode
 from springmux.simulation.traffic.flow_driver import FlowOutput
 from springmux.simulation.world.faults import (
--- a/tests/unit/control/test_order_coordinator.py
+++ b/tests/unit/control/test_order_coordinator.py
@@ -22,7 +22,7 @@
 ORDER = put_tenant("o1")
 
 
-class Desk:
+class CoordinatorHarness:
     """A coordinator with its own state machine; ``commit`` is what consensus does to a proposal."""
 
     def __init__(self, name: NodeId, settings: OrderSettings | None = None) -> None:
@@ -73,7 +73,7 @@
 
 
 def test_the_leader_proposes_and_answers_after_it_applied() -> None:
-    coordinator = Desk(A)
+    coordinator = CoordinatorHarness(A)
     coordinator.leader(A, leading=True)
     proposed = only(coordinator.submit(), ProposeCommand)
     assert isinstance(proposed, ProposeCommand) and proposed.data == encode_command(ORDER)
@@ -82,7 +82,7 @@
 
 
 def test_another_node_forwards_and_passes_the_answer_on() -> None:
-    leader, other = Desk(A), Desk(B)
+    leader, other = CoordinatorHarness(A), CoordinatorHarness(B)
     leader.leader(A, leading=True)
     other.leader(A)
     forward = forwarded(other.submit(), A)
@@ -94,7 +94,7 @@
 
 
 def test_a_lost_answer_is_asked_for_again_and_the_order_runs_once() -> None:
-    leader, other = Desk(A), Desk(B)
+    leader, other = CoordinatorHarness(A), CoordinatorHarness(B)
     leader.leader(A, leading=True)
     other.leader(A)
     only(leader.receive(B, forwarded(other.submit(), A)), ProposeCommand)
@@ -105,21 +105,21 @@
 
 
 def test_a_node_that_applies_the_command_itself_answers_without_the_leader() -> None:
-    coordinator = Desk(B)
+    coordinator = CoordinatorHarness(B)
     coordinator.leader(A)
     coordinator.submit()
     assert answer(coordinator.commit()).outcome is Outcome.ACCEPTED
 
 
 def test_an_order_decided_before_is_answered_at_once_at_any_node() -> None:
-    coordinator = Desk(C)
+    coordinator = CoordinatorHarness(C)
     first = coordinator.log.run(ORDER)
     assert answer(coordinator.submit()) == first
     assert answer(coordinator.submit(put_tenant("o1", tokens_per_s=5.0))).outcome is Outcome.CONFLICT
 
 
 def test_a_change_of_leader_sends_the_order_to_the_new_one() -> None:
-    coordinator = Desk(B)
+    coordinator = CoordinatorHarness(B)
     coordinator.leader(A)
     first = forwarded(coordinator.submit(), A)
     assert forwarded(coordinator.leader(C, term=2, now=0.3), C) == first
@@ -128,14 +128,14 @@
 
 
 def test_an_order_without_a_leader_waits_for_one() -> None:
-    coordinator = Desk(B)
+    coordinator = CoordinatorHarness(B)
     assert coordinator.submit() == []
     assert coordinator.leader(None, term=2, now=0.5) == []
     forwarded(coordinator.leader(A, term=2, now=1.5), A)
 
 
 def test_without_a_quorum_the_client_is_told_after_five_seconds_when_to_come_back() -> None:
-    never_sent, sent = Desk(B), Desk(B)
+    never_sent, sent = CoordinatorHarness(B), CoordinatorHarness(B)
     sent.leader(A)
     never_sent.submit()
     sent.submit()
@@ -146,7 +146,7 @@
 
 
 def test_a_full_disk_is_answered_at_once() -> None:
-    leader, other = Desk(A), Desk(B)
+    leader, other = CoordinatorHarness(A), CoordinatorHarness(B)
     leader.leader(A, leading=True)
     other.leader(A)
     forward = forwarded(other.submit(), A)
@@ -158,7 +158,7 @@
 
 
 def test_after_an_earlier_attempt_a_full_disk_leaves_the_fate_unknown() -> None:
-    coordinator = Desk(B)
+    coordinator = CoordinatorHarness(B)
     coordinator.leader(A)
     key = forwarded(coordinator.submit(), A).key
     coordinator.leader(C, term=2)
@@ -167,7 +167,7 @@
 
 
 def test_the_same_order_from_several_sides_is_proposed_once_and_all_are_answered() -> None:
-    coordinator = Desk(A)
+    coordinator = CoordinatorHarness(A)
     coordinator.leader(A, leading=True)
     only(coordinator.submit(correlation_id="t1"), ProposeCommand)
     assert coordinator.submit(correlation_id="t2") == []
@@ -181,7 +181,7 @@
 
 
 def test_one_id_with_two_commands_is_decided_for_both_apart() -> None:
-    coordinator = Desk(A)
+    coordinator = CoordinatorHarness(A)
     coordinator.leader(A, leading=True)
     other = put_tenant("o1", tokens_per_s=5.0)
     coordinator.submit(ORDER, "t1")
@@ -191,7 +191,7 @@
 
 
 def test_a_promotion_with_the_rollout_id_of_another_node_is_the_same_order() -> None:
-    coordinator = Desk(A)
+    coordinator = CoordinatorHarness(A)
     coordinator.leader(A, leading=True)
     coordinator.submit(promote("go", rollout="here"), "t1")
     assert coordinator.submit(promote("go", rollout="there"), "t2") == []
@@ -199,7 +199,7 @@
 
 
 def test_a_dropped_proposal_is_proposed_again() -> None:
-    coordinator = Desk(A)
+    coordinator = CoordinatorHarness(A)
     coordinator.leader(A, leading=True)
     proposed = only(coordinator.submit(), ProposeCommand)
     assert isinstance(proposed, ProposeCommand)
@@ -209,20 +209,20 @@
 
 
 def test_a_follower_proposes_nothing_that_is_forwarded_to_it() -> None:
-    coordinator = Desk(C)
+    coordinator = CoordinatorHarness(C)
     coordinator.leader(A)
     assert coordinator.receive(B, forwarded(_forwarding_desk().submit(), A)) == []
 
 
 def test_a_forwarded_order_of_a_newer_program_is_not_taken() -> None:
-    coordinator = Desk(A)
+    coordinator = CoordinatorHarness(A)
     coordinator.leader(A, leading=True)
     (sent,) = coordinator.receive(B, ForwardOrder("k", b"\x81\xa4type\xa3New"))
     assert sent == Send(B, OrderRejected("k", ErrorCode.INVALID_ORDER))
 
 
 def test_orders_beyond_the_bounds_are_refused_at_once() -> None:
-    coordinator = Desk(A, OrderSettings(max_pending=1, max_command_bytes=200))
+    coordinator = CoordinatorHarness(A, OrderSettings(max_pending=1, max_command_bytes=200))
     decided = coordinator.log.run(put_tenant("o0"))
     coordinator.submit(correlation_id="t1")
     assert coordinator.submit(correlation_id="t2") == [], "a resend of what is under way waits with it"
@@ -232,16 +232,16 @@
     assert error_of(coordinator.submit(put_tenant("")))[0] is ErrorCode.INVALID_ORDER
 
 
-def _forwarding_desk() -> Desk:
-    coordinator = Desk(B)
+def _forwarding_desk() -> CoordinatorHarness:
+    coordinator = CoordinatorHarness(B)
     coordinator.leader(A)
     return coordinator
 
 
 def test_an_order_that_another_node_had_proposed_here_is_not_called_refused() -> None:
-    coordinator = Desk(A)
+    coordinator = CoordinatorHarness(A)
     coordinator.leader(A, leading=True)
-    other = Desk(B)
+    other = CoordinatorHarness(B)
     other.leader(A)
     only(coordinator.receive(B, forwarded(other.submit(), A)), ProposeCommand)
     assert coordinator.submit() == []
@@ -249,7 +249,7 @@
 
 
 def test_an_order_that_comes_between_election_and_first_commit_is_proposed_once_the_leader_leads() -> None:
-    coordinator = Desk(A)
+    coordinator = CoordinatorHarness(A)
     coordinator.leader(A, term=2)
     order = ForwardOrder("key", encode_command(ORDER))
     assert coordinator.receive(B, order) == []
@@ -262,7 +262,7 @@
 
 
 def test_an_order_that_waited_for_an_election_is_dropped_if_another_node_leads() -> None:
-    coordinator = Desk(A)
+    coordinator = CoordinatorHarness(A)
     coordinator.leader(A, term=2)
     coordinator.receive(B, ForwardOrder("key", encode_command(ORDER)))
 
@@ -271,7 +271,7 @@
 
 
 def test_an_order_forwarded_to_a_node_that_nobody_elected_is_not_kept() -> None:
-    coordinator = Desk(A)
+    coordinator = CoordinatorHarness(A)
     coordinator.leader(C, term=2)
     coordinator.receive(B, ForwardOrder("key", encode_command(ORDER)))
 
--- a/tests/unit/control/test_state.py
+++ b/tests/unit/control/test_state.py
@@ -23,7 +23,7 @@
     UnknownCommandError,
     encode_command,
 )
-from springmux.control.order_memory import MAX_SYSTEM_ORDERS
+from springmux.control.decided_order_store import MAX_SYSTEM_ORDERS
 from springmux.control.persistent_map import PersistentMap
 from springmux.control.state import ControlState
 from springmux.control.state_image import UnreadableImageError
