--- a/src/springmux/control/freshness/events.py
+++ b/src/springmux/control/freshness/events.py
@@ -1,4 +1,4 @@
-"""What the freshness part is told, beside messages, ticks and ``control.events.LeadershipKnown``."""
+"""Events of the freshness monitor, besides messages, ticks and ``control.events.LeadershipKnown``."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class ProofWanted(Event, frozen=True):
-    """Somebody waits for a new proof: ask the leader at once."""
+    """A client waits for a new proof; request one from the leader at once."""
 
 
 class QuorumConfirmed(Event, frozen=True):
--- a/src/springmux/control/freshness/freshness_monitor.py
+++ b/src/springmux/control/freshness/freshness_monitor.py
@@ -1,11 +1,11 @@
-"""Proves again and again that nothing newer than the own control state was acknowledged a moment ago.
+"""Prove periodically that nothing newer than this node's control state was acknowledged a moment ago.
 
 The leader is confirmed by a quorum (ReadIndex, Ongaro 2014, section 6.4): all that was acknowledged before
-it asked is in its log. Controllers ask the leader, other nodes ask controllers, and each answer says how old
-the answering node's own proof is. The asker dates it back from the moment at which it *sent* its question,
-so that neither the way of a message, nor a process that was frozen, nor clocks that differ can make a proof
-younger than it is (Gray and Cheriton 1989, on leases and clock rates). A node that is cut off, frozen or
-freshly started has no proof or an old one, and knows it.
+the confirmation began is in its log. Controllers ask the leader, other nodes ask controllers, and each reply
+states the age of the replying node's own proof. The requester dates it back from the moment at which it
+*sent* the request, so that neither network delay, nor a frozen process, nor clocks that differ can make a
+proof younger than it is (Gray and Cheriton 1989, on leases and clock rates). A node that is partitioned,
+frozen or freshly started has no proof or an old one, and knows it.
 """
 
 from __future__ import annotations
@@ -27,22 +27,22 @@
 
 UNPROVEN_MS = -1
 REQUEST_BITS = 48
-"""Requests begin at a random number, so that an answer to an earlier process isn't taken."""
-KEPT_QUESTIONS = 8
-KEPT_PROOFS = 8
-"""Proofs of states that aren't in force yet; they come twice a second, and a state within two seconds."""
-ASK_ANYONE_EACH = 3
-"""Every third question after one that brought no proof goes to any node: controllers may be cut off."""
+"""Request numbers start at random, so that a reply to an earlier process isn't accepted."""
+MAX_PENDING_REQUESTS = 8
+MAX_PROOFS = 8
+"""Proofs of states not yet in force: two a second, and a state comes into force within two seconds."""
+ASK_ANY_NODE_EVERY = 3
+"""Every third request in a row without a new proof goes to any node: controllers may be unreachable."""
 
 
 class _Proof(msgspec.Struct, frozen=True):
-    """All that was acknowledged before ``proven_at`` is in ``revision``."""
+    """Everything acknowledged before ``proven_at`` is in ``revision``."""
 
     revision: Revision
     proven_at: float
 
 
-class _Question(msgspec.Struct, frozen=True):
+class _PendingRequest(msgspec.Struct, frozen=True):
     request: int
     sent_at: float
 
@@ -51,8 +51,8 @@
     """One node's lease on its control state being the newest.
 
     :param in_force: returns the revision in force at this node.
-    :param replica_state: returns up to which log index the own replica's commands were taken over, and the
-        revision that they lead to, which may come into force a little later.
+    :param replica_state: returns the log index up to which the own replica's commands were applied, and the
+        resulting revision, which may come into force a little later.
     """
 
     def __init__(
@@ -69,42 +69,42 @@
         self._in_force = in_force
         self._replica_state = replica_state
         self._request = rng.getrandbits(REQUEST_BITS)
-        self._questions: deque[_Question] = deque(maxlen=KEPT_QUESTIONS)
-        self._proofs: deque[_Proof] = deque(maxlen=KEPT_PROOFS)
+        self._pending_requests: deque[_PendingRequest] = deque(maxlen=MAX_PENDING_REQUESTS)
+        self._proofs: deque[_Proof] = deque(maxlen=MAX_PROOFS)
         self._proven_at = -NEVER
-        self._ask_at = NEVER if settings.lease_s is None else 0.0
-        self._failed = 0
+        self._request_at = NEVER if settings.lease_s is None else 0.0
+        self._unanswered = 0
         self._members = MembershipView(own, {})
         self._leader: NodeId | None = None
         self._leading = False
 
     def current(self, now: float) -> bool:
-        """Say whether the state in force may be relied on; always so where no lease is asked for."""
+        """Return whether the state in force may be relied on; always true without a lease."""
         lease_s = self._settings.lease_s
-        return lease_s is None or now < self._newest_proof() + lease_s
+        return lease_s is None or now < self._newest_proof_at() + lease_s
 
     def proof_age_s(self, now: float) -> float:
         """Return how long ago nothing newer than the state in force had been acknowledged."""
-        return now - self._newest_proof()
+        return now - self._newest_proof_at()
 
     def next_deadline(self) -> float:
-        """Return when the next question is due."""
-        return self._ask_at
+        """Return when the next request is due."""
+        return self._request_at
 
     def handle(self, event: Event, now: float) -> list[Effect]:
-        """Take one event; see :class:`springmux.coordination.state_machine.StateMachine`."""
+        """Handle one event; return the effects to execute."""
         if isinstance(event, Tick):
-            return self._ask_by_rhythm(now) if now >= self._ask_at else []
+            return self._request_periodically(now) if now >= self._request_at else []
         if isinstance(event, ProofWanted):
-            return self._ask(self._leader, now) if not self._leading else []
+            return self._send_request(self._leader, now) if not self._leading else []
         if isinstance(event, QuorumConfirmed):
-            self._take_quorum(event)
+            self._on_quorum_confirmed(event)
         elif isinstance(event, MembershipChanged):
             self._members = event.view
         elif isinstance(event, LeadershipKnown):
             self._leader, self._leading = event.leader, event.leading
             if not self.current(now):
-                self._ask_at = now
+                self._request_at = now
         elif isinstance(event, MessageReceived):
             return self._receive(event, now)
         return []
@@ -112,71 +112,71 @@
     def _receive(self, event: MessageReceived, now: float) -> list[Effect]:
         message = event.message
         if isinstance(message, FreshnessRequest):
-            return [Send(event.sender, self._answer(message.request, now))]
+            return [Send(event.sender, self._reply_to(message.request, now))]
         if isinstance(message, FreshnessReply):
-            self._take_answer(message, now)
+            self._accept_reply(message, now)
         return []
 
-    def _answer(self, request: int, now: float) -> FreshnessReply:
+    def _reply_to(self, request: int, now: float) -> FreshnessReply:
         age_s = self.proof_age_s(now)
-        if age_s >= self._settings.told_s:
+        if age_s >= self._settings.max_reported_age_s:
             return FreshnessReply(request, UNPROVEN_MS, self._in_force())
-        # Rounded up: a proof may seem older than it is, never younger.
+        # Rounded up: a proof may be reported older than it is, never younger.
         return FreshnessReply(request, int(age_s * 1000.0) + 1, self._in_force())
 
-    def _take_answer(self, told: FreshnessReply, now: float) -> None:
-        question = next((asked for asked in self._questions if asked.request == told.request), None)
-        if question is None or told.age_ms < 0:
+    def _accept_reply(self, reply: FreshnessReply, now: float) -> None:
+        pending = next((sent for sent in self._pending_requests if sent.request == reply.request), None)
+        if pending is None or reply.age_ms < 0:
             return
-        proven_at = question.sent_at - told.age_ms / 1000.0
-        if proven_at <= self._newest_known():
+        proven_at = pending.sent_at - reply.age_ms / 1000.0
+        if proven_at <= self._newest_known_at():
             return
-        self._proofs.append(_Proof(told.revision, proven_at))
-        self._failed = 0
+        self._proofs.append(_Proof(reply.revision, proven_at))
+        self._unanswered = 0
         if self._settings.lease_s is not None:
-            self._ask_at = now + self._settings.ask_period_s
+            self._request_at = now + self._settings.request_interval_s
 
-    def _take_quorum(self, event: QuorumConfirmed) -> None:
-        """Take the own quorum's proof, unless entries before it aren't taken over yet: the next is near."""
+    def _on_quorum_confirmed(self, event: QuorumConfirmed) -> None:
+        """Record the own quorum's proof, unless earlier entries aren't applied yet; the next follows soon."""
         index, revision = self._replica_state()
         if index >= event.index:
             self._proofs.append(_Proof(revision, event.asked_at))
 
-    def _ask_by_rhythm(self, now: float) -> list[Effect]:
-        """Ask one node; another one if the last didn't answer with a newer proof."""
+    def _request_periodically(self, now: float) -> list[Effect]:
+        """Send a request to one node, and to another one if the last reply brought no newer proof."""
         if self._leading:
-            self._ask_at = now + self._settings.ask_period_s
+            self._request_at = now + self._settings.request_interval_s
             return []
-        self._ask_at = now + self._settings.answer_s
-        asked = self._ask(self._target(now), now)
-        self._failed += len(asked)
-        return asked
+        self._request_at = now + self._settings.reply_timeout_s
+        sent = self._send_request(self._choose_target(now), now)
+        self._unanswered += len(sent)
+        return sent
 
-    def _ask(self, target: NodeId | None, now: float) -> list[Effect]:
+    def _send_request(self, target: NodeId | None, now: float) -> list[Effect]:
         if target is None:
             return []
         self._request += 1
-        self._questions.append(_Question(self._request, now))
+        self._pending_requests.append(_PendingRequest(self._request, now))
         return [Send(target, FreshnessRequest(self._request))]
 
-    def _target(self, now: float) -> NodeId | None:
-        """Return whom to ask: without a proof the leader, each second time; others may have none."""
+    def _choose_target(self, now: float) -> NodeId | None:
+        """Return the node to ask: every second time the leader, for controllers and nodes without a proof."""
         record = self._members.nodes.get(self._own)
         is_controller = record is not None and record.replica is not None
-        in_need = is_controller or not self.current(now)
-        if in_need and self._leader is not None and self._failed % 2 == 0:
+        needs_leader = is_controller or not self.current(now)
+        if needs_leader and self._leader is not None and self._unanswered % 2 == 0:
             return self._leader
         others = [each.node for each in self._members.controllers() if each.node != self._own]
-        if not others or (self._failed and self._failed % ASK_ANYONE_EACH == 0):
+        if not others or (self._unanswered and self._unanswered % ASK_ANY_NODE_EVERY == 0):
             others = [each.node for each in self._members.present() if each.node != self._own]
         return self._random.choice(others) if others else None
 
-    def _newest_proof(self) -> float:
+    def _newest_proof_at(self) -> float:
         """Return the time of the newest proof of a state that is in force."""
         in_force = self._in_force()
         while self._proofs and self._proofs[0].revision <= in_force:
             self._proven_at = max(self._proven_at, self._proofs.popleft().proven_at)
         return self._proven_at
 
-    def _newest_known(self) -> float:
-        return max([self._newest_proof(), *(proof.proven_at for proof in self._proofs)])
+    def _newest_known_at(self) -> float:
+        return max([self._newest_proof_at(), *(proof.proven_at for proof in self._proofs)])
--- a/src/springmux/control/freshness/messages.py
+++ b/src/springmux/control/freshness/messages.py
@@ -1,4 +1,4 @@
-"""Messages by which a proof of freshness goes from node to node."""
+"""Messages that pass proofs of freshness between nodes."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 
 class FreshnessRequest(PeerMessage, frozen=True, tag="AskFreshness"):
-    """Ask a node how old its proof is. ``request`` tells answers apart."""
+    """Request the age of a node's proof. ``request`` matches the reply."""
 
     request: int
 
 
 class FreshnessReply(PeerMessage, frozen=True, tag="FreshnessTold"):
-    """Answer to :class:`FreshnessRequest`.
+    """Reply to :class:`FreshnessRequest`.
 
     Everything acknowledged up to ``age_ms`` before this was sent is in ``revision``. ``age_ms`` is -1 where
     the node has no proof.
--- a/src/springmux/control/freshness/settings.py
+++ b/src/springmux/control/freshness/settings.py
@@ -1,32 +1,32 @@
-"""Times of the freshness lease."""
+"""Settings of the freshness lease."""
 
 from __future__ import annotations
 
 import msgspec
 
-LEAST_LEASE_S = 1.5
-"""A proof passes from the leader over a controller to a node, each asking twice a second."""
+MIN_LEASE_S = 1.5
+"""A proof passes from the leader through a controller to a node, with two requests a second at each hop."""
 CLOCK_RATE_MARGIN = 0.95
-"""Part of the time allowed that a lease uses; clocks that run at rates a twentieth apart keep it."""
+"""Fraction of the allowed time that a lease uses, so that clock rates may differ by a twentieth."""
 
 
 class FreshnessSettings(msgspec.Struct, frozen=True):
-    """Defaults aim at proofs of at most 1.5 s at every node, at some messages a second and node.
+    """Durations; the defaults keep proofs at every node younger than 1.5 s.
 
-    ``lease_s``: how long a proof holds; ``None``: nothing relies on one, and nodes ask only when a proof is
-    wanted. ``ask_period_s``: from an answer to the next question. ``answer_s``: wait for an answer before
-    another node is asked. ``told_s``: older proofs are of no use to anybody.
+    ``lease_s``: how long a proof is valid; ``None``: no lease, and nodes send requests only for a
+    ``ProofWanted``. ``request_interval_s``: from a reply to the next request. ``reply_timeout_s``: wait for a
+    reply before another node is asked. ``max_reported_age_s``: older proofs are reported as none.
     """
 
     lease_s: float | None = None
-    ask_period_s: float = 0.5
-    answer_s: float = 0.2
-    told_s: float = 5.0
+    request_interval_s: float = 0.5
+    reply_timeout_s: float = 0.2
+    max_reported_age_s: float = 5.0
 
 
 def lease_for(allowed_s: float) -> FreshnessSettings:
-    """Return the settings under which nothing older than ``allowed_s`` is relied on.
+    """Return the settings under which no node relies on a state older than ``allowed_s``.
 
-    An ``allowed_s`` that is too short for any proof gives the shortest lease: less would refuse everything.
+    An ``allowed_s`` too short for any proof gives the shortest lease: less would refuse every request.
     """
-    return FreshnessSettings(lease_s=max(LEAST_LEASE_S, CLOCK_RATE_MARGIN * allowed_s))
+    return FreshnessSettings(lease_s=max(MIN_LEASE_S, CLOCK_RATE_MARGIN * allowed_s))
--- a/src/springmux/control/order_coordinator.py
+++ b/src/springmux/control/order_coordinator.py
@@ -34,6 +34,11 @@
 from springmux.vocabulary.errors import ApiError, ErrorCode, Fate, FieldError
 from springmux.vocabulary.names import OrderId
 
+_UNAVAILABLE_MESSAGES = {
+    ErrorCode.NO_QUORUM: "no leader with a majority of the controllers decided the order in time",
+    ErrorCode.STORAGE_FULL: "the leader's disk is full; nothing was changed",
+    ErrorCode.OVERLOADED: "too many orders are under way",
+}
 _UNKNOWN_ORDER_MESSAGE = "the leader's program does not know this kind of order"
 _RESEND_ADVICE = "; send it again under the same order id"
 
@@ -193,7 +198,7 @@
             return []
         rejected = OrderRejected(event.correlation_id, ErrorCode.STORAGE_FULL)
         effects: list[Effect] = [Send(sender, rejected) for sender in sorted(proposal.senders)]
-        return effects + self._reject(event.correlation_id, ErrorCode.STORAGE_FULL)
+        return effects + self._give_up(event.correlation_id, ErrorCode.STORAGE_FULL)
 
     def _on_leadership(self, event: LeadershipKnown, now: float) -> list[Effect]:
         if event == self._leadership or event.term < self._leadership.term:
@@ -213,7 +218,7 @@
             case OrderDecided(key=key, result=result):
                 return self._reply_with(key, result)
             case OrderRejected(key=key, code=code):
-                return self._reject(key, code)
+                return self._give_up(key, code)
             case _:
                 return []
 
@@ -271,7 +276,7 @@
         clients = pending.clients if pending is not None else ()
         return [ReplyToOrder(client.correlation_id, result) for client in clients]
 
-    def _reject(self, key: str, code: ErrorCode) -> list[Effect]:
+    def _give_up(self, key: str, code: ErrorCode) -> list[Effect]:
         """Reply at once that the order was rejected; an earlier attempt may still have been committed."""
         pending = self._pending.pop(key, None)
         if pending is None:
@@ -280,15 +285,9 @@
         return [ReplyToOrder(client.correlation_id, None, error) for client in pending.clients]
 
     def _unavailable(self, code: ErrorCode, fate: Fate) -> ApiError:
-        # docs/REFERENCE.md is generated from the codes and the status in this function.
-        messages = {
-            ErrorCode.NO_QUORUM: "no leader with a majority of the controllers decided the order in time",
-            ErrorCode.STORAGE_FULL: "the leader's disk is full; nothing was changed",
-            ErrorCode.OVERLOADED: "too many orders are under way",
-        }
         return ApiError(
             code=code,
-            message=messages.get(code, _UNKNOWN_ORDER_MESSAGE) + _RESEND_ADVICE,
+            message=_UNAVAILABLE_MESSAGES.get(code, _UNKNOWN_ORDER_MESSAGE) + _RESEND_ADVICE,
             status=503,
             fate=fate,
             retry_after_s=self._settings.retry_after_s,
--- a/tests/unit/control/freshness/test_freshness.py
+++ b/tests/unit/control/freshness/test_freshness.py
@@ -13,7 +13,7 @@
 from springmux.control.freshness.events import ProofWanted
 from springmux.control.freshness.freshness_monitor import FreshnessMonitor
 from springmux.control.freshness.messages import FreshnessReply, FreshnessRequest
-from springmux.control.freshness.settings import LEAST_LEASE_S, FreshnessSettings, lease_for
+from springmux.control.freshness.settings import MIN_LEASE_S, FreshnessSettings, lease_for
 from springmux.coordination.identifiers import LogIndex, NodeId, Revision, Term
 from springmux.coordination.state_machine import MessageReceived, Send, Tick
 from tests.unit.control.freshness.world import REVOCATION_S, FleetNode, FreshnessWorld
@@ -96,8 +96,8 @@
     (asked,) = node.part.handle(Tick(), 10.0)
     assert isinstance(asked, Send) and isinstance(asked.message, FreshnessRequest)
     node.revision = Revision(6)
-    told = FreshnessReply(asked.message.request, 100, Revision(7))
-    node.part.handle(MessageReceived(asked.to, told), 10.2)
+    reply = FreshnessReply(asked.message.request, 100, Revision(7))
+    node.part.handle(MessageReceived(asked.to, reply), 10.2)
     assert not node.part.current(10.3)
     node.revision = Revision(7)
     assert node.part.current(10.3)
@@ -110,8 +110,8 @@
     node.part.handle(_members(world, node), 0.0)
     (asked,) = node.part.handle(Tick(), 10.0)
     assert isinstance(asked, Send) and isinstance(asked.message, FreshnessRequest)
-    told = FreshnessReply(asked.message.request, 500, Revision(0))
-    node.part.handle(MessageReceived(asked.to, told), 13.0)
+    reply = FreshnessReply(asked.message.request, 500, Revision(0))
+    node.part.handle(MessageReceived(asked.to, reply), 13.0)
     lease_s = lease_for(REVOCATION_S).lease_s
     assert node.part.current(9.5 + lease_s - 0.01)
     assert not node.part.current(9.5 + lease_s)
@@ -127,7 +127,7 @@
 @pytest.mark.parametrize("allowed_s", [0.0, 0.5, 5.0, 39.28])
 def test_a_lease_is_shorter_than_what_is_allowed_unless_that_is_impossible(allowed_s: float) -> None:
     lease_s = lease_for(allowed_s).lease_s
-    assert lease_s == LEAST_LEASE_S or lease_s < allowed_s
+    assert lease_s == MIN_LEASE_S or lease_s < allowed_s
 
 
 def test_a_proof_that_is_wanted_is_asked_of_the_leader_at_once() -> None:
@@ -144,8 +144,8 @@
     part.handle(LeadershipKnown(Term(1), NodeId("c0"), False), 10.0)
     (asked,) = part.handle(ProofWanted(), 10.0)
     assert isinstance(asked, Send) and isinstance(asked.message, FreshnessRequest) and asked.to == "c0"
-    told = FreshnessReply(asked.message.request, 300, Revision(3))
-    part.handle(MessageReceived(asked.to, told), 10.1)
+    reply = FreshnessReply(asked.message.request, 300, Revision(3))
+    part.handle(MessageReceived(asked.to, reply), 10.1)
     assert part.proof_age_s(10.1) == pytest.approx(0.4)
     assert part.next_deadline() == float("inf")
 
@@ -192,11 +192,11 @@
 def test_the_check_catches_a_lease_that_is_dated_from_the_answer(monkeypatch: pytest.MonkeyPatch) -> None:
     """Given a part that trusts an answer's age alone, some bad day shows a stale key."""
 
-    def trusting(self: FreshnessMonitor, told: FreshnessReply, now: float) -> None:
-        self._proofs.append(part_module._Proof(told.revision, now))
-        self._ask_at = now + 0.5
+    def trusting(self: FreshnessMonitor, reply: FreshnessReply, now: float) -> None:
+        self._proofs.append(part_module._Proof(reply.revision, now))
+        self._request_at = now + 0.5
 
-    monkeypatch.setattr(FreshnessMonitor, "_take_answer", trusting)
+    monkeypatch.setattr(FreshnessMonitor, "_accept_reply", trusting)
     assert any(_bad_day(seed).stale for seed in range(10))
 
 
