--- a/src/springmux/control/accounts_section.py
+++ b/src/springmux/control/accounts_section.py
@@ -69,7 +69,7 @@
         return ACCEPTED
 
     def restore(self, tenants: Iterable[Tenant], keys: Iterable[KeyRecord]) -> None:
-        """Take over a snapshot's section."""
+        """Replace the section by a snapshot's."""
         kept = tuple(keys)
         self.tenants = PersistentMap((tenant.name, tenant) for tenant in tenants)
         self.keys = PersistentMap((record.digest, record) for record in kept)
--- a/src/springmux/control/configuration_section.py
+++ b/src/springmux/control/configuration_section.py
@@ -144,7 +144,7 @@
         history: tuple[ConfigurationVersion, ...],
         documents: tuple[tuple[int, bytes], ...],
     ) -> None:
-        """Take over a snapshot's section."""
+        """Replace the section by a snapshot's."""
         self.present = PresentConfiguration(configuration, document)
         self.history = history
         self.documents = documents
--- a/src/springmux/control/nesting.py
+++ b/src/springmux/control/nesting.py
@@ -14,7 +14,7 @@
 
 
 def is_shallow(value: Any) -> bool:
-    """Say whether a decoded JSON value has at most :data:`MAX_DEPTH` levels."""
+    """Return whether a decoded JSON value has at most :data:`MAX_DEPTH` levels."""
     level = [value]
     for _ in range(MAX_DEPTH):
         level = [inner for outer in level for inner in _members(outer)]
--- a/src/springmux/control/rollout_section.py
+++ b/src/springmux/control/rollout_section.py
@@ -172,7 +172,7 @@
         }
 
     def restore(self, records: tuple[RolloutRecord, ...], ended: tuple[EndedRollout, ...]) -> None:
-        """Take over a snapshot's section."""
+        """Replace the section by a snapshot's."""
         self.records = {record.service: record for record in records}
         self.ended = ended
 
@@ -189,13 +189,13 @@
 
 
 def _is_checkpoint(command: SetRolloutStep, record: RolloutRecord) -> bool:
-    """Say whether the leader only notes the time used, so that the next leader goes on from there."""
+    """Return whether the leader only notes the time used, so that the next leader goes on from there."""
     place = (record.phase, record.step, record.weight)
     return (command.phase, command.step, command.weight) == place
 
 
 def _raises(command: SetRolloutStep, record: RolloutRecord) -> bool:
-    """Say whether this is the next step, to a higher weight."""
+    """Return whether this is the next step, to a higher weight."""
     is_next = command.step == record.step + 1 and command.phase is RolloutPhase.SHIFTING
     return is_next and record.weight < command.weight <= 1.0
 
--- a/src/springmux/control/templates_section.py
+++ b/src/springmux/control/templates_section.py
@@ -47,7 +47,7 @@
 
 
 def _is_object(document: bytes) -> bool:
-    """Say whether it is a JSON object that every node can read, whatever its stack has room for."""
+    """Return whether it is a JSON object that every node can read, whatever its stack has room for."""
     try:
         value = msgspec.json.decode(document)
     except (msgspec.DecodeError, RecursionError):
--- a/src/springmux/node/storage/opening.py
+++ b/src/springmux/node/storage/opening.py
@@ -91,17 +91,17 @@
 
 def _opened(disk: Disk, store: ReplicaStore, log: EventLog) -> OpenedStorage:
     recovered = store.open()
-    findings = store.findings
+    report = store.recovery_report
     log.write(
         "replica_opened",
         replica=recovered.replica,
-        new=findings.new_replica,
-        cut_bytes=findings.cut_bytes,
-        damaged_snapshots=len(findings.damaged_snapshots),
+        new=report.new_replica,
+        cut_bytes=report.truncated_bytes,
+        damaged_snapshots=len(report.damaged_snapshots),
         entries=len(recovered.entries),
     )
     journal = ClaimJournal(disk, REPLICA_FOLDER, recovered.replica)
-    claims = _open_claims(journal, findings.new_replica, log)
+    claims = _open_claims(journal, report.new_replica, log)
     peer_list = PeerList(disk, FLEET_FOLDER)
     return OpenedStorage(
         store=store,
@@ -120,8 +120,8 @@
     except DiskError as error:
         log.write("peer_list_unusable", LogLevel.ERROR, reason=str(error))
         return ()
-    level = LogLevel.ERROR if peer_list.damage else LogLevel.INFO
-    log.write("peer_list_opened", level, peers=len(peers), damage=peer_list.damage)
+    level = LogLevel.ERROR if peer_list.corruption else LogLevel.INFO
+    log.write("peer_list_opened", level, peers=len(peers), damage=peer_list.corruption)
     return peers
 
 
@@ -136,7 +136,7 @@
         "claim_journal_opened",
         LogLevel.ERROR if claims.damage else LogLevel.INFO,
         claims=len(claims.claims),
-        cut_bytes=journal.cut_bytes,
+        cut_bytes=journal.truncated_bytes,
         damage=claims.damage,
     )
     return claims
--- a/src/springmux/simulation/hollow_disk.py
+++ b/src/springmux/simulation/hollow_disk.py
@@ -79,7 +79,7 @@
             try:
                 recovered = store.open()
                 self._journal = ClaimJournal(self.disk, "replica", recovered.replica)
-                self.claims = self._journal.open(store.findings.new_replica)
+                self.claims = self._journal.open(store.recovery_report.new_replica)
                 self.remembered = self._peer_list.load()
                 self.first_start = recovered.first_start
                 self._store = store
--- a/src/springmux/storage/appended_file.py
+++ b/src/springmux/storage/appended_file.py
@@ -1,4 +1,4 @@
-"""A file that grows by whole, synced records only; shared by the replica's log and the claim journal."""
+"""An append-only file of synced records; shared by the replica's log and the claim journal."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class AppendedFile:
-    """Appends to ``file``, whose first ``sound_bytes`` are known to be whole records."""
+    """Append to ``file``, whose first ``sound_bytes`` are known to be complete records."""
 
     def __init__(self, file: DiskFile, sound_bytes: int) -> None:
         self._file = file
@@ -21,14 +21,14 @@
         try:
             self._file.append(data)
         except DiskFullError:
-            # A part-written record is removed, so that nothing ever follows it.
+            # A partly written record is removed, so that nothing ever follows it.
             self._file.truncate(self.sound_bytes)
             raise
         self.sync()
         self.sound_bytes += len(data)
 
-    def cut(self) -> None:
-        """Remove what a torn write left after the sound records.
+    def truncate_tail(self) -> None:
+        """Remove what a torn write left after the complete records.
 
         :raises DiskFailedError: the file can't be written any more.
         """
@@ -36,7 +36,7 @@
         self.sync()
 
     def sync(self) -> None:
-        """Sync the file. Any failure is final, also for want of space: what it kept isn't known.
+        """Sync the file. Any failure is final, even a full disk: which bytes were stored is unknown.
 
         :raises DiskFailedError: the file can't be written any more.
         """
--- a/src/springmux/storage/claim_journal.py
+++ b/src/springmux/storage/claim_journal.py
@@ -1,10 +1,10 @@
 """The journal of a claim holder on disk: entries appended and synced, rewritten when it has grown.
 
 One file in the replica's folder, under the replica's lock, so that it is wiped, moved and set aside
-together with the replica's identity. A torn tail is cut. Damage before the tail can't be mended: the
-file is set aside and the holder counts as wiped (it pulls from the other holders before it grants).
-Blocking; run it in the storage thread. No call takes long, since that thread also serves the
-replicated log: a rewrite goes on by one slice with each append.
+together with the replica's identity. A torn tail is truncated. Corruption before the tail can't be
+repaired: the file is set aside and the holder counts as wiped (it pulls from the other holders before it
+grants). Blocking; run it in the storage thread. No call takes long, since that thread also serves the
+replicated log: a rewrite advances by one slice with each append.
 """
 
 from __future__ import annotations
@@ -50,13 +50,13 @@
         self._fold = JournalFold()
         self._file: AppendedFile | None = None
         self._broken = ""
-        self.cut_bytes = 0
+        self.truncated_bytes = 0
         """Bytes of a torn write that :meth:`open` cut off."""
 
     def open(self, new_replica: bool) -> RecoveredClaims:
-        """Read the journal, or make one, and be ready to append.
+        """Read or create the journal, and prepare it for appends.
 
-        :param new_replica: the folder was just founded, so that no journal can be missing from it.
+        :param new_replica: the folder was just created, so that no journal can be missing from it.
         :raises DiskError: the disk failed, or has no room for a new journal.
         """
         damage = ""
@@ -78,7 +78,7 @@
     def append(self, entries: Sequence[ClaimEntry]) -> None:
         """Write entries and sync them; on return they are durable.
 
-        :raises DiskFullError: nothing of them counts; the journal stays usable.
+        :raises DiskFullError: none of them is kept; the journal stays usable.
         :raises DiskFailedError: the journal can't be written any more.
         """
         if self._broken or self._file is None:
@@ -93,7 +93,7 @@
             raise
         self._fold.take(entries)
         if self._rewrite is not None:
-            self._rewrite.late.extend(entries)
+            self._rewrite.concurrent_entries.extend(entries)
         if self._rewrite is not None or self._file.sound_bytes > self._rewrite_at_bytes:
             self._go_on_rewriting()
 
@@ -112,9 +112,9 @@
         self._founded = parsed.start.founded
         self._fold = parsed.fold
         self._file = AppendedFile(self._disk.open(self._path), parsed.sound_bytes)
-        self.cut_bytes = len(data) - parsed.sound_bytes
-        if self.cut_bytes:
-            self._file.cut()
+        self.truncated_bytes = len(data) - parsed.sound_bytes
+        if self.truncated_bytes:
+            self._file.truncate_tail()
         return RecoveredClaims(self._replica, self._founded, self._fold.claims(), self._fold.state)
 
     def _begin_rewrite(self) -> JournalRewrite:
@@ -123,7 +123,7 @@
         return self._rewrite
 
     def _go_on_rewriting(self) -> None:
-        """Do one slice. A failure only means that the old file goes on; if it fails too, that shows."""
+        """Rewrite one slice. On a failure the old file stays in use; its own failure shows at an append."""
         try:
             rewrite = self._rewrite or self._begin_rewrite()
             if rewrite.step():
@@ -132,14 +132,14 @@
             self._abandon_rewrite()
 
     def _finish_rewrite(self) -> None:
-        """Put the new file in the old one's place.
+        """Replace the old file by the new one.
 
-        :raises DiskFailedError: after the renaming it isn't known which of them lasts, so it ends here.
+        :raises DiskFailedError: which of the two files persists is unknown, so the journal is unusable.
         """
         assert self._rewrite is not None
         self._rewrite.seal()
         try:
-            size_bytes = self._rewrite.take_place()
+            size_bytes = self._rewrite.replace_journal()
             file = AppendedFile(self._disk.open(self._path), size_bytes)
         except DiskFailedError as error:
             self._broken = error.reason
--- a/src/springmux/storage/claim_journal_file.py
+++ b/src/springmux/storage/claim_journal_file.py
@@ -74,9 +74,9 @@
 
 
 class JournalRewrite:
-    """A journal being written anew, slice by slice, while the old one still takes entries.
+    """A journal being rewritten slice by slice, while the old one still accepts entries.
 
-    :param entries: what the old one comes to now. What it takes from now on is added to ``late``.
+    :param entries: the entries of the old one at this moment. Later ones are added to ``concurrent_entries``.
     """
 
     def __init__(self, disk: Disk, folder: str, start: JournalStart, entries: list[ClaimEntry]) -> None:
@@ -85,7 +85,7 @@
         self._entries = entries
         self._written = 0
         self._size_bytes = 0
-        self.late: list[ClaimEntry] = []
+        self.concurrent_entries: list[ClaimEntry] = []
         disk.remove(f"{folder}/{TEMPORARY_NAME}")
         self._file: DiskFile = disk.open(f"{folder}/{TEMPORARY_NAME}")
         self._append(encode_record(RecordType.CLAIMS_START, _encoder.encode(start)))
@@ -103,16 +103,16 @@
         return self._written >= len(self._entries)
 
     def seal(self) -> None:
-        """Add what came late, and the seal; on return all of it is durable.
+        """Add the concurrent entries and the seal; on return all of it is durable.
 
         :raises DiskError: the rewrite is to be given up.
         """
-        if self.late:
-            self._append(entries_record(self.late))
+        if self.concurrent_entries:
+            self._append(entries_record(self.concurrent_entries))
         self._append(encode_record(RecordType.CLAIMS_SEAL, b""))
         self._file.fsync()
 
-    def take_place(self) -> int:
+    def replace_journal(self) -> int:
         """Give the sealed file the journal's name; return its size.
 
         :raises DiskFailedError: which of the two files has the name isn't known.
@@ -126,7 +126,7 @@
         self._file.close()
 
     def discard(self) -> None:
-        """Free the room that the unfinished file takes; a leftover is removed by the next rewrite."""
+        """Remove the unfinished file; a leftover is removed by the next rewrite."""
         self.close()
         with suppress(DiskError):
             self._disk.remove(f"{self._folder}/{TEMPORARY_NAME}")
--- a/src/springmux/storage/disk.py
+++ b/src/springmux/storage/disk.py
@@ -86,7 +86,7 @@
 
     @abc.abstractmethod
     def exists(self, path: str) -> bool:
-        """Say whether there is a file of that name."""
+        """Return whether there is a file of that name."""
 
     @abc.abstractmethod
     def open(self, path: str) -> DiskFile:
--- a/src/springmux/storage/errors.py
+++ b/src/springmux/storage/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the storage above the disk: damage that a replica must not go on with."""
+"""Errors of the storage above the disk: corruption with which a replica must not continue."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class StorageDamagedError(SpringmuxError):
-    """What was durable is damaged or gone. The replica stops, and rejoins as a new one."""
+    """Durable state is corrupt or missing. The replica stops and rejoins as a new one."""
 
 
 class LogCorruptError(StorageDamagedError):
-    """A segment holds damage that no torn write explains. ``offset`` is in bytes from its beginning."""
+    """A file is corrupt in a way that no torn write explains. ``offset``: bytes from its beginning."""
 
     def __init__(self, file: str, offset: int, reason: str) -> None:
         super().__init__(f"{file} at byte {offset}: {reason}")
@@ -20,8 +20,18 @@
 
 
 class SnapshotMissingError(StorageDamagedError):
-    """No sound snapshot reaches the log's beginning."""
+    """No intact snapshot reaches the log's beginning."""
+
+    def __init__(self, folder: str, base_index: int) -> None:
+        super().__init__(f"{folder}: the log begins after {base_index}, no sound snapshot reaches it")
+        self.folder = folder
+        self.base_index = base_index
 
 
 class FolderWipedError(StorageDamagedError):
-    """The folder was in use before, but its identity or log is gone."""
+    """The folder was in use before, but ``missing`` (its identity or log) is gone."""
+
+    def __init__(self, folder: str, missing: str) -> None:
+        super().__init__(f"{folder}: {missing} is gone from a folder that was in use")
+        self.folder = folder
+        self.missing = missing
--- a/src/springmux/storage/log_recovery.py
+++ b/src/springmux/storage/log_recovery.py
@@ -1,10 +1,9 @@
-"""Reading a write-ahead log back: segments in order, records in order, damage told from a torn tail.
+"""Read a write-ahead log back, segment by segment, and tell corruption from a torn tail.
 
-A file's tail that holds no whole record is what a power cut leaves of a write that nobody was told
-of; it is to be cut off. Damage with a whole record beyond it is reported (:class:`LogCorruptError`):
-cutting there would lose acknowledged entries. Damage to the very last batch can't be told from a
-torn write. See Alagappan et al., "Protocol-Aware Recovery for Consensus-Based Storage", FAST 2018,
-section 3.
+A tail without a complete record is what a power failure leaves of an unacknowledged write; it is to be
+truncated. Corruption before a complete record is reported (:class:`LogCorruptError`): truncation would lose
+acknowledged entries. Corruption of the very last batch can't be told from a torn write. See Alagappan et al.,
+"Protocol-Aware Recovery for Consensus-Based Storage", FAST 2018, section 3.
 """
 
 from __future__ import annotations
@@ -34,7 +33,7 @@
 
 
 class LogContent(msgspec.Struct):
-    """What the log says so far. ``entries`` follow one another without a gap."""
+    """State read from the log so far. ``entries`` are consecutive."""
 
     hard_state: HardState = EMPTY_HARD_STATE
     group: GroupId | None = None
@@ -51,7 +50,7 @@
 class Segment(msgspec.Struct):
     """One file of the log. ``last_index`` is the highest index ever written in it, 0 without entries.
 
-    ``sound_bytes`` is where its whole records end, ``torn_bytes`` what a power cut left after them.
+    ``sound_bytes``: where its complete records end. ``torn_bytes``: size of a torn write after them.
     """
 
     number: int
@@ -67,11 +66,11 @@
 
 
 class ReplayedLog(msgspec.Struct):
-    """A log read back. ``unborn`` is a last file without even a start record, to be removed."""
+    """A log read back. ``empty_segment``: name of a last file without a start record, to be removed."""
 
     content: LogContent
     segments: list[Segment]
-    unborn: str | None = None
+    empty_segment: str | None = None
 
 
 def segment_name(number: int) -> str:
@@ -85,7 +84,7 @@
 
 
 def holds_batches(disk: Disk, folder: str) -> bool:
-    """Say whether the folder's segments hold anything beside their start records."""
+    """Return whether the folder's segments hold anything beside their start records."""
     return any(
         record.type is RecordType.BATCH
         for name in segment_names(disk, folder)
@@ -96,10 +95,10 @@
 def replay_log(disk: Disk, folder: str, replica: ReplicaId) -> ReplayedLog:
     """Read the log of ``replica`` without changing anything.
 
-    :raises LogCorruptError: if what was durable is damaged or missing.
+    :raises LogCorruptError: if durable state is corrupt or missing.
     """
     names = segment_names(disk, folder)
-    _check_numbers(names)
+    _check_segment_numbers(names)
     reader = _LogReader(replica)
     for name in names:
         reader.read_segment(name, disk.read(f"{folder}/{name}"), is_last=name == names[-1])
@@ -108,7 +107,7 @@
     return reader.log
 
 
-def _check_numbers(names: list[str]) -> None:
+def _check_segment_numbers(names: list[str]) -> None:
     numbers = [int(name[4:14]) for name in names]
     for earlier, later in itertools.pairwise(numbers):
         if later != earlier + 1:
@@ -116,7 +115,7 @@
 
 
 class _LogReader:
-    """Builds up a :class:`ReplayedLog` segment by segment."""
+    """Build a :class:`ReplayedLog` segment by segment."""
 
     def __init__(self, replica: ReplicaId) -> None:
         self._replica = replica
@@ -135,7 +134,7 @@
         if segment.sound_bytes:
             self.log.segments.append(segment)
         elif is_last and self.log.segments:
-            self.log.unborn = name
+            self.log.empty_segment = name
         else:
             raise LogCorruptError(name, 0, "segment has no start record")
 
--- a/src/springmux/storage/memory_disk.py
+++ b/src/springmux/storage/memory_disk.py
@@ -21,28 +21,28 @@
 
 
 class _Content:
-    """A file's bytes. ``before_cut`` is what a power cut brings back after an unsynced truncation."""
+    """A file's bytes. ``before_truncation`` is what a power cut brings back after an unsynced truncation."""
 
     def __init__(self) -> None:
         self.live = bytearray()
         self.synced_size = 0
-        self.before_cut: bytes | None = None
+        self.before_truncation: bytes | None = None
         self.reserved_bytes = 0
 
     def truncate(self, size_bytes: int) -> None:
         if size_bytes < self.synced_size:
-            if self.before_cut is None:
-                self.before_cut = bytes(self.live[: self.synced_size])
+            if self.before_truncation is None:
+                self.before_truncation = bytes(self.live[: self.synced_size])
             self.synced_size = size_bytes
         del self.live[size_bytes:]
 
     def fsync(self) -> None:
         self.synced_size = len(self.live)
-        self.before_cut = None
+        self.before_truncation = None
 
     def lose_unsynced(self, rng: random.Random | None) -> None:
-        if self.before_cut is not None:
-            self.live = bytearray(self.before_cut)
+        if self.before_truncation is not None:
+            self.live = bytearray(self.before_truncation)
         else:
             unsynced = len(self.live) - self.synced_size
             kept = rng.randint(0, unsynced) if rng else 0
@@ -78,11 +78,11 @@
     def fsync(self) -> None:
         """Make the live bytes durable; a stall is added to the disk's waiting time."""
         self._check()
-        self._disk.note_sync()
+        self._disk.record_sync()
         self._content.fsync()
 
     def close(self) -> None:
-        """Nothing to release."""
+        """Do nothing: there is nothing to release."""
 
     def _check(self) -> None:
         if self._boot != self._disk.boot:
@@ -132,7 +132,7 @@
         if self.failing:
             raise DiskFailedError(path, "input/output error")
 
-    def note_sync(self) -> None:
+    def record_sync(self) -> None:
         """Count one sync and the time it would take."""
         self.sync_count += 1
         self._waited_s += self.stall_s
@@ -170,7 +170,7 @@
         self.boot += 1
 
     def make_folder(self, path: str) -> None:
-        """Folders need no making here."""
+        """Do nothing: folders need no creation here."""
         self.check(path)
 
     def list_folder(self, path: str) -> list[str]:
@@ -179,7 +179,7 @@
         return sorted(posixpath.basename(name) for name in self._live if posixpath.dirname(name) == path)
 
     def exists(self, path: str) -> bool:
-        """Say whether the file is there."""
+        """Return whether the file is there."""
         self.check(path)
         return path in self._live
 
@@ -211,7 +211,7 @@
     def fsync_folder(self, path: str) -> None:
         """Make the folder's names durable."""
         self.check(path)
-        self.note_sync()
+        self.record_sync()
         self._apply_journal(self._journals.pop(path, []))
 
     def preallocate(self, path: str, size_bytes: int) -> None:
--- a/src/springmux/storage/peer_list.py
+++ b/src/springmux/storage/peer_list.py
@@ -1,6 +1,6 @@
-"""The list of peers that a node keeps on disk, replaced as a whole. Blocking; run it in the storage thread.
+"""The list of peers that a node stores on disk, replaced as a whole. Blocking; run it in the storage thread.
 
-Nothing rests on it but how soon a restarted node finds its fleet, so a damaged one is passed over.
+It only speeds up how a restarted node finds its fleet, so a corrupt one is ignored.
 """
 
 from __future__ import annotations
@@ -23,32 +23,32 @@
     def __init__(self, disk: Disk, folder: str) -> None:
         self._disk = disk
         self._folder = folder
-        self.damage = ""
-        """What was wrong with the file at the last :meth:`load`; empty if nothing was."""
+        self.corruption = ""
+        """Description of the file's corruption at the last :meth:`load`; empty if it was intact."""
 
     def load(self) -> tuple[RememberedPeer, ...]:
-        """Return the peers; none if there is no list, or only a damaged one.
+        """Return the stored peers; none if the file is missing or corrupt.
 
         :raises DiskFailedError: the disk failed.
         """
-        self.damage = ""
+        self.corruption = ""
         path = f"{self._folder}/{PEERS_NAME}"
         if not self._disk.exists(path):
             return ()
         record = record_at(self._disk.read(path), 0)
         if record is None or record.type is not RecordType.PEERS:
-            self.damage = "checksum or framing is wrong"
+            self.corruption = "checksum or framing is wrong"
             return ()
         try:
             return _decoder.decode(record.payload)
         except msgspec.DecodeError as error:
-            self.damage = f"the list can't be read: {error}"
+            self.corruption = f"the list can't be read: {error}"
             return ()
 
     def save(self, peers: tuple[RememberedPeer, ...]) -> None:
-        """Replace the list; after a crash the old or the whole new one is there.
+        """Replace the list; after a crash either the old or the new one is complete.
 
-        :raises DiskError: which of the two is there isn't known, or the disk is full.
+        :raises DiskError: the disk is full, or failed so that either list may be stored.
         """
         self._disk.make_folder(self._folder)
         data = encode_record(RecordType.PEERS, _encoder.encode(peers))
--- a/src/springmux/storage/real_disk.py
+++ b/src/springmux/storage/real_disk.py
@@ -102,7 +102,7 @@
             return sorted(entry.name for entry in os.scandir(self._full(path)) if entry.is_file())
 
     def exists(self, path: str) -> bool:
-        """Say whether the path names a file."""
+        """Return whether the path names a file."""
         return self._full(path).is_file()
 
     def open(self, path: str) -> RealFile:
--- a/src/springmux/storage/records.py
+++ b/src/springmux/storage/records.py
@@ -123,7 +123,7 @@
 
 
 def has_record_after(data: bytes, offset: int) -> bool:
-    """Say whether a whole record stands anywhere beyond ``offset``.
+    """Return whether a whole record stands anywhere beyond ``offset``.
 
     A batch is written only after the one before it was synced. So a record beyond a damaged place
     proves that the place had been synced: damage, not a torn write.
--- a/src/springmux/storage/replica_store.py
+++ b/src/springmux/storage/replica_store.py
@@ -1,7 +1,7 @@
-"""Everything durable of one replica: identity, log, snapshots, reserve. Blocking; run it in one thread.
+"""The durable state of one replica: identity, log, snapshots, reserve. Blocking; run it in one thread.
 
 A replica's identity lives in its folder. An empty folder becomes a new replica with a new identity,
-so a wiped machine can't vote under a name whose promises it has forgotten.
+so a wiped machine can't vote under an identity whose votes and log it has lost.
 """
 
 from __future__ import annotations
@@ -26,26 +26,26 @@
 
 IDENTITY_NAME = "replica-id"
 FIRST_START_NAME = "first-start"
-"""Its presence says that the replica was made at the first start of the whole system."""
-MARK_NAME = "in-use"
-"""Its presence says that the folder was in use: without its identity or log it was wiped, not new."""
+"""Present if the replica was created at the first start of the whole system."""
+IN_USE_NAME = "in-use"
+"""Present once the folder is in use: without its identity or log it was then wiped, not new."""
 LOCK_NAME = "lock"
 DAMAGED_SUFFIX = ".damaged"
 
 
-class StorageFindings(msgspec.Struct, frozen=True):
-    """What ``open`` had to mend, for the log and the operator."""
+class RecoveryReport(msgspec.Struct, frozen=True):
+    """What ``open`` created, truncated or set aside, for the log and the operator."""
 
     new_replica: bool = False
-    cut_bytes: int = 0
+    truncated_bytes: int = 0
     damaged_snapshots: tuple[str, ...] = ()
 
 
 class ReplicaStore:
     """The data folder of one replica.
 
-    :param rng: makes the identity in simulation; without it the operating system's randomness does.
-    :param first_start: whether a replica that is made now is made at the first start of the whole system.
+    :param rng: source of the identity in simulation; without it the operating system's randomness is used.
+    :param first_start: whether a replica created now belongs to the first start of the whole system.
     """
 
     def __init__(
@@ -66,13 +66,13 @@
         self._reserve = SpaceReserve(disk, folder, reserve_bytes)
         self._log: WriteAheadLog | None = None
         self._lock: FolderLock | None = None
-        self.findings = StorageFindings()
+        self.recovery_report = RecoveryReport()
 
     def open(self) -> RecoveredState:
-        """Lock the folder, make or read the replica, and be ready to persist.
+        """Lock the folder and create or recover the replica.
 
         :raises FolderLockedError: another process uses the folder.
-        :raises StorageDamagedError: durable state is damaged or gone; see :meth:`set_aside`.
+        :raises StorageDamagedError: durable state is corrupt or missing; see :meth:`set_aside`.
         :raises DiskError: the disk failed, or has no room for a first start.
         """
         self._disk.make_folder(self._folder)
@@ -86,25 +86,25 @@
     def persist(self, batch: Persist) -> None:
         """Make a batch durable with one sync.
 
-        Batches with commands are refused while the reserve isn't held; those with only hard state,
-        truncations and the group's own entries may use it.
+        Batches with commands are rejected while the reserve isn't allocated; those with only hard state,
+        truncations and the group's own entries may use its space.
 
         :raises DiskFullError: nothing of the batch counts; later ones may succeed.
         :raises DiskFailedError: the store can't go on.
         """
         record = _batch_record(batch)
-        self._reserve.take()
+        self._reserve.allocate()
         if _has_commands(batch.entries):
-            if not self._reserve.held:
+            if not self._reserve.is_allocated:
                 raise DiskFullError(self._folder, "free space is below the reserve; commands are refused")
             self._opened_log().append(record)
             return
         self._with_reserve(lambda: self._opened_log().append(record))
 
     def accepts_commands(self) -> bool:
-        """Say whether batches with commands are taken now (the reserve is held, or can be)."""
-        self._reserve.take()
-        return self._reserve.held
+        """Return whether batches with commands are accepted now (the reserve is or can be allocated)."""
+        self._reserve.allocate()
+        return self._reserve.is_allocated
 
     def take_snapshot(self, meta: SnapshotMeta, data: bytes) -> SnapshotMeta:
         """Store the state machine's snapshot; the log stays until :meth:`compact`.
@@ -117,7 +117,7 @@
         return saved[0]
 
     def install_snapshot(self, meta: SnapshotMeta, data: bytes) -> None:
-        """Store a leader's snapshot and begin the log anew after it."""
+        """Store a leader's snapshot and restart the log after it."""
         self.take_snapshot(meta, data)
         self._with_reserve(lambda: self._opened_log().reset(meta.index))
 
@@ -126,16 +126,16 @@
         oldest_index = self._snapshots.oldest_index()
         if oldest_index is not None:
             self._opened_log().remove_below(LogIndex(min(first_kept, oldest_index + 1)))
-        self._reserve.take()
+        self._reserve.allocate()
 
     def set_aside(self) -> None:
-        """Rename what a damaged folder holds, so that the next :meth:`open` begins a new replica.
+        """Rename the files of a corrupt folder, so that the next :meth:`open` creates a new replica.
 
-        The files stay under ``.damaged`` for a person to look at.
+        The files stay under ``.damaged`` for inspection.
         """
         lock = self._disk.lock(self._path(LOCK_NAME))
         try:
-            self._reserve.give_up()
+            self._reserve.release()
             for name in self._disk.list_folder(self._folder):
                 if name != LOCK_NAME and not name.endswith(DAMAGED_SUFFIX):
                     self._disk.rename(self._path(name), self._path(name + DAMAGED_SUFFIX))
@@ -153,28 +153,28 @@
             self._lock = None
 
     def _open_locked(self) -> RecoveredState:
-        if not self._disk.exists(self._path(MARK_NAME)):
-            self._found()
+        if not self._disk.exists(self._path(IN_USE_NAME)):
+            self._create_replica()
         elif not self._disk.exists(self._path(IDENTITY_NAME)):
-            raise FolderWipedError(f"{self._folder}: {IDENTITY_NAME} is gone from a folder that was in use")
+            raise FolderWipedError(self._folder, IDENTITY_NAME)
         self._remove_temporary_files()
-        self._reserve.take_anew()
+        self._reserve.reallocate()
         replica = ReplicaId(self._disk.read(self._path(IDENTITY_NAME)).decode().strip())
         self._log = WriteAheadLog(self._disk, self._folder, replica, self._segment_bytes)
         if not segment_names(self._disk, self._folder):
-            raise FolderWipedError(f"{self._folder}: the log is gone from a folder that was in use")
+            raise FolderWipedError(self._folder, "the log")
         content = self._log.open()
-        return self._join(replica, content, self._snapshots.load())
+        return self._recover(replica, content, self._snapshots.load())
 
     def _remove_temporary_files(self) -> None:
         for name in self._disk.list_folder(self._folder):
             if name.endswith(".tmp"):
                 self._disk.remove(self._path(name))
 
-    def _found(self) -> None:
-        """Make a new replica: log, identity, and last the mark that makes them count."""
+    def _create_replica(self) -> None:
+        """Create a replica: log, identity, and last the in-use file that makes them valid."""
         if holds_batches(self._disk, self._folder) or self._snapshots.oldest_index():
-            raise FolderWipedError(f"{self._folder}: {MARK_NAME} is gone from a folder that was in use")
+            raise FolderWipedError(self._folder, IN_USE_NAME)
         replica = self._new_identity()
         log = WriteAheadLog(self._disk, self._folder, replica, self._segment_bytes)
         log.create()
@@ -184,28 +184,28 @@
             write_atomically(self._disk, self._folder, FIRST_START_NAME, b"1\n")
         else:
             self._disk.remove(self._path(FIRST_START_NAME))
-        write_atomically(self._disk, self._folder, MARK_NAME, b"1\n")
-        self.findings = StorageFindings(new_replica=True)
+        write_atomically(self._disk, self._folder, IN_USE_NAME, b"1\n")
+        self.recovery_report = RecoveryReport(new_replica=True)
 
     def _new_identity(self) -> ReplicaId:
         random_bytes = self._rng.randbytes(16) if self._rng else os.urandom(16)
         return ReplicaId(str(uuid.UUID(bytes=random_bytes, version=4)))
 
-    def _join(
+    def _recover(
         self, replica: ReplicaId, content: LogContent, snapshots: list[StoredSnapshot]
     ) -> RecoveredState:
         chosen = next((s for s in snapshots if _reaches(content, s.meta)), None)
         if chosen is None and (snapshots or self._snapshots.damaged or content.base_index > 0):
-            raise SnapshotMissingError(
-                f"{self._folder}: the log begins after {content.base_index}, no sound snapshot reaches it"
-            )
-        self.findings = StorageFindings(
-            self.findings.new_replica, self._opened_log().cut_bytes, tuple(self._snapshots.damaged)
+            raise SnapshotMissingError(self._folder, content.base_index)
+        self.recovery_report = RecoveryReport(
+            new_replica=self.recovery_report.new_replica,
+            truncated_bytes=self._opened_log().truncated_bytes,
+            damaged_snapshots=tuple(self._snapshots.damaged),
         )
         entries = tuple(content.entries)
         if chosen is not None:
             entries = _entries_after(content.entries, chosen.meta)
-            if _must_begin_anew(content, chosen.meta):
+            if _must_reset_log(content, chosen.meta):
                 self._opened_log().reset(chosen.meta.index)
         return RecoveredState(
             replica=replica,
@@ -220,13 +220,13 @@
         )
 
     def _with_reserve(self, write: Callable[[], None]) -> None:
-        """Do a write; if the disk is full, give up the reserve and do it once more."""
+        """Execute a write; if the disk is full, release the reserve and retry once."""
         try:
             write()
         except DiskFullError:
-            if not self._reserve.held:
+            if not self._reserve.is_allocated:
                 raise
-            self._reserve.give_up()
+            self._reserve.release()
             write()
 
     def _opened_log(self) -> WriteAheadLog:
@@ -250,12 +250,12 @@
 
 
 def _reaches(content: LogContent, meta: SnapshotMeta) -> bool:
-    """Say whether log and snapshot join without a gap."""
+    """Return whether log and snapshot join without a gap."""
     return content.base_index <= meta.index
 
 
-def _must_begin_anew(content: LogContent, meta: SnapshotMeta) -> bool:
-    """Say whether the log doesn't lead on from the snapshot: the machine stopped while installing it."""
+def _must_reset_log(content: LogContent, meta: SnapshotMeta) -> bool:
+    """Return whether the log doesn't continue from the snapshot: the machine stopped while installing it."""
     return content.last_index() < meta.index or _disagrees(content.entries, meta)
 
 
@@ -264,7 +264,7 @@
 
 
 def _entries_after(entries: list[Entry], meta: SnapshotMeta) -> tuple[Entry, ...]:
-    """Return what follows the snapshot: nothing if the log disagrees with it (Raft, figure 13)."""
+    """Return the entries after the snapshot: none if the log conflicts with it (Raft, figure 13)."""
     if _disagrees(entries, meta):
         return ()
     return tuple(entry for entry in entries if entry.index > meta.index)
--- a/src/springmux/storage/reserve.py
+++ b/src/springmux/storage/reserve.py
@@ -1,4 +1,4 @@
-"""Disk space held back, so that a full disk still takes votes, terms and snapshots."""
+"""Reserved disk space, so that a full disk can still store votes, terms and snapshots."""
 
 from __future__ import annotations
 
@@ -10,34 +10,34 @@
 
 
 class SpaceReserve:
-    """A file that only takes room, given up when the log needs it and taken again when there is space."""
+    """A file that occupies space, removed when the log needs it and recreated when there is room."""
 
     def __init__(self, disk: Disk, folder: str, size_bytes: int) -> None:
         self._disk = disk
         self._folder = folder
         self._path = f"{folder}/{RESERVE_NAME}"
         self._size_bytes = size_bytes
-        self.held = False
+        self.is_allocated = False
 
-    def take(self) -> None:
-        """Take the reserve if the disk has that much and a quarter more (so it doesn't flap)."""
-        if self.held:
+    def allocate(self) -> None:
+        """Allocate the reserve if the disk has a quarter more than its size free (so it doesn't flap)."""
+        if self.is_allocated:
             return
-        wanted = self._size_bytes + self._size_bytes // 4
-        if self._disk.free_bytes(self._folder) < wanted:
+        required_bytes = self._size_bytes + self._size_bytes // 4
+        if self._disk.free_bytes(self._folder) < required_bytes:
             return
         try:
             self._disk.preallocate(self._path, self._size_bytes)
-            self.held = True
+            self.is_allocated = True
         except DiskFullError:
-            self.held = False
+            self.is_allocated = False
 
-    def take_anew(self) -> None:
-        """Take the reserve at start; one of an earlier run may be of another size."""
-        self.give_up()
-        self.take()
+    def reallocate(self) -> None:
+        """Allocate the reserve at start; one of an earlier run may be of another size."""
+        self.release()
+        self.allocate()
 
-    def give_up(self) -> None:
-        """Free the reserve for the log's needs."""
+    def release(self) -> None:
+        """Remove the reserve, so that the log can use its space."""
         self._disk.remove(self._path)
-        self.held = False
+        self.is_allocated = False
--- a/src/springmux/storage/snapshots.py
+++ b/src/springmux/storage/snapshots.py
@@ -11,7 +11,7 @@
 from springmux.coordination.consensus.types import SnapshotMeta
 from springmux.storage.disk import Disk, write_atomically
 
-KEPT_SNAPSHOTS = 2
+MAX_SNAPSHOTS = 2
 """The newest and one to fall back to, should the newest turn out damaged."""
 _MAGIC = b"SMSNAP01"
 _HEADER = struct.Struct("<8sQI")
@@ -89,7 +89,7 @@
         self._disk.fsync_folder(self._folder)
 
     def _remove_old(self) -> None:
-        for name in self._names()[:-KEPT_SNAPSHOTS]:
+        for name in self._names()[:-MAX_SNAPSHOTS]:
             self._disk.remove(f"{self._folder}/{name}")
         self._disk.fsync_folder(self._folder)
 
--- a/src/springmux/storage/write_ahead_log.py
+++ b/src/springmux/storage/write_ahead_log.py
@@ -39,19 +39,19 @@
         self._broken = ""
         self._latest = LogContent()
         self._last_index = LogIndex(0)
-        self.cut_bytes = 0
-        """Bytes of a torn write that :meth:`open` cut off."""
+        self.truncated_bytes = 0
+        """Bytes of a torn write that :meth:`open` removed."""
 
     def create(self) -> None:
-        """Begin an empty log; what an unfinished first start left is removed."""
+        """Create an empty log; remove what an unfinished first start left."""
         for name in segment_names(self._disk, self._folder):
             self._disk.remove(self._path(name))
         self._begin_segment(1, replaces_log=False)
 
     def open(self) -> LogContent:
-        """Read the log, cut a torn tail, and be ready to append.
+        """Read the log, truncate a torn tail, and prepare for appends.
 
-        :raises LogCorruptError: if what was durable is damaged or missing.
+        :raises LogCorruptError: if durable state is corrupt or missing.
         """
         replayed = replay_log(self._disk, self._folder, self._replica)
         self._segments = replayed.segments
@@ -59,13 +59,13 @@
         self._last_index = replayed.content.last_index()
         last = self._segments[-1]
         self._file = AppendedFile(self._disk.open(self._path(last.name)), last.sound_bytes)
-        self._cut_torn_tail(replayed)
+        self._truncate_torn_tail(replayed)
         return replayed.content
 
     def append(self, batch: BatchRecord) -> None:
         """Write one batch and sync it; on return it is durable.
 
-        :raises DiskFullError: nothing of the batch counts; the log stays usable.
+        :raises DiskFullError: nothing of the batch is kept; the log stays usable.
         :raises DiskFailedError: the log can't be written any more.
         :raises ValueError: if the entries don't follow what is there.
         """
@@ -80,7 +80,7 @@
         self._remember(batch)
 
     def reset(self, base_index: LogIndex) -> None:
-        """Drop every entry and go on after ``base_index`` (a snapshot was installed).
+        """Drop every entry and continue after ``base_index`` (a snapshot was installed).
 
         :raises DiskFullError: nothing changed.
         """
@@ -113,7 +113,7 @@
             raise DiskFailedError(self._folder, self._broken or "the log is not open")
 
     def _check_sequence(self, batch: BatchRecord) -> None:
-        """Refuse a batch that would leave a gap; reading it back would look like damage."""
+        """Reject a batch that would leave a gap, which would look like corruption when read back."""
         last_index = int(self._last_index)
         if batch.truncate_from is not None:
             last_index = min(last_index, batch.truncate_from - 1)
@@ -153,7 +153,7 @@
             active.last_index = max(active.last_index, self._last_index)
 
     def _begin_segment(self, number: int, *, replaces_log: bool) -> None:
-        """Make a segment durable, name and start record, and append there from now on."""
+        """Create a durable segment, name and start record, and make it the active one."""
         data = encode_start(self._start_record(number, replaces_log=replaces_log))
         try:
             file = self._open_with(self._path(segment_name(number)), data)
@@ -195,15 +195,15 @@
         if count:
             self._disk.fsync_folder(self._folder)
 
-    def _cut_torn_tail(self, replayed: ReplayedLog) -> None:
+    def _truncate_torn_tail(self, replayed: ReplayedLog) -> None:
         assert self._file is not None
-        if replayed.unborn is not None:
-            self._disk.remove(self._path(replayed.unborn))
+        if replayed.empty_segment is not None:
+            self._disk.remove(self._path(replayed.empty_segment))
             self._disk.fsync_folder(self._folder)
         last = self._segments[-1]
         if last.torn_bytes:
-            self.cut_bytes = last.torn_bytes
-            self._file.cut()
+            self.truncated_bytes = last.torn_bytes
+            self._file.truncate_tail()
 
     def _path(self, name: str) -> str:
         return f"{self._folder}/{name}"
--- a/tests/unit/storage/test_peer_list.py
+++ b/tests/unit/storage/test_peer_list.py
@@ -27,7 +27,7 @@
 
 def test_an_empty_disk_has_no_list_and_no_damage() -> None:
     found = PeerList(MemoryDisk(), FOLDER)
-    assert (found.load(), found.damage) == ((), "")
+    assert (found.load(), found.corruption) == ((), "")
 
 
 @pytest.mark.parametrize("seed", range(40))
@@ -51,7 +51,7 @@
     found = PeerList(disk, FOLDER)
 
     assert found.load() == ()
-    assert found.damage
+    assert found.corruption
 
 
 def test_a_full_disk_keeps_the_older_list() -> None:
--- a/tests/unit/storage/test_replica_store.py
+++ b/tests/unit/storage/test_replica_store.py
@@ -39,11 +39,11 @@
     disk = MemoryDisk()
     first = store_on(disk, seed=1)
     replica = first.open().replica
-    assert first.findings.new_replica
+    assert first.recovery_report.new_replica
     disk.power_cut()
     again = store_on(disk, seed=2)
     assert again.open().replica == replica
-    assert not again.findings.new_replica
+    assert not again.recovery_report.new_replica
 
 
 @pytest.mark.parametrize("calls", range(40))
@@ -130,7 +130,7 @@
     disk.open(f"{FOLDER}/{segments(disk)[-1]}").append(b"\xc5SM1\x02\x10\x00")
     store = store_on(disk)
     assert len(store.open().entries) == 3
-    assert store.findings.cut_bytes == 7
+    assert store.recovery_report.truncated_bytes == 7
     store.persist(appending(entry(4)))
     disk.power_cut()
     assert len(store_on(disk).open().entries) == 4
@@ -169,7 +169,7 @@
     disk.corrupt(path, len(disk.read(path)) - 1)
     store = store_on(disk)
     assert [e.index for e in store.open().entries] == list(range(1, 24))
-    assert store.findings.cut_bytes > 0
+    assert store.recovery_report.truncated_bytes > 0
 
 
 def test_a_missing_segment_is_reported() -> None:
@@ -253,7 +253,7 @@
     recovered = again.open()
     assert recovered.snapshot_data == b"state-20"
     assert [e.index for e in recovered.entries] == list(range(21, 41))
-    assert again.findings.damaged_snapshots == (f"snapshot-{30:020d}.snapshot",)
+    assert again.recovery_report.damaged_snapshots == (f"snapshot-{30:020d}.snapshot",)
 
 
 def test_no_snapshot_that_reaches_the_log_is_reported() -> None:
