--- a/src/springmux/control/commands.py
+++ b/src/springmux/control/commands.py
@@ -1,7 +1,7 @@
 """Commands of the replicated log and their results. Encoded with msgpack; applied deterministically.
 
-Operators' commands carry an ``order`` (client-made): a resent one gets its first result again.
-The leader's own commands make their order from rollout and step, so a new leader can't double them.
+Operators' commands carry an ``order`` id chosen by the client: a resent one gets its first result.
+The order ids of the leader's own commands derive from rollout and step, so a new leader can't repeat them.
 """
 
 from __future__ import annotations
@@ -33,8 +33,8 @@
 
 
 CONTENT_ORDER_PREFIX = "rollout/"
-"""Begins the id of a rollout order that is made from what was ordered. The node that takes such an order
-chooses the plan's canary by what it measures, so a resend to another node may carry another plan."""
+"""Prefix of a rollout order's id that is derived from its content. The node that accepts such an order
+chooses the plan's canary by its own measurements, so one resent to another node may have another plan."""
 
 
 class Command(msgspec.Struct, frozen=True, omit_defaults=True, kw_only=True):
@@ -45,7 +45,7 @@
 
 
 class ApplyConfiguration(Command, frozen=True, kw_only=True, tag="ApplyConfiguration"):
-    """Make ``document`` (JSON) configuration number ``version``, which must be the present one plus 1.
+    """Install ``document`` (JSON) as configuration ``version``, which must be the present one plus 1.
 
     ``partial``: the document is a JSON Merge Patch (RFC 7396) on the present one.
     """
@@ -88,7 +88,7 @@
 
 
 class RevokeKey(Command, frozen=True, kw_only=True, tag="RevokeKey"):
-    """Revoke a key: refused from its next request on, running streams end."""
+    """Revoke a key: its next requests are rejected, running streams end."""
 
     key: KeyId
 
@@ -101,10 +101,10 @@
 
 
 class PromoteRollout(Command, frozen=True, kw_only=True, tag="PromoteRollout"):
-    """Begin a rollout under a plan; conflicts with one under way for the service.
+    """Start a rollout under a plan; conflicts with one under way for the service.
 
-    ``stable``: the version released now, as the node that took the order knows it from the engines. It
-    counts only for a service of the gateway that never had a rollout.
+    ``stable``: the present version, as the node that accepted the order knows it from the engines. It is used
+    only for a service of the gateway that never had a rollout.
     """
 
     rollout: RolloutId
@@ -119,7 +119,7 @@
 
 
 class ResumeRollout(Command, frozen=True, kw_only=True, tag="ResumeRollout"):
-    """Go on with a paused rollout."""
+    """Resume a paused rollout."""
 
     service: ServiceName
 
@@ -133,9 +133,9 @@
 
 
 class SetRolloutStep(Command, frozen=True, kw_only=True, tag="SetRolloutStep"):
-    """The leader raises the weight, or at the same weight notes the time used.
+    """Raise the weight, or record the time used at the same weight; proposed by the leader.
 
-    Ignored unless the rollout runs. ``step`` counts the raises; a note carries the present number.
+    Ignored unless the rollout runs. ``step`` counts the raises; a checkpoint carries the present number.
     """
 
     service: ServiceName
@@ -147,7 +147,7 @@
 
 
 class FinishRollout(Command, frozen=True, kw_only=True, tag="FinishRollout"):
-    """The leader marks the candidate stable."""
+    """Make the candidate the stable version; proposed by the leader."""
 
     service: ServiceName
     rollout: RolloutId
@@ -155,7 +155,7 @@
 
 
 class SetClaimRing(Command, frozen=True, kw_only=True, tag="SetClaimRing"):
-    """The leader changes who may hold at-most-once claims; ``ring.version`` is the present one plus 1."""
+    """Change the holders of at-most-once claims; ``ring.version`` is the present one plus 1."""
 
     ring: ClaimRing
 
@@ -179,7 +179,7 @@
 
 
 class UnknownCommandError(SpringmuxError):
-    """A command can't be read here (a newer program wrote it). If it's committed, the node must not go on."""
+    """A command of a newer program can't be decoded. If it is committed, the node must not continue."""
 
 
 class Outcome(enum.StrEnum):
@@ -192,9 +192,9 @@
 
 
 class CommandResult(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Answer to a command, kept for resends. ``revision``: the log index it was decided at.
+    """Result of a command, kept for resent ones. ``revision``: log index at which it was decided.
 
-    ``winner``: in a conflict, what stands instead (version and order, or rollout), as JSON values.
+    ``winner``: in a conflict, what prevailed (version and order, or rollout), as JSON values.
     """
 
     order: OrderId
@@ -207,9 +207,9 @@
 
 
 def gateway_order_id(base_version: int, document: bytes, partial: bool) -> OrderId:
-    """Return the order of a gateway change, made from its content.
+    """Return the order id of a gateway change, derived from its content.
 
-    The same change sent again, to any node, is the same order and gets its first answer.
+    The same change resent to any node has the same order id and gets its first result.
     """
     digest = hashlib.blake2b(f"{base_version}:{int(partial)}:".encode(), digest_size=GATEWAY_ORDER_BYTES)
     digest.update(document)
--- a/src/springmux/control/configuration.py
+++ b/src/springmux/control/configuration.py
@@ -24,7 +24,7 @@
 MAX_DOCUMENT_BYTES = 8 << 20
 """Default bound of a configuration document (docs/API.md: larger ones are answered 413)."""
 MAX_REPORTED_ERRORS = 1000
-"""A document wrong throughout would else be answered by something larger than itself."""
+"""Bounds the response to a document that is wrong throughout."""
 MAX_HINT_CANDIDATES = 200
 """Comparing with thousands of names for each of thousands of errors would take minutes."""
 SECTIONS = ("services", "routes", "limits", "exceptions")
@@ -78,10 +78,10 @@
 
 
 def canonical_document(value: Any) -> bytes:
-    """Return the one JSON text of a value of bounded depth: members by name, no blanks.
+    """Return the canonical JSON text of a value of bounded depth: members sorted by name, no blanks.
 
-    The sorting is done here and not by the encoder: for a document of 8 MiB that is one call which
-    holds the interpreter for seconds, so that the node's heartbeats stop, also from another thread.
+    The encoder could sort, but for a document of 8 MiB that is one call which holds the interpreter lock for
+    seconds, so that the node's heartbeats stop even if it runs in another thread.
     """
     return msgspec.json.encode(_sorted_members(value))
 
@@ -111,7 +111,7 @@
     if limits is not None:
         checker.check_limits(limits.to_limits())
     if checker.errors or limits is None or exceptions is None:
-        raise InvalidConfigurationError(checker.reported())
+        raise InvalidConfigurationError(bounded_errors(checker.errors))
     return Configuration(
         version=version,
         services={ServiceName(name): service for name, service in services.items()},
@@ -121,18 +121,20 @@
     )
 
 
+def bounded_errors(errors: list[FieldError]) -> tuple[FieldError, ...]:
+    """Return the first :data:`MAX_REPORTED_ERRORS` errors, with a note on how many more there are."""
+    if len(errors) <= MAX_REPORTED_ERRORS:
+        return tuple(errors)
+    more = FieldError("", f"and {len(errors) - MAX_REPORTED_ERRORS} more errors")
+    return (*errors[:MAX_REPORTED_ERRORS], more)
+
+
 class _Checker:
-    """Collects errors while sections are read."""
+    """Collect errors while the sections are parsed."""
 
     def __init__(self) -> None:
         self.errors: list[FieldError] = []
 
-    def reported(self) -> tuple[FieldError, ...]:
-        if len(self.errors) <= MAX_REPORTED_ERRORS:
-            return tuple(self.errors)
-        more = FieldError("", f"and {len(self.errors) - MAX_REPORTED_ERRORS} more errors")
-        return (*self.errors[:MAX_REPORTED_ERRORS], more)
-
     def add(self, path: str, message: str) -> None:
         self.errors.append(FieldError(path, message))
 
@@ -169,7 +171,7 @@
         return self._part(sections.get(section, {}), section, model)
 
     def check_routes(self, routes: Any, services: Any) -> None:
-        """Check the raw values, so that a route with another fault is checked too."""
+        """Check the raw values, so that a route with another error is checked, too."""
         known = services if isinstance(services, dict) else {}
         for name in sorted(routes) if isinstance(routes, dict) else ():
             service = routes[name].get("service") if isinstance(routes[name], dict) else None
@@ -210,7 +212,7 @@
 
 
 def _nearest(name: str, known: tuple[str, ...]) -> str:
-    """Return a hint at the known name most like ``name``, or nothing."""
+    """Return a hint at the most similar known name, or an empty string."""
     if len(known) > MAX_HINT_CANDIDATES:
         return ""
     import difflib  # needed for wrong documents only
--- a/src/springmux/control/configuration_section.py
+++ b/src/springmux/control/configuration_section.py
@@ -27,7 +27,7 @@
 HISTORY_VERSIONS = 200
 HISTORY_DOCUMENTS = 20
 HISTORY_DOCUMENT_BYTES = 32 << 20
-"""Documents of the last 20 versions are kept up to this size in all, and the present one always."""
+"""Total size of the documents kept of the last 20 versions; the present one is always kept."""
 PREPARED_DOCUMENTS = 4
 EMPTY_DOCUMENT = b"{}"
 
@@ -42,15 +42,15 @@
 
 
 class ParsedDocument(msgspec.Struct, frozen=True):
-    """A whole document in canonical form and parsed, or what is wrong with it."""
+    """A complete document in canonical form and parsed, or its errors."""
 
     document: bytes
     configuration: Configuration | None
     errors: tuple[FieldError, ...] = ()
 
 
-class ServiceClaim(msgspec.Struct, frozen=True):
-    """What a rollout says of its service: its stable version, and whether it still runs."""
+class RolloutConstraint(msgspec.Struct, frozen=True):
+    """A rollout's constraint on its service: the stable version, and whether the rollout still runs."""
 
     service: ServiceName
     stable: VersionName
@@ -58,7 +58,7 @@
 
 
 class PresentConfiguration(msgspec.Struct, frozen=True):
-    """The configuration in force and its document; replaced as one, so a thread never sees half of it."""
+    """The configuration in force and its document; replaced atomically, since a thread reads it, too."""
 
     configuration: Configuration
     document: bytes
@@ -75,7 +75,7 @@
         self._prepared: dict[tuple[int, bytes], ParsedDocument] = {}
 
     def prepare(self, command: ApplyConfiguration) -> None:
-        """Parse ahead, in a thread; ``apply`` then finds the result. Changes nothing else."""
+        """Parse a command ahead for ``apply``, in a thread; change nothing else."""
         base = self.present
         parsed = self._parse(command.document, command.partial, base)
         if len(self._prepared) >= PREPARED_DOCUMENTS:
@@ -83,7 +83,7 @@
         self._prepared[_key(command, base)] = parsed
 
     def parse(self, document: bytes, partial: bool) -> ParsedDocument:
-        """Parse a whole document, or a merge patch on the present one."""
+        """Parse a complete document, or a merge patch on the present one."""
         return self._parse(document, partial, self.present)
 
     def _parse(self, document: bytes, partial: bool, base: PresentConfiguration) -> ParsedDocument:
@@ -100,36 +100,41 @@
             return ParsedDocument(b"", None, error.errors)
 
     def apply(
-        self, command: ApplyConfiguration, revision: Revision, claims: Collection[ServiceClaim]
+        self, command: ApplyConfiguration, revision: Revision, constraints: Collection[RolloutConstraint]
     ) -> Verdict:
-        """Make the command's document the next version if it is the next and valid.
+        """Install the command's document if its version is the next one and it is valid.
 
-        :param claims: what rollouts say of services; a document must not contradict them.
+        :param constraints: constraints of rollouts on services, which a document must respect.
         """
         if command.version != self.present.configuration.version + 1:
-            return self._lost(command.version)
+            return self._version_conflict(command.version)
         parsed = self._prepared.pop(_key(command, self.present), None)
         if parsed is None:
             parsed = self.parse(command.document, command.partial)
-        errors = parsed.errors or self.contradictions(parsed.configuration, claims)
+        errors = parsed.errors or self.rollout_conflicts(parsed.configuration, constraints)
         if parsed.configuration is None or errors:
             return invalid(*errors)
-        self._take(command, parsed.document, parsed.configuration, revision)
+        self._install(command, parsed.document, parsed.configuration, revision)
         return Verdict(Outcome.ACCEPTED, version=command.version)
 
-    def contradictions(
-        self, configuration: Configuration | None, claims: Collection[ServiceClaim]
+    def rollout_conflicts(
+        self, configuration: Configuration | None, constraints: Collection[RolloutConstraint]
     ) -> tuple[FieldError, ...]:
-        """Return where a document goes against rollouts: they hold services and their stable versions."""
+        """Return the errors where a document removes a service under rollout or changes a stable version."""
         errors: list[FieldError] = []
-        for claim in claims if configuration is not None else ():
-            found = configuration.services.get(claim.service) if configuration else None
-            before = self.present.configuration.services.get(claim.service)
-            path = f"services.{claim.service}"
-            if found is None and before is not None and claim.running:
+        for constraint in constraints if configuration is not None else ():
+            found = configuration.services.get(constraint.service) if configuration else None
+            before = self.present.configuration.services.get(constraint.service)
+            path = f"services.{constraint.service}"
+            if found is None and before is not None and constraint.running:
                 errors.append(FieldError(path, "a rollout of this service is under way; abort it first"))
-            elif found is not None and found.stable not in (claim.stable, before.stable if before else ""):
-                message = f"the stable version is {claim.stable!r} since its rollout; promote to change it"
+            elif found is not None and found.stable not in (
+                constraint.stable,
+                before.stable if before else "",
+            ):
+                message = (
+                    f"the stable version is {constraint.stable!r} since its rollout; promote to change it"
+                )
                 errors.append(FieldError(f"{path}.stable", message))
         return tuple(errors)
 
@@ -156,7 +161,7 @@
             raise ConfigurationTooLargeError(len(document), self._max_document_bytes)
         return ParsedDocument(document, build_configuration(value, 0))
 
-    def _lost(self, version: int) -> Verdict:
+    def _version_conflict(self, version: int) -> Verdict:
         present = self.present.configuration.version
         winner: dict[str, Any] = {"version": present}
         if self.history:
@@ -164,7 +169,7 @@
             winner["issued_by"] = self.history[-1].issued_by
         return conflict(f"version {version} does not follow the present version {present}", winner)
 
-    def _take(
+    def _install(
         self, command: ApplyConfiguration, document: bytes, configuration: Configuration, revision: Revision
     ) -> None:
         numbered = msgspec.structs.replace(configuration, version=command.version)
@@ -175,7 +180,7 @@
 
 
 def _key(command: ApplyConfiguration, base: PresentConfiguration) -> tuple[int, bytes]:
-    """Name a parse by all that it depends on: the document, and for a patch also its base."""
+    """Return the cache key of a parsed document: its digest, and for a patch also the base version."""
     base_version = base.configuration.version if command.partial else -1
     return (base_version, hashlib.blake2b(command.document, digest_size=16).digest())
 
--- a/src/springmux/control/gateway_change.py
+++ b/src/springmux/control/gateway_change.py
@@ -1,7 +1,7 @@
 """Parse a change of the gateway's configuration: a whole document, or items to put and names to remove.
 
-Only what the change itself says is checked here; it doesn't depend on the present configuration, so that a
-thread can parse ahead. References between items are checked by :mod:`springmux.control.gateway_references`.
+Only the change itself is checked here, independently of the present configuration, so that a thread can
+parse ahead. References between items are checked by :mod:`springmux.control.gateway_references`.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 import msgspec
 
 from springmux.control.configuration import (
-    MAX_REPORTED_ERRORS,
     ConfigurationTooLargeError,
     InvalidConfigurationError,
+    bounded_errors,
     decode_document,
 )
 from springmux.control.gateway_configuration import (
@@ -30,7 +30,7 @@
 LISTS = ("routes", "services", "tenants")
 WHOLE_MEMBERS = frozenset({"version", "limits", *LISTS})
 LARGEST_VERSION = 2**63 - 1
-"""What fits into the log's integers."""
+"""Largest integer that the log's encoding can hold."""
 NO_VERSION = -1
 
 Typed = TypeVar("Typed")
@@ -38,49 +38,49 @@
 
 
 class ItemModel(Protocol[TypedOut]):
-    """What the structs of :mod:`springmux.control.gateway_documents` have in common."""
+    """Common interface of the structs of :mod:`springmux.control.gateway_documents`."""
 
     @property
     def name(self) -> str:
         """The item's name."""
 
-    def faults(self) -> tuple[FieldError, ...]:
-        """Return what is wrong between its fields."""
+    def field_errors(self) -> tuple[FieldError, ...]:
+        """Return the errors that involve several fields."""
 
     def typed(self) -> TypedOut:
-        """Return it as nodes use it."""
+        """Return the item in the form that nodes use."""
 
 
 @dataclass(frozen=True, slots=True)
-class Entry(Generic[Typed]):
-    """An item as it was sent and as nodes use it."""
+class GatewayItem(Generic[Typed]):
+    """An item as sent by the operator and in the form that nodes use."""
 
     raw: Mapping[str, Any]
     typed: Typed
 
 
 @dataclass(frozen=True, slots=True)
-class ListChange(Generic[Typed]):
-    """Items to put, by name in order, and names to remove. ``stated``: the document has this list."""
+class ItemChanges(Generic[Typed]):
+    """Items to put, by name in order, and names to remove. ``is_present``: the document has this list."""
 
-    put: Mapping[str, Entry[Typed]]
+    put: Mapping[str, GatewayItem[Typed]]
     removed: tuple[str, ...]
-    stated: bool
+    is_present: bool
 
 
 @dataclass(frozen=True, slots=True)
 class GatewayChange:
     """A parsed change. ``partial``: it builds on the present items; else it replaces all of them.
 
-    ``limits``: ``None`` if the change says nothing of them. ``extras``: unknown members of a whole document.
+    ``limits``: ``None`` if the change doesn't contain them. ``extras``: unknown members of a whole document.
     """
 
     version: int
     partial: bool
-    routes: ListChange[GatewayRoute]
-    services: ListChange[GatewayService]
-    tenants: ListChange[GatewayTenant]
-    limits: Entry[GatewayLimits] | None
+    routes: ItemChanges[GatewayRoute]
+    services: ItemChanges[GatewayService]
+    tenants: ItemChanges[GatewayTenant]
+    limits: GatewayItem[GatewayLimits] | None
     extras: Mapping[str, Any] = field(default_factory=dict)
 
 
@@ -95,19 +95,11 @@
     value = decode_document(document)
     if not isinstance(value, dict):
         raise InvalidConfigurationError((FieldError("", "the document must be an object"),))
-    return _Reader(value, partial).change()
+    return _ChangeParser(value, partial).change()
 
 
-def reported(errors: list[FieldError]) -> tuple[FieldError, ...]:
-    """Return the errors, bounded in number."""
-    if len(errors) <= MAX_REPORTED_ERRORS:
-        return tuple(errors)
-    more = FieldError("", f"and {len(errors) - MAX_REPORTED_ERRORS} more errors")
-    return (*errors[:MAX_REPORTED_ERRORS], more)
-
-
-class _Reader:
-    """Reads one document and collects its errors."""
+class _ChangeParser:
+    """Parse one document and collect its errors."""
 
     def __init__(self, value: dict[str, Any], partial: bool) -> None:
         self._value = value
@@ -126,7 +118,7 @@
             extras={} if self._partial else _without(self._value, WHOLE_MEMBERS),
         )
         if self._errors:
-            raise InvalidConfigurationError(reported(self._errors))
+            raise InvalidConfigurationError(bounded_errors(self._errors))
         return change
 
     def _sources(self) -> tuple[dict[str, Any], dict[str, Any]]:
@@ -165,32 +157,32 @@
         model: type[ItemModel[Typed]],
         put: dict[str, Any],
         removed: dict[str, Any],
-    ) -> ListChange[Typed]:
+    ) -> ItemChanges[Typed]:
         prefix = "upsert." if self._partial else ""
-        entries = self._entries(put.get(section, []), prefix + section, model)
-        return ListChange(entries, self._removed(section, removed), section in put)
+        found = self._items(put.get(section, []), prefix + section, model)
+        return ItemChanges(found, self._removed(section, removed), section in put)
 
-    def _entries(self, items: Any, path: str, model: type[ItemModel[Typed]]) -> dict[str, Entry[Typed]]:
-        entries: dict[str, Entry[Typed]] = {}
+    def _items(self, items: Any, path: str, model: type[ItemModel[Typed]]) -> dict[str, GatewayItem[Typed]]:
+        found: dict[str, GatewayItem[Typed]] = {}
         if not isinstance(items, list):
             self._add(path, "must be a list")
-            return entries
+            return found
         for number, raw in enumerate(items):
             where = f"{path}.{_label(raw, number)}"
             item = self._item(raw, where, model)
             if item is None:
                 continue
-            if item.name in entries:
+            if item.name in found:
                 self._add(f"{where}.name", f"the name {item.name!r} is in this list twice")
-            entries[item.name] = Entry(raw, item.typed())
-        return entries
+            found[item.name] = GatewayItem(raw, item.typed())
+        return found
 
     def _item(self, raw: Any, path: str, model: type[ItemModel[Typed]]) -> ItemModel[Typed] | None:
         item = self._converted(raw, path, model)
-        faults = item.faults() if item is not None else ()
-        for fault in faults:
-            self._add(f"{path}.{fault.path}", fault.message)
-        return None if faults else item
+        field_errors = item.field_errors() if item is not None else ()
+        for error in field_errors:
+            self._add(f"{path}.{error.path}", error.message)
+        return None if field_errors else item
 
     def _removed(self, section: str, removed: dict[str, Any]) -> tuple[str, ...]:
         names = removed.get(section, [])
@@ -199,11 +191,11 @@
         self._add(f"remove.{section}", "must be a list of names")
         return ()
 
-    def _limits(self, put: dict[str, Any]) -> Entry[GatewayLimits] | None:
-        for holder, path in ((self._value, "limits"), (put, "upsert.limits")):
-            if "limits" in holder:
-                item = self._converted(holder["limits"], path, LimitsItem)
-                return Entry(holder["limits"], item.typed()) if item is not None else None
+    def _limits(self, put: dict[str, Any]) -> GatewayItem[GatewayLimits] | None:
+        for container, path in ((self._value, "limits"), (put, "upsert.limits")):
+            if "limits" in container:
+                item = self._converted(container["limits"], path, LimitsItem)
+                return GatewayItem(container["limits"], item.typed()) if item is not None else None
         return None
 
     def _converted(self, raw: Any, path: str, model: type[Typed]) -> Typed | None:
@@ -224,6 +216,6 @@
 
 
 def _label(raw: Any, number: int) -> str:
-    """Name an item in a path: by its name if it has one, else by its place."""
+    """Return the label of an item in a path: its name if it has one, else its index."""
     name = raw.get("name") if isinstance(raw, dict) else None
     return name if isinstance(name, str) and name else str(number)
--- a/src/springmux/control/gateway_documents.py
+++ b/src/springmux/control/gateway_documents.py
@@ -1,7 +1,7 @@
-"""Items of the operators' gateway document as msgspec structs: what is wrong with one of them alone.
+"""Items of the operators' gateway document as msgspec structs, validated one by one.
 
 Names, defaults and units are those of :mod:`springmux.control.gateway_configuration`. Unknown fields are
-ignored here; :mod:`springmux.control.gateway_section` keeps the items as they were sent.
+ignored here; :mod:`springmux.control.gateway_section` keeps the items as sent.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from springmux.vocabulary.names import RouteName, ServiceName, TenantName
 
 LARGEST = sys.float_info.max
-"""An integer of hundreds of digits converts to infinity; this bound refuses it."""
+"""An integer of hundreds of digits converts to infinity; this bound rejects it."""
 LARGEST_COUNT = 2**53
 """Integers up to this one go through any JSON reader unchanged (RFC 8259, section 6)."""
 TOKENS_UNIT = "tokens"
@@ -64,20 +64,20 @@
     sticky: bool = False
     resumable: bool = False
 
-    def faults(self) -> tuple[FieldError, ...]:
-        """Return what is wrong although each field alone is right; paths are fields of the item."""
-        faults: list[FieldError] = []
+    def field_errors(self) -> tuple[FieldError, ...]:
+        """Return the errors that involve several fields; paths are fields of the item."""
+        field_errors: list[FieldError] = []
         if not (self.path_prefix.startswith("/") and self.path_prefix.endswith("/")):
-            faults.append(FieldError("path_prefix", "must begin and end with '/'"))
+            field_errors.append(FieldError("path_prefix", "must begin and end with '/'"))
         if (self.service is None) == (self.backends is None):
-            faults.append(FieldError("service", "give either 'service' or 'backends'"))
+            field_errors.append(FieldError("service", "give either 'service' or 'backends'"))
         total = sum(backend.weight for backend in self.backends or ())
         if self.backends is not None and not (0 < total < math.inf):
-            faults.append(FieldError("backends", "weights must add up to a finite number above 0"))
-        return tuple(faults)
+            field_errors.append(FieldError("backends", "weights must add up to a finite number above 0"))
+        return tuple(field_errors)
 
     def typed(self) -> GatewayRoute:
-        """Return the route as nodes use it. Hosts compare in lower case and without a port."""
+        """Return the route in the form that nodes use. Hosts compare in lower case and without a port."""
         return GatewayRoute(
             name=RouteName(self.name),
             host=normal_host(self.host),
@@ -116,12 +116,12 @@
     max_connections: PositiveCount = 100
     engine: EngineItem | None = None
 
-    def faults(self) -> tuple[FieldError, ...]:
-        """Return what is wrong although each field alone is right: nothing here."""
+    def field_errors(self) -> tuple[FieldError, ...]:
+        """Return no errors: the fields are independent."""
         return ()
 
     def typed(self) -> GatewayService:
-        """Return the service as nodes use it."""
+        """Return the service in the form that nodes use."""
         engine = self.engine
         shape = (
             ModelEngineShape(engine.slots, engine.cache_tokens, engine.tokens_per_event) if engine else None
@@ -140,12 +140,12 @@
     rate_per_s: NotNegative = 0.0
     burst: NotNegative = 0.0
 
-    def faults(self) -> tuple[FieldError, ...]:
-        """Return what is wrong although each field alone is right: nothing here."""
+    def field_errors(self) -> tuple[FieldError, ...]:
+        """Return no errors: the fields are independent."""
         return ()
 
     def typed(self) -> GatewayTenant:
-        """Return the tenant as nodes use it."""
+        """Return the tenant in the form that nodes use."""
         return GatewayTenant(
             name=TenantName(self.name),
             api_keys=self.api_keys,
@@ -166,7 +166,7 @@
     idle_timeout_ms: Positive = 15_000.0
 
     def typed(self) -> GatewayLimits:
-        """Return the limits as nodes use them."""
+        """Return the limits in the form that nodes use."""
         return GatewayLimits(**msgspec.structs.asdict(self))
 
 
--- a/src/springmux/control/gateway_references.py
+++ b/src/springmux/control/gateway_references.py
@@ -1,53 +1,53 @@
-"""What must hold between the items of a gateway configuration. Linear in their number."""
+"""Consistency checks between the items of a gateway configuration, in time linear in their number."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator, Mapping
 
-from springmux.control.gateway_change import Entry
+from springmux.control.gateway_change import GatewayItem
 from springmux.control.gateway_configuration import GatewayRoute, GatewayTenant
 from springmux.vocabulary.errors import FieldError
 from springmux.vocabulary.names import RouteName, TenantName
 
 
 def unknown_services(
-    routes: Mapping[str, Entry[GatewayRoute]], services: Mapping[str, object]
+    routes: Mapping[str, GatewayItem[GatewayRoute]], services: Mapping[str, object]
 ) -> Iterator[FieldError]:
     """Yield an error for each back end that names no service."""
-    for name, entry in routes.items():
-        for number, backend in enumerate(entry.typed.backends):
+    for name, item in routes.items():
+        for number, backend in enumerate(item.typed.backends):
             if backend.service not in services:
-                member = f"backends.{number}.service" if "backends" in entry.raw else "service"
+                member = f"backends.{number}.service" if "backends" in item.raw else "service"
                 message = f"there is no service {backend.service!r}"
                 yield FieldError(f"routes.{name}.{member}", message)
 
 
-def routes_alike(routes: Mapping[str, Entry[GatewayRoute]]) -> Iterator[FieldError]:
-    """Yield an error for each route with the host and path prefix of one before it."""
+def duplicate_routes(routes: Mapping[str, GatewayItem[GatewayRoute]]) -> Iterator[FieldError]:
+    """Yield an error for each route with the host and path prefix of an earlier one."""
     seen: dict[tuple[str, str], RouteName] = {}
-    for name, entry in routes.items():
-        route = entry.typed
+    for name, item in routes.items():
+        route = item.typed
         first = seen.setdefault((route.host, route.path_prefix), route.name)
         if first != route.name:
             message = f"route {first!r} has the same host and path_prefix"
             yield FieldError(f"routes.{name}.path_prefix", message)
 
 
-def shared_keys(
-    tenants: Mapping[str, Entry[GatewayTenant]], key_tenants: Mapping[str, TenantName]
+def duplicate_keys(
+    tenants: Mapping[str, GatewayItem[GatewayTenant]], key_tenants: Mapping[str, TenantName]
 ) -> Iterator[FieldError]:
-    """Yield an error for each key of two tenants. The key itself isn't told."""
-    for name, entry in tenants.items():
-        for number, key in enumerate(entry.typed.api_keys):
-            if key_tenants[key] != entry.typed.name:
+    """Yield an error for each key of two tenants, without the key itself."""
+    for name, item in tenants.items():
+        for number, key in enumerate(item.typed.api_keys):
+            if key_tenants[key] != item.typed.name:
                 message = f"tenant {key_tenants[key]!r} has this key too"
                 yield FieldError(f"tenants.{name}.api_keys.{number}", message)
 
 
-def tenants_by_key(tenants: Mapping[str, Entry[GatewayTenant]]) -> dict[str, TenantName]:
-    """Return whose each key is; the first tenant's, if two share it."""
+def tenants_by_key(tenants: Mapping[str, GatewayItem[GatewayTenant]]) -> dict[str, TenantName]:
+    """Map each key to its tenant; to the first one if two share it."""
     owners: dict[str, TenantName] = {}
-    for entry in tenants.values():
-        for key in entry.typed.api_keys:
-            owners.setdefault(key, entry.typed.name)
+    for item in tenants.values():
+        for key in item.typed.api_keys:
+            owners.setdefault(key, item.typed.name)
     return owners
--- a/src/springmux/control/rollout_section.py
+++ b/src/springmux/control/rollout_section.py
@@ -1,7 +1,7 @@
-"""Rollout records in the control state: which orders may follow which, per service.
+"""Rollout records in the control state and their transitions, per service.
 
 Only consistency with the committed state is checked here; a plan's own ranges are checked by
-:mod:`springmux.rollout.planning.template` before the order is taken.
+:mod:`springmux.rollout.planning.template` before the order is accepted.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
     ResumeRollout,
     SetRolloutStep,
 )
-from springmux.control.configuration_section import ServiceClaim
+from springmux.control.configuration_section import RolloutConstraint
 from springmux.control.verdict import ACCEPTED, Verdict, conflict, invalid, not_found
 from springmux.coordination.identifiers import Revision
 from springmux.rollout.planning.plan import TERMINAL_PHASES, RolloutDecision, RolloutPhase, RolloutRecord
 from springmux.vocabulary.errors import FieldError
 from springmux.vocabulary.names import RolloutId, ServiceName, VersionName
 
-KEPT_ENDED = 200
+MAX_ENDED_ROLLOUTS = 200
 
 
 class EndedRollout(msgspec.Struct, frozen=True, array_like=True):
@@ -48,7 +48,7 @@
     def promote(self, command: PromoteRollout, stable: VersionName | None) -> Verdict:
         """Begin a rollout at the plan's canary weight.
 
-        A candidate that is stable because its rollout is done is accepted once more: an order resent.
+        A candidate whose rollout is done is accepted again, since the order may be a resent one.
 
         :param stable: the service's stable version; ``None`` if there is no such service, empty if the
             version isn't known.
@@ -63,7 +63,7 @@
             return conflict(f"rollout {record.rollout!r} of {plan.service!r} is under way", _winner(record))
         if record is not None and record.phase is RolloutPhase.DONE and record.candidate == plan.candidate:
             return ACCEPTED
-        if not command.rollout or self._used(command.rollout):
+        if not command.rollout or self._is_used(command.rollout):
             return conflict(f"rollout id {command.rollout!r} is empty or was used before")
         if plan.candidate == stable:
             return invalid(FieldError("plan.candidate", f"{stable!r} is the stable version already"))
@@ -83,16 +83,16 @@
         """Stop sending to the candidate; pausing a paused one changes nothing."""
         record = self.records.get(command.service)
         if record is None or record.phase in TERMINAL_PHASES:
-            return _nothing_runs(command.service, record)
+            return _not_under_way(command.service, record)
         if record.phase is not RolloutPhase.PAUSED:
             self._set(msgspec.structs.replace(record, phase=RolloutPhase.PAUSED, resume_phase=record.phase))
         return ACCEPTED
 
     def resume(self, command: ResumeRollout) -> Verdict:
-        """Go on where it was paused; resuming a running one changes nothing."""
+        """Continue a paused rollout; resuming a running one changes nothing."""
         record = self.records.get(command.service)
         if record is None or record.phase in TERMINAL_PHASES:
-            return _nothing_runs(command.service, record)
+            return _not_under_way(command.service, record)
         if record.phase is RolloutPhase.PAUSED:
             self._set(msgspec.structs.replace(record, phase=record.resume_phase))
         return ACCEPTED
@@ -101,7 +101,7 @@
         """End a rollout for good; aborting an aborted one changes nothing."""
         record = self.records.get(command.service)
         if record is None:
-            return _nothing_runs(command.service, None)
+            return _not_under_way(command.service, None)
         if command.rollout and command.rollout != record.rollout:
             return conflict(f"rollout {command.rollout!r} is not the newest", _winner(record))
         if record.phase is RolloutPhase.ABORTED:
@@ -114,12 +114,12 @@
         return ACCEPTED
 
     def set_step(self, command: SetRolloutStep) -> Verdict:
-        """Raise the weight by the next step, or note the time used within one."""
+        """Raise the weight to the next step, or record the time used within one."""
         record = self.records.get(command.service)
         refusal = _not_running(record, command.service, command.rollout)
         if record is None or refusal is not None:
-            return refusal or _nothing_runs(command.service, None)
-        if not _is_checkpoint(command, record) and not _raises(command, record):
+            return refusal or _not_under_way(command.service, None)
+        if not _is_checkpoint(command, record) and not _is_next_step(command, record):
             return conflict(
                 f"step {command.step} to weight {command.weight:g} does not follow step {record.step}",
                 _winner(record),
@@ -140,7 +140,7 @@
         record = self.records.get(command.service)
         refusal = _not_running(record, command.service, command.rollout)
         if record is None or refusal is not None:
-            return refusal or _nothing_runs(command.service, None)
+            return refusal or _not_under_way(command.service, None)
         if record.weight < 1.0:
             return conflict(f"the candidate has weight {record.weight:g}, not all", _winner(record))
         done = msgspec.structs.replace(
@@ -153,17 +153,17 @@
         self._end(done, record.stable, revision, command.issued_by)
         return ACCEPTED
 
-    def claims(self) -> tuple[ServiceClaim, ...]:
-        """Return what the records say of their services."""
+    def constraints(self) -> tuple[RolloutConstraint, ...]:
+        """Return the rollouts' constraints on their services."""
         return tuple(
-            ServiceClaim(record.service, record.stable, record.phase not in TERMINAL_PHASES)
+            RolloutConstraint(record.service, record.stable, record.phase not in TERMINAL_PHASES)
             for record in self.records.values()
         )
 
     def forget_services(self, known: Collection[ServiceName]) -> None:
         """Drop records of services that no configuration has any more; their history stays.
 
-        One that still runs is kept until it ends: the gateway's service may go while it is under way.
+        A running one is kept until it ends: the gateway's service may be removed while it is under way.
         """
         self.records = {
             name: record
@@ -176,7 +176,7 @@
         self.records = {record.service: record for record in records}
         self.ended = ended
 
-    def _used(self, rollout: RolloutId) -> bool:
+    def _is_used(self, rollout: RolloutId) -> bool:
         ended = any(past.record.rollout == rollout for past in self.ended)
         return ended or any(record.rollout == rollout for record in self.records.values())
 
@@ -185,16 +185,16 @@
 
     def _end(self, record: RolloutRecord, previous: VersionName, revision: Revision, issued_by: str) -> None:
         self._set(record)
-        self.ended = (*self.ended, EndedRollout(record, previous, revision, issued_by))[-KEPT_ENDED:]
+        self.ended = (*self.ended, EndedRollout(record, previous, revision, issued_by))[-MAX_ENDED_ROLLOUTS:]
 
 
 def _is_checkpoint(command: SetRolloutStep, record: RolloutRecord) -> bool:
-    """Return whether the leader only notes the time used, so that the next leader goes on from there."""
-    place = (record.phase, record.step, record.weight)
-    return (command.phase, command.step, command.weight) == place
+    """Return whether the command only records the time used, from which the next leader continues."""
+    present = (record.phase, record.step, record.weight)
+    return (command.phase, command.step, command.weight) == present
 
 
-def _raises(command: SetRolloutStep, record: RolloutRecord) -> bool:
+def _is_next_step(command: SetRolloutStep, record: RolloutRecord) -> bool:
     """Return whether this is the next step, to a higher weight."""
     is_next = command.step == record.step + 1 and command.phase is RolloutPhase.SHIFTING
     return is_next and record.weight < command.weight <= 1.0
@@ -209,16 +209,16 @@
     }
 
 
-def _nothing_runs(service: ServiceName, record: RolloutRecord | None) -> Verdict:
+def _not_under_way(service: ServiceName, record: RolloutRecord | None) -> Verdict:
     if record is None:
         return not_found(f"there is no rollout of {service!r}")
     return conflict(f"the rollout of {service!r} is {record.phase.value}", _winner(record))
 
 
 def _not_running(record: RolloutRecord | None, service: ServiceName, rollout: RolloutId) -> Verdict | None:
-    """Return why the leader's own order doesn't count, or ``None``."""
+    """Return the verdict that rejects the leader's own order, or ``None`` if the rollout runs."""
     if record is None or record.phase in TERMINAL_PHASES or record.phase is RolloutPhase.PAUSED:
-        return _nothing_runs(service, record)
+        return _not_under_way(service, record)
     if record.rollout != rollout:
         return conflict(f"rollout {rollout!r} is not the newest", _winner(record))
     return None
--- a/src/springmux/control/state.py
+++ b/src/springmux/control/state.py
@@ -96,7 +96,7 @@
         return found.result if found else None
 
     def recall(self, data: bytes) -> CommandResult | None:
-        """Return what ``data``, a command sent again, would get without being decided anew.
+        """Return the first result of ``data`` if it is a resent command, else ``None``.
 
         :raises UnknownCommandError: if it can't be read.
         """
@@ -106,9 +106,9 @@
             raise UnknownCommandError(f"command can't be read: {error}") from error
 
     def prepare(self, data: bytes) -> None:
-        """Parse a command's configuration document ahead. May run in a thread beside ``apply``.
+        """Parse a command's configuration document ahead, possibly in a thread concurrent to ``apply``.
 
-        An 8 MiB document takes about a second; ``apply`` then only takes over the result.
+        An 8 MiB document takes about a second; ``apply`` then only installs the result.
         """
         try:
             command = decode_command(data)
@@ -120,10 +120,10 @@
             self._gateway.prepare(command)
 
     def check_configuration(self, document: bytes, partial: bool = False) -> tuple[FieldError, ...]:
-        """Return every error that the document would be refused for now; changes nothing."""
+        """Return every error for which the document would be rejected now; change nothing."""
         parsed = self._configuration.parse(document, partial)
-        claims = self._rollouts.claims()
-        return parsed.errors or self._configuration.contradictions(parsed.configuration, claims)
+        constraints = self._rollouts.constraints()
+        return parsed.errors or self._configuration.rollout_conflicts(parsed.configuration, constraints)
 
     def configuration_document(self, version: int | None = None) -> bytes | None:
         """Return the canonical JSON document of a version (the present one by default), if kept."""
@@ -132,7 +132,7 @@
         return self._configuration.document_of(version)
 
     def gateway_document(self) -> bytes | None:
-        """Return the gateway's whole configuration as JSON, each item as it was sent; ``None``: none yet."""
+        """Return the gateway's configuration as JSON, each item as sent; ``None`` if there is none yet."""
         return self._gateway.document() or None
 
     def configuration_history(self) -> tuple[ConfigurationVersion, ...]:
@@ -234,7 +234,7 @@
                 raise UnknownCommandError(f"no rule for {type(command).__name__}")
 
     def _apply_configuration(self, command: ApplyConfiguration, index: Revision) -> Verdict:
-        verdict = self._configuration.apply(command, index, self._rollouts.claims())
+        verdict = self._configuration.apply(command, index, self._rollouts.constraints())
         if verdict.outcome is Outcome.ACCEPTED:
             self._rollouts.forget_services(self._known_services())
         return verdict
--- a/src/springmux/control/view.py
+++ b/src/springmux/control/view.py
@@ -1,4 +1,4 @@
-"""Immutable picture of the control state that every node holds: configuration, tenants, keys, rollouts."""
+"""Immutable view of the control state at every node: configuration, tenants, keys, rollouts."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
     """Class of service of a route, for admission."""
 
     INTERACTIVE = "interactive"
-    """Short streams that must not dawdle; keeps reserved slots."""
+    """Short, latency-sensitive streams; has reserved slots."""
     BULK = "bulk"
     """Long prompts with large shared prefixes."""
     TRANSACTION = "transaction"
-    """Calls that hold something outside and may not be repeated."""
+    """Calls with side effects that may not be repeated."""
 
 
 class RouteKind(enum.StrEnum):
@@ -35,7 +35,7 @@
 
 
 class Route(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One way in. Callers name a prompt route as ``model``, a call route in the path."""
+    """One entry point. Clients name a prompt route as ``model``, a call route in the path."""
 
     name: RouteName
     kind: RouteKind
@@ -73,7 +73,7 @@
 
 
 class DeploymentExceptions(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Departures of one deployment from the ordinary path; each is named in docs/ROLLOUT.md."""
+    """Exceptions of one deployment from the standard rollout; docs/ROLLOUT.md lists them."""
 
     token_period_s: float | None = None
     minimum_ready_engines: int = 1
@@ -99,7 +99,7 @@
 
 
 class KeyRecord(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A caller's key, by digest. A revoked key keeps its record so that refusals can say so."""
+    """A client's key, by digest. A revoked key keeps its record so that error responses can say so."""
 
     key: KeyId
     digest: KeyDigest
@@ -108,7 +108,7 @@
 
 
 class ControlView(msgspec.Struct, frozen=True):
-    """Everything that operators decided, as of ``revision``. Nodes never go back to an older one."""
+    """The control state as of ``revision``. Nodes never return to an older one."""
 
     revision: Revision
     configuration: Configuration
