--- a/src/springmux/node/driver.py
+++ b/src/springmux/node/driver.py
@@ -27,6 +27,7 @@
     LeadershipTransferRequested,
     OrderSubmitted,
 )
+from springmux.agent.storage_effects import StorageEffect
 from springmux.control.commands import AnyCommand
 from springmux.coordination.claims.decision import ClaimDecision, ClaimVerdict
 from springmux.coordination.consensus.core import RESTART_AS_NEW
@@ -40,7 +41,7 @@
 from springmux.node.driver_protocols import AgentUnderDriver, PeerSender
 from springmux.node.logs import EventLog
 from springmux.node.metrics.registry import NodeMetrics
-from springmux.node.storage.worker import STALL_AFTER_S, StorageEffect, StorageWorker
+from springmux.node.storage.worker import STALL_AFTER_S, StorageWorker
 from springmux.vocabulary.names import RequestId
 
 LAG_PROBE_S = 0.25
@@ -265,12 +266,12 @@
         if effect.arrival is None:
             return
         behind_s = self._loop.time() - effect.arrival.behind_since
-        self._metrics.count("control_changes_total", effect.arrival.way)
+        self._metrics.count("control_changes_total", effect.arrival.method)
         self._metrics.observe("control_behind_seconds", behind_s)
         self._log.write(
             "control_in_force",
             revision=effect.revision,
-            way=effect.arrival.way,
+            way=effect.arrival.method,
             behind_ms=round(behind_s * 1000),
             gateway_version=effect.gateway_version,
         )
--- a/src/springmux/simulation/hollow_disk.py
+++ b/src/springmux/simulation/hollow_disk.py
@@ -6,6 +6,7 @@
 from collections.abc import Callable
 
 from springmux.agent.effects import WriteSnapshot
+from springmux.agent.storage_effects import StorageEffect
 from springmux.coordination.claims.events import ClaimsPersisted, ClaimsPersistFailed, PersistClaims
 from springmux.coordination.claims.journal import RecoveredClaims
 from springmux.coordination.consensus.effects import (
@@ -37,8 +38,6 @@
 SMALL_RESERVE_BYTES = 64 * 1024
 SEGMENT_BYTES = 256 * 1024
 
-StorageEffect = Persist | WriteSnapshot | InstallSnapshot | CompactLog | PersistClaims | RememberPeers
-
 
 class HollowDisk:
     """The disk of one machine, across its boots.
@@ -80,7 +79,7 @@
             try:
                 recovered = store.open()
                 self._journal = ClaimJournal(self.disk, "replica", recovered.replica)
-                self.claims = self._journal.open(store.findings.new_replica)
+                self.claims = self._journal.open(store.recovery_report.new_replica)
                 self.remembered = self._peer_list.load()
                 self.first_start = recovered.first_start
                 self._store = store
