--- a/src/springmux/coordination/membership/effects.py
+++ b/src/springmux/coordination/membership/effects.py
@@ -8,13 +8,13 @@
 
 
 class SendToAddress(Effect, frozen=True):
-    """Send a message to a peer address whose node name isn't known (seeds), or may be outdated (joins)."""
+    """Send a message to a peer address whose node isn't known by name (seeds) or at this address (joins)."""
 
     address: Address
     message: PeerMessage
 
 
 class MembershipChanged(Effect, frozen=True):
-    """The view changed; hand it to the other parts as ``events.MembershipUpdated``."""
+    """The view changed; hand it to the other components as ``events.MembershipUpdated``."""
 
     view: MembershipView
--- a/src/springmux/coordination/membership/events.py
+++ b/src/springmux/coordination/membership/events.py
@@ -1,4 +1,4 @@
-"""Events of the membership, contact and directory parts beside ticks and peer messages."""
+"""Events of membership, the contact rule and the engine directory, beside ticks and peer messages."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
 
 
 class LeaveBegun(Event, frozen=True):
-    """The node stops for good; the fleet is told so that it needn't detect a failure."""
+    """The node stops for good; it announces that, so that the fleet needn't detect a failure."""
 
 
 class MembershipUpdated(Event, frozen=True):
-    """The membership part's newest view, for parts that depend on it."""
+    """The newest view of membership, for the components that depend on it."""
 
     view: MembershipView
 
@@ -49,9 +49,9 @@
 
 
 class ContactChanged(Event, frozen=True):
-    """The contact rule's answer changed (``ContactMonitor.connected``).
+    """The result of the contact rule changed (``ContactMonitor.connected``).
 
-    ``peers``: the other known nodes, also those that membership still takes for dead.
+    ``peers``: the other known nodes, also those that membership believes dead.
     """
 
     connected: bool
--- a/src/springmux/coordination/membership/gossip_queue.py
+++ b/src/springmux/coordination/membership/gossip_queue.py
@@ -1,4 +1,4 @@
-"""The queue of news to pass on: bounded per message and in retransmissions (SWIM, section 4.1)."""
+"""The queue of updates to disseminate: bounded per message and in transmissions (SWIM, section 4.1)."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 from dataclasses import dataclass
 
 from springmux.coordination.identifiers import NodeId
-from springmux.coordination.membership.messages import NO_NEWS, Piggyback, StatusUpdate
+from springmux.coordination.membership.messages import NO_UPDATES, Piggyback, StatusUpdate
 from springmux.coordination.membership.settings import MembershipSettings
 from springmux.coordination.membership.view import NodeRecord, NodeStatus
 
 
 @dataclass
 class _Queued:
-    news: NodeRecord | StatusUpdate
+    update: NodeRecord | StatusUpdate
     queued_at: float
     sent: int = 0
 
 
 class GossipQueue:
-    """Newest news per node, least often sent first."""
+    """The newest update of each node, least often sent first."""
 
     def __init__(self, settings: MembershipSettings) -> None:
         self._settings = settings
@@ -29,47 +29,47 @@
     def __len__(self) -> int:
         return len(self._queue)
 
-    def add(self, news: NodeRecord | StatusUpdate, now: float) -> None:
-        """Queue ``news`` in place of older news of the same node."""
-        self._queue[news.node] = _Queued(news, now)
+    def add(self, update: NodeRecord | StatusUpdate, now: float) -> None:
+        """Queue ``update`` in place of an older one of the same node."""
+        self._queue[update.node] = _Queued(update, now)
 
-    def heard_again(self, record: NodeRecord) -> None:
-        """A peer sent what is queued here: many know it already, so fewer copies are needed.
+    def note_duplicate(self, record: NodeRecord) -> None:
+        """Send ``record`` less often, since a peer sent it too: many know it already.
 
-        Source: Demers et al. 1987, "Epidemic algorithms for replicated database maintenance", rumours with
+        Source: Demers et al. 1987, "Epidemic algorithms for replicated database maintenance", rumors with
         feedback and a counter.
         """
         queued = self._queue.get(record.node)
-        if queued is not None and queued.news == record:
-            queued.sent += self._settings.heard_again_counts
+        if queued is not None and queued.update == record:
+            queued.sent += self._settings.duplicate_transmissions
 
     def keep_only(self, node: NodeId) -> None:
-        """Drop news of all others: after a pause it may be outdated."""
+        """Drop the updates of all other nodes, which may be outdated after a pause."""
         self._queue = {name: queued for name, queued in self._queue.items() if name == node}
 
-    def take(self, nodes: int, now: float, direct: StatusUpdate | None = None) -> Piggyback:
-        """Return news for one message; ``direct`` goes first (Lifeguard's buddy system)."""
-        if not self._queue and direct is None:
-            return NO_NEWS
+    def take(self, nodes: int, now: float, first: StatusUpdate | None = None) -> Piggyback:
+        """Return the updates for one message in a fleet of ``nodes``, with ``first`` before all others."""
+        if not self._queue and first is None:
+            return NO_UPDATES
         limit = self._settings.retransmit_factor * max(1, math.ceil(math.log2(nodes + 1)))
         records: list[NodeRecord] = []
-        statuses: list[StatusUpdate] = [direct] if direct else []
-        news_max = self._settings.news_per_message
-        chosen = heapq.nsmallest(news_max, self._queue.items(), key=lambda item: item[1].sent)
+        statuses: list[StatusUpdate] = [first] if first else []
+        updates_max = self._settings.updates_per_message
+        chosen = heapq.nsmallest(updates_max, self._queue.items(), key=lambda item: item[1].sent)
         for node, queued in chosen:
             if queued.sent >= limit or self._outdated(queued, now):
                 del self._queue[node]
                 continue
-            if isinstance(queued.news, NodeRecord):
-                records.append(queued.news)
+            if isinstance(queued.update, NodeRecord):
+                records.append(queued.update)
             else:
-                statuses.append(queued.news)
+                statuses.append(queued.update)
             queued.sent += 1
             if queued.sent >= limit:
                 del self._queue[node]
         return Piggyback(tuple(records), tuple(statuses))
 
     def _outdated(self, queued: _Queued, now: float) -> bool:
-        """A suspicion is void once it must have been decided: a node cut off mustn't bring it back."""
-        suspect = queued.news.status is NodeStatus.SUSPECT
+        """Return whether a suspicion must have been decided by now: a partitioned node mustn't revive it."""
+        suspect = queued.update.status is NodeStatus.SUSPECT
         return suspect and now - queued.queued_at > self._settings.suspicion_max_s
--- a/src/springmux/coordination/membership/messages.py
+++ b/src/springmux/coordination/membership/messages.py
@@ -1,4 +1,4 @@
-"""Peer messages of the membership part."""
+"""Peer messages of membership."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class StatusUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """``accuser`` says that ``node`` has this status in this incarnation; shorter than a whole record."""
+    """``accuser`` reports ``node`` in this status in this incarnation; shorter than a complete record."""
 
     node: NodeId
     incarnation: int
@@ -19,33 +19,33 @@
 
 
 class Piggyback(msgspec.Struct, frozen=True, array_like=True, omit_defaults=True):
-    """News that rides on another message: whole records of living nodes, bare statuses of the rest."""
+    """Updates carried by another message: complete records of alive nodes, bare statuses of the others."""
 
     records: tuple[NodeRecord, ...] = ()
     statuses: tuple[StatusUpdate, ...] = ()
 
 
-NO_NEWS = Piggyback()
+NO_UPDATES = Piggyback()
 
 
 class MemberPing(PeerMessage, frozen=True, tag="MemberPing"):
-    """Are you there? ``incarnation`` is the sender's own."""
+    """Probe of the receiver. ``incarnation`` is the sender's own."""
 
     sequence: int
     incarnation: int
-    news: Piggyback = NO_NEWS
+    updates: Piggyback = NO_UPDATES
 
 
 class MemberAck(PeerMessage, frozen=True, tag="MemberAck"):
-    """Answer to a ping, direct or through a helper."""
+    """Reply to a ping, direct or through a helper."""
 
     sequence: int
     incarnation: int
-    news: Piggyback = NO_NEWS
+    updates: Piggyback = NO_UPDATES
 
 
 class MemberNack(PeerMessage, frozen=True, tag="MemberNack"):
-    """A helper's word that it works but the target didn't answer it (Lifeguard, section III-A)."""
+    """A helper's reply that it works but the target didn't reply to it (Lifeguard, section III-A)."""
 
     sequence: int
 
@@ -55,17 +55,17 @@
 
     sequence: int
     target: NodeId
-    news: Piggyback = NO_NEWS
+    updates: Piggyback = NO_UPDATES
 
 
 class MemberGossip(PeerMessage, frozen=True, tag="MemberGossip"):
-    """News between probes, sent only while there is any."""
+    """Updates between probes, sent only while there are any."""
 
-    news: Piggyback
+    updates: Piggyback
 
 
 class MemberJoin(PeerMessage, frozen=True, tag="MemberJoin"):
-    """First message of a node to a seed address."""
+    """Request to take the sender into the fleet; its first message to a seed address."""
 
     record: NodeRecord
 
@@ -77,11 +77,11 @@
 
 
 class MemberState(PeerMessage, frozen=True, tag="MemberState"):
-    """Records of ``buckets``; with ``answer_wanted`` the receiver sends its own of the same buckets."""
+    """Records of ``buckets``; with ``reply_wanted`` the receiver sends its own of the same buckets."""
 
     records: tuple[NodeRecord, ...]
     buckets: tuple[int, ...] = ()
-    answer_wanted: bool = False
+    reply_wanted: bool = False
 
 
 MESSAGES: tuple[type[PeerMessage], ...] = (
--- a/src/springmux/coordination/membership/prober.py
+++ b/src/springmux/coordination/membership/prober.py
@@ -1,4 +1,4 @@
-"""Probe rounds: whom to probe next, the probe that runs, and probes made for others."""
+"""Probe rounds: the next target, the probe in flight, and probes relayed for other nodes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 MakePing = Callable[[NodeId, int], MemberPing]
 _RELAYS_MAX = 64
-"""Probes for others at a time; far above helpers times the probes that can fail at once."""
+"""Probes relayed at a time; far above helpers times the probes that can fail at once."""
 
 
 @dataclass
@@ -24,7 +24,7 @@
     indirect_at: float
     ends_at: float
     indirect: bool = False
-    asked: int = 0
+    helpers: int = 0
     nacks: int = 0
 
 
@@ -50,20 +50,20 @@
         self._next_probe_at = 0.0
 
     def next_deadline(self) -> float:
-        """Return when something is due."""
+        """Return when a probe or a relayed one times out, or the next one starts."""
         deadline = min((relay.nack_at for relay in self._relayed.values()), default=NEVER)
         if self._probe is None:
             return min(deadline, self._next_probe_at)
         return min(deadline, self._probe.ends_at if self._probe.indirect else self._probe.indirect_at)
 
     def restart(self, now: float) -> None:
-        """Drop the running probe: the process was paused."""
+        """Drop the probe in flight, which is worthless after a pause of the process."""
         self._probe = None
         self._relayed.clear()
         self._next_probe_at = now
 
     def bring_forward(self, node: NodeId, now: float) -> None:
-        """Probe ``node`` next, soon."""
+        """Probe ``node`` next, within a quarter of a probe period."""
         if node not in self._urgent:
             self._urgent.append(node)
         soon = now + self._settings.probe_period_s / 4 * self._random.random()
@@ -108,58 +108,60 @@
             if node in present:
                 return node
 
-    def ask_helpers(self, targets: tuple[NodeId, ...], now: float) -> list[Effect]:
-        """Ask helpers if the direct probe wasn't answered in time."""
+    def request_helpers(self, targets: tuple[NodeId, ...], now: float) -> list[Effect]:
+        """Request indirect probes if the direct one wasn't acknowledged in time."""
         probe = self._probe
         if probe is None or probe.indirect or now < probe.indirect_at:
             return []
         candidates = [node for node in targets if node != probe.target]
         helpers = self._random.sample(candidates, min(self._settings.helpers, len(candidates)))
         probe.indirect = True
-        probe.asked = len(helpers)
+        probe.helpers = len(helpers)
         request = MemberPingRequest(sequence=probe.sequence, target=probe.target)
         return [Send(to=helper, message=request) for helper in helpers]
 
     def failed_target(self, now: float) -> NodeId | None:
-        """End the probe if its time is over; return the target that must be suspected."""
+        """End the probe if it has timed out; return the target that must be suspected."""
         probe = self._probe
         if probe is None or now < probe.ends_at:
             return None
         self._probe = None
-        self._health.note_probe(False, now)
-        # Lifeguard, section III-A: helpers' nacks prove that this node hears; none asked, no proof.
-        missing = probe.asked - probe.nacks if probe.asked else 1
+        self._health.record_probe(False, now)
+        # Lifeguard, section III-A: helpers' nacks prove that this node receives messages.
+        missing = probe.helpers - probe.nacks if probe.helpers else 1
         self._health.add(max(0, missing))
         return probe.target
 
-    def take_ack(self, message: MemberAck, now: float) -> list[Effect]:
-        """Settle the own probe, or pass the answer on to whom it was made for."""
+    def receive_ack(self, message: MemberAck, now: float) -> list[Effect]:
+        """Finish the own probe, or forward the acknowledgement to the node that requested the probe."""
         relayed = self._relayed.pop(message.sequence, None)
         if relayed is not None:
-            answer = MemberAck(relayed.origin_sequence, message.incarnation)
-            return [Send(to=relayed.origin, message=answer)]
+            ack = MemberAck(relayed.origin_sequence, message.incarnation)
+            return [Send(to=relayed.origin, message=ack)]
         if self._probe is not None and self._probe.sequence == message.sequence:
             self._probe = None
-            self._health.note_probe(True, now)
+            self._health.record_probe(True, now)
             self._health.add(-1)
         return []
 
-    def take_nack(self, message: MemberNack) -> None:
+    def receive_nack(self, message: MemberNack) -> None:
         """Count a helper that works."""
         if self._probe is not None and self._probe.sequence == message.sequence:
             self._probe.nacks += 1
 
-    def relay(self, origin: NodeId, request: MemberPingRequest, make: MakePing, now: float) -> list[Effect]:
+    def relay(
+        self, origin: NodeId, request: MemberPingRequest, make_ping: MakePing, now: float
+    ) -> list[Effect]:
         """Probe a target for ``origin``."""
         if len(self._relayed) >= _RELAYS_MAX:
             return []
         sequence = self.next_sequence()
         nack_at = now + self._settings.direct_timeout_s
         self._relayed[sequence] = _RelayedProbe(origin, request.sequence, nack_at)
-        return [Send(to=request.target, message=make(request.target, sequence))]
+        return [Send(to=request.target, message=make_ping(request.target, sequence))]
 
     def send_nacks(self, now: float) -> list[Effect]:
-        """Tell origins that their target didn't answer in time."""
+        """Notify origins whose target didn't acknowledge in time."""
         due = [sequence for sequence, relay in self._relayed.items() if relay.nack_at <= now]
         effects: list[Effect] = []
         for sequence in due:
--- a/src/springmux/coordination/membership/remembered.py
+++ b/src/springmux/coordination/membership/remembered.py
@@ -1,7 +1,7 @@
 """The peers that this node knew before it was restarted, as its disk kept them.
 
 Seeds alone find a fleet only while one of them is there and knows the others. A node that restarts together
-with all seeds would else take the few that it meets for the whole fleet.
+with all seeds would otherwise take the few that it meets for the complete fleet.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class RememberedPeer(msgspec.Struct, frozen=True, array_like=True):
-    """Where a node was heard last."""
+    """Name and last known address of a node."""
 
     node: NodeId
     address: Address
@@ -46,18 +46,18 @@
     def __len__(self) -> int:
         return len(self._missing)
 
-    def begin(self, now: float) -> None:
-        """The process starts now."""
+    def start(self, now: float) -> None:
+        """Count the waiting time from ``now``, the start of the process."""
         self._started_at = now
 
     def awaited(self, now: float) -> bool:
-        """Whether some are missing, and may still be heard of soon: a wrong list costs this time only."""
+        """Return whether some are missing and may still be heard of; a wrong list costs only this time."""
         if not self._missing:
             return False
         return self._started_at is None or now < self._started_at + self._settings.remembered_wait_s
 
     def known(self, nodes: Iterable[NodeId]) -> None:
-        """Take note of nodes that are known again, in whatever status."""
+        """Drop nodes that are known again, in whatever status."""
         for node in nodes:
             self._missing.pop(node, None)
 
@@ -71,32 +71,32 @@
         return [RememberedPeer(node, address) for node, address in self._missing.items()]
 
     def some_addresses(self) -> list[Address]:
-        """Return the addresses of a few, another few each time."""
+        """Return the addresses of a random few."""
         addresses = sorted(self._missing.values())
-        return self._random.sample(addresses, min(self._settings.remembered_asked, len(addresses)))
+        return self._random.sample(addresses, min(self._settings.remembered_contacts, len(addresses)))
 
 
 class PeerRecorder:
-    """Decides when the list on disk is out of date. A node without a disk has none."""
+    """Decides when the list on disk is out of date. A node without a disk has no recorder."""
 
     def __init__(self, settings: MembershipSettings, known: Iterable[RememberedPeer]) -> None:
         self._settings = settings
-        self._written = frozenset(known)
+        self._stored = frozenset(known)
         self._due_at = NEVER
 
     def changed(self, now: float) -> None:
-        """The fleet changed; look at the list soon, once for all changes until then."""
+        """Plan one look at the list soon, for all changes of the fleet until then."""
         self._due_at = min(self._due_at, now + self._settings.remember_period_s)
 
     def next_deadline(self) -> float:
-        """Return when to look at the list."""
+        """Return when the list is to be compared with the fleet."""
         return self._due_at
 
     def update(self, peers: Iterable[RememberedPeer]) -> list[Effect]:
-        """Return what is to be written, nothing if the disk has it already."""
+        """Return the effect that writes ``peers``, none if the disk has them already."""
         self._due_at = NEVER
         chosen = sorted(peers, key=lambda peer: peer.node)[:REMEMBERED_MAX]
-        if frozenset(chosen) == self._written:
+        if frozenset(chosen) == self._stored:
             return []
-        self._written = frozenset(chosen)
+        self._stored = frozenset(chosen)
         return [RememberPeers(tuple(chosen))]
--- a/src/springmux/coordination/membership/settings.py
+++ b/src/springmux/coordination/membership/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the membership and contact parts, with where each value comes from."""
+"""Settings of membership and of the contact rule."""
 
 from __future__ import annotations
 
@@ -22,31 +22,31 @@
     gossip_fanout: int = 3
     small_fleet_max: int = 24
     """With more present nodes than this, one of ``gossip_fanout`` targets is in another zone, and changes of
-    the view are told in batches."""
+    the view are published in batches."""
     batch_s_per_node: float = 0.0005
-    """Each change costs the node's other parts work for every node, so a large fleet's are told together: at
-    200 nodes ten times a second."""
-    news_per_message: int = 6
+    """Each published view costs the node's other components work for every node of the fleet."""
+    updates_per_message: int = 6
     retransmit_factor: int = 3
-    heard_again_counts: int = 1
-    """A record that a peer sends too counts as so many further transmissions of the own copy."""
+    duplicate_transmissions: int = 1
+    """A record that a peer sends too counts as so many further transmissions by this node."""
     sync_period_s: float = 10.0
     sync_again_s: float = 1.0
-    """After an exchange that brought news: a joiner in a starting fleet isn't complete at once."""
+    """After an exchange that brought updates: a joiner of a starting fleet doesn't know all of it at once."""
     join_retry_s: float = 0.15
     """A seed may begin to listen up to a second after this node's start."""
     seed_period_s: float = 3.0
-    """How often a node asks a seed that isn't present; of the many nodes of a part, one soon does."""
+    """How often a node asks an absent seed; of the many nodes of a partition, one soon does."""
     pause_s: float = 1.0
     """A gap between two handled events of twice the probe period can only be a pause of the process."""
     outcome_window: int = 8
-    """Own last probes; if most since a suspicion began failed, this node doesn't turn it into a death."""
+    """Own last probes; if most since a suspicion began failed, this node doesn't declare a death."""
     forget_dead_s: float = 600.0
     forget_left_s: float = 60.0
     tombstones_max: int = 4096
     remembered_wait_s: float = 3.0
-    """How long after a start nothing is acknowledged while a remembered peer is missing."""
-    remembered_asked: int = 4
+    """How long after its start a node acknowledges nothing while a remembered peer is missing."""
+    remembered_contacts: int = 4
+    """Missing peers that are asked at a time."""
     remember_period_s: float = 2.0
     """Changes of the fleet within this time are written to disk together."""
 
--- a/src/springmux/coordination/membership/suspicion.py
+++ b/src/springmux/coordination/membership/suspicion.py
@@ -12,7 +12,7 @@
 
 @dataclass
 class Suspicion:
-    """One suspected node: independent accusers shorten the time that it has to refute."""
+    """One suspected node: independent accusers shorten its time to refute."""
 
     incarnation: int
     started_at: float
@@ -28,7 +28,7 @@
 
 
 class LocalHealth:
-    """The node's doubt in itself: a score that stretches timeouts, and the outcomes of its last probes."""
+    """How far the node trusts itself: a score that stretches timeouts, and the last probes' outcomes."""
 
     def __init__(self, settings: MembershipSettings) -> None:
         self._settings = settings
@@ -44,16 +44,16 @@
         """Move the score; positive is worse."""
         self._score = max(0, min(self._settings.health_max, self._score + points))
 
-    def note_probe(self, succeeded: bool, now: float) -> None:
-        """Remember a finished probe."""
+    def record_probe(self, succeeded: bool, now: float) -> None:
+        """Record the outcome of a finished probe."""
         self._outcomes.append((now, succeeded))
 
     def may_declare_death(self, suspected_at: float) -> bool:
-        """Tell whether most own probes since ``suspected_at`` succeeded; if not, this node may be cut off."""
+        """Return whether most own probes since ``suspected_at`` succeeded; else this node may be cut off."""
         outcomes = [succeeded for when, succeeded in self._outcomes if when >= suspected_at]
         return 2 * outcomes.count(False) < len(outcomes)
 
     def reset_after_pause(self) -> None:
-        """Forget outcomes that the own pause spoiled, and doubt oneself for a while."""
+        """Forget the outcomes that the own pause made worthless, and stretch timeouts for a while."""
         self._outcomes.clear()
         self.add(2)
--- a/src/springmux/coordination/membership/table.py
+++ b/src/springmux/coordination/membership/table.py
@@ -1,4 +1,4 @@
-"""The table of records: which of two beliefs wins, what is forgotten, and digests of it."""
+"""The member table: which of two records wins, which are forgotten, and digests of it."""
 
 from __future__ import annotations
 
@@ -24,6 +24,13 @@
     return xxhash.xxh32_intdigest(node.encode()) % BUCKETS
 
 
+class PresentByZone(msgspec.Struct, frozen=True):
+    """The present nodes beside the own one: those of its zone, and those of all other zones."""
+
+    own: tuple[NodeId, ...]
+    others: tuple[NodeId, ...]
+
+
 class MemberTable:
     """Records of all nodes. Precedence: higher incarnation, then ALIVE < SUSPECT < DEAD < LEFT."""
 
@@ -36,10 +43,13 @@
         self._view: MembershipView | None = None
         self._zone = own.zone
         self._others: dict[tuple[NodeStatus, ...], tuple[NodeId, ...]] = {}
-        self._by_zone: tuple[tuple[NodeId, ...], tuple[NodeId, ...]] | None = None
+        self._by_zone: PresentByZone | None = None
         self._digest: bytes | None = None
         self.changed = True
 
+    def __len__(self) -> int:
+        return len(self._records)
+
     def get(self, node: NodeId) -> NodeRecord | None:
         """Return the record of ``node``, if known."""
         return self._records.get(node)
@@ -49,7 +59,7 @@
         return tuple(self._records.values())
 
     def others(self, statuses: tuple[NodeStatus, ...]) -> tuple[NodeId, ...]:
-        """Return the names of other nodes in one of ``statuses``; found once for each change of a record."""
+        """Return the names of other nodes in one of ``statuses``; computed once per change of a record."""
         found = self._others.get(statuses)
         if found is None:
             found = tuple(
@@ -60,46 +70,41 @@
             self._others[statuses] = found
         return found
 
-    def present_by_zone(self) -> tuple[tuple[NodeId, ...], tuple[NodeId, ...]]:
-        """Return the other present nodes of the own zone, and those of all other zones."""
+    def present_by_zone(self) -> PresentByZone:
+        """Return the other present nodes; computed once for each change of a record."""
         if self._by_zone is None:
             present = self.others(PRESENT)
-            near = tuple(node for node in present if self._records[node].zone == self._zone)
-            far = tuple(node for node in present if self._records[node].zone != self._zone)
-            self._by_zone = near, far
+            self._by_zone = PresentByZone(
+                own=tuple(node for node in present if self._records[node].zone == self._zone),
+                others=tuple(node for node in present if self._records[node].zone != self._zone),
+            )
         return self._by_zone
 
-    def _note_change(self) -> None:
+    def _invalidate(self) -> None:
         self._others.clear()
         self._by_zone = None
         self._digest = None
         self.changed = True
 
-    def would_take(self, record: NodeRecord, vouched: bool) -> bool:
-        """Tell whether ``record`` is newer than what is held. ``vouched``: the node itself sent it."""
+    def supersedes(self, record: NodeRecord, authoritative: bool) -> bool:
+        """Return whether ``record`` is newer than the present one. ``authoritative``: its node sent it."""
         known = self._records.get(record.node)
         if known is None:
-            return vouched or record.incarnation > self._tombstones.get(record.node, -1)
+            return authoritative or record.incarnation > self._tombstones.get(record.node, -1)
         if record.incarnation != known.incarnation:
             return record.incarnation > known.incarnation
         return _RANK[record.status] > _RANK[known.status]
 
     def put(self, record: NodeRecord, now: float) -> None:
-        """Hold ``record``."""
+        """Store ``record``."""
         self._records[record.node] = record
         self._gone_at.pop(record.node, None)
         if record.status not in PRESENT:
             self._gone_at[record.node] = now
-        self._note_change()
-
-    def set_status(self, node: NodeId, status: NodeStatus, incarnation: int, now: float) -> NodeRecord:
-        """Hold a known node's record with another status."""
-        record = msgspec.structs.replace(self._records[node], status=status, incarnation=incarnation)
-        self.put(record, now)
-        return record
+        self._invalidate()
 
     def forget_old(self, now: float) -> None:
-        """Drop nodes that are gone for long, keeping their incarnation against old rumours."""
+        """Drop nodes that have been gone for long, keeping their incarnation against old updates."""
         for node, gone_at in list(self._gone_at.items()):
             left = self._records[node].status is NodeStatus.LEFT
             keep_s = self._settings.forget_left_s if left else self._settings.forget_dead_s
@@ -108,7 +113,7 @@
             self._tombstones.pop(node, None)
             self._tombstones[node] = self._records.pop(node).incarnation
             del self._gone_at[node]
-            self._note_change()
+            self._invalidate()
         while len(self._tombstones) > self._settings.tombstones_max:
             del self._tombstones[next(iter(self._tombstones))]
 
@@ -133,8 +138,8 @@
         own = self.digest()
         if own == theirs or len(own) != len(theirs):
             return () if own == theirs else tuple(range(BUCKETS))
-        slices = (slice(i * _HASH_BYTES, (i + 1) * _HASH_BYTES) for i in range(BUCKETS))
-        return tuple(index for index, part in enumerate(slices) if own[part] != theirs[part])
+        hashes = (slice(i * _HASH_BYTES, (i + 1) * _HASH_BYTES) for i in range(BUCKETS))
+        return tuple(bucket for bucket, span in enumerate(hashes) if own[span] != theirs[span])
 
     def in_buckets(self, buckets: Iterable[int]) -> tuple[NodeRecord, ...]:
         """Return the records of ``buckets``."""
--- a/src/springmux/coordination/membership/view.py
+++ b/src/springmux/coordination/membership/view.py
@@ -1,4 +1,4 @@
-"""What a node believes of the fleet's nodes: immutable records and the view over them."""
+"""Immutable records of the fleet's nodes, and the view that a node has of all of them."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
 class NodeRecord(msgspec.Struct, frozen=True, array_like=True, omit_defaults=True):
     """One node as the fleet knows it. Only the node itself raises its ``incarnation``.
 
-    ``leaving``: its process is stopping. Until it has left it finishes requests and gets all news, but takes
-    no duties.
+    ``leaving``: its process is stopping. Until it has left it finishes requests and gets all updates, but
+    takes no singleton roles.
     """
 
     node: NodeId
@@ -48,7 +48,7 @@
 
 
 class MembershipView(msgspec.Struct, frozen=True):
-    """Immutable picture of the fleet's nodes at one moment, the own node among them."""
+    """Immutable snapshot of the fleet's nodes, the own node among them."""
 
     own: NodeId
     nodes: Mapping[NodeId, NodeRecord]
@@ -59,13 +59,20 @@
         return sorted((r for r in self.nodes.values() if r.status in usable), key=lambda r: r.node)
 
     def staying(self) -> list[NodeRecord]:
-        """Return the present nodes that aren't stopping, by name: those that may be given duties."""
+        """Return the present nodes that aren't stopping, by name: those that may take singleton roles."""
         return [record for record in self.present() if not record.leaving]
 
     def controllers(self) -> list[NodeRecord]:
         """Return staying nodes that hold a replica of the control log."""
         return [record for record in self.staying() if record.replica is not None]
 
+    def present_by_zone(self) -> dict[ZoneName, tuple[NodeId, ...]]:
+        """Return the names of the present nodes by zone, each zone's in order; computed at each call."""
+        zones: dict[ZoneName, list[NodeId]] = {}
+        for record in self.present():
+            zones.setdefault(record.zone, []).append(record.node)
+        return {zone: tuple(nodes) for zone, nodes in zones.items()}
+
     def zone_of(self, node: NodeId) -> ZoneName:
         """Return the zone of ``node`` (an empty name for an unknown one)."""
         record = self.nodes.get(node)
--- a/tests/unit/membership/test_gossip_targets.py
+++ b/tests/unit/membership/test_dissemination.py
@@ -1,4 +1,4 @@
-"""News in a large fleet: mostly within the zone, across zones all the same, fewer copies once it is known."""
+"""Gossip in a large fleet: mostly within the zone, fewer transmissions of what is known already."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
     queue = GossipQueue(SETTINGS)
     queue.add(record, 0.0)
     for _ in range(heard_again):
-        queue.heard_again(record)
+        queue.note_duplicate(record)
     count = 0
     while queue.take(60, 0.0).records:
         count += 1
@@ -83,7 +83,7 @@
     newer = msgspec.structs.replace(record, incarnation=1)
     queue.add(newer, 0.0)
     for _ in range(100):
-        queue.heard_again(record)
+        queue.note_duplicate(record)
     assert queue.take(60, 0.0).records == (newer,)
 
 
--- a/tests/unit/membership/test_absent_seeds.py
+++ b/tests/unit/membership/test_joining.py
@@ -1,4 +1,4 @@
-"""Parts of a fleet that forgot each other meet again at the seeds' addresses."""
+"""Partitions of a fleet that forgot each other meet again at the seeds' addresses."""
 
 import random
 
--- a/tests/unit/membership/test_membership_rules.py
+++ b/tests/unit/membership/test_membership_rules.py
@@ -160,7 +160,7 @@
 def test_leaving_node_says_so_at_once_and_falls_silent():
     part = joined(PEER)
     effects = part.handle(LeaveBegun(), 0.2)
-    news = [r for e in sent(effects, wire.MemberGossip) for r in e.message.news.records]
+    news = [r for e in sent(effects, wire.MemberGossip) for r in e.message.updates.records]
     assert [r.status for r in news if r.node == OWN.node] == [NodeStatus.LEFT]
     now = 0.2
     while part.next_deadline() < float("inf") and now < 60:
@@ -177,7 +177,7 @@
         effects = part.handle(Tick(), 0.3 + step / 2)
         pings += [e.message for e in sent(effects, wire.MemberPing) if e.to == PEER.node]
     assert 5 <= len(pings) <= 40, "one dead of three nodes: about each third probe period"
-    assert {ping.news.statuses[0].status for ping in pings} == {NodeStatus.DEAD}
+    assert {ping.updates.statuses[0].status for ping in pings} == {NodeStatus.DEAD}
 
 
 def test_a_suspect_is_told_who_asks_since_it_may_be_a_new_process_that_knows_nobody():
@@ -191,8 +191,8 @@
             pings[ping.to] = ping.message
             part.handle(MessageReceived(ping.to, wire.MemberAck(ping.message.sequence, 0)), now)
     own = part.view.nodes[OWN.node]
-    assert own in pings[PEER.node].news.records
-    assert wire.StatusUpdate(PEER.node, 0, NodeStatus.SUSPECT, OWN.node) in pings[PEER.node].news.statuses
+    assert own in pings[PEER.node].updates.records
+    assert wire.StatusUpdate(PEER.node, 0, NodeStatus.SUSPECT, OWN.node) in pings[PEER.node].updates.statuses
 
 
 def test_an_accused_node_is_told_who_accuses_it():
@@ -202,10 +202,10 @@
     while not told:
         now = max(now, part.next_deadline())
         gossip = sent(part.handle(Tick(), now), wire.MemberGossip)
-        told = [each for each in gossip if each.message.news.statuses and each.message.news.records]
-    accused = told[0].message.news.statuses[0].node
+        told = [each for each in gossip if each.message.updates.statuses and each.message.updates.records]
+    accused = told[0].message.updates.statuses[0].node
     assert told[0].to == accused
-    assert told[0].message.news.records == (part.view.nodes[OWN.node],)
+    assert told[0].message.updates.records == (part.view.nodes[OWN.node],)
 
 
 def test_a_stranger_that_introduces_itself_is_answered_and_asked_for_the_fleet():
--- a/tests/unit/membership/test_view_batches.py
+++ b/tests/unit/membership/test_view_publisher.py
@@ -1,4 +1,4 @@
-"""Changes of a large fleet's view are told together, a small one's at once, and none is lost."""
+"""Changes of a large fleet's view are published together, a small one's at once, and none is lost."""
 
 from __future__ import annotations
 
