--- a/src/springmux/coordination/membership/contact_beacon.py
+++ b/src/springmux/coordination/membership/contact_beacon.py
@@ -1,4 +1,4 @@
-"""The leader's beacon at scale: relayed down a tree, counted back up it.
+"""The leader's beacon in large fleets: relayed down a tree, counted back up it.
 
 The leader's quorum alone isn't enough: a leader that its quorum confirms but that reaches only a minority
 of the nodes gives no evidence. So relays count their subtrees, and beacons carry the age of the last
@@ -17,51 +17,54 @@
 
 HOP_S = 0.02
 """Added to a beacon's age at each hop for the transit time, which nobody measures."""
-_COUNT_WAIT_S = 0.15
+_COUNT_TIMEOUT_S = 0.15
+"""How long a relay waits for the counts of its subtree."""
 _ROUNDS_KEPT = 12
 
 
 @dataclass
 class _Round:
+    """One beacon and the count of the nodes that it reached."""
+
     parent: NodeId | None
     sent_at: float
-    missing: int
+    pending: int
     nodes: int
     report_at: float
     reported: bool = False
 
 
 class BeaconRelay:
-    """Takes, relays and counts beacons; one per node."""
+    """Originates, relays and counts beacons; one per node."""
 
     def __init__(self, own: NodeId, settings: ContactSettings) -> None:
         self._own = own
         self._settings = settings
         self._zones: dict[NodeId, ZoneName] = {}
-        self._zone_mates: list[NodeId] = []
+        self._zone_peers: list[NodeId] = []
         self._newest = (-1, -1)
         self._rounds: dict[tuple[int, int], _Round] = {}
         self._reached_at: float | None = None
         self.evidence_at: float | None = None
-        self.evidence_heard_at: float | None = None
+        self.evidence_received_at: float | None = None
 
     def set_nodes(self, zones: dict[NodeId, ZoneName]) -> None:
-        """Take the present nodes with their zones, the own one among them."""
+        """Set the present nodes with their zones, the own one among them."""
         self._zones = zones
         own_zone = zones.get(self._own)
-        self._zone_mates = [n for n, zone in zones.items() if zone == own_zone and n != self._own]
+        self._zone_peers = [n for n, zone in zones.items() if zone == own_zone and n != self._own]
 
     def forget_evidence(self) -> None:
-        """Drop all evidence: this process was paused."""
+        """Forget all evidence, which is worthless after a pause of this process."""
         self.evidence_at = None
-        self.evidence_heard_at = None
+        self.evidence_received_at = None
         self._reached_at = None
 
-    def _take_evidence(self, proven_at: float, now: float) -> None:
+    def _add_evidence(self, proven_at: float, now: float) -> None:
         if self.evidence_at is None or proven_at > self.evidence_at:
             self.evidence_at = proven_at
             if now - proven_at <= self._settings.evidence_s / 2:
-                self.evidence_heard_at = now
+                self.evidence_received_at = now
 
     def next_deadline(self) -> float:
         """Return when a count is to be reported."""
@@ -72,11 +75,11 @@
         if term < self._newest[0]:
             return []
         sequence = self._newest[1] + 1 if term == self._newest[0] else 1
-        self._note_majority(term, majority)
+        self._check_majority(term, majority)
         self._newest = (term, sequence)
         proven_at = None if self._reached_at is None else min(self._reached_at, quorum_at)
         if proven_at is not None:
-            self._take_evidence(proven_at, now)
+            self._add_evidence(proven_at, now)
         age_ms = -1 if proven_at is None else int(1000 * (now - proven_at))
         targets = zone_targets(self._zones, self._own, sequence, self._settings.relay_fanout)
         self._begin_round(None, len(targets), now)
@@ -84,30 +87,30 @@
             Send(t.node, ContactBeacon(term, sequence, age_ms, t.low, t.high, counted=True)) for t in targets
         ]
 
-    def _note_majority(self, term: int, majority: int) -> None:
+    def _check_majority(self, term: int, majority: int) -> None:
         for (round_term, _), each in self._rounds.items():
             if round_term == term and each.parent is None and each.nodes >= majority:
                 self._reached_at = max(each.sent_at, self._reached_at or each.sent_at)
 
-    def _begin_round(self, parent: NodeId | None, missing: int, now: float) -> None:
-        self._rounds[self._newest] = _Round(parent, now, missing, 1, now + _COUNT_WAIT_S)
+    def _begin_round(self, parent: NodeId | None, pending: int, now: float) -> None:
+        self._rounds[self._newest] = _Round(parent, now, pending, 1, now + _COUNT_TIMEOUT_S)
         if parent is None:
             self._rounds[self._newest].reported = True
         while len(self._rounds) > _ROUNDS_KEPT:
             del self._rounds[next(iter(self._rounds))]
 
-    def take(self, sender: NodeId, beacon: ContactBeacon, trusted: bool, now: float) -> list[Effect]:
-        """Take in a beacon and relay it; one that isn't ``trusted`` (after a pause) is no evidence."""
+    def receive(self, sender: NodeId, beacon: ContactBeacon, trusted: bool, now: float) -> list[Effect]:
+        """Relay a beacon; one that isn't ``trusted`` (after a pause) is no evidence for this node."""
         key = (beacon.term, beacon.sequence)
         if beacon.age_ms >= 0 and trusted and key >= self._newest:
-            self._take_evidence(now - beacon.age_ms / 1000.0 - HOP_S, now)
+            self._add_evidence(now - beacon.age_ms / 1000.0 - HOP_S, now)
         if not beacon.counted:
             return []
-        if key <= self._newest:  # Counted already: its parent needn't wait.
+        if key <= self._newest:  # Counted already: this parent needn't wait.
             return [Send(sender, ContactCount(beacon.term, beacon.sequence, nodes=0))]
         self._newest = key
         low, high, fanout = beacon.low, beacon.high, self._settings.relay_fanout
-        targets = range_targets(self._zone_mates, self._own, beacon.sequence, low, high, fanout)
+        targets = range_targets(self._zone_peers, self._own, beacon.sequence, low, high, fanout)
         self._begin_round(sender, len(targets), now)
         age_ms = beacon.age_ms + int(1000 * HOP_S) if beacon.age_ms >= 0 else -1
         effects: list[Effect] = [
@@ -115,8 +118,8 @@
         ]
         return effects + self.report(now)
 
-    def take_count(self, count: ContactCount, now: float) -> list[Effect]:
-        """Add a child's count; one that comes late goes on upwards by itself."""
+    def receive_count(self, count: ContactCount, now: float) -> list[Effect]:
+        """Add a child's count; forward one that comes late to the parent by itself."""
         key = (count.term, count.sequence)
         each = self._rounds.get(key)
         if each is None:
@@ -124,20 +127,20 @@
         if each.reported and each.parent is not None:
             return [Send(each.parent, count)]
         each.nodes += count.nodes
-        each.missing -= 1
+        each.pending -= 1
         return self.report(now)
 
     def report(self, now: float) -> list[Effect]:
-        """Report counts that are whole or have waited long enough."""
+        """Report counts that are complete or have timed out."""
         effects: list[Effect] = []
         for (term, sequence), each in self._rounds.items():
-            if each.reported or each.parent is None or (each.missing > 0 and now < each.report_at):
+            if each.reported or each.parent is None or (each.pending > 0 and now < each.report_at):
                 continue
             each.reported = True
             effects.append(Send(each.parent, ContactCount(term, sequence, each.nodes)))
         return effects
 
-    def answer(self, to: NodeId, now: float) -> list[Effect]:
+    def send_evidence(self, to: NodeId, now: float) -> list[Effect]:
         """Return the newest evidence for a node that missed beacons."""
         if self.evidence_at is None or now - self.evidence_at > self._settings.evidence_s:
             return []
--- a/src/springmux/coordination/membership/contact_vector.py
+++ b/src/springmux/coordination/membership/contact_freshness.py
@@ -1,7 +1,7 @@
-"""Freshness vectors: how old the newest evidence of each node is, added up hop by hop.
+"""Freshness vectors: the age of the newest evidence of each node, added up hop by hop.
 
-An epidemic of small vectors (anti-entropy, Demers et al. 1987) takes the leader's place when there is
-none. Ages travel rounded up, so a node is never held for fresher than it is.
+An epidemic of small vectors (anti-entropy, Demers et al. 1987) replaces the leader's beacons when there
+is no leader. Ages are sent rounded up, so that evidence never seems newer than it is.
 """
 
 from __future__ import annotations
@@ -14,14 +14,16 @@
 from springmux.coordination.identifiers import NodeId
 from springmux.coordination.membership.contact_messages import ContactVector
 
-LEVEL_S = 0.1
-_UNKNOWN = 15
+AGE_STEP_S = 0.1
+_AGE_BITS = 4
+_AGE_UNKNOWN = 15
+"""The highest value of ``_AGE_BITS`` bits."""
 _ROSTERS_KEPT = 8
-"""Older rosters that are still understood while a membership change spreads."""
+"""Rosters that are still understood while a membership change is disseminated."""
 
 
 class FreshnessVector:
-    """The newest time, by the own clock, at which each node is known to have been in contact."""
+    """The newest time, on the own clock, at which each node is known to have been in contact."""
 
     def __init__(self, own: NodeId) -> None:
         self._own = own
@@ -53,24 +55,29 @@
     def encode(self, now: float) -> ContactVector:
         """Return the vector to send."""
         names = self._rosters.get(self._roster, [])
-        levels = bytearray((len(names) + 1) // 2)
+        ages = bytearray(_encoded_size(names))
         for index, node in enumerate(names):
             age_s = 0.0 if node == self._own else now - self._evidence.get(node, -math.inf)
-            level = _UNKNOWN if age_s > (_UNKNOWN - 1) * LEVEL_S else math.ceil(age_s / LEVEL_S)
-            levels[index // 2] |= level << (4 * (index % 2))
-        return ContactVector(roster=self._roster, levels=bytes(levels))
+            steps = _AGE_UNKNOWN if age_s > (_AGE_UNKNOWN - 1) * AGE_STEP_S else math.ceil(age_s / AGE_STEP_S)
+            ages[index // 2] |= steps << (_AGE_BITS * (index % 2))
+        return ContactVector(roster=self._roster, ages=bytes(ages))
 
     def merge(self, sender: NodeId, vector: ContactVector, now: float) -> None:
-        """Take in a peer's vector; of an unknown roster only the sender's own contact counts."""
+        """Apply a peer's vector; with an unknown roster it is evidence of the sender only."""
         self._evidence[sender] = now
         names = self._rosters.get(vector.roster)
-        if names is None or len(vector.levels) != (len(names) + 1) // 2:
+        if names is None or len(vector.ages) != _encoded_size(names):
             return
         evidence = self._evidence
         for index, node in enumerate(names):
-            level = vector.levels[index // 2] >> (4 * (index % 2)) & 15
-            if level == _UNKNOWN:
+            steps = vector.ages[index // 2] >> (_AGE_BITS * (index % 2)) & _AGE_UNKNOWN
+            if steps == _AGE_UNKNOWN:
                 continue
-            seen_at = now - level * LEVEL_S
+            seen_at = now - steps * AGE_STEP_S
             if seen_at > evidence.get(node, -math.inf):
                 evidence[node] = seen_at
+
+
+def _encoded_size(names: list[NodeId]) -> int:
+    """Return the bytes of a vector of ``names``, two nodes a byte."""
+    return (len(names) + 1) // 2
--- a/src/springmux/coordination/membership/contact_known.py
+++ b/src/springmux/coordination/membership/contact_known_nodes.py
@@ -1,8 +1,8 @@
 """The contact rule's denominator: which nodes count as known.
 
-Rule: every node counts until it said LEFT. A DEAD one stops counting once this node has been connected
+Every node counts until it has LEFT. A DEAD one stops counting once this node has been connected
 for ``settle_s`` since the death (a majority may shrink its own denominator, as in dynamic voting,
-Jajodia and Mutchler 1990; a node cut off may not, however long the cut lasts).
+Jajodia and Mutchler 1990; a minority partition may not, however long it lasts).
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 
 class KnownNodes:
-    """Nodes that count, the own one among them."""
+    """The nodes that count, the own one among them, and those of them that are present."""
 
     def __init__(self, own: NodeId, settings: ContactSettings) -> None:
         self._own = own
         self._settings = settings
         self._known: set[NodeId] = {own}
         self._gone_at: dict[NodeId, float] = {}
-        self._dropped: set[NodeId] = set()
+        self._excluded: set[NodeId] = set()
         self.present: tuple[NodeId, ...] = ()
         self.met_others = False
 
@@ -34,42 +34,42 @@
         return iter(self._known)
 
     def names(self) -> list[NodeId]:
-        """Return the known nodes by name."""
+        """Return the known nodes in the order of their names."""
         return sorted(self._known)
 
     def update(self, view: MembershipView, now: float) -> None:
-        """Take in a newer view."""
+        """Apply a newer view."""
         present: list[NodeId] = []
         for node, record in view.nodes.items():
             if record.status in PRESENT:
                 self._known.add(node)
                 self._gone_at.pop(node, None)
-                self._dropped.discard(node)
+                self._excluded.discard(node)
                 present.append(node)
             elif record.status is NodeStatus.LEFT and node != self._own:
-                self._drop(node)
-            elif node not in self._dropped:
+                self._exclude(node)
+            elif node not in self._excluded:
                 self._known.add(node)
                 self._gone_at.setdefault(node, now)
         for node in self._known - view.nodes.keys():
             self._gone_at.setdefault(node, now)
-        self._dropped &= view.nodes.keys()
+        self._excluded &= view.nodes.keys()
         self.present = tuple(sorted(node for node in present if node != self._own))
         self.met_others = self.met_others or bool(self.present)
 
-    def age_out(self, now: float, connected_since: float | None) -> None:
-        """Drop the dead that needn't count any more."""
+    def expire(self, now: float, connected_since: float | None) -> None:
+        """Exclude nodes that have been gone for ``settle_s`` of contact."""
         if connected_since is None:
             return
         for node, gone_at in list(self._gone_at.items()):
             if now - max(connected_since, gone_at) >= self._settings.settle_s:
-                self._drop(node)
+                self._exclude(node)
 
-    def _drop(self, node: NodeId) -> None:
+    def _exclude(self, node: NodeId) -> None:
         self._known.discard(node)
         self._gone_at.pop(node, None)
-        self._dropped.add(node)
+        self._excluded.add(node)
 
     def majority(self) -> int:
-        """Return how many nodes, the own one among them, are more than half."""
+        """Return how many nodes, the own one among them, are a majority."""
         return len(self._known) // 2 + 1
--- a/src/springmux/coordination/membership/contact_messages.py
+++ b/src/springmux/coordination/membership/contact_messages.py
@@ -8,16 +8,16 @@
 class ContactHeartbeat(PeerMessage, frozen=True, tag="ContactBeat"):
     """Heartbeat that proves a round trip: ``echo`` is the receiver's newest sequence seen by the sender.
 
-    ``answer`` marks an answer outside the sender's own rhythm, which is never answered.
+    ``is_reply`` marks one sent in reply, outside the sender's period; it gets no reply itself.
     """
 
     sequence: int
     echo: int = 0
-    answer: bool = False
+    is_reply: bool = False
 
 
 class ContactBeacon(PeerMessage, frozen=True, tag="ContactBeacon"):
-    """The leader's proof of contact, relayed down a tree.
+    """The leader's evidence of contact, relayed down a tree.
 
     ``age_ms``: time since the leader, confirmed by its quorum, reached a majority of the nodes; -1 if
     it hasn't yet. The receiver relays to the nodes of its zone in ``[low, high)``; ``counted`` asks it
@@ -33,7 +33,7 @@
 
 
 class ContactCount(PeerMessage, frozen=True, tag="ContactCount"):
-    """``nodes`` nodes of the sender's subtree have got the beacon ``sequence`` of ``term``."""
+    """``nodes`` nodes of the sender's subtree received the beacon ``sequence`` of ``term``."""
 
     term: int
     sequence: int
@@ -41,10 +41,10 @@
 
 
 class ContactVector(PeerMessage, frozen=True, tag="ContactVector"):
-    """Ages of evidence of all nodes of a roster, four bits each (see ``contact_vector``)."""
+    """Ages of the evidence of all nodes of a roster, four bits each (see ``contact_freshness``)."""
 
     roster: int
-    levels: bytes
+    ages: bytes
 
 
 MESSAGES: tuple[type[PeerMessage], ...] = (ContactHeartbeat, ContactBeacon, ContactCount, ContactVector)
--- a/src/springmux/coordination/membership/relay.py
+++ b/src/springmux/coordination/membership/relay.py
@@ -7,6 +7,7 @@
 
 from __future__ import annotations
 
+import math
 from collections.abc import Iterable, Mapping
 
 import msgspec
@@ -18,7 +19,7 @@
 
 
 class RelayTarget(msgspec.Struct, frozen=True):
-    """Send to ``node``, which then answers for the nodes of its zone in ``[low, high)``."""
+    """Send to ``node``, which then relays to the nodes of its zone in ``[low, high)``."""
 
     node: NodeId
     low: int
@@ -26,7 +27,7 @@
 
 
 def relay_position(node: NodeId, salt: int) -> int:
-    """Return the place of ``node`` on the tree that ``salt`` picks."""
+    """Return the position of ``node`` in the tree that ``salt`` picks."""
     return xxhash.xxh32_intdigest(node.encode(), salt & 0xFFFFFFFF)
 
 
@@ -52,12 +53,12 @@
     """Split ``[low, high)`` into at most ``fanout`` runs of nodes; the first of each run relays on."""
     if low >= high:
         return []
-    placed = sorted((relay_position(node, salt), node) for node in nodes if node != own)
-    inside = [place for place in placed if low <= place[0] < high]
-    size = -(-len(inside) // fanout) if inside else 1
-    starts = range(0, len(inside), size)
+    positions = sorted((relay_position(node, salt), node) for node in nodes if node != own)
+    inside = [entry for entry in positions if low <= entry[0] < high]
+    run_length = math.ceil(len(inside) / fanout) if inside else 1
+    starts = range(0, len(inside), run_length)
     targets: list[RelayTarget] = []
     for start in starts:
-        end = inside[start + size][0] if start + size < len(inside) else high
+        end = inside[start + run_length][0] if start + run_length < len(inside) else high
         targets.append(RelayTarget(node=inside[start][1], low=inside[start][0], high=end))
     return targets
--- a/src/springmux/coordination/membership/settings.py
+++ b/src/springmux/coordination/membership/settings.py
@@ -52,19 +52,19 @@
 
 
 class ContactSettings(msgspec.Struct, frozen=True):
-    """Timing of the contact rule; a node cut off is to know within about 1.5 s."""
+    """Timing of the contact rule; a partitioned node is to know within about 1.5 s."""
 
     evidence_s: float = 1.5
-    beat_period_s: float = 0.4
+    heartbeat_period_s: float = 0.4
     direct_nodes_max: int = 24
-    """Up to here each node beats each. Measured payload: 660 B/s a node at 12, 2,100 B/s at 36, hence 24."""
+    """Up to here each node sends heartbeats to each other node, at a cost that grows with their number."""
     beacon_period_s: float = 0.25
-    beacon_silence_s: float = 0.4
+    beacon_timeout_s: float = 0.4
     """One beacon missed and not made up for: freshness vectors begin."""
     gossip_period_s: float = 0.2
     gossip_fanout: int = 3
     relay_fanout: int = 6
     pause_s: float = 0.7
     quarantine_s: float = 0.3
-    """After a pause, time for what waited in socket buffers to be read and disregarded."""
+    """After a pause, time to read and disregard what waited in socket buffers."""
     settle_s: float = 30.0
--- a/tests/unit/membership/test_contact.py
+++ b/tests/unit/membership/test_contact.py
@@ -6,9 +6,9 @@
 import pytest
 
 from springmux.coordination.identifiers import NodeId
+from springmux.coordination.membership.contact_freshness import FreshnessVector
 from springmux.coordination.membership.contact_messages import ContactBeacon, ContactHeartbeat
 from springmux.coordination.membership.contact_monitor import ContactMonitor
-from springmux.coordination.membership.contact_vector import FreshnessVector
 from springmux.coordination.membership.events import LeaderBeacon, MembershipUpdated
 from springmux.coordination.membership.relay import HASH_END, range_targets, zone_targets
 from springmux.coordination.membership.view import MembershipView, NodeStatus
