--- a/src/springmux/agent/components.py
+++ b/src/springmux/agent/components.py
@@ -104,7 +104,7 @@
     defaults = ConsensusSettings()
     return ConsensusSettings(
         controllers_expected=settings.voters,
-        voters_wished=settings.voters if told else defaults.voters_wished,
+        voters_desired=settings.voters if told else defaults.voters_desired,
         may_found=settings.first_start or (recovered is not None and recovered.first_start),
         founding_retry_s=TOLD_FOUNDING_RETRY_S if told else defaults.founding_retry_s,
         founding_promise_s=TOLD_FOUNDING_PROMISE_S if told else defaults.founding_promise_s,
--- a/src/springmux/coordination/consensus/core.py
+++ b/src/springmux/coordination/consensus/core.py
@@ -49,15 +49,22 @@
 
 
 class SnapshotTransfer(msgspec.Struct):
-    """Where the leader is in sending a snapshot."""
+    """A snapshot that the leader is sending, and the offset of its next chunk."""
 
     meta: SnapshotMeta
     data: bytes
     offset: int = 0
 
 
+class InFlightFrame(msgspec.Struct, frozen=True):
+    """Entries up to ``last_index`` that were sent together and aren't acknowledged yet."""
+
+    last_index: LogIndex
+    size_bytes: int
+
+
 class Progress(msgspec.Struct):
-    """What a leader knows of one follower."""
+    """Replication state of one follower, on the leader."""
 
     replica: ReplicaId
     node: NodeId
@@ -66,7 +73,7 @@
     resend_wait_s: float
     match_index: LogIndex = LogIndex(0)
     state: ProgressState = ProgressState.PROBE
-    in_flight: deque[tuple[LogIndex, int]] = msgspec.field(default_factory=deque)
+    in_flight: deque[InFlightFrame] = msgspec.field(default_factory=deque)
     in_flight_bytes: int = 0
     waiting: bool = False
     """Something was sent that isn't acknowledged yet."""
@@ -74,9 +81,9 @@
     acknowledged_round: int = 0
     storage_ready: bool = True
     leaving: bool = False
-    """Its process is about to stop, or stopped so."""
+    """Its process announced that it stops."""
     backed_off_at: float = -NEVER
-    """When a refusal last ended pipelining."""
+    """When a rejection last ended pipelining."""
     transfer: SnapshotTransfer | None = None
 
 
@@ -96,7 +103,7 @@
 
 
 class Leadership(msgspec.Struct):
-    """What a replica holds only while it leads."""
+    """State that a replica has only while it leads."""
 
     barrier_index: LogIndex
     heartbeat_at: float
@@ -111,7 +118,7 @@
     transfer_deadline: float = NEVER
     transfer_sent: bool = False
     transfer_for_disk: bool = False
-    """The hand-over is for the own disk: pointless once that takes writes again."""
+    """The transfer was caused by the own disk: pointless once that accepts writes again."""
 
 
 class ReplicaCore:
@@ -131,11 +138,11 @@
         self.durability = Durability(recovered, self.log, settings.disk_retry_s)
         self.snapshot = recovered.snapshot
         self.snapshot_data = recovered.snapshot_data
-        # What was committed stays so: after a loss of power of all it is applied before there is a leader.
+        # What was committed stays so: after a power loss of all it is applied before there is a leader.
         self.commit_index = max(self.log.base_index, min(recovered.committed, self.log.last_index))
         self.applied_index = self.log.base_index
         self.applied_bytes = 0
-        """Size of what was applied since the last snapshot was asked for."""
+        """Size of what was applied since the last snapshot was requested."""
         self.role = Role.FOLLOWER
         self.leader: ReplicaId | None = None
         self.leader_node: NodeId | None = None
@@ -164,11 +171,11 @@
         return self.log.members.find(self.replica)
 
     def emit(self, effect: Effect) -> None:
-        """Add an effect to the answer of the present event."""
+        """Add an effect to those of the present event."""
         self._effects.append(effect)
 
-    def note(self, name: str, level: LogLevel = LogLevel.INFO, **fields: object) -> None:
-        """Log one structured line."""
+    def emit_log_line(self, name: str, level: LogLevel = LogLevel.INFO, **fields: object) -> None:
+        """Add a structured log line to the effects of the present event."""
         self.emit(LogLine(name, level, dict(fields)))
 
     def send(self, node: NodeId, message: PeerMessage) -> None:
@@ -176,7 +183,7 @@
         self.emit(Send(node, message))
 
     def send_durably(self, node: NodeId, message: PeerMessage) -> None:
-        """Send a message once all up to now is on disk, unless the term has changed by then."""
+        """Send a message once all changes up to now are on disk, unless the term has changed by then."""
         term = self.term
 
         def deliver() -> None:
@@ -196,12 +203,12 @@
         self.election_deadline = self.now + self.random.uniform(low, high)
 
     def hasten_election(self) -> None:
-        """Ask for pre-votes soon: nobody leads as far as this replica knows, and asking costs nobody."""
+        """Request pre-votes soon, since no leader is known; a pre-vote changes nothing at the voters."""
         low, high = self.settings.first_election_min_s, self.settings.first_election_max_s
         self.election_deadline = self.now + self.random.uniform(low, high)
 
     def hears_leader(self) -> bool:
-        """Whether a leader is alive as far as this replica knows (Ongaro 2014, section 4.2.3)."""
+        """Return whether a leader is alive as far as this replica knows (Ongaro 2014, section 4.2.3)."""
         recent = self.now - self.leader_contact < self.settings.election_timeout_min_s
         return self.leadership is not None or (self.leader is not None and recent)
 
@@ -216,7 +223,7 @@
         self.reset_election_deadline()
 
     def follow(self, term: Term, leader: ReplicaId, node: NodeId) -> None:
-        """Take a message of ``term``'s leader as its sign of life."""
+        """Follow the leader of ``term``, of which a message arrived."""
         if term > self.term or self.role is not Role.FOLLOWER:
             self.become_follower(term, leader)
         self.leader = leader
@@ -225,7 +232,7 @@
         self.reset_election_deadline()
 
     def stop(self, reason: str) -> None:
-        """Stop for good; nothing more is answered."""
+        """Stop for good; requests are rejected from now on."""
         if self.stopped:
             return
         self._give_up_leadership()
@@ -234,8 +241,8 @@
         self.stopped = reason
         self.emit(ReplicaStopped(reason))
 
-    def announce(self) -> None:
-        """Tell the driver of the leader if that changed."""
+    def announce_leader(self) -> None:
+        """Notify the driver of the leader if that changed."""
         present = (self.term, self.leader, self.leading)
         if present != self._announced:
             self._announced = present
--- a/src/springmux/coordination/consensus/durability.py
+++ b/src/springmux/coordination/consensus/durability.py
@@ -1,4 +1,4 @@
-"""What is on disk and what must get there: one batch in flight, later changes gather for the next.
+"""Durability of hard state and log: one batch in flight, later changes gather for the next.
 
 One batch at a time gives group commit for free and makes a full disk simple: the failed batch is
 merged with what gathered since, and written again.
@@ -57,7 +57,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the disk takes writes at present."""
+        """Whether the disk accepts writes at present."""
         return not (self.full or self.stalled or self.blocked)
 
     @property
@@ -71,7 +71,7 @@
         return NEVER if self.blocked else self._retry_at
 
     def found(self, group: GroupId, members: GroupMembers) -> None:
-        """Have the folder belong to ``group``."""
+        """Record that the data folder belongs to ``group``."""
         self._founding = (group, members)
 
     def truncate(self, index: LogIndex) -> None:
@@ -102,7 +102,7 @@
             return None
         if not self._dirty():
             if now >= self._retry_at:
-                # What found no space isn't wanted any more (a leader truncated it): the next write will tell.
+                # What found no space was truncated by a leader meanwhile: the next write will show.
                 self.full = False
                 self._retry_at = NEVER
             return None
@@ -136,7 +136,7 @@
         return batch
 
     def persisted(self, number: int) -> None:
-        """Take note that a batch is on disk, and do what waited for it."""
+        """Record that a batch is on disk, and run the actions that waited for it."""
         batch = self._in_flight
         if batch is None or batch.number != number:
             return
@@ -162,7 +162,7 @@
         self._waiting = batch.actions + self._waiting
 
     def replaced(self, log: ReplicatedLog) -> None:
-        """Storage replaced the log by a snapshot: what is in ``log`` is on disk."""
+        """Use ``log``, with which storage replaced the former one: all of it is on disk."""
         self.log = log
         self.blocked = False
         self.stable_index = self._written_last = log.last_index
--- a/src/springmux/coordination/consensus/effects.py
+++ b/src/springmux/coordination/consensus/effects.py
@@ -1,4 +1,4 @@
-"""What a replica asks of its driver, and what the driver tells it. Storage implements ``Persist``."""
+"""Effects of a replica, and the events by which its driver reports on them or gives it requests."""
 
 from __future__ import annotations
 
@@ -83,7 +83,7 @@
 
 
 class InstallSnapshot(Effect, frozen=True):
-    """A leader's snapshot arrived whole: store it, replace log and state, then give ``SnapshotInstalled``."""
+    """A leader's snapshot is complete: store it, replace log and state, then give ``SnapshotInstalled``."""
 
     meta: SnapshotMeta
     data: bytes
@@ -96,7 +96,7 @@
 
 
 class Propose(Event, frozen=True):
-    """Append a command (leader only). ``correlation_id`` names it in the answer."""
+    """Append a command (leader only). ``correlation_id`` names it in the reply."""
 
     correlation_id: str
     data: bytes
@@ -110,7 +110,7 @@
 
 
 class ProposalDropped(Effect, frozen=True):
-    """The command was not taken (``unknown=False``) or its fate is not known (``unknown=True``)."""
+    """The command was rejected (``unknown=False``) or its fate is not known (``unknown=True``)."""
 
     correlation_id: str
     unknown: bool
@@ -118,13 +118,13 @@
 
 
 class ConfirmRead(Event, frozen=True):
-    """Ask for a linearizable read point (ReadIndex, Ongaro 2014, section 6.4)."""
+    """Request a linearizable read point (ReadIndex, Ongaro 2014, section 6.4)."""
 
     correlation_id: str
 
 
 class ReadConfirmed(Effect, frozen=True):
-    """State applied up to ``index`` is current as of the request; ``index`` is ``None`` if refused."""
+    """State applied up to ``index`` is current as of the request; ``index`` is ``None`` if rejected."""
 
     correlation_id: str
     index: LogIndex | None
--- a/src/springmux/coordination/consensus/election.py
+++ b/src/springmux/coordination/consensus/election.py
@@ -20,7 +20,7 @@
 
 
 class Election:
-    """Decides when to stand and for whom to vote."""
+    """Decides when to start an election and for which candidate to vote."""
 
     def __init__(self, core: ReplicaCore, on_elected: Callable[[], None]) -> None:
         self._core = core
@@ -28,7 +28,7 @@
         self._votes: set[ReplicaId] = set()
 
     def deadline(self) -> float:
-        """Return when this replica would stand for election."""
+        """Return when this replica would start an election."""
         return self._core.election_deadline
 
     def on_tick(self) -> None:
@@ -39,12 +39,12 @@
         core.reset_election_deadline()
         core.leader = None
         core.leader_node = None
-        if self._may_stand():
+        if self._may_start():
             core.hasten_election()
             self._start_pre_vote()
 
     def on_pre_vote(self, message: RaftPreVote, sender: NodeId) -> None:
-        """Say whether we would vote for the sender; changes nothing here."""
+        """Reply whether the sender would get this replica's vote; no state changes."""
         core = self._core
         granted = (
             message.term > core.term
@@ -58,7 +58,7 @@
         core.send_durably(sender, reply)
 
     def on_pre_vote_reply(self, message: RaftPreVoteReply) -> None:
-        """Count a pre-vote; stand for election with enough of them."""
+        """Count a pre-vote; start the election with enough of them."""
         core = self._core
         if not message.granted:
             if message.term > core.term:
@@ -67,7 +67,7 @@
         if core.role is Role.PRE_CANDIDATE and message.term == core.term + 1:
             self._votes.add(message.source)
             if self._enough_votes():
-                self._stand(transfer=False)
+                self._start_election(transfer=False)
 
     def on_vote(self, message: RaftVote, sender: NodeId) -> None:
         """Vote at most once a term, for a log at least as new; the reply waits for the disk."""
@@ -92,14 +92,14 @@
             core.become_follower(message.term)
         elif core.role is Role.CANDIDATE and message.granted and message.term == core.term:
             self._votes.add(message.source)
-            self._conclude()
+            self._lead_if_elected()
 
     def on_timeout_now(self, message: RaftTimeoutNow) -> None:
-        """Stand at once: the leader hands over to us."""
-        if message.term == self._core.term and self._core.leadership is None and self._may_stand():
-            self._stand(transfer=True)
+        """Start an election at once: the leader transfers its leadership to this replica."""
+        if message.term == self._core.term and self._core.leadership is None and self._may_start():
+            self._start_election(transfer=True)
 
-    def _may_stand(self) -> bool:
+    def _may_start(self) -> bool:
         core = self._core
         member = core.member
         return core.group is not None and member is not None and member.voter and core.durability.ready
@@ -109,11 +109,11 @@
         core.role = Role.PRE_CANDIDATE
         self._votes = {core.replica}
         if self._enough_votes():
-            self._stand(transfer=False)
+            self._start_election(transfer=False)
             return
-        self._ask_voters(Term(core.term + 1), RaftPreVote)
+        self._request_votes(Term(core.term + 1), RaftPreVote)
 
-    def _stand(self, transfer: bool) -> None:
+    def _start_election(self, transfer: bool) -> None:
         core = self._core
         core.durability.hard_state = HardState(Term(core.term + 1), core.replica)
         core.role = Role.CANDIDATE
@@ -122,7 +122,7 @@
         core.reset_election_deadline()
         self._votes = set()
         term = core.term
-        # Our own vote counts, and the others are asked, only when it is on disk.
+        # The own vote counts, and those of others are requested, only when it is on disk.
         core.durability.after(lambda: self._own_vote_durable(term, transfer))
 
     def _own_vote_durable(self, term: Term, transfer: bool) -> None:
@@ -130,10 +130,10 @@
         if core.term != term or core.role is not Role.CANDIDATE:
             return
         self._votes.add(core.replica)
-        if not self._conclude():
-            self._ask_voters(term, RaftVote, transfer)
+        if not self._lead_if_elected():
+            self._request_votes(term, RaftVote, transfer)
 
-    def _ask_voters(
+    def _request_votes(
         self, term: Term, kind: type[RaftPreVote] | type[RaftVote], transfer: bool = False
     ) -> None:
         core = self._core
@@ -148,7 +148,7 @@
             else:
                 core.send(voter.node, RaftPreVote(core.group, core.replica, voter.replica, term, *last))
 
-    def _conclude(self) -> bool:
+    def _lead_if_elected(self) -> bool:
         if not self._enough_votes():
             return False
         self._core.role = Role.LEADER
@@ -156,7 +156,7 @@
         return True
 
     def _enough_votes(self) -> bool:
-        """A majority of the voters; all of them for the group's first leader (see founding.py)."""
+        """Return whether a majority voted, or all voters for the group's first leader (see founding.py)."""
         members = self._core.log.members
         voters = {voter.replica for voter in members.voters()}
         needed = len(voters) if self._core.log.last_index == 0 else members.quorum()
@@ -169,6 +169,6 @@
         return self._up_to_date(message.last_term, message.last_index)
 
     def _up_to_date(self, last_term: Term, last_index: LogIndex) -> bool:
-        """Raft, section 5.4.1."""
+        """Return whether a candidate's log is at least as new as the own one (Raft, section 5.4.1)."""
         log = self._core.log
         return (last_term, last_index) >= (log.last_term, log.last_index)
--- a/src/springmux/coordination/consensus/following.py
+++ b/src/springmux/coordination/consensus/following.py
@@ -1,4 +1,4 @@
-"""A follower's side of replication: accept, refuse with a hint, acknowledge what is on disk.
+"""A follower's side of replication: accept, reject with a hint, acknowledge what is on disk.
 
 Source: Raft, section 5.3.
 """
@@ -18,26 +18,26 @@
 
 
 class Following:
-    """Takes entries and heartbeats from the leader."""
+    """Receives entries and heartbeats from the leader."""
 
     def __init__(self, core: ReplicaCore) -> None:
         self._core = core
 
     def accepts_leader(self, message: ReplicaMessage, sender: NodeId) -> bool:
-        """Follow the sender, or tell a former leader that its term is over."""
+        """Follow the sender, or reject a former leader whose term is over; return whether it is followed."""
         core = self._core
         if message.term < core.term:
-            self._refuse(message, sender, LogIndex(0), LogIndex(0), Term(0))
+            self._reject(message, sender, LogIndex(0), LogIndex(0), Term(0))
             return False
         core.follow(message.term, message.source, sender)
         return True
 
     def on_heartbeat(self, message: RaftHeartbeat, sender: NodeId) -> None:
-        """Answer at once, also while the disk is busy: it vouches for the term only."""
+        """Reply at once, also while the disk is busy: the reply confirms the term only."""
         core = self._core
         if not self.accepts_leader(message, sender):
             return
-        self._learn_commit(message.commit)
+        self._advance_commit(message.commit)
         assert core.group is not None
         reply = RaftHeartbeatReply(
             core.group,
@@ -51,7 +51,7 @@
         core.send(sender, reply)
 
     def on_stop_announced(self) -> None:
-        """The process is about to stop: tell the leader at once, and with each heartbeat."""
+        """Notify the leader, at once and with each heartbeat, that the process is about to stop."""
         core = self._core
         core.leaving = True
         if core.group is not None and core.leader is not None and core.leader_node not in (None, core.node):
@@ -61,7 +61,7 @@
             core.send(core.leader_node, reply)
 
     def on_append(self, message: RaftAppend, sender: NodeId) -> None:
-        """Append entries that follow what we have; the acknowledgement waits for the disk."""
+        """Append entries that follow the own log; the acknowledgement waits for the disk."""
         core = self._core
         if not self.accepts_leader(message, sender) or core.durability.blocked:
             return
@@ -70,18 +70,18 @@
         beyond_base = previous >= log.base_index
         if beyond_base and log.term_at(previous) != message.previous_term:
             hint = log.newest_at_most(previous, message.previous_term)
-            self._refuse(message, sender, previous, hint, log.term_at(hint) or Term(0))
+            self._reject(message, sender, previous, hint, log.term_at(hint) or Term(0))
             return
         for entry in message.entries:
-            if not self._take(entry):
+            if not self._append_entry(entry):
                 return
         match = LogIndex(max(previous + len(message.entries), log.base_index))
-        self._learn_commit(min(message.commit, match))
+        self._advance_commit(min(message.commit, match))
         assert core.group is not None
         reply = RaftAppendReply(core.group, core.replica, message.source, core.term, True, match)
         core.send_durably(sender, reply)
 
-    def _take(self, entry: Entry) -> bool:
+    def _append_entry(self, entry: Entry) -> bool:
         core = self._core
         log = core.log
         if entry.index <= log.base_index or log.term_at(entry.index) == entry.term:
@@ -94,11 +94,11 @@
         log.append(entry)
         return True
 
-    def _learn_commit(self, commit: LogIndex) -> None:
+    def _advance_commit(self, commit: LogIndex) -> None:
         core = self._core
         core.commit_index = max(core.commit_index, min(commit, core.log.last_index))
 
-    def _refuse(
+    def _reject(
         self, message: ReplicaMessage, sender: NodeId, index: LogIndex, hint: LogIndex, hint_term: Term
     ) -> None:
         core = self._core
--- a/src/springmux/coordination/consensus/founding.py
+++ b/src/springmux/coordination/consensus/founding.py
@@ -1,4 +1,4 @@
-"""Founding a group among empty replicas, so that never two groups come to life.
+"""Founding a group among empty replicas, so that never two groups get a leader.
 
 Why not two: a group's first leader needs the votes of *all* founding members (``election.py``: an
 empty log asks for all), and a replica belongs to one group at most, on disk, under an identity that a
@@ -44,7 +44,7 @@
 
 
 class _Attempt(msgspec.Struct):
-    """A founding that this replica tries."""
+    """A founding that this replica has started."""
 
     group: GroupId
     members: GroupMembers
@@ -59,7 +59,7 @@
         self._core = core
         self.candidates: tuple[GroupMember, ...] = ()
         self.established = False
-        """A group exists already: ask to join it, never found another."""
+        """A group exists already: join it, never found another."""
         self._attempt: _Attempt | None = None
         self._initialised: set[ReplicaId] = set()
         """Candidates that belong to a group already, or may not found: neither ever changes."""
@@ -84,12 +84,12 @@
         self.defer_abandon()
 
     def defer_abandon(self) -> None:
-        """The group may be about to elect its first leader: give it time."""
-        patience = self._core.random.uniform(1.0, 2.0) * self._core.settings.founding_abandon_s
-        self._abandon_at = self._core.now + patience
+        """Postpone abandoning the group, which may be about to elect its first leader."""
+        delay_s = self._core.random.uniform(1.0, 2.0) * self._core.settings.founding_abandon_s
+        self._abandon_at = self._core.now + delay_s
 
     def on_candidates(self, event: FoundingCandidates) -> None:
-        """Take note of the controllers that membership sees."""
+        """Record the controllers that membership sees."""
         self.candidates = event.members
         self.established = event.established
         self._next_try = min(self._next_try, self._core.now + self._core.settings.founding_retry_s)
@@ -110,10 +110,10 @@
             self._send_commits()
 
     def on_request(self, message: RaftFoundingRequest, sender: NodeId) -> None:
-        """Promise to be part of one founding at a time, and of none beside an established group.
+        """Promise to take part in one attempt at a time, and in none beside an established group.
 
         An own attempt yields to that of a founder with a lower name: two that wait for each other's members
-        would else wait until the promises are over.
+        would otherwise wait until the promises expire.
         """
         core = self._core
         if not core.settings.may_found:
@@ -127,24 +127,24 @@
         core.send(sender, RaftFoundingPromise(message.group, core.replica, message.source, Term(0)))
 
     def on_promise(self, message: RaftFoundingPromise) -> None:
-        """Found the group once everyone promised."""
+        """Found the group once all members promised."""
         attempt = self._attempt
         if attempt is None or attempt.group != message.group or self._core.now >= attempt.expires_at:
             return
         attempt.promised.add(message.source)
         if len(attempt.promised) == len(attempt.members.members):
             self._adopt(attempt.group, attempt.members)
-            # The founder stands first, so that the votes of all aren't split.
+            # The founder is the first candidate, so that the votes of all aren't split.
             self._core.hasten_election()
             self._core.durability.after(self._send_commits)
 
     def on_release(self, message: RaftFoundingRelease) -> None:
-        """The founder gave up: another founding may have the promise."""
+        """Take the promise back, since the founder gave up: another attempt may have it."""
         if self._promised_group == message.group:
             self._promised_until = -NEVER
 
     def on_commit(self, message: RaftFoundingCommit) -> None:
-        """Be part of a group that everyone promised to found, unless one is established by now."""
+        """Join a group that all members promised to found, unless one is established by now."""
         if not self._may_found():
             return
         listed = message.members.find(self._core.replica) is not None
@@ -152,12 +152,12 @@
             self._adopt(message.group, message.members)
 
     def on_welcome(self, message: RaftWelcome) -> None:
-        """Be part of an established group that took us up."""
+        """Join an established group that added this replica."""
         if message.members.find(self._core.replica) is not None:
             self._adopt(message.group, message.members)
 
     def refuse(self, message: ReplicaMessage, sender: NodeId) -> None:
-        """Tell a founder that the addressed replica can't be part of its group."""
+        """Notify a founder that the addressed replica can't be part of its group."""
         core = self._core
         refusal = RaftFoundingRefusal(
             message.group,
@@ -190,7 +190,7 @@
             core.stop(f"{RESTART_AS_NEW}replica {message.addressed} is no longer part of {core.group}")
 
     def on_join_request(self, message: RaftJoinRequest) -> None:
-        """Count a replica that asks around in vain for a leader as no candidate.
+        """Exclude a replica that found no leader by its requests from the candidates.
 
         It may be the lowest-named one here. It may found nothing, or it has a group already, whose remains
         may never elect anyone.
@@ -199,7 +199,7 @@
             self._initialised.add(message.replica)
 
     def on_repeated_commit(self, message: RaftFoundingCommit, sender: NodeId) -> None:
-        """Another member still waits for the first leader: say so if we do as well."""
+        """Reply to a member that still waits for the first leader if the own log is empty as well."""
         core = self._core
         if core.log.last_index == 0:
             reply = RaftFoundingUnborn(message.group, core.replica, message.source, Term(0), message.gone)
@@ -234,11 +234,11 @@
         return self._core.settings.may_found and not self.established
 
     def _leaderless(self) -> bool:
-        """Whether the group had no leader yet as far as this replica knows."""
+        """Return whether the group had no leader yet as far as this replica knows."""
         return self._core.log.last_index == 0 and self._core.leader is None
 
     def _may_give_up(self) -> bool:
-        """Whether, moreover, this replica never helped to elect one."""
+        """Return whether, moreover, this replica never helped to elect one."""
         return self._leaderless() and self._core.term == 0
 
     def _try_to_found(self) -> None:
@@ -278,7 +278,7 @@
                 core.send(member.node, request)
 
     def _release(self, attempt: _Attempt) -> None:
-        """Give an own attempt up: from here on nothing completes it."""
+        """Give an own attempt up: nothing can complete it afterwards."""
         core = self._core
         self._attempt = None
         if self._promised_group == attempt.group:
@@ -310,7 +310,7 @@
         self._attempt = None
         self._push_back_next_try()
         self.defer_abandon()
-        core.note("group_joined", group=group, members=len(members.members))
+        core.emit_log_line("group_joined", group=group, members=len(members.members))
 
     def _promise(self, group: GroupId) -> None:
         self._promised_group = group
@@ -320,5 +320,5 @@
         return self._promised_group != group and self._core.now < self._promised_until
 
     def _push_back_next_try(self) -> None:
-        spread = self._core.random.uniform(1.0, 1.5)
-        self._next_try = self._core.now + spread * self._core.settings.founding_retry_s
+        factor = self._core.random.uniform(1.0, 1.5)
+        self._next_try = self._core.now + factor * self._core.settings.founding_retry_s
--- a/src/springmux/coordination/consensus/joining.py
+++ b/src/springmux/coordination/consensus/joining.py
@@ -1,7 +1,7 @@
-"""Asking to be a member: for an empty replica beside a group, and one that its group no longer calls.
+"""Requests to be a member, of an empty replica beside a group and of a member without a leader.
 
-The latter was removed while it was away, or its node changed its name; its leader, if there is one,
-takes it up again as a learner or notes the new node.
+The latter was removed while it was away, or its node changed its name; the leader, if there is one,
+adds it again as a learner or records its new node.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 from springmux.coordination.identifiers import NodeId
 from springmux.coordination.state_machine import NEVER
 
-UNCALLED_TIMEOUTS = 3
-"""Election timeouts without a leader after which a member asks around; an election takes one or two."""
+LEADERLESS_TIMEOUTS = 3
+"""Election timeouts without a leader after which a member sends requests; an election takes one or two."""
 
 
 class Joining:
@@ -25,10 +25,10 @@
         self._next_request = 0.0
         self._turn = 0
         self.leader_node: NodeId | None = None
-        """The node that membership's messages name as the leader's."""
+        """The leader's node according to membership."""
 
     def start(self) -> None:
-        """Give the own group time to elect a leader before asking around."""
+        """Give the own group time to elect a leader before the first request."""
         if self._core.group is not None:
             self._wait_for_leader()
 
@@ -39,23 +39,24 @@
         return NEVER if core.leader is not None or may_found else self._next_request
 
     def on_tick(self) -> None:
-        """Send the next request if nobody leads us."""
+        """Send the next request while no leader is known."""
         core = self._core
         if core.leader is not None:
             self._wait_for_leader()
         elif core.now >= self.deadline():
             self._next_request = core.now + core.settings.join_retry_s
-            for node in self._asked(self._targets()):
-                self.ask(node)
+            for node in self._next_targets():
+                self.send_request(node)
 
-    def ask(self, node: NodeId) -> None:
-        """Ask the controller at ``node``."""
+    def send_request(self, node: NodeId) -> None:
+        """Request membership from the controller at ``node``."""
         core = self._core
         joins_only = not core.settings.may_found
         core.send(node, RaftJoinRequest(core.replica, core.node, core.group or "", joins_only=joins_only))
 
-    def _asked(self, targets: list[NodeId]) -> list[NodeId]:
-        """One controller in turn, any of which forwards the request, and the leader if one is named."""
+    def _next_targets(self) -> list[NodeId]:
+        """Return one controller in turn, which forwards the request, and the leader if it is known."""
+        targets = self._controllers()
         if not targets:
             return []
         self._turn += 1
@@ -64,9 +65,9 @@
         return [node] if leader in (None, node) or leader not in targets else [leader, node]
 
     def _wait_for_leader(self) -> None:
-        patience = UNCALLED_TIMEOUTS * self._core.settings.election_timeout_max_s
-        self._next_request = self._core.now + patience
+        timeout_s = LEADERLESS_TIMEOUTS * self._core.settings.election_timeout_max_s
+        self._next_request = self._core.now + timeout_s
 
-    def _targets(self) -> list[NodeId]:
+    def _controllers(self) -> list[NodeId]:
         members = (*self._founding.candidates, *self._core.log.members.members)
         return sorted({member.node for member in members} - {self._core.node})
--- a/src/springmux/coordination/consensus/log.py
+++ b/src/springmux/coordination/consensus/log.py
@@ -84,7 +84,7 @@
             self._members.append((entry.index, decode_members(entry.data)))
 
     def holds_only_barriers(self) -> bool:
-        """Say whether no command and no change of members is in the log or in a snapshot before it."""
+        """Return whether no command and no change of members is in the log or in a snapshot before it."""
         return self.base_index == 0 and all(entry.kind is EntryKind.BARRIER for entry in self._entries)
 
     def truncate_from(self, index: LogIndex) -> None:
--- a/src/springmux/coordination/consensus/membership_change.py
+++ b/src/springmux/coordination/consensus/membership_change.py
@@ -1,10 +1,10 @@
-"""Changing the group by one member at a time, on order and by itself (Ongaro 2014, chapter 4).
+"""Changes of the group by one member at a time, on request and automatic (Ongaro 2014, chapter 4).
 
 A change waits until the leader has committed an entry of its own term and the change before it (the
 flaw in the original single-server change, raft-dev 2015). A lost voter is replaced by a learner that
 is caught up: first add the new voter, then make the lost one a learner, each only if the voters that
 are reachable now are a majority both before and after. A voter whose process is stopping counts as lost
-before it is gone, so that its place is taken while it can still vote for that.
+before it is gone, so that it is replaced while it can still vote for that.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 def is_superseded(members: GroupMembers, member: GroupMember) -> bool:
-    """Whether a newer identity came up on the member's node (newer members stand later)."""
+    """Return whether a newer identity came up on the member's node (newer members stand later)."""
     position = members.members.index(member)
     return any(later.node == member.node for later in members.members[position + 1 :])
 
@@ -47,16 +47,16 @@
         self._proposals = proposals
         self._joins: dict[ReplicaId, GroupMember] = {}
 
-    def on_order(self, event: ChangeMember) -> None:
-        """Carry out an operator's change, or say why not."""
-        changed = self._ordered(event)
+    def on_change_request(self, event: ChangeMember) -> None:
+        """Append an operator's change, or reject it with a reason."""
+        changed = self._requested_members(event)
         if isinstance(changed, str):
             self._core.emit(ProposalDropped(event.correlation_id, unknown=False, reason=changed))
         else:
             self._proposals.append(event.correlation_id, EntryKind.MEMBERS, encode_members(changed))
 
     def on_join_request(self, message: RaftJoinRequest) -> None:
-        """Take a replica up as a learner, note its new node, or pass its request to the leader."""
+        """Add a replica as a learner, record its new node, or forward its request to the leader."""
         core = self._core
         if core.leadership is None:
             known_leader = core.leader_node is not None and core.leader_node != message.node
@@ -66,7 +66,7 @@
             return
         assert core.group is not None
         if message.group not in ("", core.group):
-            self._answer_foreign(message)
+            self._reply_to_foreign(message)
             return
         member = core.log.members.find(message.replica)
         if member is None or member.node != message.node:
@@ -89,7 +89,7 @@
             self._replication.append(EntryKind.MEMBERS, encode_members(members))
 
     def step_down_if_removed(self) -> None:
-        """A leader that is no voter any more leaves office once that is committed."""
+        """Step down as leader once the change by which this replica is no voter any more is committed."""
         core = self._core
         if core.leadership is None or core.log.members_index > core.commit_index:
             return
@@ -113,12 +113,12 @@
     def _joined(self) -> GroupMembers | None:
         members = self._core.log.members
         while self._joins:
-            replica, wanted = self._joins.popitem()
+            replica, joining = self._joins.popitem()
             present = members.find(replica)
-            if present == wanted:
+            if present == joining:
                 continue
             voter = present.voter if present else False
-            member = GroupMember(replica, wanted.node, voter)
+            member = GroupMember(replica, joining.node, voter)
             changed = GroupMembers((*without_member(members, replica).members, member))
             self._welcome(member, changed)
             return changed
@@ -127,28 +127,28 @@
     def _promoted(self, leadership: Leadership) -> GroupMembers | None:
         members = self._core.log.members
         voters = members.voters()
-        sound = [voter for voter in voters if not self._lost(voter)]
-        wished = self._core.settings.voters_wished
-        if len(sound) >= wished or len(voters) > wished:
+        healthy = [voter for voter in voters if not self._lost(voter)]
+        desired = self._core.settings.voters_desired
+        if len(healthy) >= desired or len(voters) > desired:
             return None
-        fit = [
+        candidates = [
             progress
             for member in members.members
             if not member.voter and (progress := leadership.progress.get(member.replica)) is not None
             if self._caught_up(progress) and not progress.leaving and not is_superseded(members, member)
         ]
-        best = max(fit, key=lambda progress: (progress.match_index, progress.replica), default=None)
+        best = max(candidates, key=lambda progress: (progress.match_index, progress.replica), default=None)
         if best is None:
             return None
         changed = with_member(members, GroupMember(best.replica, best.node, voter=True))
-        return changed if self._safe(changed) else None
+        return changed if self._keeps_quorum(changed) else None
 
     def _reduced(self, leadership: Leadership) -> GroupMembers | None:
         members = self._core.log.members
         for member in members.members:
-            if not member.voter and self._forgotten(member):
+            if not member.voter and self._expired(member):
                 return without_member(members, member.replica)
-        if len(members.voters()) <= self._core.settings.voters_wished:
+        if len(members.voters()) <= self._core.settings.voters_desired:
             return None
         lost = [voter for voter in members.voters() if self._lost(voter)]
         others = lost or [v for v in members.voters() if v.replica != self._core.replica]
@@ -157,7 +157,7 @@
             changed = without_member(members, slowest.replica)
         else:
             changed = with_member(members, GroupMember(slowest.replica, slowest.node, voter=False))
-        return changed if self._safe(changed) else None
+        return changed if self._keeps_quorum(changed) else None
 
     def _caught_up(self, progress: Progress) -> bool:
         core = self._core
@@ -166,31 +166,31 @@
         return near and progress.storage_ready and self._replication.reachable(progress)
 
     def _lost(self, voter: GroupMember) -> bool:
-        """Whether a voter is to be replaced if there is a learner to take its place."""
+        """Return whether a voter is to be replaced if there is a learner to take its place."""
         core = self._core
         if core.leadership is None or voter.replica == core.replica:
             return False
-        return core.leadership.progress[voter.replica].leaving or self._unheard(
+        return core.leadership.progress[voter.replica].leaving or self._timed_out(
             core.leadership, voter, core.settings.lost_after_s
         )
 
-    def _forgotten(self, learner: GroupMember) -> bool:
+    def _expired(self, learner: GroupMember) -> bool:
         core = self._core
         if core.leadership is None or learner.replica == core.replica:
             return False
-        return self._unheard(core.leadership, learner, core.settings.learner_forgotten_after_s)
+        return self._timed_out(core.leadership, learner, core.settings.learner_forgotten_after_s)
 
-    def _unheard(self, leadership: Leadership, member: GroupMember, limit_s: float) -> bool:
+    def _timed_out(self, leadership: Leadership, member: GroupMember, limit_s: float) -> bool:
         core = self._core
         if is_superseded(core.log.members, member):
             limit_s = core.settings.superseded_after_s
         return core.now - leadership.progress[member.replica].last_heard >= limit_s
 
-    def _safe(self, changed: GroupMembers) -> bool:
-        """Whether the reachable voters are a majority before and after the change.
+    def _keeps_quorum(self, changed: GroupMembers) -> bool:
+        """Return whether the reachable voters are a majority before and after the change.
 
-        For a larger group those that are about to stop or were silent lately don't count. A smaller one
-        asks for less, so there they do: to wait for them would only keep the group large.
+        For a larger group those that are about to stop or were unresponsive lately don't count. A smaller one
+        needs fewer, so there they do: to wait for them would only keep the group large.
         """
         before = self._core.log.members
         grows = len(changed.voters()) > len(before.voters())
@@ -210,11 +210,11 @@
         return count
 
     def _stays(self, progress: Progress) -> bool:
-        """Whether a voter was heard so lately that it hardly went away meanwhile."""
-        unheard_s = self._core.now - progress.last_heard
-        return not progress.leaving and unheard_s < self._core.settings.election_timeout_min_s
+        """Return whether a voter replied so recently that it is unlikely to be gone."""
+        since_contact_s = self._core.now - progress.last_heard
+        return not progress.leaving and since_contact_s < self._core.settings.election_timeout_min_s
 
-    def _ordered(self, event: ChangeMember) -> GroupMembers | str:
+    def _requested_members(self, event: ChangeMember) -> GroupMembers | str:
         core = self._core
         if core.leadership is None:
             return NOT_LEADER
@@ -244,7 +244,7 @@
                 return "the learner is not caught up"
         if not changed.voters():
             return "the last voter can't be removed"
-        return changed if self._safe(changed) else "the reachable voters would be no majority"
+        return changed if self._keeps_quorum(changed) else "the reachable voters would be no majority"
 
     def _welcome(self, member: GroupMember, members: GroupMembers | None = None) -> None:
         core = self._core
@@ -253,7 +253,7 @@
         message = RaftWelcome(core.group, core.replica, member.replica, core.term, shown)
         core.send(member.node, message)
 
-    def _answer_foreign(self, message: RaftJoinRequest) -> None:
+    def _reply_to_foreign(self, message: RaftJoinRequest) -> None:
         core = self._core
         assert core.group is not None
         commit: LogIndex = core.commit_index
--- a/src/springmux/coordination/consensus/messages.py
+++ b/src/springmux/coordination/consensus/messages.py
@@ -1,4 +1,4 @@
-"""Messages between replicas. The class name is the wire tag.
+"""Messages between replicas.
 
 Every message inside a group names the group, the sending and the addressed replica: one that is
 addressed to another identity is dropped, so a wiped machine never answers for its former self.
@@ -21,20 +21,20 @@
 
 
 class RaftPreVote(ReplicaMessage, frozen=True, tag="RaftPreVote"):
-    """Would you vote for me in ``term`` (the sender's next)? (Ongaro 2014, section 9.6)."""
+    """Request for a pre-vote in ``term``, the sender's next (Ongaro 2014, section 9.6)."""
 
     last_index: LogIndex
     last_term: Term
 
 
 class RaftPreVoteReply(ReplicaMessage, frozen=True, tag="RaftPreVoteReply"):
-    """Answer to a pre-vote: ``term`` as asked if granted, else the voter's own."""
+    """Reply to a pre-vote: ``term`` as requested if granted, else the voter's own."""
 
     granted: bool
 
 
 class RaftVote(ReplicaMessage, frozen=True, tag="RaftVote"):
-    """RequestVote (Raft, figure 2). ``transfer``: the former leader asked for this election."""
+    """RequestVote (Raft, figure 2). ``transfer``: the former leader ordered this election."""
 
     last_index: LogIndex
     last_term: Term
@@ -42,7 +42,7 @@
 
 
 class RaftVoteReply(ReplicaMessage, frozen=True, tag="RaftVoteReply"):
-    """Answer to a vote request; a granted vote is on disk."""
+    """Reply to a vote request; a granted vote is on disk."""
 
     granted: bool
 
@@ -57,9 +57,9 @@
 
 
 class RaftAppendReply(ReplicaMessage, frozen=True, tag="RaftAppendReply"):
-    """Answer to an append. Accepted: entries up to ``index`` match and are on disk.
+    """Reply to an append. Accepted: entries up to ``index`` match and are on disk.
 
-    Refused: ``index`` echoes ``previous_index``; ``hint_index`` and ``hint_term`` name the newest
+    Rejected: ``index`` echoes ``previous_index``; ``hint_index`` and ``hint_term`` name the newest
     entry of the follower that may match (Raft, section 5.3).
     """
 
@@ -70,14 +70,14 @@
 
 
 class RaftHeartbeat(ReplicaMessage, frozen=True, tag="RaftHeartbeat"):
-    """Sign of life, never behind entries. ``round`` also confirms reads (Ongaro 2014, section 6.4)."""
+    """Heartbeat, never queued behind entries. ``round`` also confirms reads (Ongaro 2014, section 6.4)."""
 
     commit: LogIndex
     round: int
 
 
 class RaftHeartbeatReply(ReplicaMessage, frozen=True, tag="RaftHeartbeatReply"):
-    """Answer to a heartbeat. ``storage_ready``: the disk neither stalls nor is full.
+    """Reply to a heartbeat. ``storage_ready``: the disk neither stalls nor is full.
 
     ``leaving``: the sender's process is about to stop.
     """
@@ -88,7 +88,7 @@
 
 
 class RaftSnapshotChunk(ReplicaMessage, frozen=True, tag="RaftSnapshotChunk"):
-    """A part of a snapshot (Ongaro 2014, section 5.3)."""
+    """A chunk of a snapshot (Ongaro 2014, section 5.3)."""
 
     meta: SnapshotMeta
     offset: int
@@ -96,7 +96,7 @@
 
 
 class RaftSnapshotReply(ReplicaMessage, frozen=True, tag="RaftSnapshotReply"):
-    """Answer to a chunk: ``wanted`` is the next offset; -1 once the snapshot is installed."""
+    """Reply to a chunk: ``wanted`` is the next offset; -1 once the snapshot is installed."""
 
     index: LogIndex
     wanted: int
@@ -107,13 +107,13 @@
 
 
 class RaftWelcome(ReplicaMessage, frozen=True, tag="RaftWelcome"):
-    """The group's leader tells a new replica that it is a member."""
+    """Notification from the group's leader to a new replica that it is a member."""
 
     members: GroupMembers
 
 
 class RaftFoundingRequest(ReplicaMessage, frozen=True, tag="RaftFoundingRequest"):
-    """Promise me for a short time to found no other group. ``group`` is the proposed identity."""
+    """Request to promise, for a short time, to found no other group than ``group``, the proposed one."""
 
 
 class RaftFoundingPromise(ReplicaMessage, frozen=True, tag="RaftFoundingPromise"):
@@ -121,7 +121,7 @@
 
 
 class RaftFoundingRelease(ReplicaMessage, frozen=True, tag="RaftFoundingRelease"):
-    """The founder gave this founding up before it was complete: the promise needn't be kept."""
+    """The founder gave this attempt up before it was complete: the promise is void."""
 
 
 class RaftFoundingCommit(ReplicaMessage, frozen=True, tag="RaftFoundingCommit"):
@@ -133,7 +133,7 @@
 
 
 class RaftFoundingUnborn(ReplicaMessage, frozen=True, tag="RaftFoundingUnborn"):
-    """Answer of a member whose log is still empty. ``gone`` echoes the commit."""
+    """Reply of a member whose log is still empty. ``gone`` echoes the commit."""
 
     gone: int = 0
 
@@ -154,7 +154,7 @@
 
 
 class RaftJoinRequest(PeerMessage, frozen=True, tag="RaftJoinRequest"):
-    """A replica asks to be a member; any controller forwards it once to its leader.
+    """Request of a replica to be a member; any controller forwards it once to its leader.
 
     ``joins_only``: the replica may not found any group.
     """
@@ -167,7 +167,7 @@
 
 
 class RaftForeignGroup(PeerMessage, frozen=True, tag="RaftForeignGroup"):
-    """An established group tells a replica of another one, which never committed, about itself."""
+    """Notification from an established group to a replica of another one, which never committed."""
 
     target: ReplicaId
     group: GroupId
--- a/src/springmux/coordination/consensus/proposals.py
+++ b/src/springmux/coordination/consensus/proposals.py
@@ -1,4 +1,4 @@
-"""Commands on their way to commit: admission, answers, and applying what is committed."""
+"""Proposals: admission of commands, applying of committed ones, and the replies."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 
 
 class Proposals:
-    """Takes commands at the leader; applies committed entries at every replica."""
+    """Accepts commands at the leader; applies committed entries at every replica."""
 
     def __init__(self, core: ReplicaCore, replication: Replication) -> None:
         self._core = core
         self._replication = replication
 
     def on_propose(self, event: Propose) -> None:
-        """Append the command, or say why not."""
-        reason = self._refusal(event)
+        """Append the command, or reject it with a reason."""
+        reason = self._rejection(event)
         if reason:
             self._core.emit(ProposalDropped(event.correlation_id, unknown=False, reason=reason))
             return
         self.append(event.correlation_id, EntryKind.COMMAND, event.data)
 
     def append(self, correlation_id: str, kind: EntryKind, data: bytes) -> None:
-        """Append an entry whose commit is answered under ``correlation_id``."""
+        """Append an entry whose commit is reported under ``correlation_id``."""
         leadership = self._core.leadership
         assert leadership is not None
         index = self._replication.append(kind, data)
@@ -37,7 +37,7 @@
         leadership.uncommitted_bytes += len(data)
 
     def apply_committed(self) -> None:
-        """Apply what is committed and on the own disk, then answer the proposals among it.
+        """Apply what is committed and on the own disk, then report the proposals among it.
 
         Waiting for the own disk keeps a snapshot from ever being ahead of the log beside it.
         """
@@ -59,7 +59,7 @@
             proposal = leadership.proposals.popleft()
             core.emit(ProposalCommitted(proposal.correlation_id, proposal.index))
 
-    def _refusal(self, event: Propose) -> str:
+    def _rejection(self, event: Propose) -> str:
         core = self._core
         leadership = core.leadership
         if leadership is None:
--- a/src/springmux/coordination/consensus/reads.py
+++ b/src/springmux/coordination/consensus/reads.py
@@ -8,14 +8,14 @@
 
 
 class Reads:
-    """Confirms reads once a majority answered a heartbeat that was sent after they came in."""
+    """Confirms reads once a majority replied to a heartbeat that was sent after they came in."""
 
     def __init__(self, core: ReplicaCore, replication: Replication) -> None:
         self._core = core
         self._replication = replication
 
     def on_request(self, correlation_id: str) -> None:
-        """Queue a read; a replica that doesn't lead refuses at once."""
+        """Queue a read; a replica that doesn't lead rejects it at once."""
         leadership = self._core.leadership
         if leadership is None:
             self._core.emit(ReadConfirmed(correlation_id, None))
@@ -23,7 +23,7 @@
         leadership.waiting_reads.append(correlation_id)
 
     def release(self) -> None:
-        """Confirm what a finished round covers, then begin a round for what waits."""
+        """Confirm the reads that a finished round covers, then begin a round for the waiting ones."""
         core = self._core
         leadership = core.leadership
         if leadership is None or not core.leading:
@@ -46,7 +46,7 @@
         leadership.read_batches.append(ReadBatch(leadership.round, self._core.commit_index, correlation_ids))
 
     def _confirmed_round(self, leadership: Leadership) -> int:
-        """The newest round that a majority of voters, this one among them, has answered."""
+        """Return the newest round to which a majority of voters, this one among them, replied."""
         members = self._core.log.members
         rounds = [
             leadership.round
--- a/src/springmux/coordination/consensus/replica.py
+++ b/src/springmux/coordination/consensus/replica.py
@@ -83,7 +83,7 @@
         core = self._core = ReplicaCore(recovered, node, random, settings)
         self._sender = SnapshotSender(core)
         self._replication = Replication(core, self._sender)
-        self._election = Election(core, self._replication.take_office)
+        self._election = Election(core, self._replication.become_leader)
         self._following = Following(core)
         self._receiver = SnapshotReceiver(core, self._following)
         self._snapshots = Snapshots(core)
@@ -131,11 +131,11 @@
         return min(own, core.durability.deadline(), self._snapshots.deadline(), self._transfer.deadline())
 
     def handle(self, event: Event, now: float) -> list[Effect]:
-        """Take one event at monotonic time ``now`` (seconds) and return what is to be done."""
+        """Handle one event at monotonic time ``now`` (seconds); return the effects to execute."""
         core = self._core
         core.now = now
         if core.stopped:
-            self._refuse(event)
+            self._reject(event)
             return core.take_effects()
         if not core.started:
             core.started = True
@@ -145,8 +145,8 @@
             self._founding.start()
             self._joining.start()
         self._dispatch(event)
-        self._draw_consequences()
-        core.announce()
+        self._advance()
+        core.announce_leader()
         return core.take_effects()
 
     def _waiting_deadline(self) -> float:
@@ -167,7 +167,7 @@
             case TransferLeadership():
                 self._transfer.begin(event.target)
             case ChangeMember():
-                self._membership.on_order(event)
+                self._membership.on_change_request(event)
             case FoundingCandidates():
                 self._founding.on_candidates(event)
                 self._joining.leader_node = event.leader
@@ -214,7 +214,7 @@
                 self._receive_from_member(message, sender)
 
     def _receive_from_outside(self, message: ReplicaMessage, sender: NodeId) -> None:
-        """Another group's message, or one for another identity, which is never answered for."""
+        """Handle a message of another group, or one for another identity, which gets no reply."""
         core = self._core
         founding = isinstance(message, RaftFoundingRequest | RaftFoundingCommit)
         if message.target != core.replica or core.group is not None:
@@ -233,7 +233,7 @@
             case RaftWelcome():
                 self._founding.on_welcome(message)
             case _:
-                self._joining.ask(sender)
+                self._joining.send_request(sender)
 
     def _receive_from_member(self, message: ReplicaMessage, sender: NodeId) -> None:
         match message:
@@ -245,12 +245,6 @@
                 self._following.on_append(message, sender)
             case RaftAppendReply():
                 self._replication.on_append_reply(message)
-            case RaftPreVoteReply():
-                self._election.on_pre_vote_reply(message)
-            case RaftVote():
-                self._election.on_vote(message, sender)
-            case RaftVoteReply():
-                self._election.on_vote_reply(message)
             case RaftSnapshotChunk():
                 self._receiver.on_chunk(message, sender)
             case RaftSnapshotReply():
@@ -259,19 +253,30 @@
                 self._founding.on_repeated_commit(message, sender)
             case RaftFoundingUnborn():
                 self._founding.on_unborn(message)
+            case _:
+                self._receive_election(message, sender)
+
+    def _receive_election(self, message: ReplicaMessage, sender: NodeId) -> None:
+        match message:
+            case RaftPreVoteReply():
+                self._election.on_pre_vote_reply(message)
+            case RaftVote():
+                self._election.on_vote(message, sender)
+            case RaftVoteReply():
+                self._election.on_vote_reply(message)
             case RaftTimeoutNow():
                 self._election.on_timeout_now(message)
 
     def _on_snapshot_reply(self, message: RaftSnapshotReply) -> None:
-        progress = self._replication.heard(message.term, message.source)
+        progress = self._replication.record_contact(message.term, message.source)
         if progress is None:
             return
         installed = self._sender.on_reply(progress, message)
         if installed is not None:
             self._replication.acknowledged(progress, installed)
 
-    def _draw_consequences(self) -> None:
-        """Timers first, then commit, apply, answers, and last what goes to peers and to disk."""
+    def _advance(self) -> None:
+        """Run timers, then commit, apply and report, and last what goes to peers and to disk."""
         core = self._core
         if core.stopped:
             return
@@ -290,12 +295,12 @@
         self._reads.release()
         self._replication.send_entries()
         self._receiver.install_when_idle()
-        self._snapshots.ask_when_due()
+        self._snapshots.request_when_due()
         batch = core.durability.flush(core.now, core.commit_index)
         if batch is not None:
             core.emit(batch)
 
-    def _refuse(self, event: Event) -> None:
+    def _reject(self, event: Event) -> None:
         core = self._core
         reason = f"the replica has stopped: {core.stopped}"
         match event:
--- a/src/springmux/coordination/consensus/replication.py
+++ b/src/springmux/coordination/consensus/replication.py
@@ -6,7 +6,13 @@
 
 from __future__ import annotations
 
-from springmux.coordination.consensus.core import Leadership, Progress, ProgressState, ReplicaCore
+from springmux.coordination.consensus.core import (
+    InFlightFrame,
+    Leadership,
+    Progress,
+    ProgressState,
+    ReplicaCore,
+)
 from springmux.coordination.consensus.log import entry_bytes
 from springmux.coordination.consensus.messages import (
     RaftAppend,
@@ -27,8 +33,8 @@
         self._core = core
         self._snapshots = snapshots
 
-    def take_office(self) -> None:
-        """Begin to lead with a barrier entry (Ongaro 2014, section 6.4)."""
+    def become_leader(self) -> None:
+        """Start the leadership with a barrier entry (Ongaro 2014, section 6.4)."""
         core = self._core
         barrier = LogIndex(core.log.last_index + 1)
         core.leadership = Leadership(barrier_index=barrier, heartbeat_at=core.now, since=core.now)
@@ -66,9 +72,9 @@
         leadership = core.leadership
         if leadership is None or core.now < leadership.heartbeat_at:
             return
-        if not self._hears_majority():
-            core.note("leader_lost_majority", term=core.term)
-            self._call_successor(leadership)
+        if not self._reaches_majority():
+            core.emit_log_line("leader_lost_majority", term=core.term)
+            self._nominate_successor(leadership)
             core.become_follower(core.term)
             return
         for progress in leadership.progress.values():
@@ -90,8 +96,8 @@
             core.send(progress.node, message)
 
     def on_heartbeat_reply(self, message: RaftHeartbeatReply) -> None:
-        """Take a follower's sign of life."""
-        progress = self.heard(message.term, message.source)
+        """Record a follower's reply and the state that it reports."""
+        progress = self.record_contact(message.term, message.source)
         if progress is None:
             return
         progress.acknowledged_round = max(progress.acknowledged_round, message.round)
@@ -99,14 +105,14 @@
         progress.leaving = message.leaving
 
     def on_append_reply(self, message: RaftAppendReply) -> None:
-        """Move a follower's window, or go back to where its log matches."""
-        progress = self.heard(message.term, message.source)
+        """Advance a follower's window, or go back to where its log matches."""
+        progress = self.record_contact(message.term, message.source)
         if progress is None:
             return
         if message.accepted:
             self.acknowledged(progress, message.index)
         elif message.index > progress.match_index:
-            self._refused(progress, message)
+            self._rejected(progress, message)
 
     def advance_commit(self) -> None:
         """Commit what a majority has on disk, if it is of the current term (Raft, section 5.4.2)."""
@@ -130,7 +136,7 @@
                 self._send_to(progress)
 
     def reachable(self, progress: Progress) -> bool:
-        """Whether the follower was heard within an election timeout."""
+        """Return whether the follower replied within an election timeout."""
         return self._core.now - progress.last_heard < self._core.settings.election_timeout_max_s
 
     def _match_of(self, replica: ReplicaId) -> LogIndex:
@@ -145,8 +151,8 @@
         following = LogIndex(core.log.last_index + 1)
         return Progress(member.replica, member.node, following, core.now, core.settings.resend_after_s)
 
-    def heard(self, term: Term, replica: ReplicaId) -> Progress | None:
-        """Note a follower's sign of life; ``None`` if it is not one of this leadership."""
+    def record_contact(self, term: Term, replica: ReplicaId) -> Progress | None:
+        """Record that a follower replied; return its progress, ``None`` if it is none of this leader's."""
         core = self._core
         if term > core.term:
             core.become_follower(term)
@@ -161,31 +167,31 @@
             progress.last_heard = core.now
         return progress
 
-    def _call_successor(self, leadership: Leadership) -> None:
-        """Ask the most advanced voter to stand at once.
+    def _nominate_successor(self, leadership: Leadership) -> None:
+        """Have the most advanced voter start an election at once.
 
-        A leader that is heard but doesn't hear would else hold its followers for another timeout. The order
-        is one of hand-over: it counts only in this term, so one that arrives late changes nothing.
+        A leader whose messages arrive but that gets no replies would otherwise keep its followers for another
+        timeout. The order counts only in this term, so one that arrives late changes nothing.
         """
         core = self._core
         assert core.group is not None
         others = {voter.replica for voter in core.log.members.voters()} - {core.replica}
-        fit = [progress for replica, progress in leadership.progress.items() if replica in others]
-        best = max(fit, key=lambda progress: (progress.match_index, progress.last_heard), default=None)
+        candidates = [progress for replica, progress in leadership.progress.items() if replica in others]
+        best = max(candidates, key=lambda progress: (progress.match_index, progress.last_heard), default=None)
         if best is not None:
             core.send(best.node, RaftTimeoutNow(core.group, core.replica, best.replica, core.term))
 
-    def _hears_majority(self) -> bool:
+    def _reaches_majority(self) -> bool:
         core = self._core
         assert core.leadership is not None
-        heard = 0
+        reached = 0
         for voter in core.log.members.voters():
             progress = core.leadership.progress.get(voter.replica)
-            heard += voter.replica == core.replica or (progress is not None and self.reachable(progress))
-        return heard >= core.log.members.quorum()
+            reached += voter.replica == core.replica or (progress is not None and self.reachable(progress))
+        return reached >= core.log.members.quorum()
 
     def acknowledged(self, progress: Progress, index: LogIndex) -> None:
-        """The follower has everything up to ``index`` on disk: open its window accordingly."""
+        """Advance the window of a follower that has all entries up to ``index`` on disk."""
         if index > progress.match_index or progress.state is ProgressState.PROBE:
             progress.resend_wait_s = self._core.settings.resend_after_s
         progress.match_index = max(progress.match_index, min(index, self._core.log.last_index))
@@ -196,17 +202,17 @@
             progress.state = ProgressState.REPLICATE
             progress.transfer = None
             progress.next_index = LogIndex(progress.match_index + 1)
-        while progress.in_flight and progress.in_flight[0][0] <= progress.match_index:
-            progress.in_flight_bytes -= progress.in_flight.popleft()[1]
+        while progress.in_flight and progress.in_flight[0].last_index <= progress.match_index:
+            progress.in_flight_bytes -= progress.in_flight.popleft().size_bytes
         progress.waiting = bool(progress.in_flight)
         self._arm_resend(progress)
 
-    def _refused(self, progress: Progress, message: RaftAppendReply) -> None:
+    def _rejected(self, progress: Progress, message: RaftAppendReply) -> None:
         stale = message.index != progress.next_index - 1
         if progress.state is ProgressState.SNAPSHOT or (progress.state is ProgressState.PROBE and stale):
             return
         if progress.state is ProgressState.REPLICATE:
-            # Messages that overtake each other are refused one by one. Backing off for each would send
+            # Messages that overtake each other are rejected one by one. Backing off for each would send
             # the window again each time and never end.
             if self._core.now - progress.backed_off_at < self._core.settings.heartbeat_s:
                 return
@@ -215,7 +221,7 @@
         if message.hint_index < self._core.log.base_index:
             match = message.hint_index
         self._begin_probe(progress)
-        # Always before the refused place, else two logs that differ at the base would probe for ever.
+        # Always before the rejected index, else two logs that differ at the base would probe for ever.
         following = min(match + 1, message.index)
         progress.next_index = LogIndex(max(progress.match_index + 1, following))
 
@@ -280,7 +286,7 @@
         core.send(progress.node, message)
         size = sum(map(entry_bytes, entries))
         progress.in_flight_bytes += size
-        progress.in_flight.append((LogIndex(previous + len(entries)), size))
+        progress.in_flight.append(InFlightFrame(LogIndex(previous + len(entries)), size))
         if progress.state is ProgressState.REPLICATE:
             progress.next_index = LogIndex(progress.next_index + len(entries))
         progress.waiting = True
--- a/src/springmux/coordination/consensus/settings.py
+++ b/src/springmux/coordination/consensus/settings.py
@@ -13,18 +13,18 @@
 
     controllers_expected: int = 3
     """How many replicas found a group together."""
-    voters_wished: int = 3
+    voters_desired: int = 3
     """How many voters the leader keeps; further replicas are learners."""
     may_found: bool = True
     """Whether a replica without a group may help to found one. ``False``: it only ever joins."""
     heartbeat_s: float = 0.1
     election_timeout_min_s: float = 0.6
-    """Also the time for which a replica that heard a leader refuses to elect another one."""
+    """Also the time for which a replica that heard a leader rejects votes for another one."""
     election_timeout_max_s: float = 1.2
     """Also the time after which a leader without a majority steps down."""
     first_election_min_s: float = 0.15
-    """A replica that heard no leader since its start asks for pre-votes after this, and again while nobody
-    answers. A pre-vote changes nothing at those who are asked, and who hears a leader refuses it."""
+    """A replica that heard no leader since its start requests pre-votes after this, and again while nobody
+    replies. A pre-vote changes nothing at the voters, and those that hear a leader reject it."""
     first_election_max_s: float = 0.45
     lost_after_s: float = 30.0
     """A voter that the leader hasn't heard for so long may be replaced by a learner, and becomes one."""
@@ -40,7 +40,7 @@
     max_inflight_bytes: int = 4 * _MIB
     max_uncommitted_bytes: int = 64 * _MIB
     resend_after_s: float = 0.4
-    """Silence after which unacknowledged entries are sent again; doubles up to ``resend_max_s``."""
+    """Time after which unacknowledged entries are sent again; doubles up to ``resend_max_s``."""
     resend_max_s: float = 5.0
     slowest_link_bytes_s: float = 4.0 * _MIB
     """Lengthens ``resend_after_s`` by the time that the bytes in flight take on a slow link."""
--- a/src/springmux/coordination/consensus/snapshot_transfer.py
+++ b/src/springmux/coordination/consensus/snapshot_transfer.py
@@ -22,7 +22,7 @@
 from springmux.coordination.state_machine import LogLevel
 
 INSTALLED = -1
-"""``wanted`` of a reply that says that the snapshot is in force."""
+"""``wanted`` of the reply after the snapshot was installed."""
 
 
 class SnapshotSender:
@@ -58,7 +58,7 @@
         progress.resend_at = core.now + progress.resend_wait_s
 
     def on_reply(self, progress: Progress, message: RaftSnapshotReply) -> LogIndex | None:
-        """Go on at the wanted offset; return the index up to which the follower is now, if it is done."""
+        """Continue at the wanted offset; return the follower's index once the snapshot is installed."""
         transfer = progress.transfer
         if transfer is None or transfer.meta.index != message.index:
             return None
@@ -95,7 +95,7 @@
         self._installing = False
 
     def on_chunk(self, message: RaftSnapshotChunk, sender: NodeId) -> None:
-        """Take a chunk if it is the wanted one, and say which is wanted next."""
+        """Append a chunk if it is the next one, and reply with the offset that is wanted next."""
         core = self._core
         if not self._following.accepts_leader(message, sender) or self._ready is not None:
             return
@@ -116,7 +116,7 @@
         self._reply(incoming, sender, len(incoming.data))
 
     def install_when_idle(self) -> None:
-        """Hand a whole snapshot to storage once no batch is being written."""
+        """Hand a complete snapshot to storage once no batch is being written."""
         core = self._core
         if self._ready is None or self._installing or not core.durability.idle:
             return
@@ -124,7 +124,7 @@
         core.emit(InstallSnapshot(self._ready.meta, bytes(self._ready.data)))
 
     def on_installed(self, event: SnapshotInstalled) -> None:
-        """Go on from the snapshot and tell the leader."""
+        """Continue from the snapshot and notify the leader."""
         core = self._core
         ready = self._ready
         if ready is None or ready.meta != event.meta:
@@ -141,17 +141,17 @@
             self._reply(ready, core.leader_node, INSTALLED)
 
     def on_failed(self, index: LogIndex, reason: str) -> bool:
-        """Storage could not install: drop the snapshot, the leader sends it again."""
+        """Drop a snapshot that storage could not install; the leader sends it again."""
         if self._ready is None or self._ready.meta.index != index:
             return False
-        self._core.note("snapshot_install_failed", LogLevel.ERROR, index=index, reason=reason)
+        self._core.emit_log_line("snapshot_install_failed", LogLevel.ERROR, index=index, reason=reason)
         self._ready = None
         self._installing = False
         self._core.durability.blocked = False
         return True
 
     def _decline(self, message: RaftSnapshotChunk, sender: NodeId) -> None:
-        """All of it is committed here already: say how far the log on disk matches."""
+        """Acknowledge up to where the log on disk matches, since all of the snapshot is committed already."""
         core = self._core
         assert core.group is not None
         match = min(core.commit_index, core.durability.stable_index)
--- a/src/springmux/coordination/consensus/snapshots.py
+++ b/src/springmux/coordination/consensus/snapshots.py
@@ -14,35 +14,35 @@
 
 
 class Snapshots:
-    """Asks for a snapshot when the log has grown, one at a time (Ongaro 2014, section 5.1)."""
+    """Requests a snapshot when the log has grown, one at a time (Ongaro 2014, section 5.1)."""
 
     def __init__(self, core: ReplicaCore) -> None:
         self._core = core
-        self._asked: LogIndex | None = None
+        self._requested: LogIndex | None = None
         self._retry_at = -NEVER
 
     def deadline(self) -> float:
         """Return when a failed snapshot is to be tried again."""
-        return self._retry_at if self._asked is None and self._retry_at > self._core.now else NEVER
+        return self._retry_at if self._requested is None and self._retry_at > self._core.now else NEVER
 
-    def ask_when_due(self) -> None:
-        """Ask for a snapshot when entries or bytes since the last one exceed their bound."""
+    def request_when_due(self) -> None:
+        """Request a snapshot when entries or bytes since the last one exceed their bound."""
         core = self._core
-        if self._asked is not None or core.now < self._retry_at:
+        if self._requested is not None or core.now < self._retry_at:
             return
         last = core.snapshot.index if core.snapshot else LogIndex(0)
         many = core.applied_index - last >= core.settings.snapshot_entries
         large = core.applied_bytes >= core.settings.snapshot_bytes
         term = core.log.term_at(core.applied_index)
         if (many or large) and core.applied_index > last and term is not None:
-            self._asked = core.applied_index
+            self._requested = core.applied_index
             core.applied_bytes = 0
             core.emit(TakeSnapshot(core.applied_index, term, core.log.members_at(core.applied_index)))
 
     def on_taken(self, event: SnapshotTaken) -> None:
         """Use the snapshot for slow followers and compact the log behind it."""
         core = self._core
-        self._asked = None
+        self._requested = None
         if core.snapshot is not None and event.meta.index <= core.snapshot.index:
             return
         core.snapshot = event.meta
@@ -56,7 +56,7 @@
 
     def on_failed(self, event: SnapshotFailed) -> None:
         """Keep the log and try again later."""
-        self._asked = None
+        self._requested = None
         self._core.applied_bytes = self._core.settings.snapshot_bytes
         self._retry_at = self._core.now + self._core.settings.snapshot_retry_s
-        self._core.note("snapshot_failed", LogLevel.ERROR, index=event.index, reason=event.reason)
+        self._core.emit_log_line("snapshot_failed", LogLevel.ERROR, index=event.index, reason=event.reason)
--- a/src/springmux/coordination/consensus/transfer.py
+++ b/src/springmux/coordination/consensus/transfer.py
@@ -1,4 +1,4 @@
-"""Handing leadership over (Ongaro 2014, section 3.10): on request, and when the own disk fails."""
+"""Leadership transfer (Ongaro 2014, section 3.10): on request, and when the own disk fails."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Transfer:
-    """Brings a target up to date, then tells it to stand at once."""
+    """Waits until the target is up to date, then has it start an election at once."""
 
     def __init__(self, core: ReplicaCore, replication: Replication) -> None:
         self._core = core
@@ -23,7 +23,7 @@
             return
         chosen = self._choose(leadership, target)
         if chosen is None:
-            self._core.note("transfer_without_target", target=target or "")
+            self._core.emit_log_line("transfer_without_target", target=target or "")
             return
         leadership.transfer_target = chosen.replica
         leadership.transfer_sent = False
@@ -36,14 +36,14 @@
         return leadership.transfer_deadline if leadership else NEVER
 
     def step(self) -> None:
-        """Give up an overdue transfer, or send the order once the target has everything."""
+        """Give up an overdue transfer, or order the election once the target has all entries."""
         core = self._core
         leadership = core.leadership
         if leadership is None:
             return
         if leadership.transfer_target is None:
             if core.durability.full or core.durability.stalled:
-                self._hand_over_quietly(leadership)
+                self._begin_if_possible(leadership)
             return
         progress = leadership.progress.get(leadership.transfer_target)
         recovered = leadership.transfer_for_disk and core.durability.ready and not leadership.transfer_sent
@@ -57,13 +57,13 @@
             message = RaftTimeoutNow(core.group, core.replica, progress.replica, core.term)
             core.send(progress.node, message)
 
-    def _hand_over_quietly(self, leadership: Leadership) -> None:
+    def _begin_if_possible(self, leadership: Leadership) -> None:
         if self._choose(leadership, None) is not None:
             self.begin()
 
     def _choose(self, leadership: Leadership, target: ReplicaId | None) -> Progress | None:
         voters = {voter.replica for voter in self._core.log.members.voters()}
-        fit = [
+        candidates = [
             progress
             for progress in leadership.progress.values()
             if progress.replica in voters
@@ -72,4 +72,4 @@
             and self._replication.reachable(progress)
             and target in (None, progress.replica)
         ]
-        return max(fit, key=lambda progress: (progress.match_index, progress.replica), default=None)
+        return max(candidates, key=lambda progress: (progress.match_index, progress.replica), default=None)
--- a/tests/support/consensus_cluster.py
+++ b/tests/support/consensus_cluster.py
@@ -278,7 +278,7 @@
 
     def _settled(self) -> bool:
         leader = self.leader()
-        if leader is None or len(self.voters()) != min(len(self.machines), self.settings.voters_wished):
+        if leader is None or len(self.voters()) != min(len(self.machines), self.settings.voters_desired):
             return False
         done = leader.status.applied_index
         idle = leader.status.last_index == done
--- a/tests/unit/docs/test_operations.py
+++ b/tests/unit/docs/test_operations.py
@@ -36,7 +36,7 @@
         return True
     levels = {node.attr for node in ast.walk(call) if isinstance(node, ast.Attribute)}
     handed = any(isinstance(argument, ast.Name) and argument.id == "level" for argument in call.args)
-    return callee in {"LogLine", "note", "write"} and bool(levels & ALARMING or handed)
+    return callee in {"LogLine", "emit_log_line", "note", "write"} and bool(levels & ALARMING or handed)
 
 
 def test_every_error_code_has_its_advice() -> None:
