--- a/tests/unit/agent/test_all_seeds_restarted.py
+++ b/tests/unit/agent/test_all_seeds_restarted.py
@@ -5,7 +5,7 @@
 import pytest
 
 from springmux.coordination.identifiers import NodeId
-from springmux.coordination.membership.membership import Membership
+from springmux.coordination.membership.dissemination import Disseminator
 from springmux.simulation.hollow_fleet import HollowFleet, places_by_zone
 from springmux.simulation.world.faults import Kill, Restart
 from springmux.simulation.world.network import NetworkSettings
@@ -76,6 +76,6 @@
 def test_the_check_sees_suspects_that_are_not_told_the_address_of_who_asks(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(Membership, "_introduced", lambda part, news: news)
+    monkeypatch.setattr(Disseminator, "_with_own_record", lambda disseminator, updates: updates)
     monkeypatch.setattr(PeerList, "load", lambda peer_list: ())  # a second way to be found
     assert late_after_restart({"z1": 3, "z2": 3, "z3": 3}, 3, 0)
--- a/tests/unit/simulation/test_seeds.py
+++ b/tests/unit/simulation/test_seeds.py
@@ -7,7 +7,10 @@
 import pytest
 
 from springmux.coordination.identifiers import Address, NodeId
+from springmux.coordination.membership.dissemination import Disseminator
+from springmux.coordination.membership.joining import Joiner
 from springmux.coordination.membership.membership import Membership
+from springmux.coordination.membership.view import NodeRecord
 from springmux.coordination.state_machine import Effect
 from springmux.simulation.world.faults import Kill, Restart
 from springmux.storage.peer_list import PeerList
@@ -47,23 +50,26 @@
     assert len(site.groups()) == 1
 
 
-def ask_no_absent_seed(part: Membership, present: tuple[NodeId, ...], now: float) -> list[Effect]:
-    part._seed_at = max(part._seed_at, now + 1.0)
+def rejoin_nobody(joiner: Joiner, own: NodeRecord, present: tuple[NodeId, ...], now: float) -> list[Effect]:
+    joiner._rejoin_at = max(joiner._rejoin_at, now + 1.0)
     return []
 
 
 @pytest.mark.parametrize(
-    ("method", "mutation"),
-    [("_introduced", lambda part, news: news), ("_receive", Membership._take_message)],
+    ("owner", "method", "mutation"),
+    [
+        (Disseminator, "_with_own_record", lambda disseminator, updates: updates),
+        (Membership, "_receive", Membership._dispatch),
+    ],
     ids=["a suspect isn't told the sender's address", "who introduces itself isn't asked for the fleet"],
 )
 def test_the_check_sees_nodes_that_are_not_found(
-    method: str, mutation: Callable[..., object], monkeypatch: pytest.MonkeyPatch
+    owner: type, method: str, mutation: Callable[..., object], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(Membership, method, mutation)
-    # Two other ways to be found: what the own disk remembers, and the others' question to an absent seed.
+    monkeypatch.setattr(owner, method, mutation)
+    # Two other ways to be found: what the own disk remembers, and the others' request to an absent seed.
     monkeypatch.setattr(PeerList, "load", lambda peer_list: ())
-    monkeypatch.setattr(Membership, "_ask_absent_seed", ask_no_absent_seed)
+    monkeypatch.setattr(Joiner, "rejoin", rejoin_nobody)
     node = NodeId("z1-1")
     assert not found_and_whole(restarted(node, (), 0.6), node)
 
