--- /dev/null
+++ b/src/springmux/coordination/consensus/abandonment.py
@@ -0,0 +1,98 @@
+"""Giving up a founded group that can't elect its first leader.
+
+A replica of a group that never elected anyone, and which never gave a vote, may give the group up: it
+restarts under a new identity, and the old group can then never have a leader. One that did give a vote
+gives up only if some members are gone for good and all others say, after that was known, that their logs
+are empty: then nothing was ever committed, since whoever led is gone and nobody else can be elected.
+"""
+
+from __future__ import annotations
+
+from springmux.coordination.consensus.core import RESTART_AS_NEW, ReplicaCore
+from springmux.coordination.consensus.messages import (
+    RaftForeignGroup,
+    RaftFoundingCommit,
+    RaftFoundingRefusal,
+    RaftFoundingUnborn,
+)
+from springmux.coordination.identifiers import NodeId, ReplicaId, Term
+from springmux.coordination.state_machine import NEVER
+
+
+class Abandonment:
+    """Decides when this replica gives its group up, which is safe before the first leader's commit only."""
+
+    def __init__(self, core: ReplicaCore) -> None:
+        self._core = core
+        self._gone: set[ReplicaId] = set()
+        """Members that are gone for good."""
+        self._empty_logs: set[ReplicaId] = set()
+        """Members that reported an empty log after the newest of ``_gone`` was known."""
+        self._abandon_at = NEVER
+
+    @property
+    def gone_count(self) -> int:
+        """Return how many members are known to be gone for good."""
+        return len(self._gone)
+
+    def is_leaderless(self) -> bool:
+        """Return whether the group had no leader yet as far as this replica knows."""
+        return self._core.log.last_index == 0 and self._core.leader is None
+
+    def deadline(self) -> float:
+        """Return when to give the group up, never once this replica voted or knew a leader."""
+        return self._abandon_at if self._never_voted() else NEVER
+
+    def postpone(self) -> None:
+        """Wait for a full time again, since the group may be about to elect its first leader."""
+        delay_s = self._core.random.uniform(1.0, 2.0) * self._core.settings.founding_abandon_s
+        self._abandon_at = self._core.now + delay_s
+
+    def on_refusal(self, message: RaftFoundingRefusal) -> None:
+        """Give the group up if the loss of the refusing member shows that it can't have a leader."""
+        core = self._core
+        gone = message.replica != message.addressed or message.own_group not in ("", core.group)
+        listed = core.log.members.find(message.addressed) is not None
+        if message.group != core.group or not gone or not listed or not self.is_leaderless():
+            return
+        if message.addressed not in self._gone:
+            self._gone.add(message.addressed)
+            self._empty_logs.clear()
+        if self._never_voted() or self._no_member_has_entries():
+            core.stop(f"{RESTART_AS_NEW}replica {message.addressed} is no longer part of {core.group}")
+
+    def on_repeated_commit(self, message: RaftFoundingCommit, sender: NodeId) -> None:
+        """Reply to a member that still waits for the first leader if the own log is empty as well."""
+        core = self._core
+        if core.log.last_index == 0:
+            reply = RaftFoundingUnborn(message.group, core.replica, message.source, Term(0), message.gone)
+            core.send(sender, reply)
+
+    def on_unborn(self, message: RaftFoundingUnborn) -> None:
+        """Give the group up if nothing can ever have been committed in it."""
+        core = self._core
+        if message.gone != len(self._gone) or not self.is_leaderless():
+            return
+        self._empty_logs.add(message.source)
+        if self._gone and self._no_member_has_entries():
+            core.stop(f"{RESTART_AS_NEW}group {core.group} lost members before it came to life")
+
+    def on_foreign_group(self, message: RaftForeignGroup) -> None:
+        """Yield to a group with commits if this folder holds nothing that the own may have acknowledged.
+
+        A first leader may have left its barrier in the log. Giving the folder up is then as safe as losing
+        the disk: its identity never votes again, and no command was ever acknowledged by it.
+        """
+        core = self._core
+        foreign = message.target == core.replica and message.group != core.group
+        never_lived = core.log.holds_only_barriers() and core.commit_index == 0 and core.leader is None
+        if core.group is not None and foreign and never_lived and message.commit > 0:
+            core.stop(f"{RESTART_AS_NEW}group {message.group} is established, {core.group} is not")
+
+    def _never_voted(self) -> bool:
+        """Return whether the group is leaderless and this replica never helped to elect a leader."""
+        return self.is_leaderless() and self._core.term == 0
+
+    def _no_member_has_entries(self) -> bool:
+        others = {member.replica for member in self._core.log.members.members} - {self._core.replica}
+        return others <= self._gone | self._empty_logs
--- a/src/springmux/coordination/consensus/founding.py
+++ b/src/springmux/coordination/consensus/founding.py
@@ -9,28 +9,22 @@
 have completed it.
 
 A replica that isn't of the system's first start (``may_found`` unset) is never one of those counted here.
-
-A replica of a group that never elected anyone, and which never gave a vote, may give the group up: it
-restarts under a new identity, and the old group can then never have a leader. One that did give a vote
-gives up only if some members are gone for good and all others say, after that was known, that their logs
-are empty: then nothing was ever committed, since whoever led is gone and nobody else can be elected.
 """
 
 from __future__ import annotations
 
 import msgspec
 
+from springmux.coordination.consensus.abandonment import Abandonment
 from springmux.coordination.consensus.core import RESTART_AS_NEW, ReplicaCore
 from springmux.coordination.consensus.events import FoundingCandidates
 from springmux.coordination.consensus.log import log_after
 from springmux.coordination.consensus.messages import (
-    RaftForeignGroup,
     RaftFoundingCommit,
     RaftFoundingPromise,
     RaftFoundingRefusal,
     RaftFoundingRelease,
     RaftFoundingRequest,
-    RaftFoundingUnborn,
     RaftJoinRequest,
     RaftWelcome,
     ReplicaMessage,
@@ -55,38 +49,31 @@
 class Founding:
     """Founds a group, or lets this replica be part of one."""
 
-    def __init__(self, core: ReplicaCore) -> None:
+    def __init__(self, core: ReplicaCore, abandonment: Abandonment) -> None:
         self._core = core
+        self._abandonment = abandonment
         self.candidates: tuple[GroupMember, ...] = ()
         self.established = False
         """A group exists already: join it, never found another."""
         self._attempt: _Attempt | None = None
         self._initialised: set[ReplicaId] = set()
         """Candidates that belong to a group already, or may not found: neither ever changes."""
-        self._gone: set[ReplicaId] = set()
-        self._unborn: set[ReplicaId] = set()
         self._promised_group: GroupId | None = None
         self._promised_until = -NEVER
         self._next_try = NEVER
-        self._abandon_at = NEVER
 
     def deadline(self) -> float:
         """Return when to try to found again, or to push on a founding that isn't complete."""
         if self._core.group is None:
             return self._next_try if self._may_found() else NEVER
-        if not self._leaderless():
+        if not self._abandonment.is_leaderless():
             return NEVER
-        return min(self._next_try, self._abandon_at) if self._may_give_up() else self._next_try
+        return min(self._next_try, self._abandonment.deadline())
 
     def start(self) -> None:
         """Arm the timers at the first event."""
         self._next_try = self._core.now if self._core.group else NEVER
-        self.defer_abandon()
-
-    def defer_abandon(self) -> None:
-        """Postpone abandoning the group, which may be about to elect its first leader."""
-        delay_s = self._core.random.uniform(1.0, 2.0) * self._core.settings.founding_abandon_s
-        self._abandon_at = self._core.now + delay_s
+        self._abandonment.postpone()
 
     def on_candidates(self, event: FoundingCandidates) -> None:
         """Record the controllers that membership sees."""
@@ -101,9 +88,9 @@
             if self._may_found() and core.now >= self._next_try:
                 self._try_to_found()
             return
-        if not self._leaderless():
+        if not self._abandonment.is_leaderless():
             return
-        if self._may_give_up() and core.now >= self._abandon_at:
+        if core.now >= self._abandonment.deadline():
             core.stop(f"{RESTART_AS_NEW}group {core.group} never came to life")
         elif core.now >= self._next_try:
             self._push_back_next_try()
@@ -170,24 +157,16 @@
         core.send(sender, refusal)
 
     def on_refusal(self, message: RaftFoundingRefusal) -> None:
-        """Learn that a group exists, or that our own can't come to life."""
+        """Learn that a member can't found a group with this replica, or that the own group lost a member."""
         core = self._core
-        if core.group is None:
-            if self._attempt is not None and self._attempt.group == message.group:
-                self._release(self._attempt)
-            if message.own_group or message.joins_only:
-                self._initialised.add(message.replica)
-            self.established = self.established or message.commit > 0
-            return
-        gone = message.replica != message.addressed or message.own_group not in ("", core.group)
-        listed = core.log.members.find(message.addressed) is not None
-        if message.group != core.group or not gone or not listed or not self._leaderless():
+        if core.group is not None:
+            self._abandonment.on_refusal(message)
             return
-        if message.addressed not in self._gone:
-            self._gone.add(message.addressed)
-            self._unborn.clear()
-        if self._may_give_up() or self._all_gone_or_unborn():
-            core.stop(f"{RESTART_AS_NEW}replica {message.addressed} is no longer part of {core.group}")
+        if self._attempt is not None and self._attempt.group == message.group:
+            self._release(self._attempt)
+        if message.own_group or message.joins_only:
+            self._initialised.add(message.replica)
+        self.established = self.established or message.commit > 0
 
     def on_join_request(self, message: RaftJoinRequest) -> None:
         """Exclude a replica that found no leader by its requests from the candidates.
@@ -198,49 +177,9 @@
         if message.group or message.joins_only:
             self._initialised.add(message.replica)
 
-    def on_repeated_commit(self, message: RaftFoundingCommit, sender: NodeId) -> None:
-        """Reply to a member that still waits for the first leader if the own log is empty as well."""
-        core = self._core
-        if core.log.last_index == 0:
-            reply = RaftFoundingUnborn(message.group, core.replica, message.source, Term(0), message.gone)
-            core.send(sender, reply)
-
-    def on_unborn(self, message: RaftFoundingUnborn) -> None:
-        """Give the group up if nothing can ever have been committed in it."""
-        core = self._core
-        if message.gone != len(self._gone) or not self._leaderless():
-            return
-        self._unborn.add(message.source)
-        if self._gone and self._all_gone_or_unborn():
-            core.stop(f"{RESTART_AS_NEW}group {core.group} lost members before it came to life")
-
-    def on_foreign_group(self, message: RaftForeignGroup) -> None:
-        """Yield to a group with commits if this folder holds nothing that ours may have acknowledged.
-
-        A first leader may have left its barrier in the log. Giving the folder up is then as safe as losing
-        the disk: its identity never votes again, and no command was ever acknowledged by it.
-        """
-        core = self._core
-        foreign = message.target == core.replica and message.group != core.group
-        never_lived = core.log.holds_only_barriers() and core.commit_index == 0 and core.leader is None
-        if core.group is not None and foreign and never_lived and message.commit > 0:
-            core.stop(f"{RESTART_AS_NEW}group {message.group} is established, {core.group} is not")
-
-    def _all_gone_or_unborn(self) -> bool:
-        others = {m.replica for m in self._core.log.members.members} - {self._core.replica}
-        return others <= self._gone | self._unborn
-
     def _may_found(self) -> bool:
         return self._core.settings.may_found and not self.established
 
-    def _leaderless(self) -> bool:
-        """Return whether the group had no leader yet as far as this replica knows."""
-        return self._core.log.last_index == 0 and self._core.leader is None
-
-    def _may_give_up(self) -> bool:
-        """Return whether, moreover, this replica never helped to elect one."""
-        return self._leaderless() and self._core.term == 0
-
     def _try_to_found(self) -> None:
         core = self._core
         self._push_back_next_try()
@@ -296,7 +235,7 @@
             if member.replica != core.replica:
                 members = core.log.members
                 commit = RaftFoundingCommit(
-                    core.group, core.replica, member.replica, Term(0), members, len(self._gone)
+                    core.group, core.replica, member.replica, Term(0), members, self._abandonment.gone_count
                 )
                 core.send(member.node, commit)
 
@@ -309,7 +248,7 @@
         core.reset_election_deadline()
         self._attempt = None
         self._push_back_next_try()
-        self.defer_abandon()
+        self._abandonment.postpone()
         core.emit_log_line("group_joined", group=group, members=len(members.members))
 
     def _promise(self, group: GroupId) -> None:
--- a/src/springmux/coordination/consensus/replica.py
+++ b/src/springmux/coordination/consensus/replica.py
@@ -9,6 +9,7 @@
 
 import random
 
+from springmux.coordination.consensus.abandonment import Abandonment
 from springmux.coordination.consensus.core import ReplicaCore
 from springmux.coordination.consensus.effects import (
     ConfirmRead,
@@ -91,7 +92,8 @@
         self._reads = Reads(core, self._replication)
         self._transfer = Transfer(core, self._replication)
         self._membership = MembershipChange(core, self._replication, self._proposals)
-        self._founding = Founding(core)
+        self._abandonment = Abandonment(core)
+        self._founding = Founding(core, self._abandonment)
         self._joining = Joining(core, self._founding)
 
     @property
@@ -204,11 +206,11 @@
             case RaftFoundingRefusal():
                 self._founding.on_refusal(message)
             case RaftForeignGroup():
-                self._founding.on_foreign_group(message)
+                self._abandonment.on_foreign_group(message)
             case ReplicaMessage() if message.target != core.replica or message.group != core.group:
                 self._receive_from_outside(message, sender)
             case RaftPreVote():
-                self._founding.defer_abandon()
+                self._abandonment.postpone()
                 self._election.on_pre_vote(message, sender)
             case ReplicaMessage():
                 self._receive_from_member(message, sender)
@@ -250,9 +252,9 @@
             case RaftSnapshotReply():
                 self._on_snapshot_reply(message)
             case RaftFoundingCommit():
-                self._founding.on_repeated_commit(message, sender)
+                self._abandonment.on_repeated_commit(message, sender)
             case RaftFoundingUnborn():
-                self._founding.on_unborn(message)
+                self._abandonment.on_unborn(message)
             case _:
                 self._receive_election(message, sender)
 
