--- a/src/springmux/coordination/consensus/abandonment.py
+++ b/src/springmux/coordination/consensus/abandonment.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-from springmux.coordination.consensus.core import RESTART_AS_NEW, ReplicaCore
+from springmux.coordination.consensus.core import ReplicaCore
 from springmux.coordination.consensus.messages import (
     RaftForeignGroup,
     RaftFoundingCommit,
@@ -59,7 +59,7 @@
             self._gone.add(message.addressed)
             self._empty_logs.clear()
         if self._never_voted() or self._no_member_has_entries():
-            core.stop(f"{RESTART_AS_NEW}replica {message.addressed} is no longer part of {core.group}")
+            core.stop_to_restart_as_new(f"replica {message.addressed} is no longer part of {core.group}")
 
     def on_repeated_commit(self, message: RaftFoundingCommit, sender: NodeId) -> None:
         """Reply to a member that still waits for the first leader if the own log is empty as well."""
@@ -75,7 +75,7 @@
             return
         self._empty_logs.add(message.source)
         if self._gone and self._no_member_has_entries():
-            core.stop(f"{RESTART_AS_NEW}group {core.group} lost members before it came to life")
+            core.stop_to_restart_as_new(f"group {core.group} lost members before it came to life")
 
     def on_foreign_group(self, message: RaftForeignGroup) -> None:
         """Yield to a group with commits if this folder holds nothing that the own may have acknowledged.
@@ -87,7 +87,7 @@
         foreign = message.target == core.replica and message.group != core.group
         never_lived = core.log.holds_only_barriers() and core.commit_index == 0 and core.leader is None
         if core.group is not None and foreign and never_lived and message.commit > 0:
-            core.stop(f"{RESTART_AS_NEW}group {message.group} is established, {core.group} is not")
+            core.stop_to_restart_as_new(f"group {message.group} is established, {core.group} is not")
 
     def _never_voted(self) -> bool:
         """Return whether the group is leaderless and this replica never helped to elect a leader."""
--- a/src/springmux/coordination/consensus/core.py
+++ b/src/springmux/coordination/consensus/core.py
@@ -25,7 +25,7 @@
 from springmux.coordination.state_machine import NEVER, Effect, LogLevel, LogLine, PeerMessage, Send
 
 RESTART_AS_NEW = "restart as a new replica: "
-"""Prefix of the stop reasons after which the folder may be emptied: nothing acknowledged is in it."""
+"""Beginning of the reasons, as operators read them, of stops with ``restart_as_new``."""
 
 
 class Role(enum.Enum):
@@ -231,7 +231,7 @@
         self.leader_contact = self.now
         self.reset_election_deadline()
 
-    def stop(self, reason: str) -> None:
+    def stop(self, reason: str, restart_as_new: bool = False) -> None:
         """Stop for good; requests are rejected from now on."""
         if self.stopped:
             return
@@ -239,7 +239,14 @@
         self.leader = None
         self.leader_node = None
         self.stopped = reason
-        self.emit(ReplicaStopped(reason))
+        self.emit(ReplicaStopped(reason, restart_as_new))
+
+    def stop_to_restart_as_new(self, reason: str) -> None:
+        """Stop for good, so that the driver restarts with an emptied folder as a new replica.
+
+        Only for a replica whose folder holds nothing acknowledged.
+        """
+        self.stop(RESTART_AS_NEW + reason, restart_as_new=True)
 
     def announce_leader(self) -> None:
         """Notify the driver of the leader if that changed."""
--- a/src/springmux/coordination/consensus/effects.py
+++ b/src/springmux/coordination/consensus/effects.py
@@ -145,9 +145,14 @@
 
 
 class ReplicaStopped(Effect, frozen=True):
-    """The replica can't go on (corrupt or failing disk, foreign group); the reason is for the operator."""
+    """The replica can't go on (corrupt or failing disk, foreign group); the reason is for the operator.
+
+    ``restart_as_new``: the data folder may be emptied and the replica restarted under a new identity, since
+    nothing acknowledged is in it.
+    """
 
     reason: str
+    restart_as_new: bool = False
 
 
 class ReplicaStatus(msgspec.Struct, frozen=True):
--- a/src/springmux/coordination/consensus/founding.py
+++ b/src/springmux/coordination/consensus/founding.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from springmux.coordination.consensus.abandonment import Abandonment
-from springmux.coordination.consensus.core import RESTART_AS_NEW, ReplicaCore
+from springmux.coordination.consensus.core import ReplicaCore
 from springmux.coordination.consensus.events import FoundingCandidates
 from springmux.coordination.consensus.log import log_after
 from springmux.coordination.consensus.messages import (
@@ -91,7 +91,7 @@
         if not self._abandonment.is_leaderless():
             return
         if core.now >= self._abandonment.deadline():
-            core.stop(f"{RESTART_AS_NEW}group {core.group} never came to life")
+            core.stop_to_restart_as_new(f"group {core.group} never came to life")
         elif core.now >= self._next_try:
             self._push_back_next_try()
             self._send_commits()
--- a/src/springmux/node/driver.py
+++ b/src/springmux/node/driver.py
@@ -29,7 +29,6 @@
 )
 from springmux.control.commands import AnyCommand
 from springmux.coordination.claims.decision import ClaimDecision, ClaimVerdict
-from springmux.coordination.consensus.core import RESTART_AS_NEW
 from springmux.coordination.consensus.effects import (
     DiskStalled,
     Persist,
@@ -256,7 +255,7 @@
             self._metrics.set("ready", float(effect.ready))
             self._log.write("readiness_changed", ready=effect.ready, reason=effect.reason)
         elif isinstance(effect, ReplicaStopped):
-            self._replica_stopped(effect.reason)
+            self._replica_stopped(effect)
         else:
             raise TypeError(f"no I/O for effect {type(effect).__name__}")
 
@@ -283,17 +282,17 @@
         await asyncio.to_thread(parse)
         self.submit(CommandsPrepared())
 
-    def _replica_stopped(self, reason: str) -> None:
-        self.replica_stopped_reason = reason
+    def _replica_stopped(self, effect: ReplicaStopped) -> None:
+        self.replica_stopped_reason = effect.reason
         self._metrics.set("replica_stopped", 1)
-        if reason.startswith(RESTART_AS_NEW):
-            self._log.write("replica_given_up", LogLevel.WARNING, reason=reason)
+        if effect.restart_as_new:
+            self._log.write("replica_given_up", LogLevel.WARNING, reason=effect.reason)
             self.replica_given_up.set()
             return
         self._log.write(
             "replica_stopped",
             LogLevel.ERROR,
-            reason=reason,
+            reason=effect.reason,
             action="still routing; move the data folder away and restart to rejoin as a new replica",
         )
 
--- a/src/springmux/simulation/hollow_fleet.py
+++ b/src/springmux/simulation/hollow_fleet.py
@@ -18,7 +18,6 @@
 )
 from springmux.agent.events import AgentSettings, CommandsPrepared, OrderSubmitted
 from springmux.control.commands import AnyCommand
-from springmux.coordination.consensus.core import RESTART_AS_NEW
 from springmux.coordination.consensus.effects import ReplicaStopped
 from springmux.coordination.identifiers import Address, NodeId, ZoneName
 from springmux.coordination.state_machine import Effect, LogLine
@@ -247,7 +246,7 @@
 
     def _replica_stopped(self, node: NodeId, effect: ReplicaStopped) -> None:
         """A replica that may begin anew does, as the daemon restarts it with an empty folder."""
-        if not effect.reason.startswith(RESTART_AS_NEW):
+        if not effect.restart_as_new:
             return
         self._disks[node].wipe()
         restart = Restart(at=self.world.now + RESTART_AS_NEW_S, node=node)
--- a/tests/support/consensus_cluster.py
+++ b/tests/support/consensus_cluster.py
@@ -351,8 +351,9 @@
                 self._check_read(machine, effect)
             case fx.ReplicaStopped():
                 machine.stops.append(effect.reason)
-                assert effect.reason.startswith(RESTART_AS_NEW) or "disk" in effect.reason, effect.reason
-                if effect.reason.startswith(RESTART_AS_NEW):
+                assert effect.restart_as_new == effect.reason.startswith(RESTART_AS_NEW)
+                assert effect.restart_as_new or "disk" in effect.reason, effect.reason
+                if effect.restart_as_new:
                     assert not machine.state, "an acknowledged state was given up"
                     self._later(machine, self.now + 0.3, lambda: self._renew(machine))
 
--- a/tests/unit/consensus/test_founding.py
+++ b/tests/unit/consensus/test_founding.py
@@ -91,7 +91,7 @@
     effects = machine.replica.handle(MessageReceived("x", notice), cluster.now)
 
     stopped = [effect for effect in effects if isinstance(effect, ReplicaStopped)]
-    assert stopped[0].reason.startswith(RESTART_AS_NEW)
+    assert stopped[0].restart_as_new and stopped[0].reason.startswith(RESTART_AS_NEW)
 
 
 def test_replica_with_commits_never_yields() -> None:
--- a/tests/unit/consensus/test_replica.py
+++ b/tests/unit/consensus/test_replica.py
@@ -166,7 +166,8 @@
 
     (stopped,) = replica_b(entries=(barrier,)).handle(notice, 0.1)
 
-    assert isinstance(stopped, ReplicaStopped) and stopped.reason.startswith(RESTART_AS_NEW)
+    assert isinstance(stopped, ReplicaStopped) and stopped.restart_as_new
+    assert stopped.reason.startswith(RESTART_AS_NEW)
     assert replica_b(entries=(barrier, entry(2, 2))).handle(notice, 0.1) == []
 
 
--- a/tests/unit/node/test_daemon.py
+++ b/tests/unit/node/test_daemon.py
@@ -12,7 +12,6 @@
 import aiohttp
 import pytest
 
-from springmux.coordination.consensus.core import RESTART_AS_NEW
 from springmux.coordination.consensus.effects import ReplicaStopped
 from springmux.node import daemon
 from springmux.node.daemon import NodeProcess
@@ -136,7 +135,7 @@
     first = begun[0].agent.status().replica
     await order(settings, "PUT", "/v1/configuration?version=1", CONFIGURATION)
 
-    begun[0].agent.handle = lambda event, now: [ReplicaStopped(f"{RESTART_AS_NEW}no group")]  # type: ignore[method-assign]
+    begun[0].agent.handle = lambda event, now: [ReplicaStopped("no group", restart_as_new=True)]  # type: ignore[method-assign]
     await until(lambda: len(begun) == 2 and begun[1].agent.ready)
 
     second = begun[1].agent.status().replica
--- a/tests/unit/node/test_driver.py
+++ b/tests/unit/node/test_driver.py
@@ -19,7 +19,6 @@
 from springmux.control.commands import RevokeKey
 from springmux.control.delivery.arrival import Arrival, DeliveryWay
 from springmux.coordination.claims.decision import ClaimDecision, ClaimVerdict
-from springmux.coordination.consensus.core import RESTART_AS_NEW
 from springmux.coordination.consensus.effects import (
     CompactLog,
     DiskStalled,
@@ -203,7 +202,7 @@
 
 
 async def test_a_replica_that_may_begin_anew_asks_for_it() -> None:
-    driver, _ = make_driver(RecordingAgent(lambda _: [ReplicaStopped(f"{RESTART_AS_NEW}no group")]))
+    driver, _ = make_driver(RecordingAgent(lambda _: [ReplicaStopped("no group", restart_as_new=True)]))
     driver.submit(Persisted(1))
     assert driver.replica_given_up.is_set()
     assert not driver.crashed.done()
