--- a/src/springmux/coordination/consensus/founding.py
+++ b/src/springmux/coordination/consensus/founding.py
@@ -1,4 +1,4 @@
-"""Founding a group among empty replicas, so that never two groups come to life.
+"""Founding a group among empty replicas, so that never two groups get a leader.
 
 Why not two: a group's first leader needs the votes of *all* founding members (``election.py``: an
 empty log asks for all), and a replica belongs to one group at most, on disk, under an identity that a
@@ -9,28 +9,22 @@
 have completed it.
 
 A replica that isn't of the system's first start (``may_found`` unset) is never one of those counted here.
-
-A replica of a group that never elected anyone, and which never gave a vote, may give the group up: it
-restarts under a new identity, and the old group can then never have a leader. One that did give a vote
-gives up only if some members are gone for good and all others say, after that was known, that their logs
-are empty: then nothing was ever committed, since whoever led is gone and nobody else can be elected.
 """
 
 from __future__ import annotations
 
 import msgspec
 
-from springmux.coordination.consensus.core import RESTART_AS_NEW, ReplicaCore
+from springmux.coordination.consensus.abandonment import Abandonment
+from springmux.coordination.consensus.core import ReplicaCore
 from springmux.coordination.consensus.events import FoundingCandidates
 from springmux.coordination.consensus.log import log_after
 from springmux.coordination.consensus.messages import (
-    RaftForeignGroup,
     RaftFoundingCommit,
     RaftFoundingPromise,
     RaftFoundingRefusal,
     RaftFoundingRelease,
     RaftFoundingRequest,
-    RaftFoundingUnborn,
     RaftJoinRequest,
     RaftWelcome,
     ReplicaMessage,
@@ -44,7 +38,7 @@
 
 
 class _Attempt(msgspec.Struct):
-    """A founding that this replica tries."""
+    """A founding that this replica has started."""
 
     group: GroupId
     members: GroupMembers
@@ -55,41 +49,34 @@
 class Founding:
     """Founds a group, or lets this replica be part of one."""
 
-    def __init__(self, core: ReplicaCore) -> None:
+    def __init__(self, core: ReplicaCore, abandonment: Abandonment) -> None:
         self._core = core
+        self._abandonment = abandonment
         self.candidates: tuple[GroupMember, ...] = ()
         self.established = False
-        """A group exists already: ask to join it, never found another."""
+        """A group exists already: join it, never found another."""
         self._attempt: _Attempt | None = None
         self._initialised: set[ReplicaId] = set()
         """Candidates that belong to a group already, or may not found: neither ever changes."""
-        self._gone: set[ReplicaId] = set()
-        self._unborn: set[ReplicaId] = set()
         self._promised_group: GroupId | None = None
         self._promised_until = -NEVER
         self._next_try = NEVER
-        self._abandon_at = NEVER
 
     def deadline(self) -> float:
         """Return when to try to found again, or to push on a founding that isn't complete."""
         if self._core.group is None:
             return self._next_try if self._may_found() else NEVER
-        if not self._leaderless():
+        if not self._abandonment.is_leaderless():
             return NEVER
-        return min(self._next_try, self._abandon_at) if self._may_give_up() else self._next_try
+        return min(self._next_try, self._abandonment.deadline())
 
     def start(self) -> None:
         """Arm the timers at the first event."""
         self._next_try = self._core.now if self._core.group else NEVER
-        self.defer_abandon()
-
-    def defer_abandon(self) -> None:
-        """The group may be about to elect its first leader: give it time."""
-        patience = self._core.random.uniform(1.0, 2.0) * self._core.settings.founding_abandon_s
-        self._abandon_at = self._core.now + patience
+        self._abandonment.postpone()
 
     def on_candidates(self, event: FoundingCandidates) -> None:
-        """Take note of the controllers that membership sees."""
+        """Record the controllers that membership sees."""
         self.candidates = event.members
         self.established = event.established
         self._next_try = min(self._next_try, self._core.now + self._core.settings.founding_retry_s)
@@ -101,19 +88,19 @@
             if self._may_found() and core.now >= self._next_try:
                 self._try_to_found()
             return
-        if not self._leaderless():
+        if not self._abandonment.is_leaderless():
             return
-        if self._may_give_up() and core.now >= self._abandon_at:
-            core.stop(f"{RESTART_AS_NEW}group {core.group} never came to life")
+        if core.now >= self._abandonment.deadline():
+            core.stop_to_restart_as_new(f"group {core.group} never came to life")
         elif core.now >= self._next_try:
             self._push_back_next_try()
             self._send_commits()
 
     def on_request(self, message: RaftFoundingRequest, sender: NodeId) -> None:
-        """Promise to be part of one founding at a time, and of none beside an established group.
+        """Promise to take part in one attempt at a time, and in none beside an established group.
 
         An own attempt yields to that of a founder with a lower name: two that wait for each other's members
-        would else wait until the promises are over.
+        would otherwise wait until the promises expire.
         """
         core = self._core
         if not core.settings.may_found:
@@ -127,24 +114,24 @@
         core.send(sender, RaftFoundingPromise(message.group, core.replica, message.source, Term(0)))
 
     def on_promise(self, message: RaftFoundingPromise) -> None:
-        """Found the group once everyone promised."""
+        """Found the group once all members promised."""
         attempt = self._attempt
         if attempt is None or attempt.group != message.group or self._core.now >= attempt.expires_at:
             return
         attempt.promised.add(message.source)
         if len(attempt.promised) == len(attempt.members.members):
             self._adopt(attempt.group, attempt.members)
-            # The founder stands first, so that the votes of all aren't split.
+            # The founder is the first candidate, so that the votes of all aren't split.
             self._core.hasten_election()
             self._core.durability.after(self._send_commits)
 
     def on_release(self, message: RaftFoundingRelease) -> None:
-        """The founder gave up: another founding may have the promise."""
+        """Take the promise back, since the founder gave up: another attempt may have it."""
         if self._promised_group == message.group:
             self._promised_until = -NEVER
 
     def on_commit(self, message: RaftFoundingCommit) -> None:
-        """Be part of a group that everyone promised to found, unless one is established by now."""
+        """Join a group that all members promised to found, unless one is established by now."""
         if not self._may_found():
             return
         listed = message.members.find(self._core.replica) is not None
@@ -152,12 +139,12 @@
             self._adopt(message.group, message.members)
 
     def on_welcome(self, message: RaftWelcome) -> None:
-        """Be part of an established group that took us up."""
+        """Join an established group that added this replica."""
         if message.members.find(self._core.replica) is not None:
             self._adopt(message.group, message.members)
 
     def refuse(self, message: ReplicaMessage, sender: NodeId) -> None:
-        """Tell a founder that the addressed replica can't be part of its group."""
+        """Notify a founder that the addressed replica can't be part of its group."""
         core = self._core
         refusal = RaftFoundingRefusal(
             message.group,
@@ -170,27 +157,19 @@
         core.send(sender, refusal)
 
     def on_refusal(self, message: RaftFoundingRefusal) -> None:
-        """Learn that a group exists, or that our own can't come to life."""
+        """Learn that a member can't found a group with this replica, or that the own group lost a member."""
         core = self._core
-        if core.group is None:
-            if self._attempt is not None and self._attempt.group == message.group:
-                self._release(self._attempt)
-            if message.own_group or message.joins_only:
-                self._initialised.add(message.replica)
-            self.established = self.established or message.commit > 0
-            return
-        gone = message.replica != message.addressed or message.own_group not in ("", core.group)
-        listed = core.log.members.find(message.addressed) is not None
-        if message.group != core.group or not gone or not listed or not self._leaderless():
+        if core.group is not None:
+            self._abandonment.on_refusal(message)
             return
-        if message.addressed not in self._gone:
-            self._gone.add(message.addressed)
-            self._unborn.clear()
-        if self._may_give_up() or self._all_gone_or_unborn():
-            core.stop(f"{RESTART_AS_NEW}replica {message.addressed} is no longer part of {core.group}")
+        if self._attempt is not None and self._attempt.group == message.group:
+            self._release(self._attempt)
+        if message.own_group or message.joins_only:
+            self._initialised.add(message.replica)
+        self.established = self.established or message.commit > 0
 
     def on_join_request(self, message: RaftJoinRequest) -> None:
-        """Count a replica that asks around in vain for a leader as no candidate.
+        """Exclude a replica that found no leader by its requests from the candidates.
 
         It may be the lowest-named one here. It may found nothing, or it has a group already, whose remains
         may never elect anyone.
@@ -198,49 +177,9 @@
         if message.group or message.joins_only:
             self._initialised.add(message.replica)
 
-    def on_repeated_commit(self, message: RaftFoundingCommit, sender: NodeId) -> None:
-        """Another member still waits for the first leader: say so if we do as well."""
-        core = self._core
-        if core.log.last_index == 0:
-            reply = RaftFoundingUnborn(message.group, core.replica, message.source, Term(0), message.gone)
-            core.send(sender, reply)
-
-    def on_unborn(self, message: RaftFoundingUnborn) -> None:
-        """Give the group up if nothing can ever have been committed in it."""
-        core = self._core
-        if message.gone != len(self._gone) or not self._leaderless():
-            return
-        self._unborn.add(message.source)
-        if self._gone and self._all_gone_or_unborn():
-            core.stop(f"{RESTART_AS_NEW}group {core.group} lost members before it came to life")
-
-    def on_foreign_group(self, message: RaftForeignGroup) -> None:
-        """Yield to a group with commits if this folder holds nothing that ours may have acknowledged.
-
-        A first leader may have left its barrier in the log. Giving the folder up is then as safe as losing
-        the disk: its identity never votes again, and no command was ever acknowledged by it.
-        """
-        core = self._core
-        foreign = message.target == core.replica and message.group != core.group
-        never_lived = core.log.holds_only_barriers() and core.commit_index == 0 and core.leader is None
-        if core.group is not None and foreign and never_lived and message.commit > 0:
-            core.stop(f"{RESTART_AS_NEW}group {message.group} is established, {core.group} is not")
-
-    def _all_gone_or_unborn(self) -> bool:
-        others = {m.replica for m in self._core.log.members.members} - {self._core.replica}
-        return others <= self._gone | self._unborn
-
     def _may_found(self) -> bool:
         return self._core.settings.may_found and not self.established
 
-    def _leaderless(self) -> bool:
-        """Whether the group had no leader yet as far as this replica knows."""
-        return self._core.log.last_index == 0 and self._core.leader is None
-
-    def _may_give_up(self) -> bool:
-        """Whether, moreover, this replica never helped to elect one."""
-        return self._leaderless() and self._core.term == 0
-
     def _try_to_found(self) -> None:
         core = self._core
         self._push_back_next_try()
@@ -278,7 +217,7 @@
                 core.send(member.node, request)
 
     def _release(self, attempt: _Attempt) -> None:
-        """Give an own attempt up: from here on nothing completes it."""
+        """Give an own attempt up: nothing can complete it afterwards."""
         core = self._core
         self._attempt = None
         if self._promised_group == attempt.group:
@@ -296,7 +235,7 @@
             if member.replica != core.replica:
                 members = core.log.members
                 commit = RaftFoundingCommit(
-                    core.group, core.replica, member.replica, Term(0), members, len(self._gone)
+                    core.group, core.replica, member.replica, Term(0), members, self._abandonment.gone_count
                 )
                 core.send(member.node, commit)
 
@@ -309,8 +248,8 @@
         core.reset_election_deadline()
         self._attempt = None
         self._push_back_next_try()
-        self.defer_abandon()
-        core.note("group_joined", group=group, members=len(members.members))
+        self._abandonment.postpone()
+        core.emit_log_line("group_joined", group=group, members=len(members.members))
 
     def _promise(self, group: GroupId) -> None:
         self._promised_group = group
@@ -320,5 +259,5 @@
         return self._promised_group != group and self._core.now < self._promised_until
 
     def _push_back_next_try(self) -> None:
-        spread = self._core.random.uniform(1.0, 1.5)
-        self._next_try = self._core.now + spread * self._core.settings.founding_retry_s
+        factor = self._core.random.uniform(1.0, 1.5)
+        self._next_try = self._core.now + factor * self._core.settings.founding_retry_s
