--- a/src/springmux/coordination/usage/__init__.py
+++ b/src/springmux/coordination/usage/__init__.py
@@ -1,5 +1,5 @@
-"""Admission against fleet-wide token buckets from exchanged counts, without a question on a request's way.
+"""Admission against fleet-wide token buckets from exchanged counts, without a round trip per request.
 
-Owns: each node's own admitted tokens, its picture of the fleet's buckets, and the engine loads told by the
-other nodes. Pure. May import the kernel, identifiers, rendezvous hash and membership views.
+Owns: each node's own admitted tokens, its estimate of the fleet's buckets, and the engine loads reported by
+the other nodes. Pure. May import the state machine types, identifiers, rendezvous hash and membership views.
 """
--- a/src/springmux/coordination/usage/bucket.py
+++ b/src/springmux/coordination/usage/bucket.py
@@ -1,83 +1,64 @@
-"""The fleet's bucket of one account as this node sees it, and whether a request is admitted.
+"""One account's fleet-wide token bucket as estimated by this node, and the admission decision.
 
-Source of the sharing: Raghavan et al., "Cloud control with distributed rate limiting", SIGCOMM 2007 (global
-random drop): near the limit every node admits the same part of the tokens asked for, which follows from
-the fleet's demand. Each gets its share in proportion to its demand so, and no node's saved-up part lies
-idle. Which requests make up that part, ``request_sizes`` decides.
+Source: Raghavan et al., "Cloud control with distributed rate limiting", SIGCOMM 2007 (global random drop).
+Near the limit every node admits the same fraction of the requested tokens, derived from the fleet's demand.
+Each node's share is thereby proportional to its demand, and no node's unused tokens lie idle.
+:mod:`request_sizes` decides which requests make up that fraction.
 """
 
 from __future__ import annotations
 
-from collections.abc import Mapping
-
-import msgspec
-
 from springmux.coordination.identifiers import NodeId
 from springmux.coordination.usage.events import AccountLimit, UsageSettings
+from springmux.coordination.usage.extrapolation import effective_age_s, extrapolation_weight
+from springmux.coordination.usage.fleet_view import FleetView
+from springmux.coordination.usage.local_usage import LocalUsage
 from springmux.coordination.usage.messages import AccountTotal, AccountUse
-from springmux.coordination.usage.own_use import OwnUse, spread_s, weight
 
 STEP_S = 0.01
-"""The level is carried forward in steps of at least this much: 1% of a second's rate."""
+"""Shortest step by which the level is advanced."""
 
 CALM_LEVEL = 0.6
-"""An account with at least this part of its burst is calm. With 0.75, totals at 90 nodes and 16 accounts took
-603 bytes a node and second in a trial, which with the reports is more than 1 KB/s."""
-
-FORGET_DEMAND_S = 5.0
-"""After ten time constants nothing is left of a demand that was not reported again."""
-
-
-class Standing(msgspec.Struct, frozen=True):
-    """What this node may count on now.
-
-    ``share``: part of the limit that is its own side's. ``silent``: peers that may be cut off, since when;
-    each is taken to spend ``1 / fleet_size`` of the rate. ``horizon_s``: time within which spending is known
-    to all; ``hold_s``: time to a peer's next report.
-    """
+"""Fraction of the burst from which on an account is far from its limit and is published less often."""
 
-    fleet_size: int
-    share: float
-    silent: Mapping[NodeId, float]
-    horizon_s: float
-    hold_s: float
-    starting: bool = False
+DEMAND_EXPIRY_S = 5.0
+"""Age after which a reported demand is dropped: ten time constants."""
 
 
-class PeerUse:
-    """What is known of one peer's use: last report, and what is charged beyond it.
+class PeerUsage:
+    """One peer's last report, and the tokens charged beyond it.
 
-    ``assumed``: spent since the report that is due next; ``held``: its part of the rate while it was silent.
+    ``assumed``: estimated spending since that report. ``reserved``: its share of the rate while unresponsive.
     """
 
-    __slots__ = ("admitted", "assumed", "at", "demand", "held")
+    __slots__ = ("admitted", "assumed", "demand", "reported_at", "reserved")
 
     def __init__(self, now: float) -> None:
         self.admitted: int | None = None
         self.demand = 0.0
-        self.at = now
+        self.reported_at = now
         self.assumed = 0.0
-        self.held = 0.0
+        self.reserved = 0.0
 
     def release(self) -> float:
-        """Return what was charged beyond the last report, and charge it no more."""
-        charged = self.assumed + self.held
-        self.assumed = self.held = 0.0
+        """Return the tokens charged beyond the last report, and reset them."""
+        charged = self.assumed + self.reserved
+        self.assumed = self.reserved = 0.0
         return charged
 
 
 class Bucket:
-    """Level in tokens; below zero after a request on credit, or after nodes spent the same remainder."""
+    """Token bucket. The level is negative after a request on credit or after concurrent spending."""
 
-    def __init__(self, limit: AccountLimit, settings: UsageSettings, standing: Standing, now: float) -> None:
+    def __init__(self, limit: AccountLimit, settings: UsageSettings, fleet: FleetView, now: float) -> None:
         self._settings = settings
         self.limit = limit
-        self.own = OwnUse(settings, now)
-        self._peers: dict[NodeId, PeerUse] = {}
-        self._at = now
-        self._cap = limit.burst * standing.share
-        self.level = 0.0 if standing.starting else self._cap
-        self._guessed = standing.starting
+        self.local = LocalUsage(settings, now)
+        self._peers: dict[NodeId, PeerUsage] = {}
+        self._advanced_at = now
+        self._capacity = limit.burst * fleet.share
+        self.level = 0.0 if fleet.starting else self._capacity
+        self._level_is_provisional = fleet.starting
         self._withheld = 0.0
         self._withheld_at = now
         self._others_demand = 0.0
@@ -85,120 +66,121 @@
         self._total_at = now
         self.admit_probability = 1.0
 
-    def advance(self, standing: Standing, now: float) -> None:
-        """Carry the level forward: refill, and what the others are thought to have spent meanwhile."""
-        elapsed = now - self._at
+    def advance(self, fleet: FleetView, now: float) -> None:
+        """Advance the level to ``now``: add the refill, subtract the other nodes' estimated spending."""
+        elapsed = now - self._advanced_at
         if elapsed < STEP_S:
             return
-        if self._guessed and not standing.starting:
-            # Nobody told of this account while the node started, so nobody uses it: its bucket is full.
-            self._guessed, self.level = False, self.limit.burst
-        drained = self._drain_peers(standing, now) + self._drain_totals(standing, now)
-        drained += self._drain_silent(standing, now)
-        lost = len(standing.silent) / standing.fleet_size
-        self._cap = self.limit.burst * standing.share * max(0.0, 1.0 - lost)
+        if self._level_is_provisional and not fleet.starting:
+            # No node reported this account during startup, so it is unused and its bucket is full.
+            self._level_is_provisional, self.level = False, self.limit.burst
+        drained = self._drain_peers(fleet, now) + self._drain_totals(fleet, now)
+        drained += self._drain_unresponsive(fleet, now)
+        lost = len(fleet.unresponsive) / fleet.size
+        self._capacity = self.limit.burst * fleet.share * max(0.0, 1.0 - lost)
         refill = self.limit.rate_per_s * elapsed
-        self.level = min(self._cap, self.level + refill * standing.share - drained)
-        self._withhold(refill * (1.0 - standing.share), now)
-        self._at = now
-        self._set_probability(standing, now)
+        self.level = min(self._capacity, self.level + refill * fleet.share - drained)
+        self._withhold(refill * (1.0 - fleet.share), now)
+        self._advanced_at = now
+        self._set_probability(fleet, now)
 
-    def admit(self, tokens: float, standing: Standing, draw: float, now: float) -> float | None:
-        """Admit and count a request, or return when to come back (seconds).
+    def admit(self, tokens: float, fleet: FleetView, draw: float, now: float) -> float | None:
+        """Admit and count a request.
 
         :param draw: a random number in [0, 1).
+        :returns: ``None`` if admitted, else the delay in seconds after which the client should retry.
         """
-        self.own.ask(tokens, now)
+        self.local.record_request(tokens, now)
         if tokens < self.limit.burst:
-            self.own.sizes.note(tokens)
-        self.advance(standing, now)
-        self._set_probability(standing, now)
-        needed = min(tokens, self._cap)
-        others_soon = self._others_demand * standing.horizon_s
+            self.local.sizes.record(tokens)
+        self.advance(fleet, now)
+        self._set_probability(fleet, now)
+        needed = min(tokens, self._capacity)
+        others_soon = self._others_demand * fleet.horizon_s
         is_plenty = self.level >= needed + others_soon
         if not is_plenty:
-            on_credit = self.level >= min(0.0, needed - self._debt())
-            if not on_credit or draw >= self._chance(tokens):
-                return self._wait_s(tokens, standing, draw, now)
+            on_credit = self.level >= min(0.0, needed - self._largest_debt())
+            if not on_credit or draw >= self._probability(tokens):
+                return self._retry_after_s(tokens, fleet, draw, now)
         self.spend(tokens, now)
         return None
 
-    def _chance(self, tokens: float) -> float:
-        """Return the chance of a request near the limit; one above the burst isn't judged by its size."""
+    def _probability(self, tokens: float) -> float:
+        """Return the admit probability of a request near the limit; above the burst it ignores the size."""
         if tokens >= self.limit.burst:
             return self.admit_probability
-        return self.own.sizes.chance(tokens, self.admit_probability)
+        return self.local.sizes.probability(tokens, self.admit_probability)
 
     def spend(self, tokens: float, now: float) -> None:
-        """Count tokens; less than zero for those given back."""
-        self.own.spend(tokens, now)
-        self.level = min(self._cap, self.level - tokens)
+        """Count admitted tokens; a negative number refunds them."""
+        self.local.record_admitted(tokens, now)
+        self.level = min(self._capacity, self.level - tokens)
 
     def is_near_limit(self) -> bool:
-        """Say whether nodes need fresh figures of this account."""
+        """Return whether the account is close enough to its limit to need frequent updates."""
         return self.admit_probability < 1.0 or self.level < self.limit.burst * CALM_LEVEL
 
     def fleet_demand(self, now: float) -> float:
-        """Return the tokens/s asked for at all nodes, as of the last step."""
-        return self.own.demand(now) + self._others_demand
+        """Return the demand (tokens/s) at all nodes as of the last step."""
+        return self.local.demand(now) + self._others_demand
 
     def set_limit(self, limit: AccountLimit) -> None:
-        """Bind a new limit at once. What is saved up is cut to the new burst, and never given for free."""
+        """Apply a new limit immediately. The level is capped to the new burst and never raised."""
         self.limit = limit
         self.level = min(self.level, limit.burst)
-        self._cap = min(self._cap, limit.burst)
+        self._capacity = min(self._capacity, limit.burst)
 
-    def hear_use(
-        self, peer: NodeId, use: AccountUse, standing: Standing, after_gap: bool, now: float
+    def apply_peer_usage(
+        self, peer: NodeId, use: AccountUse, fleet: FleetView, after_gap: bool, now: float
     ) -> None:
-        """Take a peer's figures in place of what was charged for it.
+        """Replace what was charged for a peer by the figures it reported.
 
-        :param after_gap: the peer was long not heard, so that its part of the rate may have been withheld.
+        :param after_gap: no message of the peer arrived for long, so its share may have been withheld.
         """
-        self.advance(standing, now)
+        self.advance(fleet, now)
         known = self._peers.get(peer)
         if known is None:
-            known = self._peers[peer] = PeerUse(now)
+            known = self._peers[peer] = PeerUsage(now)
         if known.admitted is None:
             spent = min(use.admitted, use.recent)
         else:
             spent = use.admitted - known.admitted
-        beyond = self._beyond_withheld(spent) if after_gap or standing.starting else spent
-        self.level = min(self._cap, self.level + known.release() - beyond)
-        known.admitted, known.demand, known.at = use.admitted, use.demand, now
-        if standing.starting:
-            self._guessed = False
+        beyond = self._beyond_withheld(spent) if after_gap or fleet.starting else spent
+        self.level = min(self._capacity, self.level + known.release() - beyond)
+        known.admitted, known.demand, known.reported_at = use.admitted, use.demand, now
+        if fleet.starting:
+            self._level_is_provisional = False
             self.level = min(use.level, self.limit.burst)
         else:
-            self.level += (use.level - self.level) * self._settings.level_pull / standing.fleet_size
+            self.level += (use.level - self.level) * self._settings.level_blend / fleet.size
 
-    def hear_total(self, total: AccountTotal, included: int, standing: Standing, now: float) -> None:
-        """Take a collector's level, less what this node spent since the report that is included in it."""
-        self._guessed = False
-        self.level = min(self.limit.burst, total.level - self.own.beyond(included, now))
-        self._total_demand, self._total_at, self._at = total.demand, now, now
-        self._others_demand = max(0.0, total.demand - self.own.demand(now))
-        self._set_probability(standing, now)
+    def apply_total(self, total: AccountTotal, included: int, fleet: FleetView, now: float) -> None:
+        """Set the level from a collector's total, less what this node admitted after report ``included``."""
+        self._level_is_provisional = False
+        self.level = min(self.limit.burst, total.level - self.local.admitted_since(included, now))
+        self._total_demand, self._total_at, self._advanced_at = total.demand, now, now
+        self._others_demand = max(0.0, total.demand - self.local.demand(now))
+        self._set_probability(fleet, now)
 
     def release(self, peer: NodeId) -> None:
-        """Give back what was charged for a peer that was silent; its report says what it really spent."""
+        """Refund what was charged for an unresponsive peer, since its report now holds the actual figures."""
         known = self._peers.get(peer)
         if known is not None:
-            self.level = min(self._cap, self.level + known.release())
+            self.level = min(self._capacity, self.level + known.release())
 
-    def restart_peer(self, peer: NodeId) -> None:
-        """Forget a peer's counts: it began again from zero. What it spent stays counted."""
+    def reset_peer(self, peer: NodeId) -> None:
+        """Forget the counters of a restarted peer, which restart at zero. Its past spending stays charged."""
         self._peers.pop(peer, None)
 
-    def stand_still(self, now: float) -> None:
-        """Withhold the refill of the time in which the process stood still and heard of no use."""
-        self._withhold(self.limit.rate_per_s * (now - self._at), now)
-        self._at = now
+    def skip_stall(self, now: float) -> None:
+        """Withhold the refill of a stall of the process, during which it received no reports."""
+        self._withhold(self.limit.rate_per_s * (now - self._advanced_at), now)
+        self._advanced_at = now
 
     def _withhold(self, tokens: float, now: float) -> None:
-        """Set tokens aside that were the others' part: what they report as spent comes out of these first.
+        """Set aside the refill that belonged to the other nodes; their later reports are charged to it first.
 
-        Else a side that comes back would be charged for the others' part of the rate, which it never had.
+        Without this, a side of a healed partition would be charged for a share of the rate it never had.
         """
         if tokens > 0.0:
             self._withheld += tokens
@@ -207,82 +189,90 @@
             self._withheld = 0.0
 
     def _beyond_withheld(self, spent: float) -> float:
+        """Charge reported tokens to those withheld; return the tokens that exceed them."""
         covered = min(self._withheld, max(0.0, spent))
         self._withheld -= covered
         return spent - covered
 
-    def _debt(self) -> float:
+    def _largest_debt(self) -> float:
+        """Return how far (tokens) a request on credit may take the level below zero."""
         window = self.limit.rate_per_s * self._settings.window_s + self.limit.burst
         return window * self._settings.debt_share
 
-    def _set_probability(self, standing: Standing, now: float) -> None:
-        """What is there and flows in within a horizon, by what will be asked for in that time."""
-        rate = self.limit.rate_per_s * standing.share
-        rate -= self.limit.rate_per_s * len(standing.silent) / standing.fleet_size
+    def _set_probability(self, fleet: FleetView, now: float) -> None:
+        """Set the admit probability: tokens available within a horizon over the demand in that time."""
+        rate = self.limit.rate_per_s * fleet.share
+        rate -= self.limit.rate_per_s * len(fleet.unresponsive) / fleet.size
         rate = max(0.0, rate)
-        cushion = rate * standing.horizon_s * self._settings.cushion_horizons
-        available = rate + (self.level + cushion) / standing.horizon_s
+        cushion = rate * fleet.horizon_s * self._settings.cushion_horizons
+        available = rate + (self.level + cushion) / fleet.horizon_s
         demand = self.fleet_demand(now)
         self.admit_probability = min(1.0, max(0.0, available / demand)) if demand > 0 else 1.0
 
-    def _wait_s(self, tokens: float, standing: Standing, draw: float, now: float) -> float:
-        """Return when this node's part of the rate will have covered debt and request.
+    def _retry_after_s(self, tokens: float, fleet: FleetView, draw: float, now: float) -> float:
+        """Return the delay (s) until this node's share of the rate covers the debt and the request.
 
-        While more is asked for than the rate, a caller that comes back at once only adds to it. So it is
-        told to wait, spread by ``draw``, for as long as the rate takes to work the latest excess off.
+        While demand exceeds the rate, an early retry only adds load, so the delay is at least the time to
+        work off the latest excess, with jitter from ``draw``.
         """
         demand = self.fleet_demand(now)
-        part = self.own.demand(now) / max(demand, 1.0)
-        rate = max(1.0, self.limit.rate_per_s * standing.share)
-        wait = max(0.0, -self.level) / rate + tokens / (rate * max(part, 1.0 / standing.fleet_size))
+        local_fraction = self.local.demand(now) / max(demand, 1.0)
+        rate = max(1.0, self.limit.rate_per_s * fleet.share)
+        wait = max(0.0, -self.level) / rate + tokens / (rate * max(local_fraction, 1.0 / fleet.size))
         settings = self._settings
         excess_s = (demand / rate - 1.0) * settings.demand_window_s
-        spread = 0.5 + 0.5 * draw
-        wait = max(wait, spread * min(excess_s, settings.longest_excess_wait_s))
+        jitter = 0.5 + 0.5 * draw
+        wait = max(wait, jitter * min(excess_s, settings.longest_excess_wait_s))
         return min(settings.longest_wait_s, max(settings.shortest_wait_s, wait))
 
-    def _drain_peers(self, standing: Standing, now: float) -> float:
+    def _drain_peers(self, fleet: FleetView, now: float) -> float:
+        """Return the tokens newly assumed spent by peers since their reports; update their demand."""
         drained = demand = 0.0
-        hold, window = standing.hold_s, self._settings.demand_window_s
+        hold, window = fleet.report_interval_s, self._settings.demand_window_s
         for known in self._peers.values():
             if known.demand <= 0.0:
                 continue
-            age = now - known.at
-            lasting = 0.0 if age > FORGET_DEMAND_S else known.demand * weight(age, hold, window)
-            # Had it spent anything before its last round, which was half a period ago on average, then it
-            # would have reported.
-            assumed = lasting * min(age, hold / 2) * self.admit_probability
+            age = now - known.reported_at
+            current_demand = (
+                0.0 if age > DEMAND_EXPIRY_S else known.demand * extrapolation_weight(age, hold, window)
+            )
+            # Spending before the peer's last period, on average half a period ago, would have been reported.
+            assumed = current_demand * min(age, hold / 2) * self.admit_probability
             drained += assumed - known.assumed
             known.assumed = assumed
-            demand += lasting
-            if not lasting:
+            demand += current_demand
+            if not current_demand:
                 known.demand = 0.0
         self._others_demand = demand
         return drained
 
-    def _drain_totals(self, standing: Standing, now: float) -> float:
+    def _drain_totals(self, fleet: FleetView, now: float) -> float:
+        """Return the tokens assumed spent by others since the last step, from the collector's demand."""
         if self._total_demand <= 0.0:
             return 0.0
-        others = max(0.0, self._total_demand - self.own.demand(now))
+        others = max(0.0, self._total_demand - self.local.demand(now))
         age = now - self._total_at
-        if age > standing.horizon_s:
-            # The collector tells of an account that is near its limit each period, so this one is calm.
+        if age > fleet.horizon_s:
+            # An account near its limit would have been published each period, so this one is far from it.
             others = min(others, self.limit.rate_per_s)
         hold, window = self._settings.calm_totals_period_s, self._settings.demand_window_s
-        seconds = spread_s(age, hold, window) - spread_s(self._at - self._total_at, hold, window)
-        self._others_demand += others * weight(age, hold, window)
-        if age > FORGET_DEMAND_S:
+        seconds = effective_age_s(age, hold, window) - effective_age_s(
+            self._advanced_at - self._total_at, hold, window
+        )
+        self._others_demand += others * extrapolation_weight(age, hold, window)
+        if age > DEMAND_EXPIRY_S:
             self._total_demand = 0.0
         return others * seconds * self.admit_probability
 
-    def _drain_silent(self, standing: Standing, now: float) -> float:
+    def _drain_unresponsive(self, fleet: FleetView, now: float) -> float:
+        """Return the tokens reserved since the last step for peers that may be partitioned away."""
         drained = 0.0
-        for peer, since in standing.silent.items():
+        for peer, since in fleet.unresponsive.items():
             known = self._peers.get(peer)
             if known is None:
-                known = self._peers[peer] = PeerUse(now)
-            seconds = now - max(since, self._at)
-            spent = max(0.0, seconds) * self.limit.rate_per_s / standing.fleet_size
-            known.held += spent
+                known = self._peers[peer] = PeerUsage(now)
+            seconds = now - max(since, self._advanced_at)
+            spent = max(0.0, seconds) * self.limit.rate_per_s / fleet.size
+            known.reserved += spent
             drained += spent
         return drained
--- a/src/springmux/coordination/usage/collector.py
+++ b/src/springmux/coordination/usage/collector.py
@@ -1,77 +1,78 @@
-"""What a collector tells: levels and demands of accounts, and sums of engine loads, to every node."""
+"""Selection of the account totals and engine loads that a collector publishes to every node."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 
-from springmux.coordination.usage.bucket import Bucket, Standing
+from springmux.coordination.usage.bucket import Bucket
 from springmux.coordination.usage.engine_loads import IDLE, EngineLoads, Load, rounded
 from springmux.coordination.usage.events import UsageSettings
+from springmux.coordination.usage.fleet_view import FleetView
 from springmux.coordination.usage.messages import AccountTotal, EngineLoad
 
-ALIVE_S = 0.5
-"""While anything is in use, the collector is heard at least this often."""
+HEARTBEAT_S = 0.5
+"""Longest interval between totals while any account or engine is in use."""
 
-USED_S = 5.0
-"""An account that was not reported for this long has nothing more to tell."""
+ACCOUNT_EXPIRY_S = 5.0
+"""Time after its last report when an account is no longer published."""
 
 
 class Collector:
-    """Decides which accounts and engines the next totals hold."""
+    """Selects the accounts and engines of the next totals."""
 
     def __init__(self, settings: UsageSettings) -> None:
         self._settings = settings
-        self._reported: dict[str, float] = {}
-        self._told: dict[str, float] = {}
-        self._told_engines: dict[str, tuple[Load, float]] = {}
-        self._told_at = 0.0
+        self._last_used: dict[str, float] = {}
+        self._published: dict[str, float] = {}
+        self._published_engines: dict[str, tuple[Load, float]] = {}
+        self._published_at = 0.0
 
-    def note(self, account: str, now: float) -> None:
-        """Note that an account was reported, or used here."""
-        self._reported[account] = now
+    def record_use(self, account: str, now: float) -> None:
+        """Record that an account was reported by a peer or used at this node."""
+        self._last_used[account] = now
 
     def is_busy(self) -> bool:
-        """Say whether anything was reported lately."""
-        return bool(self._reported or self._told_engines)
+        """Return whether any account or engine was in use recently."""
+        return bool(self._last_used or self._published_engines)
 
-    def due_accounts(
-        self, buckets: Mapping[str, Bucket], standing: Standing, now: float
+    def take_due_accounts(
+        self, buckets: Mapping[str, Bucket], fleet: FleetView, now: float
     ) -> tuple[AccountTotal, ...]:
-        """Return the accounts to tell now: those near their limit each time, the others at a calmer pace."""
+        """Return the accounts due now: those near their limit each time, the others less often."""
         due: list[AccountTotal] = []
-        calm = now - self._settings.calm_totals_period_s + self._settings.totals_period_s / 2
-        for account, reported in list(self._reported.items()):
+        republish_before = now - self._settings.calm_totals_period_s + self._settings.totals_period_s / 2
+        for account, last_used in list(self._last_used.items()):
             bucket = buckets.get(account)
-            if bucket is None or now - reported > USED_S:
-                del self._reported[account]
-                self._told.pop(account, None)
+            if bucket is None or now - last_used > ACCOUNT_EXPIRY_S:
+                del self._last_used[account]
+                self._published.pop(account, None)
                 continue
-            bucket.advance(standing, now)
-            if bucket.is_near_limit() or self._told.get(account, 0.0) < calm:
+            bucket.advance(fleet, now)
+            if bucket.is_near_limit() or self._published.get(account, 0.0) < republish_before:
                 due.append(AccountTotal(account, round(bucket.level), round(bucket.fleet_demand(now))))
-                self._told[account] = now
+                self._published[account] = now
         return tuple(due)
 
-    def due_engines(self, loads: EngineLoads, now: float) -> tuple[EngineLoad, ...]:
-        """Return the sums over all nodes that changed, or have to be told again."""
+    def take_due_engines(self, loads: EngineLoads, now: float) -> tuple[EngineLoad, ...]:
+        """Return the engine loads, summed over all nodes, that changed or are due for a refresh."""
         sums = loads.others(now)
         for engine, (requests, tokens) in loads.own().items():
-            others = sums.get(engine, IDLE)
-            sums[engine] = (requests + others[0], tokens + others[1])
+            other_requests, other_tokens = sums.get(engine, IDLE)
+            sums[engine] = (requests + other_requests, tokens + other_tokens)
         due: list[EngineLoad] = []
-        for engine in [*sums, *(engine for engine in self._told_engines if engine not in sums)]:
+        for engine in [*sums, *(engine for engine in self._published_engines if engine not in sums)]:
             load = sums.get(engine, IDLE)
-            told, at = self._told_engines.get(engine, (IDLE, 0.0))
-            if load != told or now - at >= self._settings.engine_refresh_s:
+            published, at = self._published_engines.get(engine, (IDLE, 0.0))
+            if load != published or now - at >= self._settings.engine_refresh_s:
                 due.append(rounded(engine, load))
-                self._told_engines[engine] = (load, now)
-                if load == IDLE and told == IDLE:
-                    del self._told_engines[engine]
+                self._published_engines[engine] = (load, now)
+                if load == IDLE and published == IDLE:
+                    del self._published_engines[engine]
         return tuple(due)
 
-    def is_worth_telling(self, has_rows: bool, now: float) -> bool:
-        """Say whether totals are to be sent now; empty ones only show that the collector is there."""
-        if not has_rows and now - self._told_at < ALIVE_S:
+    def should_publish(self, has_entries: bool, now: float) -> bool:
+        """Return whether to send totals now and, if so, record it; empty ones serve as a heartbeat."""
+        if not has_entries and now - self._published_at < HEARTBEAT_S:
             return False
-        self._told_at = now
+        self._published_at = now
         return True
--- a/src/springmux/coordination/usage/engine_loads.py
+++ b/src/springmux/coordination/usage/engine_loads.py
@@ -1,4 +1,4 @@
-"""Loads of engines: the own ones to tell, and the sums that others told."""
+"""Engine loads: this node's, to be reported, and those reported by the other nodes."""
 
 from __future__ import annotations
 
@@ -9,87 +9,87 @@
 from springmux.coordination.usage.messages import EngineLoad
 
 Load = tuple[float, float]
-"""Requests and prompt tokens."""
+"""Requests and prompt tokens. A plain tuple, since the sums are built for each request."""
 
 IDLE: Load = (0.0, 0.0)
 
 
 def rounded(engine: str, load: Load) -> EngineLoad:
-    """Return a load as it is told: whole figures take a third of the bytes."""
+    """Return a load as sent to peers; integers take a third of the bytes of floats."""
     requests, prompt_tokens = load
     return EngineLoad(engine, round(requests), round(prompt_tokens))
 
 
 class EngineLoads:
-    """Own present loads and the last ones of each other node (or collector)."""
+    """This node's current loads and the last reported ones of each other node (or collector)."""
 
     def __init__(self, settings: UsageSettings) -> None:
         self._settings = settings
         self._own: dict[str, Load] = {}
-        self._told: dict[str, tuple[Load, float]] = {}
+        self._reported: dict[str, tuple[Load, float]] = {}
         self._changed: dict[str, None] = {}
-        self._heard: dict[NodeId, dict[str, tuple[Load, float]]] = {}
+        self._received: dict[NodeId, dict[str, tuple[Load, float]]] = {}
 
-    def note(self, engine: str, requests: float, prompt_tokens: float) -> None:
-        """Set the own present load of an engine."""
+    def set_own(self, engine: str, requests: float, prompt_tokens: float) -> None:
+        """Set this node's current load at an engine."""
         load = (requests, prompt_tokens)
         if self._own.get(engine, IDLE) == load:
             return
         self._own[engine] = load
         self._changed[engine] = None
 
-    def pending(self) -> bool:
-        """Say whether there is something to tell, now or once it has to be told again."""
-        return bool(self._changed or self._told)
+    def has_pending(self) -> bool:
+        """Return whether a load is to be reported, now or at its next refresh."""
+        return bool(self._changed or self._reported)
 
     def take_due(self, now: float) -> tuple[EngineLoad, ...]:
-        """Return the loads to tell now, and note them as told. An idle engine is told twice."""
-        again = now - self._settings.engine_refresh_s
+        """Return the loads due now and mark them as reported. An idle engine is reported twice, for loss."""
+        refresh_before = now - self._settings.engine_refresh_s
         due = dict(self._changed)
-        due.update((engine, None) for engine, (_, at) in self._told.items() if at <= again)
+        due.update((engine, None) for engine, (_, at) in self._reported.items() if at <= refresh_before)
         self._changed.clear()
         for engine in due:
             load = self._own.get(engine, IDLE)
-            was_told = self._told.get(engine)
-            if load == IDLE and was_told is not None and was_told[0] == IDLE:
-                del self._told[engine]
+            last = self._reported.get(engine)
+            if load == IDLE and last is not None and last[0] == IDLE:
+                del self._reported[engine]
                 self._own.pop(engine, None)
             else:
-                self._told[engine] = (load, now)
+                self._reported[engine] = (load, now)
         return tuple(rounded(engine, self._own.get(engine, IDLE)) for engine in due)
 
-    def hear(self, source: NodeId, loads: Iterable[EngineLoad], now: float) -> None:
-        """Take another node's loads."""
-        known = self._heard.setdefault(source, {})
+    def apply_report(self, source: NodeId, loads: Iterable[EngineLoad], now: float) -> None:
+        """Store the loads reported by another node."""
+        known = self._received.setdefault(source, {})
         for load in loads:
             known[load.engine] = ((load.requests, load.prompt_tokens), now)
 
-    def hear_sums(self, collector: NodeId, sums: Iterable[EngineLoad], now: float) -> None:
-        """Take a collector's sums over all nodes, without the own part, in place of the last collector's."""
-        self.keep((collector,))
+    def apply_totals(self, collector: NodeId, sums: Iterable[EngineLoad], now: float) -> None:
+        """Store a collector's sums, less this node's reported loads, in place of all earlier loads."""
+        self.retain((collector,))
         others: list[EngineLoad] = []
         for load in sums:
-            told = self._told.get(load.engine)
-            requests, prompt_tokens = IDLE if told is None else told[0]
+            reported = self._reported.get(load.engine)
+            requests, prompt_tokens = IDLE if reported is None else reported[0]
             rest = max(0.0, load.requests - requests), max(0.0, load.prompt_tokens - prompt_tokens)
             others.append(EngineLoad(load.engine, *rest))
-        self.hear(collector, others, now)
+        self.apply_report(collector, others, now)
 
-    def keep(self, sources: Iterable[NodeId]) -> None:
-        """Forget the loads of all nodes but ``sources``."""
-        kept = set(sources)
-        for source in [source for source in self._heard if source not in kept]:
-            del self._heard[source]
+    def retain(self, sources: Iterable[NodeId]) -> None:
+        """Drop the loads of all nodes except ``sources``."""
+        retained = set(sources)
+        for source in [source for source in self._received if source not in retained]:
+            del self._received[source]
 
     def own(self) -> Mapping[str, Load]:
-        """Return the own present loads."""
+        """Return this node's current loads."""
         return self._own
 
     def others(self, now: float) -> dict[str, Load]:
-        """Return the sums of the others' loads that are not too old; drops those that are."""
-        oldest = now - self._settings.engine_forget_s
+        """Return the sums of the other nodes' loads; expired ones are dropped."""
+        oldest = now - self._settings.engine_expiry_s
         sums: dict[str, Load] = {}
-        for known in self._heard.values():
+        for known in self._received.values():
             for engine, (load, at) in list(known.items()):
                 if at < oldest or load == IDLE:
                     del known[engine]
--- a/src/springmux/coordination/usage/messages.py
+++ b/src/springmux/coordination/usage/messages.py
@@ -1,6 +1,7 @@
-"""Peer messages of the usage exchange. Figures are cumulative, so that loss makes nothing wrong for long.
+"""Peer messages of the usage exchange.
 
-They are the most frequent messages of a busy fleet, so they have short tags on the wire.
+Figures are cumulative, so the next message corrects a loss. They are the most frequent messages of a busy
+fleet, so their tags on the wire are short.
 """
 
 from __future__ import annotations
@@ -12,10 +13,10 @@
 
 
 class AccountUse(msgspec.Struct, frozen=True, array_like=True, omit_defaults=True):
-    """One account at one node: tokens admitted in all since its start, and tokens/s asked for lately.
+    """One account at one node: tokens admitted since its start, and current demand in tokens/s.
 
-    ``level``: the fleet's bucket as the sender sees it. ``recent``: tokens admitted in the last seconds, for
-    readers that have no earlier figure of ``admitted``; told while the account is newly in use.
+    ``level``: the sender's estimate of the fleet's bucket. ``recent``: tokens admitted in the last seconds,
+    for receivers without an earlier value of ``admitted``; sent while the account is newly in use.
     """
 
     account: str
@@ -26,7 +27,7 @@
 
 
 class EngineLoad(msgspec.Struct, frozen=True, array_like=True):
-    """Requests and prompt tokens that the sender has at an engine now."""
+    """The sender's requests and prompt tokens currently at an engine."""
 
     engine: str
     requests: float
@@ -34,9 +35,9 @@
 
 
 class UsageReport(PeerMessage, frozen=True, tag="use"):
-    """Accounts and engines that changed at the sender. ``incarnation`` is drawn anew at each start.
+    """Accounts and engines that changed at the sender. ``incarnation`` is random at each start.
 
-    An empty one is an answer: the sender is there and has nothing new.
+    An empty report is a reply: the sender is alive and has no changes.
     """
 
     incarnation: int
@@ -46,7 +47,7 @@
 
 
 class AccountTotal(msgspec.Struct, frozen=True, array_like=True):
-    """One account in the fleet: level of its bucket and tokens/s asked for at all nodes."""
+    """One account in the fleet: level of its bucket, and demand (tokens/s) at all nodes."""
 
     account: str
     level: int
@@ -54,9 +55,9 @@
 
 
 class UsageTotals(PeerMessage, frozen=True, tag="sum"):
-    """A collector's sums. ``included``: sequence of the receiver's last report that they hold, 0 if none.
+    """A collector's sums. ``included``: sequence of the receiver's last report in them, 0 if none.
 
-    ``incarnation`` and ``number``: the collector's life, and a number that rises with each of its totals.
+    ``incarnation`` and ``number``: the collector's incarnation, and a counter of its totals within it.
     """
 
     included: int
@@ -66,16 +67,20 @@
     incarnation: int = 0
     number: int = 0
 
-    def holding(self, sequence: int) -> UsageTotals:
-        """Return the same sums for the node whose reports they hold up to ``sequence``."""
+    def with_included(self, sequence: int) -> UsageTotals:
+        """Return the same sums for a receiver whose reports up to ``sequence`` are included."""
         return msgspec.structs.replace(self, included=sequence)
 
 
+ZoneReceiver = tuple[NodeId, int]
+"""A node that gets forwarded totals, and the sequence of its last report in them (``included``)."""
+
+
 class ZoneTotals(PeerMessage, frozen=True, tag="zone-sum"):
-    """Totals for a whole zone: its receiver passes them on to ``receivers``, each with its ``included``."""
+    """Totals for a zone: the relay forwards them to ``receivers``, each with its own ``included``."""
 
     totals: UsageTotals
-    receivers: tuple[tuple[NodeId, int], ...]
+    receivers: tuple[ZoneReceiver, ...]
 
 
 MESSAGES: tuple[type[PeerMessage], ...] = (UsageReport, UsageTotals, ZoneTotals)
--- a/src/springmux/coordination/usage/request_sizes.py
+++ b/src/springmux/coordination/usage/request_sizes.py
@@ -1,50 +1,50 @@
-"""Which requests pass while an account is over its limit: with what chance, by their size.
+"""Admit probability by request size while an account is over its limit.
 
-One bucket for the whole fleet would pass a small request far more often than a large one, since its level
-is seldom high enough for the large one. Nodes that only share counts reach the same by drawing: each
-request gets about as many of the tokens at hand as any other, and no size is left without a chance.
+A single fleet-wide bucket admits small requests far more often than large ones, since its level is seldom
+high enough for a large one. Nodes that only exchange counts approximate this by random draws: each request
+gets about the same number of the available tokens, and no size has a probability of zero.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-RECENT = 64
-"""Requests from which a node takes the mix of sizes: a second's worth at a busy account."""
+RECENT_REQUESTS = 64
+"""Requests in the sample of sizes: a second's worth at a busy account."""
 
-EVEN_PART = 0.5
-"""Part of the tokens that is given out with one chance for all, so that large requests aren't starved."""
+EVEN_SHARE = 0.5
+"""Fraction of the tokens that is given out independently of size, so that large requests don't starve."""
 
 
 class RequestSizes:
-    """The sizes asked for lately at this node, in tokens."""
+    """Recent request sizes at this node, in tokens."""
 
     def __init__(self) -> None:
-        self._recent: deque[float] = deque(maxlen=RECENT)
+        self._recent: deque[float] = deque(maxlen=RECENT_REQUESTS)
 
-    def note(self, tokens: float) -> None:
-        """Count a request, whether it is admitted or not."""
+    def record(self, tokens: float) -> None:
+        """Add a request to the sample, admitted or not."""
         self._recent.append(tokens)
 
-    def chance(self, tokens: float, part: float) -> float:
-        """Return the chance (0..1) to admit a request, so that ``part`` of all tokens asked for is admitted.
+    def probability(self, tokens: float, fraction: float) -> float:
+        """Return the probability (0..1) to admit a request so that ``fraction`` of all tokens is admitted.
 
-        The even part aside, a request's chance times its size is the same for all (max-min fairness, by
-        filling up from the smallest), as far as a chance can't be above 1.
+        Beyond the even share, probability times size is equal for all requests (max-min fairness by
+        progressive filling), except where the probability is capped at 1.
         """
-        if part >= 1.0 or tokens <= 0.0:
+        if fraction >= 1.0 or tokens <= 0.0:
             return 1.0
-        even = EVEN_PART * part
-        level = self._fill_level(part * (1.0 - EVEN_PART), 1.0 - even)
+        even = EVEN_SHARE * fraction
+        level = self._fill_level(fraction * (1.0 - EVEN_SHARE), 1.0 - even)
         return even + min(1.0 - even, level / tokens)
 
-    def _fill_level(self, part: float, most: float) -> float:
-        """Return the tokens that each request gets on average, at most ``most`` of its own."""
-        left = part * sum(self._recent)
+    def _fill_level(self, fraction: float, most: float) -> float:
+        """Return the mean tokens for each request, each capped at the fraction ``most`` of its size."""
+        remaining = fraction * sum(self._recent)
         count = len(self._recent)
         for size in sorted(self._recent):
-            if size * most * count >= left:
-                return left / count
-            left -= size * most
+            if size * most * count >= remaining:
+                return remaining / count
+            remaining -= size * most
             count -= 1
         return max(self._recent, default=0.0)
--- a/tests/unit/bad_days/test_quota_faults.py
+++ b/tests/unit/bad_days/test_quota_faults.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from springmux.coordination.usage.contact import FleetContact
+from springmux.coordination.usage.peer_tracker import PeerTracker
 from springmux.coordination.usage.usage_exchange import UsageExchange
 from tests.unit.usage.scenarios import SWELL_AT, SWELL_END, cut, with_faults
 from tests.unit.usage.world import World
@@ -64,15 +64,15 @@
 
 
 def test_the_checker_sees_nodes_that_start_with_a_whole_bucket(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(FleetContact, "_is_starting", lambda contact, now: False)
+    monkeypatch.setattr(PeerTracker, "_is_starting", lambda contact, now: False)
     assert excess(all_restart_each_two_seconds) > 0.0
 
 
 def test_the_checker_sees_nodes_that_take_a_freeze_for_refill(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(UsageExchange, "_look_at_clock", lambda part, now: setattr(part, "_now", now))
+    monkeypatch.setattr(UsageExchange, "_observe_time", lambda part, now: setattr(part, "_now", now))
     assert excess(all_freeze_each_two_seconds) > 0.0
 
 
 def test_the_checker_sees_two_halves_that_take_the_whole_each(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(FleetContact, "_side_share", lambda contact, size: 1.0)
+    monkeypatch.setattr(PeerTracker, "_side_share", lambda contact, size: 1.0)
     assert excess(two_halves_apart) > 0.0
--- a/tests/unit/bad_days/test_traffic_swells.py
+++ b/tests/unit/bad_days/test_traffic_swells.py
@@ -75,7 +75,7 @@
 
 
 def test_the_checker_sees_nodes_that_do_not_count_each_others_use(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Bucket, "hear_use", lambda *_: None)
+    monkeypatch.setattr(Bucket, "apply_peer_usage", lambda *_: None)
     assert rules.quota_excess(hot_tenant(), "k1", RATE, BURST) > QUOTA_SLACK
 
 
--- a/tests/unit/usage/test_part.py
+++ b/tests/unit/usage/test_usage_exchange.py
@@ -235,7 +235,7 @@
 def collecting_part() -> tuple[UsageExchange, tuple[NodeId, ...]]:
     present = tuple(NodeId(f"n{index:02}") for index in range(29))
     node = part(A, *present)
-    collectors = node._contact.collectors
+    collectors = node._peer_tracker.collectors
     assert A not in collectors
     return node, collectors
 
--- a/tests/unit/usage/test_zone_relay.py
+++ b/tests/unit/usage/test_zone_relay.py
@@ -10,11 +10,11 @@
 from springmux.coordination.identifiers import Address, NodeId, ReplicaId, ZoneName
 from springmux.coordination.membership.view import MembershipView, NodeRecord
 from springmux.coordination.state_machine import Effect, MessageReceived, Send, Tick
-from springmux.coordination.usage import usage_exchange as usage_part
+from springmux.coordination.usage import usage_exchange
 from springmux.coordination.usage.events import AccountLimit, AccountLimitsChanged, UsageMembersChanged
 from springmux.coordination.usage.messages import EngineLoad, UsageTotals, ZoneTotals
 from springmux.coordination.usage.usage_exchange import UsageExchange
-from springmux.coordination.usage.zone_relay import send_each, tell_all
+from springmux.coordination.usage.zone_relay import broadcast_totals, send_to_each
 from tests.unit.usage.world import RATE, USUAL, WARM_S, Load, World
 
 ZONES = {ZoneName(f"z{zone}"): tuple(NodeId(f"z{zone}-{n}") for n in range(10)) for zone in range(3)}
@@ -35,7 +35,7 @@
 
 
 def test_each_other_zone_gets_one_message_and_the_own_zone_one_a_node() -> None:
-    messages = sent(tell_all(totals(1), ZONES, OWN, sequence_of))
+    messages = sent(broadcast_totals(totals(1), ZONES, OWN, sequence_of))
     own_zone = [each for each in messages if each.to.startswith("z0")]
     assert {each.to for each in own_zone} == set(ZONES[ZoneName("z0")]) - {OWN}
     assert len(messages) == len(own_zone) + 2
@@ -43,11 +43,11 @@
 
 def test_every_node_gets_the_totals_once_with_its_own_sequence() -> None:
     got: dict[NodeId, int] = {}
-    for effect in sent(tell_all(totals(1), ZONES, OWN, sequence_of)):
+    for effect in sent(broadcast_totals(totals(1), ZONES, OWN, sequence_of)):
         if isinstance(effect.message, UsageTotals):
             got[effect.to] = effect.message.included
         elif isinstance(effect.message, ZoneTotals):
-            for passed in sent(send_each(effect.message.totals, effect.message.receivers)):
+            for passed in sent(send_to_each(effect.message.totals, effect.message.receivers)):
                 assert isinstance(passed.message, UsageTotals)
                 got[passed.to] = passed.message.included
     assert got == {node: sequence_of(node) for nodes in ZONES.values() for node in nodes if node != OWN}
@@ -57,7 +57,7 @@
     relays = [
         {
             effect.to
-            for effect in sent(tell_all(totals(number), ZONES, OWN, sequence_of))
+            for effect in sent(broadcast_totals(totals(number), ZONES, OWN, sequence_of))
             if effect.to[1] == "2"
         }
         for number in range(10)
@@ -81,7 +81,7 @@
 
 def test_a_node_that_passes_on_takes_its_own_part() -> None:
     part = started("z2-5")
-    collector = part._contact.collectors[0]
+    collector = part._peer_tracker.collectors[0]
     receivers = tuple((node, 4) for node in ZONES[ZoneName("z2")])
     effects = sent(part.handle(MessageReceived(collector, ZoneTotals(totals(1, collector), receivers)), 2.0))
     assert {effect.to for effect in effects} == set(ZONES[ZoneName("z2")]) - {NodeId("z2-5")}
@@ -91,7 +91,7 @@
 
 def test_older_totals_that_come_late_are_dropped_and_those_of_a_new_life_are_not() -> None:
     part = started("z2-5")
-    collector = part._contact.collectors[0]
+    collector = part._peer_tracker.collectors[0]
 
     def load_after(message: UsageTotals, requests: int) -> float:
         sums = (EngineLoad("e1", requests, 0),)
@@ -122,10 +122,11 @@
     relayed = under_load(3)
     relayed.run(6.0)
     monkeypatch.setattr(
-        usage_part,
-        "tell_all",
-        lambda totals, zones, own, sequence_of: send_each(
-            totals, tuple((n, sequence_of(n)) for nodes in zones.values() for n in nodes if n != own)
+        usage_exchange,
+        "broadcast_totals",
+        lambda totals, zones, own, sequence_of: send_to_each(
+            totals,
+            tuple((n, sequence_of(n)) for nodes in zones.values() for n in nodes if n != own),
         ),
     )
     direct = under_load(3)
@@ -163,8 +164,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(
-        usage_part,
-        "tell_all",
-        lambda totals, *rest: tell_all(msgspec.structs.replace(totals, number=0), *rest),
+        usage_exchange,
+        "broadcast_totals",
+        lambda totals, *rest: broadcast_totals(msgspec.structs.replace(totals, number=0), *rest),
     )
     assert refused_beside_the_dead(1)[1] > 0.1
