--- a/src/springmux/coordination/claims/claimant.py
+++ b/src/springmux/coordination/claims/claimant.py
@@ -1,4 +1,4 @@
-"""The claimant's side: asks three holders, needs two grants, and settles the outcome with all of them."""
+"""Claimant: requests a key from three holders, needs two grants, and settles the outcome with all."""
 
 from __future__ import annotations
 
@@ -22,38 +22,38 @@
 
 
 class Phase(enum.Enum):
-    """Life of a claim at its claimant."""
+    """Phase of a claim at its claimant."""
 
-    ASKING = "asking"
+    REQUESTING = "requesting"
     GRANTED = "granted"
     SETTLING = "settling"
 
 
 class Claim:
-    """One attempt of this node. Its holders are those of the moment it was wanted."""
+    """One attempt of this node. ``span``: the key's holders at the time of the request."""
 
     def __init__(self, attempt: ClaimAttempt, key: str, span: HolderSpan, now: float) -> None:
         self.attempt = attempt
         self.key = key
         self.span = span
-        self.phase = Phase.ASKING
+        self.phase = Phase.REQUESTING
         self.since = now
         self.next_send = now
         self.grants: dict[NodeId, ClaimReply] = {}
-        self.held: dict[NodeId, ClaimReply] = {}
+        self.rejections: dict[NodeId, ClaimReply] = {}
         self.unready: set[NodeId] = set()
         self.settle: ClaimSettle | None = None
-        self.unsettled: set[NodeId] = set()
-        self.later_holders: set[NodeId] = set()
-        self.settle_pace_s = 0.0
+        self.unacknowledged: set[NodeId] = set()
+        self.added_holders: set[NodeId] = set()
+        self.settle_interval_s = 0.0
 
-    def needed(self) -> int:
-        """Return how many grants decide."""
+    def majority(self) -> int:
+        """Return the number of grants that decide."""
         return len(self.span.holders) // 2 + 1
 
     def has_majority(self) -> bool:
-        """Return whether enough grants stand together (each names the others' boots)."""
-        if self.needed() == 1:
+        """Return whether a majority of grants is consistent: each names the others' incarnations."""
+        if self.majority() == 1:
             return bool(self.grants)
         return any(
             self._consistent(first, second)
@@ -64,15 +64,16 @@
 
     def _consistent(self, first: NodeId, second: NodeId) -> bool:
         one, two = self.grants[first], self.grants[second]
-        return (second, two.boot) in one.peer_boots and (first, one.boot) in two.peer_boots
+        first_knows_second = (second, two.incarnation) in one.peer_incarnations
+        return first_knows_second and (first, one.incarnation) in two.peer_incarnations
 
 
 class Claimant:
-    """All attempts of this node that are asked, running or being settled."""
+    """All attempts of this node that are requested, running or being settled."""
 
-    def __init__(self, own: NodeId, boot: int, settings: ClaimSettings) -> None:
+    def __init__(self, own: NodeId, incarnation: int, settings: ClaimSettings) -> None:
         self._own = own
-        self._boot = boot
+        self._incarnation = incarnation
         self._settings = settings
         self._claims: dict[str, Claim] = {}
         self._deadline = NEVER
@@ -82,31 +83,31 @@
         """Return when the next resend or timeout is due."""
         return self._deadline
 
-    def want(self, event: ClaimWanted, span: HolderSpan | None, now: float) -> list[Effect]:
-        """Ask the holders; without a ring the answer is known at once."""
+    def request(self, event: ClaimWanted, span: HolderSpan | None, now: float) -> list[Effect]:
+        """Request the key from its holders; without a ring it is unavailable at once."""
         if span is None or not span.holders or event.correlation_id in self._claims:
             return [_resolved(event.correlation_id, ClaimVerdict.UNAVAILABLE)]
-        attempt = ClaimAttempt(self._own, self._boot, event.correlation_id)
+        attempt = ClaimAttempt(self._own, self._incarnation, event.correlation_id)
         claim = Claim(attempt, event.key, span, now)
         self._claims[event.correlation_id] = claim
-        return self._ask(claim, now)
+        return self._send_request(claim, now)
 
-    def reply(self, sender: NodeId, message: ClaimReply, now: float) -> list[Effect]:
-        """Count a holder's answer; replies to attempts no longer asked are ignored."""
+    def handle_reply(self, sender: NodeId, message: ClaimReply, now: float) -> list[Effect]:
+        """Count a holder's reply; replies to attempts already decided are ignored."""
         claim = self._find(message.attempt)
         if claim is None or sender not in claim.span.holders:
             return []
         if claim.phase is Phase.GRANTED and message.status is HolderStatus.GRANTED:
             claim.grants[sender] = message
-        if claim.phase is not Phase.ASKING:
+        if claim.phase is not Phase.REQUESTING:
             return []
         if message.status is HolderStatus.GRANTED:
             claim.grants[sender] = message
         elif message.status is HolderStatus.HELD:
-            claim.held[sender] = message
+            claim.rejections[sender] = message
         else:
             claim.unready.add(sender)
-        return self._judge(claim, now)
+        return self._evaluate(claim, now)
 
     def end(self, event: ClaimEnded, now: float) -> list[Effect]:
         """Settle a granted claim with all its holders."""
@@ -116,37 +117,37 @@
         answer = event.answer if len(event.answer) <= self._settings.max_answer_bytes else b""
         return self._begin_settle(claim, event.ran, answer, now)
 
-    def abandon(self, name: str, now: float) -> list[Effect]:
-        """Withdraw a claim that nobody waits for; a granted one must be ended instead."""
-        claim = self._claims.get(name)
-        if claim is None or claim.phase is not Phase.ASKING:
+    def abandon(self, correlation_id: str, now: float) -> list[Effect]:
+        """Withdraw a claim whose client has gone; a granted one must be ended instead."""
+        claim = self._claims.get(correlation_id)
+        if claim is None or claim.phase is not Phase.REQUESTING:
             return []
         return self._begin_settle(claim, False, b"", now)
 
-    def settled(self, sender: NodeId, message: ClaimSettleAck) -> None:
-        """Note a holder's acknowledgement; with the last one the claim is forgotten."""
+    def handle_settle_ack(self, sender: NodeId, message: ClaimSettleAck) -> None:
+        """Record a holder's acknowledgement; the last one removes the claim."""
         claim = self._find(message.attempt)
         if claim is not None and claim.phase is Phase.SETTLING:
-            claim.unsettled.discard(sender)
-            if not claim.unsettled:
+            claim.unacknowledged.discard(sender)
+            if not claim.unacknowledged:
                 del self._claims[claim.attempt.name]
 
-    def include(self, holders: dict[str, HolderSpan]) -> None:
-        """Settle also with holders that a ring change brought in (they may have pulled the claim)."""
+    def add_holders(self, holders: dict[str, HolderSpan]) -> None:
+        """Settle also with holders added by a ring change, since they may have pulled the claim."""
         for claim in self._claims.values():
             span = holders.get(claim.key)
             if span is None:
                 continue
-            claim.later_holders.update(span.holders)
+            claim.added_holders.update(span.holders)
             if claim.phase is Phase.SETTLING:
-                claim.unsettled.update(span.holders)
+                claim.unacknowledged.update(span.holders)
 
     def open_keys(self) -> set[str]:
         """Return the keys of all open claims."""
         return {claim.key for claim in self._claims.values()}
 
-    def records(self) -> list[ClaimRecord]:
-        """Return this node's own granted or ended claims, for a holder that refills its memory."""
+    def own_records(self) -> list[ClaimRecord]:
+        """Return this node's own granted or ended claims, for a holder that restores its memory."""
         found = []
         for claim in self._claims.values():
             settle = claim.settle
@@ -157,7 +158,7 @@
         return found
 
     def tick(self, now: float) -> list[Effect]:
-        """Resend what is unanswered and time out what stays undecided."""
+        """Resend unanswered messages and time out undecided claims."""
         if now < self._deadline:
             return []
         self._deadline = NEVER
@@ -167,34 +168,36 @@
         return effects
 
     def _tick_claim(self, claim: Claim, now: float) -> list[Effect]:
-        if claim.phase is Phase.ASKING and now >= claim.since + self._settings.decision_timeout_s:
-            return self._give_up(claim, now)
+        if claim.phase is Phase.REQUESTING and now >= claim.since + self._settings.decision_timeout_s:
+            return self._reject(claim, now)
         if claim.phase is Phase.SETTLING and now >= claim.since + self._settings.settle_give_up_s:
             del self._claims[claim.attempt.name]
             return []
         effects: list[Effect] = []
         if now >= claim.next_send:
-            effects = self._send_settle(claim, now) if claim.settle else self._ask(claim, now)
+            effects = self._send_settle(claim, now) if claim.settle else self._send_request(claim, now)
         else:
-            self._wake(claim)
+            self._schedule(claim)
         return effects
 
-    def _judge(self, claim: Claim, now: float) -> list[Effect]:
-        finished = next((each for each in claim.held.values() if each.state is ClaimState.FINISHED), None)
+    def _evaluate(self, claim: Claim, now: float) -> list[Effect]:
+        finished = next(
+            (each for each in claim.rejections.values() if each.state is ClaimState.FINISHED), None
+        )
         if finished is not None:
             effects = self._begin_settle(claim, False, b"", now)
             return [_resolved(claim.attempt.name, ClaimVerdict.FINISHED, finished.answer), *effects]
         if claim.has_majority():
             claim.phase = Phase.GRANTED
             return [_resolved(claim.attempt.name, ClaimVerdict.GRANTED)]
-        refusing = len(set(claim.held) | claim.unready - set(claim.grants))
-        if len(claim.span.holders) - refusing < claim.needed():
-            return self._give_up(claim, now)
+        rejecting = len(set(claim.rejections) | claim.unready - set(claim.grants))
+        if len(claim.span.holders) - rejecting < claim.majority():
+            return self._reject(claim, now)
         return []
 
-    def _give_up(self, claim: Claim, now: float) -> list[Effect]:
-        """Refuse and withdraw. A key seen in another's hands is never called refused: it may be running."""
-        verdict = ClaimVerdict.RUNNING if claim.held else ClaimVerdict.UNAVAILABLE
+    def _reject(self, claim: Claim, now: float) -> list[Effect]:
+        """Resolve without a grant and withdraw. A key granted to another attempt counts as running."""
+        verdict = ClaimVerdict.RUNNING if claim.rejections else ClaimVerdict.UNAVAILABLE
         effects = self._begin_settle(claim, False, b"", now)
         return [_resolved(claim.attempt.name, verdict), *effects]
 
@@ -202,34 +205,36 @@
         claim.phase = Phase.SETTLING
         claim.since = now
         claim.settle = ClaimSettle(claim.attempt, claim.key, ran, answer)
-        claim.unsettled = claim.later_holders.union(claim.span.holders)
-        claim.settle_pace_s = self._settings.settle_resend_s
+        claim.unacknowledged = claim.added_holders.union(claim.span.holders)
+        claim.settle_interval_s = self._settings.settle_resend_s
         return self._send_settle(claim, now)
 
-    def _ask(self, claim: Claim, now: float) -> list[Effect]:
-        asking = claim.phase is Phase.ASKING
-        pace_s = self._settings.resend_s if asking else self._settings.settle_resend_s
-        claim.next_send = now + pace_s
+    def _send_request(self, claim: Claim, now: float) -> list[Effect]:
+        is_requesting = claim.phase is Phase.REQUESTING
+        interval_s = self._settings.resend_s if is_requesting else self._settings.settle_resend_s
+        claim.next_send = now + interval_s
         request = ClaimRequest(claim.attempt, claim.key, claim.span.since, claim.span.until)
-        silent = [holder for holder in claim.span.holders if holder not in claim.grants]
-        self._wake(claim)
-        return [Send(holder, request) for holder in silent if not (asking and holder in claim.held)]
+        pending = [holder for holder in claim.span.holders if holder not in claim.grants]
+        self._schedule(claim)
+        return [
+            Send(holder, request) for holder in pending if not (is_requesting and holder in claim.rejections)
+        ]
 
     def _send_settle(self, claim: Claim, now: float) -> list[Effect]:
         assert claim.settle is not None
-        claim.next_send = now + claim.settle_pace_s
-        claim.settle_pace_s = min(2.0 * claim.settle_pace_s, self._settings.settle_resend_limit_s)
-        self._wake(claim)
-        return [Send(holder, claim.settle) for holder in sorted(claim.unsettled)]
+        claim.next_send = now + claim.settle_interval_s
+        claim.settle_interval_s = min(2.0 * claim.settle_interval_s, self._settings.settle_resend_limit_s)
+        self._schedule(claim)
+        return [Send(holder, claim.settle) for holder in sorted(claim.unacknowledged)]
 
-    def _wake(self, claim: Claim) -> None:
+    def _schedule(self, claim: Claim) -> None:
         deadline = claim.next_send
-        if claim.phase is Phase.ASKING:
+        if claim.phase is Phase.REQUESTING:
             deadline = min(deadline, claim.since + self._settings.decision_timeout_s)
         self._deadline = min(self._deadline, deadline)
 
     def _find(self, attempt: ClaimAttempt) -> Claim | None:
-        if attempt.node != self._own or attempt.boot != self._boot:
+        if attempt.node != self._own or attempt.incarnation != self._incarnation:
             return None
         return self._claims.get(attempt.name)
 
--- a/src/springmux/coordination/claims/decision.py
+++ b/src/springmux/coordination/claims/decision.py
@@ -1,4 +1,4 @@
-"""Answer to a claim on an at-most-once key."""
+"""Decision on a claim of an at-most-once key."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 
 class ClaimVerdict(enum.StrEnum):
-    """What the holders said."""
+    """Outcome of the holders' replies."""
 
     GRANTED = "granted"
     """Two of three holders recorded this claimant; it alone may run."""
     RUNNING = "running"
-    """Another claimant holds it and has not reported an end."""
+    """Another claimant holds the key and has not reported an end."""
     FINISHED = "finished"
-    """It ran; ``answer`` is the kept answer, where it was small enough."""
+    """The action ran; ``answer`` is the stored response, if it was small enough."""
     UNAVAILABLE = "unavailable"
-    """No two holders answered in time; nothing runs."""
+    """No two holders replied in time; nothing runs."""
 
 
 class ClaimDecision(msgspec.Struct, frozen=True):
-    """Verdict for one request, with the kept answer of a finished one (opaque bytes)."""
+    """Verdict for one request, with the stored response of a finished one (opaque bytes)."""
 
     verdict: ClaimVerdict
     answer: bytes = b""
--- a/src/springmux/coordination/claims/events.py
+++ b/src/springmux/coordination/claims/events.py
@@ -1,4 +1,4 @@
-"""Events, effects and settings of the claims part."""
+"""Events, effects and settings of the claims."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ClaimWanted(Event, frozen=True):
-    """A request on a non-repeatable route is to run. ``correlation_id`` is unique within the node's run."""
+    """A request on a non-repeatable route needs a claim. ``correlation_id`` is unique per incarnation."""
 
     correlation_id: str
     key: str
@@ -36,15 +36,15 @@
 
 
 class ClaimAbandoned(Event, frozen=True):
-    """The caller went away before the decision: withdraw the claim, give no answer."""
+    """The client disconnected before the decision: withdraw the claim without resolving it."""
 
     correlation_id: str
 
 
 class PersistClaims(Effect, frozen=True):
-    """Append ``records`` to the claim journal and fsync, then give back :class:`ClaimsPersisted`.
+    """Append ``records`` to the claim journal and fsync, then reply with :class:`ClaimsPersisted`.
 
-    Batches are in order, one at a time. Only a holder that was given recovered claims asks for it.
+    Batches are in order, one at a time. Only a coordinator with recovered claims emits it.
     """
 
     batch: int
@@ -58,7 +58,7 @@
 
 
 class ClaimsPersistFailed(Event, frozen=True):
-    """Nothing of the batch counts. ``full``: for want of space, so it may be tried again."""
+    """Nothing of the batch is durable. ``full``: the disk is full, so it may be retried."""
 
     batch: int
     full: bool
@@ -66,54 +66,54 @@
 
 
 class ClaimResolved(Effect, frozen=True):
-    """The decision for one correlation_id; given exactly once for each :class:`ClaimWanted` not abandoned."""
+    """The decision for one ``correlation_id``, emitted once for each :class:`ClaimWanted` not abandoned."""
 
     correlation_id: str
     decision: ClaimDecision
 
 
 class ClaimSettings(msgspec.Struct, frozen=True):
-    """Limits and times of the claims part."""
+    """Limits and times of the claims."""
 
     decision_timeout_s: float = 0.25
-    """No two grants within this time: unavailable (a LAN round trip is a few milliseconds)."""
+    """Time without two grants after which a claim is unavailable; a LAN round trip takes milliseconds."""
     resend_s: float = 0.08
     """Unanswered claims are resent twice within the decision timeout."""
     settle_resend_s: float = 0.5
-    """Outcomes are resent at first at this pace, then ever slower, until each holder has acknowledged."""
+    """First interval of resent outcomes; it doubles up to the limit until each holder has acknowledged."""
     settle_resend_limit_s: float = 8.0
     settle_give_up_s: float = 60.0
-    """A holder silent for longer misses the outcome; the two others keep it, and it can pull it."""
+    """A holder unresponsive for longer misses the outcome, but can pull it from the two others."""
     window_s: float = 86_400.0
     """How long a key stays claimed."""
     max_entries: int = 200_000
-    """Keys kept by a holder; the oldest finished go first. About 100 MB of Python objects."""
+    """Keys stored by a holder, about 100 MB of memory; the oldest finished ones are evicted first."""
     max_answer_bytes: int = 8 * 1024
-    """Larger answers are not kept: a resend then gets FINISHED without one."""
+    """Larger responses are not stored: a resend then gets FINISHED without one."""
     max_answers_bytes: int = 64 * 1024 * 1024
-    """Sum of kept answers at a holder; the oldest answers go first, their keys stay."""
+    """Total of stored responses at a holder; the oldest are evicted first, their keys stay."""
     tombstone_s: float = 600.0
-    """How long a withdrawn correlation_id is refused; far above any delay of a message."""
+    """How long a withdrawn attempt is rejected; far above any delay of a message."""
     max_tombstones: int = 50_000
     tick_s: float = 0.5
-    """Pace of the own heartbeat by which a pause (freeze) is noticed."""
+    """Interval of the ticks by which a pause of the process is detected."""
     pause_limit_s: float = 1.5
-    """A silence of the own loop beyond this makes the node pull before it grants again."""
+    """A pause beyond this makes the node pull before it grants again."""
     pull_resend_s: float = 0.3
     page_records: int = 256
     """Records in one page: at most about 2 MiB with answers."""
     page_scan: int = 2048
-    """Records looked at for one page; each costs a hash over the ring's members."""
+    """Records examined for one page; each costs a hash over the ring's members."""
     anchor_keys: int = 32
-    """Newest finished keys by which a holder with an intact journal names what it has. So many, that
-    some of them ended at the peer as early as here."""
+    """Newest finished keys by which a holder with an intact journal names its position; enough that some of
+    them finished at the peer as early as here."""
     disk_stall_s: float = 1.0
-    """A batch in flight for longer: the holder takes no new keys until the disk goes on."""
+    """Time in flight after which a batch has stalled; the holder takes no new keys until it is written."""
     disk_retry_s: float = 1.0
-    """Pace at which a full disk is tried again."""
-    forgetful_wait_s: float = 5.0
-    """A peer whose memory is not whole counts as pulled only this long after the own start, so that
-    claimants alive have told their claims; also the delay after a start of a whole fleet without disks.
-    Where all holders have disks it isn't counted before ``window_s``, when all that it forgot has lapsed."""
+    """Interval of retries on a full disk."""
+    incomplete_peer_wait_s: float = 5.0
+    """A peer with incomplete memory counts as pulled only this long after this node's start, when live
+    claimants have sent their claims; also the delay after the start of a complete fleet without disks.
+    Where all holders have disks, it counts only after ``window_s``, when all lost claims have expired."""
     absent_wait_s: float = 30.0
-    """A restarted holder without a disk does without one silent co-holder this long after its start."""
+    """Time after its start when a holder without a disk proceeds without one unresponsive co-holder."""
--- a/src/springmux/coordination/claims/holder.py
+++ b/src/springmux/coordination/claims/holder.py
@@ -1,4 +1,4 @@
-"""The holder's side: grants a key to the first attempt, keeps outcomes, answers pulls."""
+"""Holder: grants a key to the first attempt, stores outcomes, replies to pulls."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     ClaimState,
     HolderStatus,
 )
-from springmux.coordination.claims.peers import PeerBoots
+from springmux.coordination.claims.peer_incarnations import PeerIncarnations
 from springmux.coordination.claims.persistence import ClaimPersistence, PendingGrant
 from springmux.coordination.claims.ring import ClaimRing, RingHistory
 from springmux.coordination.claims.store import ClaimStore
@@ -28,25 +28,25 @@
 class Holder:
     """Decides on the keys that this node holds.
 
-    :param persistence: the journal of a node with a disk; without one, grants are answered at once.
+    :param persistence: the journal of a node with a disk; without one, grants are sent at once.
     """
 
     def __init__(
         self,
         own: NodeId,
-        boot: int,
+        incarnation: int,
         settings: ClaimSettings,
         rings: RingHistory,
-        boots: PeerBoots,
+        incarnations: PeerIncarnations,
         synchronizer: Synchronizer,
         store: ClaimStore,
         persistence: ClaimPersistence | None = None,
     ) -> None:
         self._own = own
-        self._boot = boot
+        self._incarnation = incarnation
         self._settings = settings
         self._rings = rings
-        self._boots = boots
+        self._incarnations = incarnations
         self._synchronizer = synchronizer
         self.store = store
         self._persistence = persistence
@@ -55,80 +55,79 @@
         self._hashed_version = 0
 
     def restore(self, claims: Iterable[ClaimStored], now: float) -> None:
-        """Take back what the journal holds."""
-        for kept in claims:
-            self.store.restore(kept.record, now)
-            if kept.granted is not None:
-                self._granted[kept.record.key] = kept.granted
+        """Restore the journal's records."""
+        for stored in claims:
+            self.store.restore(stored.record, now)
+            if stored.granted is not None:
+                self._granted[stored.record.key] = stored.granted
 
-    def decide(self, claimant: NodeId, request: ClaimRequest, now: float) -> ClaimReply | None:
-        """Grant the key to the first attempt that asks in step with this node's ring, and to no other.
+    def handle_request(self, claimant: NodeId, request: ClaimRequest, now: float) -> ClaimReply | None:
+        """Grant the key to the first attempt under this node's ring, and to no other.
 
-        :returns: ``None`` where the disk is to be waited for, or can't be relied on: the claimant goes
-            on with the two others.
+        :returns: ``None`` while the disk is pending or unusable; the claimant proceeds with the others.
         """
         attempt = request.attempt
-        if self.store.is_buried(attempt):
+        if self.store.is_withdrawn(attempt):
             return self._reply(attempt, HolderStatus.WITHDRAWN)
         record = self.store.find(request.key)
         if record is not None and record.state is ClaimState.FINISHED:
             return self._reply(attempt, HolderStatus.HELD, record)
         if record is not None and self._granted.get(request.key) != attempt:
             return self._reply(attempt, HolderStatus.HELD, record)
-        peers = self._peers_in_step(request, now)
+        peers = self._peers_if_ready(request, now)
         if peers is None:
             return self._reply(attempt, HolderStatus.NOT_READY)
         persistence = self._persistence
         if record is not None:
-            waits = persistence is not None and persistence.is_pending(attempt)
-            return None if waits else self._grant(attempt, peers)
+            is_pending = persistence is not None and persistence.is_pending(attempt)
+            return None if is_pending else self._grant(attempt, peers)
         if persistence is not None and not persistence.is_usable():
             return None
         self._granted[request.key] = attempt
-        self._keep(ClaimRecord(request.key, (attempt,), ClaimState.RUNNING), now)
+        self._put_record(ClaimRecord(request.key, (attempt,), ClaimState.RUNNING), now)
         if persistence is None:
             return self._grant(attempt, peers)
-        persistence.answer_later(PendingGrant(attempt, request.key, claimant))
+        persistence.defer_grant(PendingGrant(attempt, request.key, claimant))
         return None
 
-    def answer(self, grant: PendingGrant) -> ClaimReply | None:
+    def reply_to_persisted(self, grant: PendingGrant) -> ClaimReply | None:
         """Return the reply to a grant that is now durable; ``None`` if it was withdrawn meanwhile."""
         span = self._rings.span(grant.key)
         if span is None or self._own not in span.holders or self._granted.get(grant.key) != grant.attempt:
             return None
         return self._grant(grant.attempt, tuple(each for each in span.holders if each != self._own))
 
-    def settle(self, message: ClaimSettle, now: float) -> None:
-        """Take a ticket's last word: it ran (kept), or it is withdrawn and never granted again."""
+    def apply_settle(self, message: ClaimSettle, now: float) -> None:
+        """Apply the outcome of an attempt: store that it ran, or withdraw it and never grant it again."""
         record = self.store.find(message.key)
         if message.ran:
             if record is None or record.state is ClaimState.RUNNING or message.attempt in record.attempts:
                 answer = message.answer if len(message.answer) <= self._settings.max_answer_bytes else b""
                 finished = ClaimRecord(message.key, (message.attempt,), ClaimState.FINISHED, answer)
                 self._granted.pop(message.key, None)
-                self._keep(finished, now)
+                self._put_record(finished, now)
             return
-        self.store.bury(message.attempt, now)
+        self.store.withdraw(message.attempt, now)
         if record is None or record.state is ClaimState.FINISHED or message.attempt not in record.attempts:
             return
         if self._granted.get(message.key) == message.attempt:
             del self._granted[message.key]
-        left = tuple(attempt for attempt in record.attempts if attempt != message.attempt)
-        if left:
-            self._keep(ClaimRecord(record.key, left, record.state), now)
+        remaining = tuple(attempt for attempt in record.attempts if attempt != message.attempt)
+        if remaining:
+            self._put_record(ClaimRecord(record.key, remaining, record.state), now)
         else:
             self.store.remove(message.key)
 
     def merge(self, records: Iterable[ClaimRecord], now: float) -> None:
-        """Take a peer's records. Its attempts block the key here, but are not granted by this node."""
+        """Merge a peer's records. Their attempts block the key, but are not granted by this node."""
         for record in records:
             known = self.store.find(record.key)
             if record.state is ClaimState.FINISHED:
                 if known is None or known.state is ClaimState.RUNNING:
                     self._granted.pop(record.key, None)
-                    self._keep(record, now)
+                    self._put_record(record, now)
                 continue
-            attempts = tuple(attempt for attempt in record.attempts if not self.store.is_buried(attempt))
+            attempts = tuple(attempt for attempt in record.attempts if not self.store.is_withdrawn(attempt))
             if known is not None:
                 if known.state is ClaimState.FINISHED:
                     continue
@@ -136,39 +135,49 @@
                 if attempts == known.attempts:
                     continue
             if attempts:
-                self._keep(ClaimRecord(record.key, attempts, ClaimState.RUNNING), now)
+                self._put_record(ClaimRecord(record.key, attempts, ClaimState.RUNNING), now)
 
-    def page(
+    def build_page(
         self, sender: NodeId, pull: ClaimPull, own_claims: Iterable[ClaimRecord], now: float
     ) -> ClaimPage | None:
-        """Answer a pull; ``None`` at another ring than the puller, or if it has restarted since."""
+        """Return the page for a pull; ``None`` if the puller has another ring or has restarted since."""
         ring = self._rings.current
-        if ring is None or ring.version != pull.version or not self._boots.learn(sender, pull.boot):
+        if (
+            ring is None
+            or ring.version != pull.version
+            or not self._incarnations.learn(sender, pull.incarnation)
+        ):
             return None
-        after = pull.after if pull.peer_boot == self._boot else self._before_anchors(pull.anchors)
+        after = (
+            pull.after
+            if pull.peer_incarnation == self._incarnation
+            else self._position_before_anchors(pull.anchors)
+        )
         records: list[ClaimRecord] = []
-        upto, done = self.store.position, True
-        for scanned, (position, record) in enumerate(self.store.changes(after)):
+        end_position, done = self.store.position, True
+        for scanned, (position, record) in enumerate(self.store.changes_after(after)):
             if len(records) >= self._settings.page_records or scanned >= self._settings.page_scan:
                 done = False
                 break
-            upto = position
+            end_position = position
             if sender in self._holders_of(ring, record.key):
                 records.append(record)
         if done:
-            upto = self.store.position
+            end_position = self.store.position
             records.extend(record for record in own_claims if sender in ring.holders(record.key))
         intact = self._synchronizer.is_intact(now)
-        return ClaimPage(pull.version, self._boot, pull.round, upto, done, intact, tuple(records))
+        return ClaimPage(
+            pull.version, self._incarnation, pull.round, end_position, done, intact, tuple(records)
+        )
 
     def expire(self, now: float) -> None:
-        """Drop what is past the window."""
+        """Drop expired records."""
         self.store.expire(now)
         if len(self._granted) > 2 * len(self.store) + self._settings.page_records:
             self._granted = {key: own for key, own in self._granted.items() if self.store.find(key)}
 
     def _holders_of(self, ring: ClaimRing, key: str) -> tuple[NodeId, ...]:
-        """Return a key's holders, hashed once for all peers that pull under a ring."""
+        """Return a key's holders, cached for all peers that pull under the same ring."""
         if ring.version != self._hashed_version or len(self._hashed) > self._settings.max_entries:
             self._hashed.clear()
             self._hashed_version = ring.version
@@ -177,17 +186,19 @@
             holders = self._hashed[key] = ring.holders(key)
         return holders
 
-    def _before_anchors(self, anchors: tuple[str, ...]) -> int:
+    def _position_before_anchors(self, anchors: tuple[str, ...]) -> int:
+        """Return the position before the oldest known anchor, 0 if none is known."""
         positions = [self.store.position_of(key) for key in anchors]
         return min((position - 1 for position in positions if position is not None), default=0)
 
-    def _keep(self, record: ClaimRecord, now: float) -> None:
+    def _put_record(self, record: ClaimRecord, now: float) -> None:
         self.store.put(record, now, self._granted.get(record.key))
 
     def _grant(self, attempt: ClaimAttempt, peers: tuple[NodeId, ...]) -> ClaimReply:
-        return ClaimReply(attempt, HolderStatus.GRANTED, self._boot, self._boots.of(peers))
+        return ClaimReply(attempt, HolderStatus.GRANTED, self._incarnation, self._incarnations.of(peers))
 
-    def _peers_in_step(self, request: ClaimRequest, now: float) -> tuple[NodeId, ...] | None:
+    def _peers_if_ready(self, request: ClaimRequest, now: float) -> tuple[NodeId, ...] | None:
+        """Return the other holders of the key, or ``None`` if this node may not grant it now."""
         span = self._rings.span(request.key)
         if span is None or self._own not in span.holders:
             return None
--- a/src/springmux/coordination/claims/messages.py
+++ b/src/springmux/coordination/claims/messages.py
@@ -11,27 +11,27 @@
 
 
 class ClaimAttempt(msgspec.Struct, frozen=True, array_like=True):
-    """Identity of one attempt: the claimant's node, its boot (random a start) and its own attempt."""
+    """Identity of one attempt: the claimant's node, its incarnation (random at each start) and a name."""
 
     node: NodeId
-    boot: int
+    incarnation: int
     name: str
 
 
 class ClaimState(enum.IntEnum):
-    """What a holder knows of a key."""
+    """State of a key at a holder."""
 
     RUNNING = 0
-    """Granted; the claimant has not reported an end (or never will: the key is burnt)."""
+    """Granted; the claimant has not reported an end, and after a crash never will."""
     FINISHED = 1
     """It ran."""
 
 
 class ClaimRecord(msgspec.Struct, frozen=True, array_like=True):
-    """One key at a holder. ``answer`` is kept where it was small enough.
+    """One key at a holder. ``answer``: the stored response, if it was small enough.
 
-    ``attempts``: all that may have the key. A holder grants to one, but learns others' grants by pulling;
-    the key is free again only when each of them was withdrawn.
+    ``attempts``: all that may have the key. A holder grants it to one, but learns other holders' grants by
+    pulling; the key is free again only when all of them were withdrawn.
     """
 
     key: str
@@ -41,19 +41,19 @@
 
 
 class HolderStatus(enum.IntEnum):
-    """A holder's answer to a claim."""
+    """A holder's reply to a claim."""
 
     GRANTED = 0
     HELD = 1
     """Another attempt has the key; the reply says in which state."""
     NOT_READY = 2
-    """The holder is not in step (ring, synchronization or memory) and decides nothing."""
+    """The holder's ring or memory is not up to date, so it decides nothing."""
     WITHDRAWN = 3
     """This attempt was withdrawn before."""
 
 
 class ClaimRequest(PeerMessage, frozen=True, tag="ClaimRequest"):
-    """Ask a holder for a key; ``since``..``until`` are the ring versions with the same holders."""
+    """Request of a key from a holder; ``since``..``until``: the ring versions with the same holders."""
 
     attempt: ClaimAttempt
     key: str
@@ -62,25 +62,25 @@
 
 
 class ClaimReply(PeerMessage, frozen=True, tag="ClaimReply"):
-    """A holder's answer to :class:`ClaimRequest`.
+    """A holder's reply to :class:`ClaimRequest`.
 
-    ``boot``: the holder's own; ``peer_boots``: those of the other holders as it knows them. Two grants
-    count together only if each names the other's boot: a holder that forgot its grant in a restart
-    has pulled from the others since, which then name its new boot.
+    ``incarnation``: the holder's own; ``peer_incarnations``: those of the other holders as known to it. Two
+    grants count together only if each names the other's incarnation: a holder that lost a grant in a restart
+    has since pulled from the others, which then name its new incarnation.
     """
 
     attempt: ClaimAttempt
     status: HolderStatus
-    boot: int = 0
-    peer_boots: tuple[tuple[NodeId, int], ...] = ()
+    incarnation: int = 0
+    peer_incarnations: tuple[tuple[NodeId, int], ...] = ()
     state: ClaimState = ClaimState.RUNNING
     answer: bytes = b""
 
 
 class ClaimSettle(PeerMessage, frozen=True, tag="ClaimSettle"):
-    """The claimant's last word on a attempt, resent until acknowledged.
+    """Outcome of an attempt, resent by the claimant until acknowledged.
 
-    ``ran`` false: withdrawn or never dispatched, the key is free for others.
+    ``ran`` false: withdrawn or never dispatched, so the key is free for others.
     """
 
     attempt: ClaimAttempt
@@ -90,38 +90,38 @@
 
 
 class ClaimSettleAck(PeerMessage, frozen=True, tag="ClaimSettleTaken"):
-    """A holder has taken a :class:`ClaimSettle`."""
+    """Acknowledgement of a :class:`ClaimSettle`."""
 
     attempt: ClaimAttempt
 
 
 class ClaimPull(PeerMessage, frozen=True, tag="ClaimPull"):
-    """Ask a peer for its records of keys that the sender holds under ring ``version``.
+    """Request of a peer's records of the keys that the sender holds under ring ``version``.
 
-    ``peer_boot`` and ``after``: the peer's boot and journal position that the sender already has.
-    ``anchors``: newest finished keys of a sender whose journal is intact. A peer that has another boot
-    than ``peer_boot`` begins at the oldest of them that it knows.
+    ``peer_incarnation`` and ``after``: the peer's incarnation and change log position that the sender has
+    reached. ``anchors``: newest finished keys of a sender whose journal is intact. A peer with another
+    incarnation than ``peer_incarnation`` begins at the oldest of them that it knows.
     """
 
     version: int
-    boot: int
-    peer_boot: int
+    incarnation: int
+    peer_incarnation: int
     after: int
     round: int
     anchors: tuple[str, ...] = ()
 
 
 class ClaimPage(PeerMessage, frozen=True, tag="ClaimPage"):
-    """Part of the answer to :class:`ClaimPull`; ``upto`` is the journal position reached.
+    """One page of the reply to :class:`ClaimPull`; ``end_position``: the change log position reached.
 
-    ``intact`` false: the peer's own memory began after its last start (or its disk was wiped) and is not
-    yet refilled.
+    ``intact`` false: the peer lost its own memory in a restart (or a wipe of its disk) and has not restored
+    it yet.
     """
 
     version: int
-    boot: int
+    incarnation: int
     round: int
-    upto: int
+    end_position: int
     done: bool
     intact: bool
     records: tuple[ClaimRecord, ...] = ()
--- a/src/springmux/coordination/claims/persistence.py
+++ b/src/springmux/coordination/claims/persistence.py
@@ -1,7 +1,7 @@
-"""Group commit of a holder's journal: one batch in flight, the next one gathers meanwhile.
+"""Group commit of a holder's journal: one batch in flight while the next one collects.
 
-A grant is answered only after the batch with it was synced. Everything else is written in order but
-not waited for: losing it only leaves a key more firmly claimed than it is.
+A grant is sent only after its batch was synced. Other entries are written in order but not waited for:
+losing one can only leave a key claimed that was released.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class PendingGrant(msgspec.Struct, frozen=True):
-    """A grant that waits for the disk."""
+    """A grant that is not durable yet."""
 
     attempt: ClaimAttempt
     key: str
@@ -24,103 +24,103 @@
 
 
 class ClaimPersistence:
-    """The journal as the holder sees it. After a failure that isn't a full disk it's broken for good."""
+    """Writes the holder's journal. Any failure except a full disk is permanent."""
 
     def __init__(self, settings: ClaimSettings) -> None:
         self._settings = settings
         self._queue: list[ClaimEntry] = []
         self._queued_grants: list[PendingGrant] = []
-        self._flying: tuple[ClaimEntry, ...] = ()
-        self._flying_grants: list[PendingGrant] = []
+        self._in_flight: tuple[ClaimEntry, ...] = ()
+        self._in_flight_grants: list[PendingGrant] = []
         self._pending: set[ClaimAttempt] = set()
         self._batch = 0
         self._sent_at = NEVER
         self._retry_at = NEVER
         self._stalled = False
-        self._broken = False
-        self._notes: list[Effect] = []
+        self._failed = False
+        self._log_lines: list[Effect] = []
 
     @property
     def deadline(self) -> float:
-        """Return when a stall is to be noticed or a full disk to be tried again."""
+        """Return when a stall is to be detected or a full disk to be retried."""
         stall_at = NEVER if self._stalled else self._sent_at + self._settings.disk_stall_s
         return min(stall_at, self._retry_at)
 
     def write(self, entry: ClaimEntry) -> None:
-        """Add an entry to the gathering batch; after it is broken, to nothing."""
-        if self._broken:
+        """Add an entry to the next batch; after a permanent failure, drop it."""
+        if self._failed:
             return
         self._queue.append(entry)
         if len(self._queue) > self._settings.max_entries:
-            # An entry left out would make the journal's later entries untrue, so it ends here.
-            self._break("the journal waits for too long", "queue")
+            # A missing entry would invalidate the later ones, so the journal ends here.
+            self._fail("the journal waits for too long", "queue")
 
-    def answer_later(self, grant: PendingGrant) -> None:
-        """Answer a grant once everything written so far is durable."""
+    def defer_grant(self, grant: PendingGrant) -> None:
+        """Send a grant only once everything written so far is durable."""
         self._pending.add(grant.attempt)
         self._queued_grants.append(grant)
 
     def is_pending(self, attempt: ClaimAttempt) -> bool:
-        """Return whether a grant of this attempt waits for the disk."""
+        """Return whether a grant of this attempt is not durable yet."""
         return attempt in self._pending
 
     def is_usable(self) -> bool:
-        """Return whether new grants have a prospect of being synced soon."""
-        return not (self._broken or self._stalled or self._retry_at < NEVER)
+        """Return whether new grants can be synced soon."""
+        return not (self._failed or self._stalled or self._retry_at < NEVER)
 
     def flush(self, now: float) -> list[Effect]:
-        """Send the next batch if none is in flight; notice a stall."""
-        notes, self._notes = self._notes, []
+        """Send the next batch if none is in flight; detect a stall."""
+        log_lines, self._log_lines = self._log_lines, []
         if self._sent_at < NEVER:
-            return [*notes, *self._watch(now)]
+            return [*log_lines, *self._check_stall(now)]
         if now >= self._retry_at:
             self._retry_at = NEVER
-            return [*notes, self._send(self._flying, now)]
-        if self._broken or not self._queue or self._retry_at < NEVER:
-            return notes
+            return [*log_lines, self._send(self._in_flight, now)]
+        if self._failed or not self._queue or self._retry_at < NEVER:
+            return log_lines
         entries, self._queue = tuple(self._queue), []
-        self._flying_grants, self._queued_grants = self._queued_grants, []
-        return [*notes, self._send(entries, now)]
+        self._in_flight_grants, self._queued_grants = self._queued_grants, []
+        return [*log_lines, self._send(entries, now)]
 
-    def persisted(self, batch: int) -> list[PendingGrant]:
-        """Take the news of a synced batch; return the grants that may be answered now."""
+    def handle_persisted(self, batch: int) -> list[PendingGrant]:
+        """Handle a synced batch; return the grants that may be sent now."""
         if batch != self._batch or self._sent_at == NEVER:
             return []
         if self._stalled:
-            self._notes.append(LogLine("claims_disk_resumed"))
-        self._sent_at, self._stalled, self._flying = NEVER, False, ()
-        grants, self._flying_grants = self._flying_grants, []
+            self._log_lines.append(LogLine("claims_disk_resumed"))
+        self._sent_at, self._stalled, self._in_flight = NEVER, False, ()
+        grants, self._in_flight_grants = self._in_flight_grants, []
         self._pending.difference_update(grant.attempt for grant in grants)
         return grants
 
-    def failed(self, event: ClaimsPersistFailed, now: float) -> None:
-        """Try a full disk again later; anything else can't be retried (fsync semantics)."""
+    def handle_failure(self, event: ClaimsPersistFailed, now: float) -> None:
+        """Schedule a retry on a full disk; no other failure can be retried (fsync semantics)."""
         if event.batch != self._batch or self._sent_at == NEVER:
             return
         self._sent_at, self._stalled = NEVER, False
         if event.full:
             self._retry_at = now + self._settings.disk_retry_s
-            self._notes.append(LogLine("claims_disk_full", LogLevel.ERROR, {"reason": event.reason}))
+            self._log_lines.append(LogLine("claims_disk_full", LogLevel.ERROR, {"reason": event.reason}))
         else:
-            self._break("this holder grants nothing until it is restarted with a sound disk", event.reason)
+            self._fail("this holder grants nothing until it is restarted with a sound disk", event.reason)
 
     def _send(self, entries: tuple[ClaimEntry, ...], now: float) -> PersistClaims:
         self._batch += 1
-        self._flying = entries
+        self._in_flight = entries
         self._sent_at = now
         return PersistClaims(self._batch, entries)
 
-    def _watch(self, now: float) -> list[Effect]:
+    def _check_stall(self, now: float) -> list[Effect]:
         waited_s = now - self._sent_at
         if self._stalled or waited_s < self._settings.disk_stall_s:
             return []
         self._stalled = True
         return [LogLine("claims_disk_stalled", LogLevel.WARNING, {"waited_s": round(waited_s, 3)})]
 
-    def _break(self, effect: str, reason: str) -> None:
-        self._broken = True
+    def _fail(self, effect: str, reason: str) -> None:
+        self._failed = True
         self._queue.clear()
         self._queued_grants.clear()
-        self._notes.append(
+        self._log_lines.append(
             LogLine("claims_disk_failed", LogLevel.ERROR, {"reason": reason, "effect": effect})
         )
--- a/src/springmux/coordination/claims/ring.py
+++ b/src/springmux/coordination/claims/ring.py
@@ -2,8 +2,8 @@
 
 Rings are totally ordered by ``version`` and each differs from the one before by one member, so any
 two consecutive holder sets of a key share at least two members. The order must come from one
-authority (the replicated control log): a leaderless view can't order two changes that meet.
-:func:`next_ring` is what the control leader proposes; every node hands the committed ring to its
+authority (the replicated control log): a leaderless view can't order two concurrent changes.
+The control leader proposes :func:`next_ring`; every node passes the committed ring to its
 :class:`~springmux.coordination.claims.claim_coordinator.ClaimCoordinator`.
 """
 
@@ -21,22 +21,18 @@
 HOLDERS_PER_KEY = 3
 """Two of three holders decide, so one may be lost (design note docs/notes/claims.md)."""
 
-GRANTS_NEEDED = 2
-"""A majority of the holders: any two majorities share a holder."""
-
 RING_MEMBERS_MAX = 24
-"""A new ring is pulled by every member from every other: 552 pulls, however large the fleet. At 900
-claims/s (thirty times today's rate) a member then holds 113 keys/s."""
+"""Every member pulls a new ring's keys from every other, so the bound limits pulls to 552 in any fleet."""
 
-KEPT_RINGS = 8
-"""Rings remembered to tell how long a key's holders have stood; changes are minutes apart."""
+RING_HISTORY_LENGTH = 8
+"""Rings kept to determine how long a key's holders are unchanged; changes are minutes apart."""
 
 
 class RingMember(msgspec.Struct, frozen=True, array_like=True, omit_defaults=True):
     """A node that may hold claims, with its failure domain.
 
-    ``replica``: identity of its data folder when it joined, ``None`` if it had none. A disk swapped
-    later shows by another identity.
+    ``replica``: identity of its data folder when it joined, ``None`` if it had none. A disk replaced
+    later has another identity.
     """
 
     node: NodeId
@@ -51,7 +47,7 @@
     members: tuple[RingMember, ...]
 
     def holders(self, key: str) -> tuple[NodeId, ...]:
-        """Return the holders of ``key`` in this ring, in distinct zones as far as zones suffice."""
+        """Return the holders of ``key`` in this ring, in distinct zones if there are enough."""
         zones = {member.node: member.zone for member in self.members}
         return tuple(spread_holders(key, zones, HOLDERS_PER_KEY, lambda node: zones[node]))
 
@@ -60,9 +56,9 @@
         return frozenset(member.node for member in self.members)
 
     def partners(self, node: NodeId) -> frozenset[NodeId]:
-        """Return the members that may hold a key together with ``node``, none if it's no member.
+        """Return the members that may hold a key together with ``node``; none if it isn't a member.
 
-        Where there are zones enough, two holders of a key never share one.
+        If there are enough zones, two holders of a key never share one.
         """
         zones = {member.node: member.zone for member in self.members}
         if node not in zones:
@@ -73,30 +69,30 @@
 
     @property
     def is_durable(self) -> bool:
-        """Whether every member has a disk, so that no claim is forgotten unless a disk is lost."""
+        """Whether every member has a disk, so that claims survive unless a disk is lost."""
         return all(member.replica is not None for member in self.members)
 
     def has_replica(self, node: NodeId, replica: ReplicaId) -> bool:
-        """Return whether ``node`` joined with this very data folder."""
+        """Return whether ``node`` joined with the data folder ``replica``."""
         return any(member.node == node and member.replica == replica for member in self.members)
 
 
 class HolderSpan(msgspec.Struct, frozen=True):
-    """The holders of a key and the range of consecutive ring versions in which they were the same."""
+    """The holders of a key, and the range of consecutive ring versions in which they are the same."""
 
     holders: tuple[NodeId, ...]
     since: int
     until: int
 
     def agrees_with(self, since: int, until: int) -> bool:
-        """Return whether a range of another node overlaps, so that both mean the same holder set."""
+        """Return whether another node's range overlaps, so that both refer to the same holder set."""
         return since <= self.until and self.since <= until
 
 
 class RingHistory:
-    """The newest rings that a node has seen, without a gap in their versions.
+    """The newest rings seen by a node, without a gap in their versions.
 
-    :param remembered: rings of an earlier run. None is current before one at least as new is taken.
+    :param remembered: rings of an earlier incarnation; none is current until one at least as new arrives.
     """
 
     def __init__(self, remembered: Iterable[ClaimRing] = ()) -> None:
@@ -110,11 +106,11 @@
 
     @property
     def known(self) -> tuple[ClaimRing, ...]:
-        """Return the rings without a gap, oldest first, those of an earlier run among them."""
+        """Return the rings without a gap, oldest first, including those of an earlier incarnation."""
         return tuple(self._rings)
 
     def advance(self, ring: ClaimRing) -> bool:
-        """Take a ring; ``False`` for one that is not newer. A gap forgets the older rings."""
+        """Add a ring; return ``False`` for one that isn't newer. A gap drops the older rings."""
         newest = self._rings[-1] if self._rings else None
         if newest is not None and (ring.version < newest.version or self._is_current(ring)):
             return False
@@ -124,14 +120,14 @@
         elif newest is not None and ring.version != newest.version + 1:
             self._rings.clear()
         self._rings.append(ring)
-        del self._rings[:-KEPT_RINGS]
+        del self._rings[:-RING_HISTORY_LENGTH]
         return True
 
     def _is_current(self, ring: ClaimRing) -> bool:
         return self.current is not None and self.current.version == ring.version
 
     def span(self, key: str) -> HolderSpan | None:
-        """Return the present holders of ``key`` and since when they stand."""
+        """Return the current holders of ``key`` and the versions since when they are unchanged."""
         current = self.current
         if current is None:
             return None
@@ -145,9 +141,9 @@
 
 
 def first_ring(view: MembershipView) -> ClaimRing:
-    """Return the ring that the first leader of a fleet proposes: nodes with disks if there are enough.
+    """Return the first ring of a fleet: nodes with disks if there are enough.
 
-    At most :data:`RING_MEMBERS_MAX`, from every zone in turn.
+    It has at most :data:`RING_MEMBERS_MAX` members, taken from every zone in turn.
     """
     records = view.controllers()
     if len(records) < HOLDERS_PER_KEY:
@@ -166,20 +162,20 @@
     gone: frozenset[NodeId],
     left: frozenset[NodeId] = frozenset(),
 ) -> ClaimRing | None:
-    """Return the ring after ``ring``, one member different, or ``None`` where nothing is to change.
+    """Return the ring after ``ring``, one member different, or ``None`` if nothing changes.
 
-    A lost member goes before another comes, so that no holder set of two lost ones and a newcomer
-    arises; nothing else changes while any member is absent.
+    A lost member is removed before another is added, so that no holder set consists of two lost members and
+    a new one; nothing else changes while any member is absent.
 
-    :param gone: members that the caller has seen absent for long (10 minutes by default), so that a
-        restart or a cut never moves a holder set.
-    :param left: members that left in order and didn't come back soon; they go if there is another.
+    :param gone: members absent for long (10 minutes by default), so that neither a restart nor a partition
+        changes a holder set.
+    :param left: members that left cleanly and did not return soon; removed if there is a replacement.
     """
-    disks_only = _is_for_disks(ring, view)
+    disks_only = _requires_disks(ring, view)
     candidates = view.controllers() if disks_only else view.staying()
     spares = [record for record in candidates if record.node not in ring.nodes()]
     has_more = len(ring.members) > HOLDERS_PER_KEY
-    lost = [member for member in ring.members if _may_go(member, gone, left, bool(spares), has_more)]
+    lost = [member for member in ring.members if _may_remove(member, gone, left, bool(spares), has_more)]
     if lost:
         return _without(ring, lost[0])
     if ring.nodes() - {record.node for record in view.present()}:
@@ -192,14 +188,14 @@
     return _without(ring, diskless[0]) if diskless and has_more else None
 
 
-def _is_for_disks(ring: ClaimRing, view: MembershipView) -> bool:
-    """Say whether only nodes with disks may hold claims; stays so while some of them are down."""
+def _requires_disks(ring: ClaimRing, view: MembershipView) -> bool:
+    """Return whether only nodes with disks may hold claims, even while some of them are down."""
     present = {record.node for record in view.controllers()}
     members = {member.node for member in ring.members if member.replica is not None}
     return len(present | members) >= HOLDERS_PER_KEY
 
 
-def _may_go(
+def _may_remove(
     member: RingMember, gone: frozenset[NodeId], left: frozenset[NodeId], has_spare: bool, has_more: bool
 ) -> bool:
     if member.node in gone:
@@ -216,6 +212,6 @@
 
 
 def _from_emptiest_zone(records: Sequence[NodeRecord], members: Sequence[RingMember]) -> NodeRecord:
-    """Return the record whose zone has the fewest members, the first by name of these."""
+    """Return the record whose zone has the fewest members; ties go to the first name."""
     taken = Counter(member.zone for member in members)
     return min(records, key=lambda record: (taken[record.zone], record.node))
--- a/src/springmux/coordination/claims/store.py
+++ b/src/springmux/coordination/claims/store.py
@@ -1,4 +1,4 @@
-"""A holder's memory: records by key, bounded, with a journal of changes for incremental pulls."""
+"""A holder's memory: bounded records by key, with a change log for incremental pulls."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 from springmux.coordination.claims.messages import ClaimAttempt, ClaimRecord, ClaimState
 
 COMPACT_SLACK = 1024
-"""Stale journal entries tolerated before the journal is rewritten."""
+"""Stale entries tolerated before the change log is compacted."""
 
 
 class ClaimStore:
-    """Records of the keys that this node holds. The caller decides; this class remembers.
+    """Records of the keys that this node holds; its caller decides on them.
 
-    :param write: told of every change, in order (the journal of a node with a disk).
+    :param write: called with every change, in order (the journal of a node with a disk).
     """
 
     def __init__(self, settings: ClaimSettings, write: Callable[[ClaimEntry], None] | None = None) -> None:
         self._settings = settings
-        self._write = write or _write_nothing
+        self._write = write or _write_to_no_journal
         self._records: dict[str, ClaimRecord] = {}
         self._changed_at: dict[str, float] = {}
         self._positions: dict[str, int] = {}
         self._finished: OrderedDict[str, None] = OrderedDict()
         self._answers: OrderedDict[str, int] = OrderedDict()
         self._answer_bytes = 0
-        self._journal: list[tuple[int, str]] = []
+        self._change_log: list[tuple[int, str]] = []
         self._position = 0
         self._tombstones: OrderedDict[ClaimAttempt, float] = OrderedDict()
 
@@ -38,24 +38,24 @@
 
     @property
     def position(self) -> int:
-        """Return the journal position of the newest change."""
+        """Return the change log position of the newest change."""
         return self._position
 
     @property
     def answer_bytes(self) -> int:
-        """Return the bytes of all kept answers."""
+        """Return the total size of all stored responses."""
         return self._answer_bytes
 
     def find(self, key: str) -> ClaimRecord | None:
-        """Return what is known of ``key``."""
+        """Return the record of ``key``, or ``None``."""
         return self._records.get(key)
 
     def has_room(self) -> bool:
-        """Return whether one more key can be kept (running keys are never pushed out)."""
+        """Return whether one more key fits; running keys are never evicted."""
         return len(self._records) < self._settings.max_entries or bool(self._finished)
 
     def position_of(self, key: str) -> int | None:
-        """Return the journal position of a key's newest change."""
+        """Return the change log position of a key's newest change."""
         return self._positions.get(key)
 
     def newest_finished(self) -> Iterator[str]:
@@ -63,12 +63,12 @@
         return reversed(self._finished)
 
     def put(self, record: ClaimRecord, now: float, granted: ClaimAttempt | None = None) -> None:
-        """Keep or replace the record of a key; ``granted`` is this node's own grant, for the journal."""
+        """Store or replace the record of a key; ``granted``: this node's own grant, for the journal."""
         self._write(ClaimStored(record, granted))
         self._put(record, now)
 
     def restore(self, record: ClaimRecord, now: float) -> None:
-        """Keep a record that the journal has. Its age is not known: its window begins anew."""
+        """Store a record from the journal. Its age is unknown, so its window starts anew."""
         self._put(record, now)
 
     def _put(self, record: ClaimRecord, now: float) -> None:
@@ -77,16 +77,16 @@
         self._records[record.key] = record
         self._changed_at[record.key] = now
         self._positions[record.key] = self._position
-        self._journal.append((self._position, record.key))
+        self._change_log.append((self._position, record.key))
         if record.state is ClaimState.FINISHED:
             self._finished[record.key] = None
         if record.answer:
             self._answers[record.key] = len(record.answer)
             self._answer_bytes += len(record.answer)
-        self._shrink(record.key)
+        self._evict(record.key)
 
     def remove(self, key: str) -> None:
-        """Forget a key."""
+        """Remove a key."""
         if key in self._records:
             self._write(ClaimReleased(key))
             self._drop(key)
@@ -98,22 +98,22 @@
         del self._positions[key]
         self._finished.pop(key, None)
         self._answer_bytes -= self._answers.pop(key, 0)
-        if len(self._journal) > 2 * len(self._records) + COMPACT_SLACK:
-            self._journal = [each for each in self._journal if self._positions.get(each[1]) == each[0]]
+        if len(self._change_log) > 2 * len(self._records) + COMPACT_SLACK:
+            self._change_log = [each for each in self._change_log if self._positions.get(each[1]) == each[0]]
 
-    def bury(self, attempt: ClaimAttempt, now: float) -> None:
-        """Refuse a attempt from now on."""
+    def withdraw(self, attempt: ClaimAttempt, now: float) -> None:
+        """Reject an attempt from now on."""
         self._tombstones[attempt] = now
         self._tombstones.move_to_end(attempt)
         while len(self._tombstones) > self._settings.max_tombstones:
             self._tombstones.popitem(last=False)
 
-    def is_buried(self, attempt: ClaimAttempt) -> bool:
+    def is_withdrawn(self, attempt: ClaimAttempt) -> bool:
         """Return whether the attempt was withdrawn."""
         return attempt in self._tombstones
 
     def expire(self, now: float) -> None:
-        """Drop keys past the window and old tombstones; each looks at the oldest entries only."""
+        """Drop expired keys and tombstones, examining the oldest entries only."""
         horizon = now - self._settings.window_s
         while self._records:
             key = next(iter(self._records))
@@ -125,15 +125,15 @@
                 break
             self._tombstones.popitem(last=False)
 
-    def changes(self, after: int) -> Iterator[tuple[int, ClaimRecord]]:
-        """Return records changed after a journal position, oldest first, each once."""
-        start = bisect.bisect_right(self._journal, after, key=lambda entry: entry[0])
-        for index in range(start, len(self._journal)):
-            position, key = self._journal[index]
+    def changes_after(self, after: int) -> Iterator[tuple[int, ClaimRecord]]:
+        """Yield the records changed after a change log position, oldest first, each once."""
+        start = bisect.bisect_right(self._change_log, after, key=lambda entry: entry[0])
+        for index in range(start, len(self._change_log)):
+            position, key = self._change_log[index]
             if self._positions.get(key) == position:
                 yield position, self._records[key]
 
-    def _shrink(self, newest: str) -> None:
+    def _evict(self, newest: str) -> None:
         while self._answer_bytes > self._settings.max_answers_bytes:
             key, size_bytes = self._answers.popitem(last=False)
             self._answer_bytes -= size_bytes
@@ -148,5 +148,5 @@
             self.remove(oldest)
 
 
-def _write_nothing(entry: ClaimEntry) -> None:
-    """Stand in for the journal at a node without a disk."""
+def _write_to_no_journal(entry: ClaimEntry) -> None:
+    """Discard an entry, at a node without a disk."""
--- a/tests/unit/claims/network.py
+++ b/tests/unit/claims/network.py
@@ -1,4 +1,4 @@
-"""A bag of messages between claim parts: any of them may be delivered, doubled or lost, in any order."""
+"""Messages in flight between claim coordinators, delivered, duplicated or lost in any order."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 class ClaimNetwork:
-    """Claim parts, the messages between them, and every decision that they gave.
+    """Claim coordinators, the messages between them, and every decision that they made.
 
     :param durable: every node has a disk.
     """
@@ -58,7 +58,7 @@
         self.random = random.Random(seed)
         self.now = 0.0
         self.disks = {node: ClaimDisk(ReplicaId(f"{node}-1")) for node in NODES} if durable else {}
-        self.notes: list[str] = []
+        self.log_names: list[str] = []
         self.ring = self.ring_of(1, nodes)
         self.parts: dict[NodeId, ClaimCoordinator] = {}
         self.frozen: set[NodeId] = set()
@@ -75,7 +75,7 @@
         )
 
     def restart(self, node: NodeId) -> None:
-        """Begin another boot; what was not synced is lost."""
+        """Start another incarnation; what was not synced is lost."""
         recovered = self.disks[node].recover() if self.disks else None
         self.parts[node] = ClaimCoordinator(
             node, random.Random(self.random.random()), ClaimSettings(), recovered
@@ -162,7 +162,7 @@
                 assert self.disks[node].writing is None, "two batches in flight"
                 self.disks[node].writing = effect
             elif isinstance(effect, LogLine):
-                self.notes.append(effect.name)
+                self.log_names.append(effect.name)
             elif isinstance(effect, ClaimResolved):
                 assert effect.correlation_id not in self.decisions, "decided twice"
                 self.decisions[effect.correlation_id] = effect.decision
--- a/tests/unit/claims/test_durability.py
+++ b/tests/unit/claims/test_durability.py
@@ -106,7 +106,7 @@
     network: ClaimNetwork, rule_kept: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     if not rule_kept:
-        monkeypatch.setattr(Synchronizer, "_may_count_forgetful", lambda *_: True)
+        monkeypatch.setattr(Synchronizer, "_accepts_incomplete_peers", lambda *_: True)
     assert granted(network, "t1", without=(C,))
     network.power_cut(NODES, wiped=(A, B))
     network.settle_down(60.0)
@@ -156,12 +156,12 @@
     network.disks[A].stalled = True
     assert granted(network, "t1")
     network.settle_down(1.5)
-    assert "claims_disk_stalled" in network.notes
+    assert "claims_disk_stalled" in network.log_names
     assert granted(network, "t2", "second")
     assert network.parts[A]._holder.store.find("second") is None
     network.disks[A].stalled = False
     network.settle_down(0.5)
-    assert "claims_disk_resumed" in network.notes
+    assert "claims_disk_resumed" in network.log_names
     assert granted(network, "t3", "third", without=(B,))
 
 
@@ -172,7 +172,7 @@
     network.fail_disk(A, full)
     network.disks[A].stalled = False
     network.settle_down(0.2)
-    assert network.notes[-1] == ("claims_disk_full" if full else "claims_disk_failed")
+    assert network.log_names[-1] == ("claims_disk_full" if full else "claims_disk_failed")
     assert granted(network, "t2", "second")
     network.settle_down(ClaimSettings().disk_retry_s)
     assert granted(network, "t3", "third", without=(B,)) is full
--- a/tests/unit/claims/test_model.py
+++ b/tests/unit/claims/test_model.py
@@ -151,7 +151,7 @@
 @pytest.mark.parametrize("broken", ["one grant is enough", "a forgetful holder grants, and counts"])
 def test_breaking_a_rule_is_seen(broken: str, monkeypatch: pytest.MonkeyPatch) -> None:
     if broken == "one grant is enough":
-        monkeypatch.setattr(Claim, "needed", lambda claim: 1)
+        monkeypatch.setattr(Claim, "majority", lambda claim: 1)
     else:
         monkeypatch.setattr(Synchronizer, "may_grant", lambda *_: True)
         monkeypatch.setattr(Claim, "_consistent", lambda *_: True)
--- a/tests/unit/claims/test_schedules.py
+++ b/tests/unit/claims/test_schedules.py
@@ -196,7 +196,7 @@
 
 
 @INTACT_BROKEN
-def test_an_inherited_ticket_is_not_granted_again(
+def test_an_inherited_attempt_is_not_granted_again(
     network: ClaimNetwork, rule_kept: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """t1 has a and b, t2 has c. a forgets and pulls: it must grant t2 no more than any other."""
@@ -221,7 +221,7 @@
     assert (network.verdict("t2") is not GRANTED) is rule_kept
 
 
-def test_a_withdrawn_ticket_does_not_free_a_key_that_another_may_have(network: ClaimNetwork) -> None:
+def test_a_withdrawn_attempt_does_not_free_a_key_that_another_may_have(network: ClaimNetwork) -> None:
     """t1 has a and b, t2 has c; a forgets, pulls both and sees t2 withdrawn: t1 still has the key."""
     network.claim(E, "t2")
     deliver(network, ClaimRequest, to=C)
--- a/tests/unit/claims/test_store.py
+++ b/tests/unit/claims/test_store.py
@@ -7,15 +7,15 @@
 from springmux.coordination.claims.store import ClaimStore
 from springmux.coordination.identifiers import NodeId
 
-TICKET = ClaimAttempt(NodeId("a"), 1, "t")
+ATTEMPT = ClaimAttempt(NodeId("a"), 1, "t")
 
 
 def finished(key: str, answer: bytes = b"") -> ClaimRecord:
-    return ClaimRecord(key, (TICKET,), ClaimState.FINISHED, answer)
+    return ClaimRecord(key, (ATTEMPT,), ClaimState.FINISHED, answer)
 
 
 def running(key: str) -> ClaimRecord:
-    return ClaimRecord(key, (TICKET,), ClaimState.RUNNING)
+    return ClaimRecord(key, (ATTEMPT,), ClaimState.RUNNING)
 
 
 def test_the_oldest_finished_key_goes_first_and_running_ones_stay() -> None:
@@ -41,13 +41,13 @@
     store = ClaimStore(ClaimSettings(window_s=100.0, tombstone_s=50.0))
     store.put(running("old"), 0.0)
     store.put(running("new"), 60.0)
-    store.bury(TICKET, 60.0)
+    store.withdraw(ATTEMPT, 60.0)
     store.expire(105.0)
     assert store.find("old") is None
     assert store.find("new") is not None
-    assert store.is_buried(TICKET)
+    assert store.is_withdrawn(ATTEMPT)
     store.expire(111.0)
-    assert not store.is_buried(TICKET)
+    assert not store.is_withdrawn(ATTEMPT)
 
 
 def test_changes_are_told_once_each_from_a_position_on() -> None:
@@ -56,7 +56,7 @@
     store.put(running("b"), 0.0)
     position = store.position
     store.put(finished("a"), 0.0)
-    assert [record.key for _, record in store.changes(0)] == ["b", "a"]
-    assert [record for _, record in store.changes(position)] == [finished("a")]
+    assert [record.key for _, record in store.changes_after(0)] == ["b", "a"]
+    assert [record for _, record in store.changes_after(position)] == [finished("a")]
     store.remove("a")
-    assert not list(store.changes(position))
+    assert not list(store.changes_after(position))
