--- a/src/springmux/agent/directory/anti_entropy.py
+++ b/src/springmux/agent/directory/anti_entropy.py
@@ -1,4 +1,4 @@
-"""How entries reach all nodes: relay trees at once, digests against what the trees missed."""
+"""Dissemination of entries: relay trees for new changes, anti-entropy for what the trees missed."""
 
 from __future__ import annotations
 
@@ -22,28 +22,28 @@
 
 def relay_entries(
     entries: list[DirectoryEntry],
-    homes: OwnerNodes,
+    owners: OwnerNodes,
     own: NodeId,
     source: random.Random,
     settings: DirectorySettings,
 ) -> list[Effect]:
-    """Return the first messages that spread changed entries over all nodes."""
+    """Return the first messages that relay changed entries to all nodes."""
     effects: list[Effect] = []
     for start in range(0, len(entries), settings.entries_per_message):
         chunk = tuple(entries[start : start + settings.entries_per_message])
         for _ in range(settings.relay_trees):
             salt = source.randrange(1 << 32)
-            targets = zone_targets(homes.zones, own, salt, settings.relay_fanout)
+            targets = zone_targets(owners.zones, own, salt, settings.relay_fanout)
             effects += _relay_to(targets, chunk, salt)
     return effects
 
 
 def relay_on(
-    message: DirectoryRelay, homes: OwnerNodes, own: NodeId, settings: DirectorySettings
+    message: DirectoryRelay, owners: OwnerNodes, own: NodeId, settings: DirectorySettings
 ) -> list[Effect]:
-    """Return the messages to the relay's own part of the tree."""
-    mates = [node for node, zone in homes.zones.items() if zone == homes.own_zone]
-    targets = range_targets(mates, own, message.salt, message.low, message.high, settings.relay_fanout)
+    """Return the messages to the own subtree of a relay."""
+    zone_peers = [node for node, zone in owners.zones.items() if zone == owners.own_zone]
+    targets = range_targets(zone_peers, own, message.salt, message.low, message.high, settings.relay_fanout)
     return _relay_to(targets, message.entries, message.salt)
 
 
@@ -61,7 +61,7 @@
         self.due_at = 0.0
 
     def begin(self, nodes: list[NodeId], now: float) -> list[Effect]:
-        """Send the own root hash to a random node if it is time."""
+        """Send the own root hash to a random node if the exchange is due."""
         if now < self.due_at:
             return []
         self.due_at = now + self._settings.digest_period_s * self._random.uniform(0.9, 1.1)
@@ -69,17 +69,17 @@
             return []
         return [Send(self._random.choice(nodes), DirectoryDigest(self._table.root()))]
 
-    def take_digest(self, sender: NodeId, message: DirectoryDigest, whole: bool) -> list[Effect]:
-        """Answer a digest that differs with the bucket hashes.
+    def handle_digest(self, sender: NodeId, message: DirectoryDigest, complete: bool) -> list[Effect]:
+        """Reply to a digest that differs with the bucket hashes.
 
-        :param whole: whether the own directory is known to lack nothing.
+        :param complete: whether the own directory is known to be complete.
         """
         if message.root == self._table.root():
-            return [Send(sender, DirectoryInSync())] if message.answer_wanted and whole else []
+            return [Send(sender, DirectoryInSync())] if message.answer_wanted and complete else []
         return [Send(sender, DirectoryBuckets(self._table.hashes()))]
 
-    def take_buckets(self, sender: NodeId, message: DirectoryBuckets, now: float) -> list[Effect]:
-        """Send the own entries of the buckets that differ, and ask for newer ones."""
+    def handle_buckets(self, sender: NodeId, message: DirectoryBuckets, now: float) -> list[Effect]:
+        """Send the own entries of the buckets that differ, and request newer ones."""
         own = self._table.hashes()
         if len(message.hashes) != len(own):
             return []
--- a/src/springmux/agent/directory/catch_up.py
+++ b/src/springmux/agent/directory/catch_up.py
@@ -1,7 +1,7 @@
-"""What a node does when it is (again) in contact: learn what it missed of the back ends, at once.
+"""Fast anti-entropy when a node is (again) in contact: fetch the missed directory changes at once.
 
-Until a peer that missed nothing itself says that both directories are the same, engines that drained
-during the cut may still look ready here.
+Until a peer with a complete directory confirms that both are the same, engines that drained
+during the partition may still look ready here.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class CatchUp:
-    """Asks a few known nodes every ``repair_period_s``, for at most ``catch_up_s``."""
+    """Sends digests to a few known nodes every ``repair_period_s``, for at most ``catch_up_s``."""
 
     def __init__(self, settings: DirectorySettings, source: random.Random) -> None:
         self._settings = settings
@@ -25,11 +25,11 @@
         self.due_at = NEVER
 
     def running(self, now: float) -> bool:
-        """Say whether the directory may still lack something."""
+        """Return whether the directory may still be incomplete."""
         return now < self._until
 
     def begin(self, peers: tuple[NodeId, ...], now: float) -> None:
-        """Contact is there (again); a node without peers lacks nothing."""
+        """Start after contact was established; without peers there is nothing to fetch."""
         if not peers:
             return
         self._peers = peers
@@ -37,17 +37,17 @@
         self.due_at = now
 
     def stop(self) -> None:
-        """A peer has the same directory, or the contact is lost."""
+        """Stop: a peer has the same directory, or contact is lost."""
         self._until = -NEVER
         self.due_at = NEVER
 
-    def ask(self, root: int, now: float) -> list[Effect]:
-        """Return the questions that are due."""
+    def digests(self, root: int, now: float) -> list[Effect]:
+        """Return the digests that are due."""
         if now < self.due_at:
             return []
         if not self.running(now):
             self.due_at = NEVER
             return []
         self.due_at = now + self._settings.repair_period_s
-        asked = self._random.sample(self._peers, min(self._settings.catch_up_nodes, len(self._peers)))
-        return [Send(node, DirectoryDigest(root, answer_wanted=True)) for node in asked]
+        receivers = self._random.sample(self._peers, min(self._settings.catch_up_nodes, len(self._peers)))
+        return [Send(node, DirectoryDigest(root, answer_wanted=True)) for node in receivers]
--- a/src/springmux/agent/directory/engine_directory.py
+++ b/src/springmux/agent/directory/engine_directory.py
@@ -1,7 +1,7 @@
-"""The directory part: every node's picture of the back ends.
+"""Replicated directory of engines: every node's view of the back ends.
 
-Engines speak to any node. That node spreads what changed to all nodes at once and passes heartbeats on to
-the engine's home nodes; homes that hear nothing agree by vote that the engine is lost.
+Engines connect to any node. That node relays changes to all nodes at once and forwards heartbeats to
+the engine's owner nodes; owners that receive none vote the engine lost.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 from springmux.agent.directory.anti_entropy import AntiEntropy, relay_entries, relay_on
 from springmux.agent.directory.catch_up import CatchUp
 from springmux.agent.directory.effects import EnginesChanged
-from springmux.agent.directory.engine_monitor import EngineMonitor, Findings
+from springmux.agent.directory.engine_monitor import EngineMonitor, MonitorResult
 from springmux.agent.directory.entry import DirectoryEntry, bare, heard_again, stopped
 from springmux.agent.directory.forwarding import HeartbeatForwarder
-from springmux.agent.directory.log_events import old_life, status_note
+from springmux.agent.directory.log_lines import outdated_incarnation_log_line, status_log_line
 from springmux.agent.directory.owner_nodes import OwnerNodes
 from springmux.agent.directory.settings import DirectorySettings
-from springmux.agent.directory.stops import Stop, StopOrder
+from springmux.agent.directory.stops import Stop, StopReorderBuffer
 from springmux.agent.directory.table import DirectoryTable
 from springmux.agent.events import EngineAnnounced, EngineDraining, EngineHeartbeat, EngineLeft
 from springmux.coordination.identifiers import NodeId
@@ -44,17 +44,17 @@
         self._random = random
         self._settings = settings or DirectorySettings()
         self._table = DirectoryTable()
-        self._homes = OwnerNodes(own, self._settings)
-        self._duty = EngineMonitor(own, self._table, self._homes, self._settings)
-        self._repair = AntiEntropy(self._table, self._settings, random)
+        self._owners = OwnerNodes(own, self._settings)
+        self._monitor = EngineMonitor(own, self._table, self._owners, self._settings)
+        self._anti_entropy = AntiEntropy(self._table, self._settings, random)
         self._catch_up = CatchUp(self._settings, random)
         self._handled_at: float | None = None
         self._changed: dict[EngineId, DirectoryEntry] = {}
-        self._stops = StopOrder()
-        self._forwarder = HeartbeatForwarder(own, self._homes, self._settings)
+        self._stops = StopReorderBuffer()
+        self._forwarder = HeartbeatForwarder(own, self._owners, self._settings)
         self._scan_at = 0.0
         self._loads_at = 0.0
-        self._spread_at = 0.0
+        self._relay_at = 0.0
         self._publish_at = 0.0
         self._unpublished = False
 
@@ -64,48 +64,48 @@
         return self._table.view()
 
     def next_deadline(self) -> float:
-        """Return when the next tick is wanted."""
-        deadline = min(self._repair.due_at, self._duty.next_deadline(), self._scan_at)
+        """Return when the next tick is due."""
+        deadline = min(self._anti_entropy.due_at, self._monitor.next_deadline(), self._scan_at)
         deadline = min(deadline, self._forwarder.due_at, self._catch_up.due_at)
         if self._changed:
-            deadline = min(deadline, self._spread_at)
+            deadline = min(deadline, self._relay_at)
         if self._unpublished:
             deadline = min(deadline, self._publish_at)
         return deadline
 
     def handle(self, event: Event, now: float) -> list[Effect]:
-        """Take one event and return what is to be done."""
-        self._note_pause(now)
+        """Handle one event; return the effects to execute."""
+        self._detect_pause(now)
         effects: list[Effect] = []
         if isinstance(event, Tick):
             effects += self._tick(now)
         elif isinstance(event, MessageReceived):
-            effects += self._receive(event.sender, event.message, now)
+            effects += self._handle_message(event.sender, event.message, now)
         elif isinstance(event, MembershipUpdated):
-            self._homes.set_view(event.view)
+            self._owners.set_view(event.view)
         elif isinstance(event, ContactChanged):
             effects += self._change_contact(event, now)
         else:
-            effects += self._hear_engine(event, now)
-        return effects + self._spread(now) + self._publish(now)
+            effects += self._handle_engine_event(event, now)
+        return effects + self._relay_changes(now) + self._publish(now)
 
     def catching_up(self, now: float) -> bool:
-        """Say whether the directory may lack what happened while this node was cut off or not there."""
+        """Return whether the directory may lack changes made while this node was partitioned or down."""
         return self._catch_up.running(now)
 
     def _change_contact(self, event: ContactChanged, now: float) -> list[Effect]:
-        self._duty.connected = event.connected
-        self._duty.grant_grace(now)
+        self._monitor.connected = event.connected
+        self._monitor.grant_grace(now)
         if not event.connected:
             self._catch_up.stop()
             return []
         self._catch_up.begin(event.peers, now)
-        return self._catch_up.ask(self._table.root(), now)
+        return self._catch_up.digests(self._table.root(), now)
 
-    def _note_pause(self, now: float) -> None:
+    def _detect_pause(self, now: float) -> None:
         last, self._handled_at = self._handled_at, now
         if last is not None and now - last >= self._settings.pause_s:
-            self._duty.grant_grace(now)
+            self._monitor.grant_grace(now)
 
     def _batch_s(self) -> float:
         engines = len(self._table)
@@ -113,13 +113,13 @@
             return 0.0
         return engines * self._settings.batch_s_per_engine
 
-    def _spread(self, now: float) -> list[Effect]:
-        if not self._changed or now < self._spread_at:
+    def _relay_changes(self, now: float) -> list[Effect]:
+        if not self._changed or now < self._relay_at:
             return []
-        self._spread_at = now + self._batch_s()
+        self._relay_at = now + self._batch_s()
         entries = list(self._changed.values())
         self._changed.clear()
-        return relay_entries(entries, self._homes, self._own, self._random, self._settings)
+        return relay_entries(entries, self._owners, self._own, self._random, self._settings)
 
     def _publish(self, now: float) -> list[Effect]:
         self._unpublished = self._unpublished or self._table.entries_changed
@@ -132,127 +132,129 @@
         self._loads_at = now + self._settings.loads_period_s
         return [EnginesChanged(self._table.view())]
 
-    # --- what engines say ---
+    # --- engine events ---
 
-    def _hear_engine(self, event: Event, now: float) -> list[Effect]:
+    def _handle_engine_event(self, event: Event, now: float) -> list[Effect]:
         if isinstance(event, EngineAnnounced):
-            return self._hear_record(event.record, now, announced=True)
+            return self._handle_record(event.record, now, announced=True)
         if isinstance(event, EngineHeartbeat):
-            effects = self._hear_record(event.record, now, announced=False)
+            effects = self._handle_record(event.record, now, announced=False)
             known = self._table.get(event.record.engine)
             if known is not None and known.record.incarnation == event.record.incarnation:
                 self._table.put_load(event.load)
             return effects
         if isinstance(event, EngineDraining):
-            return self._stop(event.engine, Stop(False, event.incarnation), now)
+            return self._handle_stop(event.engine, Stop(False, event.incarnation), now)
         if isinstance(event, EngineLeft):
-            return self._stop(event.engine, Stop(True, event.incarnation), now)
+            return self._handle_stop(event.engine, Stop(True, event.incarnation), now)
         return []
 
-    def _hear_record(self, record: EngineRecord, now: float, announced: bool) -> list[Effect]:
+    def _handle_record(self, record: EngineRecord, now: float, announced: bool) -> list[Effect]:
         known = self._table.get(record.engine)
         draining = record.status is EngineStatus.DRAINING
         if known is None or record.incarnation > known.record.incarnation:
             entry = DirectoryEntry(record=bare(record), intent=int(draining))
         elif record.incarnation < known.record.incarnation or known.left:
-            return [old_life(record.engine, record.incarnation)] if announced else []
+            return [outdated_incarnation_log_line(record.engine, record.incarnation)] if announced else []
         else:
             late = self._stops.is_late(record.engine, now)
             entry = heard_again(known, record, draining, announced=announced and not late)
-        effects = self._change(entry, now)
-        life = wire.EngineIncarnation(record.engine, record.incarnation)
-        if self._own in self._homes.of(life.engine):
-            self._duty.heard_here(life, now)
-        self._forwarder.add(life, now)
+        effects = self._apply_local_change(entry, now)
+        incarnation_id = wire.EngineIncarnation(record.engine, record.incarnation)
+        if self._own in self._owners.of(incarnation_id.engine):
+            self._monitor.record_heartbeat(incarnation_id, now)
+        self._forwarder.add(incarnation_id, now)
         return effects
 
-    def _stop(self, engine: EngineId, stop: Stop, now: float) -> list[Effect]:
+    def _handle_stop(self, engine: EngineId, stop: Stop, now: float) -> list[Effect]:
         known = self._table.get(engine)
         if known is None or known.record.incarnation < stop.incarnation:
-            self._stops.keep(engine, stop, now)
+            self._stops.buffer(engine, stop, now)
             return [LogLine("directory_early_stop", LogLevel.WARNING, {"engine": engine, "left": stop.left})]
-        if not stop.concerns(known.record.incarnation):
-            return [old_life(engine, stop.incarnation)]
-        return self._change(stopped(known, stop.left), now)
+        if not stop.applies_to(known.record.incarnation):
+            return [outdated_incarnation_log_line(engine, stop.incarnation)]
+        return self._apply_local_change(stopped(known, stop.left), now)
 
-    def _change(self, entry: DirectoryEntry, now: float) -> list[Effect]:
-        """Take a change that was made here, to be spread."""
+    def _apply_local_change(self, entry: DirectoryEntry, now: float) -> list[Effect]:
+        """Merge a change that was made here and queue it for the relay."""
         before = self._table.get(entry.record.engine)
-        if not self._table.take(entry, now):
+        if not self._table.merge(entry, now):
             return []
         self._changed[entry.record.engine] = entry
-        return [*status_note(before, entry), *self._note_stops(before, entry, now)]
+        return [*status_log_line(before, entry), *self._process_stops(before, entry, now)]
 
-    def _take(self, entry: DirectoryEntry, now: float) -> list[Effect]:
-        """Take a change that another node spreads."""
+    def _merge_from_peer(self, entry: DirectoryEntry, now: float) -> list[Effect]:
+        """Merge a change that another node relayed."""
         before = self._table.get(entry.record.engine)
-        return self._note_stops(before, entry, now) if self._table.take(entry, now) else []
+        return self._process_stops(before, entry, now) if self._table.merge(entry, now) else []
 
-    def _note_stops(self, before: DirectoryEntry | None, entry: DirectoryEntry, now: float) -> list[Effect]:
-        """Note a drain that is news here; carry out a stop that waited for this life."""
+    def _process_stops(
+        self, before: DirectoryEntry | None, entry: DirectoryEntry, now: float
+    ) -> list[Effect]:
+        """Record a new drain; apply a stop that was buffered for this incarnation."""
         engine, incarnation = entry.record.engine, entry.record.incarnation
-        same_life = before is not None and before.record.incarnation == incarnation
-        if entry.intent % 2 and (before is None or not same_life or before.intent < entry.intent):
-            self._stops.note_drain(engine, now)
-        early = None if same_life else self._stops.take(engine, incarnation, now)
-        return [] if early is None else self._change(stopped(entry, early.left), now)
+        same_incarnation = before is not None and before.record.incarnation == incarnation
+        if entry.intent % 2 and (before is None or not same_incarnation or before.intent < entry.intent):
+            self._stops.record_drain(engine, now)
+        early = None if same_incarnation else self._stops.pop(engine, incarnation, now)
+        return [] if early is None else self._apply_local_change(stopped(entry, early.left), now)
 
-    # --- home nodes ---
+    # --- owner nodes ---
 
-    def _conclude(self, findings: Findings, now: float) -> list[Effect]:
+    def _apply_result(self, result: MonitorResult, now: float) -> list[Effect]:
         effects: list[Effect] = []
-        for entry in findings.changes:
-            effects += self._change(entry, now)
-        return effects + findings.effects
+        for entry in result.changes:
+            effects += self._apply_local_change(entry, now)
+        return effects + result.effects
 
     def _scan(self, now: float) -> None:
-        """Find engines that this node became a home of without ever hearing them, a few at a time."""
+        """Expire old state, and track engines that this node came to own, a few at a time."""
         if now < self._scan_at:
             return
         self._scan_at = now + self._settings.scan_period_s
-        self._forget(now)
-        self._duty.scan(now)
+        self._expire(now)
+        self._monitor.scan(now)
 
-    def _forget(self, now: float) -> None:
-        self._stops.forget_old(now)
+    def _expire(self, now: float) -> None:
+        self._stops.expire(now)
         for engine in self._table.forget_gone(now, self._settings):
             self._forwarder.forget(engine)
-            self._duty.forget(engine)
-            self._homes.forget(engine)
+            self._monitor.forget(engine)
+            self._owners.forget(engine)
 
     # --- ticks and messages ---
 
     def _tick(self, now: float) -> list[Effect]:
         self._scan(now)
-        others = [node for node in self._homes.zones if node != self._own]
-        effects = self._forwarder.send(now) + self._conclude(self._duty.vote(now), now)
-        effects += self._repair.begin(others, now)
-        return effects + self._catch_up.ask(self._table.root(), now)
+        others = [node for node in self._owners.zones if node != self._own]
+        effects = self._forwarder.send(now) + self._apply_result(self._monitor.vote(now), now)
+        effects += self._anti_entropy.begin(others, now)
+        return effects + self._catch_up.digests(self._table.root(), now)
 
-    def _receive(self, sender: NodeId, message: object, now: float) -> list[Effect]:
+    def _handle_message(self, sender: NodeId, message: object, now: float) -> list[Effect]:
         if isinstance(message, wire.DirectoryRelay):
-            effects = self._take_all(message.entries, now)
-            return effects + relay_on(message, self._homes, self._own, self._settings)
+            effects = self._merge_received(message.entries, now)
+            return effects + relay_on(message, self._owners, self._own, self._settings)
         if isinstance(message, wire.EngineHeartbeatsRelay):
-            return self._conclude(self._duty.take_heard(message.lives, now), now)
+            return self._apply_result(self._monitor.handle_heartbeats(message.incarnations, now), now)
         if isinstance(message, wire.EngineTimeoutVote):
-            return self._conclude(self._duty.take_votes(sender, message.lives, now), now)
+            return self._apply_result(self._monitor.handle_votes(sender, message.incarnations, now), now)
         if isinstance(message, wire.DirectoryDigest):
-            return self._repair.take_digest(sender, message, not self._catch_up.running(now))
+            return self._anti_entropy.handle_digest(sender, message, not self._catch_up.running(now))
         if isinstance(message, wire.DirectoryInSync):
             self._catch_up.stop()
         if isinstance(message, wire.DirectoryBuckets):
-            return self._repair.take_buckets(sender, message, now)
+            return self._anti_entropy.handle_buckets(sender, message, now)
         if isinstance(message, wire.DirectoryEntries):
-            effects = self._take_all(message.entries, now)
-            return effects + self._answer_entries(sender, message)
+            effects = self._merge_received(message.entries, now)
+            return effects + self._reply_to_entries(sender, message)
         return []
 
-    def _take_all(self, entries: tuple[DirectoryEntry, ...], now: float) -> list[Effect]:
-        return [effect for entry in entries for effect in self._take(entry, now)]
+    def _merge_received(self, entries: tuple[DirectoryEntry, ...], now: float) -> list[Effect]:
+        return [effect for entry in entries for effect in self._merge_from_peer(entry, now)]
 
-    def _answer_entries(self, sender: NodeId, message: wire.DirectoryEntries) -> list[Effect]:
-        newer = self._repair.newer_than(message) if message.answer_wanted else []
+    def _reply_to_entries(self, sender: NodeId, message: wire.DirectoryEntries) -> list[Effect]:
+        newer = self._anti_entropy.newer_than(message) if message.answer_wanted else []
         limit = self._settings.entries_per_message
         chunks = (newer[start : start + limit] for start in range(0, len(newer), limit))
         return [Send(sender, wire.DirectoryEntries(tuple(chunk))) for chunk in chunks]
--- a/src/springmux/agent/directory/entry.py
+++ b/src/springmux/agent/directory/entry.py
@@ -1,11 +1,11 @@
-"""One back end's entry: counters that only rise, so that any two copies merge into the newest facts.
+"""One back end's entry: counters that only rise, so that any two replicas merge into the newest state.
 
 The entry of one incarnation is a join-semilattice (Shapiro et al. 2011, conflict-free replicated data
 types): each component has its own order, and a merge takes the larger of each. Who may raise which:
 
 * ``record``: the engine alone, by its ``sequence`` (version, capacity, address).
-* ``intent``: even is serving, odd is draining. The engine by drain, announce again, or heartbeat.
-* ``health``: even is heard, odd is lost. Home nodes, by one step from what they know: two homes that
+* ``intent``: even is serving, odd is draining. The engine by drain, announcement, or heartbeat.
+* ``health``: even is heard, odd is lost. Owner nodes, by one step from what they know: two owners that
   see the same write the same number; if one takes a further step, that one is the newer.
 * ``left``: the engine by leave; final for the incarnation.
 """
@@ -18,7 +18,7 @@
 
 
 class DirectoryEntry(msgspec.Struct, frozen=True, array_like=True, omit_defaults=True):
-    """What the fleet knows of one engine. ``record.status`` is always READY inside an entry."""
+    """State of one engine as known to the fleet. ``record.status`` is always READY inside an entry."""
 
     record: EngineRecord
     intent: int = 0
@@ -41,14 +41,14 @@
 
 
 def bare(record: EngineRecord) -> EngineRecord:
-    """Return ``record`` as entries hold it."""
+    """Return ``record`` as entries store it, with status READY."""
     if record.status is EngineStatus.READY:
         return record
     return msgspec.structs.replace(record, status=EngineStatus.READY)
 
 
 def merged(one: DirectoryEntry, other: DirectoryEntry) -> DirectoryEntry:
-    """Return the least entry that has all facts of both; commutative, associative and idempotent."""
+    """Return the least upper bound of both entries; commutative, associative and idempotent."""
     if one.record.incarnation != other.record.incarnation:
         return one if one.record.incarnation > other.record.incarnation else other
     first, second = one.record, other.record
@@ -67,18 +67,18 @@
 def heard_again(
     known: DirectoryEntry, record: EngineRecord, draining: bool, announced: bool
 ) -> DirectoryEntry:
-    """Return the entry after the engine spoke again in the same incarnation.
+    """Return the entry after another announcement or heartbeat of the same incarnation.
 
-    Only an announcement takes a drain back; any word of the engine takes LOST back.
+    Only an announcement reverts a drain; either reverts LOST.
     """
     was_draining = known.intent % 2 == 1
-    turned = draining != was_draining and (draining or announced)
-    # A sequence that merely counts heartbeats is no news: only other facts are spread.
-    same_facts = msgspec.structs.replace(bare(record), sequence=known.record.sequence) == known.record
-    newer = not same_facts and record.sequence >= known.record.sequence
+    intent_changed = draining != was_draining and (draining or announced)
+    # A sequence that merely counts heartbeats is no change: only other fields are relayed.
+    same_fields = msgspec.structs.replace(bare(record), sequence=known.record.sequence) == known.record
+    newer = not same_fields and record.sequence >= known.record.sequence
     return DirectoryEntry(
         record=bare(record) if newer else known.record,
-        intent=known.intent + int(turned),
+        intent=known.intent + int(intent_changed),
         health=known.health + known.health % 2,
     )
 
--- a/src/springmux/agent/directory/forwarding.py
+++ b/src/springmux/agent/directory/forwarding.py
@@ -1,4 +1,4 @@
-"""Passes heartbeats on to the engines' home nodes, gathered for a moment and at most once a period each."""
+"""Forwards heartbeats to the engines' owner nodes, batched and at most once a period each."""
 
 from __future__ import annotations
 
@@ -9,46 +9,48 @@
 from springmux.coordination.state_machine import NEVER, Effect, Send
 from springmux.vocabulary.names import EngineId
 
-_GATHER_S = 0.2
+_BATCH_DELAY_S = 0.2
 _PERIOD_SLACK = 0.8
-"""Heartbeats jitter: one that comes a little early is still passed on."""
+"""Heartbeats jitter: one that comes a little early is still forwarded."""
 
 
 class HeartbeatForwarder:
-    """What one node has to tell the homes of the engines that speak to it."""
+    """Batches the heartbeats that a node receives, for the owners of the engines."""
 
-    def __init__(self, own: NodeId, homes: OwnerNodes, settings: DirectorySettings) -> None:
+    def __init__(self, own: NodeId, owners: OwnerNodes, settings: DirectorySettings) -> None:
         self._own = own
-        self._homes = homes
+        self._owners = owners
         self._period_s = settings.forward_period_s * _PERIOD_SLACK
         self._forwarded_at: dict[EngineId, float] = {}
-        self._waiting: dict[NodeId, list[EngineIncarnation]] = {}
+        self._pending: dict[NodeId, list[EngineIncarnation]] = {}
         self._due_at = NEVER
 
     @property
     def due_at(self) -> float:
-        """Time at which something is to be sent."""
+        """Time at which the next batch is due."""
         return self._due_at
 
-    def add(self, life: EngineIncarnation, now: float) -> None:
-        """Tell the other homes of ``life`` soon: none of them hears the engine itself."""
-        if now - self._forwarded_at.get(life.engine, -NEVER) < self._period_s:
+    def add(self, incarnation_id: EngineIncarnation, now: float) -> None:
+        """Queue a heartbeat for the other owners: the engine sends it to this node only."""
+        if now - self._forwarded_at.get(incarnation_id.engine, -NEVER) < self._period_s:
             return
-        self._forwarded_at[life.engine] = now
-        for home in self._homes.of(life.engine):
-            if home != self._own:
-                self._waiting.setdefault(home, []).append(life)
-        if self._waiting:
-            self._due_at = min(self._due_at, now + _GATHER_S)
+        self._forwarded_at[incarnation_id.engine] = now
+        for owner in self._owners.of(incarnation_id.engine):
+            if owner != self._own:
+                self._pending.setdefault(owner, []).append(incarnation_id)
+        if self._pending:
+            self._due_at = min(self._due_at, now + _BATCH_DELAY_S)
 
     def send(self, now: float) -> list[Effect]:
-        """Return what is due."""
+        """Return the batches that are due."""
         if now < self._due_at:
             return []
-        waiting, self._waiting = self._waiting, {}
+        pending, self._pending = self._pending, {}
         self._due_at = NEVER
-        return [Send(home, EngineHeartbeatsRelay(tuple(lives))) for home, lives in waiting.items()]
+        return [
+            Send(owner, EngineHeartbeatsRelay(tuple(incarnations))) for owner, incarnations in pending.items()
+        ]
 
     def forget(self, engine: EngineId) -> None:
-        """Drop what is remembered of an engine that is gone."""
+        """Drop the send time of a removed engine."""
         self._forwarded_at.pop(engine, None)
--- a/src/springmux/agent/directory/log_events.py
+++ b/src/springmux/agent/directory/log_lines.py
@@ -8,8 +8,8 @@
 from springmux.vocabulary.names import EngineId
 
 
-def status_note(before: DirectoryEntry | None, entry: DirectoryEntry) -> list[Effect]:
-    """Return the log line for a status that changed."""
+def status_log_line(before: DirectoryEntry | None, entry: DirectoryEntry) -> list[Effect]:
+    """Return the log line of a changed status; none if it is the same."""
     if before is not None and before.status is entry.status:
         return []
     level = LogLevel.WARNING if entry.status is EngineStatus.LOST else LogLevel.INFO
@@ -17,7 +17,7 @@
     return [LogLine("directory_status", level, fields)]
 
 
-def old_life(engine: EngineId, incarnation: int) -> LogLine:
-    """Return the log line for a word about a life that is over."""
+def outdated_incarnation_log_line(engine: EngineId, incarnation: int) -> LogLine:
+    """Return the log line for a message about an earlier incarnation."""
     fields = {"engine": engine, "incarnation": incarnation}
     return LogLine("directory_old_life", LogLevel.WARNING, fields)
--- a/src/springmux/agent/directory/messages.py
+++ b/src/springmux/agent/directory/messages.py
@@ -10,7 +10,7 @@
 
 
 class EngineIncarnation(msgspec.Struct, frozen=True, array_like=True):
-    """One life of an engine."""
+    """One incarnation of an engine."""
 
     engine: EngineId
     incarnation: int
@@ -26,36 +26,36 @@
 
 
 class EngineHeartbeatsRelay(PeerMessage, frozen=True, tag="DirectoryHeard"):
-    """The sender heard these engines just now; sent to their home nodes."""
+    """Heartbeats that the sender just received, forwarded to the engines' owner nodes."""
 
-    lives: tuple[EngineIncarnation, ...]
+    incarnations: tuple[EngineIncarnation, ...]
 
 
 class EngineTimeoutVote(PeerMessage, frozen=True, tag="DirectorySilent"):
-    """A home's vote: it has heard nothing of these engines for the time limit."""
+    """An owner's vote: these engines sent no heartbeat within the timeout."""
 
-    lives: tuple[EngineIncarnation, ...]
+    incarnations: tuple[EngineIncarnation, ...]
 
 
 class DirectoryDigest(PeerMessage, frozen=True, tag="DirectoryDigest"):
-    """Hash of the sender's whole directory. ``answer_wanted``: say so also if the receiver's is the same."""
+    """Hash of the sender's directory. ``answer_wanted``: reply also if the receiver's is the same."""
 
     root: int
     answer_wanted: bool = False
 
 
 class DirectoryInSync(PeerMessage, frozen=True, tag="DirectoryInStep"):
-    """Answer to a digest: the sender has the same directory, and isn't catching up itself."""
+    """Reply to a digest: the sender has the same directory, and isn't catching up itself."""
 
 
 class DirectoryBuckets(PeerMessage, frozen=True, tag="DirectoryBuckets"):
-    """Answer to a digest that differs: the hash of each bucket, four bytes each."""
+    """Reply to a digest that differs: the hash of each bucket, four bytes each."""
 
     hashes: bytes
 
 
 class DirectoryEntries(PeerMessage, frozen=True, tag="DirectoryEntries"):
-    """The sender's entries of ``buckets``; with ``answer_wanted`` the receiver sends what is newer."""
+    """The sender's entries of ``buckets``; with ``answer_wanted`` the receiver returns its newer ones."""
 
     entries: tuple[DirectoryEntry, ...]
     buckets: tuple[int, ...] = ()
--- a/src/springmux/agent/directory/owner_nodes.py
+++ b/src/springmux/agent/directory/owner_nodes.py
@@ -1,8 +1,7 @@
-"""Home nodes: who watches an engine's heartbeats, and the votes by which they find it lost."""
+"""Owner nodes: which nodes monitor an engine's heartbeats."""
 
 from __future__ import annotations
 
-from springmux.agent.directory.messages import EngineIncarnation
 from springmux.agent.directory.settings import DirectorySettings
 from springmux.coordination.identifiers import NodeId, ZoneName
 from springmux.coordination.membership.view import MembershipView
@@ -11,7 +10,7 @@
 
 
 class OwnerNodes:
-    """Homes of engines by rendezvous hash over the nodes that stay, spread over zones; looked up lazily."""
+    """Owners of engines by rendezvous hash over the nodes that stay, in different zones; computed lazily."""
 
     def __init__(self, own: NodeId, settings: DirectorySettings) -> None:
         self._own = own
@@ -32,7 +31,7 @@
         return self._own_zone
 
     def set_view(self, view: MembershipView) -> None:
-        """Take the present nodes. Only those that stay become homes, unless none does."""
+        """Set the present nodes. Only those that stay become owners, unless none does."""
         zones = {record.node: record.zone for record in view.present()}
         candidates = {record.node: record.zone for record in view.staying()} or zones
         if (zones, candidates) != (self._zones, self._candidates):
@@ -42,66 +41,18 @@
             self._cache.clear()
 
     def of(self, engine: EngineId) -> tuple[NodeId, ...]:
-        """Return the homes of ``engine``."""
-        homes = self._cache.get(engine)
-        if homes is None:
+        """Return the owner nodes of ``engine``."""
+        owners = self._cache.get(engine)
+        if owners is None:
             zones = self._candidates
-            found = spread_holders(engine, zones, self._settings.homes, lambda node: zones[node])
-            homes = self._cache[engine] = tuple(found)
-        return homes
+            found = spread_holders(engine, zones, self._settings.owners_per_engine, lambda node: zones[node])
+            owners = self._cache[engine] = tuple(found)
+        return owners
 
     def forget(self, engine: EngineId) -> None:
-        """Drop what is remembered of an engine that is gone."""
+        """Drop the cached owners of a removed engine."""
         self._cache.pop(engine, None)
 
     def needed_votes(self) -> int:
-        """Return how many homes must find an engine silent."""
+        """Return how many owners must vote an engine unresponsive to mark it lost."""
         return min(2, len(self._candidates))
-
-
-class Watch:
-    """What one home heard of its engines, and who voted that they are silent."""
-
-    def __init__(self, settings: DirectorySettings) -> None:
-        self._settings = settings
-        self._heard_at: dict[EngineId, float] = {}
-        self._votes: dict[EngineIncarnation, dict[NodeId, float]] = {}
-
-    def __contains__(self, engine: EngineId) -> bool:
-        return engine in self._heard_at
-
-    def heard(self, life: EngineIncarnation, now: float) -> None:
-        """Note a heartbeat."""
-        self._heard_at[life.engine] = now
-        self._votes.pop(life, None)
-
-    def heard_within(self, engine: EngineId, within_s: float, now: float) -> bool:
-        """Tell whether ``engine`` was heard in the last ``within_s`` seconds.
-
-        Homes answer a vote only where this is well under the time limit: otherwise two homes could
-        keep a dead engine alive by resetting each other's time in turn.
-        """
-        heard_at = self._heard_at.get(engine)
-        return heard_at is not None and now - heard_at < within_s
-
-    def grant_grace(self, now: float) -> None:
-        """Give every engine its whole time again: this node couldn't have heard it."""
-        self._heard_at = dict.fromkeys(self._heard_at, now)
-        self._votes.clear()
-
-    def forget(self, engine: EngineId) -> None:
-        """Stop to watch ``engine``."""
-        self._heard_at.pop(engine, None)
-        for life in [life for life in self._votes if life.engine == engine]:
-            del self._votes[life]
-
-    def silent(self, now: float) -> list[EngineId]:
-        """Return the engines that were silent for too long."""
-        latest = now - self._settings.silence_s
-        return [engine for engine, heard_at in self._heard_at.items() if heard_at <= latest]
-
-    def vote(self, voter: NodeId, life: EngineIncarnation, now: float) -> int:
-        """Count a vote; return how many homes hold it at ``now``."""
-        votes = self._votes.setdefault(life, {})
-        votes[voter] = now
-        return sum(1 for voted_at in votes.values() if now - voted_at <= self._settings.vote_valid_s)
--- a/src/springmux/agent/directory/settings.py
+++ b/src/springmux/agent/directory/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the directory part, with where each value comes from."""
+"""Settings of the engine directory."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class DirectorySettings(msgspec.Struct, frozen=True):
-    """Timing and bounds; a change is to be at every node within 2 s."""
+    """Timing and bounds; a change reaches every node within 2 s."""
 
-    homes: int = 3
+    owners_per_engine: int = 3
     forward_period_s: float = 1.0
-    """Heartbeats come about once a second; at most one forward a period for each engine."""
-    silence_s: float = 3.0
+    """Heartbeats come about once a second; at most one is forwarded per engine and period."""
+    heartbeat_timeout_s: float = 3.0
     vote_period_s: float = 0.5
     vote_valid_s: float = 1.5
     """Three vote periods, so that one lost vote doesn't keep a lost engine ready."""
@@ -26,17 +26,17 @@
     """A second tree with another salt: at 5% loss one tree misses about an eighth of 360 nodes."""
     scan_period_s: float = 0.5
     scan_engines: int = 4
-    """Engines whose homes are looked up a scan: 2,900 engines are gone through in about 6 minutes."""
+    """Engines whose owners are looked up per scan: 2,900 engines take about 6 minutes."""
     batch_from_engines: int = 256
-    """Up to here every change is spread and published at once."""
+    """Up to this count every change is relayed and published at once."""
     batch_s_per_engine: float = 5e-5
-    """Above, changes that come together wait for each other: a view costs time in proportion to its engines.
+    """Above it, changes are batched: building a view takes time in proportion to its engines.
     At 2,900 engines this is 0.15 s, well within the 2 s."""
     pause_s: float = 1.5
     loads_period_s: float = 1.0
     catch_up_s: float = 1.0
-    """After a cut a node isn't ready until its directory is in step, or this has passed."""
+    """After a partition a node isn't ready until its directory is in sync, or this has passed."""
     catch_up_nodes: int = 3
     forget_left_s: float = 600.0
     forget_lost_s: float = 3600.0
-    """An engine that was away for longer announces itself again; names used once mustn't pile up."""
+    """An engine away for longer announces itself again; names used once mustn't accumulate."""
--- a/src/springmux/agent/directory/table.py
+++ b/src/springmux/agent/directory/table.py
@@ -27,8 +27,8 @@
 class DirectoryTable:
     """All entries that a node knows.
 
-    Those of engines that left or are lost aren't hashed and aren't taken where they are unknown: they
-    lapse at different times, and so die out.
+    Those of engines that left or are lost aren't hashed and aren't merged where they are unknown: they
+    expire at different times, and so die out.
     """
 
     def __init__(self) -> None:
@@ -57,8 +57,8 @@
         """Return all known engines, those that left too."""
         return list(self._entries)
 
-    def take(self, entry: DirectoryEntry, now: float) -> bool:
-        """Merge ``entry`` in and tell whether that brought news."""
+    def merge(self, entry: DirectoryEntry, now: float) -> bool:
+        """Merge ``entry`` in; return whether that changed the table."""
         engine = entry.record.engine
         known = self._entries.get(engine)
         if known is None and entry.status in GONE:
@@ -86,7 +86,7 @@
         self.entries_changed = True
 
     def put_load(self, load: EngineLoad) -> None:
-        """Hold a load hint; it stays at this node."""
+        """Store a load hint; it isn't relayed to other nodes."""
         self._loads[load.engine] = load
         self.loads_changed = True
 
@@ -102,7 +102,7 @@
         return old
 
     def root(self) -> int:
-        """Return the hash of the whole directory."""
+        """Return the hash of the complete directory."""
         self._refresh_hashes()
         return self._root
 
@@ -122,7 +122,7 @@
         """Return the buckets whose hashes differ from ``theirs``."""
         own = self.hashes()
         slices = (slice(i * _HASH_BYTES, (i + 1) * _HASH_BYTES) for i in range(BUCKETS))
-        return [index for index, part in enumerate(slices) if own[part] != theirs[part]]
+        return [index for index, bucket in enumerate(slices) if own[bucket] != theirs[bucket]]
 
     def in_buckets(self, buckets: Iterable[int]) -> list[DirectoryEntry]:
         """Return the entries of ``buckets``."""
--- a/tests/unit/directory/test_directory_network.py
+++ b/tests/unit/directory/test_directory_network.py
@@ -11,7 +11,7 @@
 
 SPREAD_S = 2.0
 LOST_S = 5.5
-"""3 s of silence at two homes, a vote period, a forward's delay, a heartbeat period, spreading."""
+"""The 3 s timeout at two owners, a vote period, the forwarding delay, a heartbeat period, the relay."""
 
 
 def fleet(nodes=12, engines=8, seed=1, loss=0.0):
@@ -78,29 +78,29 @@
     holders = spread_holders(
         engines[0].record.engine, list(network.nodes), 3, lambda n: network.nodes[n].record.zone
     )
-    home = next(i for i, record in enumerate(network.records) if record.node == holders[0])
-    network.freeze(home)
+    owner = next(i for i, record in enumerate(network.records) if record.node == holders[0])
+    network.freeze(owner)
     network.run(8)
-    network.thaw(home)
+    network.thaw(owner)
     network.run(8)
-    network.kill(home)
+    network.kill(owner)
     network.run(15)
     assert lost_notes(network) == []
     assert all_see(network, engines, EngineStatus.READY)
 
 
-def test_lost_engine_is_found_after_one_of_its_homes_was_killed():
+def test_lost_engine_is_found_after_one_of_its_owners_was_killed():
     network, engines = fleet()
     engine = engines[0]
-    homes = spread_holders(
+    owners = spread_holders(
         engine.record.engine, list(network.nodes), 3, lambda n: network.nodes[n].record.zone
     )
-    network.kill(next(i for i, record in enumerate(network.records) if record.node == homes[0]))
+    network.kill(next(i for i, record in enumerate(network.records) if record.node == owners[0]))
     engine.speaks = False
     assert network.run_until(lambda: all_see(network, [engine], EngineStatus.LOST), 12) <= LOST_S
 
 
-def test_home_cut_off_marks_nothing_and_grants_a_grace():
+def test_partitioned_owner_marks_nothing_and_grants_a_grace():
     network, _ = fleet()
     cut = list(range(0, 12, 4))
     network.cut_off(cut)
@@ -120,7 +120,7 @@
     ]
 
 
-def test_restarted_engine_replaces_its_old_life_and_late_words_of_that_are_nothing():
+def test_restarted_engine_replaces_its_old_incarnation_and_late_messages_of_that_are_ignored():
     network, engines = fleet()
     engine = engines[1]
     old = engine.record
--- a/tests/unit/directory/test_homes.py
+++ b/tests/unit/directory/test_engine_monitor.py
@@ -1,4 +1,4 @@
-"""Transcripts of one home node: silence, votes, grace."""
+"""Transcripts of one owner node: timeouts, votes, grace."""
 
 import random
 
@@ -7,7 +7,7 @@
 from springmux.agent.directory import messages as wire
 from springmux.agent.directory.engine_directory import EngineDirectory
 from springmux.agent.directory.entry import DirectoryEntry
-from springmux.agent.directory.owner_nodes import Watch
+from springmux.agent.directory.heartbeat_tracker import HeartbeatTracker
 from springmux.agent.directory.settings import DirectorySettings
 from springmux.coordination.membership.events import ContactChanged, MembershipUpdated
 from springmux.coordination.membership.view import MembershipView
@@ -18,17 +18,17 @@
 RECORDS = [record_of(index, 3) for index in range(3)]
 OWN, SECOND, THIRD = (record.node for record in RECORDS)
 ENGINE = EngineRecord("engine", "text", "v1", "10.0.0.1:1", 8, incarnation=5)
-LIFE = wire.EngineIncarnation(ENGINE.engine, ENGINE.incarnation)
-VOTE = wire.EngineTimeoutVote((LIFE,))
+INCARNATION = wire.EngineIncarnation(ENGINE.engine, ENGINE.incarnation)
+VOTE = wire.EngineTimeoutVote((INCARNATION,))
 
 
-def home(heard_at=1.0):
-    """Return one of three homes, which heard the engine last at ``heard_at``."""
+def owner(heard_at=1.0):
+    """Return one of three owners, whose last heartbeat of the engine came at ``heard_at``."""
     part = EngineDirectory(OWN, random.Random(1))
     view = MembershipView(own=OWN, nodes={record.node: record for record in RECORDS})
     part.handle(MembershipUpdated(view), heard_at)
     part.handle(MessageReceived(SECOND, wire.DirectoryRelay((DirectoryEntry(ENGINE),), 1)), heard_at)
-    part.handle(MessageReceived(SECOND, wire.EngineHeartbeatsRelay((LIFE,))), heard_at)
+    part.handle(MessageReceived(SECOND, wire.EngineHeartbeatsRelay((INCARNATION,))), heard_at)
     return part
 
 
@@ -43,8 +43,8 @@
     return part.view.engines[ENGINE.engine].status
 
 
-def test_one_home_alone_votes_but_marks_nothing_until_another_agrees():
-    part = home()
+def test_one_owner_alone_votes_but_marks_nothing_until_another_agrees():
+    part = owner()
     assert VOTE not in [message for _, message in run(part, 1.1, 3.9)]
     assert {to for to, message in run(part, 4.0, 9.0) if message == VOTE} == {SECOND, THIRD}
     assert status(part) is EngineStatus.READY
@@ -53,26 +53,28 @@
 
 
 def test_vote_about_an_engine_that_was_just_heard_is_answered():
-    part = home()
+    part = owner()
     effects = part.handle(MessageReceived(SECOND, VOTE), 1.5)
-    assert effects == [Send(SECOND, wire.EngineHeartbeatsRelay((LIFE,)))]
-    assert part.handle(MessageReceived(SECOND, VOTE), 2.5) == [], "else two homes could keep it alive in turn"
+    assert effects == [Send(SECOND, wire.EngineHeartbeatsRelay((INCARNATION,)))]
+    assert part.handle(MessageReceived(SECOND, VOTE), 2.5) == [], (
+        "else two owners could keep it alive in turn"
+    )
 
 
 def test_old_votes_lapse():
-    part = home()
+    part = owner()
     run(part, 1.1, 3.9)
-    other_life = wire.EngineIncarnation(ENGINE.engine, incarnation=4)
-    part.handle(MessageReceived(THIRD, wire.EngineTimeoutVote((other_life,))), 5.0)
-    assert status(part) is EngineStatus.READY, "a vote about an older life is none"
-    watch = Watch(DirectorySettings())
-    assert watch.vote(SECOND, LIFE, 1.0) == 1
-    assert watch.vote(THIRD, LIFE, 2.0) == 2
-    assert watch.vote(THIRD, LIFE, 3.0) == 1
+    other_incarnation = wire.EngineIncarnation(ENGINE.engine, incarnation=4)
+    part.handle(MessageReceived(THIRD, wire.EngineTimeoutVote((other_incarnation,))), 5.0)
+    assert status(part) is EngineStatus.READY, "a vote about an older incarnation is none"
+    tracker = HeartbeatTracker(DirectorySettings())
+    assert tracker.add_vote(SECOND, INCARNATION, 1.0) == 1
+    assert tracker.add_vote(THIRD, INCARNATION, 2.0) == 2
+    assert tracker.add_vote(THIRD, INCARNATION, 3.0) == 1
 
 
-def test_paused_home_grants_the_whole_time_again():
-    part = home()
+def test_paused_owner_restarts_the_timeout():
+    part = owner()
     part.handle(Tick(), 1.1)
     part.handle(MessageReceived(THIRD, VOTE), 20.0)
     run(part, 20.0, 20.2)
@@ -83,9 +85,9 @@
     assert status(part) is EngineStatus.LOST
 
 
-def test_home_without_contact_neither_votes_nor_marks():
+def test_owner_without_contact_neither_votes_nor_marks():
     connected_again_at = 8.0
-    part = home()
+    part = owner()
     part.handle(ContactChanged(connected=False), 1.1)
     assert VOTE not in [message for _, message in run(part, 1.2, connected_again_at)]
     part.handle(MessageReceived(THIRD, VOTE), connected_again_at)
@@ -95,19 +97,19 @@
     assert VOTE in [message for _, message in run(part, 11.1, 12.0)]
 
 
-def test_any_word_of_a_lost_engine_makes_it_ready():
-    part = home()
+def test_any_heartbeat_of_a_lost_engine_makes_it_ready():
+    part = owner()
     run(part, 1.1, 5.0)
     part.handle(MessageReceived(THIRD, VOTE), 5.1)
     before = part.view.engines[ENGINE.engine]
-    part.handle(MessageReceived(SECOND, wire.EngineHeartbeatsRelay((LIFE,))), 6.0)
+    part.handle(MessageReceived(SECOND, wire.EngineHeartbeatsRelay((INCARNATION,))), 6.0)
     after = part.view.engines[ENGINE.engine]
     assert (before.status, after.status) == (EngineStatus.LOST, EngineStatus.READY)
     assert after.age_key > before.age_key
 
 
 def test_tombstone_of_an_unknown_engine_is_not_taken_and_so_dies_out():
-    part = home()
+    part = owner()
     gone = DirectoryEntry(msgspec.structs.replace(ENGINE, engine="gone"), intent=1, left=True)
     part.handle(MessageReceived(SECOND, wire.DirectoryEntries((gone,))), 1.1)
     assert "gone" not in part.view.engines
