--- a/src/springmux/agent/agent.py
+++ b/src/springmux/agent/agent.py
@@ -1,7 +1,7 @@
 """One node's pure components, composed. The daemon (``node/``) and the simulation drive this same class.
 
-It does no I/O and reads no clock. What one part asks of another goes through
-:mod:`springmux.agent.effect_routing`.
+It does no I/O and reads no clock. What one component requests of another goes through
+:mod:`springmux.agent.effect_dispatcher`.
 """
 
 from __future__ import annotations
@@ -12,9 +12,9 @@
 
 import msgspec
 
-from springmux.agent.applying import StateApplier
 from springmux.agent.components import build_components, own_record
-from springmux.agent.effect_routing import EffectRouting
+from springmux.agent.control_handlers import ControlHandlers
+from springmux.agent.effect_dispatcher import EffectDispatcher
 from springmux.agent.effects import ReadinessChanged
 from springmux.agent.events import (
     AgentSettings,
@@ -35,9 +35,13 @@
     StopBegun,
     StopFinished,
 )
+from springmux.agent.fleet_handlers import FleetHandlers
 from springmux.agent.gateway_readiness import GatewayReadiness
+from springmux.agent.leadership_handlers import LeadershipHandlers
+from springmux.agent.log_position import LogPosition
 from springmux.agent.readiness import Readiness
 from springmux.agent.reporting import build_status
+from springmux.agent.state_applier import StateApplier
 from springmux.agent.status import NodeStatusReport
 from springmux.control.delivery.arrival import Arrival
 from springmux.control.delivery.events import PeerLost, PeerRevisionObserved, ReplicaRestored
@@ -55,7 +59,7 @@
 from springmux.coordination.consensus.effects import SnapshotInstalled, TransferLeadership
 from springmux.coordination.consensus.events import StopAnnounced
 from springmux.coordination.consensus.types import RecoveredState
-from springmux.coordination.identifiers import NodeId, Revision, Term
+from springmux.coordination.identifiers import NodeId, Revision
 from springmux.coordination.membership.effects import MembershipChanged
 from springmux.coordination.membership.events import ContactChanged, LeaveBegun, OwnRecordChanged
 from springmux.coordination.membership.remembered import RememberedPeer
@@ -67,15 +71,16 @@
 from springmux.vocabulary.engines import EnginesView
 from springmux.vocabulary.names import ServiceName
 
-Handler = Callable[[Any, float], list[Effect]]
+EventHandler = Callable[[Any, float], list[Effect]]
+"""Handles one event at a time; each handler takes its own event type."""
 
 
 class NodeAgent:
     """All coordination of one node.
 
-    :param recovered: what storage found, or ``None`` on a node without a data folder.
-    :param claims: what the claim journal held, or ``None`` where there is none.
-    :param remembered: the peers that the disk kept from before the restart.
+    :param recovered: what storage recovered, or ``None`` on a node without a data folder.
+    :param claims: the claim journal's content, or ``None`` where there is none.
+    :param remembered: the peers stored on disk before the restart.
     """
 
     def __init__(
@@ -92,14 +97,19 @@
         self._components = build_components(
             settings, recovered, self._applier.state, random, claims, remembered
         )
-        self._routing = EffectRouting(NodeId(settings.node), self._components, self._applier)
+        self._dispatcher = EffectDispatcher(NodeId(settings.node), self._components)
+        self._leadership = LeadershipHandlers(NodeId(settings.node), self._dispatcher)
+        self._control = ControlHandlers(self._dispatcher, self._applier)
+        fleet = FleetHandlers(self._dispatcher, self._leadership)
+        for owner in (self._leadership, self._control, fleet):
+            self._dispatcher.register(owner.handlers())
         self._readiness = Readiness(self._components, self._applier)
         self._gateway_readiness = GatewayReadiness(self._components, self._applier)
         self._revisions: dict[NodeId, Revision] = {}
         self._now = 0.0
         self._handlers = self._make_handlers()
 
-    # What the daemon reads
+    # State that the daemon reads
 
     @property
     def router(self) -> Router:
@@ -113,7 +123,7 @@
 
     @property
     def control(self) -> ControlState:
-        """The control state machine: documents, history, decided orders. Never applied to from outside."""
+        """The control state machine: documents, history, decided orders. Read-only for callers."""
         return self._applier.state
 
     @property
@@ -128,46 +138,46 @@
 
     @property
     def engines(self) -> EnginesView:
-        """The directory of back ends."""
+        """The directory of engines."""
         return self._components.directory.view
 
     @property
     def ready(self) -> bool:
-        """Whether the node takes requests."""
+        """Whether the node accepts requests."""
         return self._readiness.ready
 
     @property
     def not_ready_reason(self) -> str:
-        """Why the node takes no requests; empty while it does."""
+        """Why the node accepts no requests; empty while it does."""
         return self._readiness.reason
 
     @property
     def gateway_ready(self) -> bool:
-        """Whether the node takes requests to the gateway, in contact with a majority or not."""
+        """Whether the node accepts gateway requests, in contact with a majority or not."""
         return self._gateway_readiness.ready
 
     @property
     def gateway_reason(self) -> str:
-        """Why the node takes no requests to the gateway; empty while it does."""
+        """Why the node accepts no gateway requests; empty while it does."""
         return self._gateway_readiness.reason
 
     @property
     def newest_arrival(self) -> Arrival | None:
-        """How the newest control state came here; ``None`` before the first."""
+        """How the newest control state arrived; ``None`` before the first."""
         return self._components.delivery.newest_arrival
 
     def state_proof_age_s(self, now: float) -> float:
-        """Return how long ago nothing newer than the state in force here had been acknowledged.
+        """Return how long ago the state in force here was last proven the newest acknowledged one.
 
-        Give :class:`springmux.control.freshness.events.ProofWanted` to have a new proof sought.
+        Give :class:`springmux.control.freshness.events.ProofWanted` to request a new proof.
         """
         return self._components.freshness.proof_age_s(now)
 
     @property
-    def place(self) -> tuple[Term, NodeId | None, Revision]:
-        """Newest term, its leader and the state revision, for the envelope of every message."""
-        known = self._routing.leadership.known
-        return known.term, known.leader, self._components.delivery.revision
+    def log_position(self) -> LogPosition:
+        """How far this node has followed the control log, for the envelope of every message."""
+        known = self._leadership.known
+        return LogPosition(known.term, known.leader, self._components.delivery.revision)
 
     def rollout_status(self, service: ServiceName) -> RolloutStatus | None:
         """Return what this node knows of a service's newest rollout."""
@@ -175,46 +185,44 @@
 
     def status(self) -> NodeStatusReport:
         """Return the status page's figures."""
-        return build_status(
-            self, self._components, self._routing.leadership.known, self._revisions, self._now
-        )
+        return build_status(self, self._components, self._leadership.known, self._revisions, self._now)
 
     # Events
 
     def start(self, now: float) -> list[Effect]:
         """Return the first effects."""
         self._now = now
-        effects = self._routing.absorb([MembershipChanged(self.membership)], now)
+        effects = self._dispatcher.execute([MembershipChanged(self.membership)], now)
         # Until it is in contact, a node that nobody's heartbeats reach mustn't find engines lost.
-        effects += self._routing.give(self._components.directory, ContactChanged(False), now)
+        effects += self._dispatcher.deliver(self._components.directory, ContactChanged(False), now)
         recovered, self._recovered = self._recovered, None
         if recovered is not None and recovered.snapshot is not None:
             restored = ReplicaRestored(recovered.snapshot.index, recovered.snapshot_data)
-            effects += self._routing.give(self._components.delivery, restored, now)
+            effects += self._dispatcher.deliver(self._components.delivery, restored, now)
         effects += self._tick(Tick(), now)
-        return effects + self._review(now)
+        return effects + self._update_readiness(now)
 
     def handle(self, event: Event, now: float) -> list[Effect]:
-        """Take one event and return what the driver is to do."""
+        """Handle one event; return the effects for the driver to execute."""
         self._now = now
-        handler = self._handlers.get(type(event), self._routing.give_replica)
+        handler = self._handlers.get(type(event), self._dispatcher.deliver_to_replica)
         effects = handler(event, now)
-        return effects + self._review(now)
+        return effects + self._update_readiness(now)
 
     def next_deadline(self) -> float:
-        """Return when a :class:`Tick` is wanted."""
-        own = min(self._routing.leader_tasks.next_deadline(), self._gateway_readiness.next_deadline())
-        return min(own, self._routing.deadlines.earliest())
-
-    def _make_handlers(self) -> dict[type[Event], Handler]:
-        to_membership = self._to(self._components.membership)
-        to_directory = self._to(self._components.directory)
-        to_claims = self._to(self._components.claims)
+        """Return when the next :class:`Tick` is due."""
+        own = min(self._leadership.tasks.next_deadline(), self._gateway_readiness.next_deadline())
+        return min(own, self._dispatcher.deadlines.earliest())
+
+    def _make_handlers(self) -> dict[type[Event], EventHandler]:
+        to_membership = self._deliver_to(self._components.membership)
+        to_directory = self._deliver_to(self._components.directory)
+        to_claims = self._deliver_to(self._components.claims)
         return {
             Tick: self._tick,
-            MessageReceived: self._routing.give_message,
+            MessageReceived: self._dispatcher.deliver_message,
             PeerRevisionObserved: self._on_peer_revision,
-            LeaderObserved: self._on_leadership_heard,
+            LeaderObserved: self._on_leader_observed,
             OrderSubmitted: self._on_order,
             ClaimRequested: self._on_claim_requested,
             ClaimSettled: self._on_claim_settled,
@@ -227,121 +235,109 @@
             PeerReachable: to_membership,
             PeerUnreachable: self._on_peer_unreachable,
             SeedsChanged: to_membership,
-            ProofWanted: self._to(self._components.freshness),
+            ProofWanted: self._deliver_to(self._components.freshness),
             CommandsPrepared: self._on_prepared,
             StopBegun: self._on_stop,
             StopFinished: self._on_stop_finished,
             LeadershipTransferRequested: self._on_transfer,
             ControllerRemovalRequested: self._on_removal,
-            SnapshotInstalled: self._on_snapshot_installed,
+            SnapshotInstalled: self._control.snapshot_installed,
         }
 
-    def _to(self, part: StateMachine) -> Handler:
-        return lambda event, now: self._routing.give(part, event, now)
+    def _deliver_to(self, component: StateMachine) -> EventHandler:
+        return lambda event, now: self._dispatcher.deliver(component, event, now)
 
     def _tick(self, event: Tick, now: float) -> list[Effect]:
-        routing = self._routing
+        dispatcher, tasks = self._dispatcher, self._leadership.tasks
         effects: list[Effect] = []
-        for part in routing.deadlines.due(now):
-            effects += routing.give(part, event, now)
-        if routing.leader_tasks.next_deadline() > now:
+        for component in dispatcher.deadlines.due(now):
+            effects += dispatcher.deliver(component, event, now)
+        if tasks.next_deadline() > now:
             return effects
-        ring_change = routing.leader_tasks.ring_change(self.view, self.membership, now)
+        ring_change = tasks.ring_change(self.view, self.membership, now)
         if ring_change is not None:
-            effects += routing.order(ring_change, now)
-        question = routing.leader_tasks.beacon_question(now)
-        return effects if question is None else effects + routing.give_replica(question, now)
+            effects += dispatcher.submit_order(ring_change, now)
+        beacon_read = tasks.beacon_read(now)
+        return effects if beacon_read is None else effects + dispatcher.deliver_to_replica(beacon_read, now)
 
     def _on_peer_revision(self, event: PeerRevisionObserved, now: float) -> list[Effect]:
         if event.revision > self._revisions.get(event.node, Revision(0)):
             self._revisions[event.node] = event.revision
         effects: list[Effect] = []
         if event.revision > self._components.delivery.revision:
-            effects = self._routing.give(self._components.delivery, event, now)
-        if event.revision > 0 and not self._routing.established:
-            self._routing.established = True
-            effects += self._routing.tell_candidates(now)
+            effects = self._dispatcher.deliver(self._components.delivery, event, now)
+        if event.revision > 0:
+            effects += self._leadership.observe_control_state(now)
         return effects
 
     def _on_peer_unreachable(self, event: PeerUnreachable, now: float) -> list[Effect]:
-        effects = self._routing.give(self._components.membership, event, now)
-        return effects + self._routing.give(self._components.delivery, PeerLost(event.node), now)
+        effects = self._dispatcher.deliver(self._components.membership, event, now)
+        return effects + self._dispatcher.deliver(self._components.delivery, PeerLost(event.node), now)
 
-    def _on_leadership_heard(self, event: LeaderObserved, now: float) -> list[Effect]:
-        if not self._routing.leadership.hear(event.term, event.leader):
-            return []
-        return self._routing.leadership_changed(now)
+    def _on_leader_observed(self, event: LeaderObserved, now: float) -> list[Effect]:
+        return self._leadership.observe_leader(event.term, event.leader, now)
 
     def _on_order(self, event: OrderSubmitted, now: float) -> list[Effect]:
-        return self._routing.give(
+        return self._dispatcher.deliver(
             self._components.orders, SubmitOrder(event.correlation_id, event.command), now
         )
 
     def _on_claim_requested(self, event: ClaimRequested, now: float) -> list[Effect]:
-        return self._routing.give(
+        return self._dispatcher.deliver(
             self._components.claims, ClaimWanted(event.correlation_id, event.claim_key), now
         )
 
     def _on_claim_settled(self, event: ClaimSettled, now: float) -> list[Effect]:
         ended = ClaimEnded(event.correlation_id, event.claim_key, event.ran, event.answer)
-        return self._routing.give(self._components.claims, ended, now)
+        return self._dispatcher.deliver(self._components.claims, ended, now)
 
-    def _on_prepared(self, event: CommandsPrepared, now: float) -> list[Effect]:
-        return self._routing.state_worked(*self._applier.prepared(), now)
+    def _on_prepared(self, _event: CommandsPrepared, now: float) -> list[Effect]:
+        return self._control.commands_prepared(now)
 
-    def _on_stop(self, event: StopBegun, now: float) -> list[Effect]:
+    def _on_stop(self, _event: StopBegun, now: float) -> list[Effect]:
         self._readiness.stopping = True
         self._record = msgspec.structs.replace(self._record, leaving=True)
-        effects = self._routing.give(self._components.membership, OwnRecordChanged(self._record), now)
-        effects += self._routing.give_replica(StopAnnounced(), now)
-        if self._routing.leadership.leading:
-            effects += self._routing.give_replica(TransferLeadership(), now)
+        effects = self._dispatcher.deliver(self._components.membership, OwnRecordChanged(self._record), now)
+        effects += self._dispatcher.deliver_to_replica(StopAnnounced(), now)
+        if self._leadership.known.leading:
+            effects += self._dispatcher.deliver_to_replica(TransferLeadership(), now)
         return effects
 
-    def _on_stop_finished(self, event: StopFinished, now: float) -> list[Effect]:
-        return self._routing.give(self._components.membership, LeaveBegun(), now)
+    def _on_stop_finished(self, _event: StopFinished, now: float) -> list[Effect]:
+        return self._dispatcher.deliver(self._components.membership, LeaveBegun(), now)
 
     def _on_transfer(self, event: LeadershipTransferRequested, now: float) -> list[Effect]:
-        leader = self._routing.leadership.known.leader
-        return self._routing.absorb(self._routing.group.transfer(event, leader, now), now)
+        leader = self._leadership.known.leader
+        return self._dispatcher.execute(self._dispatcher.group.transfer(event, leader, now), now)
 
     def _on_removal(self, event: ControllerRemovalRequested, now: float) -> list[Effect]:
-        leader = self._routing.leadership.known.leader
-        return self._routing.absorb(self._routing.group.remove(event, leader, now), now)
-
-    def _on_snapshot_installed(self, event: SnapshotInstalled, now: float) -> list[Effect]:
-        # The state must hold the snapshot before the replica applies the entries that follow it.
-        effects: list[Effect] = []
-        installing, self._routing.installing = self._routing.installing, None
-        if installing is not None and installing.meta == event.meta:
-            restored = ReplicaRestored(event.meta.index, installing.data)
-            effects += self._routing.give(self._components.delivery, restored, now)
-        return effects + self._routing.give_replica(event, now)
+        leader = self._leadership.known.leader
+        return self._dispatcher.execute(self._dispatcher.group.remove(event, leader, now), now)
 
     # Readiness, which any event may change
 
-    def _review(self, now: float) -> list[Effect]:
+    def _update_readiness(self, now: float) -> list[Effect]:
         effects: list[Effect] = []
-        if self._readiness.look_at_contact(now):
+        if self._readiness.check_contact(now):
             peers = self._components.contact.known_peers()
             contact = ContactChanged(self._readiness.connected, peers)
-            effects += self._routing.give(self._components.delivery, contact, now)
-            effects += self._routing.give(self._components.directory, contact, now)
-            effects += self._routing.give(self._components.quota, contact, now)
-            effects += self._routing.tell_candidates(now)
+            effects += self._dispatcher.deliver(self._components.delivery, contact, now)
+            effects += self._dispatcher.deliver(self._components.directory, contact, now)
+            effects += self._dispatcher.deliver(self._components.quota, contact, now)
+            effects += self._leadership.announce_candidates(now)
         was_ready = self._readiness.ready
-        if self._readiness.look(now):
-            effects += self._change_readiness(was_ready, now)
+        if self._readiness.check(now):
+            effects += self._publish_readiness(was_ready, now)
         caught_up = self._readiness.connected and not self._components.directory.catching_up(now)
-        self._gateway_readiness.look(self._readiness.stopping, caught_up, now)
+        self._gateway_readiness.check(self._readiness.stopping, caught_up, now)
         return effects
 
-    def _change_readiness(self, was_ready: bool, now: float) -> list[Effect]:
+    def _publish_readiness(self, was_ready: bool, now: float) -> list[Effect]:
         ready, reason = self._readiness.ready, self._readiness.reason
         self._components.router.update_readiness(ready, reason)
         effects: list[Effect] = [ReadinessChanged(ready, reason)]
         if ready != was_ready and not self._readiness.stopping:
             self._record = msgspec.structs.replace(self._record, ready=ready)
             changed = OwnRecordChanged(self._record)
-            effects += self._routing.give(self._components.membership, changed, now)
+            effects += self._dispatcher.deliver(self._components.membership, changed, now)
         return effects
--- a/src/springmux/agent/claim_ring_manager.py
+++ b/src/springmux/agent/claim_ring_manager.py
@@ -1,4 +1,4 @@
-"""The control leader's care for the committed claim ring: who may hold at-most-once claims."""
+"""Maintains the committed claim ring as the control leader: which nodes may hold at-most-once claims."""
 
 from __future__ import annotations
 
@@ -10,27 +10,27 @@
 from springmux.vocabulary.names import OrderId
 
 FIRST_RING_WAIT_S = 1.0
-"""Time for the nodes of a starting fleet to meet, so that the first ring holds most of them."""
+"""Time for the nodes of a starting fleet to meet, so that the first ring contains most of them."""
 
 FEW_DISKS_WAIT_S = 3.0
 """Where fewer than three nodes with disks are seen, the first ring waits so long for more of them."""
 
-LOOK_PERIOD_S = 0.5
-"""Pace of looking at the membership."""
+CHECK_PERIOD_S = 0.5
+"""Period of membership checks."""
 
 CHANGE_PERIOD_S = 10.0
 """Least time between two rings. Nodes learn a ring within 2 s and pull under it, so that a claim is known
-to the members that stay before another of its holders goes."""
+to the remaining members before another of its holders is removed."""
 
 UNCONFIGURED_CHANGE_PERIOD_S = 0.5
 """Without a configuration there are no routes and so no claims that a change could lose. Only one change
 can follow a first claim so soon: the one already on its way when the configuration is committed."""
 
 GONE_AFTER_S = 600.0
-"""A node absent for so long leaves the ring; a restart or a cut never moves a holder set."""
+"""A node absent for so long leaves the ring; a restart or a partition never moves a holder set."""
 
 LEFT_AFTER_S = 60.0
-"""A node that left in order and isn't back by then was not just restarted."""
+"""A node that left gracefully and isn't back by then was not just restarted."""
 
 
 class ClaimRingManager:
@@ -43,11 +43,14 @@
         self._absent_since: dict[NodeId, float] = {}
 
     def next_deadline(self) -> float:
-        """Return when to look again."""
+        """Return when the next check is due."""
         return self._due_at
 
     def lead(self, leading: bool, now: float) -> None:
-        """This node became the leader, or no longer is. The leader before may have just changed the ring."""
+        """Start or stop as this node becomes the leader or no longer is.
+
+        The previous leader may have just changed the ring, so the least time between rings starts anew.
+        """
         self._due_at = now + FIRST_RING_WAIT_S if leading else NEVER
         self._leading_since = now
         self._changed_at = now
@@ -62,7 +65,7 @@
         """
         if now < self._due_at:
             return None
-        self._due_at = now + LOOK_PERIOD_S
+        self._due_at = now + CHECK_PERIOD_S
         if ring is None:
             return self._begin(view, now)
         absent_s = self._absent_s(ring, view, now)
@@ -90,7 +93,7 @@
 
 
 def _left(absent_s: dict[NodeId, float], view: MembershipView) -> frozenset[NodeId]:
-    """Return the nodes that left in order and stayed away."""
+    """Return the nodes that left gracefully and stayed away."""
     records = [record for node in absent_s if (record := view.nodes.get(node)) is not None]
     return frozenset(
         record.node
--- a/src/springmux/agent/components.py
+++ b/src/springmux/agent/components.py
@@ -35,9 +35,9 @@
 ELECTION_TIMEOUT_MIN_S = 0.5
 ELECTION_TIMEOUT_MAX_S = 0.9
 """A lost leader is to be replaced within about a second (docs/notes/agreement.md, "Measured")."""
-TOLD_FOUNDING_RETRY_S = 0.25
-TOLD_FOUNDING_PROMISE_S = 1.5
-"""Where the settings tell whether this is the first start, nobody needs time to speak up against it."""
+KNOWN_START_FOUNDING_RETRY_S = 0.25
+KNOWN_START_FOUNDING_PROMISE_S = 1.5
+"""Where the settings say whether this is the first start, nobody needs time to object."""
 VOTER_LOST_AFTER_S = 2.0
 """A machine that is lost counts as replaced 4 s after its successor's start, which is 1 s after the loss."""
 
@@ -61,7 +61,7 @@
     replica: Replica | None
 
     def timed(self) -> tuple[StateMachine, ...]:
-        """Return the components that want ticks."""
+        """Return the components with deadlines, in the order of their ticks."""
         always: tuple[StateMachine, ...] = (
             self.membership,
             self.contact,
@@ -78,7 +78,7 @@
 
 
 def own_record(settings: AgentSettings, recovered: RecoveredState | None) -> NodeRecord:
-    """Return the record that the node announces of itself."""
+    """Return the membership record that the node announces."""
     roles: tuple[NodeRole, ...] = (NodeRole.ROUTER,) if settings.routes else ()
     if recovered is not None:
         roles = (*roles, NodeRole.CONTROLLER)
@@ -95,19 +95,21 @@
 
 
 def consensus_settings(settings: AgentSettings, recovered: RecoveredState | None) -> ConsensusSettings:
-    """Return the control group's bounds under a node's settings.
+    """Return the control group's settings under a node's settings.
 
-    A replica made at the first start may help to found the group after a restart too: it has its identity,
-    and so whatever it promised, still on its disk.
+    A replica made at the first start may help to found the group after a restart too: its identity and its
+    promises are still on its disk.
     """
-    told = settings.losses_tolerated is not None
+    first_start_known = settings.losses_tolerated is not None
     defaults = ConsensusSettings()
     return ConsensusSettings(
         controllers_expected=settings.voters,
-        voters_wished=settings.voters if told else defaults.voters_wished,
+        voters_wished=settings.voters if first_start_known else defaults.voters_wished,
         may_found=settings.first_start or (recovered is not None and recovered.first_start),
-        founding_retry_s=TOLD_FOUNDING_RETRY_S if told else defaults.founding_retry_s,
-        founding_promise_s=TOLD_FOUNDING_PROMISE_S if told else defaults.founding_promise_s,
+        founding_retry_s=KNOWN_START_FOUNDING_RETRY_S if first_start_known else defaults.founding_retry_s,
+        founding_promise_s=KNOWN_START_FOUNDING_PROMISE_S
+        if first_start_known
+        else defaults.founding_promise_s,
         heartbeat_s=RAFT_HEARTBEAT_S,
         election_timeout_min_s=ELECTION_TIMEOUT_MIN_S,
         election_timeout_max_s=ELECTION_TIMEOUT_MAX_S,
@@ -115,8 +117,8 @@
     )
 
 
-def _is_part_of_a_fleet(settings: AgentSettings) -> bool:
-    """Whether a node that met nobody must take itself for cut off rather than for the whole fleet."""
+def _expects_peers(settings: AgentSettings) -> bool:
+    """Return whether a node without peers is partitioned rather than the complete fleet."""
     if settings.losses_tolerated:
         return True
     return any(seed != settings.peer_address for seed in settings.seeds)
@@ -130,17 +132,19 @@
     claims: RecoveredClaims | None = None,
     remembered: tuple[RememberedPeer, ...] = (),
 ) -> NodeComponents:
-    """Make the components, each with a seeded generator of its own.
+    """Build the components, each with a seeded generator of its own.
 
-    :param claims: the holder's journal, or ``None`` on a node that keeps claims in memory only.
-    :param remembered: the peers that the disk kept; of use only with ``recovered``.
+    The generators are seeded in the order of the calls below: a different order is a different simulation.
+
+    :param claims: the recovered claim journal, or ``None`` on a node that keeps claims in memory only.
+    :param remembered: the peers stored on disk; used only with ``recovered``.
     """
 
     def generator() -> random.Random:
         return random.Random(source.getrandbits(64))
 
     own = NodeId(settings.node)
-    contact = ContactMonitor(own, _is_part_of_a_fleet(settings), generator())
+    contact = ContactMonitor(own, _expects_peers(settings), generator())
     quota = QuotaAllocator(own, generator())
     rollout = RolloutCoordinator(own, ZoneName(settings.zone), generator(), RolloutSettings())
     router = Router(own, settings.zone, generator(), rollout.filter, quota, contact.connected)
@@ -149,24 +153,10 @@
         replica = Replica(recovered, own, generator(), consensus_settings(settings, recovered))
     usage = UsageExchange(own, generator())
     delivery = StateDelivery(own, generator())
-    revocation_s = settings.revocation_s
-    freshness = FreshnessMonitor(
-        own,
-        generator(),
-        lease_for(revocation_s) if revocation_s is not None else FreshnessSettings(),
-        lambda: state.view().revision,
-        lambda: (delivery.replica_index, delivery.revision),
-    )
+    freshness = _freshness_monitor(settings, state, delivery, generator())
     gateway = GatewayCore(settings.zone, generator(), rollout.filter, usage, freshness.current)
-    membership = Membership(
-        own_record(settings, recovered),
-        settings.seeds,
-        generator(),
-        MembershipSettings(remembered_wait_s=settings.contact_s),
-        remembered if recovered is not None else None,
-    )
     return NodeComponents(
-        membership=membership,
+        membership=_membership(settings, recovered, remembered, generator()),
         contact=contact,
         directory=EngineDirectory(own, generator()),
         delivery=delivery,
@@ -180,3 +170,31 @@
         gateway=gateway,
         replica=replica,
     )
+
+
+def _freshness_monitor(
+    settings: AgentSettings, state: ControlState, delivery: StateDelivery, generator: random.Random
+) -> FreshnessMonitor:
+    revocation_s = settings.revocation_s
+    return FreshnessMonitor(
+        NodeId(settings.node),
+        generator,
+        lease_for(revocation_s) if revocation_s is not None else FreshnessSettings(),
+        lambda: state.view().revision,
+        lambda: (delivery.replica_index, delivery.revision),
+    )
+
+
+def _membership(
+    settings: AgentSettings,
+    recovered: RecoveredState | None,
+    remembered: tuple[RememberedPeer, ...],
+    generator: random.Random,
+) -> Membership:
+    return Membership(
+        own_record(settings, recovered),
+        settings.seeds,
+        generator,
+        MembershipSettings(remembered_wait_s=settings.contact_s),
+        remembered if recovered is not None else None,
+    )
--- a/src/springmux/agent/in_force.py
+++ b/src/springmux/agent/control_view_publisher.py
@@ -1,7 +1,9 @@
-"""Puts a newer control state in force at the components of one node."""
+"""Publishes a newer control state to the components of one node."""
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 from springmux.agent.components import NodeComponents
 from springmux.agent.effects import ControlChanged
 from springmux.control.view import EMPTY_VIEW, ControlView
@@ -13,18 +15,25 @@
 from springmux.router.flow import RequestFlow
 
 
-class ControlInForce:
-    """Remembers the view in force, so that each part hears only what changed."""
+class PublishedView(NamedTuple):
+    """Effects of the components, and the running requests whose key was revoked."""
+
+    effects: list[Effect]
+    revoked_flows: list[RequestFlow]
+
+
+class ControlViewPublisher:
+    """Keeps the published view, so that each component is updated only with what changed."""
 
     def __init__(self, components: NodeComponents) -> None:
         self._components = components
         self._view = EMPTY_VIEW
 
-    def update(self, view: ControlView, now: float) -> tuple[list[Effect], list[RequestFlow]]:
-        """Put ``view`` in force; return the parts' effects and the running requests that lost their key."""
+    def publish(self, view: ControlView, now: float) -> PublishedView:
+        """Publish ``view`` unless it is older than the published one."""
         before, self._view = self._view, view
         if view.revision <= before.revision:
-            return [], []
+            return PublishedView([], [])
         components = self._components
         effects: list[Effect] = []
         if view.tenants is not before.tenants:
@@ -38,7 +47,7 @@
         components.gateway.update_control(view, now)
         flows = components.router.update_control(view, now)
         changed = ControlChanged(view.revision, view.gateway.version, components.delivery.newest_arrival)
-        return [*effects, changed], flows
+        return PublishedView([*effects, changed], flows)
 
 
 def _account_changes(before: ControlView, view: ControlView) -> AccountsChanged:
@@ -60,7 +69,7 @@
 
 
 def rollout_view(view: ControlView) -> ControlViewChanged:
-    """Return what the rollout part hears of a control state."""
+    """Return the rollout coordinator's event for a control state."""
     exceptions = view.configuration.exceptions
     settings = RolloutSettings(exceptions.token_period_s, exceptions.minimum_ready_engines)
     stable = {name: service.stable for name, service in view.configuration.services.items()}
--- a/src/springmux/agent/events.py
+++ b/src/springmux/agent/events.py
@@ -53,7 +53,7 @@
 
 
 class EngineDraining(Event, frozen=True):
-    """A back end takes no new requests; running ones finish. ``incarnation`` 0: it didn't say which life."""
+    """A back end takes no new requests; running ones finish. ``incarnation`` 0: not named."""
 
     engine: EngineId
     incarnation: int = 0
@@ -96,7 +96,7 @@
 class StopBegun(Event, frozen=True):
     """The node is stopping: hand over leadership and duties.
 
-    It finishes requests until :class:`StopFinished`, so it still gets all news.
+    It finishes requests until :class:`StopFinished`, so it still receives all updates.
     """
 
 
@@ -140,7 +140,7 @@
     of contact too; ``None``: no such promise."""
     contact_s: float = 3.0
     """After this time without a disturbance a node counts as in contact with the fleet. So long a restarted
-    node that remembers peers waits for word of them before it has orders decided."""
+    node that remembers peers waits to hear from them before it proposes orders."""
 
     @property
     def voters(self) -> int:
--- a/src/springmux/agent/gateway_readiness.py
+++ b/src/springmux/agent/gateway_readiness.py
@@ -1,14 +1,14 @@
 """Whether a node serves the gateway, and if not, why.
 
-Unlike :mod:`springmux.agent.readiness`, contact with a majority isn't asked for: the gateway goes on with
-the last configuration. So a node is ready as soon as it has one that isn't known to be older than what
+Unlike :mod:`springmux.agent.readiness`, contact with a majority isn't required: the gateway continues
+with the last configuration. So a node is ready as soon as it has one that isn't known to be older than what
 peers announced, and once ready it stays so until it stops.
 """
 
 from __future__ import annotations
 
-from springmux.agent.applying import StateApplier
 from springmux.agent.components import NodeComponents
+from springmux.agent.state_applier import StateApplier
 from springmux.coordination.state_machine import NEVER
 
 STARTING = "starting"
@@ -18,14 +18,14 @@
 OLDER_STATE = "fetching a newer control state that a peer announced"
 FETCHING_ENGINES = "fetching the directory of engines"
 DIRECTORY_LIMIT_S = 1.5
-"""How long after the state a node waits for the directory: whoever had it may be gone, and engines that
-send heartbeats are known within a second."""
+"""How long after the state a node waits for the directory: the peers that had it may be gone, and engines
+that send heartbeats are known within a second."""
 NEWER_STATE_LIMIT_S = 3.0
 """How long after it has any state a node waits for a newer one that a peer announced, who may be gone."""
 
 
 class GatewayReadiness:
-    """The answer as of the last look."""
+    """Readiness as of the last check."""
 
     def __init__(self, components: NodeComponents, applier: StateApplier) -> None:
         self.reason = STARTING
@@ -33,30 +33,30 @@
         self._applier = applier
         self._state_since: float | None = None
         self._served = False
-        self._look_again_at = NEVER
+        self._check_again_at = NEVER
 
     @property
     def ready(self) -> bool:
-        """Whether requests to the gateway are taken."""
+        """Whether requests to the gateway are accepted."""
         return not self.reason
 
-    def look(self, stopping: bool, caught_up: bool, now: float) -> bool:
-        """Find the present answer; ``True`` if it changed.
+    def check(self, stopping: bool, caught_up: bool, now: float) -> bool:
+        """Check all conditions; return whether the reason changed.
 
-        :param caught_up: whether the directory is complete: this node has been in contact, and a peer said
-            that it misses nothing.
+        :param caught_up: whether the directory is complete: this node has been in contact, and a peer
+            confirmed it.
         """
         reason = self._find_reason(stopping, caught_up, now)
         changed = reason != self.reason
         self.reason = reason
         limit_s = {OLDER_STATE: NEWER_STATE_LIMIT_S, FETCHING_ENGINES: DIRECTORY_LIMIT_S}.get(reason)
         since = self._state_since
-        self._look_again_at = NEVER if limit_s is None or since is None else since + limit_s
+        self._check_again_at = NEVER if limit_s is None or since is None else since + limit_s
         return changed
 
     def next_deadline(self) -> float:
-        """Return when the answer may change by time alone."""
-        return self._look_again_at
+        """Return when readiness may change by time alone."""
+        return self._check_again_at
 
     def _find_reason(self, stopping: bool, caught_up: bool, now: float) -> str:
         if stopping:
--- a/src/springmux/agent/group_orders.py
+++ b/src/springmux/agent/group_orders.py
@@ -1,4 +1,4 @@
-"""Operators' wishes for the control group: move leadership, remove a replica. Any node passes them on."""
+"""Operators' requests to the control group: transfer leadership, remove a replica. Any node forwards them."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
 
 
 class GroupOrders:
-    """Hands wishes to the leader's replica. Taken means handed over: the status page shows the outcome."""
+    """Forwards requests to the leader's replica. The status page shows the outcome."""
 
     def __init__(self, own: NodeId, replica: Replica | None) -> None:
         self._own = own
         self._replica = replica
 
     def transfer(self, event: LeadershipTransferRequested, leader: NodeId | None, now: float) -> list[Effect]:
-        """Pass on the wish to move leadership."""
-        return self._pass_on(event.correlation_id, TransferLeadershipRequest(event.target), leader, now)
+        """Forward the request to transfer leadership."""
+        return self._forward(event.correlation_id, TransferLeadershipRequest(event.target), leader, now)
 
     def remove(self, event: ControllerRemovalRequested, leader: NodeId | None, now: float) -> list[Effect]:
-        """Pass on the wish to remove a replica."""
-        return self._pass_on(event.correlation_id, RemoveReplicaRequest(event.replica), leader, now)
+        """Forward the request to remove a replica."""
+        return self._forward(event.correlation_id, RemoveReplicaRequest(event.replica), leader, now)
 
     def receive(self, message: PeerMessage, now: float) -> list[Effect]:
-        """Carry out a wish at the leader; elsewhere it is dropped, and the operator sees no change."""
+        """Execute a request at the leader; elsewhere it is dropped, and the operator sees no change."""
         replica = self._replica
         if replica is None or not replica.leading:
             return []
@@ -48,20 +48,20 @@
         change = ChangeMember(f"removal/{member.replica}", MemberChangeKind.REMOVE, member)
         return replica.handle(change, now)
 
-    def _pass_on(
+    def _forward(
         self, correlation_id: str, message: PeerMessage, leader: NodeId | None, now: float
     ) -> list[Effect]:
         if leader is None:
             text = "no leader is known; ask again shortly"
             error = ApiError(ErrorCode.NO_QUORUM, text, 503, retry_after_s=RETRY_AFTER_S)
             return [OrderAnswered(correlation_id, None, error)]
-        taken = CommandResult(
+        accepted = CommandResult(
             order=OrderId(correlation_id),
             outcome=Outcome.ACCEPTED,
             revision=Revision(0),
             message=f"handed to the leader {leader}",
         )
-        answered = OrderAnswered(correlation_id, taken)
+        answered = OrderAnswered(correlation_id, accepted)
         if leader == self._own:
             return [*self.receive(message, now), answered]
         return [Send(leader, message), answered]
--- a/src/springmux/agent/leader_tasks.py
+++ b/src/springmux/agent/leader_tasks.py
@@ -1,4 +1,4 @@
-"""What the control leader's node does beside leading: keep the claim ring, have its quorum confirmed."""
+"""Periodic tasks of the leader's node: maintain the claim ring, have a quorum confirm its leadership."""
 
 from __future__ import annotations
 
@@ -15,41 +15,46 @@
 """Pace at which a leader has a quorum confirm it for the contact rule (``ContactSettings``)."""
 
 
+class BeaconReadId(str):
+    """Correlation id of a read point requested for the beacon; never leaves the node."""
+
+    __slots__ = ()
+
+
 class LeaderTasks:
     """Idle on every node but the leader's."""
 
     def __init__(self) -> None:
-        self._ring_keeper = ClaimRingManager()
+        self._ring_manager = ClaimRingManager()
         self._beacon_at = NEVER
-        self._asked: tuple[str, float] = ("", 0.0)
+        self._read_id = BeaconReadId()
+        self._read_requested_at = 0.0
 
     def next_deadline(self) -> float:
-        """Return when a chore is due."""
-        return min(self._ring_keeper.next_deadline(), self._beacon_at)
+        """Return when a task is due."""
+        return min(self._ring_manager.next_deadline(), self._beacon_at)
 
     def lead(self, leading: bool, now: float) -> None:
-        """This node became the leader, or no longer is."""
-        self._ring_keeper.lead(leading, now)
+        """Start or stop the tasks as this node becomes the leader or no longer is."""
+        self._ring_manager.lead(leading, now)
         self._beacon_at = now if leading else NEVER
 
     def ring_change(self, control: ControlView, view: MembershipView, now: float) -> SetClaimRing | None:
         """Return the next change of the claim ring, if one is due."""
         configured = control.configuration.version > 0
-        return self._ring_keeper.step(control.claim_ring, view, now, configured)
+        return self._ring_manager.step(control.claim_ring, view, now, configured)
 
-    def beacon_question(self, now: float) -> ConfirmRead | None:
-        """Return the question whose answer proves the quorum, if it is time to ask."""
+    def beacon_read(self, now: float) -> ConfirmRead | None:
+        """Return the read request whose confirmation proves the quorum, if it is due."""
         if now < self._beacon_at:
             return None
         self._beacon_at = now + BEACON_PERIOD_S
-        self._asked = (f"beacon/{now:.3f}", now)
-        return ConfirmRead(self._asked[0])
+        self._read_id = BeaconReadId(f"beacon/{now:.3f}")
+        self._read_requested_at = now
+        return ConfirmRead(self._read_id)
 
-    def is_beacon(self, correlation_id: str) -> bool:
-        """Say whether a confirmed read was asked for the beacon."""
-        return correlation_id.startswith("beacon/")
-
-    def beacon(self, correlation_id: str, term: Term, now: float) -> LeaderBeacon | None:
-        """Return the beacon for the newest question's answer; older answers are dropped."""
-        asked, asked_at = self._asked
-        return LeaderBeacon(term, now - asked_at) if correlation_id == asked else None
+    def beacon(self, read_id: BeaconReadId, term: Term, now: float) -> LeaderBeacon | None:
+        """Return the beacon of the newest confirmed read; ``None`` for older ones."""
+        if read_id != self._read_id:
+            return None
+        return LeaderBeacon(term, now - self._read_requested_at)
--- a/src/springmux/agent/leadership.py
+++ b/src/springmux/agent/leadership.py
@@ -7,7 +7,7 @@
 
 
 class LeadershipKnowledge:
-    """Keeps the newest (term, leader). A term has at most one leader, so the first name heard stands."""
+    """Keeps the newest (term, leader). A term has at most one leader, so the first one received is final."""
 
     def __init__(self, own: NodeId) -> None:
         self._own = own
@@ -18,8 +18,8 @@
         """Whether this node's own replica leads, its barrier committed."""
         return self.known.leading
 
-    def hear(self, term: Term, leader: NodeId) -> bool:
-        """Take a peer's word; ``True`` if it is news. A peer's word never makes this node the leader."""
+    def observe(self, term: Term, leader: NodeId) -> bool:
+        """Handle a peer's report; return whether it is newer. It never makes this node the leader."""
         if not leader or leader == self._own:
             return False
         newer = term > self.known.term or (term == self.known.term and self.known.leader is None)
@@ -28,7 +28,7 @@
         return newer
 
     def from_replica(self, term: Term, leader: NodeId | None, leading: bool) -> bool:
-        """Take the own replica's word; ``True`` if it is news."""
+        """Handle the own replica's report; return whether it changes what is known."""
         if term < self.known.term:
             return False
         if term == self.known.term and leader is None and self.known.leader not in (None, self._own):
--- /dev/null
+++ b/src/springmux/agent/leadership_handlers.py
@@ -0,0 +1,106 @@
+"""Distributes to the components of a node who leads the control log and which controllers may found it."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+from springmux.agent.effect_dispatcher import EffectDispatcher, EffectHandler
+from springmux.agent.leader_tasks import BeaconReadId, LeaderTasks
+from springmux.agent.leadership import LeadershipKnowledge
+from springmux.control.delivery.events import ConfirmedRevision
+from springmux.control.events import LeadershipKnown
+from springmux.control.freshness.events import QuorumConfirmed
+from springmux.coordination.consensus import effects as raft
+from springmux.coordination.consensus.events import FoundingCandidates
+from springmux.coordination.consensus.types import GroupMember
+from springmux.coordination.identifiers import NodeId, Term
+from springmux.coordination.state_machine import Effect
+from springmux.rollout.events import IssuerChanged
+
+
+class LeadershipHandlers:
+    """Owns what the node knows of the leader, and the tasks that it has while it leads."""
+
+    def __init__(self, own: NodeId, dispatcher: EffectDispatcher) -> None:
+        self.tasks = LeaderTasks()
+        self._knowledge = LeadershipKnowledge(own)
+        self._dispatcher = dispatcher
+        self._components = dispatcher.components
+        self._group_exists = False
+        """Some node has a control state, so a control group exists and none may be founded."""
+        self._candidates_announced = False
+
+    @property
+    def known(self) -> LeadershipKnown:
+        """The newest known term and leader."""
+        return self._knowledge.known
+
+    def handlers(self) -> Mapping[type[Effect], EffectHandler]:
+        """Return the effect handlers of this module."""
+        return {
+            raft.LeadershipChanged: self._on_replica_leadership,
+            raft.ReadConfirmed: self._on_read_confirmed,
+        }
+
+    def observe_leader(self, term: Term, leader: NodeId, now: float) -> list[Effect]:
+        """Handle the leader that a peer's envelope names."""
+        if not self._knowledge.observe(term, leader):
+            return []
+        return self._announce_leadership(now)
+
+    def observe_control_state(self, now: float) -> list[Effect]:
+        """Handle the first sign of a control state at any node."""
+        if self._group_exists:
+            return []
+        self._group_exists = True
+        return self.announce_candidates(now)
+
+    def announce_candidates(self, now: float) -> list[Effect]:
+        """Give the own replica the present controllers, and whether a group exists.
+
+        It gets none before this node was in contact with a majority of the known nodes, and none once the
+        node is partitioned: a wiped machine must not found a group with others like it.
+        """
+        if self._components.replica is None:
+            return []
+        leader = self.known.leader
+        exists = self._group_exists or leader is not None
+        if not exists and not self._components.contact.connected(now):
+            if not self._candidates_announced:
+                return []
+            return self._dispatcher.deliver_to_replica(FoundingCandidates((), False), now)
+        self._candidates_announced = True
+        members = tuple(
+            GroupMember(record.replica, record.node, voter=True)
+            for record in self._components.membership.view.controllers()
+            if record.replica is not None
+        )
+        return self._dispatcher.deliver_to_replica(FoundingCandidates(members, exists, leader), now)
+
+    def _announce_leadership(self, now: float) -> list[Effect]:
+        known, components, deliver = self.known, self._components, self._dispatcher.deliver
+        self.tasks.lead(known.leading, now)
+        effects = deliver(components.delivery, known, now)
+        effects += deliver(components.freshness, known, now)
+        effects += deliver(components.orders, known, now)
+        effects += deliver(components.rollout, IssuerChanged(known.leading, known.term), now)
+        return effects + self.announce_candidates(now)
+
+    def _on_replica_leadership(self, effect: raft.LeadershipChanged, now: float) -> list[Effect]:
+        replica = self._components.replica
+        leader = replica.leader_node() if replica is not None and effect.leader is not None else None
+        if not self._knowledge.from_replica(effect.term, leader, effect.leading):
+            return []
+        return self._announce_leadership(now)
+
+    def _on_read_confirmed(self, effect: raft.ReadConfirmed, now: float) -> list[Effect]:
+        deliver, components = self._dispatcher.deliver, self._components
+        if not isinstance(effect.correlation_id, BeaconReadId):
+            confirmed = ConfirmedRevision(effect.correlation_id, effect.index)
+            return deliver(components.delivery, confirmed, now)
+        beacon = self.tasks.beacon(effect.correlation_id, self.known.term, now)
+        if effect.index is None or beacon is None:
+            return []
+        confirmed_at = QuorumConfirmed(now - beacon.age_s, effect.index)
+        effects = deliver(components.freshness, confirmed_at, now)
+        return effects + deliver(components.contact, beacon, now)
--- /dev/null
+++ b/src/springmux/agent/log_position.py
@@ -0,0 +1,15 @@
+"""How far a node has followed the control log; the envelope of every peer message carries it."""
+
+from __future__ import annotations
+
+import msgspec
+
+from springmux.coordination.identifiers import NodeId, Revision, Term
+
+
+class LogPosition(msgspec.Struct, frozen=True):
+    """Newest known term, its leader (``None`` if unknown), and the revision of the control state."""
+
+    term: Term
+    leader: NodeId | None
+    revision: Revision
--- a/src/springmux/agent/messages.py
+++ b/src/springmux/agent/messages.py
@@ -1,4 +1,4 @@
-"""The agent's own peer messages: operators' wishes for the control group, handed to the leader."""
+"""The agent's own peer messages: operators' requests to the control group, forwarded to the leader."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class TransferLeadershipRequest(PeerMessage, frozen=True, tag="TransferWish"):
-    """Hand leadership to ``target`` (a replica's identity), or to any where it is empty."""
+    """Transfer leadership to ``target`` (a replica's identity), or to any where it is empty."""
 
     target: str
 
--- a/src/springmux/agent/readiness.py
+++ b/src/springmux/agent/readiness.py
@@ -1,9 +1,9 @@
-"""Whether a node takes requests, and if not, why: stopping, cut off, or without the newest state."""
+"""Whether a node accepts requests, and if not, why: stopping, partitioned, or without the newest state."""
 
 from __future__ import annotations
 
-from springmux.agent.applying import StateApplier
 from springmux.agent.components import NodeComponents
+from springmux.agent.state_applier import StateApplier
 from springmux.coordination.identifiers import Revision
 from springmux.coordination.state_machine import NEVER
 
@@ -14,12 +14,12 @@
 FETCHING = "fetching the newest control state and directory"
 UNREADABLE = "the control state needs a newer program"
 CATCH_UP_LIMIT_S = 2.0
-"""How long a node that was cut off waits for the leader's word and for a peer's newer state: there may be no
-leader, and who had the state may be gone. A fleet without a leader goes on with its last state."""
+"""How long a node that was partitioned waits for the leader's confirmation and for a peer's newer state:
+there may be no leader, and the peer may be gone. A fleet without a leader continues with its last state."""
 
 
 class Readiness:
-    """The answer as of the last look."""
+    """Readiness as of the last check."""
 
     def __init__(self, components: NodeComponents, applier: StateApplier) -> None:
         self.stopping = False
@@ -33,11 +33,11 @@
 
     @property
     def ready(self) -> bool:
-        """Whether new requests are taken."""
+        """Whether new requests are accepted."""
         return not self.reason
 
-    def look_at_contact(self, now: float) -> bool:
-        """Find out whether the node is cut off; ``True`` if that changed. Comes before :meth:`look`."""
+    def check_contact(self, now: float) -> bool:
+        """Check whether the node is partitioned; return whether that changed. Call before :meth:`check`."""
         was_connected = self.connected
         self.connected = self._components.contact.connected(now)
         if self.connected == was_connected:
@@ -48,8 +48,8 @@
             self._was_connected = True
         return True
 
-    def look(self, now: float) -> bool:
-        """Find the present answer; ``True`` if it changed."""
+    def check(self, now: float) -> bool:
+        """Check all conditions; return whether the reason changed."""
         reason = self._find_reason(now)
         changed = reason != self.reason
         self.reason = reason
@@ -65,11 +65,12 @@
         return "" if self._has_newest_state(now) else FETCHING
 
     def _has_newest_state(self, now: float) -> bool:
-        """Whether what was acknowledged before this start, or while cut off, is in force, not only received,
-        and the back ends that drained or left meanwhile are known.
+        """Return whether the node has caught up with what it missed before this start or while partitioned.
 
-        A large command that comes later doesn't count: it is parsed on all nodes at once, and a fleet
-        that refuses everything meanwhile would be worse than the last state for a second more.
+        The missed state must be in force, not only received, and the directory complete.
+
+        A large command that comes later doesn't count: it is parsed on all nodes at once, and
+        rejecting everything meanwhile would be worse than serving the last state a second longer.
         """
         confirmed = self._components.delivery.confirmed
         revision = self._applier.state.view().revision
--- a/src/springmux/agent/rollout_orders.py
+++ b/src/springmux/agent/rollout_orders.py
@@ -1,4 +1,4 @@
-"""Turns the rollout part's wishes into commands whose order ids come from rollout and step."""
+"""Turns rollout proposals into commands whose order ids derive from rollout and step."""
 
 from __future__ import annotations
 
@@ -11,31 +11,31 @@
 RolloutProposal = ProposeAbort | ProposeStep | ProposeFinish
 
 
-def command_for(wish: RolloutProposal) -> AbortRollout | SetRolloutStep | FinishRollout:
-    """Return the command for ``wish``; the same wish always makes the same order."""
-    if isinstance(wish, ProposeAbort):
+def command_for(proposal: RolloutProposal) -> AbortRollout | SetRolloutStep | FinishRollout:
+    """Return the command for ``proposal``; equal proposals make equal orders."""
+    if isinstance(proposal, ProposeAbort):
         return AbortRollout(
-            order=OrderId(f"abort/{wish.rollout}/{wish.decision.decided_by}"),
+            order=OrderId(f"abort/{proposal.rollout}/{proposal.decision.decided_by}"),
             issued_by=SYSTEM,
-            service=wish.service,
-            rollout=wish.rollout,
-            decision=wish.decision,
+            service=proposal.service,
+            rollout=proposal.rollout,
+            decision=proposal.decision,
         )
-    if isinstance(wish, ProposeStep):
+    if isinstance(proposal, ProposeStep):
         return SetRolloutStep(
-            order=OrderId(f"step/{wish.rollout}/{wish.step}/{wish.elapsed_s:.3f}"),
+            order=OrderId(f"step/{proposal.rollout}/{proposal.step}/{proposal.elapsed_s:.3f}"),
             issued_by=SYSTEM,
-            service=wish.service,
-            rollout=wish.rollout,
-            phase=wish.phase,
-            step=wish.step,
-            weight=wish.weight,
-            elapsed_s=wish.elapsed_s,
+            service=proposal.service,
+            rollout=proposal.rollout,
+            phase=proposal.phase,
+            step=proposal.step,
+            weight=proposal.weight,
+            elapsed_s=proposal.elapsed_s,
         )
     return FinishRollout(
-        order=OrderId(f"finish/{wish.rollout}"),
+        order=OrderId(f"finish/{proposal.rollout}"),
         issued_by=SYSTEM,
-        service=wish.service,
-        rollout=wish.rollout,
-        elapsed_s=wish.elapsed_s,
+        service=proposal.service,
+        rollout=proposal.rollout,
+        elapsed_s=proposal.elapsed_s,
     )
--- a/src/springmux/agent/applying.py
+++ b/src/springmux/agent/state_applier.py
@@ -1,12 +1,13 @@
 """Applies committed commands to the control state in order, without stalling the node.
 
 Parsing an 8 MiB configuration takes most of a second, longer than an election timeout. Large commands
-are therefore parsed off the event loop first; whatever comes after them waits its turn.
+are therefore parsed off the event loop first; later work stays queued meanwhile.
 """
 
 from __future__ import annotations
 
 from collections import deque
+from typing import NamedTuple
 
 from springmux.agent.effects import PrepareCommands, WriteSnapshot
 from springmux.control.commands import UnknownCommandError
@@ -28,55 +29,62 @@
 StateWork = ApplyCommands | ReplaceState | TakeSnapshot | ProvideSnapshot
 
 
+class AppliedWork(NamedTuple):
+    """Events for the other components, and effects for the driver."""
+
+    events: list[Event]
+    effects: list[Effect]
+
+
 class StateApplier:
-    """Owns the control state; everything that reads or changes it as a whole goes through the queue."""
+    """Owns the control state; work on the complete state goes through its queue."""
 
     def __init__(self) -> None:
         self.state = ControlState()
-        self._waiting: deque[StateWork] = deque()
+        self._queue: deque[StateWork] = deque()
         self._preparing = False
         self._prepared = False
         self.unreadable = ""
-        """Why nothing more is applied: a newer program wrote what comes next. Empty while all is well."""
+        """Why nothing more is applied: a newer program wrote the next command. Empty otherwise."""
 
-    def take(self, work: StateWork) -> tuple[list[Event], list[Effect]]:
-        """Queue ``work``; return events for the other components and effects for the driver."""
+    def take(self, work: StateWork) -> AppliedWork:
+        """Queue ``work`` and execute what is ready."""
         if self.unreadable:
-            return [], []
-        self._waiting.append(work)
-        return self._go_on()
+            return AppliedWork([], [])
+        self._queue.append(work)
+        return self._drain_queue()
 
-    def prepared(self) -> tuple[list[Event], list[Effect]]:
-        """The driver has parsed what the head of the queue needs."""
+    def prepared(self) -> AppliedWork:
+        """Continue after the driver has parsed the commands at the head of the queue."""
         self._preparing = False
         self._prepared = True
-        return self._go_on()
+        return self._drain_queue()
 
-    def _go_on(self) -> tuple[list[Event], list[Effect]]:
+    def _drain_queue(self) -> AppliedWork:
         events: list[Event] = []
         effects: list[Effect] = []
-        while self._waiting and not self._preparing and not self.unreadable:
-            work = self._waiting[0]
+        while self._queue and not self._preparing and not self.unreadable:
+            work = self._queue[0]
             large = () if self._prepared else _large_commands(work)
             if large:
                 self._preparing = True
                 effects.append(PrepareCommands(large))
                 break
             self._prepared = False
-            self._waiting.popleft()
+            self._queue.popleft()
             try:
-                self._carry_out(work, events, effects)
+                self._execute(work, events, effects)
             except (UnknownCommandError, UnreadableImageError) as error:
-                effects.append(self._give_up(error))
-        return events, effects
+                effects.append(self._stop_applying(error))
+        return AppliedWork(events, effects)
 
-    def _give_up(self, error: SpringmuxError) -> Effect:
-        """Stop applying: to go on without a command would be another state than everyone else's."""
+    def _stop_applying(self, error: SpringmuxError) -> Effect:
+        """Stop applying: skipping a command would make the state diverge from the other nodes'."""
         self.unreadable = str(error)
-        self._waiting.clear()
+        self._queue.clear()
         return LogLine("control_state_unreadable", LogLevel.ERROR, {"reason": self.unreadable})
 
-    def _carry_out(self, work: StateWork, events: list[Event], effects: list[Effect]) -> None:
+    def _execute(self, work: StateWork, events: list[Event], effects: list[Effect]) -> None:
         if isinstance(work, ApplyCommands):
             self._apply(work, events)
         elif isinstance(work, ReplaceState):
--- a/src/springmux/agent/wire.py
+++ b/src/springmux/agent/wire.py
@@ -47,9 +47,9 @@
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
-    """A message with the sender's place: newest term, that term's leader (if known), state revision.
+    """A message with the sender's log position: newest term, that term's leader (if known), state revision.
 
-    Whoever is behind fetches from whoever is ahead (:mod:`springmux.control.delivery`).
+    A node that is behind fetches from one that is ahead (:mod:`springmux.control.delivery`).
     """
 
     term: Term
--- a/src/springmux/simulation/hollow_node.py
+++ b/src/springmux/simulation/hollow_node.py
@@ -24,7 +24,7 @@
 
 
 class Enveloped(PeerMessage, frozen=True, tag="Enveloped"):
-    """A message with its sender's place, as :mod:`springmux.agent.wire` puts it on the wire."""
+    """A message with its sender's log position, as :mod:`springmux.agent.wire` puts it on the wire."""
 
     term: Term
     leader: NodeId
@@ -90,8 +90,8 @@
 
     def _receive(self, sender: NodeId, envelope: Enveloped, now: float) -> list[Effect]:
         effects: list[Effect] = []
-        term, leader, _ = self.agent.place
-        if envelope.leader and (envelope.term > term or leader is None):
+        position = self.agent.log_position
+        if envelope.leader and (envelope.term > position.term or position.leader is None):
             effects += self.agent.handle(LeaderObserved(envelope.term, envelope.leader), now)
         heard = PeerRevisionObserved(sender, envelope.term, envelope.revision)
         effects += self.agent.handle(heard, now)
@@ -118,5 +118,5 @@
         return Send(target, self._envelope(message)) if target is not None else None
 
     def _envelope(self, message: PeerMessage) -> Enveloped:
-        term, leader, revision = self.agent.place
-        return Enveloped(term, leader or NodeId(""), revision, message)
+        position = self.agent.log_position
+        return Enveloped(position.term, position.leader or NodeId(""), position.revision, message)
--- a/src/springmux/simulation/recorder.py
+++ b/src/springmux/simulation/recorder.py
@@ -63,8 +63,8 @@
 
     def _sampled(self, node: NodeId, agent: NodeAgent) -> Sampled:
         world = self._fleet.world
-        term, leader, _ = agent.place
-        replica = agent.status().replica if leader == node else None
+        position = agent.log_position
+        replica = agent.status().replica if position.leader == node else None
         return Sampled(
             world.now,
             node,
@@ -72,8 +72,8 @@
             agent.ready,
             agent.not_ready_reason,
             agent.view.revision,
-            term,
-            leader == node,
+            position.term,
+            position.leader == node,
             replica.commit_index if replica is not None else 0,
             replica.last_index if replica is not None else 0,
         )
--- a/tests/unit/agent/test_changes_while_stopping.py
+++ b/tests/unit/agent/test_changes_while_stopping.py
@@ -65,7 +65,7 @@
 
 
 def leave_at_once(agent: NodeAgent, event: StopBegun, now: float) -> list[Effect]:
-    return agent._routing.give(agent._components.membership, LeaveBegun(), now)
+    return agent._dispatcher.deliver(agent._components.membership, LeaveBegun(), now)
 
 
 def test_the_check_sees_nodes_that_say_at_once_that_they_have_left(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/unit/control/test_compression.py
+++ b/tests/unit/control/test_compression.py
@@ -5,8 +5,8 @@
 import msgspec
 import pytest
 
-from springmux.agent.applying import StateApplier
 from springmux.agent.effects import PrepareCommands
+from springmux.agent.state_applier import StateApplier
 from springmux.control import compression
 from springmux.control.commands import AnyCommand, ApplyGateway, decode_command, encode_command
 from springmux.control.compression import (
--- a/tests/unit/rollout/test_part.py
+++ b/tests/unit/rollout/test_part.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from springmux.agent.in_force import rollout_view
+from springmux.agent.control_view_publisher import rollout_view
 from springmux.control.commands import ApplyConfiguration, encode_command
 from springmux.control.state import ControlState
 from springmux.coordination.identifiers import Address, NodeId, Revision, Term, ZoneName
--- a/tests/unit/simulation/test_regressions.py
+++ b/tests/unit/simulation/test_regressions.py
@@ -47,13 +47,13 @@
 def _watch_wishes(fleet: HollowFleet, wishes: list[ProposeStep]) -> None:
     def look() -> None:
         for agent in fleet.agents().values():
-            routing = agent._routing
-            handler = routing._handlers[ProposeStep]
+            dispatcher = agent._dispatcher
+            handler = dispatcher._handlers[ProposeStep]
 
             def note(effect: ProposeStep, now: float, handler=handler) -> list:  # type: ignore[no-untyped-def, type-arg]
                 wishes.append(effect)
                 return handler(effect, now)
 
-            routing._handlers[ProposeStep] = note
+            dispatcher._handlers[ProposeStep] = note
 
     fleet.world.scheduler.at(5.0, look)
