--- a/src/springmux/gateway/attempt_timeouts.py
+++ b/src/springmux/gateway/attempt_timeouts.py
@@ -1,51 +1,68 @@
-"""When an engine's silence is long enough to use another engine for a request that may be repeated.
+"""Timeouts of one attempt at an engine, after which another engine may take over a repeatable request.
 
-A busy engine is slow, a dark one is silent for everybody: so an engine that has sent anything to this node
-meanwhile gets much more time than one that has not. Giving up on a busy engine would only add to its load.
+A busy engine is slow to all its requests, an unresponsive one sends nothing at all. An engine that has sent
+anything to this node meanwhile therefore gets much more time: retrying would only add to its load.
 """
 
 from __future__ import annotations
 
 from springmux.control.gateway_configuration import GatewayRoute
 
-DARK_FIRST_SHARE = 0.6
-"""Part of the target for the first event: what is left of it is enough for another engine."""
-BUSY_FIRST_SHARE = 2.0
-FIRST_WORK_FACTOR = 2.0
-"""Times what must be read before the first event: engines differ in speed, and steps take their time. A cold
-long prompt takes longer than ``DARK_FIRST_SHARE`` of its target at any engine, and one node of many hears
-nothing else from an engine meanwhile; given up, it would be read from the beginning elsewhere."""
-DARK_GAP_SHARE = 2.0
-"""A long prefill beside a stream spreads its events to about the pause that is in time."""
-BUSY_GAP_SHARE = 6.0
-DEFAULT_GAP_S = 1.0
-"""Where the route names no pause."""
+UNRESPONSIVE_FIRST_EVENT_FACTOR = 0.6
+"""Part of the latency target of the first event; the rest is enough for another engine."""
+BUSY_FIRST_EVENT_FACTOR = 2.0
+PREFILL_FACTOR = 2.0
+"""Times the estimated prefill before the first event, since engines differ in speed.
 
+A long prompt that is not cached takes longer than ``UNRESPONSIVE_FIRST_EVENT_FACTOR`` of its target at any
+engine, and one of many nodes may receive nothing else from that engine meanwhile.
+"""
+UNRESPONSIVE_GAP_FACTOR = 2.0
+"""Times the route's gap target: a long prefill beside a stream widens its gaps to about the target."""
+BUSY_GAP_FACTOR = 6.0
+DEFAULT_GAP_TARGET_S = 1.0
+"""Used where the route has no gap target."""
+
+
+class AttemptTimeouts:
+    """Timeouts of one attempt on one route, in seconds."""
 
-class Patience:
-    """Bounds of one route, in seconds."""
+    __slots__ = (
+        "_busy_first_event_s",
+        "_busy_gap_s",
+        "_unresponsive_first_event_s",
+        "_unresponsive_gap_s",
+    )
 
-    __slots__ = ("_busy_first_s", "_busy_gap_s", "_dark_first_s", "_dark_gap_s")
+    def __init__(self, route: GatewayRoute, prefill_s: float = 0.0) -> None:
+        """Derive the timeouts from the route's latency targets.
 
-    def __init__(self, route: GatewayRoute, first_work_s: float = 0.0) -> None:
-        """:param first_work_s: what the engine probably has to read before the first event, in seconds."""
+        :param prefill_s: estimated time that the engine needs before the first event, in seconds.
+        """
         target_s = route.target_ms / 1000.0
-        gap_s = route.gap_target_ms / 1000.0 or DEFAULT_GAP_S
-        self._dark_first_s = max(DARK_FIRST_SHARE * target_s, FIRST_WORK_FACTOR * first_work_s)
-        self._busy_first_s = max(BUSY_FIRST_SHARE * target_s, self._dark_first_s)
-        self._dark_gap_s = DARK_GAP_SHARE * gap_s
-        self._busy_gap_s = BUSY_GAP_SHARE * gap_s
+        gap_target_s = route.gap_target_ms / 1000.0 or DEFAULT_GAP_TARGET_S
+        self._unresponsive_first_event_s = max(
+            UNRESPONSIVE_FIRST_EVENT_FACTOR * target_s, PREFILL_FACTOR * prefill_s
+        )
+        self._busy_first_event_s = max(BUSY_FIRST_EVENT_FACTOR * target_s, self._unresponsive_first_event_s)
+        self._unresponsive_gap_s = UNRESPONSIVE_GAP_FACTOR * gap_target_s
+        self._busy_gap_s = BUSY_GAP_FACTOR * gap_target_s
+
+    def shortest_s(self, awaiting_first: bool) -> float:
+        """Return the shortest timeout that can apply, after which to check for the first time.
 
-    def shortest_s(self, first: bool) -> float:
-        """Return after which silence the engine is looked at for the first time."""
-        return self._dark_first_s if first else self._dark_gap_s
+        :param awaiting_first: whether no event of the response has arrived yet.
+        """
+        return self._unresponsive_first_event_s if awaiting_first else self._unresponsive_gap_s
 
-    def is_over(self, silent_s: float, first: bool, engine_dark: bool) -> bool:
-        """Say whether to give up after ``silent_s`` without a piece of this answer.
+    def is_over(self, elapsed_s: float, awaiting_first: bool, engine_unresponsive: bool) -> bool:
+        """Return whether the attempt has timed out ``elapsed_s`` after its last event.
 
-        :param first: whether no piece has come yet.
-        :param engine_dark: whether the engine has sent nothing else either since then.
+        :param awaiting_first: whether no event of the response has arrived yet.
+        :param engine_unresponsive: whether the engine has sent this node nothing else since then either.
         """
-        if first:
-            return silent_s >= (self._dark_first_s if engine_dark else self._busy_first_s)
-        return silent_s >= (self._dark_gap_s if engine_dark else self._busy_gap_s)
+        if awaiting_first:
+            limit_s = self._unresponsive_first_event_s if engine_unresponsive else self._busy_first_event_s
+        else:
+            limit_s = self._unresponsive_gap_s if engine_unresponsive else self._busy_gap_s
+        return elapsed_s >= limit_s
--- a/src/springmux/gateway/dispatches.py
+++ b/src/springmux/gateway/dispatches.py
@@ -8,7 +8,7 @@
 from springmux.gateway.engine_health import SILENCE_S, ExchangeOutcome
 from springmux.gateway.engine_pool import EngineSlot, EngineTable, ServicePool
 from springmux.gateway.prefix_memory import PREFILL_TOKENS_PER_S, PrefixMemory
-from springmux.gateway.prompt_facts import PromptFacts
+from springmux.gateway.prompt_metadata import PromptMetadata
 from springmux.vocabulary.engines import EngineRecord
 from springmux.vocabulary.names import EngineId, ServiceName
 
@@ -19,7 +19,7 @@
 
 
 @dataclass(eq=False, slots=True)
-class Ticket:
+class Dispatch:
     """One exchange under way. ``expected_tokens``: prompt tokens to prefill before its first event;
     ``ahead_tokens``: those of this node that lay before them."""
 
@@ -34,7 +34,7 @@
     open: bool = True
 
     @property
-    def first_work_s(self) -> float:
+    def prefill_wait_s(self) -> float:
         """Time that the engine probably reads before this exchange's first event; 0 for plain services."""
         if not self.model:
             return 0.0
@@ -65,19 +65,19 @@
             found.append((engine, slot.in_flight, slot.prefill_tokens) if slot else (engine, 0, 0.0))
         return found
 
-    def is_model(self, service: ServiceName, facts: PromptFacts) -> bool:
+    def is_model(self, service: ServiceName, prompt: PromptMetadata) -> bool:
         """Say whether the request goes to a model engine."""
-        return service in self.models or facts.prompt_tokens > 0
+        return service in self.models or prompt.prompt_tokens > 0
 
-    def began(self, record: EngineRecord, facts: PromptFacts, now: float) -> Ticket:
+    def began(self, record: EngineRecord, prompt: PromptMetadata, now: float) -> Dispatch:
         """Count a request. An engine that has just gone is counted apart."""
         slot = self._table.slots.get(record.engine) or EngineSlot(record, now)
-        model = self.is_model(record.service, facts)
-        prefix_id, prefix_tokens = facts.long_prefix()
-        expected = float(facts.prompt_tokens)
+        model = self.is_model(record.service, prompt)
+        prefix_id, prefix_tokens = prompt.long_prefix()
+        expected = float(prompt.prompt_tokens)
         if prefix_tokens and self._memory.warm(prefix_id, slot, now):
             expected -= prefix_tokens
-        ticket = Ticket(
+        dispatch = Dispatch(
             slot=slot,
             model=model,
             trial=slot.health.began(now),
@@ -93,58 +93,60 @@
         slot.passed = 0
         if prefix_tokens:
             self._memory.note_sent(prefix_id, slot, now)
-        for part_id, _ in facts.prefix[-2:]:
+        for part_id, _ in prompt.prefix[-2:]:
             self._memory.note_part(part_id, slot)
         pool = self._table.pool(record.service)
         if pool is not None:
             pool.note_in_flight()
-        return ticket
+        return dispatch
 
-    def first_event(self, ticket: Ticket, now: float) -> None:
+    def first_event(self, dispatch: Dispatch, now: float) -> None:
         """Take the end of a prefill."""
-        if not ticket.prefilling:
+        if not dispatch.prefilling:
             return
-        slot = ticket.slot
-        waited_s = now - ticket.began_at
-        self._prefill_over(ticket)
+        slot = dispatch.slot
+        waited_s = now - dispatch.began_at
+        self._prefill_over(dispatch)
         slot.health.heard(now)
-        slot.health.pace(waited_s, ticket.expected_tokens + ticket.ahead_tokens + BASE_TOKENS, now)
-        if ticket.model:
-            unseen = waited_s * PREFILL_TOKENS_PER_S - ticket.expected_tokens - BASE_TOKENS
+        slot.health.pace(waited_s, dispatch.expected_tokens + dispatch.ahead_tokens + BASE_TOKENS, now)
+        if dispatch.model:
+            unseen = waited_s * PREFILL_TOKENS_PER_S - dispatch.expected_tokens - BASE_TOKENS
             slot.guessed_tokens = min(MOST_GUESSED_TOKENS, max(0.0, unseen))
             slot.guessed_at = now
 
-    def ended(self, ticket: Ticket, outcome: ExchangeOutcome, now: float) -> None:
+    def ended(self, dispatch: Dispatch, outcome: ExchangeOutcome, now: float) -> None:
         """Take an exchange's end; a second call changes nothing."""
-        if not ticket.open:
+        if not dispatch.open:
             return
-        ticket.open = False
-        slot = ticket.slot
+        dispatch.open = False
+        slot = dispatch.slot
         if outcome is ExchangeOutcome.OK:
-            self.first_event(ticket, now)
-            if ticket.long_prefix:
-                self._memory.note_hold(now - ticket.began_at)
-        if ticket.prefilling and outcome is ExchangeOutcome.TIMED_OUT:
-            tokens = ticket.expected_tokens + ticket.ahead_tokens + BASE_TOKENS
-            slot.health.pace(now - ticket.began_at, tokens, now)
-        self._prefill_over(ticket)
+            self.first_event(dispatch, now)
+            if dispatch.long_prefix:
+                self._memory.note_hold(now - dispatch.began_at)
+        if dispatch.prefilling and outcome is ExchangeOutcome.TIMED_OUT:
+            tokens = dispatch.expected_tokens + dispatch.ahead_tokens + BASE_TOKENS
+            slot.health.pace(now - dispatch.began_at, tokens, now)
+        self._prefill_over(dispatch)
         self._changed[slot.record.engine] = None
         slot.in_flight -= 1
-        slot.health.ended(outcome, ticket.trial, ticket.began_at, now)
+        slot.health.ended(outcome, dispatch.trial, dispatch.began_at, now)
         pool = self._table.pool(slot.record.service)
         if pool is None:
             return
-        dark = (ticket.trial and slot.health.suspect) or _alone_in_silence(pool, slot, ticket.began_at, now)
+        dark = (dispatch.trial and slot.health.suspect) or _alone_in_silence(
+            pool, slot, dispatch.began_at, now
+        )
         if outcome is ExchangeOutcome.TIMED_OUT and dark:
-            slot.health.suspect_dark(ticket.began_at, now)
+            slot.health.suspect_dark(dispatch.began_at, now)
         if outcome is not ExchangeOutcome.OK:
             pool.refresh_soon()
 
-    def _prefill_over(self, ticket: Ticket) -> None:
-        if ticket.prefilling:
-            ticket.prefilling = False
-            self._changed[ticket.slot.record.engine] = None
-            ticket.slot.prefill_tokens -= ticket.expected_tokens
+    def _prefill_over(self, dispatch: Dispatch) -> None:
+        if dispatch.prefilling:
+            dispatch.prefilling = False
+            self._changed[dispatch.slot.record.engine] = None
+            dispatch.slot.prefill_tokens -= dispatch.expected_tokens
 
 
 def _alone_in_silence(pool: ServicePool, slot: EngineSlot, began_at: float, now: float) -> bool:
--- a/src/springmux/gateway/engine_health.py
+++ b/src/springmux/gateway/engine_health.py
@@ -51,18 +51,18 @@
     ERROR_STATUS = "error_status"
     ABANDONED = "abandoned"
     """The client left; says nothing."""
-    CUT_SHORT = "cut_short"
-    GARBLED = "garbled"
+    TRUNCATED = "cut_short"
+    MALFORMED = "garbled"
 
 
 UNREACHABLE = frozenset({ExchangeOutcome.CONNECT_FAILED, ExchangeOutcome.SILENT})
-CUT = frozenset({ExchangeOutcome.RESET, ExchangeOutcome.CUT_SHORT})
+CUT = frozenset({ExchangeOutcome.RESET, ExchangeOutcome.TRUNCATED})
 ANSWERED = frozenset(
     {
         ExchangeOutcome.OK,
         ExchangeOutcome.DECLINED_FULL,
         ExchangeOutcome.ERROR_STATUS,
-        ExchangeOutcome.GARBLED,
+        ExchangeOutcome.MALFORMED,
     }
 )
 """Outcomes that prove the engine alive."""
@@ -71,8 +71,8 @@
         ExchangeOutcome.RESET,
         ExchangeOutcome.TIMED_OUT,
         ExchangeOutcome.ERROR_STATUS,
-        ExchangeOutcome.CUT_SHORT,
-        ExchangeOutcome.GARBLED,
+        ExchangeOutcome.TRUNCATED,
+        ExchangeOutcome.MALFORMED,
     }
 )
 _NEVER = -math.inf
--- a/src/springmux/gateway/placement.py
+++ b/src/springmux/gateway/placement.py
@@ -16,17 +16,17 @@
 from collections.abc import Collection, Iterator, Mapping
 
 from springmux.control.gateway_configuration import GatewayService
-from springmux.gateway.dispatches import DispatchTracker, Ticket
+from springmux.gateway.dispatches import Dispatch, DispatchTracker
 from springmux.gateway.engine_health import ExchangeOutcome
 from springmux.gateway.engine_pool import EngineGroup, EngineSlot, EngineTable, ServicePool
 from springmux.gateway.load_estimate import model_cost, plain_cost
 from springmux.gateway.placement_policy import DEFAULT_POLICY, PlacementPolicy
 from springmux.gateway.prefix_memory import PrefixMemory
-from springmux.gateway.prompt_facts import NO_FACTS, PromptFacts
+from springmux.gateway.prompt_metadata import NO_PROMPT_METADATA, PromptMetadata
 from springmux.vocabulary.engines import EngineRecord, EnginesView
 from springmux.vocabulary.names import EngineId, ServiceName, VersionName
 
-__all__ = ["NO_FACTS", "ExchangeOutcome", "Placement", "PromptFacts", "Ticket"]
+__all__ = ["NO_PROMPT_METADATA", "Dispatch", "ExchangeOutcome", "Placement", "PromptMetadata"]
 HOME_CERTAINTY = 0.75
 """Part of the shared tokens that an engine keeps for which a hash speaks; in the model it is 0.76 to 0.78.
 Where a session was sent last is surer."""
@@ -81,7 +81,7 @@
         self,
         service: ServiceName,
         versions: tuple[VersionName, ...],
-        facts: PromptFacts,
+        prompt: PromptMetadata,
         excluded: Collection[EngineId],
         now: float,
         engines_limit: int = 0,
@@ -103,50 +103,50 @@
             if trial is not None:
                 return trial.record
         for group in groups:
-            slot = self._usable(pool, group, service, facts, excluded, now)
+            slot = self._usable(pool, group, service, prompt, excluded, now)
             if slot is not None:
                 return slot.record
         return _last_resort(pool, groups, versions, excluded, now)
 
-    def began(self, record: EngineRecord, facts: PromptFacts, now: float) -> Ticket:
-        """Count a request that is sent to ``record``; give the ticket back to :meth:`ended`."""
-        return self._ledger.began(record, facts, now)
+    def began(self, record: EngineRecord, prompt: PromptMetadata, now: float) -> Dispatch:
+        """Count a request that is sent to ``record``; give the dispatch back to :meth:`ended`."""
+        return self._ledger.began(record, prompt, now)
 
-    def first_event(self, ticket: Ticket, now: float) -> None:
+    def first_event(self, dispatch: Dispatch, now: float) -> None:
         """Take the first byte of an answer's body: the prefill is over."""
-        self._ledger.first_event(ticket, now)
+        self._ledger.first_event(dispatch, now)
 
-    def heard(self, ticket: Ticket, now: float) -> None:
+    def heard(self, dispatch: Dispatch, now: float) -> None:
         """Take any further piece of an answer: the engine is alive."""
-        ticket.slot.health.heard(now)
+        dispatch.slot.health.heard(now)
 
-    def silent_since(self, ticket: Ticket, since: float) -> bool:
-        """Say whether the ticket's engine has sent this node nothing after ``since``."""
-        return ticket.slot.health.heard_at <= since
+    def silent_since(self, dispatch: Dispatch, since: float) -> bool:
+        """Say whether the dispatch's engine has sent this node nothing after ``since``."""
+        return dispatch.slot.health.heard_at <= since
 
-    def ended(self, ticket: Ticket, outcome: ExchangeOutcome, now: float) -> None:
+    def ended(self, dispatch: Dispatch, outcome: ExchangeOutcome, now: float) -> None:
         """Take the end of an exchange, once."""
-        self._ledger.ended(ticket, outcome, now)
+        self._ledger.ended(dispatch, outcome, now)
 
     def _usable(
         self,
         pool: ServicePool,
         group: EngineGroup,
         service: ServiceName,
-        facts: PromptFacts,
+        prompt: PromptMetadata,
         excluded: Collection[EngineId],
         now: float,
     ) -> EngineSlot | None:
         slot: EngineSlot | None
-        if not self._ledger.is_model(service, facts):
+        if not self._ledger.is_model(service, prompt):
             slot = self._least_loaded(pool, group, excluded, now)
         else:
-            prefix_id, prefix_tokens = facts.long_prefix()
+            prefix_id, prefix_tokens = prompt.long_prefix()
             slot = None
             if prefix_tokens and self._policy.by_prefix:
-                slot = self._by_prefix(group, prefix_id, prefix_tokens, facts, excluded, now)
+                slot = self._by_prefix(group, prefix_id, prefix_tokens, prompt, excluded, now)
             if slot is None:
-                slot = self._least_wait(group, facts, excluded, now)
+                slot = self._least_wait(group, prompt, excluded, now)
         return slot or _sound_but_closed(group, excluded, now)
 
     def _by_prefix(
@@ -154,7 +154,7 @@
         group: EngineGroup,
         prefix_id: str,
         prefix_tokens: int,
-        facts: PromptFacts,
+        prompt: PromptMetadata,
         excluded: Collection[EngineId],
         now: float,
     ) -> EngineSlot | None:
@@ -162,7 +162,7 @@
         count = len(group.slots)
         if not count:
             return None
-        own_tokens = facts.prompt_tokens - prefix_tokens
+        own_tokens = prompt.prompt_tokens - prefix_tokens
         spread = self._memory.spread(prefix_id, own_tokens, group.slots[0].record.capacity, now)
         usable = self._first_of_order(group, prefix_id, spread + self._policy.fallbacks, excluded, now)
         if not usable:
@@ -194,10 +194,10 @@
         return slots if len(slots) <= choices else self._random.sample(slots, choices)
 
     def _least_wait(
-        self, group: EngineGroup, facts: PromptFacts, excluded: Collection[EngineId], now: float
+        self, group: EngineGroup, prompt: PromptMetadata, excluded: Collection[EngineId], now: float
     ) -> EngineSlot | None:
         """Return the one with the least work ahead of those that may hold shared parts and some drawn."""
-        kept = self._probably_kept(group, facts)
+        kept = self._probably_kept(group, prompt)
         draws = self._policy.choices if not kept else self._policy.draws_beside_homes
         best: EngineSlot | None = None
         best_cost = math.inf
@@ -213,21 +213,21 @@
                 break
         return best
 
-    def _probably_kept(self, group: EngineGroup, facts: PromptFacts) -> dict[EngineSlot, float]:
+    def _probably_kept(self, group: EngineGroup, prompt: PromptMetadata) -> dict[EngineSlot, float]:
         """Return the engines that probably keep shared parts of a short prompt, and how many tokens.
 
         By rendezvous hash of the last shared part these are the same engines at every node, without a
         message, two of them so that the less loaded is taken (Mitzenmacher 2001, "The power of two choices");
         beside them the one to which this node sent the session last.
         """
-        if not facts.prefix:
+        if not prompt.prefix:
             return {}
         kept: dict[EngineSlot, float] = {}
-        if len(facts.prefix) >= 2 and self._policy.short_homes:
-            shared_tokens = HOME_CERTAINTY * sum(tokens for _, tokens in facts.prefix[:-1])
-            for slot, _ in group.order(facts.prefix[-2][0])[: self._policy.short_homes]:
+        if len(prompt.prefix) >= 2 and self._policy.short_homes:
+            shared_tokens = HOME_CERTAINTY * sum(tokens for _, tokens in prompt.prefix[:-1])
+            for slot, _ in group.order(prompt.prefix[-2][0])[: self._policy.short_homes]:
                 kept[slot] = shared_tokens
-        holder, tokens = self._holder(facts)
+        holder, tokens = self._holder(prompt)
         if holder is not None:
             kept[holder] = max(tokens, kept.get(holder, 0.0))
         return kept
@@ -253,16 +253,18 @@
                 best, best_key = slot, key
         return best
 
-    def _holder(self, facts: PromptFacts) -> tuple[EngineSlot | None, float]:
+    def _holder(self, prompt: PromptMetadata) -> tuple[EngineSlot | None, float]:
         """Return where this session's parts were sent last and how many tokens they hold."""
-        if not facts.prefix:
+        if not prompt.prefix:
             return None, 0.0
-        holder = self._memory.holder(facts.prefix[-1][0])
+        holder = self._memory.holder(prompt.prefix[-1][0])
         if holder is not None:
-            return holder, float(sum(tokens for _, tokens in facts.prefix))
-        if len(facts.prefix) < 2:
+            return holder, float(sum(tokens for _, tokens in prompt.prefix))
+        if len(prompt.prefix) < 2:
             return None, 0.0
-        return self._memory.holder(facts.prefix[-2][0]), float(sum(tokens for _, tokens in facts.prefix[:-1]))
+        return self._memory.holder(prompt.prefix[-2][0]), float(
+            sum(tokens for _, tokens in prompt.prefix[:-1])
+        )
 
     def _skips(self, slot: EngineSlot, gate: float) -> bool:
         """Say whether a cold or slow engine leaves this prefix or request to the next of the order."""
--- /dev/null
+++ b/src/springmux/gateway/prompt_headers.py
@@ -0,0 +1,66 @@
+"""Parsing of the headers that describe a prompt, and what they mean for quota and priority."""
+
+from __future__ import annotations
+
+from springmux.control.gateway_configuration import GatewayRoute, GatewayTenant
+from springmux.gateway.prompt_metadata import NO_PROMPT_METADATA, PromptMetadata
+
+MAX_PRIORITY = 9
+"""Engines have ten priorities; 0 is the most urgent."""
+ROUTE_PRIORITIES_PER_TENANT_PRIORITY = 3
+"""The tenant's priority comes before the route's."""
+MAX_TOKEN_DIGITS = 12
+
+
+def parse_prompt_metadata(prefix: bytes | None, usage: bytes | None) -> PromptMetadata:
+    """Return the prompt's metadata from the two headers (docs/API.md).
+
+    Malformed parts are left out, since they only guide the engine choice.
+    """
+    if prefix is None and usage is None:
+        return NO_PROMPT_METADATA
+    prompt_tokens, output_tokens = _parse_usage(usage)
+    parts = _parse_prefix(prefix)
+    if not prompt_tokens:
+        prompt_tokens = sum(tokens for _, tokens in parts)
+    return PromptMetadata(prefix=parts, prompt_tokens=prompt_tokens, output_tokens=output_tokens)
+
+
+def quota_tokens(tenant: GatewayTenant, usage: bytes | None) -> float:
+    """Return the quota units of a request: its stated tokens, or the tenant's default without any."""
+    if not tenant.counts_tokens:
+        return 1.0
+    if usage is None:
+        return tenant.uncounted_tokens
+    prompt_tokens, output_tokens = _parse_usage(usage)
+    return float(prompt_tokens + output_tokens) or tenant.uncounted_tokens
+
+
+def engine_priority(route: GatewayRoute, tenant: GatewayTenant | None) -> int:
+    """Return the priority to send to the engine (0 to :data:`MAX_PRIORITY`)."""
+    tenant_priority = tenant.priority if tenant is not None else 0
+    combined = tenant_priority * ROUTE_PRIORITIES_PER_TENANT_PRIORITY + route.priority
+    return max(0, min(MAX_PRIORITY, combined))
+
+
+def _parse_usage(usage: bytes | None) -> tuple[int, int]:
+    if usage is None:
+        return 0, 0
+    prompt, _, output = usage.partition(b",")
+    return _parse_count(prompt), _parse_count(output)
+
+
+def _parse_prefix(prefix: bytes | None) -> tuple[tuple[str, int], ...]:
+    if not prefix:
+        return ()
+    parts = []
+    for part in prefix.split(b","):
+        name, separator, tokens = part.strip().partition(b":")
+        if separator and name:
+            parts.append((name.decode("latin-1"), _parse_count(tokens)))
+    return tuple(parts)
+
+
+def _parse_count(text: bytes) -> int:
+    stripped = text.strip()
+    return int(stripped) if stripped.isdigit() and len(stripped) <= MAX_TOKEN_DIGITS else 0
--- a/src/springmux/gateway/refusals.py
+++ b/src/springmux/gateway/refusals.py
@@ -38,7 +38,7 @@
     """The node ended before the answer did."""
 
 
-CALLERS_FAULTS = frozenset(
+CLIENT_ERRORS = frozenset(
     {
         RefusalReason.UNKNOWN_ROUTE,
         RefusalReason.UNKNOWN_KEY,
--- a/src/springmux/gateway/versions.py
+++ b/src/springmux/gateway/versions.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from springmux.gateway.placement import Placement, PromptFacts
+from springmux.gateway.placement import Placement, PromptMetadata
 from springmux.rollout.outcome import VersionChooser
 from springmux.vocabulary.engines import EngineRecord
 from springmux.vocabulary.names import EngineId, RouteName, ServiceName, VersionName
@@ -48,35 +48,35 @@
         self._credit = choice.candidate
         self._engines_limit = choice.engines_limit
 
-    def next_engine(self, placement: Placement, facts: PromptFacts, now: float) -> EngineRecord | None:
+    def next_engine(self, placement: Placement, prompt: PromptMetadata, now: float) -> EngineRecord | None:
         """Return where the next attempt goes, checked at this very moment, or ``None``."""
         if not self._versions and self.excluded:
             self._ask_again(now)
         if not self._versions:
-            return self._choose(placement, (), facts, now)
+            return self._choose(placement, (), prompt, now)
         for version in self._versions:
             is_candidate = self._credit and version == self._versions[0]
             if self._chooser.recheck(self.service, version, now):
                 limit = self._engines_limit if is_candidate else 0
-                found = self._choose(placement, (version,), facts, now, limit)
+                found = self._choose(placement, (version,), prompt, now, limit)
                 if found is not None:
                     return found
             if is_candidate:
                 self.give_back(now)
                 self._versions = self._versions[1:]
-                return self.next_engine(placement, facts, now)
+                return self.next_engine(placement, prompt, now)
         return None
 
     def _choose(
         self,
         placement: Placement,
         versions: tuple[VersionName, ...],
-        facts: PromptFacts,
+        prompt: PromptMetadata,
         now: float,
         engines_limit: int = 0,
     ) -> EngineRecord | None:
         return placement.choose(
-            self.service, versions, facts, self.excluded, now, engines_limit, self._repeatable
+            self.service, versions, prompt, self.excluded, now, engines_limit, self._repeatable
         )
 
     def _ask_again(self, now: float) -> None:
--- a/src/springmux/node/gateway/attempt.py
+++ b/src/springmux/node/gateway/attempt.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from springmux.control.gateway_configuration import GatewayRouteKind
-from springmux.gateway.attempt_timeouts import Patience
+from springmux.gateway.attempt_timeouts import AttemptTimeouts
 from springmux.gateway.attempts import AttemptEnd
 from springmux.gateway.event_stream import MalformedStreamError
 from springmux.gateway.placement import ExchangeOutcome
@@ -44,8 +44,8 @@
     FailureKind.NOT_SENT: ExchangeOutcome.CONNECT_FAILED,
     FailureKind.RESET: ExchangeOutcome.RESET,
     FailureKind.SILENT: ExchangeOutcome.SILENT,
-    FailureKind.MALFORMED: ExchangeOutcome.GARBLED,
-    FailureKind.CUT_SHORT: ExchangeOutcome.CUT_SHORT,
+    FailureKind.MALFORMED: ExchangeOutcome.MALFORMED,
+    FailureKind.CUT_SHORT: ExchangeOutcome.TRUNCATED,
 }
 _ENDINGS = {
     FailureKind.MALFORMED: Ending.BROKEN,
@@ -178,7 +178,7 @@
         self._judge_status(answer.status)
         if answer.status >= 500:
             return AttemptResult(
-                AttemptEnd.FAILED_ANSWER, lambda: exchange.respond(answer.status, headers, b"".join(parts))
+                AttemptEnd.ERROR_RESPONSE, lambda: exchange.respond(answer.status, headers, b"".join(parts))
             )
         exchange.respond(answer.status, headers, b"".join(parts))
         return AttemptResult(None)
@@ -292,7 +292,7 @@
         if not rules.spare_attempt:
             return None
         return SilenceWatch(
-            Patience(self._request.route, self._ticket.first_work_s),
+            AttemptTimeouts(self._request.route, self._ticket.prefill_wait_s),
             lambda since: self._placement.silent_since(self._ticket, since),
             lambda: rules.reserve(self._loop.time()),
         )
--- a/src/springmux/node/gateway/forwarder.py
+++ b/src/springmux/node/gateway/forwarder.py
@@ -8,10 +8,10 @@
 
 import msgspec
 
-from springmux.gateway import attempts
-from springmux.gateway.attempts import Refusal
+from springmux.gateway import refusal_responses
 from springmux.gateway.core import GatewayCore
-from springmux.gateway.prompt import parse_facts, quota_tokens
+from springmux.gateway.prompt_headers import parse_prompt_metadata, quota_tokens
+from springmux.gateway.refusal_responses import Refusal
 from springmux.gateway.refusals import RefusalReason
 from springmux.gateway.request_trace import RequestOutcome, RequestTrace
 from springmux.gateway.routing import Admitted, KeyRejectedError, RouteNotFoundError
@@ -91,16 +91,16 @@
             async with asyncio.timeout_at(deadline):
                 body = await exchange.body()
         except BodyTooLargeError:
-            self._refuse(exchange, attempts.BODY_TOO_LARGE, trace)
+            self._refuse(exchange, refusal_responses.BODY_TOO_LARGE, trace)
             return
         except TimeoutError:
-            self._refuse(exchange, attempts.TOO_LATE_UNSENT, trace)
+            self._refuse(exchange, refusal_responses.TOO_LATE_UNSENT, trace)
             return
         now = asyncio.get_running_loop().time()
         usage = exchange.head.header(self._headers.names.token_usage)
         wait_s = self._take_quota(admitted, usage, now)
         if wait_s is not None:
-            self._refuse(exchange, attempts.over_quota(wait_s), trace)
+            self._refuse(exchange, refusal_responses.over_quota(wait_s), trace)
             return
         await self._forward(exchange, admitted, body, deadline, trace)
 
@@ -114,7 +114,7 @@
         force here. A key that isn't known may be a new one where the lease is over.
         """
         if not self._core.configured:
-            return attempts.NO_CONFIGURATION
+            return refusal_responses.NO_CONFIGURATION
         head = exchange.head
         host = head.header(b"host") or b""
         path = head.target.partition(b"?")[0]
@@ -123,11 +123,11 @@
         try:
             admitted = self._core.table.admit(host.decode("latin-1"), path.decode("latin-1"), key_text)
         except RouteNotFoundError:
-            return attempts.NO_ROUTE
+            return refusal_responses.NO_ROUTE
         except KeyRejectedError:
-            return attempts.NO_KEY if self._knows_keys() else attempts.KEYS_NOT_CURRENT
+            return refusal_responses.NO_KEY if self._knows_keys() else refusal_responses.KEYS_NOT_CURRENT
         if admitted.by_key and not self._knows_keys():
-            return attempts.KEYS_NOT_CURRENT
+            return refusal_responses.KEYS_NOT_CURRENT
         return admitted
 
     def _knows_keys(self) -> bool:
@@ -144,10 +144,10 @@
     ) -> None:
         names = self._headers.names
         head = exchange.head
-        facts = parse_facts(head.header(names.prompt_prefix), head.header(names.token_usage))
+        facts = parse_prompt_metadata(head.header(names.prompt_prefix), head.header(names.token_usage))
         trace.prompt_tokens = facts.prompt_tokens
         if asyncio.get_running_loop().time() >= deadline:
-            self._refuse(exchange, attempts.TOO_LATE_UNSENT, trace)
+            self._refuse(exchange, refusal_responses.TOO_LATE_UNSENT, trace)
             return
         request = ForwardedRequest(self._services, exchange, admitted, facts, body, deadline, trace)
         try:
--- a/src/springmux/node/gateway/forwarding.py
+++ b/src/springmux/node/gateway/forwarding.py
@@ -8,11 +8,12 @@
 import xxhash
 
 from springmux.control.gateway_configuration import GatewayRoute
-from springmux.gateway import attempts
-from springmux.gateway.attempts import AttemptEnd, AttemptRules, Refusal
+from springmux.gateway import refusal_responses
+from springmux.gateway.attempts import AttemptEnd, AttemptRules
 from springmux.gateway.event_stream import EventStream
-from springmux.gateway.placement import PromptFacts
-from springmux.gateway.prompt import engine_priority
+from springmux.gateway.placement import PromptMetadata
+from springmux.gateway.prompt_headers import engine_priority
+from springmux.gateway.refusal_responses import Refusal
 from springmux.gateway.request_trace import RequestTrace
 from springmux.gateway.routing import Admitted
 from springmux.gateway.versions import VersionSelection
@@ -35,7 +36,7 @@
         services: ForwarderServices,
         exchange: ServerExchange,
         admitted: Admitted,
-        facts: PromptFacts,
+        facts: PromptMetadata,
         body: bytes,
         deadline: float,
         trace: RequestTrace,
@@ -75,7 +76,7 @@
     def too_late(self) -> Refusal:
         """Return the answer of a request whose time is over."""
         in_doubt = self.rules.may_have_run or self.in_doubt
-        return attempts.TOO_LATE if in_doubt else attempts.TOO_LATE_UNSENT
+        return refusal_responses.TOO_LATE if in_doubt else refusal_responses.TOO_LATE_UNSENT
 
     async def _try_engines(self, selection: VersionSelection) -> Refusal | None:
         core = self.services.core
@@ -84,7 +85,7 @@
             now = self._loop.time()
             record = selection.next_engine(core.placement, self.facts, now)
             if record is None:
-                return self._give_up(last, attempts.NO_ENGINE)
+                return self._give_up(last, refusal_responses.NO_ENGINE)
             if last is not None and last.end is not AttemptEnd.UNSENT:
                 core.counters.retries += 1
                 if self.exchange.begun and last.end is AttemptEnd.MAY_HAVE_RUN:
@@ -93,9 +94,9 @@
             if last.end is None:
                 return None
             if self.exchange.begun and (self.events is None or not self.events.events):
-                return attempts.FAILED
+                return refusal_responses.FAILED
             if not self.rules.may_try_again(last.end, self._loop.time()):
-                return self._give_up(last, attempts.ALL_FULL)
+                return self._give_up(last, refusal_responses.ALL_FULL)
 
     async def _attempt(self, selection: VersionSelection, record: EngineRecord) -> AttemptResult:
         self.services.core.counters.dispatches += 1
@@ -110,11 +111,11 @@
     def _give_up(self, last: AttemptResult | None, unrun: Refusal) -> Refusal | None:
         """Answer what is left: the engine's own failure, or a refusal that promises no more than is sure."""
         if self.exchange.begun:
-            return attempts.FAILED
+            return refusal_responses.FAILED
         if last is not None and last.pass_on is not None:
             last.pass_on()
             return None
-        return attempts.FAILED if self.rules.may_have_run else unrun
+        return refusal_responses.FAILED if self.rules.may_have_run else unrun
 
     def _event_stream(self) -> EventStream | None:
         if not self.route.resumable:
--- a/src/springmux/node/gateway/headers.py
+++ b/src/springmux/node/gateway/headers.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from springmux.gateway.attempts import Refusal
 from springmux.gateway.dialect import HeaderNames
+from springmux.gateway.refusal_responses import Refusal
 from springmux.node.http.types import Header, RequestHead, ResponseHead
 from springmux.vocabulary.engines import EngineRecord
 
--- a/src/springmux/node/gateway/refusal_log.py
+++ b/src/springmux/node/gateway/refusal_log.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from springmux.coordination.state_machine import LogLevel
-from springmux.gateway.refusals import CALLERS_FAULTS, GatewayCounters, RefusalReason, RefusalTally
+from springmux.gateway.refusals import CLIENT_ERRORS, GatewayCounters, RefusalReason, RefusalTally
 from springmux.node.http.types import RequestHead, ServerRefusal
 from springmux.node.logs import EventLog
 
@@ -52,7 +52,7 @@
             self._timer.cancel()
             self._timer = None
         for summary in self._tally.take():
-            level = LogLevel.INFO if summary.reason in CALLERS_FAULTS else LogLevel.WARNING
+            level = LogLevel.INFO if summary.reason in CLIENT_ERRORS else LogLevel.WARNING
             self._log.write(
                 "requests_refused",
                 level,
--- a/src/springmux/simulation/placement/engine.py
+++ b/src/springmux/simulation/placement/engine.py
@@ -11,8 +11,8 @@
 from collections import OrderedDict, deque
 from dataclasses import dataclass, field
 
-from springmux.gateway.dispatches import Ticket
-from springmux.gateway.prompt_facts import PromptFacts
+from springmux.gateway.dispatches import Dispatch
+from springmux.gateway.prompt_metadata import PromptMetadata
 
 
 @dataclass(frozen=True)
@@ -39,13 +39,13 @@
 
     at: float
     node: int
-    facts: PromptFacts
+    facts: PromptMetadata
     long: bool
     kind: int = 0
     first_event_s: float = -1.0
     kept_tokens: int = 0
     engine: int = -1
-    correlation_id: Ticket | None = None
+    correlation_id: Dispatch | None = None
     left: int = 0
     read: int = 0
 
@@ -93,7 +93,7 @@
                 ready.append(self.prefilling.popleft())
         return ready, seconds
 
-    def _kept(self, facts: PromptFacts) -> int:
+    def _kept(self, facts: PromptMetadata) -> int:
         kept, broken = 0, False
         for part, tokens in facts.prefix:
             if part in self.cache:
--- a/src/springmux/simulation/placement/trace.py
+++ b/src/springmux/simulation/placement/trace.py
@@ -7,7 +7,7 @@
 import random
 from dataclasses import dataclass
 
-from springmux.gateway.prompt_facts import PromptFacts
+from springmux.gateway.prompt_metadata import PromptMetadata
 from springmux.simulation.placement.engine import Request
 
 _SKEW_OFFSET = 10.0
@@ -61,7 +61,7 @@
                 drawn = source.choices(range(level.count), weight)[0]
                 parts.append((f"{kind.name}/{number}/{drawn}", level.tokens))
             parts.append((f"own{next(numbers)}", own))
-            facts = PromptFacts(tuple(parts), sum(tokens for _, tokens in parts), kind.output_tokens)
+            facts = PromptMetadata(tuple(parts), sum(tokens for _, tokens in parts), kind.output_tokens)
             found.append(Request(at, source.randrange(nodes), facts, bool(facts.long_prefix()[1]), index))
             at += source.expovariate(kind.per_s * load)
     return sorted(found, key=lambda request: request.at)
@@ -90,12 +90,14 @@
         if hot_share and source.random() < hot_share:
             dossier = dossiers[-1]
         parts = (dossier, (f"own{next(numbers)}", 3720))
-        found.append(Request(at, source.randrange(nodes), PromptFacts(parts, dossier[1] + 3720, 200), True))
+        found.append(
+            Request(at, source.randrange(nodes), PromptMetadata(parts, dossier[1] + 3720, 200), True)
+        )
     at = 0.0
     while at < seconds:
         at += source.expovariate(shorts_per_s)
         session = source.randrange(1300)
         own = f"own{next(numbers)}"
-        facts = PromptFacts(((f"c{session % 40}", 55), (f"s{session}", 37), (own, 291)), 383, 60)
+        facts = PromptMetadata(((f"c{session % 40}", 55), (f"s{session}", 37), (own, 291)), 383, 60)
         found.append(Request(at, source.randrange(nodes), facts, False, 1))
     return sorted(found, key=lambda request: request.at)
--- a/tests/unit/bad_days/test_answers_late_lost_crossed.py
+++ b/tests/unit/bad_days/test_answers_late_lost_crossed.py
@@ -9,7 +9,7 @@
 
 from springmux.control.gateway_configuration import GatewayRouteKind
 from springmux.coordination.identifiers import Revision
-from springmux.gateway import attempts
+from springmux.gateway import refusal_responses
 from springmux.gateway.attempts import AttemptRules
 from springmux.gateway.core import GatewayCore
 from springmux.gateway.event_stream import EventStream
@@ -103,7 +103,7 @@
 
 
 def test_the_checker_sees_a_late_answer_called_a_refusal(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ForwardedRequest, "too_late", lambda request: attempts.TOO_LATE_UNSENT)
+    monkeypatch.setattr(ForwardedRequest, "too_late", lambda request: refusal_responses.TOO_LATE_UNSENT)
     assert rules.run_though_refused(bad_answers(LATE, UNSAFE)) != []
 
 
--- a/tests/unit/bad_days/test_engines_lost.py
+++ b/tests/unit/bad_days/test_engines_lost.py
@@ -9,7 +9,7 @@
 
 from springmux.gateway import engine_pool
 from springmux.gateway import outlier_detection as engine_standing
-from springmux.gateway.attempt_timeouts import Patience
+from springmux.gateway.attempt_timeouts import AttemptTimeouts
 from springmux.gateway.dialect import OWN_HEADERS
 from springmux.gateway.engine_health import EngineHealth
 from springmux.node.gateway.headers import HeaderRules
@@ -118,7 +118,7 @@
 def test_without_patience_the_checker_sees_requests_that_stay_at_the_dark_engine(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(Patience, "is_over", lambda *_: False)
+    monkeypatch.setattr(AttemptTimeouts, "is_over", lambda *_: False)
     fleet = one_engine("dark")
     assert rules.served_share(fleet, LOST_AT - 0.2, LOST_AT + 0.2) <= 0.95
 
--- a/tests/unit/docs/test_operations.py
+++ b/tests/unit/docs/test_operations.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 
 from springmux.agent import gateway_readiness, readiness
-from springmux.gateway.refusals import CALLERS_FAULTS, RefusalReason
+from springmux.gateway.refusals import CLIENT_ERRORS, RefusalReason
 from springmux.node.metrics.registry import METRICS, PREFIX
 from springmux.vocabulary.errors import ErrorCode
 from tests.unit.docs import pages
@@ -53,7 +53,7 @@
     rows = pages.rows(pages.section("OPERATIONS.md", "Refusals of the gateway"))
     levels = {pages.spans(row[0])[0]: row[1] for row in rows}
     assert levels == {
-        reason.value: "info" if reason in CALLERS_FAULTS else "warning" for reason in RefusalReason
+        reason.value: "info" if reason in CLIENT_ERRORS else "warning" for reason in RefusalReason
     }
 
 
--- a/tests/unit/gateway/test_patience.py
+++ b/tests/unit/gateway/test_attempt_timeouts.py
@@ -1,4 +1,4 @@
-"""A busy engine is waited for, a dark one is not; nothing is given up that has no other engine."""
+"""A busy engine is waited for, a unresponsive one is not; nothing is given up that has no other engine."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from springmux.control.gateway_configuration import Backend, GatewayRoute, GatewayRouteKind
 from springmux.coordination.retry_budget import RetryBudget
-from springmux.gateway.attempt_timeouts import Patience
+from springmux.gateway.attempt_timeouts import AttemptTimeouts
 from springmux.gateway.attempts import AttemptEnd, AttemptRules
 from springmux.vocabulary.names import RouteName, ServiceName
 
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize(
-    ("silent_s", "first", "dark", "over"),
+    ("elapsed_s", "first", "unresponsive", "over"),
     [
         (0.29, True, True, False),
         (0.31, True, True, True),
@@ -38,14 +38,14 @@
     ],
 )
 def test_a_silent_engine_is_left_sooner_than_a_busy_one(
-    silent_s: float, first: bool, dark: bool, over: bool
+    elapsed_s: float, first: bool, unresponsive: bool, over: bool
 ) -> None:
-    """Given a silence, it depends on what else the engine has sent whether the patience is over."""
-    assert Patience(ROUTE).is_over(silent_s, first, dark) is over
+    """Given a silence, it depends on what else the engine has sent whether the timeout has passed."""
+    assert AttemptTimeouts(ROUTE).is_over(elapsed_s, first, unresponsive) is over
 
 
 @pytest.mark.parametrize(
-    ("first_work_s", "silent_s", "dark", "over"),
+    ("prefill_s", "elapsed_s", "unresponsive", "over"),
     [
         (0.34, 0.67, True, False),
         (0.34, 0.69, True, True),
@@ -56,10 +56,10 @@
     ],
 )
 def test_a_long_prompt_is_given_the_time_that_reading_it_takes(
-    first_work_s: float, silent_s: float, dark: bool, over: bool
+    prefill_s: float, elapsed_s: float, unresponsive: bool, over: bool
 ) -> None:
-    """Given a prompt that takes longer to read than the usual patience, its engine is no dark one."""
-    assert Patience(ROUTE, first_work_s).is_over(silent_s, True, dark) is over
+    """Given a prompt that takes longer to read than the usual timeout, its engine is no unresponsive one."""
+    assert AttemptTimeouts(ROUTE, prefill_s).is_over(elapsed_s, True, unresponsive) is over
 
 
 def test_a_retry_is_taken_before_an_engine_is_given_up() -> None:
--- a/tests/unit/gateway/test_attempts.py
+++ b/tests/unit/gateway/test_attempts.py
@@ -4,7 +4,7 @@
 
 from springmux.control.gateway_configuration import Backend, GatewayRoute, GatewayRouteKind
 from springmux.coordination.retry_budget import RetryBudget
-from springmux.gateway.attempts import MAX_UNSENT_TRIES, AttemptEnd, AttemptRules
+from springmux.gateway.attempts import MAX_UNSENT_ATTEMPTS, AttemptEnd, AttemptRules
 from springmux.vocabulary.names import RouteName, ServiceName
 
 
@@ -34,7 +34,7 @@
 def test_no_more_engines_run_it_than_the_route_allows() -> None:
     """Given two attempts, a third engine gets nothing."""
     rules = _rules(GatewayRouteKind.SAFE)
-    assert rules.may_try_again(AttemptEnd.FAILED_ANSWER, 0.0)
+    assert rules.may_try_again(AttemptEnd.ERROR_RESPONSE, 0.0)
     assert not rules.may_try_again(AttemptEnd.MAY_HAVE_RUN, 0.0)
 
 
@@ -59,8 +59,8 @@
     """Given no budget, nothing is sent again, but another engine may be connected to."""
     assert not _rules(GatewayRouteKind.SAFE, floor=0).may_try_again(AttemptEnd.MAY_HAVE_RUN, 0.0)
     rules = _rules(GatewayRouteKind.UNSAFE, floor=0)
-    assert [rules.may_try_again(AttemptEnd.UNSENT, 0.0) for _ in range(MAX_UNSENT_TRIES)] == [
-        *([True] * (MAX_UNSENT_TRIES - 1)),
+    assert [rules.may_try_again(AttemptEnd.UNSENT, 0.0) for _ in range(MAX_UNSENT_ATTEMPTS)] == [
+        *([True] * (MAX_UNSENT_ATTEMPTS - 1)),
         False,
     ]
 
--- a/tests/unit/gateway/test_engine_health.py
+++ b/tests/unit/gateway/test_engine_health.py
@@ -8,7 +8,7 @@
 import pytest
 
 from springmux.coordination.identifiers import Address
-from springmux.gateway.placement import ExchangeOutcome, Placement, PromptFacts
+from springmux.gateway.placement import ExchangeOutcome, Placement, PromptMetadata
 from springmux.vocabulary.engines import EngineRecord
 
 from .places import free_places
@@ -29,19 +29,19 @@
 )
 
 O = ExchangeOutcome  # noqa: E741
-ANY = PromptFacts((), 300)
+ANY = PromptMetadata((), 300)
 
 
 def used(placement: Placement, now: float, trial_allowed: bool = False, count: int = 30) -> set[str | None]:
     """Return the engines that many requests at once go to; their clients leave, so nothing is learned."""
-    tickets = []
+    dispatches = []
     for _ in range(count):
         record = placement.choose(TEXT, (V1,), ANY, (), now, trial_allowed=trial_allowed)
         assert record is not None
-        tickets.append(placement.began(record, ANY, now))
-    for ticket in tickets:
-        placement.ended(ticket, O.ABANDONED, now)
-    return {ticket.record.engine for ticket in tickets}
+        dispatches.append(placement.began(record, ANY, now))
+    for dispatch in dispatches:
+        placement.ended(dispatch, O.ABANDONED, now)
+    return {dispatch.record.engine for dispatch in dispatches}
 
 
 @pytest.mark.parametrize("outcome", [O.CONNECT_FAILED, O.SILENT])
@@ -73,9 +73,9 @@
 def test_failures_of_requests_under_way_before_the_suspicion_do_not_double_it() -> None:
     records = engines(3)
     placement = node(records)
-    tickets = [send(placement, records[0], 9.9) for _ in range(4)]
-    for ticket in tickets:
-        placement.ended(ticket, O.SILENT, 10.0)
+    dispatches = [send(placement, records[0], 9.9) for _ in range(4)]
+    for dispatch in dispatches:
+        placement.ended(dispatch, O.SILENT, 10.0)
     assert chosen(placement, ANY, 11.05, trial_allowed=True) == "e0"
 
 
@@ -106,7 +106,7 @@
     assert chosen(placement, ANY, 11.8, trial_allowed=True) == "e0"
 
 
-@pytest.mark.parametrize("outcome", [O.RESET, O.CUT_SHORT])
+@pytest.mark.parametrize("outcome", [O.RESET, O.TRUNCATED])
 def test_two_cuts_within_two_seconds_make_a_suspect(outcome: ExchangeOutcome) -> None:
     records = engines(3)
     placement = node(records)
@@ -297,9 +297,9 @@
 def share_of(placement: Placement, now: float) -> str:
     record = placement.choose(TEXT, (V1,), PLAIN, (), now)
     assert record is not None
-    ticket = send(placement, record, now, PLAIN)
+    dispatch = send(placement, record, now, PLAIN)
     # The client leaves, so that nothing new is learned.
-    placement.ended(ticket, O.ABANDONED, now)
+    placement.ended(dispatch, O.ABANDONED, now)
     return record.engine
 
 
@@ -329,6 +329,6 @@
     records = engines(3)
     placement = node(records)
     for number in range(10):
-        exchange(placement, records[0], O.GARBLED if number % 2 else O.OK, 10.0 + number / 10, facts=SHORT)
-        exchange(placement, records[1], O.OK, 10.0 + number / 10, facts=SHORT)
+        exchange(placement, records[0], O.MALFORMED if number % 2 else O.OK, 10.0 + number / 10, prompt=SHORT)
+        exchange(placement, records[1], O.OK, 10.0 + number / 10, prompt=SHORT)
     assert "e0" not in used(placement, 11.5)
--- a/tests/unit/gateway/test_placement.py
+++ b/tests/unit/gateway/test_placement.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 
-from springmux.gateway.placement import ExchangeOutcome, Placement, PromptFacts
+from springmux.gateway.placement import ExchangeOutcome, Placement, PromptMetadata
 from springmux.vocabulary.engines import EngineStatus
 from springmux.vocabulary.names import EngineId, ServiceName
 
@@ -68,7 +68,7 @@
 
 def test_a_small_session_part_does_not_part_a_prompt_from_its_dossier() -> None:
     placement = node(engines(12))
-    with_session = PromptFacts((("d", 13_300), ("session", 37), ("own", 3000)), 16_337, 100)
+    with_session = PromptMetadata((("d", 13_300), ("session", 37), ("own", 3000)), 16_337, 100)
     assert chosen(placement, with_session, 1.0) == chosen(placement, long_prompt("d"), 1.0)
 
 
@@ -105,9 +105,9 @@
         dossier = "rare" if number % 50 == 0 else "hot"
         record = placement.choose(TEXT, (V1,), long_prompt(dossier), (), now)
         assert record is not None
-        ticket = placement.began(record, long_prompt(dossier), now)
-        placement.first_event(ticket, now + 0.09)
-        placement.ended(ticket, ExchangeOutcome.OK, now + 0.09)
+        dispatch = placement.began(record, long_prompt(dossier), now)
+        placement.first_event(dispatch, now + 0.09)
+        placement.ended(dispatch, ExchangeOutcome.OK, now + 0.09)
         if dossier == "rare":
             rare.add(record.engine)
         else:
@@ -120,32 +120,32 @@
 def test_shorts_avoid_an_engine_with_a_long_prefill() -> None:
     records = engines(3)
     placement = node(records)
-    ticket = send(placement, records[0], 1.0, long_prompt("d"))
+    dispatch = send(placement, records[0], 1.0, long_prompt("d"))
     for _ in range(6):
         assert choose_and_send(placement, SHORT, 1.0) != "e0"
-    placement.first_event(ticket, 1.1)
-    assert chosen(placement, PromptFacts((), 300), 3.0) == "e0"
+    placement.first_event(dispatch, 1.1)
+    assert chosen(placement, PromptMetadata((), 300), 3.0) == "e0"
 
 
 def test_shorts_avoid_an_engine_whose_last_answer_waited_for_others_prefill() -> None:
     records = engines(2)
     placement = node(records)
-    ticket = send(placement, records[0], 1.0, PromptFacts((), 383))
-    placement.first_event(ticket, 1.4)
-    placement.ended(ticket, ExchangeOutcome.OK, 1.4)
+    dispatch = send(placement, records[0], 1.0, PromptMetadata((), 383))
+    placement.first_event(dispatch, 1.4)
+    placement.ended(dispatch, ExchangeOutcome.OK, 1.4)
     # The other one was used later, so the order of use speaks for the first.
     exchange(placement, records[1], ExchangeOutcome.OK, 1.42, took_s=0.01)
-    assert {chosen(placement, PromptFacts((), 383), 1.45) for _ in range(20)} == {"e1"}
+    assert {chosen(placement, PromptMetadata((), 383), 1.45) for _ in range(20)} == {"e1"}
     send(placement, records[1], 3.0)
-    assert chosen(placement, PromptFacts((), 383), 3.0) == "e0"
+    assert chosen(placement, PromptMetadata((), 383), 3.0) == "e0"
 
 
 def test_shorts_spread_evenly() -> None:
     placement = node(engines(4))
     counts: Counter[str] = Counter()
     for number in range(400):
-        facts = PromptFacts((("common", 55), (f"s{number}", 37), (f"o{number}", 291)), 383, 60)
-        counts[choose_and_send(placement, facts, 1.0)] += 1
+        prompt = PromptMetadata((("common", 55), (f"s{number}", 37), (f"o{number}", 291)), 383, 60)
+        counts[choose_and_send(placement, prompt, 1.0)] += 1
     assert len(counts) == 4 and all(90 <= count <= 110 for count in counts.values())
 
 
@@ -153,16 +153,16 @@
     """Given nodes that know nothing of each other, prompts of one subject meet at two engines while idle."""
     records = engines(16)
     for subject in range(20):
-        facts = PromptFacts((("common", 341), (f"s{subject}", 227), ("own", 900)), 1468, 60)
-        places = {chosen(node(records, seed), facts, 1.0) for seed in range(10)}
+        prompt = PromptMetadata((("common", 341), (f"s{subject}", 227), ("own", 900)), 1468, 60)
+        places = {chosen(node(records, seed), prompt, 1.0) for seed in range(10)}
         assert len(places) == 1
 
 
 def test_a_subject_with_many_short_prompts_spreads_beyond_its_engines() -> None:
     """Given a subject that fills its engines, other engines take their part."""
     placement = node(engines(16))
-    facts = PromptFacts((("common", 341), ("hot", 227), ("own", 900)), 1468, 60)
-    counts = Counter(choose_and_send(placement, facts, 1.0) for _ in range(160))
+    prompt = PromptMetadata((("common", 341), ("hot", 227), ("own", 900)), 1468, 60)
+    counts = Counter(choose_and_send(placement, prompt, 1.0) for _ in range(160))
     assert len(counts) == 16 and max(counts.values()) <= 20
 
 
@@ -170,10 +170,10 @@
     records = engines(8)
     placement = node(records)
     exchange(placement, records[5], ExchangeOutcome.OK, 1.0)
-    again = PromptFacts((("common", 55), ("session", 37), ("own2", 291)), 383, 60)
+    again = PromptMetadata((("common", 55), ("session", 37), ("own2", 291)), 383, 60)
     assert {chosen(placement, again, 3.0) for _ in range(20)} == {"e5"}
     for _ in range(2):
-        send(placement, records[5], 3.0, PromptFacts((), 200))
+        send(placement, records[5], 3.0, PromptMetadata((), 200))
     assert "e5" not in {chosen(placement, again, 3.0) for _ in range(20)}
 
 
@@ -191,9 +191,9 @@
     placement.report_others({records[0].engine: (1.0, 10_000.0)})
     cold = send(placement, records[0], 1.0, long_prompt("d"))
     again = send(placement, records[0], 1.0, long_prompt("d"))
-    assert cold.first_work_s == pytest.approx((cold.expected_tokens + 10_000.0) / 50_000.0)
+    assert cold.prefill_wait_s == pytest.approx((cold.expected_tokens + 10_000.0) / 50_000.0)
     assert again.expected_tokens < cold.expected_tokens
-    assert again.first_work_s == pytest.approx(
+    assert again.prefill_wait_s == pytest.approx(
         (again.expected_tokens + cold.expected_tokens + 10_000.0) / 50_000.0
     )
 
@@ -201,8 +201,8 @@
 def test_only_changes_of_the_own_load_are_told() -> None:
     records = engines(3)
     placement = node(records)
-    first = send(placement, records[0], 1.0, PromptFacts((), 100))
-    send(placement, records[1], 1.0, PromptFacts((), 50))
+    first = send(placement, records[0], 1.0, PromptMetadata((), 100))
+    send(placement, records[1], 1.0, PromptMetadata((), 50))
     assert sorted(placement.changed_loads()) == [("e0", 1, 100.0), ("e1", 1, 50.0)]
     assert placement.changed_loads() == []
     placement.first_event(first, 1.1)
@@ -217,19 +217,19 @@
     placement = node(records)
     assert free_places(placement, TEXT, (V1,), 1.0) == 4
     for _ in range(2):
-        send(placement, records[0], 1.0, PromptFacts((), 10))
-    send(placement, records[1], 1.0, PromptFacts((), 1900))
+        send(placement, records[0], 1.0, PromptMetadata((), 10))
+    send(placement, records[1], 1.0, PromptMetadata((), 1900))
     assert free_places(placement, TEXT, (V1,), 1.0) == 1
-    assert chosen(placement, PromptFacts((), 10), 1.0) == "e1"
+    assert chosen(placement, PromptMetadata((), 10), 1.0) == "e1"
 
 
 def test_plain_requests_go_to_the_least_loaded_and_by_zone_only_at_a_tie() -> None:
     records = [engine(number, capacity=6, zone=zone) for number, zone in enumerate("abbc")]
     placement = node(records, nodes=1, zone="c")
     assert {chosen(placement, PLAIN, 1.0) for _ in range(10)} == {"e3"}
-    ticket = send(placement, records[3], 1.0, PLAIN)
+    dispatch = send(placement, records[3], 1.0, PLAIN)
     assert chosen(placement, PLAIN, 1.0) != "e3"
-    placement.ended(ticket, ExchangeOutcome.OK, 1.05)
+    placement.ended(dispatch, ExchangeOutcome.OK, 1.05)
     assert chosen(placement, PLAIN, 1.1) == "e3"
 
 
@@ -242,8 +242,8 @@
         record = placement.choose(TEXT, (V1,), PLAIN, (), now)
         assert record is not None
         counts[record.engine] += 1
-        ticket = send(placement, record, now, PLAIN)
-        placement.ended(ticket, ExchangeOutcome.OK, now + 0.04)
+        dispatch = send(placement, record, now, PLAIN)
+        placement.ended(dispatch, ExchangeOutcome.OK, now + 0.04)
     # One request at a time here, twelve in the fleet on 24 places.
     assert counts["e3"] <= 40
 
@@ -274,7 +274,7 @@
     for now, least, most in ((100.5, 10, 60), (105.0, 100, 260), (111.0, 360, 440)):
         counts: Counter[str] = Counter()
         for _ in range(2000):
-            record = placement.choose(TEXT, (V1,), PromptFacts((), 300), (), now)
+            record = placement.choose(TEXT, (V1,), PromptMetadata((), 300), (), now)
             assert record is not None
             counts[record.engine] += 1
             placement.ended(send(placement, record, now, PLAIN), ExchangeOutcome.ABANDONED, now)
@@ -315,8 +315,8 @@
     records = [engine(0, V1), engine(1, V1), engine(2, V2)]
     placement = node(records)
     assert chosen(placement, SHORT, 1.0, (V2, V1)) == "e2"
-    subjects = [PromptFacts(((f"s{number}", 92), ("own", 291)), 383, 60) for number in range(20)]
-    assert {chosen(placement, facts, 1.0, (V1, V2)) for facts in subjects} == {"e0", "e1"}
+    subjects = [PromptMetadata(((f"s{number}", 92), ("own", 291)), 383, 60) for number in range(20)]
+    assert {chosen(placement, prompt, 1.0, (V1, V2)) for prompt in subjects} == {"e0", "e1"}
     placement.update_engines(view([*records[:2], with_status(records[2], EngineStatus.DRAINING)]), 2.0)
     assert chosen(placement, SHORT, 2.0, (V2, V1)) in {"e0", "e1"}
     assert chosen(placement, SHORT, 2.0, (V2,)) is None
@@ -337,8 +337,8 @@
     for seed in range(10):
         placement = node(records, seed=seed)
         for number in range(40):
-            facts = long_prompt(f"d{number}") if number % 2 else PromptFacts((), 300)
-            record = placement.choose(TEXT, (V2, V1), facts, (), 1.0, engines_limit=2)
+            prompt = long_prompt(f"d{number}") if number % 2 else PromptMetadata((), 300)
+            record = placement.choose(TEXT, (V2, V1), prompt, (), 1.0, engines_limit=2)
             assert record is not None
             assert record.version == V2
             used.add(record.engine)
@@ -349,10 +349,10 @@
         exchange(placement, record, ExchangeOutcome.CONNECT_FAILED, 1.0)
     fallbacks = set()
     for _ in range(40):
-        record = placement.choose(TEXT, (V2, V1), PromptFacts((), 300), (), 1.1, engines_limit=2)
+        record = placement.choose(TEXT, (V2, V1), PromptMetadata((), 300), (), 1.1, engines_limit=2)
         assert record is not None
         fallbacks.add(record.engine)
-        send(placement, record, 1.1, PromptFacts((), 300))
+        send(placement, record, 1.1, PromptMetadata((), 300))
     assert fallbacks == {"e20", "e21", "e22", "e23"}
 
 
@@ -371,18 +371,18 @@
     records = engines(3)
     placement = node(records)
     source = random.Random(3)
-    tickets = []
+    dispatches = []
     for number in range(60):
-        facts = source.choice([SHORT, PLAIN, long_prompt(f"d{number % 7}")])
-        record = placement.choose(TEXT, (), facts, (), 1.0)
+        prompt = source.choice([SHORT, PLAIN, long_prompt(f"d{number % 7}")])
+        record = placement.choose(TEXT, (), prompt, (), 1.0)
         assert record is not None
-        tickets.append(placement.began(record, facts, 1.0))
-    for ticket in tickets:
-        placement.first_event(ticket, 1.2)
-        placement.ended(ticket, source.choice(list(ExchangeOutcome)), 1.5)
-        placement.ended(ticket, ExchangeOutcome.OK, 1.6)
-    assert {ticket.slot.in_flight for ticket in tickets} == {0}
-    assert {ticket.slot.prefill_tokens for ticket in tickets} == {0.0}
+        dispatches.append(placement.began(record, prompt, 1.0))
+    for dispatch in dispatches:
+        placement.first_event(dispatch, 1.2)
+        placement.ended(dispatch, source.choice(list(ExchangeOutcome)), 1.5)
+        placement.ended(dispatch, ExchangeOutcome.OK, 1.6)
+    assert {dispatch.slot.in_flight for dispatch in dispatches} == {0}
+    assert {dispatch.slot.prefill_tokens for dispatch in dispatches} == {0.0}
 
 
 def test_what_others_had_at_a_plain_back_end_a_while_ago_does_not_decide() -> None:
--- a/tests/unit/gateway/test_routing.py
+++ b/tests/unit/gateway/test_routing.py
@@ -11,7 +11,7 @@
     GatewayRouteKind,
     GatewayTenant,
 )
-from springmux.gateway.prompt import engine_priority, parse_facts, quota_tokens
+from springmux.gateway.prompt_headers import engine_priority, parse_prompt_metadata, quota_tokens
 from springmux.gateway.routing import KeyRejectedError, RouteNotFoundError, RouteTable
 from springmux.vocabulary.names import RouteName, ServiceName, TenantName
 
@@ -91,11 +91,11 @@
 
 def test_facts_are_read_from_the_headers() -> None:
     """Given both headers, the parts keep their order and the tokens are counted."""
-    facts = parse_facts(b"5c1e:800,91bd:410, e440:250", b"1460,80")
-    assert facts.prefix == (("5c1e", 800), ("91bd", 410), ("e440", 250))
-    assert (facts.prompt_tokens, facts.output_tokens) == (1460, 80)
-    assert parse_facts(b"a:5,b:x,:3", None).prompt_tokens == 5
-    assert parse_facts(None, b"nonsense").prompt_tokens == 0
+    prompt = parse_prompt_metadata(b"5c1e:800,91bd:410, e440:250", b"1460,80")
+    assert prompt.prefix == (("5c1e", 800), ("91bd", 410), ("e440", 250))
+    assert (prompt.prompt_tokens, prompt.output_tokens) == (1460, 80)
+    assert parse_prompt_metadata(b"a:5,b:x,:3", None).prompt_tokens == 5
+    assert parse_prompt_metadata(None, b"nonsense").prompt_tokens == 0
 
 
 def test_a_request_counts_its_stated_tokens_or_the_tenants_default() -> None:
--- a/tests/unit/gateway/test_versions.py
+++ b/tests/unit/gateway/test_versions.py
@@ -5,7 +5,7 @@
 import random
 
 from springmux.coordination.identifiers import Address
-from springmux.gateway.placement import Placement, PromptFacts
+from springmux.gateway.placement import Placement, PromptMetadata
 from springmux.gateway.versions import VersionSelection
 from springmux.rollout.outcome import FirstTokenWatch, PromptOutcome, VersionChoice
 from springmux.vocabulary.engines import EngineRecord, EnginesView
@@ -14,7 +14,7 @@
 SERVICE = ServiceName("text")
 ROUTE = RouteName("draft")
 OLD, NEW = VersionName("v1"), VersionName("v2")
-FACTS = PromptFacts()
+FACTS = PromptMetadata()
 
 
 class _Chooser:
--- a/tests/unit/gateway/transcripts.py
+++ b/tests/unit/gateway/transcripts.py
@@ -9,15 +9,15 @@
 
 from springmux.control.gateway_configuration import GatewayService
 from springmux.coordination.identifiers import Address, ZoneName
-from springmux.gateway.placement import ExchangeOutcome, Placement, PromptFacts, Ticket
+from springmux.gateway.placement import Dispatch, ExchangeOutcome, Placement, PromptMetadata
 from springmux.vocabulary.engines import EngineRecord, EngineStatus, EnginesView
 from springmux.vocabulary.names import EngineId, ServiceName, VersionName
 
 TEXT = ServiceName("text")
 V1 = VersionName("v1")
 V2 = VersionName("v2")
-SHORT = PromptFacts((("common", 55), ("session", 37), ("own", 291)), 383, 60)
-PLAIN = PromptFacts()
+SHORT = PromptMetadata((("common", 55), ("session", 37), ("own", 291)), 383, 60)
+PLAIN = PromptMetadata()
 
 
 def engine(number: int, version: VersionName = V1, capacity: int = 16, zone: str = "a") -> EngineRecord:
@@ -58,35 +58,35 @@
     return placement
 
 
-def long_prompt(dossier: str) -> PromptFacts:
+def long_prompt(dossier: str) -> PromptMetadata:
     """Return a long prompt on a shared dossier."""
-    return PromptFacts(((dossier, 13_300), (f"own-{dossier}", 3720)), 17_020, 200)
+    return PromptMetadata(((dossier, 13_300), (f"own-{dossier}", 3720)), 17_020, 200)
 
 
 def chosen(
     placement: Placement,
-    facts: PromptFacts,
+    prompt: PromptMetadata,
     now: float,
     versions: tuple[VersionName, ...] = (V1,),
     trial_allowed: bool = False,
 ) -> str | None:
     """Return the name of the engine that is chosen now."""
-    record = placement.choose(TEXT, versions, facts, (), now, trial_allowed=trial_allowed)
+    record = placement.choose(TEXT, versions, prompt, (), now, trial_allowed=trial_allowed)
     return None if record is None else record.engine
 
 
-def send(placement: Placement, record: EngineRecord, now: float, facts: PromptFacts = SHORT) -> Ticket:
+def send(placement: Placement, record: EngineRecord, now: float, prompt: PromptMetadata = SHORT) -> Dispatch:
     """Send a request to a given engine."""
-    return placement.began(record, facts, now)
+    return placement.began(record, prompt, now)
 
 
 def choose_and_send(
-    placement: Placement, facts: PromptFacts, now: float, versions: tuple[VersionName, ...] = (V1,)
+    placement: Placement, prompt: PromptMetadata, now: float, versions: tuple[VersionName, ...] = (V1,)
 ) -> str:
     """Send a request to the engine that is chosen for it; return the engine's name."""
-    record = placement.choose(TEXT, versions, facts, (), now)
+    record = placement.choose(TEXT, versions, prompt, (), now)
     assert record is not None
-    send(placement, record, now, facts)
+    send(placement, record, now, prompt)
     return record.engine
 
 
@@ -96,8 +96,8 @@
     outcome: ExchangeOutcome,
     now: float,
     took_s: float = 0.03,
-    facts: PromptFacts = SHORT,
+    prompt: PromptMetadata = SHORT,
 ) -> None:
     """Send a request to a given engine; it ends ``took_s`` later, at ``now``."""
-    ticket = placement.began(record, facts, now - took_s)
-    placement.ended(ticket, outcome, now)
+    dispatch = placement.began(record, prompt, now - took_s)
+    placement.ended(dispatch, outcome, now)
