--- a/src/springmux/gateway/core.py
+++ b/src/springmux/gateway/core.py
@@ -1,4 +1,4 @@
-"""What a node's forwarded requests share: route table, placement, version filter, quota, retry budget."""
+"""State shared by a node's forwarded requests: routes, placement, version filter, quota, retry budget."""
 
 from __future__ import annotations
 
@@ -20,18 +20,17 @@
 from springmux.vocabulary.names import EngineId, ServiceName
 
 FLEET_RETRY_SHARE = 0.75
-"""Part of the fleet's least number of retries that its nodes share; the rest is for nodes not yet known."""
-NODE_RETRY_PART = 0.75
-"""Part of the fleet's share of retries that each node allows itself, since counts differ at a window's edges;
-a bound on each node bounds the fleet (docs/notes/retries.md)."""
-LEAST_NODE_RETRIES = 2
-"""One more than the retry that a node is in the middle of, where the fleet's bound allows it to all."""
-SHORTEST_WINDOW_S = 0.1
-"""Retries are told apart in time no finer than this."""
+"""Part of the fleet's minimum number of retries that its known nodes share."""
+NODE_RETRY_FACTOR = 0.75
+"""Part of the fleet's retry ratio that each node uses, since counts differ at a window's edges; a bound on
+each node bounds the fleet (docs/notes/retries.md)."""
+MIN_NODE_RETRIES = 2
+"""Allows a second retry beside a running one, where the fleet's bound allows it to all nodes."""
+MIN_WINDOW_S = 0.1
 
 
 class RetryBounds(msgspec.Struct, frozen=True):
-    """The fleet's bound on repeats: in any ``window_s``, ``share`` of its requests and ``least`` more."""
+    """The fleet's bound on retries in any ``window_s``: ``share`` of its requests plus ``least``."""
 
     share: float = 0.2
     least: float = 0.0
@@ -39,14 +38,18 @@
 
 
 class RolloutInForce(msgspec.Struct, frozen=True):
-    """A rollout's record with the monotonic time at which it came into force here."""
+    """A rollout's record with the monotonic time (s) at which it took effect at this node."""
 
     record: RolloutRecord
     since: float
 
 
+def _always_current(_now: float) -> bool:
+    return True
+
+
 class GatewayCore:
-    """Shared state of a node's forwarded requests. All calls come from one thread."""
+    """Shared state of a node's forwarded requests. Not thread-safe."""
 
     def __init__(
         self,
@@ -54,9 +57,12 @@
         source: random.Random,
         chooser: VersionChooser,
         usage: UsageExchange,
-        keys_current: Callable[[float], bool] = lambda now: True,
+        keys_current: Callable[[float], bool] = _always_current,
     ) -> None:
-        """:param keys_current: says whether no key can have been taken away too long ago for this node."""
+        """Start without any configuration.
+
+        :param keys_current: returns whether this node's view of revoked keys is recent enough at a time.
+        """
         self._keys_current = keys_current
         self.chooser = chooser
         self.usage = usage
@@ -70,25 +76,25 @@
 
     @property
     def configured(self) -> bool:
-        """Whether any configuration is known; without one nothing can be routed."""
+        """Whether any configuration is known."""
         return self._view.gateway.version > 0
 
     def knows_keys(self, now: float) -> bool:
-        """Say whether this node can tell which keys are valid; so it can where none are asked for."""
+        """Return whether this node can validate keys, which it always can where none are required."""
         return not self.table.configuration.requires_key or self._keys_current(now)
 
     @property
     def view(self) -> ControlView:
-        """The control state in force."""
+        """The control state in effect."""
         return self._view
 
     def bound_retries(self, bounds: RetryBounds) -> None:
-        """Take the fleet's bound on repeats; called before the first request."""
+        """Set the fleet's bound on retries; call before the first request."""
         self._retry_bounds = bounds
         self.retry_budget = _budget(bounds)
 
     def update_control(self, view: ControlView, now: float) -> None:
-        """Take a newer control state; an older one is ignored."""
+        """Apply a newer control state; ignore an older one."""
         if view.revision < self._view.revision:
             return
         before, self._view = self._view, view
@@ -96,25 +102,25 @@
             self.table = RouteTable(view.gateway)
             self.placement.update_services(view.gateway.services)
         if view.rollouts is not before.rollouts:
-            self._take_rollouts(view, now)
+            self._update_rollouts(view, now)
 
     def update_engines(self, view: EnginesView, now: float) -> None:
-        """Take a newer directory."""
+        """Apply a newer directory view."""
         self.placement.update_engines(view, now)
 
     def exchange_loads(self) -> None:
-        """Tell other nodes of changes of the own load on engines, and take theirs; a few times a second."""
+        """Publish changes of this node's load on engines and apply the other nodes' reports."""
         for engine, requests, prompt_tokens in self.placement.changed_loads():
             self.usage.note_engine_load(engine, float(requests), prompt_tokens)
         others = self.usage.other_engine_loads()
         self.placement.report_others({EngineId(engine): load for engine, load in others.items()})
 
     def update_fleet(self, nodes: int) -> None:
-        """Take the number of present nodes, over which the fleet's bounds are spread."""
+        """Set the number of live nodes, which share the fleet's bounds."""
         self.placement.set_fleet_size(nodes)
         self.retry_budget.set_floor(_node_floor(self._retry_bounds.least, max(1, nodes)))
 
-    def _take_rollouts(self, view: ControlView, now: float) -> None:
+    def _update_rollouts(self, view: ControlView, now: float) -> None:
         kept: dict[ServiceName, RolloutInForce] = {}
         for service, record in view.rollouts.items():
             known = self.rollouts.get(service)
@@ -125,10 +131,10 @@
 
 
 def _node_floor(least: float, nodes: int) -> int:
-    """Return the retries that one of ``nodes`` may send beside its share; more than one only if all may."""
+    """Return the retries that one of ``nodes`` may send on top of its ratio; above one only if all may."""
     usual = int(FLEET_RETRY_SHARE * least / nodes)
-    return max(1, usual, min(LEAST_NODE_RETRIES, int(least / nodes)))
+    return max(1, usual, min(MIN_NODE_RETRIES, int(least / nodes)))
 
 
 def _budget(bounds: RetryBounds) -> RetryBudget:
-    return RetryBudget(NODE_RETRY_PART * bounds.share, window_s=max(SHORTEST_WINDOW_S, bounds.window_s))
+    return RetryBudget(NODE_RETRY_FACTOR * bounds.share, window_s=max(MIN_WINDOW_S, bounds.window_s))
--- a/src/springmux/gateway/dialect.py
+++ b/src/springmux/gateway/dialect.py
@@ -1,4 +1,4 @@
-"""Names of the headers that the gateway reads and writes. A deployment may use names of its own."""
+"""Names of the headers that the gateway reads and writes; a deployment may configure its own."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 class HeaderNames(msgspec.Struct, frozen=True):
     """Header names in lower case, as bytes. The defaults are the gateway's own interface (docs/API.md).
 
-    Read from callers: ``request_id``, ``deadline_ms`` (what the caller will wait), ``api_key``, ``model``,
+    Read from clients: ``request_id``, ``deadline_ms`` (how long the client waits), ``api_key``, ``model``,
     ``token_usage`` (``PROMPT,MOST_OUT``), ``prompt_prefix`` (``ID:TOKENS`` parts in order, joined by commas).
     Written to engines: ``target_engine``, ``tenant``, ``priority`` (0 to 9), ``last_event_id``.
-    Read from engines: ``not_executed`` (the request did not run), ``seal`` (the engine's signature, which
-    only the engine's own answer may carry), ``engine_id``.
+    Read from engines: ``not_executed`` (the request was not executed), ``seal`` (the engine's signature,
+    valid only on the engine's own response), ``engine_id``.
     """
 
     request_id: bytes = b"x-request-id"
--- a/src/springmux/gateway/dispatches.py
+++ b/src/springmux/gateway/dispatches.py
@@ -1,27 +1,31 @@
-"""Accounts of the exchanges under way: what each holds on its engine, and what its end tells."""
+"""Dispatches in flight: the load that each puts on its engine, and the evidence that its end gives."""
 
 from __future__ import annotations
 
 import math
 from dataclasses import dataclass
 
-from springmux.gateway.engine_health import SILENCE_S, ExchangeOutcome
+from springmux.gateway.engine_health import UNRESPONSIVE_AFTER_S, ExchangeOutcome
 from springmux.gateway.engine_pool import EngineSlot, EngineTable, ServicePool
 from springmux.gateway.prefix_memory import PREFILL_TOKENS_PER_S, PrefixMemory
 from springmux.gateway.prompt_metadata import PromptMetadata
 from springmux.vocabulary.engines import EngineRecord
 from springmux.vocabulary.names import EngineId, ServiceName
 
-BASE_TOKENS = 1000.0
-"""An idle engine's time to a first event beyond the prefill, as tokens: 20 ms, some steps and the network."""
-MOST_GUESSED_TOKENS = 20_000.0
-"""About one long cold prompt."""
+FIXED_COST_TOKENS = 1000.0
+"""An idle engine's time to a first event beyond the prefill (20 ms), as tokens."""
+MAX_QUEUE_ESTIMATE_TOKENS = 20_000.0
+"""About one long uncached prompt."""
 
 
 @dataclass(eq=False, slots=True)
 class Dispatch:
-    """One exchange under way. ``expected_tokens``: prompt tokens to prefill before its first event;
-    ``ahead_tokens``: those of this node that lay before them."""
+    """One dispatch in flight. Times are monotonic seconds.
+
+    ``model``: whether a model engine serves it. ``trial``: whether it is a half-open engine's trial.
+    ``expected_tokens``: uncached prompt tokens to prefill before its first event. ``ahead_tokens``: those of
+    this node queued before them. ``prefilling``: no first event yet. ``open``: not ended.
+    """
 
     slot: EngineSlot
     model: bool
@@ -35,7 +39,7 @@
 
     @property
     def prefill_wait_s(self) -> float:
-        """Time that the engine probably reads before this exchange's first event; 0 for plain services."""
+        """Estimated prefill time in seconds before the first event; 0 for plain services."""
         if not self.model:
             return 0.0
         ahead_tokens = self.ahead_tokens + self.slot.other_tokens
@@ -43,12 +47,15 @@
 
     @property
     def record(self) -> EngineRecord:
-        """The engine as known when this is read."""
+        """The engine's present record."""
         return self.slot.record
 
 
 class DispatchTracker:
-    """Keeps the slots' counts and feeds health, pace and memory. ``models``: services with model engines."""
+    """Keeps the slots' load counts; updates health, pace and prefix memory.
+
+    ``models``: services with model engines.
+    """
 
     def __init__(self, table: EngineTable, memory: PrefixMemory) -> None:
         self.models: frozenset[ServiceName] = frozenset()
@@ -57,7 +64,7 @@
         self._changed: dict[EngineId, None] = {}
 
     def take_changed(self) -> list[tuple[EngineId, int, float]]:
-        """Return the engines whose load changed since the last call: requests, prompt tokens."""
+        """Return engine, requests and prompt tokens for each change of load since the last call."""
         changed, self._changed = self._changed, {}
         found: list[tuple[EngineId, int, float]] = []
         for engine in changed:
@@ -66,16 +73,16 @@
         return found
 
     def is_model(self, service: ServiceName, prompt: PromptMetadata) -> bool:
-        """Say whether the request goes to a model engine."""
+        """Return whether a model engine serves the request."""
         return service in self.models or prompt.prompt_tokens > 0
 
     def began(self, record: EngineRecord, prompt: PromptMetadata, now: float) -> Dispatch:
-        """Count a request. An engine that has just gone is counted apart."""
+        """Count a dispatched request. An engine that has just left gets a slot outside the table."""
         slot = self._table.slots.get(record.engine) or EngineSlot(record, now)
         model = self.is_model(record.service, prompt)
         prefix_id, prefix_tokens = prompt.long_prefix()
         expected = float(prompt.prompt_tokens)
-        if prefix_tokens and self._memory.warm(prefix_id, slot, now):
+        if prefix_tokens and self._memory.probably_cached(prefix_id, slot, now):
             expected -= prefix_tokens
         dispatch = Dispatch(
             slot=slot,
@@ -83,39 +90,41 @@
             trial=slot.health.began(now),
             began_at=now,
             expected_tokens=expected,
-            ahead_tokens=slot.prefill_tokens if model else BASE_TOKENS * slot.in_flight / record.capacity,
+            ahead_tokens=slot.prefill_tokens
+            if model
+            else FIXED_COST_TOKENS * slot.in_flight / record.capacity,
             long_prefix=prefix_tokens > 0,
         )
         self._changed[record.engine] = None
         slot.in_flight += 1
         slot.prefill_tokens += expected
         slot.sent_at = now
-        slot.passed = 0
+        slot.skipped = 0
         if prefix_tokens:
-            self._memory.note_sent(prefix_id, slot, now)
+            self._memory.record_dispatch(prefix_id, slot, now)
         for part_id, _ in prompt.prefix[-2:]:
-            self._memory.note_part(part_id, slot)
+            self._memory.record_part(part_id, slot)
         pool = self._table.pool(record.service)
         if pool is not None:
             pool.note_in_flight()
         return dispatch
 
     def first_event(self, dispatch: Dispatch, now: float) -> None:
-        """Take the end of a prefill."""
+        """Record the first event of a response, which ends the prefill."""
         if not dispatch.prefilling:
             return
         slot = dispatch.slot
         waited_s = now - dispatch.began_at
-        self._prefill_over(dispatch)
+        self._end_prefill(dispatch)
         slot.health.heard(now)
-        slot.health.pace(waited_s, dispatch.expected_tokens + dispatch.ahead_tokens + BASE_TOKENS, now)
+        slot.health.pace(waited_s, dispatch.expected_tokens + dispatch.ahead_tokens + FIXED_COST_TOKENS, now)
         if dispatch.model:
-            unseen = waited_s * PREFILL_TOKENS_PER_S - dispatch.expected_tokens - BASE_TOKENS
-            slot.guessed_tokens = min(MOST_GUESSED_TOKENS, max(0.0, unseen))
-            slot.guessed_at = now
+            queued_tokens = waited_s * PREFILL_TOKENS_PER_S - dispatch.expected_tokens - FIXED_COST_TOKENS
+            slot.queue_tokens = min(MAX_QUEUE_ESTIMATE_TOKENS, max(0.0, queued_tokens))
+            slot.queue_estimated_at = now
 
     def ended(self, dispatch: Dispatch, outcome: ExchangeOutcome, now: float) -> None:
-        """Take an exchange's end; a second call changes nothing."""
+        """Record the end of a dispatch; a second call changes nothing."""
         if not dispatch.open:
             return
         dispatch.open = False
@@ -123,36 +132,36 @@
         if outcome is ExchangeOutcome.OK:
             self.first_event(dispatch, now)
             if dispatch.long_prefix:
-                self._memory.note_hold(now - dispatch.began_at)
+                self._memory.record_duration(now - dispatch.began_at)
         if dispatch.prefilling and outcome is ExchangeOutcome.TIMED_OUT:
-            tokens = dispatch.expected_tokens + dispatch.ahead_tokens + BASE_TOKENS
+            tokens = dispatch.expected_tokens + dispatch.ahead_tokens + FIXED_COST_TOKENS
             slot.health.pace(now - dispatch.began_at, tokens, now)
-        self._prefill_over(dispatch)
+        self._end_prefill(dispatch)
         self._changed[slot.record.engine] = None
         slot.in_flight -= 1
         slot.health.ended(outcome, dispatch.trial, dispatch.began_at, now)
         pool = self._table.pool(slot.record.service)
         if pool is None:
             return
-        dark = (dispatch.trial and slot.health.suspect) or _alone_in_silence(
+        unresponsive = (dispatch.trial and slot.health.suspect) or _only_unresponsive(
             pool, slot, dispatch.began_at, now
         )
-        if outcome is ExchangeOutcome.TIMED_OUT and dark:
-            slot.health.suspect_dark(dispatch.began_at, now)
+        if outcome is ExchangeOutcome.TIMED_OUT and unresponsive:
+            slot.health.suspect_unresponsive(dispatch.began_at, now)
         if outcome is not ExchangeOutcome.OK:
             pool.refresh_soon()
 
-    def _prefill_over(self, dispatch: Dispatch) -> None:
+    def _end_prefill(self, dispatch: Dispatch) -> None:
         if dispatch.prefilling:
             dispatch.prefilling = False
             self._changed[dispatch.slot.record.engine] = None
             dispatch.slot.prefill_tokens -= dispatch.expected_tokens
 
 
-def _alone_in_silence(pool: ServicePool, slot: EngineSlot, began_at: float, now: float) -> bool:
-    """Say whether this engine has been silent while another one of its service answered."""
+def _only_unresponsive(pool: ServicePool, slot: EngineSlot, began_at: float, now: float) -> bool:
+    """Return whether this engine has sent nothing while another one of its service responded."""
     own = slot.health.heard_at
-    if own > now - SILENCE_S:
+    if own > now - UNRESPONSIVE_AFTER_S:
         return False
     since = max(own, began_at)
     others = (other.health.heard_at for other in pool.ready.slots if other is not slot)
--- a/src/springmux/gateway/engine_pool.py
+++ b/src/springmux/gateway/engine_pool.py
@@ -8,37 +8,35 @@
 from dataclasses import dataclass, field
 
 from springmux.coordination.rendezvous import rendezvous_score
+from springmux.coordination.slow_start import slow_start_share
 from springmux.gateway.engine_health import EngineHealth
-from springmux.gateway.outlier_detection import compare
+from springmux.gateway.outlier_detection import update_outliers
 from springmux.vocabulary.engines import EngineRecord, EngineStatus, EnginesView
 from springmux.vocabulary.names import EngineId, ServiceName, VersionName
 
 REFRESH_S = 0.25
-"""How often engines are compared and ramps advance: a fortieth of a ramp."""
-RAMP_S = 10.0
-"""Time in which a new engine, whose cache is cold, comes to its full share."""
-FIRST_RAMP_SHARE = 0.1
+"""Interval between comparisons of the engines and steps of their slow start."""
 ORDER_LENGTH = 16
-"""Engines kept of a prefix's order: the most it spreads over, and some that may be out."""
-ORDERS_KEPT = 4096
-GUESS_FADE_S = 0.2
-"""How fast a wait seen at an engine stops telling of the next: about one long prefill."""
-IN_FLIGHT_WEIGHT = 0.05
-"""Weight of the newest count in the mean: about the last 20 requests."""
+"""Engines kept of a prefix's rendezvous order: the most that share it, and some that may be unavailable."""
+MAX_CACHED_ORDERS = 4096
+QUEUE_ESTIMATE_DECAY_S = 0.2
+"""Decay time of the queue estimated from an observed wait: about one long prefill."""
+IN_FLIGHT_SMOOTHING = 0.05
+"""Weight of the newest count in the moving average: about the last 20 requests."""
 _HASH_RANGE = float(1 << 64) * (1.0 + 2.0**-50)
-"""A little above 2**64, so that no score rounds to 1, whose logarithm is 0."""
-_GATE_MASK = (1 << 16) - 1
-"""Bits of a score that decide how early a new engine takes the prefix."""
+"""Slightly above 2**64, so that no score rounds to 1, whose logarithm is 0."""
+_THRESHOLD_MASK = (1 << 16) - 1
+"""Bits of a score that decide how early in its slow start an engine takes the prefix."""
 
 
 @dataclass(eq=False, slots=True)
 class EngineSlot:
-    """One engine incarnation.
+    """One engine incarnation, with this node's view of its load. Times are monotonic seconds.
 
-    ``prefill_tokens``: own prompts' tokens that have no first event yet. ``guessed_tokens``: tokens that lay
-    before a recent request, judged by its wait, at ``guessed_at``. ``other_requests`` and ``other_tokens``
-    are other nodes' load as reported. ``ramp``: share (0..1) that it takes while its cache is cold.
-    ``passed``: choices by load since it was last sent to.
+    ``prefill_tokens``: prompt tokens of this node's requests without a first event. ``queue_tokens``: tokens
+    queued ahead of a recent request, estimated from its wait, at ``queue_estimated_at``. ``other_requests``
+    and ``other_tokens``: load of the other nodes, as reported. ``ramp``: share (0..1) of its usual requests
+    during slow start. ``skipped``: choices by load since the last dispatch to it.
     """
 
     record: EngineRecord
@@ -46,80 +44,84 @@
     health: EngineHealth = field(default_factory=EngineHealth)
     in_flight: int = 0
     prefill_tokens: float = 0.0
-    guessed_tokens: float = 0.0
-    guessed_at: float = -math.inf
+    queue_tokens: float = 0.0
+    queue_estimated_at: float = -math.inf
     other_requests: float = 0.0
     other_tokens: float = 0.0
     sent_at: float = -math.inf
-    passed: int = 0
+    skipped: int = 0
     ramp: float = 1.0
 
     @property
     def requests(self) -> float:
-        """Requests of all nodes on the engine, as far as this node knows."""
+        """Requests of all nodes in flight on the engine, as far as this node knows."""
         return self.in_flight + self.other_requests
 
-    def rests(self, engines: int) -> bool:
-        """Say whether a cold or slow engine leaves this choice among ``engines`` to the others.
+    def skips_turn(self, engines: int) -> bool:
+        """Count one choice among ``engines``; return whether a warming or slow engine sits it out.
 
-        It is the idlest of them, so only counting keeps it to its part: one choice in ``engines / share``.
+        Such an engine is usually the least loaded, so counting limits it to one choice in
+        ``engines / share``.
         """
-        share = self.ramp * self.health.share
+        share = self.ramp * self.health.weight
         if share >= 1.0:
             return False
-        self.passed += 1
-        return self.passed * share < engines
+        self.skipped += 1
+        return self.skipped * share < engines
 
     def tokens_ahead(self, now: float) -> float:
-        """Return the prompt tokens that probably lie before a request that comes now."""
+        """Return the prompt tokens probably queued ahead of a request that is dispatched now."""
         ahead = self.prefill_tokens + self.other_tokens
-        age_s = now - self.guessed_at
-        if age_s < 5.0 * GUESS_FADE_S:
-            ahead += self.guessed_tokens * math.exp(-age_s / GUESS_FADE_S)
+        age_s = now - self.queue_estimated_at
+        if age_s < 5.0 * QUEUE_ESTIMATE_DECAY_S:
+            ahead += self.queue_tokens * math.exp(-age_s / QUEUE_ESTIMATE_DECAY_S)
         return ahead
 
 
 class EngineGroup:
-    """Ready engines among which one choice is made."""
+    """Ready engines from which one is chosen."""
 
     def __init__(self, slots: Iterable[EngineSlot]) -> None:
         self.slots = sorted(slots, key=lambda slot: slot.record.engine)
-        self._even = len({slot.record.capacity for slot in self.slots}) <= 1
+        self._same_capacity = len({slot.record.capacity for slot in self.slots}) <= 1
         self._orders: OrderedDict[str, list[tuple[EngineSlot, float]]] = OrderedDict()
 
     def order(self, prefix_id: str) -> list[tuple[EngineSlot, float]]:
-        """Return a prefix's engines by weighted rendezvous, the weights being capacities.
+        """Return a prefix's engines in weighted rendezvous order, weighted by capacity.
 
-        Each comes with a fixed number in 0..1: it takes the prefix once its ramp is above it, so that the
-        prefixes of a new engine only grow. Source of the weights: Schindelhauer and Schomaker 2005.
+        Each comes with a fixed threshold in 0..1 and takes the prefix once its ramp exceeds it, so a new
+        engine's set of prefixes only grows. Weighting: Schindelhauer and Schomaker 2005.
         """
         order = self._orders.get(prefix_id)
         if order is None:
-            order = self._ranked(prefix_id)
-            if len(self._orders) >= ORDERS_KEPT:
+            order = self._rank(prefix_id)
+            if len(self._orders) >= MAX_CACHED_ORDERS:
                 self._orders.popitem(last=False)
             self._orders[prefix_id] = order
         return order
 
-    def _ranked(self, prefix_id: str) -> list[tuple[EngineSlot, float]]:
+    def _rank(self, prefix_id: str) -> list[tuple[EngineSlot, float]]:
         slots = self.slots
         scores = [rendezvous_score(prefix_id, slot.record.engine) for slot in slots]
         ranks: list[float] | list[int] = scores
-        if not self._even:
-            ranks = [_weighted(score, slot) for score, slot in zip(scores, slots, strict=True)]
+        if not self._same_capacity:
+            ranks = [_weighted_score(score, slot) for score, slot in zip(scores, slots, strict=True)]
         order = sorted(range(len(slots)), key=ranks.__getitem__, reverse=True)[:ORDER_LENGTH]
-        return [(slots[number], (scores[number] & _GATE_MASK) / (_GATE_MASK + 1)) for number in order]
+        return [
+            (slots[number], (scores[number] & _THRESHOLD_MASK) / (_THRESHOLD_MASK + 1)) for number in order
+        ]
 
 
-def _weighted(score: int, slot: EngineSlot) -> float:
-    """Return -capacity / ln(u) for the score as u in 0..1; its order at even capacities is the scores'."""
+def _weighted_score(score: int, slot: EngineSlot) -> float:
+    """Return -capacity / ln(u) for the score as u in 0..1; equal capacities keep the order of scores."""
     return -max(1, slot.record.capacity) / math.log((score + 0.5) / _HASH_RANGE)
 
 
 class ServicePool:
     """All engines of one service.
 
-    ``troubled``: some may be suspect or held out. ``mean_in_flight``: this node's usual requests on them.
+    ``has_unhealthy``: some engine may be suspected or ejected. ``mean_in_flight``: moving average of this
+    node's requests on the ready engines.
     """
 
     def __init__(self, slots: Sequence[EngineSlot], mean_in_flight: float = 0.0) -> None:
@@ -134,13 +136,13 @@
             if members:
                 self._by_version[version] = EngineGroup(members)
         self._healths = [[slot.health for slot in group.slots] for group in self._by_version.values()]
-        self._parts: dict[tuple[VersionName, int], EngineGroup] = {}
+        self._subsets: dict[tuple[VersionName, int], EngineGroup] = {}
         self._refresh_at = -math.inf
-        self.troubled = True
+        self.has_unhealthy = True
         self.mean_in_flight = mean_in_flight
 
     def groups(self, versions: tuple[VersionName, ...], engines_limit: int) -> list[EngineGroup]:
-        """Return the groups to try in turn; the limit holds for the first version."""
+        """Return the groups in order of preference; ``engines_limit`` applies to the first version."""
         if not versions:
             return [self.ready]
         found = []
@@ -148,46 +150,47 @@
             group = self._by_version.get(version)
             if group is not None:
                 limit = engines_limit if position == 0 else 0
-                found.append(self._part(version, group, limit) if limit else group)
+                found.append(self._subset(version, group, limit) if limit else group)
         return found
 
     def refresh(self, now: float) -> None:
-        """Compare the engines and advance their ramps, if it is time."""
+        """Compare the engines and advance their slow start, at most once per :data:`REFRESH_S`."""
         if now < self._refresh_at:
             return
         self._refresh_at = now + REFRESH_S
-        compare(self._healths, now)
+        update_outliers(self._healths, now)
         for group in self._by_version.values():
-            ramps = [_ramp(slot.first_seen_at, now) for slot in group.slots]
-            # If all of a version are new, none is colder than the others.
-            most = max(ramps)
+            ramps = [slow_start_share(slot.first_seen_at, now) for slot in group.slots]
+            # If all engines of a version are new, none should be spared.
+            largest = max(ramps)
             for slot, ramp in zip(group.slots, ramps, strict=True):
-                slot.ramp = ramp / most
-        self.troubled = any(slot.health.suspect or slot.health.held_out for slot in self.ready.slots)
+                slot.ramp = ramp / largest
+        self.has_unhealthy = any(slot.health.suspect or slot.health.ejected for slot in self.ready.slots)
 
     def note_in_flight(self) -> None:
-        """Take this node's requests on the pool into their mean."""
+        """Update the moving average of this node's requests on the pool."""
         in_flight = sum(slot.in_flight for slot in self.ready.slots)
-        self.mean_in_flight += IN_FLIGHT_WEIGHT * (in_flight - self.mean_in_flight)
+        self.mean_in_flight += IN_FLIGHT_SMOOTHING * (in_flight - self.mean_in_flight)
 
     def refresh_soon(self) -> None:
-        """Have the engines compared again at the next choice."""
+        """Force a comparison of the engines at the next choice."""
         self._refresh_at = -math.inf
 
-    def _part(self, version: VersionName, whole: EngineGroup, count: int) -> EngineGroup:
-        if count >= len(whole.slots):
-            return whole
+    def _subset(self, version: VersionName, group: EngineGroup, count: int) -> EngineGroup:
+        """Return the first ``count`` engines of a version in rendezvous order, the same at every node."""
+        if count >= len(group.slots):
+            return group
         key = (version, count)
-        part = self._parts.get(key)
-        if part is None:
-            service = whole.slots[0].record.service
-            ordered = sorted(whole.slots, key=lambda slot: -rendezvous_score(service, slot.record.engine))
-            part = self._parts[key] = EngineGroup(ordered[:count])
-        return part
+        subset = self._subsets.get(key)
+        if subset is None:
+            service = group.slots[0].record.service
+            ordered = sorted(group.slots, key=lambda slot: -rendezvous_score(service, slot.record.engine))
+            subset = self._subsets[key] = EngineGroup(ordered[:count])
+        return subset
 
 
 class EngineTable:
-    """All engines by service. A restarted engine is a new slot: cold, and nothing is held against it."""
+    """All engines by service. A restarted engine gets a new slot: empty cache, clean health record."""
 
     def __init__(self) -> None:
         self.slots: dict[EngineId, EngineSlot] = {}
@@ -199,26 +202,26 @@
         return self._pools.get(service)
 
     def update(self, view: EnginesView) -> None:
-        """Take the directory as it is now; only services with changes are built anew."""
+        """Apply a newer directory view; rebuild only the pools of services that changed."""
         known = self._records
         if view.engines is known:
             return
-        touched: set[ServiceName] = set()
+        changed_services: set[ServiceName] = set()
         for engine, record in view.engines.items():
             old = known.get(engine)
             if record is old or record == old:
                 continue
-            touched.add(record.service)
+            changed_services.add(record.service)
             if old is not None:
-                touched.add(old.service)
-            self._take(record, view.first_seen_at.get(engine, -math.inf))
+                changed_services.add(old.service)
+            self._update_record(record, view.first_seen_at.get(engine, -math.inf))
         for engine in known.keys() - view.engines.keys():
-            touched.add(known[engine].service)
+            changed_services.add(known[engine].service)
             del self.slots[engine]
         self._records = dict(view.engines)
-        self._build(touched)
+        self._rebuild_pools(changed_services)
 
-    def _take(self, record: EngineRecord, first_seen_at: float) -> None:
+    def _update_record(self, record: EngineRecord, first_seen_at: float) -> None:
         slot = self.slots.get(record.engine)
         if slot is None:
             self.slots[record.engine] = EngineSlot(record, first_seen_at)
@@ -232,7 +235,7 @@
         if moved or record.age_key > old.age_key:
             slot.health.record_changed(moved)
 
-    def _build(self, services: set[ServiceName]) -> None:
+    def _rebuild_pools(self, services: set[ServiceName]) -> None:
         members: dict[ServiceName, list[EngineSlot]] = {service: [] for service in services}
         for slot in self.slots.values():
             record = slot.record
@@ -248,11 +251,7 @@
 
 def _restarted(old: EngineSlot, record: EngineRecord, first_seen_at: float) -> EngineSlot:
     slot = EngineSlot(record, first_seen_at)
-    # News that comes right after a misdirection may be older than it.
+    # A record that arrives right after a misdirection may be older than it.
     slot.health.misdirected_at = old.health.misdirected_at
     slot.health.stale_until = old.health.stale_until
     return slot
-
-
-def _ramp(first_seen_at: float, now: float) -> float:
-    return min(1.0, max(FIRST_RAMP_SHARE, (now - first_seen_at) / RAMP_S))
--- a/src/springmux/gateway/event_stream.py
+++ b/src/springmux/gateway/event_stream.py
@@ -1,55 +1,65 @@
-"""Server-sent events of a resumable stream: whole events only, and no event twice.
+"""Server-sent events of a resumable stream: complete events only, each of them once.
 
-An engine may break off inside an event. What is passed on is cut at the ends of events, so that another
-engine can go on after the last one (the ``Last-Event-ID`` of the HTML standard, section 9.2).
+An engine may fail within an event. Only complete events are forwarded, so that another engine can continue
+after the last one (``Last-Event-ID``, WHATWG HTML, section 9.2).
 """
 
 from __future__ import annotations
 
 MAX_EVENT_BYTES = 1 << 20
-"""Far above any event; a longer one is a fault of the engine."""
+"""Far above any valid event."""
 
 
 class MalformedStreamError(Exception):
-    """The stream breaks the format: ids that don't rise, or an endless event."""
+    """The stream violates the format: its ids skip, or an event does not end."""
+
+    @classmethod
+    def unterminated_event(cls) -> MalformedStreamError:
+        """Return the error for an event longer than :data:`MAX_EVENT_BYTES`."""
+        return cls("an event does not end")
+
+    @classmethod
+    def skipped_ids(cls, number: int, last_number: int) -> MalformedStreamError:
+        """Return the error for event ``number`` directly after ``last_number``."""
+        return cls(f"event {number} follows {last_number}")
 
 
 class EventStream:
-    """Splits the bytes of one answer, over several engines, into whole new events."""
+    """Splits the bytes of one response, sent by one or more engines, into complete new events."""
 
     def __init__(self, last_event_id: bytes | None = None) -> None:
-        """:param last_event_id: the last event that the caller has from an earlier answer, if any."""
+        """Start after ``last_event_id``, the last event that the client has from an earlier response."""
         self.last_event_id = last_event_id
         self.events = 0
-        """Events passed on."""
+        """Number of events forwarded."""
         self._pending = b""
         self._last_number = _number(last_event_id)
 
     @property
     def at_event_end(self) -> bool:
-        """Whether nothing of a further event has come."""
+        """Whether no part of a further event has arrived."""
         return not self._pending.strip()
 
     def feed(self, data: bytes) -> bytes:
-        """Return the whole events that ``data`` completes, without those that were passed on before.
+        """Return the events that ``data`` completes, without those already forwarded.
 
-        :raises MalformedStreamError: if an event skips ids or doesn't end.
+        :raises MalformedStreamError: if the ids skip or an event does not end.
         """
         pending = self._pending + data
         end = _end_of_events(pending)
         self._pending = pending[end:]
         if len(self._pending) > MAX_EVENT_BYTES:
-            raise MalformedStreamError("an event does not end")
+            raise MalformedStreamError.unterminated_event()
         if end == 0:
             return b""
         return b"".join(event for event in _split(pending[:end]) if self._is_new(event))
 
     def break_off(self) -> None:
-        """Drop the unfinished event: its engine is gone, and another one begins it anew."""
+        """Drop the incomplete event, which another engine sends from its start."""
         self._pending = b""
 
     def _is_new(self, event: bytes) -> bool:
-        identity = _id_of(event)
+        identity = _event_id(event)
         if identity is None:
             return True
         number = _number(identity)
@@ -57,7 +67,7 @@
             if number <= self._last_number:
                 return False
             if number > self._last_number + 1:
-                raise MalformedStreamError(f"event {number} follows {self._last_number}")
+                raise MalformedStreamError.skipped_ids(number, self._last_number)
         self.last_event_id = identity
         self._last_number = number
         self.events += 1
@@ -65,7 +75,7 @@
 
 
 def _end_of_events(data: bytes) -> int:
-    """Return the length of the whole events at the start of ``data`` (an event ends with an empty line)."""
+    """Return the length of the complete events in ``data`` (an event ends with an empty line)."""
     end = data.rfind(b"\n\n")
     other = data.rfind(b"\r\n\r\n")
     ends = [end + 2 if end >= 0 else 0, other + 4 if other >= 0 else 0]
@@ -73,20 +83,20 @@
 
 
 def _split(data: bytes) -> list[bytes]:
-    """Split whole events; further empty lines stay with the event after them."""
+    """Split complete events; further empty lines stay with the event after them."""
     separator = b"\r\n\r\n" if b"\r\n\r\n" in data else b"\n\n"
     events: list[bytes] = []
     blank = b""
-    for piece in data.split(separator)[:-1]:
-        if piece.strip():
-            events.append(blank + piece + separator)
+    for chunk in data.split(separator)[:-1]:
+        if chunk.strip():
+            events.append(blank + chunk + separator)
             blank = b""
         else:
-            blank += piece + separator
+            blank += chunk + separator
     return [*events, blank] if blank else events
 
 
-def _id_of(event: bytes) -> bytes | None:
+def _event_id(event: bytes) -> bytes | None:
     for line in event.splitlines():
         name, separator, value = line.partition(b":")
         if separator and name == b"id":
--- a/src/springmux/gateway/load_estimate.py
+++ b/src/springmux/gateway/load_estimate.py
@@ -1,14 +1,13 @@
-"""What a new request would wait for at an engine, as one node can tell."""
+"""Estimated waiting time of a new request at an engine, from what one node knows."""
 
 from __future__ import annotations
 
 from springmux.gateway.engine_pool import EngineSlot
 
 REQUEST_TOKENS = 64.0
-"""Cost of a request beside others, in prompt tokens: its share of the steps; also the least difference
-that is worth a move."""
+"""Cost of each request in flight, in prompt tokens: its part of the decode steps."""
 QUEUED_TOKENS = 20_000.0
-"""Cost of waiting for a slot: some hundred milliseconds, more than a cold long prompt."""
+"""Cost of waiting for a slot: more than an uncached long prompt."""
 
 
 def model_cost(slot: EngineSlot, now: float) -> float:
@@ -20,9 +19,9 @@
 
 
 def plain_cost(slot: EngineSlot) -> float:
-    """Return a plain back end's load with the new request, by this node's own requests.
+    """Return a plain back end's load with the new request, counting this node's own requests only.
 
-    A call takes less time than news of other nodes' calls: a back end that looked free to all would be full
-    when theirs arrive.
+    A call is shorter than the delay of other nodes' load reports: a back end that looks free to every node
+    would be full when all their calls arrive.
     """
     return (slot.in_flight + 1.0) / max(1, slot.record.capacity)
--- a/src/springmux/gateway/placement.py
+++ b/src/springmux/gateway/placement.py
@@ -1,12 +1,12 @@
-"""Choice of the engine for a forwarded request at one of many nodes that don't see each other's load.
+"""Engine choice for a forwarded request, at one of many nodes that know each other's load only late.
 
 Long shared prefixes go to the same engine at every node by weighted rendezvous hash, over as many engines
-as the prefix's load needs, and past an engine that holds clearly more than the others (bounded load:
-Mirrokni, Thorup and Zadimoghaddam 2018). Other prompts go to the best of two engines that keep their shared
-parts, by the same hash, and one drawn at random, or of two drawn where nothing is shared: what is known of
-the other nodes' load is some tenths of a second old, and if every node went to the engine that looked best,
-all would meet there (Mitzenmacher 2000, "How useful is old information?"). Calls of plain services are over
-before such news arrives, so there only the own ones count. Nothing here does I/O or reads a clock.
+as the prefix's load needs, and not to an engine with clearly more load than the others (bounded load:
+Mirrokni, Thorup and Zadimoghaddam 2018). Other prompts go to the best of two engines that cache their shared
+parts, by the same hash, and one drawn at random, or of two drawn where nothing is shared. The other nodes'
+load reports are tenths of a second old: if every node chose the engine that looks best, all would choose the
+same one (Mitzenmacher 2000, "How useful is old information?"). Calls of plain services end before such
+reports arrive, so there only this node's own requests count. Nothing here does I/O or reads a clock.
 """
 
 from __future__ import annotations
@@ -27,13 +27,14 @@
 from springmux.vocabulary.names import EngineId, ServiceName, VersionName
 
 __all__ = ["NO_PROMPT_METADATA", "Dispatch", "ExchangeOutcome", "Placement", "PromptMetadata"]
-HOME_CERTAINTY = 0.75
-"""Part of the shared tokens that an engine keeps for which a hash speaks; in the model it is 0.76 to 0.78.
-Where a session was sent last is surer."""
+
+HASHED_ENGINE_CACHED_SHARE = 0.75
+"""Expected cached part of the shared tokens at an engine chosen by hash; all of them count as cached at the
+session's last engine."""
 
 
 class Placement:
-    """Chooses engines and takes what became of the exchanges. ``source`` breaks ties between nodes."""
+    """Chooses engines and records the outcomes of dispatches. ``source`` makes nodes choose differently."""
 
     def __init__(self, zone: str, source: random.Random, policy: PlacementPolicy | None = None) -> None:
         self._policy = policy or DEFAULT_POLICY
@@ -41,23 +42,23 @@
         self._random = source
         self._table = EngineTable()
         self._memory = PrefixMemory()
-        self._ledger = DispatchTracker(self._table, self._memory)
+        self._dispatches = DispatchTracker(self._table, self._memory)
         self._reported: list[EngineSlot] = []
 
     def update_engines(self, view: EnginesView, now: float) -> None:
-        """Take the directory; engines that are not ready get nothing from now on."""
+        """Apply the directory; engines that are not ready get no more requests."""
         self._table.update(view)
 
     def update_services(self, services: Mapping[ServiceName, GatewayService]) -> None:
-        """Take the configured services; those with an ``engine`` shape run models."""
-        self._ledger.models = frozenset(name for name, service in services.items() if service.engine)
+        """Apply the configured services; those with an ``engine`` shape run models."""
+        self._dispatches.models = frozenset(name for name, service in services.items() if service.engine)
 
     def set_fleet_size(self, nodes: int) -> None:
-        """Take the number of nodes that requests are spread over."""
+        """Set the number of nodes that share the requests."""
         self._memory.fleet_size = max(1, nodes)
 
     def report_others(self, loads: Mapping[EngineId, tuple[float, float]]) -> None:
-        """Take other nodes' load on each engine (requests, prompt tokens without a first event)."""
+        """Apply the other nodes' load on each engine (requests, prompt tokens without a first event)."""
         if not self._policy.others_count:
             return
         for slot in self._reported:
@@ -69,12 +70,12 @@
     def changed_loads(self) -> list[tuple[EngineId, int, float]]:
         """Return the engines on which this node's load changed since the last call, with the load.
 
-        The load is its requests, and their prompt tokens that have no first event yet.
+        The load is the number of requests, and their prompt tokens without a first event.
         """
-        return self._ledger.take_changed()
+        return self._dispatches.take_changed()
 
     def knows_engines(self, service: ServiceName) -> bool:
-        """Say whether an engine of the service is known that has not left."""
+        """Return whether the service has a known engine that has not left."""
         return self._table.pool(service) is not None
 
     def choose(
@@ -87,18 +88,21 @@
         engines_limit: int = 0,
         trial_allowed: bool = False,
     ) -> EngineRecord | None:
-        """Return the engine to send to, or ``None`` if there is none that isn't excluded.
+        """Return the engine to dispatch to, or ``None`` if all are excluded.
+
+        Suspect and lost engines are a last resort.
 
-        The first of ``versions`` (none: any) with a usable engine counts; ``engines_limit`` (0: none) holds
-        for the first version. Suspect and lost engines are a last resort. ``trial_allowed``: the request may
-        be the trial of an engine that is out, since it may be repeated.
+        :param versions: in order of preference; empty for any.
+        :param engines_limit: most engines of the first version to use; 0 for all.
+        :param trial_allowed: whether the request may be the trial of a suspect or ejected engine, because
+            it may be repeated.
         """
         pool = self._table.pool(service)
         if pool is None:
             return None
         pool.refresh(now)
         groups = pool.groups(versions, engines_limit)
-        if pool.troubled and not excluded:
+        if pool.has_unhealthy and not excluded:
             trial = _due_trial(groups, now, trial_allowed)
             if trial is not None:
                 return trial.record
@@ -109,24 +113,24 @@
         return _last_resort(pool, groups, versions, excluded, now)
 
     def began(self, record: EngineRecord, prompt: PromptMetadata, now: float) -> Dispatch:
-        """Count a request that is sent to ``record``; give the dispatch back to :meth:`ended`."""
-        return self._ledger.began(record, prompt, now)
+        """Count a request dispatched to ``record``; end it with :meth:`ended`."""
+        return self._dispatches.began(record, prompt, now)
 
     def first_event(self, dispatch: Dispatch, now: float) -> None:
-        """Take the first byte of an answer's body: the prefill is over."""
-        self._ledger.first_event(dispatch, now)
+        """Record the first byte of a response body, which ends the prefill."""
+        self._dispatches.first_event(dispatch, now)
 
     def heard(self, dispatch: Dispatch, now: float) -> None:
-        """Take any further piece of an answer: the engine is alive."""
+        """Record any further bytes of a response."""
         dispatch.slot.health.heard(now)
 
     def silent_since(self, dispatch: Dispatch, since: float) -> bool:
-        """Say whether the dispatch's engine has sent this node nothing after ``since``."""
+        """Return whether the dispatch's engine has sent this node nothing after ``since``."""
         return dispatch.slot.health.heard_at <= since
 
     def ended(self, dispatch: Dispatch, outcome: ExchangeOutcome, now: float) -> None:
-        """Take the end of an exchange, once."""
-        self._ledger.ended(dispatch, outcome, now)
+        """Record the end of a dispatch, once."""
+        self._dispatches.ended(dispatch, outcome, now)
 
     def _usable(
         self,
@@ -138,7 +142,7 @@
         now: float,
     ) -> EngineSlot | None:
         slot: EngineSlot | None
-        if not self._ledger.is_model(service, prompt):
+        if not self._dispatches.is_model(service, prompt):
             slot = self._least_loaded(pool, group, excluded, now)
         else:
             prefix_id, prefix_tokens = prompt.long_prefix()
@@ -147,7 +151,7 @@
                 slot = self._by_prefix(group, prefix_id, prefix_tokens, prompt, excluded, now)
             if slot is None:
                 slot = self._least_wait(group, prompt, excluded, now)
-        return slot or _sound_but_closed(group, excluded, now)
+        return slot or _closed_but_reachable(group, excluded, now)
 
     def _by_prefix(
         self,
@@ -158,124 +162,128 @@
         excluded: Collection[EngineId],
         now: float,
     ) -> EngineSlot | None:
-        """Return the better of two of the prefix's engines, or a further one while both have too much."""
+        """Return the better of two of the prefix's engines, or a fallback while both are overloaded."""
         count = len(group.slots)
         if not count:
             return None
         own_tokens = prompt.prompt_tokens - prefix_tokens
-        spread = self._memory.spread(prefix_id, own_tokens, group.slots[0].record.capacity, now)
-        usable = self._first_of_order(group, prefix_id, spread + self._policy.fallbacks, excluded, now)
+        engine_count = self._memory.engine_count(prefix_id, own_tokens, group.slots[0].record.capacity, now)
+        usable = self._first_of_order(group, prefix_id, engine_count + self._policy.fallbacks, excluded, now)
         if not usable:
             return None
-        best = min(self._some_of(usable[:spread]), key=lambda slot: (model_cost(slot, now), slot.sent_at))
+        best = min(self._draw(usable[:engine_count]), key=lambda slot: (model_cost(slot, now), slot.sent_at))
         mean = sum(slot.requests for slot in group.slots) / count
         policy = self._policy
-        for slot in (best, *usable[spread:]):
+        for slot in (best, *usable[engine_count:]):
             bound = policy.bound_factor * mean + policy.bound_capacity_share * slot.record.capacity
             if slot.requests <= bound:
                 return slot
         return best
 
     def _first_of_order(
-        self, group: EngineGroup, prefix_id: str, most: int, excluded: Collection[EngineId], now: float
+        self, group: EngineGroup, prefix_id: str, limit: int, excluded: Collection[EngineId], now: float
     ) -> list[EngineSlot]:
-        """Return up to ``most`` usable engines of the prefix's order."""
+        """Return the first ``limit`` usable engines of the prefix's order."""
         found: list[EngineSlot] = []
-        for slot, gate in group.order(prefix_id):
-            if slot.health.closed_until > now or slot.record.engine in excluded or self._skips(slot, gate):
+        for slot, threshold in group.order(prefix_id):
+            if (
+                slot.health.closed_until > now
+                or slot.record.engine in excluded
+                or self._skips(slot, threshold)
+            ):
                 continue
             found.append(slot)
-            if len(found) == most:
+            if len(found) == limit:
                 break
         return found
 
-    def _some_of(self, slots: list[EngineSlot]) -> list[EngineSlot]:
+    def _draw(self, slots: list[EngineSlot]) -> list[EngineSlot]:
         choices = self._policy.choices
         return slots if len(slots) <= choices else self._random.sample(slots, choices)
 
     def _least_wait(
         self, group: EngineGroup, prompt: PromptMetadata, excluded: Collection[EngineId], now: float
     ) -> EngineSlot | None:
-        """Return the one with the least work ahead of those that may hold shared parts and some drawn."""
-        kept = self._probably_kept(group, prompt)
-        draws = self._policy.choices if not kept else self._policy.draws_beside_homes
+        """Return the engine with the shortest wait among those that may cache shared parts and some drawn."""
+        cached = self._probably_cached(group, prompt)
+        draws = self._policy.choices if not cached else self._policy.random_draws
         best: EngineSlot | None = None
         best_cost = math.inf
         seen = 0
-        for slot in self._in_random_order(group.slots, kept):
-            if slot.health.closed_until > now or slot.record.engine in excluded or self._rests(slot):
+        for slot in self._in_random_order(group.slots, cached):
+            if slot.health.closed_until > now or slot.record.engine in excluded or self._skips_draw(slot):
                 continue
-            cost = model_cost(slot, now) - kept.get(slot, 0.0)
+            cost = model_cost(slot, now) - cached.get(slot, 0.0)
             if cost < best_cost or (cost == best_cost and best and slot.sent_at < best.sent_at):
                 best, best_cost = slot, cost
-            seen += slot not in kept
+            seen += slot not in cached
             if seen == draws:
                 break
         return best
 
-    def _probably_kept(self, group: EngineGroup, prompt: PromptMetadata) -> dict[EngineSlot, float]:
-        """Return the engines that probably keep shared parts of a short prompt, and how many tokens.
+    def _probably_cached(self, group: EngineGroup, prompt: PromptMetadata) -> dict[EngineSlot, float]:
+        """Return the engines that probably cache shared parts of a short prompt, and how many tokens.
 
-        By rendezvous hash of the last shared part these are the same engines at every node, without a
-        message, two of them so that the less loaded is taken (Mitzenmacher 2001, "The power of two choices");
-        beside them the one to which this node sent the session last.
+        Rendezvous hashing of the last shared part gives the same engines at every node without messages, two
+        of them so that the less loaded is taken (Mitzenmacher 2001, "The power of two choices"). The engine
+        to which this node last sent the session is added.
         """
         if not prompt.prefix:
             return {}
-        kept: dict[EngineSlot, float] = {}
-        if len(prompt.prefix) >= 2 and self._policy.short_homes:
-            shared_tokens = HOME_CERTAINTY * sum(tokens for _, tokens in prompt.prefix[:-1])
-            for slot, _ in group.order(prompt.prefix[-2][0])[: self._policy.short_homes]:
-                kept[slot] = shared_tokens
-        holder, tokens = self._holder(prompt)
-        if holder is not None:
-            kept[holder] = max(tokens, kept.get(holder, 0.0))
-        return kept
-
-    def _rests(self, slot: EngineSlot) -> bool:
-        """Say whether a cold or slow engine, the idlest of those drawn, leaves this request to others."""
-        share = slot.ramp * slot.health.share
+        cached: dict[EngineSlot, float] = {}
+        if len(prompt.prefix) >= 2 and self._policy.hashed_engines:
+            shared_tokens = HASHED_ENGINE_CACHED_SHARE * sum(tokens for _, tokens in prompt.prefix[:-1])
+            for slot, _ in group.order(prompt.prefix[-2][0])[: self._policy.hashed_engines]:
+                cached[slot] = shared_tokens
+        last, tokens = self._last_engine(prompt)
+        if last is not None:
+            cached[last] = max(tokens, cached.get(last, 0.0))
+        return cached
+
+    def _skips_draw(self, slot: EngineSlot) -> bool:
+        """Return whether a warming or slow engine, often the least loaded, sits this choice out."""
+        share = slot.ramp * slot.health.weight
         return share < 1.0 and self._random.random() * self._policy.choices >= share
 
     def _least_loaded(
         self, pool: ServicePool, group: EngineGroup, excluded: Collection[EngineId], now: float
     ) -> EngineSlot | None:
-        """Return the plain back end with the most room, at a tie the least recently used."""
-        calm = pool.mean_in_flight * self._memory.fleet_size < self._policy.calm_load * pool.capacity
+        """Return the least loaded plain back end; ties go to the least recently used."""
+        low_load = pool.mean_in_flight * self._memory.fleet_size < self._policy.low_load * pool.capacity
         best: EngineSlot | None = None
         best_key = (math.inf, False, math.inf)
         count = len(group.slots)
-        for slot in self._from_anywhere(group.slots):
-            if slot.health.closed_until > now or slot.record.engine in excluded or slot.rests(count):
+        for slot in self._rotated(group.slots):
+            if slot.health.closed_until > now or slot.record.engine in excluded or slot.skips_turn(count):
                 continue
-            key = (plain_cost(slot), calm and slot.record.zone != self._zone, slot.sent_at)
+            key = (plain_cost(slot), low_load and slot.record.zone != self._zone, slot.sent_at)
             if key < best_key:
                 best, best_key = slot, key
         return best
 
-    def _holder(self, prompt: PromptMetadata) -> tuple[EngineSlot | None, float]:
-        """Return where this session's parts were sent last and how many tokens they hold."""
+    def _last_engine(self, prompt: PromptMetadata) -> tuple[EngineSlot | None, float]:
+        """Return the engine that last got this session's parts, and their tokens."""
         if not prompt.prefix:
             return None, 0.0
-        holder = self._memory.holder(prompt.prefix[-1][0])
-        if holder is not None:
-            return holder, float(sum(tokens for _, tokens in prompt.prefix))
+        last = self._memory.last_engine(prompt.prefix[-1][0])
+        if last is not None:
+            return last, float(sum(tokens for _, tokens in prompt.prefix))
         if len(prompt.prefix) < 2:
             return None, 0.0
-        return self._memory.holder(prompt.prefix[-2][0]), float(
+        return self._memory.last_engine(prompt.prefix[-2][0]), float(
             sum(tokens for _, tokens in prompt.prefix[:-1])
         )
 
-    def _skips(self, slot: EngineSlot, gate: float) -> bool:
-        """Say whether a cold or slow engine leaves this prefix or request to the next of the order."""
-        if slot.ramp < 1.0 and gate >= slot.ramp:
+    def _skips(self, slot: EngineSlot, threshold: float) -> bool:
+        """Return whether a warming or slow engine leaves this prefix or request to the next in order."""
+        if slot.ramp < 1.0 and threshold >= slot.ramp:
             return True
-        return slot.health.share < 1.0 and self._random.random() >= slot.health.share
+        return slot.health.weight < 1.0 and self._random.random() >= slot.health.weight
 
     def _in_random_order(
         self, slots: list[EngineSlot], first: Collection[EngineSlot]
     ) -> Iterator[EngineSlot]:
-        """Yield those of ``first`` that are among ``slots``, then the others as they are drawn."""
+        """Yield those of ``first`` that are among ``slots``, then the others in random order."""
         left = list(slots)
         for slot in first:
             if slot in left:
@@ -286,7 +294,7 @@
             left[drawn], left[-1] = left[-1], left[drawn]
             yield left.pop()
 
-    def _from_anywhere(self, slots: list[EngineSlot]) -> list[EngineSlot]:
+    def _rotated(self, slots: list[EngineSlot]) -> list[EngineSlot]:
         start = int(self._random.random() * len(slots))
         return slots[start:] + slots[:start]
 
@@ -296,13 +304,15 @@
     for group in groups[:1]:
         for slot in group.slots:
             health = slot.health
-            if (health.suspect or health.held_out) and health.trial_open(now, trial_allowed):
+            if (health.suspect or health.ejected) and health.trial_open(now, trial_allowed):
                 return slot
     return None
 
 
-def _sound_but_closed(group: EngineGroup, excluded: Collection[EngineId], now: float) -> EngineSlot | None:
-    """Return an engine that is full, held out, cold or slow, if no better one is left."""
+def _closed_but_reachable(
+    group: EngineGroup, excluded: Collection[EngineId], now: float
+) -> EngineSlot | None:
+    """Return an overloaded, ejected, warming or slow engine, for want of a better one."""
     left = [
         slot
         for slot in group.slots
@@ -310,7 +320,7 @@
     ]
     return min(
         left,
-        key=lambda slot: (slot.health.held_out, max(now, slot.health.full_until), slot.in_flight),
+        key=lambda slot: (slot.health.ejected, max(now, slot.health.overloaded_until), slot.in_flight),
         default=None,
     )
 
--- a/src/springmux/gateway/prefix_memory.py
+++ b/src/springmux/gateway/prefix_memory.py
@@ -1,4 +1,7 @@
-"""What one node remembers of prompts: how often it sees each prefix, and where parts were sent last."""
+"""Estimate of prefix caches from one node's dispatches: each prefix's rate, and where parts went last.
+
+Unlike in the router's index of hashed blocks (:mod:`springmux.router.prefix_index`), clients name the parts.
+"""
 
 from __future__ import annotations
 
@@ -12,82 +15,84 @@
 T = TypeVar("T")
 
 PREFILL_TOKENS_PER_S = 50_000.0
-"""Prefill speed of the engines that this was built for (51 tokens/ms; a guess for others)."""
-HEAT_MEMORY_S = 30.0
-"""Time over which a prefix's rate is taken: a few of its requests at the usual rates."""
-SPREAD_LOAD = 0.35
-"""Part of one engine that one prefix may take before it goes to a further engine."""
-MOST_SPREAD = 8
-WARM_S = 20.0
-"""A part sent to an engine this recently is probably still kept: caches turn over in 50 to 100 s."""
-PREFIXES_KEPT = 4096
-PARTS_KEPT = 8192
-HOLD_WEIGHT = 0.05
-FIRST_HOLD_S = 1.0
-"""Assumed length of an exchange before any was measured."""
+"""Assumed prefill speed of an engine."""
+RATE_WINDOW_S = 30.0
+"""Decay time of a prefix's request count: a few of its requests at the usual rates."""
+MAX_LOAD_PER_ENGINE = 0.35
+"""Part of one engine's capacity that one prefix may use before it gets a further engine."""
+MAX_ENGINES_PER_PREFIX = 8
+CACHED_S = 20.0
+"""A prefix sent to an engine this recently is probably still cached: caches turn over in 50 to 100 s."""
+MAX_PREFIXES = 4096
+MAX_PARTS = 8192
+DURATION_SMOOTHING = 0.05
+INITIAL_DURATION_S = 1.0
+"""Assumed duration of a request until one has been measured."""
 
 
 @dataclass(eq=False, slots=True)
-class _Heat:
+class _PrefixUse:
+    """Decayed request count of a prefix at time ``at``, and when each engine last got it."""
+
     count: float = 0.0
     at: float = 0.0
     sent: dict[EngineSlot, float] = field(default_factory=dict)
 
 
 class PrefixMemory:
-    """Bounded memory of prefixes and parts; the oldest are forgotten first."""
+    """Bounded memory of prefixes and parts; the least recently used are dropped first."""
 
     def __init__(self) -> None:
         self.fleet_size = 1
-        self._hold_s = FIRST_HOLD_S
-        self._heats: OrderedDict[str, _Heat] = OrderedDict()
+        self._duration_s = INITIAL_DURATION_S
+        self._uses: OrderedDict[str, _PrefixUse] = OrderedDict()
         self._parts: OrderedDict[str, EngineSlot] = OrderedDict()
 
-    def note_sent(self, prefix_id: str, slot: EngineSlot, now: float) -> None:
-        """Count one request of a prefix."""
-        heat = self._heats.pop(prefix_id, None) or _Heat()
-        heat.count = heat.count * math.exp((heat.at - now) / HEAT_MEMORY_S) + 1.0
-        heat.at = now
-        if len(heat.sent) > 2 * MOST_SPREAD:
-            heat.sent = {other: at for other, at in heat.sent.items() if now - at < WARM_S}
-        heat.sent[slot] = now
-        _keep(self._heats, prefix_id, heat, PREFIXES_KEPT)
-
-    def note_hold(self, seconds: float) -> None:
-        """Take the length of one exchange with a shared prefix."""
-        self._hold_s += HOLD_WEIGHT * (seconds - self._hold_s)
-
-    def warm(self, prefix_id: str, slot: EngineSlot, now: float) -> bool:
-        """Say whether this node sent the prefix to the engine lately."""
-        heat = self._heats.get(prefix_id)
-        return heat is not None and now - heat.sent.get(slot, -math.inf) < WARM_S
-
-    def spread(self, prefix_id: str, own_tokens: float, capacity: int, now: float) -> int:
-        """Return over how many engines the prefix goes, by the fleet's load with it (own rate x nodes).
-
-        One sighting is no rate: at many nodes it would be taken for many a second.
+    def record_dispatch(self, prefix_id: str, slot: EngineSlot, now: float) -> None:
+        """Count one request with a prefix."""
+        use = self._uses.pop(prefix_id, None) or _PrefixUse()
+        use.count = use.count * math.exp((use.at - now) / RATE_WINDOW_S) + 1.0
+        use.at = now
+        if len(use.sent) > 2 * MAX_ENGINES_PER_PREFIX:
+            use.sent = {other: at for other, at in use.sent.items() if now - at < CACHED_S}
+        use.sent[slot] = now
+        _put(self._uses, prefix_id, use, MAX_PREFIXES)
+
+    def record_duration(self, seconds: float) -> None:
+        """Record the duration of one request with a shared prefix."""
+        self._duration_s += DURATION_SMOOTHING * (seconds - self._duration_s)
+
+    def probably_cached(self, prefix_id: str, slot: EngineSlot, now: float) -> bool:
+        """Return whether this node sent the prefix to the engine recently."""
+        use = self._uses.get(prefix_id)
+        return use is not None and now - use.sent.get(slot, -math.inf) < CACHED_S
+
+    def engine_count(self, prefix_id: str, own_tokens: float, capacity: int, now: float) -> int:
+        """Return how many engines share the prefix, by the fleet's load with it (own rate times nodes).
+
+        A single request is no rate: multiplied by many nodes it would look like many requests.
         """
-        heat = self._heats.get(prefix_id)
-        if heat is None:
+        use = self._uses.get(prefix_id)
+        if use is None:
             return 1
-        count = heat.count * math.exp((heat.at - now) / HEAT_MEMORY_S) - 1.0
+        count = use.count * math.exp((use.at - now) / RATE_WINDOW_S) - 1.0
         if count <= 0.0:
             return 1
-        rate_per_s = count / HEAT_MEMORY_S * self.fleet_size
-        load = rate_per_s * (self._hold_s / max(1, capacity) + own_tokens / PREFILL_TOKENS_PER_S)
-        return max(1, min(MOST_SPREAD, math.ceil(load / SPREAD_LOAD)))
+        rate_per_s = count / RATE_WINDOW_S * self.fleet_size
+        load = rate_per_s * (self._duration_s / max(1, capacity) + own_tokens / PREFILL_TOKENS_PER_S)
+        return max(1, min(MAX_ENGINES_PER_PREFIX, math.ceil(load / MAX_LOAD_PER_ENGINE)))
 
-    def note_part(self, part_id: str, slot: EngineSlot) -> None:
-        """Remember where a part was sent last."""
+    def record_part(self, part_id: str, slot: EngineSlot) -> None:
+        """Record that a part was sent to an engine."""
         self._parts.pop(part_id, None)
-        _keep(self._parts, part_id, slot, PARTS_KEPT)
+        _put(self._parts, part_id, slot, MAX_PARTS)
 
-    def holder(self, part_id: str) -> EngineSlot | None:
-        """Return where a part was sent last, if known."""
+    def last_engine(self, part_id: str) -> EngineSlot | None:
+        """Return the engine that a part was last sent to, if known."""
         return self._parts.get(part_id)
 
 
-def _keep(memory: OrderedDict[str, T], key: str, value: T, most: int) -> None:
-    if len(memory) >= most:
+def _put(memory: OrderedDict[str, T], key: str, value: T, max_entries: int) -> None:
+    if len(memory) >= max_entries:
         memory.popitem(last=False)
     memory[key] = value
--- a/src/springmux/gateway/refusals.py
+++ b/src/springmux/gateway/refusals.py
@@ -1,4 +1,4 @@
-"""Why the gateway refuses or cuts requests, and the counts of it."""
+"""Reasons for refused or truncated responses, and their counts."""
 
 from __future__ import annotations
 
@@ -8,34 +8,35 @@
 
 
 class RefusalReason(enum.StrEnum):
-    """Why a caller got no answer of an engine, or not the whole of it. Labels of logs and metrics."""
+    """Why a client got no complete response of an engine. The values are labels of logs and metrics."""
 
     NO_CONFIGURATION = "no_configuration"
     UNKNOWN_ROUTE = "unknown_route"
     UNKNOWN_KEY = "unknown_key"
     KEYS_NOT_CURRENT = "keys_not_current"
-    """This node can't tell whether a key was taken away, and the fleet's settings promise that it can."""
+    """The settings require current keys, and this node's view of them may be outdated."""
     BODY_TOO_LARGE = "body_too_large"
     QUOTA_EXCEEDED = "quota_exceeded"
     NO_ENGINE = "no_engine"
     ENGINES_FULL = "engines_full"
-    """Every engine tried declined the request or took no connection."""
+    """Every engine tried declined the request or accepted no connection."""
     NOT_SENT_IN_TIME = "not_sent_in_time"
-    """The time was over before any engine had the request, or all that had it declined."""
+    """The deadline passed before an engine accepted the request."""
     NO_ANSWER_IN_TIME = "no_answer_in_time"
-    """The time was over, and the request may have run."""
+    """The deadline passed, and the request may have been executed."""
     ENGINE_BROKE_OFF = "engine_broke_off"
-    """No whole answer came, the request may have run, and the caller has got no part of an answer."""
+    """No complete response arrived, the request may have been executed, and nothing was sent to the
+    client."""
     ANSWER_CUT = "answer_cut"
-    """The caller's connection was reset within an answer that could not be finished."""
+    """The client's connection was reset within a response that could not be completed."""
     MALFORMED_REQUEST = "malformed_request"
     SLOW_REQUEST = "slow_request"
     HEADERS_TOO_LARGE = "headers_too_large"
     TOO_MANY_CONNECTIONS = "too_many_connections"
     INTERNAL_FAULT = "internal_fault"
-    """A fault of the gateway's own."""
+    """An internal error of the gateway."""
     STOPPED = "stopped"
-    """The node ended before the answer did."""
+    """The node stopped before the response was complete."""
 
 
 CLIENT_ERRORS = frozenset(
@@ -49,14 +50,14 @@
         RefusalReason.HEADERS_TOO_LARGE,
     }
 )
-"""Reasons that say nothing of the fleet's health."""
+"""Reasons that are the client's fault and no evidence of the fleet's health."""
 
 
 class GatewayCounters(msgspec.Struct):
-    """Counts since the start, for metrics. ``requests``: those whose head was read.
+    """Counts since the start, for metrics.
 
-    ``dispatches``: attempts at engines. ``retries``: those after one that the engine was sent. ``resumed``:
-    how often a further engine was asked to go on with a stream whose beginning the caller has.
+    ``requests``: requests whose head was read. ``dispatches``: attempts at engines. ``retries``: attempts
+    after one that was sent. ``resumed``: attempts to continue a stream of which the client has the beginning.
     """
 
     requests: int = 0
@@ -67,7 +68,7 @@
 
 
 class RefusalSummary(msgspec.Struct, frozen=True):
-    """Refusals of one reason since the last summary; request and route are the first one's."""
+    """Refusals for one reason since the last summary; request and route are those of the first."""
 
     reason: RefusalReason
     count: int
@@ -76,21 +77,21 @@
 
 
 class RefusalTally:
-    """Sums refusals up by reason until they are taken."""
+    """Counts refusals by reason until they are collected."""
 
     def __init__(self) -> None:
-        self._open: dict[RefusalReason, RefusalSummary] = {}
+        self._summaries: dict[RefusalReason, RefusalSummary] = {}
 
     def note(self, reason: RefusalReason, request_id: str, route: str) -> None:
-        """Count one refusal. ``route`` is empty where none was found."""
-        known = self._open.get(reason)
+        """Count one refusal; ``route`` is empty if none matched."""
+        known = self._summaries.get(reason)
         if known is None:
-            self._open[reason] = RefusalSummary(reason, 1, request_id, route)
+            self._summaries[reason] = RefusalSummary(reason, 1, request_id, route)
         else:
-            self._open[reason] = msgspec.structs.replace(known, count=known.count + 1)
+            self._summaries[reason] = msgspec.structs.replace(known, count=known.count + 1)
 
     def take(self) -> list[RefusalSummary]:
-        """Return what was counted, and begin anew."""
-        summaries = list(self._open.values())
-        self._open.clear()
+        """Return the counts and reset them."""
+        summaries = list(self._summaries.values())
+        self._summaries.clear()
         return summaries
--- a/src/springmux/gateway/request_trace.py
+++ b/src/springmux/gateway/request_trace.py
@@ -1,4 +1,4 @@
-"""What became of one forwarded request, for the log: who asked for what, and when it was answered."""
+"""Trace of one forwarded request for the request log: route, tenant, attempts, timing, outcome."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 
 
 class RequestOutcome(enum.StrEnum):
-    """How a request ended for its caller."""
+    """How a request ended for its client."""
 
     SERVED = "served"
-    """The caller has an engine's whole answer."""
+    """The client has an engine's complete response."""
     REFUSED = "refused"
-    """It has not run."""
+    """It was not executed."""
     FAILED = "failed"
-    """It may have run, and the caller has no whole answer."""
+    """It may have been executed, and the client has no complete response."""
     LEFT = "left"
-    """The caller went before the answer was whole."""
+    """The client disconnected before the response was complete."""
 
 
 @dataclass(eq=False, slots=True)
 class RequestTrace:
-    """Notes of one request; times in seconds of the loop's clock, targets of its route in ms."""
+    """Trace of one request; times in seconds of the event loop's clock, latency targets in ms."""
 
     received_at: float
     request_id: str = ""
@@ -33,7 +33,7 @@
     attempts: int = 0
     engine: str = ""
     status: int = 0
-    """Of the last engine that answered; 0: none did."""
+    """Status of the last engine that responded; 0 if none did."""
     outcome: RequestOutcome = RequestOutcome.LEFT
     reason: str = ""
     first_at: float | None = None
@@ -41,16 +41,16 @@
     widest_gap_s: float = 0.0
 
     def attempt(self, engine: str) -> None:
-        """Note that the request is sent to an engine."""
+        """Record a dispatch to an engine."""
         self.attempts += 1
         self.engine = engine
 
     def end(self, outcome: RequestOutcome, reason: str = "") -> None:
-        """Note how the request ended for its caller."""
+        """Record how the request ended for its client."""
         self.outcome, self.reason = outcome, reason
 
     def answered(self) -> None:
-        """Note that the caller has the last engine's answer."""
+        """Record that the client has the last engine's response."""
         failed = self.status >= 400
         self.end(
             RequestOutcome.FAILED if failed else RequestOutcome.SERVED,
@@ -58,7 +58,7 @@
         )
 
     def event(self, now: float) -> None:
-        """Note a piece of the answer."""
+        """Record the arrival of response bytes."""
         if self.first_at is None:
             self.first_at = now
         else:
--- a/src/springmux/gateway/routing.py
+++ b/src/springmux/gateway/routing.py
@@ -1,4 +1,4 @@
-"""Which route and which tenant a request belongs to, by the newest configuration known."""
+"""Lookup of a request's route and tenant in the configuration."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class RouteNotFoundError(Exception):
-    """No route of that host begins the path: answer 404."""
+    """No route of that host is a prefix of the path (404)."""
 
 
 class KeyRejectedError(Exception):
-    """The route needs a key, and there is none or it is unknown: answer 401."""
+    """The route requires a key, and it is missing or unknown (401)."""
 
 
 class Admitted(msgspec.Struct, frozen=True):
@@ -25,12 +25,12 @@
 
     @property
     def by_key(self) -> bool:
-        """Whether the request is let through for its key."""
+        """Whether the request was admitted because of its key."""
         return self.tenant is not None and not self.route.public
 
 
 class RouteTable:
-    """Lookup tables of one configuration, made once for each version. A lookup reads a few dictionaries."""
+    """Lookup tables of one version of the configuration."""
 
     def __init__(self, configuration: GatewayConfiguration) -> None:
         self.configuration = configuration
@@ -41,7 +41,8 @@
 
         :param host: value of the Host header, with or without a port.
         :param path: path without its query.
-        :raises RouteNotFoundError, KeyRejectedError: what the caller is told.
+        :raises RouteNotFoundError: no route matches host and path.
+        :raises KeyRejectedError: the route requires a valid key.
         """
         route = self._find(host, path)
         if route is None:
@@ -52,11 +53,11 @@
         return Admitted(route, tenant)
 
     def _find(self, host: str, path: str) -> GatewayRoute | None:
-        """Return the route with the longest prefix. Prefixes end with a slash, so only those are tried."""
-        plain_host = _without_port(host)
+        """Return the route with the longest matching prefix; prefixes end with a slash."""
+        host_name = _without_port(host)
         end = path.rfind("/") + 1
         while end > 0:
-            found = self._routes.get((plain_host, path[:end]))
+            found = self._routes.get((host_name, path[:end]))
             if found is not None:
                 return found
             end = path.rfind("/", 0, end - 1) + 1
--- a/src/springmux/gateway/versions.py
+++ b/src/springmux/gateway/versions.py
@@ -1,18 +1,22 @@
-"""Which engine version, then which engine, one forwarded request goes to; kept over its attempts."""
+"""Choice of version and engine for the attempts of one forwarded request.
+
+Unlike :mod:`springmux.router.selection`, any version serves while there is no rollout, so a retry consults
+the version filter again in case a rollout began meanwhile.
+"""
 
 from __future__ import annotations
 
-from springmux.gateway.placement import Placement, PromptMetadata
+from springmux.gateway.placement import Placement
+from springmux.gateway.prompt_metadata import PromptMetadata
 from springmux.rollout.outcome import VersionChooser
 from springmux.vocabulary.engines import EngineRecord
 from springmux.vocabulary.names import EngineId, RouteName, ServiceName, VersionName
 
 
 class VersionSelection:
-    """Asks the version filter once a request. A candidate's credit pays for one sent attempt.
+    """Versions and engines left for one request. A credit for the candidate pays for one sent attempt.
 
-    A credit that was not used for a sent attempt is given back, and a retry after a sent one goes to the
-    released version.
+    An unused credit is given back; a retry after a sent attempt goes to the stable version.
     """
 
     __slots__ = (
@@ -36,7 +40,10 @@
         now: float,
         repeatable: bool = False,
     ) -> None:
-        """:param repeatable: the request may be the trial of an engine that is held out."""
+        """Consult the version filter.
+
+        :param repeatable: whether the request may be the trial of an ejected engine.
+        """
         choice = chooser.choose(service, prefix_key, now, route)
         self.service = service
         self.excluded: set[EngineId] = set()
@@ -49,9 +56,9 @@
         self._engines_limit = choice.engines_limit
 
     def next_engine(self, placement: Placement, prompt: PromptMetadata, now: float) -> EngineRecord | None:
-        """Return where the next attempt goes, checked at this very moment, or ``None``."""
+        """Return the engine of the next attempt, rechecked against the version filter, or ``None``."""
         if not self._versions and self.excluded:
-            self._ask_again(now)
+            self._choose_versions_again(now)
         if not self._versions:
             return self._choose(placement, (), prompt, now)
         for version in self._versions:
@@ -79,26 +86,26 @@
             self.service, versions, prompt, self.excluded, now, engines_limit, self._repeatable
         )
 
-    def _ask_again(self, now: float) -> None:
-        """Take a rollout into account that began since the first attempt: a retry goes to the release."""
+    def _choose_versions_again(self, now: float) -> None:
+        """Apply a rollout that began since the first attempt; a retry goes to the stable version."""
         choice = self._chooser.choose(self.service, self._prefix_key, now, self._route)
         self._versions = choice.versions[1:] if choice.candidate else choice.versions
         if choice.candidate:
             self._chooser.give_back(self.service, choice.versions[0], now)
 
     def sent(self, record: EngineRecord) -> None:
-        """Note that an attempt was written to an engine: the credit is spent."""
+        """Record that an attempt was sent to an engine, which spends the credit."""
         self.excluded.add(record.engine)
         if self._credit:
             self._credit = False
             self._versions = self._versions[1:] or self._versions
 
     def not_sent(self, record: EngineRecord) -> None:
-        """Note that nothing reached an engine; another one is chosen next."""
+        """Record that nothing reached an engine, which is excluded from now on."""
         self.excluded.add(record.engine)
 
     def give_back(self, now: float) -> None:
-        """Return a credit that no sent attempt used."""
+        """Give back a credit that no sent attempt used."""
         if self._credit:
             self._credit = False
             self._chooser.give_back(self.service, self._versions[0], now)
--- a/src/springmux/lab/bench/placement_ablation.py
+++ b/src/springmux/lab/bench/placement_ablation.py
@@ -21,7 +21,7 @@
 VARIANTS: dict[str, PlacementPolicy] = {
     "as it is": PlacementPolicy(),
     "long prefixes have no engines of their own": PlacementPolicy(by_prefix=False),
-    "short prompts have no engines of their own": PlacementPolicy(short_homes=0),
+    "short prompts have no engines of their own": PlacementPolicy(hashed_engines=0),
     "one engine drawn, not the better of two": PlacementPolicy(choices=1),
     "a prefix never leaves its engines": PlacementPolicy(bound_factor=math.inf),
     "other nodes' loads don't count": PlacementPolicy(others_count=False),
--- a/src/springmux/router/choice.py
+++ b/src/springmux/router/choice.py
@@ -15,10 +15,10 @@
 
 import msgspec
 
+from springmux.coordination.slow_start import slow_start_share
 from springmux.router.ejection import Ejector
 from springmux.router.engine_table import EnginePool, EngineSlot, weight
 from springmux.router.prefix_index import PrefixIndex, PromptPrefix
-from springmux.router.slow_start import ramp
 from springmux.vocabulary.names import EngineId
 
 BOUND = 1.25
@@ -133,7 +133,9 @@
         slots = pool.slots
         picked = [slots[int(self._random.random() * len(slots))] for _ in range(2)]
         usable = [slot for slot in picked if self._allowed(slot, needs, now)]
-        usable = [slot for slot in usable if self._random.random() < ramp(slot.first_seen_at, now)]
+        usable = [
+            slot for slot in usable if self._random.random() < slow_start_share(slot.first_seen_at, now)
+        ]
         usable.sort(key=lambda slot: slot.in_flight / max(1, slot.record.capacity))
         return usable
 
@@ -160,5 +162,5 @@
 
 def _has_ramped(slot: EngineSlot, score: int, now: float) -> bool:
     """Say whether a ramping engine takes this prefix yet: its slice of prefixes only grows."""
-    share = ramp(slot.first_seen_at, now)
+    share = slow_start_share(slot.first_seen_at, now)
     return share >= 1.0 or (score & ((1 << _FRACTION_BITS) - 1)) < share * (1 << _FRACTION_BITS)
--- a/src/springmux/router/engine_table.py
+++ b/src/springmux/router/engine_table.py
@@ -13,7 +13,7 @@
 import xxhash
 
 from springmux.coordination.rendezvous import rendezvous_score
-from springmux.router.slow_start import ramp
+from springmux.coordination.slow_start import slow_start_share
 from springmux.vocabulary.engines import EngineLoad, EngineRecord, EngineStatus, EnginesView
 from springmux.vocabulary.names import EngineId, ServiceName, VersionName
 
@@ -125,7 +125,7 @@
         """Return the sum of capacity times ramp over the pool."""
         if now >= self._valid_until:
             self._weight_sum = sum(weight(slot, now) for slot in self.slots)
-            ramping = any(ramp(slot.first_seen_at, now) < 1.0 for slot in self.slots)
+            ramping = any(slow_start_share(slot.first_seen_at, now) < 1.0 for slot in self.slots)
             self._valid_until = now + WEIGHTS_REFRESH_S if ramping else float("inf")
         return self._weight_sum
 
@@ -136,7 +136,7 @@
 
 def weight(slot: EngineSlot, now: float) -> float:
     """Return an engine's share of load: its capacity, times how far it has ramped up."""
-    return max(1, slot.record.capacity) * ramp(slot.first_seen_at, now)
+    return max(1, slot.record.capacity) * slow_start_share(slot.first_seen_at, now)
 
 
 class EngineTable:
--- a/tests/unit/bad_days/test_engines_lost.py
+++ b/tests/unit/bad_days/test_engines_lost.py
@@ -7,8 +7,8 @@
 import msgspec
 import pytest
 
-from springmux.gateway import engine_pool
-from springmux.gateway import outlier_detection as engine_standing
+from springmux.coordination import slow_start
+from springmux.gateway import outlier_detection
 from springmux.gateway.attempt_timeouts import AttemptTimeouts
 from springmux.gateway.dialect import OWN_HEADERS
 from springmux.gateway.engine_health import EngineHealth
@@ -88,7 +88,7 @@
 
 
 def test_without_suspicion_the_checker_sees_the_lost_engine_in_use(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(EngineHealth, "_suspect", lambda *_: None)
+    monkeypatch.setattr(EngineHealth, "_start_suspicion", lambda *_: None)
     assert in_use_though_lost(second_loss_after_a_repair()) >= MOST_IN_USE
 
 
@@ -104,7 +104,7 @@
 def test_without_a_slow_start_the_checker_sees_the_cold_engine_pressed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(engine_pool, "FIRST_RAMP_SHARE", 1.0)
+    monkeypatch.setattr(slow_start, "INITIAL_SHARE", 1.0)
     fleet = second_loss_after_a_repair()
     assert rules.tried_share(fleet, "e4", REPAIRED_AT, REPAIRED_AT + 2.0) >= MOST_OF_COLD
 
@@ -136,7 +136,7 @@
 def test_without_comparison_the_checker_sees_the_failing_engine_in_use(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(engine_standing, "_failing", lambda *_: [])
+    monkeypatch.setattr(outlier_detection, "_failing", lambda *_: [])
     assert rules.tried_share(one_engine("failing"), "e2", LOST_AT + 2.0, END) >= MOST_OF_FAILING
 
 
--- a/tests/unit/bench/test_placement_ablation.py
+++ b/tests/unit/bench/test_placement_ablation.py
@@ -22,7 +22,7 @@
 def test_short_prompts_find_their_shared_parts_kept() -> None:
     """Given engines of their own, short prompts read fewer shared tokens again."""
     whole = run_case(SMALL_BATCHES, 1.0, 1, PlacementPolicy(), TRACE_S)
-    without = run_case(SMALL_BATCHES, 1.0, 1, PlacementPolicy(short_homes=0), TRACE_S)
+    without = run_case(SMALL_BATCHES, 1.0, 1, PlacementPolicy(hashed_engines=0), TRACE_S)
     assert whole.kinds[1].kept > without.kinds[1].kept + 0.05
 
 
