--- a/src/springmux/control/configuration.py
+++ b/src/springmux/control/configuration.py
@@ -19,7 +19,7 @@
 from springmux.vocabulary.names import RouteName, ServiceName
 
 if TYPE_CHECKING:
-    from springmux.control.documents import DocumentPart
+    from springmux.control.documents import DocumentModel
 
 MAX_DOCUMENT_BYTES = 8 << 20
 """Default bound of a configuration document (docs/API.md: larger ones are answered 413)."""
@@ -29,7 +29,7 @@
 """Comparing with thousands of names for each of thousands of errors would take minutes."""
 SECTIONS = ("services", "routes", "limits", "exceptions")
 
-Section = TypeVar("Section", bound="DocumentPart")
+Section = TypeVar("Section", bound="DocumentModel")
 Typed = TypeVar("Typed")
 
 
@@ -162,13 +162,13 @@
             path = f"{section}.{name}"
             if not re.fullmatch(NAME_PATTERN, name):
                 self.add(path, "names are 1 to 128 letters, digits, '.', '_' or '-', first a letter or digit")
-            part = self._part(members[name], path, model)
-            if part is not None:
-                found[name] = convert(part, name)
+            parsed = self._parse_object(members[name], path, model)
+            if parsed is not None:
+                found[name] = convert(parsed, name)
         return found
 
     def single(self, sections: Mapping[str, Any], section: str, model: type[Section]) -> Section | None:
-        return self._part(sections.get(section, {}), section, model)
+        return self._parse_object(sections.get(section, {}), section, model)
 
     def check_routes(self, routes: Any, services: Any) -> None:
         """Check the raw values, so that a route with another error is checked, too."""
@@ -185,7 +185,7 @@
             message = f"with transaction_reserved it is {reserved}, more than max_in_flight"
             self.add("limits.interactive_reserved", message)
 
-    def _part(self, value: Any, path: str, model: type[Section]) -> Section | None:
+    def _parse_object(self, value: Any, path: str, model: type[Section]) -> Section | None:
         from pydantic import ValidationError
 
         try:
@@ -197,7 +197,7 @@
             return None
 
 
-def _message(detail: Any, model: type[DocumentPart]) -> str:
+def _message(detail: Any, model: type[DocumentModel]) -> str:
     if detail["type"] == "extra_forbidden":
         fields = tuple(field.alias or name for name, field in model.model_fields.items())
         return _unknown_field(str(detail["loc"][-1]), fields)
--- a/src/springmux/control/documents.py
+++ b/src/springmux/control/documents.py
@@ -24,17 +24,17 @@
 
 Name = Annotated[str, Field(pattern=NAME_PATTERN)]
 Seconds = Annotated[float, Field(gt=0, le=3600, allow_inf_nan=False)]
-Share = Annotated[float, Field(gt=0, le=1, allow_inf_nan=False)]
+Fraction = Annotated[float, Field(gt=0, le=1, allow_inf_nan=False)]
 Count = Annotated[int, Field(ge=0, le=1_000_000)]
 
 
-class DocumentPart(BaseModel):
+class DocumentModel(BaseModel):
     """Base: unknown fields are errors, numbers aren't taken from strings."""
 
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True, populate_by_name=False)
 
 
-class ServiceDocument(DocumentPart):
+class ServiceDocument(DocumentModel):
     """One value of ``services``."""
 
     stable: Name
@@ -45,7 +45,7 @@
         return Service(ServiceName(name), VersionName(self.stable), self.connect_timeout_s)
 
 
-class RouteDocument(DocumentPart):
+class RouteDocument(DocumentModel):
     """One value of ``routes``. ``class`` is the traffic class."""
 
     kind: Annotated[RouteKind, Field(strict=False)]
@@ -74,7 +74,7 @@
         )
 
 
-class LimitsDocument(DocumentPart):
+class LimitsDocument(DocumentModel):
     """The object ``limits``."""
 
     max_in_flight: Annotated[int, Field(ge=1, le=1_000_000)] = 512
@@ -82,8 +82,8 @@
     transaction_reserved: Count = 64
     queue_length: Count = 256
     queue_timeout_s: Seconds = 1.0
-    per_key_share: Share = 0.5
-    per_tenant_share: Share = 0.7
+    per_key_share: Fraction = 0.5
+    per_tenant_share: Fraction = 0.7
     retry_share: Annotated[float, Field(ge=0, le=0.2, allow_inf_nan=False)] = 0.15
     retry_floor: Count = 3
     retry_window_s: Seconds = 10.0
@@ -93,7 +93,7 @@
         return AdmissionLimits(**self.model_dump())
 
 
-class ExceptionsDocument(DocumentPart):
+class ExceptionsDocument(DocumentModel):
     """The object ``exceptions``."""
 
     token_period_s: Annotated[float, Field(gt=0, le=2, allow_inf_nan=False)] | None = None
--- a/src/springmux/control/freshness/events.py
+++ b/src/springmux/control/freshness/events.py
@@ -11,7 +11,7 @@
 
 
 class QuorumConfirmed(Event, frozen=True):
-    """A quorum confirmed that this node led at ``asked_at``, when its log was committed up to ``index``."""
+    """A quorum confirmed that this node led at ``requested_at``, with its log committed up to ``index``."""
 
-    asked_at: float
+    requested_at: float
     index: LogIndex
--- a/src/springmux/control/freshness/freshness_monitor.py
+++ b/src/springmux/control/freshness/freshness_monitor.py
@@ -140,7 +140,7 @@
         """Record the own quorum's proof, unless earlier entries aren't applied yet; the next follows soon."""
         index, revision = self._replica_state()
         if index >= event.index:
-            self._proofs.append(_Proof(revision, event.asked_at))
+            self._proofs.append(_Proof(revision, event.requested_at))
 
     def _request_periodically(self, now: float) -> list[Effect]:
         """Send a request to one node, and to another one if the last reply brought no newer proof."""
--- a/tests/unit/bad_days/test_operators_race.py
+++ b/tests/unit/bad_days/test_operators_race.py
@@ -111,7 +111,7 @@
 
 
 def test_the_checker_sees_an_invalid_change_acknowledged(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(gateway_section, "shared_keys", lambda *_: [])
+    monkeypatch.setattr(gateway_section, "duplicate_keys", lambda *_: [])
     assert Operators(1).run().acknowledged_though_invalid() != []
 
 
--- a/tests/unit/simulation/test_change_soak.py
+++ b/tests/unit/simulation/test_change_soak.py
@@ -24,5 +24,5 @@
 
 
 def test_the_check_sees_nodes_that_fetch_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(StateFetcher, "_choose", lambda fetcher, own, now: None)
+    monkeypatch.setattr(StateFetcher, "_choose_peer", lambda fetcher, own, now: None)
     assert run_of(1).found
