--- a/src/springmux/router/__init__.py
+++ b/src/springmux/router/__init__.py
@@ -1,4 +1,4 @@
-"""The data plane's decisions: authentication, admission, quotas, engine choice, streams, retries.
+"""The data plane without I/O: authentication, admission, quotas, engine choice, streams, retries.
 
-Sans I/O. May import ``control``, ``rollout``, ``vocabulary`` and ``coordination``.
+May import ``control``, ``rollout``, ``vocabulary`` and ``coordination``.
 """
--- a/src/springmux/router/admission.py
+++ b/src/springmux/router/admission.py
@@ -1,9 +1,9 @@
-"""Admission: which requests get one of the node's slots, which wait a little, which are refused at once.
+"""Admission control: grant a slot, queue, or reject each request.
 
-Slots are counted by class. Interactive and transaction routes have reserved slots and share the rest
-with bulk, which keeps a part of the rest. Waiting requests of a class are served tenant by tenant and
-key by key, whoever has least first (max-min fairness), so one that swells waits behind itself. Shares
-per key and tenant bind only under pressure. Expected waiting beyond the limit is refused at once.
+Slots are counted by traffic class. Interactive and transaction routes have reserved slots and share the rest
+with bulk, which has a guaranteed part of it. Queued requests of a class are granted by max-min fairness over
+tenants, then keys, so a surge of one key waits behind itself. Shares per key and tenant apply only under
+pressure. A request whose expected wait exceeds the limit is rejected at once.
 """
 
 from __future__ import annotations
@@ -21,40 +21,40 @@
 K = TypeVar("K")
 
 PRESSURE_SHARE = 0.75
-"""Use of a class's slots from which shares bind; below it nobody is hurt by a large one."""
+"""Utilization of a class's slots from which shares apply."""
 BULK_SHARED_FLOOR = 0.25
-"""Part of the shared slots that only bulk may use, so that a burst of short work cannot stop it."""
+"""Part of the shared slots that only bulk may use, so that bursts of other classes cannot starve it."""
 MODEST_KEY_LIMIT = 0.9
-"""Use of a class's slots up to which a key with little in flight is let in although another key of its
-tenant took the tenant's share; the rest is left to other tenants."""
-PRESSED_MINIMUM = 16
-"""Requests in flight below which shares say nothing, when it is the engines that are pressed."""
+"""Utilization up to which a key with little in flight is admitted although other keys used up its tenant's
+share."""
+MIN_PRESSED_IN_FLIGHT = 16
+"""Requests in flight below which shares don't apply if only the engines are under pressure."""
 HOLD_SMOOTHING = 0.1
-FIRST_HOLD_S = 1.0
-"""Assumed time that a request holds its slot until some have been measured."""
+INITIAL_HOLD_S = 1.0
+"""Assumed time that a request occupies its slot until one has been measured."""
 OVERLOAD_RETRY_S = 1.0
 
-_SERVED_FIRST = (TrafficClass.TRANSACTION, TrafficClass.INTERACTIVE, TrafficClass.BULK)
+_CLASSES_BY_PRECEDENCE = (TrafficClass.TRANSACTION, TrafficClass.INTERACTIVE, TrafficClass.BULK)
 
 
-class TicketState(enum.Enum):
-    """State of a request towards admission."""
+class AdmissionState(enum.Enum):
+    """State of a request in admission control."""
 
     QUEUED = "queued"
     GRANTED = "granted"
-    GONE = "gone"
+    RELEASED = "released"
 
 
 @dataclass(eq=False, slots=True)
-class Ticket:
-    """One request's place. ``since``: when it was queued, then when it was granted (monotonic, s)."""
+class AdmissionRequest:
+    """A request in the queue or in a slot. ``since``: when it was queued or granted (monotonic, s)."""
 
     request_id: RequestId
     traffic_class: TrafficClass
     key: KeyId
     tenant: TenantName
     tenant_weight: float
-    state: TicketState
+    state: AdmissionState
     since: float
 
 
@@ -62,25 +62,25 @@
 class _ClassState:
     in_flight: int = 0
     queued: int = 0
-    hold_s: float = FIRST_HOLD_S
+    hold_s: float = INITIAL_HOLD_S
     by_key: dict[KeyId, int] = field(default_factory=dict)
     active_keys: dict[TenantName, int] = field(default_factory=dict)
     by_tenant: dict[TenantName, int] = field(default_factory=dict)
-    queues: dict[TenantName, dict[KeyId, deque[Ticket]]] = field(default_factory=dict)
+    queues: dict[TenantName, dict[KeyId, deque[AdmissionRequest]]] = field(default_factory=dict)
 
     def keys_of(self, tenant: TenantName) -> int:
-        """Return how many keys of a tenant have requests in flight."""
+        """Return the number of a tenant's keys with requests in flight."""
         return self.active_keys.get(tenant, 0)
 
     def enter(self, key: KeyId, tenant: TenantName) -> None:
-        """Count a request that got a slot."""
+        """Count a granted request."""
         self.in_flight += 1
         if _count(self.by_key, key, 1) == 1:
             _count(self.active_keys, tenant, 1)
         _count(self.by_tenant, tenant, 1)
 
-    def leave(self, key: KeyId, tenant: TenantName) -> None:
-        """Count a request that gave its slot back."""
+    def release(self, key: KeyId, tenant: TenantName) -> None:
+        """Count a released request."""
         self.in_flight -= 1
         if _count(self.by_key, key, -1) == 0:
             _count(self.active_keys, tenant, -1)
@@ -88,7 +88,7 @@
 
 
 class Admission:
-    """Owns the slots and queues of one node. ``sheds``: refusals so far, by class."""
+    """Owns the slots and queues of one node. ``sheds``: rejections since the start, by class."""
 
     def __init__(self, limits: AdmissionLimits) -> None:
         self.limits = limits
@@ -96,14 +96,14 @@
         self._classes = {traffic_class: _ClassState() for traffic_class in TrafficClass}
 
     def in_flight(self, traffic_class: TrafficClass) -> int:
-        """Return how many requests of a class hold a slot."""
+        """Return the number of a class's requests in a slot."""
         return self._classes[traffic_class].in_flight
 
     def queued(self, traffic_class: TrafficClass) -> int:
-        """Return how many requests of a class wait."""
+        """Return the number of a class's queued requests."""
         return self._classes[traffic_class].queued
 
-    def ask(
+    def request_slot(
         self,
         request_id: RequestId,
         traffic_class: TrafficClass,
@@ -111,10 +111,10 @@
         tenant_weight: float,
         pressed: bool,
         now: float,
-    ) -> Ticket:
-        """Return a granted or queued ticket.
+    ) -> AdmissionRequest:
+        """Grant or queue a request.
 
-        :param pressed: the engines of the route's service report queues.
+        :param pressed: whether the engines of the route's service report queues.
         :raises RefusalError: ``overloaded``, 429 over a share or 503 when the node is full.
         """
         state = self._classes[traffic_class]
@@ -126,34 +126,34 @@
         except RefusalError:
             self.sheds[traffic_class] += 1
             raise
-        ticket = Ticket(
-            request_id, traffic_class, key.key, key.tenant, tenant_weight, TicketState.QUEUED, now
+        request = AdmissionRequest(
+            request_id, traffic_class, key.key, key.tenant, tenant_weight, AdmissionState.QUEUED, now
         )
         if granted:
-            self._grant(state, ticket, now)
+            self._grant(state, request, now)
         else:
-            keys = state.queues.setdefault(ticket.tenant, {})
-            keys.setdefault(ticket.key, deque()).append(ticket)
+            keys = state.queues.setdefault(request.tenant, {})
+            keys.setdefault(request.key, deque()).append(request)
             state.queued += 1
-        return ticket
-
-    def leave(self, ticket: Ticket, now: float) -> list[Ticket]:
-        """Give the ticket back, granted or not; return the waiting tickets that are granted for it."""
-        state = self._classes[ticket.traffic_class]
-        if ticket.state is TicketState.GRANTED:
-            state.leave(ticket.key, ticket.tenant)
-            state.hold_s += HOLD_SMOOTHING * (now - ticket.since - state.hold_s)
-        elif ticket.state is TicketState.QUEUED:
-            self._remove(state, ticket)
-        ticket.state = TicketState.GONE
-        return self._grant_waiting(now)
-
-    def count_shed(self, traffic_class: TrafficClass) -> None:
-        """Count a request that was refused after it had waited."""
+        return request
+
+    def release(self, request: AdmissionRequest, now: float) -> list[AdmissionRequest]:
+        """Release a request, granted or not; return the queued requests granted in its place."""
+        state = self._classes[request.traffic_class]
+        if request.state is AdmissionState.GRANTED:
+            state.release(request.key, request.tenant)
+            state.hold_s += HOLD_SMOOTHING * (now - request.since - state.hold_s)
+        elif request.state is AdmissionState.QUEUED:
+            self._remove(state, request)
+        request.state = AdmissionState.RELEASED
+        return self._grant_queued(now)
+
+    def count_rejection(self, traffic_class: TrafficClass) -> None:
+        """Count a request that was rejected after waiting."""
         self.sheds[traffic_class] += 1
 
     def _capacity(self, traffic_class: TrafficClass) -> int:
-        """Return the most slots that a class can have."""
+        """Return the maximum number of slots of a class."""
         limits = self.limits
         shared = limits.max_in_flight - limits.interactive_reserved - limits.transaction_reserved
         if traffic_class is TrafficClass.BULK:
@@ -185,20 +185,22 @@
     def _check_shares(
         self, state: _ClassState, traffic_class: TrafficClass, key: KeyRecord, pressed: bool
     ) -> None:
-        own_of_key = state.by_key.get(key.key, 0)
-        own_of_tenant = state.by_tenant.get(key.tenant, 0)
+        key_in_flight = state.by_key.get(key.key, 0)
+        tenant_in_flight = state.by_tenant.get(key.tenant, 0)
         capacity = self._capacity(traffic_class)
         full = state.in_flight >= capacity * PRESSURE_SHARE
         if not full:
-            if not pressed or state.in_flight < PRESSED_MINIMUM:
+            if not pressed or state.in_flight < MIN_PRESSED_IN_FLIGHT:
                 return
             capacity = state.in_flight
-        if (full or own_of_key < state.in_flight) and own_of_key >= capacity * self.limits.per_key_share:
+        if (
+            full or key_in_flight < state.in_flight
+        ) and key_in_flight >= capacity * self.limits.per_key_share:
             raise _over_share("key", state.hold_s)
         tenant_share = capacity * self.limits.per_tenant_share
-        if own_of_tenant < tenant_share or not (full or own_of_tenant < state.in_flight):
+        if tenant_in_flight < tenant_share or not (full or tenant_in_flight < state.in_flight):
             return
-        modest = own_of_key < tenant_share / (state.keys_of(key.tenant) + 1)
+        modest = key_in_flight < tenant_share / (state.keys_of(key.tenant) + 1)
         if not modest or state.in_flight >= capacity * MODEST_KEY_LIMIT:
             raise _over_share("tenant", state.hold_s)
 
@@ -218,24 +220,24 @@
                 ErrorCode.OVERLOADED, "the node is full", retry_after_s=max(OVERLOAD_RETRY_S, wait_s)
             )
 
-    def _grant(self, state: _ClassState, ticket: Ticket, now: float) -> None:
-        ticket.state = TicketState.GRANTED
-        ticket.since = now
-        state.enter(ticket.key, ticket.tenant)
+    def _grant(self, state: _ClassState, request: AdmissionRequest, now: float) -> None:
+        request.state = AdmissionState.GRANTED
+        request.since = now
+        state.enter(request.key, request.tenant)
 
-    def _grant_waiting(self, now: float) -> list[Ticket]:
-        granted: list[Ticket] = []
-        for traffic_class in _SERVED_FIRST:
+    def _grant_queued(self, now: float) -> list[AdmissionRequest]:
+        granted: list[AdmissionRequest] = []
+        for traffic_class in _CLASSES_BY_PRECEDENCE:
             state = self._classes[traffic_class]
             while state.queued and self._has_free(traffic_class):
-                ticket = self._next_waiting(state)
-                self._remove(state, ticket)
-                self._grant(state, ticket, now)
-                granted.append(ticket)
+                request = self._next_queued(state)
+                self._remove(state, request)
+                self._grant(state, request, now)
+                granted.append(request)
         return granted
 
-    def _next_waiting(self, state: _ClassState) -> Ticket:
-        """Return the oldest ticket of the least served key of the least served tenant."""
+    def _next_queued(self, state: _ClassState) -> AdmissionRequest:
+        """Return the oldest request of the key and tenant with the least in flight."""
 
         def served(tenant: TenantName) -> float:
             first = next(iter(next(iter(state.queues[tenant].values()))))
@@ -246,14 +248,14 @@
         key = min(keys, key=lambda name: state.by_key.get(name, 0))
         return keys[key][0]
 
-    def _remove(self, state: _ClassState, ticket: Ticket) -> None:
-        keys = state.queues[ticket.tenant]
-        keys[ticket.key].remove(ticket)
+    def _remove(self, state: _ClassState, request: AdmissionRequest) -> None:
+        keys = state.queues[request.tenant]
+        keys[request.key].remove(request)
         state.queued -= 1
-        if not keys[ticket.key]:
-            del keys[ticket.key]
+        if not keys[request.key]:
+            del keys[request.key]
         if not keys:
-            del state.queues[ticket.tenant]
+            del state.queues[request.tenant]
 
 
 def _count(counts: dict[K, int], name: K, change: int) -> int:
--- a/src/springmux/router/attempt.py
+++ b/src/springmux/router/attempt.py
@@ -1,4 +1,4 @@
-"""One exchange with one engine: its clocks, its checks, and what its end tells about the engine."""
+"""One attempt at one engine: its timeouts, and the evidence about the engine that its end gives."""
 
 from __future__ import annotations
 
@@ -11,37 +11,37 @@
 from springmux.router.selection import Selected
 from springmux.vocabulary.names import VersionName
 
-FAIR_SHARE_OF_TIMEOUT = 0.5
-"""An engine that had less than this part of the first-piece time when the request's deadline came is not
-to blame: earlier attempts or queues used the time up."""
+MIN_BLAMED_WAIT_SHARE = 0.5
+"""Part of the first-chunk timeout that an engine must have had to be blamed for the request's deadline;
+otherwise earlier attempts or queues used the time up."""
 
 
 class Attempt:
-    """State of one exchange. Times are monotonic seconds; ``first_piece_at`` is ``None`` until it came.
+    """State of one attempt. Times are monotonic seconds; ``first_chunk_at`` is ``None`` until it arrives.
 
-    ``progress_at``: since when the engine is waited for. ``blocked``: the caller's full socket holds the
-    engine up. ``excused``: that, or a frozen node, took some of the exchange's time.
+    ``progress_at``: start of the running timeout. ``blocked``: the client's full socket holds the engine up.
+    ``timing_disturbed``: that, or a paused node process, took some of the attempt's time.
     """
 
     __slots__ = (
-        "_answer_tokens",
+        "_buffered_response",
         "_core",
         "_in_flight_before",
         "_prefill_tokens",
         "_prompt_bytes",
+        "_response_tokens",
         "_route",
-        "_whole_prompt",
         "began_at",
         "blocked",
         "ended",
-        "excused",
-        "first_piece_at",
+        "first_chunk_at",
         "number",
         "probe",
         "progress_at",
         "reply",
         "selected",
         "slot",
+        "timing_disturbed",
     )
 
     def __init__(
@@ -50,98 +50,104 @@
         number: int,
         selected: Selected,
         parsed: ParsedRequest,
-        answer_tokens: int,
+        response_tokens: int,
         now: float,
     ) -> None:
         self._core = core
         self._route = parsed.route
-        self._whole_prompt = parsed.route.kind is RouteKind.PROMPT and not parsed.stream
+        self._buffered_response = parsed.route.kind is RouteKind.PROMPT and not parsed.stream
         self._prompt_bytes = len(parsed.body)
         self._prefill_tokens = int(parsed.prompt_tokens * (1.0 - selected.choice.expected_hit))
-        self._answer_tokens = answer_tokens
+        self._response_tokens = response_tokens
         self.number = number
         self.selected = selected
         self.slot = selected.choice.slot
         self._in_flight_before = self.slot.in_flight
         self.began_at = now
-        self.first_piece_at: float | None = None
+        self.first_chunk_at: float | None = None
         self.progress_at = now
         self.reply: Reply | None = None
         self.blocked = False
-        self.excused = False
+        self.timing_disturbed = False
         self.ended = False
-        self.slot.begin(self._prefill_tokens + answer_tokens)
+        self.slot.begin(self._prefill_tokens + response_tokens)
         self.probe = core.ejector.dispatched(self.slot, now)
 
-    def heard(self, now: float) -> None:
-        """Note that bytes of the answer came."""
+    def record_bytes(self, now: float) -> None:
+        """Record that bytes of the response arrived."""
         slot = self.slot
         slot.heard_at = now
         if self.began_at > slot.heard_began_at:
             slot.heard_began_at = self.began_at
 
-    def progressed(self, now: float) -> None:
-        """Note a valid piece; with the first one the prefill is done."""
+    def record_progress(self, now: float) -> None:
+        """Record a valid chunk; the first one ends the prefill."""
         self.progress_at = now
-        if self.first_piece_at is None:
-            self.first_piece_at = now
+        if self.first_chunk_at is None:
+            self.first_chunk_at = now
             self.slot.outstanding_tokens -= self._prefill_tokens
             self._prefill_tokens = 0
 
-    def excuse(self, now: float) -> None:
-        """Wait for the engine anew: the time until ``now`` went by without its bytes being read."""
+    def restart_timeout(self, now: float) -> None:
+        """Restart the timeout, since the engine's bytes were not read until ``now``."""
         self.progress_at = now
-        self.excused = True
+        self.timing_disturbed = True
 
     def timeout_at(self) -> float:
-        """Return when the engine has been silent for too long, or never."""
+        """Return when the engine times out (monotonic s), or never."""
         if self.blocked:
             return NEVER
-        if self.first_piece_at is not None:
+        if self.first_chunk_at is not None:
             return self.progress_at + self._route.idle_timeout_s
-        if self._whole_prompt:
-            # The whole answer is computed before its first byte: only the deadline bounds it.
+        if self._buffered_response:
+            # The complete response is computed before its first byte: only the deadline bounds it.
             return NEVER
         return self.progress_at + self._route.first_piece_timeout_s
 
     def version(self) -> str:
-        """Return the version that the engine says it runs, else the one it was chosen for."""
-        said = self.reply.version if self.reply is not None else ""
-        return said or self.selected.version
+        """Return the version that the engine reports, else the one it was chosen for."""
+        reported = self.reply.version if self.reply is not None else ""
+        return reported or self.selected.version
 
     def late_ending(self, deadline: bool, now: float) -> Ending:
-        """Say what a timeout tells: slow, dark, or (at the request's own deadline) perhaps nothing.
+        """Return the ending after a timeout: slow, lost, or (at the request's deadline) no evidence.
 
-        An engine of which nothing at all was heard in the later half of the wait is dark.
+        An engine that sent nothing at all in the second half of the wait counts as lost.
+
+        :param deadline: whether the request's deadline passed, not the attempt's timeout.
         """
-        if deadline and (self.excused or self.blocked):
+        if deadline and (self.timing_disturbed or self.blocked):
             return Ending.CALLER_GONE
         waited_s = now - self.began_at
-        limit_s = self._route.first_piece_timeout_s * FAIR_SHARE_OF_TIMEOUT
-        if deadline and self.first_piece_at is None and waited_s < limit_s:
+        limit_s = self._route.first_piece_timeout_s * MIN_BLAMED_WAIT_SHARE
+        if deadline and self.first_chunk_at is None and waited_s < limit_s:
             return Ending.CALLER_GONE
         half_waited_at = (self.progress_at + now) / 2
         return Ending.TIMED_OUT if self.slot.alive_at() > half_waited_at else Ending.ENGINE_LOST
 
     def finish(self, ending: Ending, now: float, refused: bool = False, reset: bool = False) -> None:
-        """End the exchange once: free the engine, tell the ejector and the version filter."""
+        """End the attempt once: free the engine, notify the ejector and the version filter.
+
+        :param refused: whether the engine refused the connection.
+        :param reset: whether the connection was reset after bytes were sent.
+        """
         if self.ended:
             return
         self.ended = True
-        self.slot.end(self._prefill_tokens + self._answer_tokens)
+        self.slot.end(self._prefill_tokens + self._response_tokens)
         if refused:
             self.slot.refused_at = now
-        self._tell_ejector(ending, refused, now)
+        self._notify_ejector(ending, refused, now)
         outcome = self._outcome(ending)
         if reset:
             self.slot.reset_began_at = max(self.slot.reset_began_at, self.began_at)
-            self._core.losses.suspect(self.slot, outcome, now)
+            self._core.loss_classifier.suspect_reset(self.slot, outcome, now)
         elif ending is Ending.ENGINE_LOST and not refused:
-            self._core.losses.suspect_silence(self.slot, outcome, self.progress_at, now)
+            self._core.loss_classifier.suspect_unresponsive(self.slot, outcome, self.progress_at, now)
         else:
             self._core.chooser.observe(outcome, now)
 
-    def _tell_ejector(self, ending: Ending, refused: bool, now: float) -> None:
+    def _notify_ejector(self, ending: Ending, refused: bool, now: float) -> None:
         ejector = self._core.ejector
         if ending in (Ending.WHOLE, Ending.REJECTED):
             ejector.succeeded(self.slot, self.probe, self.began_at)
@@ -152,7 +158,7 @@
 
     def _outcome(self, ending: Ending) -> PromptOutcome:
         record = self.slot.record
-        first_at = None if self.excused else self.first_piece_at
+        first_at = None if self.timing_disturbed else self.first_chunk_at
         pieces = self.reply.pieces() if self.reply is not None else 0
         gap_s = None
         if first_at is not None and pieces > 1:
--- a/src/springmux/router/authentication.py
+++ b/src/springmux/router/authentication.py
@@ -1,4 +1,4 @@
-"""Who calls: a bearer key, looked up by its digest. The key itself is never kept or logged."""
+"""Authentication by a bearer key, looked up by its digest. The key itself is never stored or logged."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def authenticate(headers: Mapping[str, str], view: ControlView) -> KeyRecord:
-    """Return the record of the caller's key.
+    """Return the record of the client's key.
 
     :raises RefusalError: ``missing_key``, ``unknown_key`` or ``revoked_key`` (401).
     """
--- a/src/springmux/router/choice.py
+++ b/src/springmux/router/choice.py
@@ -1,10 +1,10 @@
-"""Choice of the engine for one request among the ready engines of a version.
+"""Engine choice for one request among the ready engines of a version.
 
-An engine that probably has the prompt's prefix in its cache saves its prefill; one with much work ahead
-costs waiting. Both are counted in tokens. No engine may exceed its share of the load by more than
+An engine that probably caches the prompt's prefix saves its prefill; one with much queued work costs waiting
+time. Both are counted in tokens. No engine may exceed its share of the load by more than
 :data:`BOUND` (Mirrokni, Thorup and Zadimoghaddam, "Consistent hashing with bounded loads", 2018), so a
-hot prefix spreads. A prefix that no engine is known to hold is placed by rendezvous hash, so that
-different nodes agree without a message, and a lost engine's prefixes spread over several.
+hot prefix moves to further engines. A prefix without a known cache is placed by rendezvous hash, so that
+nodes agree without messages, and a lost engine's prefixes are distributed over several.
 """
 
 from __future__ import annotations
@@ -23,13 +23,13 @@
 
 BOUND = 1.25
 """Largest ratio of an engine's requests to its share (c of the bounded-load paper)."""
-LEAST_BOUND = 2
-"""At very low load an engine may always have this many, or two concurrent prompts of one prefix would
-needlessly prefill it twice."""
+MIN_BOUND = 2
+"""Requests that an engine may always have, or at low load two concurrent prompts of one prefix would prefill
+it twice."""
 TIE_TOKENS = 64.0
-"""Differences of work below this are noise: a few milliseconds of prefill."""
+"""Smaller cost differences are ties: a few milliseconds of prefill."""
 FOREIGN_REQUEST_TOKENS = 256.0
-"""Assumed work of a request that another node sent; only reports tell of those."""
+"""Assumed work of another node's request."""
 
 _MASK = (1 << 64) - 1
 _MIX_FIRST = 0xBF58476D1CE4E5B9
@@ -46,8 +46,11 @@
 
 
 class ChoiceNeeds(msgspec.Struct, frozen=True):
-    """What the choice depends on. ``excluded``: engines tried already; ``probe``: may be a half-open
-    engine's probe; ``prefix`` is ``None`` for calls."""
+    """Constraints of one choice.
+
+    ``prefix``: ``None`` for calls. ``excluded``: engines already tried. ``probe``: the request may be a
+    half-open engine's probe.
+    """
 
     prefix: PromptPrefix | None
     prompt_tokens: int
@@ -64,7 +67,7 @@
 
 
 class EngineChooser:
-    """Chooses engines; owns no state but refers to the index, the ejector and the random source."""
+    """Chooses engines by prefix index, ejector state and a random source; has no state of its own."""
 
     def __init__(self, index: PrefixIndex, ejector: Ejector, source: random.Random) -> None:
         self._index = index
@@ -84,7 +87,7 @@
         best_cost = math.inf
         for slot, share in shares.items():
             own_weight = weight(slot, now)
-            if slot.in_flight >= LEAST_BOUND and slot.in_flight >= math.ceil(bound * own_weight):
+            if slot.in_flight >= MIN_BOUND and slot.in_flight >= math.ceil(bound * own_weight):
                 continue
             cost = _cost(slot, own_weight / mean_weight, needs.prompt_tokens * (1.0 - share), now)
             if cost < best_cost - (TIE_TOKENS if best is not None else 0.0):
@@ -96,7 +99,7 @@
         return EngineChoice(best, shares.get(best, 0.0))
 
     def _candidates(self, pool: EnginePool, needs: ChoiceNeeds, now: float) -> dict[EngineSlot, float]:
-        """Return engines worth weighing with their expected hit, in order of preference at a tie."""
+        """Return the engines to compare with their expected hit, in order of preference at a tie."""
         shares: dict[EngineSlot, float] = {}
         if needs.prefix is not None:
             holders = self._index.lookup(needs.prefix)
@@ -111,7 +114,7 @@
         return shares
 
     def _placed(self, pool: EnginePool, key: int, needs: ChoiceNeeds, now: float) -> list[EngineSlot]:
-        """Return the first two engines for a prefix by rendezvous, slow start considered."""
+        """Return the first two engines for a prefix by rendezvous hash, subject to slow start."""
         first: EngineSlot | None = None
         second: EngineSlot | None = None
         first_score = second_score = -1
@@ -119,7 +122,7 @@
             score = placement_score(key, slot.hash)
             if score <= second_score or not self._allowed(slot, needs, now):
                 continue
-            if not _has_ramped(slot, score, now):
+            if not _takes_prefix(slot, score, now):
                 continue
             if score > first_score:
                 second, second_score = first, first_score
@@ -142,7 +145,7 @@
     def _least_loaded(self, pool: EnginePool, needs: ChoiceNeeds, now: float) -> EngineSlot | None:
         usable = [slot for slot in pool.slots if self._allowed(slot, needs, now)]
         if not usable and all(slot.ejected_until >= 0.0 for slot in pool.slots):
-            # Engines left until only ejected ones remain: trying them beats refusing.
+            # With only ejected engines left, trying one is better than refusing.
             usable = [slot for slot in pool.slots if slot.record.engine not in needs.excluded]
         if not usable:
             return None
@@ -155,12 +158,12 @@
 
 
 def _cost(slot: EngineSlot, relative_weight: float, uncached_tokens: float, now: float) -> float:
-    """Return the work in tokens that lies before this request's first token on an engine."""
+    """Return the work in tokens ahead of this request's first token on an engine."""
     waiting = slot.outstanding_tokens + slot.foreign_requests(now) * FOREIGN_REQUEST_TOKENS
     return waiting / relative_weight + uncached_tokens
 
 
-def _has_ramped(slot: EngineSlot, score: int, now: float) -> bool:
-    """Say whether a ramping engine takes this prefix yet: its slice of prefixes only grows."""
+def _takes_prefix(slot: EngineSlot, score: int, now: float) -> bool:
+    """Return whether an engine in slow start already takes this prefix; its set of prefixes only grows."""
     share = slow_start_share(slot.first_seen_at, now)
     return share >= 1.0 or (score & ((1 << _FRACTION_BITS) - 1)) < share * (1 << _FRACTION_BITS)
--- a/src/springmux/router/claim.py
+++ b/src/springmux/router/claim.py
@@ -1,4 +1,4 @@
-"""The at-most-once claim of one request, as its flow holds it."""
+"""The at-most-once claim of one request."""
 
 from __future__ import annotations
 
@@ -7,45 +7,50 @@
 from springmux.control.view import KeyRecord
 from springmux.router.effects import RequestClaim, ResponseHead, SettleClaim
 from springmux.router.parse import ParsedRequest
-from springmux.router.stored_response import StoredResponse, encode_answer
+from springmux.router.stored_response import StoredResponse, encode_response
 from springmux.vocabulary.names import RequestId
 
 
 def claim_key(parsed: ParsedRequest, key: KeyRecord, request_id: RequestId) -> str:
-    """Return the name of the action: tenant, route, and the caller's key for it (or the request)."""
+    """Return the name of the action: a hash of tenant, route, and idempotency key (or request id)."""
     name = f"{key.tenant}\0{parsed.route.name}\0{parsed.action(request_id)}"
     return xxhash.xxh3_128_hexdigest(name.encode(errors="surrogateescape"))
 
 
 class Claim:
-    """From the question to the settlement. ``running``: claims under way at this node, shared.
+    """A claim from its request to its end. ``running``: this node's open claims, shared by all requests.
 
-    A second request for the same action at this node is answered from ``running``, so that one request
-    can never give back what another holds.
+    A second request for the same action at this node is rejected because of ``running``, so that no request
+    releases another one's claim.
     """
 
-    __slots__ = ("_kept", "_running", "body_digest", "held", "key")
+    __slots__ = ("_running", "_stored_response", "body_digest", "granted", "key")
 
     def __init__(self, key: str, body: bytes, running: set[str]) -> None:
         self.key = key
         self.body_digest = xxhash.xxh3_128_digest(body)
-        self.held = False
+        self.granted = False
         self._running = running
-        self._kept = b""
+        self._stored_response = b""
 
-    def ask(self) -> RequestClaim:
-        """Begin."""
+    def request(self) -> RequestClaim:
+        """Return the effect that requests the claim."""
         self._running.add(self.key)
         return RequestClaim(self.key)
 
-    def keep(self, head: ResponseHead, body: bytes) -> None:
-        """Keep the whole answer for resends."""
-        self._kept = encode_answer(StoredResponse(head.status, head.headers, body, self.body_digest))
+    def store_response(self, head: ResponseHead, body: bytes) -> None:
+        """Store the complete response for resent requests."""
+        self._stored_response = encode_response(
+            StoredResponse(head.status, head.headers, body, self.body_digest)
+        )
 
-    def settle(self, ran: bool) -> list[SettleClaim]:
-        """End; ``ran``: a byte may have reached an engine."""
+    def finish(self, ran: bool) -> list[SettleClaim]:
+        """Return the effects that end the claim.
+
+        :param ran: whether any byte may have reached an engine.
+        """
         self._running.discard(self.key)
-        if not self.held:
+        if not self.granted:
             return []
-        self.held = False
-        return [SettleClaim(self.key, ran, self._kept)]
+        self.granted = False
+        return [SettleClaim(self.key, ran, self._stored_response)]
--- a/src/springmux/router/core.py
+++ b/src/springmux/router/core.py
@@ -1,4 +1,4 @@
-"""What all requests of a node share: views, slots, counters. Owned by the router, used by its flows."""
+"""State shared by all requests of a node; owned by the router, used by its flows."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
 from springmux.router.choice import EngineChooser
 from springmux.router.ejection import Ejector
 from springmux.router.engine_table import EngineTable
-from springmux.router.loss_watch import LossWatch
+from springmux.router.loss_classifier import LossClassifier
 from springmux.router.prefix_index import PrefixIndex
 from springmux.vocabulary.names import RequestId, RouteName, ServiceName
 
-FIRST_ANSWER_TOKENS = 64.0
-"""Assumed length of an answer until some have been measured."""
-ANSWER_SMOOTHING = 0.05
+INITIAL_RESPONSE_TOKENS = 64.0
+"""Assumed length of a response until one has been measured."""
+RESPONSE_LENGTH_SMOOTHING = 0.05
 PRESSED_REFRESH_S = 0.25
-"""Reports come once a second, so looking four times a second misses nothing."""
+"""Engines report once a second."""
 
 
 class RouterStatus(msgspec.Struct, frozen=True):
     """Figures of the data plane since the start, for metrics and status.
 
-    ``retries``: requests sent again to another engine; ``reconnects``: tried elsewhere before anything
-    was sent, so not repeats.
+    ``retries``: requests sent again to another engine; ``reconnects``: attempts at another engine before
+    anything was sent.
     """
 
     in_flight: Mapping[TrafficClass, int]
@@ -61,18 +61,18 @@
 
 @dataclass(slots=True)
 class ResponseLengths:
-    """Smoothed length of answers by route, in tokens, to reserve quota and to weigh load."""
+    """Smoothed response length by route in tokens, for quota reservations and load estimates."""
 
     _by_route: dict[RouteName, float] = field(default_factory=dict)
 
-    def expected(self, route: RouteName, most: int) -> float:
-        """Return the expected length, at most ``most``."""
-        return min(float(most), self._by_route.get(route, FIRST_ANSWER_TOKENS))
+    def expected(self, route: RouteName, limit: int) -> float:
+        """Return the expected length, at most ``limit``."""
+        return min(float(limit), self._by_route.get(route, INITIAL_RESPONSE_TOKENS))
 
     def observe(self, route: RouteName, tokens: int) -> None:
-        """Take the true length of a whole answer."""
+        """Record the length of a complete response."""
         before = self._by_route.get(route, float(tokens))
-        self._by_route[route] = before + ANSWER_SMOOTHING * (tokens - before)
+        self._by_route[route] = before + RESPONSE_LENGTH_SMOOTHING * (tokens - before)
 
 
 class RouterCore:
@@ -101,15 +101,15 @@
         self.engine_chooser = EngineChooser(self.index, self.ejector, source)
         self.admission = Admission(AdmissionLimits())
         self.retry_budget = _retry_budget(AdmissionLimits())
-        self.losses = LossWatch(chooser.observe)
-        self.answer_lengths = ResponseLengths()
+        self.loss_classifier = LossClassifier(chooser.observe)
+        self.response_lengths = ResponseLengths()
         self.counters = Counters()
         self.wake_listener: Callable[[RequestId], None] | None = None
         self.claims_running: set[str] = set()
         self._pressed: dict[ServiceName, tuple[bool, float]] = {}
 
-    def take_limits(self, limits: AdmissionLimits) -> None:
-        """Use new bounds; the retry budget starts anew only if its own figures changed."""
+    def update_limits(self, limits: AdmissionLimits) -> None:
+        """Apply new limits; the retry budget is reset only if its own limits changed."""
         old = self.admission.limits
         self.admission.limits = limits
         before = (old.retry_share, old.retry_floor, old.retry_window_s)
@@ -117,12 +117,12 @@
             self.retry_budget = _retry_budget(limits)
 
     def wake(self, request_id: RequestId) -> None:
-        """Tell the driver that a waiting request got a slot."""
+        """Notify the driver that a queued request got a slot."""
         if self.wake_listener is not None:
             self.wake_listener(request_id)
 
     def service_pressed(self, service: ServiceName, now: float) -> bool:
-        """Say whether most engines of a service report queues (looked at now and then)."""
+        """Return whether most engines of a service report queues (cached for a short time)."""
         known = self._pressed.get(service)
         if known is None or now - known[1] >= PRESSED_REFRESH_S:
             known = (self.table.service_pressed(service, now), now)
@@ -130,7 +130,7 @@
         return known[0]
 
     def status(self) -> RouterStatus:
-        """Return the present figures."""
+        """Return the current figures."""
         admission = self.admission
         counters = self.counters
         return RouterStatus(
--- a/src/springmux/router/dispatching.py
+++ b/src/springmux/router/dispatching.py
@@ -1,4 +1,4 @@
-"""Building the request that goes to an engine."""
+"""Builds the request to an engine."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from springmux.router.parse import ParsedRequest
 
 CONNECT_TIMEOUT_S = 0.5
-"""Used if the service has just left the configuration; the default of the configuration's schema."""
+"""Used if the service has just left the configuration; the default of its schema."""
 
 
 def dispatch_effect(
@@ -37,6 +37,6 @@
         headers=headers,
         body=parsed.body,
         connect_timeout_s=service.connect_timeout_s if service else CONNECT_TIMEOUT_S,
-        # A kept connection may be closed under the request; then nobody knows whether it ran.
+        # A pooled connection may be closed during the request, which leaves its fate unknown.
         fresh=not parsed.route.repeatable or attempt.number > 1,
     )
--- a/src/springmux/router/effects.py
+++ b/src/springmux/router/effects.py
@@ -1,4 +1,4 @@
-"""What a request's flow asks of the listener and of the upstream client."""
+"""Effects that a request's flow returns to the listener and the upstream client."""
 
 from __future__ import annotations
 
@@ -10,13 +10,16 @@
 
 
 class RequestClaim(Effect, frozen=True):
-    """Take the at-most-once claim ``claim_key``, then give ``ClaimDecided``."""
+    """Request the at-most-once claim ``claim_key``; its result arrives as ``ClaimDecided``."""
 
     claim_key: str
 
 
 class SettleClaim(Effect, frozen=True):
-    """The claimed request ended. ``answer``: what a resend gets (opaque); ``ran=False``: it never ran."""
+    """End the claim.
+
+    ``ran``: the request may have been executed. ``answer``: response for a resend (opaque).
+    """
 
     claim_key: str
     ran: bool
@@ -24,7 +27,7 @@
 
 
 class Dispatch(Effect, frozen=True):
-    """Send the request to an engine. ``fresh``: use a new connection, never a kept one."""
+    """Send the request to an engine. ``fresh``: use a new connection, not a pooled one."""
 
     attempt: int
     engine: EngineRecord
@@ -36,14 +39,14 @@
 
 
 class CloseUpstream(Effect, frozen=True):
-    """Leave the exchange. ``reusable``: its answer ended properly, the connection may be kept."""
+    """Close the attempt. ``reusable``: its response ended properly, so the connection may be pooled."""
 
     attempt: int
     reusable: bool
 
 
 class ResponseHead(Effect, frozen=True):
-    """Begin the answer to the caller. ``length`` is ``None`` for a stream (chunked)."""
+    """Begin the response to the client. ``length`` is ``None`` for a stream (chunked)."""
 
     status: int
     headers: Headers
@@ -51,24 +54,24 @@
 
 
 class ResponseData(Effect, frozen=True):
-    """Write bytes of the answer to the caller at once."""
+    """Write bytes of the response to the client at once."""
 
     data: bytes
 
 
 class ResponseEnd(Effect, frozen=True):
-    """The answer is whole."""
+    """The response is complete."""
 
 
 class ResponseError(Effect, frozen=True):
-    """Answer with a typed error; nothing was written to the caller before."""
+    """Respond with a typed error; nothing was written to the client before."""
 
     error: ApiError
 
 
 class ResponseAborted(Effect, frozen=True):
-    """Break off an answer that was begun: close the caller's connection without a proper end."""
+    """Abort a response: close the client's connection without a proper end."""
 
 
 class FlowDone(Effect, frozen=True):
-    """The flow is over; the driver drops it."""
+    """The flow is done; the driver drops it."""
--- a/src/springmux/router/engine_table.py
+++ b/src/springmux/router/engine_table.py
@@ -1,7 +1,7 @@
-"""What this node knows and counts about each back end: one mutable slot per engine incarnation.
+"""Load and health of each back end as seen by this node: one mutable slot per engine incarnation.
 
-An engine that restarts is a new slot: its cache is cold, its ejection is forgotten, and prefixes that
-point at the old slot lead nowhere.
+A restarted engine gets a new slot: its cache is empty, its ejection is dropped, and index entries for the old
+slot are ignored.
 """
 
 from __future__ import annotations
@@ -17,25 +17,24 @@
 from springmux.vocabulary.engines import EngineLoad, EngineRecord, EngineStatus, EnginesView
 from springmux.vocabulary.names import EngineId, ServiceName, VersionName
 
-LOAD_FRESH_S = 3.0
-"""Age at which a reported load says nothing more; engines report about once a second, and late."""
+LOAD_REPORT_LIFETIME_S = 3.0
+"""Age at which a load report no longer counts; engines report about once a second, with some delay."""
 WEIGHTS_REFRESH_S = 0.25
-"""How often the weights of ramping engines are summed anew: a fortieth of the ramp."""
+"""Interval at which the weights of a pool are summed again during a slow start."""
 PLACEMENT_WINDOW = 24
-"""Engines weighed for one prefix; a lost engine's prefixes spread over as many."""
+"""Engines considered for one prefix; a lost engine's prefixes move to as many others."""
 
 
 @dataclass(eq=False, slots=True)
 class EngineSlot:
     """One engine incarnation as this node uses it. Owned by :class:`EngineTable`.
 
-    ``outstanding_tokens``: work that this node gave and that is not done, as estimated at dispatch.
-    ``heard_at``: when any byte of an answer last came. ``failures``, ``ejections`` and
+    ``outstanding_tokens``: estimated unfinished work of this node's requests.
+    ``heard_at``: when any response byte last arrived. ``failures``, ``ejections`` and
     ``ejected_until`` belong to the ejector; ``probing``: a half-open engine's one request is running.
-    ``heard_began_at``: when the newest request that got any byte back was sent;
-    ``reset_began_at``: when the newest request was sent that the engine took and reset;
-    ``refused_at``: when a connection was last refused; ``accepted_at``: when the newest probe began that
-    the engine took.
+    ``heard_began_at``: when the latest request with any response byte was sent;
+    ``reset_began_at``: when the latest request was sent that the engine accepted and reset;
+    ``refused_at``: when a connection was last refused; ``accepted_at``: when the latest accepted probe began.
     """
 
     record: EngineRecord
@@ -61,37 +60,37 @@
         self.outstanding_tokens += tokens
 
     def end(self, tokens: int) -> None:
-        """Count a request that left the engine; ``tokens`` as given to :meth:`begin`."""
+        """Count a finished request; ``tokens`` as given to :meth:`begin`."""
         self.in_flight -= 1
         self.outstanding_tokens -= tokens
 
     def foreign_requests(self, now: float) -> float:
-        """Return how many requests of other nodes the engine has, by its report, fading with its age."""
+        """Return the estimated requests of other nodes: the engine's report, decayed by its age."""
         load = self.load
         if load is None:
             return 0.0
         age_s = now - load.measured_at
-        if not 0.0 <= age_s < LOAD_FRESH_S:
+        if not 0.0 <= age_s < LOAD_REPORT_LIFETIME_S:
             return 0.0
         foreign = load.running + load.queued - self.in_flight
-        return max(0, foreign) * (1.0 - age_s / LOAD_FRESH_S)
+        return max(0, foreign) * (1.0 - age_s / LOAD_REPORT_LIFETIME_S)
 
     def alive_at(self) -> float:
-        """Return when the engine last showed a sign of life: bytes of an answer, or a report."""
+        """Return when the engine last sent response bytes or a load report (monotonic s)."""
         reported_at = self.load.measured_at if self.load is not None else -1.0
         return max(self.heard_at, reported_at)
 
     def reports_queue(self, now: float) -> bool:
-        """Say whether a fresh report shows a queue as long as the engine's capacity."""
+        """Return whether a recent report shows a queue as long as the engine's capacity."""
         load = self.load
-        if load is None or not 0.0 <= now - load.measured_at < LOAD_FRESH_S:
+        if load is None or not 0.0 <= now - load.measured_at < LOAD_REPORT_LIFETIME_S:
             return False
         return load.queued >= max(1, self.record.capacity)
 
 
 @dataclass(eq=False, slots=True)
 class EnginePool:
-    """The ready engines of one version (or a part of them), with their weights for bounded load."""
+    """The ready engines of one version (or a subset), with their weights for bounded load."""
 
     slots: list[EngineSlot]
     members: frozenset[EngineId] = field(init=False)
@@ -105,7 +104,7 @@
         self.members = frozenset(slot.record.engine for slot in self.slots)
 
     def near(self, key: int) -> list[EngineSlot]:
-        """Return the engines among which a prefix is placed: all of a small pool, else a window.
+        """Return the engines considered for a prefix: all of a small pool, else a window.
 
         The window is the next engines on the ring of hashes (Karger et al. 1997), so that placement in
         a pool of hundreds costs no more than in one of tens.
@@ -117,16 +116,16 @@
         return window + self.slots[: PLACEMENT_WINDOW - len(window)]
 
     def pressed(self, now: float) -> bool:
-        """Say whether most engines report more waiting requests than they can run at once."""
+        """Return whether most engines report a queue as long as their capacity."""
         queueing = sum(1 for slot in self.slots if slot.reports_queue(now))
         return queueing * 2 > len(self.slots)
 
     def weight_sum(self, now: float) -> float:
-        """Return the sum of capacity times ramp over the pool."""
+        """Return the sum of the engines' weights."""
         if now >= self._valid_until:
             self._weight_sum = sum(weight(slot, now) for slot in self.slots)
-            ramping = any(slow_start_share(slot.first_seen_at, now) < 1.0 for slot in self.slots)
-            self._valid_until = now + WEIGHTS_REFRESH_S if ramping else float("inf")
+            in_slow_start = any(slow_start_share(slot.first_seen_at, now) < 1.0 for slot in self.slots)
+            self._valid_until = now + WEIGHTS_REFRESH_S if in_slow_start else float("inf")
         return self._weight_sum
 
     def total_in_flight(self) -> int:
@@ -135,7 +134,7 @@
 
 
 def weight(slot: EngineSlot, now: float) -> float:
-    """Return an engine's share of load: its capacity, times how far it has ramped up."""
+    """Return an engine's weight: its capacity, scaled by its slow start."""
     return max(1, slot.record.capacity) * slow_start_share(slot.first_seen_at, now)
 
 
@@ -146,10 +145,10 @@
         self.slots: dict[EngineId, EngineSlot] = {}
         self._engines: Mapping[EngineId, EngineRecord] = {}
         self._pools: dict[tuple[ServiceName, VersionName], EnginePool] = {}
-        self._parts: dict[tuple[ServiceName, VersionName, int], EnginePool] = {}
+        self._subsets: dict[tuple[ServiceName, VersionName, int], EnginePool] = {}
 
     def update(self, view: EnginesView) -> None:
-        """Take a new directory; engines that are not ready get nothing from now on.
+        """Apply a directory view; engines that are not ready get no more requests.
 
         Views come with every round of load reports. Unchanged records are the same objects, so that
         comparing whole directories costs a pointer an engine.
@@ -162,29 +161,29 @@
                 slot.load = load
 
     def pool(self, service: ServiceName, version: VersionName) -> EnginePool:
-        """Return the ready engines of a version (perhaps none)."""
+        """Return the ready engines of a version (possibly none)."""
         return self._pools.get((service, version)) or _EMPTY_POOL
 
     def service_pressed(self, service: ServiceName, now: float) -> bool:
-        """Say whether every version's engines of a service are pressed."""
+        """Return whether the engines of every version of a service are under pressure."""
         pools = [pool for (name, _), pool in self._pools.items() if name == service]
         return bool(pools) and all(pool.pressed(now) for pool in pools)
 
-    def part(self, service: ServiceName, version: VersionName, count: int) -> EnginePool:
+    def subset(self, service: ServiceName, version: VersionName, count: int) -> EnginePool:
         """Return the first ``count`` engines of a version, the same at every node.
 
-        The order is by rendezvous hash of the service's name, so a larger part contains a smaller one.
+        The order is by rendezvous hash of the service's name, so a larger subset contains a smaller one.
         """
-        whole = self.pool(service, version)
-        if count >= len(whole.slots):
-            return whole
+        pool = self.pool(service, version)
+        if count >= len(pool.slots):
+            return pool
         key = (service, version, count)
-        part = self._parts.get(key)
-        if part is None:
-            ordered = sorted(whole.slots, key=lambda slot: -rendezvous_score(service, slot.record.engine))
-            part = EnginePool(ordered[:count])
-            self._parts[key] = part
-        return part
+        subset = self._subsets.get(key)
+        if subset is None:
+            ordered = sorted(pool.slots, key=lambda slot: -rendezvous_score(service, slot.record.engine))
+            subset = EnginePool(ordered[:count])
+            self._subsets[key] = subset
+        return subset
 
     def _take_records(self, view: EnginesView) -> None:
         known = self._engines
@@ -218,7 +217,7 @@
             if slot.usable:
                 groups.setdefault((slot.record.service, slot.record.version), []).append(slot)
         self._pools = {key: EnginePool(group) for key, group in groups.items()}
-        self._parts = {}
+        self._subsets = {}
 
 
 _EMPTY_POOL = EnginePool([])
--- a/src/springmux/router/errors.py
+++ b/src/springmux/router/errors.py
@@ -1,4 +1,4 @@
-"""Building typed errors: one place that knows which code goes with which status (docs/API.md)."""
+"""Typed errors of the router, and the status of each error code (docs/API.md)."""
 
 from __future__ import annotations
 
@@ -34,8 +34,7 @@
 }
 
 RETRY_AFTER_S = 1.0
-"""When a refused caller should come back, where nothing better is known: engines and nodes are
-detected as lost, or replaced, within about that time."""
+"""Default delay before a client retries: lost engines and nodes are detected within about that time."""
 
 
 class _ErrorEnvelope(msgspec.Struct, frozen=True):
@@ -46,7 +45,7 @@
 
 
 class RefusalError(Exception):
-    """A check says no: the request never runs. Caught by the flow, which adds request and node."""
+    """The request is refused and never executed. Caught by the flow, which adds request and node."""
 
     def __init__(
         self,
@@ -65,7 +64,7 @@
         self.errors = errors
 
     def error(self, node: NodeId, request_id: RequestId) -> ApiError:
-        """Return the answer for this refusal."""
+        """Return the response for this refusal."""
         return ApiError(
             code=self.code,
             message=self.message,
@@ -79,5 +78,5 @@
 
 
 def error_event(error: ApiError) -> bytes:
-    """Return the server-sent event that ends a stream which cannot be finished."""
+    """Return the server-sent event that ends an incomplete stream."""
     return b"event: error\ndata: " + _encoder.encode(_ErrorEnvelope(error)) + b"\n\n"
--- a/src/springmux/router/events.py
+++ b/src/springmux/router/events.py
@@ -1,4 +1,4 @@
-"""What can happen to one request: the events of :class:`springmux.router.flow.RequestFlow`."""
+"""Events of one request, handled by :class:`springmux.router.flow.RequestFlow`."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ClientRequest(msgspec.Struct, frozen=True):
-    """A caller's whole request as the listener read it. Header names are lower case."""
+    """A client's complete request as the listener read it; header names in lower case."""
 
     request_id: RequestId
     method: str
@@ -23,17 +23,17 @@
 
 
 class RequestBegun(Event, frozen=True):
-    """The request was read whole; the flow decides what to do with it."""
+    """The complete request was read."""
 
 
 class ClaimDecided(Event, frozen=True):
-    """The claim asked for by ``RequestClaim`` was decided."""
+    """The claim requested by ``RequestClaim`` was decided."""
 
     decision: ClaimDecision
 
 
 class UpstreamHead(Event, frozen=True):
-    """The engine answered with a status line and headers (names in lower case)."""
+    """The engine responded with a status line and headers (names in lower case)."""
 
     attempt: int
     status: int
@@ -41,32 +41,32 @@
 
 
 class UpstreamData(Event, frozen=True):
-    """Bytes of the engine's answer body arrived."""
+    """Bytes of the engine's response body arrived."""
 
     attempt: int
     data: bytes
 
 
 class UpstreamEnd(Event, frozen=True):
-    """The HTTP library saw the answer's proper end (length reached, or last chunk)."""
+    """The response ended properly (length reached, or last chunk)."""
 
     attempt: int
 
 
 class UpstreamCause(enum.StrEnum):
-    """Why an exchange with an engine failed."""
+    """Why an attempt failed."""
 
     REFUSED = "refused"
-    """Connection refused or unreachable: the engine's process is gone."""
+    """Connection refused or address unreachable."""
     CONNECT_TIMEOUT = "connect_timeout"
     RESET = "reset"
-    """Connection closed or reset before the answer's end."""
+    """Connection closed or reset before the end of the response."""
     PROTOCOL = "protocol"
     """Not HTTP, or a body of another length than announced."""
 
 
 class UpstreamFailed(Event, frozen=True):
-    """The exchange failed. ``sent``: a byte of the request may have reached the engine."""
+    """The attempt failed. ``sent``: a byte of the request may have reached the engine."""
 
     attempt: int
     cause: UpstreamCause
@@ -74,24 +74,24 @@
 
 
 UpstreamEvent = UpstreamHead | UpstreamData | UpstreamEnd | UpstreamFailed
-"""Everything that an exchange with an engine can bring."""
+"""Events of an attempt."""
 
 
 class ClientDisconnected(Event, frozen=True):
-    """The caller closed its connection."""
+    """The client closed its connection."""
 
 
 class ClientBlocked(Event, frozen=True):
-    """The caller's socket is full: nothing more is read from the engine until ``ClientReady``."""
+    """The client's socket is full; reading from the engine pauses until ``ClientReady``."""
 
 
 class ClientReady(Event, frozen=True):
-    """The caller's socket takes more again, and the engine's bytes are read again."""
+    """The client's socket is writable, and reading from the engine resumes."""
 
 
 class KeyRevoked(Event, frozen=True):
-    """The caller's key was revoked while the request runs."""
+    """The client's key was revoked while the request is in flight."""
 
 
 class StopRequested(Event, frozen=True):
-    """The node's stopping time limit has passed; end now with an error."""
+    """The node's shutdown grace period has passed; end now with an error."""
--- a/src/springmux/router/exchange.py
+++ b/src/springmux/router/exchange.py
@@ -1,6 +1,6 @@
-"""The exchanges of one request with engines: attempts, retries, and what may be passed on.
+"""The attempts of one request: events from engines, retries, and what is forwarded to the client.
 
-A retry needs that nothing went to the caller, and either that no byte was sent (any route) or that the
+A retry requires that nothing went to the client, and either that no byte was sent (any route) or that the
 route is repeatable and the node's retry budget allows it. An at-most-once request that may have reached
 an engine is never sent again, and its fate is unknown, never refused.
 """
@@ -19,17 +19,17 @@
     UpstreamFailed,
     UpstreamHead,
 )
-from springmux.router.exchange_state import FROZEN_S, ExchangeState
+from springmux.router.exchange_state import PAUSED_PROCESS_S, ExchangeState
 from springmux.router.progress import CODE_OF_CAUSE, ExchangeFailure, Progress, no_engine
 from springmux.router.reply import Reply
 from springmux.vocabulary.errors import ErrorCode
 
-_SILENT = "the engine fell silent within its answer"
-_NOT_BEGUN = "the engine did not begin to answer in time"
+_STALLED = "the engine fell silent within its answer"
+_NOT_STARTED = "the engine did not begin to answer in time"
 
 
 class Exchange(ExchangeState):
-    """The events of one request's attempts: what is passed on, and what is tried next."""
+    """Handles the events of one request's attempts."""
 
     __slots__ = ()
 
@@ -40,59 +40,59 @@
             progress.failure = no_engine()
         return progress
 
-    def take(self, event: UpstreamEvent, now: float) -> Progress:
-        """Take an event of the open attempt; those of earlier attempts are ignored."""
+    def handle(self, event: UpstreamEvent, now: float) -> Progress:
+        """Handle an event of the open attempt; events of earlier attempts are ignored."""
         progress = Progress()
         attempt = self._attempt
-        if attempt is None or self.left or event.attempt != attempt.number:
+        if attempt is None or self.closed or event.attempt != attempt.number:
             return progress
         if isinstance(event, UpstreamData):
-            self._take_data(attempt, event.data, progress, now)
+            self._handle_data(attempt, event.data, progress, now)
         elif isinstance(event, UpstreamHead):
             if attempt.reply is None:
-                self._take_head(attempt, event, progress, now)
+                self._handle_head(attempt, event, progress, now)
         elif isinstance(event, UpstreamEnd):
-            self._take_end(attempt, progress, now)
+            self._handle_end(attempt, progress, now)
         else:
-            self._take_failed(attempt, event, progress, now)
+            self._handle_failure(attempt, event, progress, now)
         return progress
 
-    def take_piece(self, event: UpstreamData, now: float) -> bytes | None:
-        """Take one more piece of a stream that goes on, the most frequent event of all.
+    def forward_chunk(self, event: UpstreamData, now: float) -> bytes | None:
+        """Handle one more chunk of a running stream, the most frequent event.
 
-        Returns the bytes to pass on, or ``None`` if :meth:`take` must look at the event.
+        Returns the bytes to forward, or ``None`` if :meth:`handle` must handle the event.
         """
         attempt = self._attempt
-        if attempt is None or attempt.reply is None or self.left or event.attempt != attempt.number:
+        if attempt is None or attempt.reply is None or self.closed or event.attempt != attempt.number:
             return None
         stream = attempt.reply.stream
         if stream is None or not stream.feed_one(event.data):
             return None
-        attempt.heard(now)
+        attempt.record_bytes(now)
         attempt.progress_at = now
         return event.data
 
     def time_out(self, now: float) -> Progress:
-        """End the attempt whose first or next piece did not come."""
+        """End the attempt whose first or next chunk did not arrive in time."""
         progress = Progress()
         attempt = self._attempt
-        if attempt is None or self.left:
+        if attempt is None or self.closed:
             return progress
-        if now - attempt.timeout_at() > FROZEN_S:
-            attempt.excuse(now)
+        if now - attempt.timeout_at() > PAUSED_PROCESS_S:
+            attempt.restart_timeout(now)
             return progress
-        begun = attempt.first_piece_at is not None
+        begun = attempt.first_chunk_at is not None
         code = ErrorCode.ENGINE_BROKE_OFF if begun else ErrorCode.DEADLINE_EXCEEDED
-        message = _SILENT if begun else _NOT_BEGUN
+        message = _STALLED if begun else _NOT_STARTED
         self._attempt_failed(attempt, attempt.late_ending(False, now), code, message, progress, now)
         return progress
 
-    def caller_blocked(self, blocked: bool, now: float) -> None:
-        """Note that the caller's full socket begins or ceases to hold the engine up."""
+    def client_blocked(self, blocked: bool, now: float) -> None:
+        """Record that the client's full socket begins or ceases to hold the engine up."""
         attempt = self._attempt
-        if attempt is not None and not self.left:
+        if attempt is not None and not self.closed:
             attempt.blocked = blocked
-            attempt.excuse(now)
+            attempt.restart_timeout(now)
 
     def _dispatch(self, progress: Progress, now: float) -> bool:
         selected = self._selection.next(now)
@@ -100,9 +100,9 @@
             return False
         parsed = self._parsed
         number = self._attempt.number + 1 if self._attempt is not None else 1
-        attempt = Attempt(self._core, number, selected, parsed, self._answer_tokens, now)
+        attempt = Attempt(self._core, number, selected, parsed, self._response_tokens, now)
         self._attempt = attempt
-        self.left = False
+        self.closed = False
         self.sent = True
         self._core.counters.dispatches += 1
         if self._prefix is not None:
@@ -111,8 +111,8 @@
         progress.effects = [*progress.effects, effect]
         return True
 
-    def _take_head(self, attempt: Attempt, event: UpstreamHead, progress: Progress, now: float) -> None:
-        attempt.heard(now)
+    def _handle_head(self, attempt: Attempt, event: UpstreamHead, progress: Progress, now: float) -> None:
+        attempt.record_bytes(now)
         if event.status >= 500:
             message = f"the engine answered with status {event.status}"
             self._attempt_failed(attempt, Ending.ERROR_STATUS, ErrorCode.ENGINE_ERROR, message, progress, now)
@@ -120,10 +120,10 @@
         engine = attempt.slot.record.engine
         attempt.reply = Reply(event, self._parsed, self._request.request_id, engine, self._core.node)
         if attempt.reply.fault:
-            self._faulty(attempt, attempt.reply, progress, now)
+            self._fail_invalid(attempt, attempt.reply, progress, now)
 
-    def _take_data(self, attempt: Attempt, data: bytes, progress: Progress, now: float) -> None:
-        attempt.heard(now)
+    def _handle_data(self, attempt: Attempt, data: bytes, progress: Progress, now: float) -> None:
+        attempt.record_bytes(now)
         reply = attempt.reply
         if reply is None:
             message = "a body came without a head"
@@ -133,18 +133,18 @@
         if reply.fault:
             if self._answered:
                 progress.data = forward
-            self._faulty(attempt, reply, progress, now)
+            self._fail_invalid(attempt, reply, progress, now)
             return
         if forward or reply.answer is not None:
-            attempt.progressed(now)
+            attempt.record_progress(now)
         if forward:
-            self._pass_on(reply, forward, progress)
+            self._forward(reply, forward, progress)
         if reply.finished:
-            self._finished(attempt, reply, progress, now)
+            self._complete(attempt, reply, progress, now)
             if reply.trailing:
                 progress.effects = [*progress.effects, *self.abandon()]
 
-    def _take_end(self, attempt: Attempt, progress: Progress, now: float) -> None:
+    def _handle_end(self, attempt: Attempt, progress: Progress, now: float) -> None:
         reply = attempt.reply
         if reply is None:
             message = "the exchange ended without an answer"
@@ -152,52 +152,54 @@
             return
         body = reply.end()
         if reply.fault:
-            self._faulty(attempt, reply, progress, now)
+            self._fail_invalid(attempt, reply, progress, now)
             return
-        attempt.progressed(now)
-        self._pass_on(reply, body, progress)
+        attempt.record_progress(now)
+        self._forward(reply, body, progress)
         progress.effects = [CloseUpstream(attempt.number, reusable=True)]
-        self._finished(attempt, reply, progress, now)
-        self.left = True
+        self._complete(attempt, reply, progress, now)
+        self.closed = True
 
-    def _pass_on(self, reply: Reply, data: bytes, progress: Progress) -> None:
+    def _forward(self, reply: Reply, data: bytes, progress: Progress) -> None:
         if not self._answered:
             self._answered = True
             progress.head = reply.head()
         progress.data = data
 
-    def _finished(self, attempt: Attempt, reply: Reply, progress: Progress, now: float) -> None:
-        progress.whole = True
+    def _complete(self, attempt: Attempt, reply: Reply, progress: Progress, now: float) -> None:
+        progress.complete = True
         attempt.finish(Ending.WHOLE if reply.status < 400 else Ending.REJECTED, now)
         if self._prefix is not None and reply.status < 400:
-            self._core.answer_lengths.observe(self._parsed.route.name, reply.tokens())
+            self._core.response_lengths.observe(self._parsed.route.name, reply.tokens())
 
-    def _faulty(self, attempt: Attempt, reply: Reply, progress: Progress, now: float) -> None:
+    def _fail_invalid(self, attempt: Attempt, reply: Reply, progress: Progress, now: float) -> None:
         self._attempt_failed(attempt, reply.ending(), reply.error_code(), reply.fault, progress, now)
 
-    def _take_failed(self, attempt: Attempt, event: UpstreamFailed, progress: Progress, now: float) -> None:
-        self.left = True
+    def _handle_failure(
+        self, attempt: Attempt, event: UpstreamFailed, progress: Progress, now: float
+    ) -> None:
+        self.closed = True
         cause = event.cause
         message = f"the exchange with the engine failed: {cause}"
         if not event.sent:
-            self._unsent(attempt, cause, message, progress, now)
+            self._handle_unsent(attempt, cause, message, progress, now)
             return
         ending = Ending.BROKEN if cause is UpstreamCause.PROTOCOL else Ending.ENGINE_LOST
         refused = cause is UpstreamCause.REFUSED
         attempt.finish(ending, now, refused=refused, reset=cause is UpstreamCause.RESET)
         self._attempt_failed(attempt, ending, CODE_OF_CAUSE[cause], message, progress, now)
 
-    def _unsent(
+    def _handle_unsent(
         self, attempt: Attempt, cause: UpstreamCause, message: str, progress: Progress, now: float
     ) -> None:
-        """Try elsewhere after an attempt of which no byte was sent."""
+        """Try another engine after an attempt of which no byte was sent."""
         self.sent = self._retries.sent > 0
-        # A kept connection that was closed while idle says nothing about its engine.
+        # A pooled connection that was closed while idle is no evidence about its engine.
         stale = cause is UpstreamCause.RESET
         ending = Ending.CALLER_GONE if stale else Ending.ENGINE_LOST
         attempt.finish(ending, now, refused=cause is UpstreamCause.REFUSED)
         if not stale:
-            self._selection.tried(attempt.selected, False, now)
+            self._selection.exclude(attempt.selected, sent=False)
         if self._retries.after_unsent(now) and self._dispatch(progress, now):
             self._core.counters.reconnects += 1
         elif self.sent:
@@ -208,9 +210,9 @@
     def _attempt_failed(
         self, attempt: Attempt, ending: Ending, code: ErrorCode, message: str, progress: Progress, now: float
     ) -> None:
-        """Take a failed attempt of which bytes were, or may have been, sent."""
+        """Handle a failed attempt of which bytes may have been sent: retry or fail the request."""
         progress.effects = [*progress.effects, *self.cancel(ending, now)]
-        self._selection.tried(attempt.selected, True, now)
+        self._selection.exclude(attempt.selected, sent=True)
         if self._retries.after_sent(self._answered, now) and self._dispatch(progress, now):
             self._core.counters.retries += 1
             return
--- a/src/springmux/router/exchange_state.py
+++ b/src/springmux/router/exchange_state.py
@@ -1,4 +1,4 @@
-"""What one request holds of engines (the open attempt, a credit), and how the open exchange is left."""
+"""State of one request's attempts: the open attempt, its credit, and how it is closed."""
 
 from __future__ import annotations
 
@@ -15,19 +15,18 @@
 from springmux.router.selection import Selection
 from springmux.vocabulary.errors import Fate
 
-FROZEN_S = 1.0
-"""A timer so late means that this node stood still: what came meanwhile is read before anybody is blamed.
+PAUSED_PROCESS_S = 1.0
+"""A timer this late means that the node's process was paused, so bytes that arrived meanwhile are read first.
 A busy event loop is late by tenths of a second."""
 
 
 class ExchangeState:
     """Attempts of one request, one at a time.
 
-    ``sent``: a byte may have reached an engine. ``left``: no exchange is open.
+    ``sent``: a byte may have reached an engine. ``closed``: no attempt is open.
     """
 
     __slots__ = (
-        "_answer_tokens",
         "_answered",
         "_attempt",
         "_core",
@@ -35,9 +34,10 @@
         "_parsed",
         "_prefix",
         "_request",
+        "_response_tokens",
         "_retries",
         "_selection",
-        "left",
+        "closed",
         "sent",
     )
 
@@ -52,11 +52,11 @@
         self._answered = False
         self._retries = RetryPolicy(core, parsed.route, deadline)
         self.sent = False
-        self.left = True
+        self.closed = True
         prompt = parsed.route.kind is RouteKind.PROMPT
         self._prefix: PromptPrefix | None = hash_prefix(parsed.prefix_text) if prompt else None
-        expected = core.answer_lengths.expected(parsed.route.name, parsed.max_tokens)
-        self._answer_tokens = int(expected) if prompt else 1
+        expected = core.response_lengths.expected(parsed.route.name, parsed.max_tokens)
+        self._response_tokens = int(expected) if prompt else 1
         self._selection = Selection(
             core,
             parsed.route.service,
@@ -68,64 +68,64 @@
         )
 
     def timeout_at(self) -> float:
-        """Return when the open attempt has waited too long for its first or next piece."""
-        return NEVER if self._attempt is None or self.left else self._attempt.timeout_at()
+        """Return when the open attempt times out (monotonic s), or never."""
+        return NEVER if self._attempt is None or self.closed else self._attempt.timeout_at()
 
     def deadline_ending(self, now: float) -> Ending:
-        """Say what the request's deadline tells about the open attempt's engine."""
+        """Return the ending of the open attempt at the request's deadline."""
         attempt = self._attempt
-        if attempt is None or now - self._deadline > FROZEN_S:
+        if attempt is None or now - self._deadline > PAUSED_PROCESS_S:
             return Ending.CALLER_GONE
         return attempt.late_ending(True, now)
 
     def cancel(self, ending: Ending, now: float) -> list[Effect]:
-        """Close the open attempt, if any; its connection is not reused."""
+        """Close the open attempt, if any, without reusing its connection."""
         attempt = self._attempt
-        if attempt is None or self.left:
+        if attempt is None or self.closed:
             return []
-        self.left = True
+        self.closed = True
         attempt.finish(ending, now)
         return [CloseUpstream(attempt.number, reusable=False)]
 
-    def leave(self, event: UpstreamEvent) -> list[Effect]:
-        """After a whole stream: take the proper end of its exchange, or anything else in its place."""
+    def handle_after_completion(self, event: UpstreamEvent) -> list[Effect]:
+        """Close the attempt at the first event after its complete stream, usually its proper end."""
         attempt = self._attempt
-        if self.left or attempt is None or event.attempt != attempt.number:
+        if self.closed or attempt is None or event.attempt != attempt.number:
             return []
-        self.left = True
+        self.closed = True
         return [CloseUpstream(attempt.number, reusable=isinstance(event, UpstreamEnd))]
 
     def abandon(self) -> list[Effect]:
-        """Close an exchange that did not end properly after its whole answer."""
-        if self.left or self._attempt is None:
+        """Close an attempt that did not end properly after its complete response."""
+        if self.closed or self._attempt is None:
             return []
-        self.left = True
+        self.closed = True
         return [CloseUpstream(self._attempt.number, reusable=False)]
 
     def fate(self) -> Fate:
-        """Return what became of the request if it ends without a whole answer now."""
+        """Return the request's fate if it ends without a complete response now."""
         if not self.sent:
             return Fate.REFUSED
         return Fate.FAILED if self._parsed.route.repeatable else Fate.UNKNOWN
 
     def engine_name(self) -> str:
-        """Return the engine of the newest attempt, or nothing."""
+        """Return the engine of the latest attempt, or an empty string."""
         return self._attempt.slot.record.engine if self._attempt else ""
 
     def version_name(self) -> str:
-        """Return the version of the newest attempt, or nothing."""
+        """Return the version of the latest attempt, or an empty string."""
         return self._attempt.version() if self._attempt else ""
 
     def used_tokens(self) -> float:
-        """Return the tokens to charge: prompt and answer if an engine began to answer, else none."""
+        """Return the tokens to charge: prompt and response if an engine began to respond, else none."""
         attempt = self._attempt
-        if attempt is None or attempt.reply is None or attempt.first_piece_at is None:
+        if attempt is None or attempt.reply is None or attempt.first_chunk_at is None:
             return 0.0
         reply = attempt.reply
         return float((reply.prompt_tokens() or self._parsed.prompt_tokens) + reply.tokens())
 
-    def settle(self, now: float) -> None:
-        """Return what was chosen and not used."""
+    def release_credit(self, now: float) -> None:
+        """Give back a credit that no sent attempt used."""
         if self.sent:
             self._selection.spent()
         self._selection.give_back(now)
--- a/src/springmux/router/flow.py
+++ b/src/springmux/router/flow.py
@@ -1,8 +1,8 @@
-"""One request from its reading to its end: a state machine without I/O.
+"""State machine of one request, without I/O.
 
 Order: readiness, key, route and body, admission, quota, claim (at-most-once routes), version, engine,
-dispatch, answer. Each step may end the request with a typed error; which fate that error tells depends
-only on whether a byte may have reached an engine.
+dispatch, response. Each step may end the request with a typed error, whose fate depends only on whether a
+byte may have reached an engine.
 """
 
 from __future__ import annotations
@@ -31,24 +31,23 @@
     UpstreamHead,
 )
 from springmux.router.exchange import Exchange
-from springmux.router.exchange_state import FROZEN_S
+from springmux.router.exchange_state import PAUSED_PROCESS_S
 from springmux.router.parse import ParsedRequest
-from springmux.router.place import Place, check_connected, check_serving
 from springmux.router.progress import Progress
-from springmux.router.request_state import CLAIM_LEAVE_S, RequestState, Stage
+from springmux.router.request_state import LATE_GRANT_WAIT_S, RequestState, Stage
+from springmux.router.reservation import RequestReservation, check_connected, check_serving
 from springmux.router.responses import models_body, models_head, replay_headers
-from springmux.router.stored_response import decode_answer
+from springmux.router.stored_response import decode_response
 from springmux.vocabulary.errors import ErrorCode, Fate
 
-CLAIM_WAIT_S = 1.5
-"""Longest wait for claim holders; they answer in a round trip, and decide UNAVAILABLE before that."""
+CLAIM_TIMEOUT_S = 1.5
+"""Longest wait for the claim's decision; the claimant decides UNAVAILABLE before that."""
 
-QUOTA_WAIT_S = 0.3
-"""Longest wait for the owner of a tenant's quota. It's asked within 30 ms and answers in a round trip; a
-request that it has no tokens for is refused at once, one without its word after this. Tokens that it takes
-back from other nodes come within an ask period (0.2 s)."""
+QUOTA_TIMEOUT_S = 0.3
+"""Longest wait for the owner of a tenant's quota: a request delay of 30 ms and a round trip, or 0.2 s where
+the owner first reclaims tokens from other nodes."""
 
-_OTHER_BODY = (
+_DIFFERENT_BODY = (
     "this Idempotency-Key named a request with another body, which ran; give each action its own key"
 )
 
@@ -56,39 +55,46 @@
 
 
 class RequestFlow(RequestState):
-    """The events of one request, from ``RequestBegun`` until it asks for ``FlowDone``."""
+    """Handles the events of one request, from ``RequestBegun`` until it returns ``FlowDone``."""
 
     __slots__ = ()
 
     def handle(self, event: Event, now: float) -> list[Effect]:
-        """Take one event; return what is to be done, in order. After ``FlowDone`` events are ignored."""
+        """Handle one event; return the effects to execute, in order.
+
+        Events after ``FlowDone`` are ignored.
+        """
         if self._head_sent and self._exchange is not None and isinstance(event, UpstreamData):
-            piece = self._exchange.take_piece(event, now) if self.stage is Stage.RUNNING else None
-            if piece is not None:
-                return [ResponseData(piece)]
+            chunk = self._exchange.forward_chunk(event, now) if self.stage is Stage.RUNNING else None
+            if chunk is not None:
+                return [ResponseData(chunk)]
         effects: list[Effect] = []
         self._effects = effects
         if self.stage is Stage.DONE:
             return effects
         if isinstance(event, _UPSTREAM_EVENTS):
-            self._take_upstream(event, now)
+            self._handle_upstream(event, now)
         elif isinstance(event, Tick):
             if now >= self.next_deadline():
-                self._take_tick(now)
-        elif isinstance(event, RequestBegun):
+                self._handle_tick(now)
+        else:
+            self._handle_request_event(event, now)
+        return effects
+
+    def _handle_request_event(self, event: Event, now: float) -> None:
+        if isinstance(event, RequestBegun):
             self._begin(now)
         elif isinstance(event, ClaimDecided):
             self._take_claim(event, now)
         elif isinstance(event, ClientDisconnected):
-            self._caller_gone(now)
+            self._client_disconnected(now)
         elif isinstance(event, ClientBlocked | ClientReady):
             if self._exchange is not None and self.stage is Stage.RUNNING:
-                self._exchange.caller_blocked(isinstance(event, ClientBlocked), now)
+                self._exchange.client_blocked(isinstance(event, ClientBlocked), now)
         elif isinstance(event, KeyRevoked):
             self._end_early(ErrorCode.REVOKED_KEY, "the key was revoked", None, now)
         elif isinstance(event, StopRequested):
             self._end_early(ErrorCode.STOPPING, "the node is stopping", RETRY_AFTER_S, now)
-        return effects
 
     def _begin(self, now: float) -> None:
         if self.stage is not Stage.NEW:
@@ -105,9 +111,9 @@
             parsed = parse.parse_request(self.request, core.view.configuration)
             self._parsed = parsed
             self._deadline = now + parsed.route.deadline_s
-            self._place = Place(core, self.request.request_id, parsed, self.key, now)
-            if self._place.granted:
-                self._admitted(parsed, self._place, self.key, now)
+            self._reservation = RequestReservation(core, self.request.request_id, parsed, self.key, now)
+            if self._reservation.granted:
+                self._admitted(parsed, self._reservation, self.key, now)
             else:
                 self.stage = Stage.QUEUED
                 wait_until = now + core.admission.limits.queue_timeout_s
@@ -115,27 +121,29 @@
         except RefusalError as refusal:
             self._refuse(refusal, now)
 
-    def _admitted(self, parsed: ParsedRequest, place: Place, key: KeyRecord, now: float) -> None:
-        """Go on with a slot: quota, then claim, then dispatch."""
-        if place.reserve_quota(now):
-            self._reserved(parsed, key, now)
+    def _admitted(
+        self, parsed: ParsedRequest, reservation: RequestReservation, key: KeyRecord, now: float
+    ) -> None:
+        """Continue with a slot: reserve quota, then claim, then dispatch."""
+        if reservation.reserve_quota(now):
+            self._quota_reserved(parsed, key, now)
             return
         self.stage = Stage.AWAITING_QUOTA
-        self._stage_until = now + QUOTA_WAIT_S
+        self._stage_until = now + QUOTA_TIMEOUT_S
 
-    def _look_for_quota(self, now: float) -> None:
-        place, parsed, key = self._place, self._parsed, self.key
-        if place is None or parsed is None or key is None:
+    def _check_quota(self, now: float) -> None:
+        reservation, parsed, key = self._reservation, self._parsed, self.key
+        if reservation is None or parsed is None or key is None:
             return
         try:
-            if place.reserve_quota(now, again=True):
-                self._reserved(parsed, key, now)
+            if reservation.reserve_quota(now, again=True):
+                self._quota_reserved(parsed, key, now)
             elif now >= self._stage_until:
-                raise place.quota_refusal(now)
+                raise reservation.quota_refusal(now)
         except RefusalError as refusal:
             self._refuse(refusal, now)
 
-    def _reserved(self, parsed: ParsedRequest, key: KeyRecord, now: float) -> None:
+    def _quota_reserved(self, parsed: ParsedRequest, key: KeyRecord, now: float) -> None:
         if parsed.route.repeatable:
             self._run(parsed, now)
             return
@@ -145,22 +153,22 @@
             return
         self._claim = Claim(name, parsed.body, self._core.claims_running)
         self.stage = Stage.CLAIMING
-        self._stage_until = now + CLAIM_WAIT_S
-        self._effects.append(self._claim.ask())
+        self._stage_until = now + CLAIM_TIMEOUT_S
+        self._effects.append(self._claim.request())
 
     def _take_claim(self, event: ClaimDecided, now: float) -> None:
         verdict = event.decision.verdict
         if self._claim is None or self._parsed is None:
             return
         if self.stage is Stage.LEAVING_CLAIM:
-            self._claim.held = verdict is ClaimVerdict.GRANTED
+            self._claim.granted = verdict is ClaimVerdict.GRANTED
             self._close(now)
             return
         if self.stage is not Stage.CLAIMING:
             return
         self.stage = Stage.RUNNING
         if verdict is ClaimVerdict.GRANTED:
-            self._claim.held = True
+            self._claim.granted = True
             self._run(self._parsed, now)
         elif verdict is ClaimVerdict.RUNNING:
             self._duplicate("a request with this Idempotency-Key is running", now)
@@ -170,15 +178,15 @@
             self._refuse(_claim_unavailable(), now)
 
     def _replay(self, claim: Claim, data: bytes, now: float) -> None:
-        kept = decode_answer(data)
-        if kept is None:
-            self._duplicate("the request ran before; its answer is not kept", now)
+        stored = decode_response(data)
+        if stored is None:
+            self._duplicate("the request ran before; its answer is not stored", now)
             return
-        if kept.body_digest != claim.body_digest:
-            self._fail(ErrorCode.INVALID_REQUEST, _OTHER_BODY, Fate.UNKNOWN, None, now, status=422)
+        if stored.body_digest != claim.body_digest:
+            self._fail(ErrorCode.INVALID_REQUEST, _DIFFERENT_BODY, Fate.UNKNOWN, None, now, status=422)
             return
-        headers = replay_headers(self.request.request_id, self._core.node, kept)
-        self._answer(ResponseHead(kept.status, headers, len(kept.body)), kept.body, now)
+        headers = replay_headers(self.request.request_id, self._core.node, stored)
+        self._answer(ResponseHead(stored.status, headers, len(stored.body)), stored.body, now)
 
     def _duplicate(self, message: str, now: float) -> None:
         self._fail(ErrorCode.DUPLICATE_REQUEST, message, Fate.UNKNOWN, RETRY_AFTER_S, now)
@@ -197,19 +205,19 @@
         self._exchange = Exchange(self._core, self.request, parsed, self._deadline, now)
         self._apply(self._exchange.start(now), now)
 
-    def _take_upstream(self, event: UpstreamEvent, now: float) -> None:
+    def _handle_upstream(self, event: UpstreamEvent, now: float) -> None:
         exchange = self._exchange
         if exchange is None:
             return
         if self.stage is Stage.LEAVING_UPSTREAM:
-            self._effects.extend(exchange.leave(event))
-            if exchange.left:
+            self._effects.extend(exchange.handle_after_completion(event))
+            if exchange.closed:
                 self._done()
         elif self.stage is Stage.RUNNING:
-            self._apply(exchange.take(event, now), now)
+            self._apply(exchange.handle(event, now), now)
 
     def _apply(self, progress: Progress, now: float) -> None:
-        """Carry out what the exchange with the engines came to."""
+        """Turn the progress of the attempts into effects."""
         effects = self._effects
         effects.extend(progress.effects)
         if progress.head is not None:
@@ -220,19 +228,19 @@
         if progress.failure is not None:
             failure = progress.failure
             self._fail(failure.code, failure.message, failure.fate, failure.retry_after_s, now)
-        elif progress.whole:
+        elif progress.complete:
             head = progress.head
             if self._claim is not None and head is not None and head.length is not None:
-                self._claim.keep(head, progress.data)
+                self._claim.store_response(head, progress.data)
             effects.append(ResponseEnd())
             self._conclude(now)
 
-    def _take_tick(self, now: float) -> None:
+    def _handle_tick(self, now: float) -> None:
         if self.stage is Stage.QUEUED:
-            self._look_for_slot(now)
+            self._check_slot(now)
         elif self.stage is Stage.LEAVING_CLAIM:
-            if now - self._stage_until > FROZEN_S:
-                self._stage_until = now + CLAIM_LEAVE_S
+            if now - self._stage_until > PAUSED_PROCESS_S:
+                self._stage_until = now + LATE_GRANT_WAIT_S
             else:
                 self._close(now)
         elif self.stage is Stage.LEAVING_UPSTREAM:
@@ -240,30 +248,30 @@
         elif now >= self._deadline:
             self._deadline_passed(now)
         elif self.stage is Stage.AWAITING_QUOTA:
-            self._look_for_quota(now)
+            self._check_quota(now)
         elif self.stage is Stage.CLAIMING:
             self._refuse(_claim_unavailable(), now)
         elif self.stage is Stage.RUNNING and self._exchange is not None:
             self._apply(self._exchange.time_out(now), now)
 
-    def _look_for_slot(self, now: float) -> None:
-        place, parsed, key = self._place, self._parsed, self.key
-        if place is None or parsed is None or key is None:
+    def _check_slot(self, now: float) -> None:
+        reservation, parsed, key = self._reservation, self._parsed, self.key
+        if reservation is None or parsed is None or key is None:
             return
-        if not place.granted and now < self._stage_until:
-            place.looked(now)
+        if not reservation.granted and now < self._stage_until:
+            reservation.record_check(now)
             return
         try:
-            if not place.granted or now >= self._deadline:
-                place.count_shed()
+            if not reservation.granted or now >= self._deadline:
+                reservation.count_rejection()
                 message = "no slot came free in time"
                 raise RefusalError(ErrorCode.OVERLOADED, message, retry_after_s=RETRY_AFTER_S)
             check_connected(self._core, now)
-            self._admitted(parsed, place, key, now)
+            self._admitted(parsed, reservation, key, now)
         except RefusalError as refusal:
             self._refuse(refusal, now)
 
-    def _caller_gone(self, now: float) -> None:
+    def _client_disconnected(self, now: float) -> None:
         if self.stage is Stage.LEAVING_UPSTREAM:
             self._abandon()
         elif self.stage is not Stage.LEAVING_CLAIM:
--- a/src/springmux/router/parse.py
+++ b/src/springmux/router/parse.py
@@ -1,6 +1,6 @@
-"""Typed parsing of callers' requests: what is asked for, checked before anything is spent on it.
+"""Parsing and validation of client requests.
 
-A body is decoded once, into the few fields that the router needs, and passed on as it came.
+A body is decoded once, into the few fields that the router needs, and forwarded unchanged.
 """
 
 from __future__ import annotations
@@ -52,9 +52,9 @@
 
 
 class ParsedRequest(msgspec.Struct, frozen=True):
-    """A request whose route and shape are known to be right.
+    """A request with a known route and a valid body.
 
-    ``prefix_text``: what engines cache, in order (empty for calls). ``max_tokens``: of the answer.
+    ``prefix_text``: text that engines cache, in order (empty for calls). ``max_tokens``: of the response.
     """
 
     route: Route
@@ -67,11 +67,11 @@
     idempotency_key: str
 
     def action(self, request_id: RequestId) -> str:
-        """Return the caller's name for the action; without one, every request is its own."""
+        """Return the client's idempotency key, or the request id without one."""
         return self.idempotency_key or request_id
 
     def action_key(self, request_id: RequestId) -> int:
-        """Return a 64-bit hash of :meth:`action`, to choose versions by."""
+        """Return a 64-bit hash of :meth:`action`, for the version filter."""
         return xxhash.xxh3_64_intdigest(self.action(request_id).encode(errors="surrogateescape"))
 
 
@@ -105,7 +105,7 @@
 
 
 def parse_request(request: ClientRequest, configuration: Configuration) -> ParsedRequest:
-    """Return what ``request`` asks for (its path was checked before).
+    """Return the parsed ``request``, whose path was checked before.
 
     :raises RefusalError: unknown route, wrong body, or a body over the route's limit.
     """
@@ -212,7 +212,7 @@
     key = headers.get("idempotency-key")
     if key is None:
         return ""
-    # It goes to the engine in a header, which bytes that are no text would break.
+    # It is sent to the engine in a header, which must be printable text.
     if not 1 <= len(key) <= MAX_IDEMPOTENCY_KEY_LENGTH or not key.isprintable():
         message = f"must have 1 to {MAX_IDEMPOTENCY_KEY_LENGTH} printable characters"
         raise _invalid("Idempotency-Key", message)
--- a/src/springmux/router/prefix_index.py
+++ b/src/springmux/router/prefix_index.py
@@ -1,8 +1,9 @@
-"""Which engines probably hold which prompt prefixes, from this node's own dispatches.
+"""Index of the engines that probably cache each prompt prefix, from this node's dispatches.
 
-The prompt's text is cut into blocks; each block's hash is chained to the one before, so equal hashes mean
+The prompt's text is split into blocks; each block's hash is chained to the one before, so equal hashes mean
 equal prefixes (the block hashing of paged KV caches, Kwon et al. 2023, section 4.3, at a coarser grain).
-The index is approximate: it does not know what engines evicted. It is bounded, least recently used out.
+The index is approximate, since engines evict unnoticed, and bounded: the least recently used entry is
+dropped.
 """
 
 from __future__ import annotations
@@ -13,13 +14,13 @@
 from springmux.router.engine_table import EngineSlot
 
 BLOCK_BYTES = 1024
-"""About 256 tokens: the shared dossier prefixes are many blocks long, and hashing stays cheap."""
+"""About 256 tokens; shared prefixes are many blocks long."""
 MAX_BLOCKS = 64
-"""Blocks of one prompt that are hashed; the first 64 KiB tell prefixes apart."""
+"""Hashed blocks of one prompt; the first 64 KiB distinguish prefixes."""
 MAX_ENTRIES = 65_536
-"""Bound of the index: 1.8 million prefixes over 360 nodes are 5,000 a node; 13 blocks of each."""
+"""Limit of the index: 5,000 prefixes per node, with 13 blocks each."""
 MAX_HOLDERS = 4
-"""Engines remembered per block; a hotter prefix is found on enough engines with these."""
+"""Engines kept per block."""
 
 
 class PromptPrefix(msgspec.Struct, frozen=True):
@@ -36,28 +37,28 @@
 
 def hash_prefix(text: bytes) -> PromptPrefix:
     """Return the hashes of a prompt's text."""
-    whole = min(len(text) // BLOCK_BYTES, MAX_BLOCKS)
-    if whole <= 1:
+    block_count = min(len(text) // BLOCK_BYTES, MAX_BLOCKS)
+    if block_count <= 1:
         digest = xxhash.xxh3_64_intdigest(text[:BLOCK_BYTES])
         return PromptPrefix(digest, (digest,), min(1.0, BLOCK_BYTES / max(1, len(text))))
     digest = 0
     blocks: list[int] = []
     view = memoryview(text)
-    for start in range(0, whole * BLOCK_BYTES, BLOCK_BYTES):
+    for start in range(0, block_count * BLOCK_BYTES, BLOCK_BYTES):
         digest = xxhash.xxh3_64_intdigest(view[start : start + BLOCK_BYTES], digest)
         blocks.append(digest)
-    return PromptPrefix(blocks[0], tuple(blocks), whole * BLOCK_BYTES / len(text))
+    return PromptPrefix(blocks[0], tuple(blocks), block_count * BLOCK_BYTES / len(text))
 
 
 class PrefixHolder(msgspec.Struct, frozen=True):
-    """An engine that probably has the first ``share`` (0..1) of the prompt in its cache."""
+    """An engine that probably caches the first ``share`` (0..1) of the prompt."""
 
     slot: EngineSlot
     share: float
 
 
 class PrefixIndex:
-    """Block hash to the engines that got it last, in order of use."""
+    """Maps each block hash to the engines that got it last, in order of use."""
 
     def __init__(self, max_entries: int = MAX_ENTRIES) -> None:
         self._max_entries = max_entries
@@ -67,7 +68,7 @@
         return len(self._holders)
 
     def lookup(self, prefix: PromptPrefix) -> list[PrefixHolder]:
-        """Return the usable engines that hold a beginning of the prompt, with how much of it."""
+        """Return the usable engines that cache a prefix of the prompt, with its share."""
         depth_of: dict[EngineSlot, int] = {}
         for depth, block in enumerate(prefix.blocks, start=1):
             holders = self._holders.get(block)
@@ -80,7 +81,7 @@
         return [PrefixHolder(slot, depth * share_of_block) for slot, depth in depth_of.items()]
 
     def record(self, prefix: PromptPrefix, slot: EngineSlot) -> None:
-        """Note that ``slot`` got the prompt, so that it holds all of its blocks."""
+        """Record that ``slot`` got the prompt and caches all of its blocks."""
         table = self._holders
         for block in prefix.blocks:
             holders = table.pop(block, ())
--- a/src/springmux/router/progress.py
+++ b/src/springmux/router/progress.py
@@ -1,4 +1,4 @@
-"""What one event of an exchange comes to: the interface between the exchange and the flow."""
+"""Result of one event of the attempts: the interface between the exchange and the flow."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
     UpstreamCause.RESET: ErrorCode.ENGINE_BROKE_OFF,
     UpstreamCause.PROTOCOL: ErrorCode.ENGINE_PROTOCOL,
 }
-"""What to tell a caller whose request may have been sent before its exchange failed."""
+"""Error code for a request that may have been sent before its attempt failed."""
 
 
 class ExchangeFailure(msgspec.Struct, frozen=True):
-    """The request has no whole answer and gets no further attempt."""
+    """The request has no complete response and gets no further attempt."""
 
     code: ErrorCode
     message: str
@@ -29,15 +29,16 @@
 
 
 class Progress(msgspec.Struct):
-    """Filled by the exchange, carried out by the flow in the order of the fields.
+    """Filled by the exchange, executed by the flow in the order of the fields.
 
-    ``effects``: towards engines. ``head`` and ``data``: to the caller. ``whole``: the answer is complete.
+    ``effects``: towards engines. ``head`` and ``data``: to the client. ``complete``: the response is
+    complete.
     """
 
     effects: list[Effect] = []
     head: ResponseHead | None = None
     data: bytes = b""
-    whole: bool = False
+    complete: bool = False
     failure: ExchangeFailure | None = None
 
 
--- a/src/springmux/router/reply.py
+++ b/src/springmux/router/reply.py
@@ -1,4 +1,4 @@
-"""An engine's reply to one attempt, whichever shape it has: checked, and ready to be passed on."""
+"""An engine's response to one attempt, stream or not: checked, and ready to be forwarded."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 
 
 class Reply:
-    """One reply. ``fault`` is empty while all is well; ``version`` is what the engine says it runs.
+    """One reply. ``fault``: what is invalid, if anything; ``version``: the version that the engine reports.
 
-    Exactly one of ``stream`` and ``answer`` is set once a faultless head came.
+    Exactly one of ``stream`` and ``answer`` is set after a valid head.
     """
 
     __slots__ = ("_broke_off", "_headers", "answer", "fault", "status", "stream", "version")
@@ -63,7 +63,7 @@
         self.stream = StreamChecker(request_id)
 
     def feed(self, data: bytes) -> bytes:
-        """Take bytes of the body; return what may be passed on now (of a whole answer: nothing yet)."""
+        """Feed bytes of the body; return what may be forwarded now (nothing unless it is a stream)."""
         if self.stream is not None:
             forward = self.stream.feed(data)
             self.fault = self.stream.fault
@@ -74,7 +74,7 @@
         return b""
 
     def end(self) -> bytes:
-        """Take the proper end of the exchange; return the whole answer, unless there is a fault."""
+        """Handle the proper end; return the complete body, or nothing if it is invalid or a stream."""
         if self.answer is None:
             self.fault = "the engine ended its stream before the last piece"
             self._broke_off = True
@@ -85,41 +85,41 @@
 
     @property
     def finished(self) -> bool:
-        """Whether a stream has come to its proper end."""
+        """Whether a stream has ended properly."""
         return self.stream is not None and self.stream.finished
 
     @property
     def trailing(self) -> bool:
-        """Whether bytes came after a stream's end."""
+        """Whether bytes arrived after a stream's end."""
         return self.stream is not None and self.stream.trailing
 
     def error_code(self) -> ErrorCode:
-        """Return what to tell the caller of the fault."""
+        """Return the error code of the fault."""
         if self.stream is not None and self.stream.engine_error:
             return ErrorCode.ENGINE_ERROR
         return ErrorCode.ENGINE_BROKE_OFF if self._broke_off else ErrorCode.ENGINE_PROTOCOL
 
     def ending(self) -> Ending:
-        """Return what the fault is as evidence."""
+        """Return the ending that the fault stands for."""
         engine_error = self.stream is not None and self.stream.engine_error
         return Ending.ERROR_STATUS if engine_error else Ending.BROKEN
 
     def head(self) -> ResponseHead:
-        """Return the head for the caller; of a whole answer only after its end was checked."""
+        """Return the head for the client; unless it is a stream, only after :meth:`end`."""
         length = len(self.answer.body) if self.answer is not None else None
         return ResponseHead(self.status, self._headers, length)
 
     def pieces(self) -> int:
-        """Return how many valid pieces of a stream came."""
+        """Return the number of valid chunks of a stream."""
         return self.stream.pieces if self.stream is not None else 0
 
     def prompt_tokens(self) -> int:
-        """Return the prompt's length as the engine counted it, 0 if it didn't say."""
+        """Return the prompt's tokens as reported by the engine, 0 if it did not."""
         checker = self.stream or self.answer
         return checker.prompt_tokens if checker is not None else 0
 
     def tokens(self) -> int:
-        """Return the answer's length as the engine counted it, else the number of pieces."""
+        """Return the response's tokens as reported by the engine, else the number of chunks."""
         checker = self.stream or self.answer
         counted = checker.tokens if checker is not None else 0
         return counted or self.pieces()
--- a/src/springmux/router/request_state.py
+++ b/src/springmux/router/request_state.py
@@ -1,6 +1,6 @@
-"""What one request holds of the node (slot, quota, claim, exchange), and how it is ended.
+"""State of one request (reservation, claim, attempts), and how it ends.
 
-However a request ends, everything that it holds is given back exactly once, here.
+However a request ends, its resources are released exactly once, here.
 """
 
 from __future__ import annotations
@@ -24,33 +24,33 @@
 from springmux.router.events import ClientRequest
 from springmux.router.exchange import Exchange
 from springmux.router.parse import ParsedRequest
-from springmux.router.place import Place
+from springmux.router.reservation import RequestReservation
 from springmux.vocabulary.errors import ApiError, ErrorCode, Fate
 
-CLAIM_LEAVE_S = 5.0
-"""How long a request that was answered stays for a late grant, so as to give it back."""
+LATE_GRANT_WAIT_S = 5.0
+"""How long a finished request waits for a late grant, in order to release it."""
 PROPER_END_WAIT_S = 0.25
-"""How long the connection of a whole stream may take to end properly and be kept."""
+"""How long the connection of a complete stream may take to end properly and be pooled."""
 
 
 class Stage(enum.Enum):
-    """Where a request stands."""
+    """Stage of a request."""
 
     NEW = "new"
     QUEUED = "queued"
     AWAITING_QUOTA = "awaiting_quota"
-    """Has its slot; the owner of its tenant's quota has yet to say whether there are tokens."""
+    """Has its slot; awaits the reply of the owner of its tenant's quota."""
     CLAIMING = "claiming"
     RUNNING = "running"
     LEAVING_CLAIM = "leaving_claim"
-    """Answered; waits for the claim's decision, to give back a late grant."""
+    """Responded; waits for the claim's decision, to release a late grant."""
     LEAVING_UPSTREAM = "leaving_upstream"
-    """Answered whole; waits shortly for the exchange's proper end, so that its connection is kept."""
+    """Responded; waits shortly for the attempt's proper end, so that its connection can be pooled."""
     DONE = "done"
 
 
 class RequestState:
-    """State of one request. ``key`` is known once the caller was authenticated."""
+    """State of one request. ``key`` is set once the client is authenticated."""
 
     __slots__ = (
         "_claim",
@@ -61,7 +61,7 @@
         "_forget",
         "_head_sent",
         "_parsed",
-        "_place",
+        "_reservation",
         "_stage_until",
         "key",
         "request",
@@ -71,7 +71,7 @@
     def __init__(
         self, core: RouterCore, request: ClientRequest, forget: Callable[[RequestState], None]
     ) -> None:
-        """:param forget: called once with this object when it is over."""
+        """Start in :attr:`Stage.NEW`; ``forget`` is called once with this object at its end."""
         self._core = core
         self._forget = forget
         self.request = request
@@ -79,7 +79,7 @@
         self.stage = Stage.NEW
         self._effects: list[Effect] = []
         self._parsed: ParsedRequest | None = None
-        self._place: Place | None = None
+        self._reservation: RequestReservation | None = None
         self._claim: Claim | None = None
         self._exchange: Exchange | None = None
         self._head_sent = False
@@ -87,13 +87,13 @@
         self._stage_until = NEVER
 
     def next_deadline(self) -> float:
-        """Return when the flow wants a ``Tick``: monotonic seconds, or never."""
+        """Return when the flow needs a ``Tick`` (monotonic s), or never."""
         if self.stage is Stage.RUNNING and self._exchange is not None:
             return min(self._deadline, self._exchange.timeout_at())
-        if self.stage is Stage.QUEUED and self._place is not None:
-            return self._place.next_look_at(self._stage_until)
-        if self.stage is Stage.AWAITING_QUOTA and self._place is not None:
-            return self._place.next_quota_look_at(min(self._deadline, self._stage_until))
+        if self.stage is Stage.QUEUED and self._reservation is not None:
+            return self._reservation.next_check_at(self._stage_until)
+        if self.stage is Stage.AWAITING_QUOTA and self._reservation is not None:
+            return self._reservation.next_quota_check_at(min(self._deadline, self._stage_until))
         if self.stage in (Stage.LEAVING_CLAIM, Stage.LEAVING_UPSTREAM):
             return self._stage_until
         return NEVER if self.stage is Stage.DONE else min(self._deadline, self._stage_until)
@@ -124,7 +124,7 @@
             version=exchange.version_name() if exchange is not None else "",
         )
         if self._head_sent:
-            # No last chunk follows: HTTP itself says that the answer is not whole (RFC 9112, section 8).
+            # Without a last chunk the message is incomplete (RFC 9112, section 8).
             self._effects.append(ResponseData(error_event(error)))
             self._effects.append(ResponseAborted())
         else:
@@ -136,24 +136,24 @@
         self._conclude(now)
 
     def _conclude(self, now: float) -> None:
-        """Settle everything after the caller's answer; stay only for a claim or a connection."""
+        """Release the resources after the response; stay only for a claim or a connection."""
         exchange = self._exchange
-        if self._place is not None:
-            self._place.leave(exchange.used_tokens() if exchange is not None else 0.0, now)
-            self._place = None
+        if self._reservation is not None:
+            self._reservation.release(exchange.used_tokens() if exchange is not None else 0.0, now)
+            self._reservation = None
         if exchange is not None:
-            exchange.settle(now)
+            exchange.release_credit(now)
         if self.stage is Stage.CLAIMING:
             self.stage = Stage.LEAVING_CLAIM
-            self._stage_until = now + CLAIM_LEAVE_S
+            self._stage_until = now + LATE_GRANT_WAIT_S
             return
         self._close(now)
 
     def _close(self, now: float) -> None:
         exchange = self._exchange
         if self._claim is not None:
-            self._effects.extend(self._claim.settle(ran=exchange is not None and exchange.sent))
-        if exchange is not None and not exchange.left:
+            self._effects.extend(self._claim.finish(ran=exchange is not None and exchange.sent))
+        if exchange is not None and not exchange.closed:
             self.stage = Stage.LEAVING_UPSTREAM
             self._stage_until = now + PROPER_END_WAIT_S
             return
--- a/src/springmux/router/response_check.py
+++ b/src/springmux/router/response_check.py
@@ -1,4 +1,4 @@
-"""Checks an engine's whole answer (not a stream) before a byte of it is passed on."""
+"""Validation of an engine's complete response (not a stream) before any byte of it is forwarded."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 import msgspec
 
-MAX_ANSWER_BYTES = 8 * 1024 * 1024
-"""Bound of a kept-back answer in memory; far above any answer of the known services."""
+MAX_RESPONSE_BYTES = 8 * 1024 * 1024
+"""Limit of a response buffered in memory."""
 
 
 TokenCount = Annotated[int, msgspec.Meta(ge=0, le=1 << 31)]
-"""A length that an engine counted; an impossible one would spoil its tenant's quota."""
-PASSED_HEADERS = ("x-engine-version", "content-type", "retry-after")
-"""Headers of an engine that callers, kept answers and error messages get to see."""
+"""A token count reported by an engine; bounded, since it is charged to the tenant's quota."""
+FORWARDED_HEADERS = ("x-engine-version", "content-type", "retry-after")
+"""Engine headers that appear in responses, stored responses and error messages."""
 
 
 class Usage(msgspec.Struct):
-    """Lengths in tokens, as the engine counted them."""
+    """Token counts, as reported by the engine."""
 
     prompt_tokens: TokenCount = 0
     completion_tokens: TokenCount = 0
@@ -35,10 +35,10 @@
 
 
 def head_fault(headers: Mapping[str, str], request_id: str, engine: str) -> str:
-    """Return what is wrong with an answer's headers, or nothing.
+    """Return what is invalid about a response's headers, or an empty string.
 
-    The echoed request id keeps a late answer from reaching another caller; the engine's name keeps out
-    whatever process took over an engine's address.
+    The echoed request id keeps a late response from reaching another client; the engine's name excludes a
+    process that took over an engine's address.
     """
     if headers.get("x-request-id") != request_id:
         return "the answer does not echo the request id"
@@ -46,7 +46,7 @@
         return "the answer names another engine"
     if not headers.get("x-engine-version"):
         return "the answer names no version"
-    for name in PASSED_HEADERS:
+    for name in FORWARDED_HEADERS:
         value = headers.get(name, "")
         if not (value.isascii() and value.isprintable()):
             return f"the answer's header {name} is not plain text"
@@ -54,14 +54,14 @@
 
 
 class ResponseChecker:
-    """Gathers one answer. ``fault`` is empty while all is well; ``body`` is whole after :meth:`end`."""
+    """Buffers one response. ``fault``: what is invalid, if anything; ``body``: complete after :meth:`end`."""
 
-    __slots__ = ("_completion_id", "_length", "_parts", "_size", "body", "fault", "prompt_tokens", "tokens")
+    __slots__ = ("_chunks", "_completion_id", "_length", "_size", "body", "fault", "prompt_tokens", "tokens")
 
     def __init__(self, headers: Mapping[str, str], completion_id: str) -> None:
-        """:param completion_id: the ``id`` that a chat completion must carry; empty for other answers."""
+        """Check the headers; ``completion_id`` is the required id of a chat completion, empty for others."""
         self._completion_id = completion_id
-        self._parts: list[bytes] = []
+        self._chunks: list[bytes] = []
         self._size = 0
         self._length = -1
         self.body = b""
@@ -73,25 +73,25 @@
             self.fault = "the answer has no length"
             return
         self._length = int(length)
-        if self._length > MAX_ANSWER_BYTES:
+        if self._length > MAX_RESPONSE_BYTES:
             self.fault = "the answer is too large"
 
     def feed(self, data: bytes) -> None:
-        """Take a part of the body."""
+        """Buffer a chunk of the body."""
         self._size += len(data)
         if self._size > self._length:
             self.fault = self.fault or "the answer is longer than announced"
             return
-        self._parts.append(data)
+        self._chunks.append(data)
 
     def end(self) -> None:
-        """Take the proper end of the exchange; afterwards ``fault`` or ``body`` is set."""
+        """Handle the proper end of the response; afterwards ``fault`` or ``body`` is set."""
         if self.fault:
             return
         if self._size != self._length:
             self.fault = "the answer is shorter than announced"
             return
-        self.body = b"".join(self._parts)
+        self.body = b"".join(self._chunks)
         try:
             text = str(self.body, "utf-8")
             if self._completion_id:
--- a/src/springmux/router/responses.py
+++ b/src/springmux/router/responses.py
@@ -1,4 +1,4 @@
-"""Heads and bodies of answers that the node itself makes or completes."""
+"""Heads and bodies of responses that the node itself builds."""
 
 from __future__ import annotations
 
@@ -31,14 +31,14 @@
 
 
 def own_headers(request_id: RequestId, node: NodeId) -> Headers:
-    """Return the headers that every answer carries."""
+    """Return the headers of every response."""
     return (("X-Request-Id", request_id), ("X-Node", node))
 
 
 def engine_headers(
     request_id: RequestId, node: NodeId, engine: str, version: str, upstream: Mapping[str, str], stream: bool
 ) -> Headers:
-    """Return the headers of an engine's answer as the caller gets it."""
+    """Return the headers of an engine's response for the client."""
     content_type = upstream.get("content-type", "application/json")
     headers = (
         *own_headers(request_id, node),
@@ -54,14 +54,14 @@
     return headers
 
 
-def replay_headers(request_id: RequestId, node: NodeId, answer: StoredResponse) -> Headers:
-    """Return the headers of a kept answer, under the resend's own request id."""
-    kept = tuple(pair for pair in answer.headers if pair[0].lower() not in _OWN_HEADERS)
+def replay_headers(request_id: RequestId, node: NodeId, stored: StoredResponse) -> Headers:
+    """Return the headers of a stored response, with the resend's own request id."""
+    kept = tuple(pair for pair in stored.headers if pair[0].lower() not in _OWN_HEADERS)
     return (*own_headers(request_id, node), *kept, ("X-Replayed", "true"))
 
 
 def models_body(configuration: Configuration) -> bytes:
-    """Return the list of prompt routes in the ecosystem's shape."""
+    """Return the list of prompt routes as an OpenAI-style model list."""
     names = sorted(r.name for r in configuration.routes.values() if r.kind is RouteKind.PROMPT)
     return _encoder.encode(_ModelList([_Model(name) for name in names]))
 
--- a/src/springmux/router/retry_policy.py
+++ b/src/springmux/router/retry_policy.py
@@ -1,7 +1,7 @@
-"""Whether one request may be tried on another engine.
+"""Decides whether one request may be tried on another engine.
 
-An attempt that reached no engine is no repeat: it is bounded for the request only. One that may have
-reached an engine needs a repeatable route, nothing passed to the caller yet, and the node's retry budget.
+An attempt that reached no engine is limited per request only. A retry after one that may have reached an
+engine requires a repeatable route, nothing forwarded to the client yet, and the node's retry budget.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 from springmux.router.core import RouterCore
 
 MAX_SENT_ATTEMPTS = 3
-"""A request that failed on three engines is its own fault, or the fleet's."""
+"""A request that fails on three engines would probably fail on others."""
 MAX_UNSENT_ATTEMPTS = 4
-"""Attempts that reached no engine cost little; a few lost engines at once must not fail a request."""
-LEAST_RETRY_TIME_S = 0.05
-"""Below this much time to the deadline another engine cannot answer."""
+"""Such attempts cost little, and a few engines lost at once must not fail a request."""
+MIN_RETRY_TIME_S = 0.05
+"""With less time to the deadline another engine could not respond."""
 
 
 class RetryPolicy:
@@ -30,14 +30,14 @@
         self.sent = 0
 
     def after_unsent(self, now: float) -> bool:
-        """Count an attempt of which no byte was sent; say whether there may be another."""
+        """Count an attempt of which no byte was sent; return whether another is allowed."""
         self._unsent += 1
         return self._unsent < MAX_UNSENT_ATTEMPTS and self._may_dispatch(now)
 
     def after_sent(self, answered: bool, now: float) -> bool:
-        """Count an attempt that may have reached an engine; say whether there may be another.
+        """Count an attempt that may have reached an engine; return whether another is allowed.
 
-        :param answered: bytes went to the caller.
+        :param answered: whether bytes went to the client.
         """
         self.sent += 1
         if answered or not self._repeatable:
@@ -50,4 +50,4 @@
         return False
 
     def _may_dispatch(self, now: float) -> bool:
-        return self._deadline - now > LEAST_RETRY_TIME_S and self._core.connected(now)
+        return self._deadline - now > MIN_RETRY_TIME_S and self._core.connected(now)
--- a/src/springmux/router/router.py
+++ b/src/springmux/router/router.py
@@ -1,4 +1,4 @@
-"""The data plane of one node: takes the views of the other parts, opens a flow for each request."""
+"""The data plane of one node: applies the other components' views, opens a flow for each request."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from springmux.vocabulary.names import RequestId
 
 
-def always_connected(now: float) -> bool:
-    """Connection check of a node that can't be cut off (a fleet of one, tests)."""
+def always_connected(_now: float) -> bool:
+    """Return true: the connection check of a node that can't be partitioned (a fleet of one, tests)."""
     return True
 
 
 class Router:
-    """Entry of the data plane. All calls come from one thread, with monotonic seconds."""
+    """Entry point of the data plane. Not thread-safe; times are monotonic seconds."""
 
     def __init__(
         self,
@@ -34,59 +34,66 @@
         quota: QuotaGate,
         connected: Callable[[float], bool] = always_connected,
     ) -> None:
-        """:param connected: asked at each admission and dispatch; must itself notice that the process
-        was frozen (by its own last contact, not by a flag that a timer sets)."""
+        """Start without views, not ready.
+
+        :param connected: called at each admission and dispatch; must itself detect that the process was
+        paused
+            (by the time of its last contact, not by a flag that a timer sets).
+        """
         self._core = RouterCore(node, zone, source, chooser, quota, connected)
         self._flows: dict[RequestState, RequestFlow] = {}
 
     def update_control(self, view: ControlView, now: float) -> list[RequestFlow]:
-        """Take a newer control state; return the flows that must be given ``KeyRevoked`` at once."""
+        """Apply a newer control state; return the flows that must get ``KeyRevoked`` at once."""
         core = self._core
         if view.revision < core.view.revision:
             return []
         keys_changed = view.keys is not core.view.keys or view.tenants is not core.view.tenants
         core.view = view
-        core.take_limits(view.configuration.limits)
+        core.update_limits(view.configuration.limits)
         if not keys_changed:
             return []
-        return [flow for flow in self._running() if _lost_its_key(flow, view)]
+        return [flow for flow in self._running() if _key_was_revoked(flow, view)]
 
     def update_engines(self, view: EnginesView, now: float) -> None:
-        """Take a newer directory; engines that drain, left or are lost get nothing from now on."""
+        """Apply a newer directory view; engines that drain, left or are lost get no more requests."""
         self._core.table.update(view)
-        self._core.losses.settle(now)
+        self._core.loss_classifier.classify_pending(now)
 
     def update_readiness(self, ready: bool, reason: str) -> None:
-        """Say whether new requests are taken, and why not (``stopping`` and ``cut off`` have own codes)."""
+        """Set whether new requests are accepted, and why not.
+
+        The reasons ``stopping`` and ``cut off`` have error codes of their own.
+        """
         self._core.ready = ready
         self._core.not_ready_reason = reason
 
     def open(self, request: ClientRequest, now: float) -> RequestFlow:
-        """Return a new flow for ``request``; the driver gives it ``RequestBegun`` next."""
-        self._core.losses.settle(now)
+        """Return a new flow for ``request``; the driver sends it ``RequestBegun`` next."""
+        self._core.loss_classifier.classify_pending(now)
         flow = RequestFlow(self._core, request, self._forget)
         self._flows[flow] = flow
         return flow
 
     def set_wake_listener(self, listener: Callable[[RequestId], None]) -> None:
-        """Have ``listener`` called when a waiting request gets a slot.
+        """Set the callback for a queued request that gets a slot.
 
-        It must give that flow a ``Tick`` soon, but not from inside the call. Without a listener, waiting
-        flows ask for ticks now and then.
+        It must send that flow a ``Tick`` soon, but not from inside the call. Without a listener, queued
+        flows poll.
         """
         self._core.wake_listener = listener
 
     def set_probe_listener(self, listener: Callable[[EngineRecord], None]) -> None:
-        """Have ``listener`` called to connect to an engine whose stream was reset.
+        """Set the callback that connects to an engine whose stream was reset.
 
-        It gives the result to :meth:`engine_probed`, but not from inside the call. Without a listener a
-        reset of an engine that says nothing for a second counts as its loss.
+        It reports the result to :meth:`engine_probed`, but not from inside the call. Without a listener,
+        an engine that sends nothing for a second after a reset counts as lost.
         """
-        self._core.losses.probe = listener
+        self._core.loss_classifier.probe = listener
 
     def engine_probed(self, record: EngineRecord, alive: bool, now: float) -> None:
-        """Take the result of a probe: whether the engine took a connection."""
-        self._core.losses.probed(record, alive, now)
+        """Handle the result of a probe: whether the engine accepted a connection."""
+        self._core.loss_classifier.probed(record, alive, now)
 
     def status(self) -> RouterStatus:
         """Return figures for metrics and status."""
@@ -99,7 +106,7 @@
         self._flows.pop(flow, None)
 
 
-def _lost_its_key(flow: RequestFlow, view: ControlView) -> bool:
+def _key_was_revoked(flow: RequestFlow, view: ControlView) -> bool:
     key = flow.key
     if key is None:
         return False
--- a/src/springmux/router/selection.py
+++ b/src/springmux/router/selection.py
@@ -1,8 +1,8 @@
-"""Which version, then which engine, one request goes to; kept over its attempts.
+"""Choice of version and engine for the attempts of one request.
 
-The version filter is asked once a request. A candidate's credit pays for one sent attempt: one that was
-never sent is given back, and a retry after a sent one goes to the next version, never to the candidate
-again. Another version than the preferred one is used only where the preferred has no ready engine.
+The version filter is consulted once per request. A credit for the candidate pays for one sent attempt: an
+unused credit is given back, and a retry after a sent attempt goes to the next version. Another version than
+the preferred one is used only where the preferred one has no ready engine.
 """
 
 from __future__ import annotations
@@ -65,7 +65,7 @@
         self._index = 0
 
     def next(self, now: float) -> Selected | None:
-        """Return where the next attempt goes, checked at this very moment, or ``None``."""
+        """Return the target of the next attempt, rechecked against the version filter, or ``None``."""
         while self._index < len(self._versions):
             version = self._versions[self._index]
             allowed = self._core.chooser.recheck(self._service, version, now)
@@ -75,27 +75,27 @@
                 return Selected(version, choice, pool, self._credit)
             if allowed and pool.slots and not self._credit:
                 return None
-            self._next_version(now)
+            self._skip_version(now)
         return None
 
-    def tried(self, selected: Selected, sent: bool, now: float) -> None:
-        """Note a failed attempt; its engine is not chosen again."""
+    def exclude(self, selected: Selected, sent: bool) -> None:
+        """Exclude the engine of a failed attempt; ``sent``: bytes may have reached it."""
         self._excluded.add(selected.choice.slot.record.engine)
         if sent and selected.candidate:
             self._credit = False
             self._index = min(self._index + 1, len(self._versions))
 
     def spent(self) -> None:
-        """Note that the attempt under way used up the credit."""
+        """Record that the open attempt used up the credit."""
         self._credit = False
 
     def give_back(self, now: float) -> None:
-        """Return a credit that no sent attempt used."""
+        """Give back a credit that no sent attempt used."""
         if self._credit:
             self._credit = False
             self._core.chooser.give_back(self._service, self._versions[0], now)
 
-    def _next_version(self, now: float) -> None:
+    def _skip_version(self, now: float) -> None:
         self.give_back(now)
         self._index += 1
 
@@ -103,8 +103,8 @@
         chooser = self._core.engine_chooser
         needs = ChoiceNeeds(self._prefix, self._prompt_tokens, self._excluded, self._repeatable)
         if self._credit and self._engines_limit:
-            part = self._core.table.part(self._service, version, self._engines_limit)
-            choice = chooser.choose(part, needs, now)
-            if choice is not None or part is pool:
+            subset = self._core.table.subset(self._service, version, self._engines_limit)
+            choice = chooser.choose(subset, needs, now)
+            if choice is not None or subset is pool:
                 return choice
         return chooser.choose(pool, needs, now)
--- a/src/springmux/router/stored_response.py
+++ b/src/springmux/router/stored_response.py
@@ -1,4 +1,4 @@
-"""The kept answer of a finished at-most-once request, as opaque bytes for the claim holders."""
+"""Stored response of a finished at-most-once request, as opaque bytes for the claim holders."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from springmux.coordination.claims.events import ClaimSettings
 from springmux.router.effects import Headers
 
-MAX_KEPT_BYTES = ClaimSettings().max_answer_bytes
-"""Larger answers are not kept (a resend gets 409): holders keep many of them in memory."""
+MAX_STORED_BYTES = ClaimSettings().max_answer_bytes
+"""Larger responses are not stored (a resend gets 409), since holders keep many in memory."""
 
 
 class StoredResponse(msgspec.Struct, frozen=True, array_like=True):
-    """An engine's whole answer as it was passed to the caller, and a digest of the request's body.
+    """An engine's complete response as sent to the client, and a digest of the request's body.
 
-    The digest tells a resend from another request under the same key.
+    The digest distinguishes a resend from another request with the same key.
     """
 
     status: int
@@ -27,14 +27,14 @@
 _decoder = msgspec.msgpack.Decoder(StoredResponse)
 
 
-def encode_answer(answer: StoredResponse) -> bytes:
-    """Return the bytes to keep; empty if the answer is too large."""
-    data = _encoder.encode(answer)
-    return data if len(data) <= MAX_KEPT_BYTES else b""
+def encode_response(response: StoredResponse) -> bytes:
+    """Return the bytes to store; empty if the response is too large."""
+    data = _encoder.encode(response)
+    return data if len(data) <= MAX_STORED_BYTES else b""
 
 
-def decode_answer(data: bytes) -> StoredResponse | None:
-    """Return the kept answer, or ``None`` if none was kept or it can't be read."""
+def decode_response(data: bytes) -> StoredResponse | None:
+    """Return the stored response, or ``None`` if there is none or it can't be decoded."""
     if not data:
         return None
     try:
--- a/src/springmux/router/stream_check.py
+++ b/src/springmux/router/stream_check.py
@@ -1,9 +1,9 @@
-"""Checks an engine's stream piece by piece; only what is proven right is passed on, byte for byte.
+"""Validation of an engine's stream, event by event; valid events are forwarded byte for byte.
 
 Server-sent events (WHATWG HTML, section 9.2) in the chat-completions shape: every chunk carries the
 request's id and counts ``seq`` from 0 without a gap, the last chunk has a ``finish_reason``, and
-``data: [DONE]`` follows it. Bytes may be split anywhere. Whole events are passed on together with
-their original bytes; nothing is encoded again.
+``data: [DONE]`` follows it. Bytes may be split anywhere. Complete events are forwarded with their original
+bytes; nothing is encoded again.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from springmux.router.response_check import Usage
 
 MAX_EVENT_BYTES = 256 * 1024
-"""Bound of one event; a piece is a token or a few, so this only stops a runaway engine."""
+"""Limit of one event; a chunk has a few tokens at most."""
 
 _EVENT_END = re.compile(rb"\r?\n\r?\n")
 _DATA = b"data:"
@@ -42,9 +42,10 @@
 class StreamChecker:
     """State of one stream.
 
-    ``pieces``: valid chunks so far. ``finished``: ``[DONE]`` came in its place. ``fault``: what is wrong,
-    empty while all is well; ``engine_error``: the engine itself ended its stream with an error event.
-    ``trailing``: bytes came after the end. ``tokens``: prompt and answer as the engine counted.
+    ``pieces``: number of valid chunks. ``finished``: ``[DONE]`` arrived in order. ``fault``: what is invalid,
+    if anything; ``engine_error``: the engine ended its stream with an error event. ``trailing``: bytes
+    arrived after the end. ``prompt_tokens`` and ``tokens``: of prompt and response, as reported by the
+    engine.
     """
 
     __slots__ = (
@@ -73,7 +74,7 @@
         self.prompt_tokens = 0
 
     def feed(self, data: bytes) -> bytes:
-        """Take bytes; return the whole, valid events among them (may be empty) as they came.
+        """Feed bytes; return the complete, valid events (may be empty) unchanged.
 
         At a fault, the valid events before it are returned and :attr:`fault` is set.
         """
@@ -94,9 +95,9 @@
         return forward
 
     def feed_one(self, data: bytes) -> bool:
-        """Take bytes if they are exactly one chunk, as they nearly always are: nothing is cut or joined.
+        """Feed bytes if they are exactly one chunk, the usual case; return whether they were valid.
 
-        ``False`` without a fault: nothing was taken, :meth:`feed` must look at them.
+        ``False`` without a fault means that nothing was consumed and :meth:`feed` must handle them.
         """
         if self._buffer or self.finished or self.fault or not _is_one_chunk(data):
             return False
@@ -118,7 +119,7 @@
         return b"".join(forward)
 
     def _check(self, event: bytes) -> bool:
-        """Take one whole event; say whether it is passed on."""
+        """Check one complete event; return whether it is forwarded."""
         if not event.startswith(_DATA):
             return self._check_other(event)
         payload = event[len(_DATA) :].strip()
@@ -162,7 +163,7 @@
         return True
 
     def _check_other(self, event: bytes) -> bool:
-        """Comments are dropped; anything else has no place in the stream."""
+        """Drop a comment; reject anything else."""
         lines = event.split(b"\n")
         if all(line.startswith(b":") or not line.strip() for line in lines):
             return False
@@ -176,7 +177,7 @@
 
 
 def _split(buffer: bytes) -> tuple[list[bytes], bytes]:
-    """Return the whole events in ``buffer`` with their ends, and the rest."""
+    """Return the complete events in ``buffer`` with their ends, and the rest."""
     if b"\r" not in buffer:
         parts = buffer.split(b"\n\n")
         rest = parts.pop()
--- a/tests/unit/node/test_request_runner.py
+++ b/tests/unit/node/test_request_runner.py
@@ -61,7 +61,7 @@
         if where == "dispatch":
             monkeypatch.setattr(UpstreamClient, "begin", broken)
         else:
-            monkeypatch.setattr(RequestFlow, "_take_upstream", broken)
+            monkeypatch.setattr(RequestFlow, "_handle_upstream", broken)
         for _ in range(2):
             answer = await ask(bench, call_request(extra="Idempotency-Key: a1\r\n"))
             assert (answer.status, answer.error["fate"]) == (500, "unknown")
