--- a/src/springmux/router/flow.py
+++ b/src/springmux/router/flow.py
@@ -180,7 +180,7 @@
     def _replay(self, claim: Claim, data: bytes, now: float) -> None:
         stored = decode_response(data)
         if stored is None:
-            self._duplicate("the request ran before; its answer is not stored", now)
+            self._duplicate("the request ran before; its answer is not kept", now)
             return
         if stored.body_digest != claim.body_digest:
             self._fail(ErrorCode.INVALID_REQUEST, _DIFFERENT_BODY, Fate.UNKNOWN, None, now, status=422)
