--- a/src/springmux/coordination/quota/__init__.py
+++ b/src/springmux/coordination/quota/__init__.py
@@ -1,1 +1,1 @@
-"""Fleet-wide rate allocation by leases from an owner node. Pure."""
+"""Fleet-wide token quotas, allocated as leased shares by an owner node per account. Pure."""
--- a/src/springmux/coordination/quota/events.py
+++ b/src/springmux/coordination/quota/events.py
@@ -1,4 +1,4 @@
-"""Events and settings of the quota part."""
+"""Events and settings of the quota."""
 
 from __future__ import annotations
 
@@ -11,50 +11,50 @@
 
 
 class AccountRate(msgspec.Struct, frozen=True):
-    """A quota: refilled at ``tokens_per_s``, never more than ``burst_tokens`` saved up."""
+    """A quota: a token bucket of ``burst_tokens``, refilled at ``tokens_per_s``."""
 
     tokens_per_s: float
     burst_tokens: float
 
 
 class AccountsChanged(Event, frozen=True):
-    """Accounts that are new or changed, and those that are gone. Others stay as they are."""
+    """New or changed accounts, and removed ones. All others are unchanged."""
 
     changed: Mapping[str, AccountRate]
     removed: tuple[str, ...] = ()
 
 
 class QuotaMembersChanged(Event, frozen=True):
-    """The present nodes changed; owners follow by rendezvous hash."""
+    """The present nodes changed, and with them the owners by rendezvous hash."""
 
     view: MembershipView
 
 
 class QuotaSettings(msgspec.Struct, frozen=True):
-    """Times and shares of the quota part."""
+    """Times and fractions of the quota."""
 
-    ask_period_s: float = 0.2
-    """Pace of asks for active accounts: five small messages a second to an owner."""
-    hurry_period_s: float = 0.03
-    """Shortest time between two asks when a share has run out."""
+    request_period_s: float = 0.2
+    """Interval of requests for active accounts."""
+    urgent_period_s: float = 0.03
+    """Shortest interval of requests when a share is exhausted."""
     horizon_s: float = 0.5
-    """Tokens at hand are worth this much of the node's demand: two ask periods and a round trip."""
+    """Time of the node's demand that its share should cover: two request periods and a round trip."""
     lease_s: float = 2.0
-    """A share not renewed lapses after this time; the owner takes the rest back a little later."""
+    """Time after which a share that is not renewed expires at its node."""
     owner_margin_s: float = 1.0
-    """What the owner waits beyond the lease, for the age of the answer."""
+    """Extra time for which the owner waits beyond the lease, for the age of its reply."""
     idle_s: float = 1.0
-    """A node without demand for this long gives its share back and falls silent."""
-    silence_s: float = 0.45
-    """An owner that has not answered for this long (two asks) is done without."""
-    forget_s: float = 30.0
-    """Figures of an idle account are kept this long, so that a debt is not slept off by changing nodes."""
-    take_over_s: float = 10.0
-    """For this long after a change of nodes an account new to its owner begins with no saved burst."""
-    last_share_s: float = 10.0
-    """How long a node without its owner goes on at its last rate (brief of the project's design)."""
-    starter_share: float = 1.0
-    """A node may go ahead of its owner's answer with one request of up to this part of the spare tokens
-    (of the burst, on a node that has not heard of the account yet). Measured in docs/notes/quota.md."""
+    """Time without demand after which a node returns its share and stops its requests."""
+    owner_timeout_s: float = 0.45
+    """Time without a reply (two requests) after which a node proceeds without the owner."""
+    account_expiry_s: float = 30.0
+    """Time for which an idle account's figures are kept, so that changing nodes doesn't clear a debt."""
+    takeover_s: float = 10.0
+    """Time after a change of nodes in which an account new to its owner starts without its burst."""
+    last_rate_s: float = 10.0
+    """Time for which a node without its owner continues at its last rate."""
+    advance_share: float = 1.0
+    """Fraction of the available tokens (of the burst, at a node without a grant yet) that one request may use
+    in advance of the owner's reply."""
     demand_window_s: float = 1.0
     """Time constant of the demand estimate."""
--- a/src/springmux/coordination/quota/gate.py
+++ b/src/springmux/coordination/quota/gate.py
@@ -1,4 +1,4 @@
-"""The quota as the data plane sees it: reserve on admission, settle with the true count."""
+"""Quota interface of the data plane: reserve on admission, settle with the actual count."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
     """Local side of a fleet-wide rate limit, in tokens of one account (a tenant)."""
 
     def reserve(self, account: str, amount: float, now: float, again: bool = False) -> bool:
-        """Take ``amount`` tokens from this node's share; ``False``: they aren't there.
+        """Reserve ``amount`` tokens of this node's share; return whether the share covered them.
 
-        :param again: the same request tries once more, so that its demand isn't counted twice.
+        :param again: the call repeats an earlier attempt, whose demand must not be counted twice.
         """
         ...
 
     def awaits_owner(self, account: str) -> bool:
-        """Say, after a reservation failed, whether the account's owner has yet to answer for it.
+        """Return, after a failed reservation, whether the account's owner has yet to reply.
 
-        If so, tokens may be there in a moment; if not, the request is to be refused at once (429).
+        If so, tokens may arrive soon; if not, the request must be rejected at once (429).
         """
         ...
 
     def settle(self, account: str, reserved: float, used: float, now: float) -> None:
-        """Correct a reservation by what was really used (less or more)."""
+        """Correct a reservation by the tokens actually used (fewer or more)."""
         ...
 
     def retry_after_s(self, account: str, amount: float, now: float) -> float:
-        """Return when a refused caller should come back."""
+        """Return the delay (s) after which a rejected client should retry."""
         ...
--- a/src/springmux/coordination/quota/messages.py
+++ b/src/springmux/coordination/quota/messages.py
@@ -1,4 +1,4 @@
-"""Peer messages of the fleet-wide quota: cumulative figures, so that loss and doubling change nothing."""
+"""Peer messages of the fleet-wide quota. Figures are cumulative, so loss and duplication do no harm."""
 
 from __future__ import annotations
 
@@ -8,52 +8,51 @@
 
 
 class AccountDemand(msgspec.Struct, frozen=True, array_like=True):
-    """One account at one node; ``spent`` and ``minted`` only grow during a boot, refunds aside.
-
-    ``spent``: tokens taken in all, reservations included, refunds deducted. ``wanted``: tokens that the
-    node would like to have at hand beyond them; less than ``least`` (the size of a request) is of no
-    use to it. ``acknowledged``: the part of ``spent`` that some owner
-    has answered, ``minted`` what the node gave itself since then, ``held`` what it has left: these
-    three matter to an owner that does not know the node yet. ``refused``: size of the largest request that
-    waits for the owner's word, 0 if none does.
+    """One account at one node; ``spent`` and ``self_granted`` only grow in an incarnation, refunds aside.
+
+    ``spent``: total tokens including reservations, less refunds. ``requested``: tokens that the node needs
+    beyond them; fewer than ``minimum`` (the size of a request) are useless to it. ``acknowledged``: the
+    ``spent`` that an owner last replied to; ``self_granted``: tokens that the node granted itself since
+    then; ``unspent``: its remaining tokens. These three matter to an owner that doesn't know the node yet.
+    ``rejected``: size of the largest request that awaits the owner's reply, 0 if there is none.
     """
 
     account: str
     spent: float
-    wanted: float
-    least: float = 0.0
+    requested: float
+    minimum: float = 0.0
     acknowledged: float = 0.0
-    minted: float = 0.0
-    held: float = 0.0
-    refused: float = 0.0
+    self_granted: float = 0.0
+    unspent: float = 0.0
+    rejected: float = 0.0
 
 
 class AccountGrant(msgspec.Struct, frozen=True, array_like=True):
-    """The owner's answer: ``spent`` may grow up to ``limit`` within the lease.
+    """The owner's reply: ``spent`` may grow up to ``limit`` within the lease.
 
-    ``rate``: this node's part of the quota in tokens/s. ``spare``: tokens that nobody has asked for.
-    ``coming``: tokens for the request that waits are being taken back from other nodes; ask again.
+    ``rate``: this node's share of the quota in tokens/s. ``available``: tokens that no node has requested.
+    ``reclaiming``: tokens for the pending request are being reclaimed from other nodes, so request again.
     """
 
     account: str
     limit: float
     rate: float
-    spare: float
-    coming: bool = False
+    available: float
+    reclaiming: bool = False
 
 
 class QuotaRequest(PeerMessage, frozen=True, tag="QuotaAsk"):
-    """A node's active accounts of one owner. A later ``sequence`` of a ``boot`` replaces earlier ones."""
+    """A node's active accounts of one owner; within an ``incarnation`` the highest ``sequence`` counts."""
 
-    boot: int
+    incarnation: int
     sequence: int
     demands: tuple[AccountDemand, ...]
 
 
 class QuotaReply(PeerMessage, frozen=True, tag="QuotaShare"):
-    """The owner's answer to the ask with the same ``boot`` and ``sequence``."""
+    """The owner's reply to the request with the same ``incarnation`` and ``sequence``."""
 
-    boot: int
+    incarnation: int
     sequence: int
     grants: tuple[AccountGrant, ...]
 
--- a/src/springmux/coordination/quota/owner.py
+++ b/src/springmux/coordination/quota/owner.py
@@ -1,7 +1,7 @@
-"""The owner's side: one token bucket an account, shared out among the nodes that ask.
+"""Owner of accounts: one token bucket per account, allocated to the nodes that request tokens.
 
-The bucket counts what was *spent*, and what is granted but not spent as outstanding; so tokens are
-made in one place only and no order of loss, delay or movement of load makes more of them.
+The bucket is charged for *spent* tokens; granted but unspent ones count as outstanding. Tokens are thus
+created in one place only, and no loss, delay or movement of load creates more of them.
 Source of the bucket: Turner 1986 (leaky bucket as a meter).
 """
 
@@ -13,115 +13,116 @@
 from springmux.coordination.quota.events import AccountRate, QuotaSettings
 from springmux.coordination.quota.messages import AccountDemand, AccountGrant
 
-FRESH_LEVEL_S = 0.3
-"""Saved seconds of quota that a new owner begins with: 3% of a window of ten seconds, enough to begin on."""
-
+TAKEOVER_LEVEL_S = 0.3
+"""Seconds of the quota in the bucket of an owner that took the account over: 3% of a ten second window."""
 
 SHORTAGE_S = 0.2
-"""An ask period: each node has asked once, and given back what it doesn't need at once."""
+"""One request period, in which each node requests once and returns what it doesn't need."""
 
 
 class RequestSequence(msgspec.Struct, frozen=True):
-    """Place of an ask among those of one node's boot."""
+    """Position of a request among those of one node's incarnation."""
 
-    boot: int
+    incarnation: int
     number: int
 
 
-class Ledger:
-    """One node's standing with one account.
+class NodeAllocation:
+    """Allocation of one account's tokens to one node.
 
-    ``wanted``: what it would like at hand; ``due``: the part of it that it is to get now.
+    ``requested``: tokens that the node needs; ``target``: the amount of them that it should get now.
     """
 
-    __slots__ = ("due", "heard_at", "limit", "sequence", "spent", "wanted")
+    __slots__ = ("limit", "requested", "sequence", "spent", "target", "updated_at")
 
     def __init__(self, sequence: RequestSequence, spent: float, limit: float) -> None:
         self.sequence = sequence
         self.spent = spent
         self.limit = limit
-        self.wanted = 0.0
-        self.due = 0.0
-        self.heard_at = 0.0
+        self.requested = 0.0
+        self.target = 0.0
+        self.updated_at = 0.0
 
     def outstanding(self) -> float:
-        """Return tokens granted and not known to be spent."""
+        """Return the tokens granted and not reported as spent."""
         return max(0.0, self.limit - self.spent)
 
 
 class OwnedAccount:
-    """The bucket of one account and the ledgers of the nodes that use it."""
+    """The bucket of one account and its allocations to nodes."""
 
     def __init__(self, rate: AccountRate, level: float, now: float) -> None:
         self.rate = rate
         self.level = level
-        self.ledgers: dict[NodeId, Ledger] = {}
+        self.allocations: dict[NodeId, NodeAllocation] = {}
         self._refilled_at = now
         self._short_until = now
 
     def refill(self, now: float) -> None:
-        """Add what accrued; no more than the burst is saved up beyond what is granted."""
-        passed_s = max(0.0, now - self._refilled_at)
+        """Add the accrued tokens; those not granted never exceed the burst."""
+        elapsed_s = max(0.0, now - self._refilled_at)
         self._refilled_at = max(now, self._refilled_at)
-        room = max(0.0, self.rate.burst_tokens - self.free())
-        self.level += min(room, passed_s * self.rate.tokens_per_s)
+        headroom = max(0.0, self.rate.burst_tokens - self.available())
+        self.level += min(headroom, elapsed_s * self.rate.tokens_per_s)
 
-    def free(self) -> float:
-        """Return tokens that may be granted now (negative: the account is in debt)."""
-        return self.level - sum(ledger.outstanding() for ledger in self.ledgers.values())
+    def available(self) -> float:
+        """Return the tokens that may be granted now (negative: the account is in debt)."""
+        return self.level - sum(allocation.outstanding() for allocation in self.allocations.values())
 
-    def open_ledger(self, node: NodeId, sequence: RequestSequence, demand: AccountDemand) -> Ledger:
-        """Begin with a node: charge only what no owner has answered and the node has not made itself.
+    def add_node(self, node: NodeId, sequence: RequestSequence, demand: AccountDemand) -> NodeAllocation:
+        """Add a node; charge only tokens that no owner has acknowledged and the node has not granted itself.
 
-        What it still holds was taken from a former bucket; it counts as outstanding here and is added.
+        Its unspent tokens come from a former owner's bucket; they are added here and count as outstanding.
         """
-        uncharged = max(0.0, demand.spent - demand.acknowledged - demand.minted)
-        held = min(max(0.0, demand.held), self.rate.burst_tokens)
-        ledger = Ledger(sequence, demand.spent - uncharged, demand.spent + held)
-        self.level += held
-        self.ledgers[node] = ledger
-        return ledger
+        uncharged = max(0.0, demand.spent - demand.acknowledged - demand.self_granted)
+        unspent = min(max(0.0, demand.unspent), self.rate.burst_tokens)
+        allocation = NodeAllocation(sequence, demand.spent - uncharged, demand.spent + unspent)
+        self.level += unspent
+        self.allocations[node] = allocation
+        return allocation
 
-    def take_back(self, ledger: Ledger, refused: float, now: float) -> bool:
-        """Take shares back for a while if what is free doesn't cover a request that waits, but they would.
+    def reclaim(self, allocation: NodeAllocation, rejected: float, now: float) -> bool:
+        """Reclaim unspent tokens of other nodes for a while if only they cover a rejected request.
 
-        Otherwise a large one would be refused while the account's tokens lie idle in small shares. In
-        lasting shortage nothing lies idle, and the request is refused at once.
+        Otherwise a large request would fail while the account's tokens lie idle in small shares. In a lasting
+        shortage no tokens lie idle, and the request fails at once.
 
-        :returns: whether the request should go on waiting for what comes back.
+        :returns: whether the request should wait for reclaimed tokens.
         """
-        missing = refused - ledger.outstanding() - self.free()
-        idle = sum(each.outstanding() for each in self.ledgers.values() if each is not ledger)
-        coming = 0.0 < missing <= idle
-        if coming:
+        missing = rejected - allocation.outstanding() - self.available()
+        idle = sum(each.outstanding() for each in self.allocations.values() if each is not allocation)
+        reclaiming = 0.0 < missing <= idle
+        if reclaiming:
             self._short_until = now + SHORTAGE_S
         if now < self._short_until:
-            ledger.due = min(ledger.wanted, refused)
-        return coming
+            allocation.target = min(allocation.requested, rejected)
+        return reclaiming
 
-    def raise_limit(self, account: str, ledger: Ledger, least: float, coming: bool) -> AccountGrant:
-        """Give what is wanted, or in shortage a part of what is free in proportion to all demands.
+    def raise_limit(
+        self, account: str, allocation: NodeAllocation, minimum: float, reclaiming: bool
+    ) -> AccountGrant:
+        """Grant the target, or in a shortage a share of the available tokens in proportion to all targets.
 
-        A part too small for one request is not given: tokens spread in such pieces would lie idle.
+        A share too small for one request is not granted, since its tokens would lie idle.
         """
-        ledger.limit = min(ledger.limit, ledger.spent + ledger.due)
-        ledger.limit = max(ledger.limit, ledger.spent)
-        free = self.free()
-        short = ledger.due - ledger.outstanding()
-        if short > 0.0 and free > 0.0:
-            missing = sum(max(0.0, each.due - each.outstanding()) for each in self.ledgers.values())
-            useful = min(short, max(0.0, least - ledger.outstanding()))
-            granted = max(short * min(1.0, free / missing), useful)
-            if granted <= free:
-                ledger.limit += granted
-                free -= granted
-        all_wanted = sum(each.wanted for each in self.ledgers.values())
-        rate = self.rate.tokens_per_s * ledger.wanted / all_wanted if all_wanted > 0.0 else 0.0
-        return AccountGrant(account, ledger.limit, rate, max(0.0, free), coming)
-
-
-class Owner:
-    """Accounts that this node owns and that someone uses."""
+        allocation.limit = min(allocation.limit, allocation.spent + allocation.target)
+        allocation.limit = max(allocation.limit, allocation.spent)
+        available = self.available()
+        short = allocation.target - allocation.outstanding()
+        if short > 0.0 and available > 0.0:
+            missing = sum(max(0.0, each.target - each.outstanding()) for each in self.allocations.values())
+            useful = min(short, max(0.0, minimum - allocation.outstanding()))
+            granted = max(short * min(1.0, available / missing), useful)
+            if granted <= available:
+                allocation.limit += granted
+                available -= granted
+        all_requested = sum(each.requested for each in self.allocations.values())
+        rate = self.rate.tokens_per_s * allocation.requested / all_requested if all_requested > 0.0 else 0.0
+        return AccountGrant(account, allocation.limit, rate, max(0.0, available), reclaiming)
+
+
+class QuotaOwner:
+    """The accounts in use that this node owns."""
 
     def __init__(self, settings: QuotaSettings) -> None:
         self._settings = settings
@@ -131,7 +132,7 @@
         return len(self._accounts)
 
     def set_rate(self, account: str, rate: AccountRate | None, now: float) -> None:
-        """Change the rate of an account in use, or forget it."""
+        """Change the rate of an account in use, or remove the account (``None``)."""
         owned = self._accounts.get(account)
         if owned is None:
             return
@@ -143,11 +144,11 @@
         owned.level = min(owned.level, rate.burst_tokens)
 
     def forget(self, account: str) -> None:
-        """Drop an account that another node owns now."""
+        """Remove an account that another node owns now."""
         self._accounts.pop(account, None)
 
     def forget_all(self) -> None:
-        """Drop every account: another node may have owned them meanwhile."""
+        """Remove all accounts, since another node may have owned them meanwhile."""
         self._accounts.clear()
 
     def accounts(self) -> list[str]:
@@ -160,45 +161,47 @@
         sequence: RequestSequence,
         demand: AccountDemand,
         rate: AccountRate,
-        fresh: bool,
+        is_takeover: bool,
         now: float,
     ) -> AccountGrant | None:
-        """Take a node's figures and raise its limit. ``None``: a late ask, overtaken by a newer one.
+        """Apply a node's figures and raise its limit; return ``None`` for a request that is not the newest.
 
-        :param fresh: this node may have taken the account over just now: shares of the former owner
-            may still be in use, so the bucket begins with little and not with a whole burst.
+        :param is_takeover: shares of a former owner may still be in use, so a new bucket starts almost
+            empty instead of with a full burst.
         """
         owned = self._accounts.get(demand.account)
         if owned is None:
-            owned = OwnedAccount(rate, _first_level(rate, fresh), now)
+            owned = OwnedAccount(rate, _first_level(rate, is_takeover), now)
             self._accounts[demand.account] = owned
         owned.refill(now)
-        ledger = owned.ledgers.get(sender)
-        if ledger is None or ledger.sequence.boot != sequence.boot:
-            ledger = owned.open_ledger(sender, sequence, demand)
-        elif sequence.number <= ledger.sequence.number:
+        allocation = owned.allocations.get(sender)
+        if allocation is None or allocation.sequence.incarnation != sequence.incarnation:
+            allocation = owned.add_node(sender, sequence, demand)
+        elif sequence.number <= allocation.sequence.number:
             return None
-        owned.level -= demand.spent - ledger.spent
-        ledger.spent = demand.spent
-        ledger.wanted = ledger.due = max(0.0, demand.wanted)
-        ledger.sequence = sequence
-        ledger.heard_at = now
-        coming = owned.take_back(ledger, demand.refused, now)
-        return owned.raise_limit(demand.account, ledger, demand.least, coming)
-
-    def sweep(self, now: float) -> None:
-        """Take back shares whose lease lapsed, and forget accounts that are idle and full."""
+        owned.level -= demand.spent - allocation.spent
+        allocation.spent = demand.spent
+        allocation.requested = allocation.target = max(0.0, demand.requested)
+        allocation.sequence = sequence
+        allocation.updated_at = now
+        reclaiming = owned.reclaim(allocation, demand.rejected, now)
+        return owned.raise_limit(demand.account, allocation, demand.minimum, reclaiming)
+
+    def expire_leases(self, now: float) -> None:
+        """Reclaim shares whose lease expired, and remove accounts that are idle and full."""
         horizon = now - self._settings.lease_s - self._settings.owner_margin_s
         for account, owned in list(self._accounts.items()):
-            lapsed = [node for node, ledger in owned.ledgers.items() if ledger.heard_at < horizon]
+            lapsed = [
+                node for node, allocation in owned.allocations.items() if allocation.updated_at < horizon
+            ]
             for node in lapsed:
-                del owned.ledgers[node]
+                del owned.allocations[node]
             owned.refill(now)
-            if not owned.ledgers and owned.level >= owned.rate.burst_tokens:
+            if not owned.allocations and owned.level >= owned.rate.burst_tokens:
                 del self._accounts[account]
 
 
-def _first_level(rate: AccountRate, fresh: bool) -> float:
-    if not fresh:
+def _first_level(rate: AccountRate, is_takeover: bool) -> float:
+    if not is_takeover:
         return rate.burst_tokens
-    return min(rate.burst_tokens / 2, rate.tokens_per_s * FRESH_LEVEL_S)
+    return min(rate.burst_tokens / 2, rate.tokens_per_s * TAKEOVER_LEVEL_S)
--- a/src/springmux/coordination/quota/quota_allocator.py
+++ b/src/springmux/coordination/quota/quota_allocator.py
@@ -1,4 +1,4 @@
-"""The quota part: gate of the data plane, and owner of some accounts for the fleet."""
+"""State machine of the quota: gate of the data plane, and owner of some accounts for the fleet."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
     QuotaSettings,
 )
 from springmux.coordination.quota.messages import AccountDemand, QuotaReply, QuotaRequest
-from springmux.coordination.quota.owner import Owner, RequestSequence
-from springmux.coordination.quota.share import Share
+from springmux.coordination.quota.owner import QuotaOwner, RequestSequence
+from springmux.coordination.quota.share import LocalShare
 from springmux.coordination.rendezvous import first_holders
 from springmux.coordination.state_machine import (
     NEVER,
@@ -26,76 +26,76 @@
     Tick,
 )
 
-BOOT_BITS = 62
-"""Boots are random numbers that fit a signed 64-bit integer on the wire."""
+INCARNATION_BITS = 62
+"""Random incarnations of this size fit a signed 64-bit integer on the wire."""
 
-KEPT_ASKS = 8
-"""Asks remembered for each owner: older answers are of no use."""
+REQUESTS_KEPT = 8
+"""Requests pending for each owner; replies to older ones are ignored."""
 
 
 class QuotaAllocator:
     """Implements :class:`~springmux.coordination.quota.gate.QuotaGate`; one for each node.
 
-    Takes ``AccountsChanged``, ``QuotaMembersChanged``, ``MessageReceived`` and ``Tick``; gives ``Send``.
-    ``reserve`` and ``settle`` only count; they may move ``next_deadline`` to the present, so the
-    driver looks at it after them.
+    Handles ``AccountsChanged``, ``QuotaMembersChanged``, ``ContactChanged``, ``MessageReceived`` and
+    ``Tick``; returns ``Send``. ``reserve`` and ``settle`` send nothing, but may move ``next_deadline`` to the
+    present, so the driver must read it after them.
     """
 
     def __init__(self, own: NodeId, random: random.Random, settings: QuotaSettings | None = None) -> None:
         self._own = own
         self._settings = settings or QuotaSettings()
-        self._boot = random.getrandbits(BOOT_BITS)
+        self._incarnation = random.getrandbits(INCARNATION_BITS)
         self._sequence = 0
-        self._owner = Owner(self._settings)
+        self._owner = QuotaOwner(self._settings)
         self._rates: dict[str, AccountRate] = {}
-        self._shares: dict[str, Share] = {}
-        self._active: dict[str, Share] = {}
-        self._hurried: dict[str, Share] = {}
-        self._resting: dict[str, None] = {}
+        self._shares: dict[str, LocalShare] = {}
+        self._active: dict[str, LocalShare] = {}
+        self._urgent: dict[str, LocalShare] = {}
+        self._idle: dict[str, None] = {}
         self._staying: tuple[NodeId, ...] = (own,)
         self._owners: dict[str, NodeId] = {}
-        self._asked: dict[NodeId, dict[int, tuple[AccountDemand, ...]]] = {}
-        self._next_ask = NEVER
+        self._pending_requests: dict[NodeId, dict[int, tuple[AccountDemand, ...]]] = {}
+        self._next_request = NEVER
         self._next_round = 0.0
-        self._last_ask = -NEVER
-        self._next_sweep = NEVER
-        self._take_over_until = NEVER
+        self._last_request = -NEVER
+        self._next_expiry = NEVER
+        self._takeover_until = NEVER
 
     def reserve(self, account: str, amount: float, now: float, again: bool = False) -> bool:
-        """Take ``amount`` tokens from this node's share; an account without a quota is not limited."""
+        """Reserve ``amount`` tokens of this node's share; an account without a quota is not limited."""
         share = self._share(account, now)
         if share is None:
             return True
         taken = share.reserve(amount, len(self._staying), now, again)
-        self._plan_ask(share, now)
+        self._schedule_request(share, now)
         return taken
 
     def awaits_owner(self, account: str) -> bool:
-        """Say whether the owner has yet to answer for the refusal that this node would give now."""
+        """Return whether the owner has yet to reply to the last failed reservation."""
         share = self._shares.get(account)
         return share is not None and share.awaits_owner()
 
     def settle(self, account: str, reserved: float, used: float, now: float) -> None:
-        """Correct a reservation by what was really used (less or more)."""
+        """Correct a reservation by the tokens actually used (fewer or more)."""
         share = self._share(account, now)
         if share is not None:
             share.settle(reserved, used, now)
-            self._plan_ask(share, now)
+            self._schedule_request(share, now)
 
     def retry_after_s(self, account: str, amount: float, now: float) -> float:
-        """Return when a refused caller should come back."""
+        """Return the delay (s) after which a rejected client should retry."""
         share = self._share(account, now)
         return 0.0 if share is None else share.retry_after_s(amount, len(self._staying))
 
     def handle(self, event: Event, now: float) -> list[Effect]:
-        """Take one event."""
+        """Handle one event; return the effects to execute."""
         match event:
             case AccountsChanged():
                 self._change_accounts(event, now)
             case QuotaMembersChanged():
                 self._change_members(event, now)
             case ContactChanged(connected=True):
-                self._begin_again(now)
+                self._reset_ownership(now)
             case MessageReceived(sender=sender, message=message):
                 return self._receive(sender, message, now)
             case Tick():
@@ -103,40 +103,42 @@
         return []
 
     def next_deadline(self) -> float:
-        """Return when shares are to be asked for or taken back; an idle node waits for nothing."""
-        return min(self._next_ask, self._next_sweep)
+        """Return when the next request or lease expiry is due, ``NEVER`` at an idle node."""
+        return min(self._next_request, self._next_expiry)
 
     def owned_accounts(self) -> int:
-        """Return how many accounts this node owns and serves now, for status pages."""
+        """Return the number of accounts that this node owns and serves, for status pages."""
         return len(self._owner)
 
     def active_accounts(self) -> int:
-        """Return how many accounts have a share here, for status pages."""
+        """Return the number of accounts with a share here, for status pages."""
         return len(self._shares)
 
-    def _share(self, account: str, now: float) -> Share | None:
+    def _share(self, account: str, now: float) -> LocalShare | None:
         share = self._shares.get(account)
         if share is None:
             rate = self._rates.get(account)
             if rate is None:
                 return None
-            share = self._shares[account] = Share(account, rate, self._settings, now)
+            share = self._shares[account] = LocalShare(account, rate, self._settings, now)
         return share
 
-    def _plan_ask(self, share: Share, now: float) -> None:
+    def _schedule_request(self, share: LocalShare, now: float) -> None:
         if share.account not in self._active:
             self._active[share.account] = share
-            self._resting.pop(share.account, None)
-        if share.hurried:
-            self._hurried[share.account] = share
-            self._next_ask = min(self._next_ask, max(now, self._last_ask + self._settings.hurry_period_s))
+            self._idle.pop(share.account, None)
+        if share.is_urgent:
+            self._urgent[share.account] = share
+            self._next_request = min(
+                self._next_request, max(now, self._last_request + self._settings.urgent_period_s)
+            )
         else:
-            self._next_ask = min(self._next_ask, max(now, self._next_round))
+            self._next_request = min(self._next_request, max(now, self._next_round))
 
     def _change_accounts(self, event: AccountsChanged, now: float) -> None:
         for account in event.removed:
             self._rates.pop(account, None)
-            for shares in (self._shares, self._active, self._hurried, self._resting):
+            for shares in (self._shares, self._active, self._urgent, self._idle):
                 shares.pop(account, None)
             self._owner.set_rate(account, None, now)
         for account, rate in event.changed.items():
@@ -152,18 +154,15 @@
             return
         self._staying = staying or (self._own,)
         self._owners.clear()
-        self._take_over_until = now + self._settings.take_over_s
+        self._takeover_until = now + self._settings.takeover_s
         for account in self._owner.accounts():
             if self._owner_of(account) != self._own:
                 self._owner.forget(account)
 
-    def _begin_again(self, now: float) -> None:
-        """Back in contact: what this node saved up for its accounts while alone is worth nothing.
-
-        Others owned and shared out the accounts meanwhile.
-        """
+    def _reset_ownership(self, now: float) -> None:
+        """Drop the owned accounts after an isolation, in which other nodes have owned them."""
         self._owner.forget_all()
-        self._take_over_until = now + self._settings.take_over_s
+        self._takeover_until = now + self._settings.takeover_s
 
     def _owner_of(self, account: str) -> NodeId:
         owner = self._owners.get(account)
@@ -173,89 +172,89 @@
 
     def _tick(self, now: float) -> list[Effect]:
         effects: list[Effect] = []
-        if now >= self._next_sweep:
-            self._owner.sweep(now)
-            self._next_sweep = now + self._settings.lease_s if len(self._owner) else NEVER
-        if now >= self._next_ask:
-            effects = self._ask(now)
+        if now >= self._next_expiry:
+            self._owner.expire_leases(now)
+            self._next_expiry = now + self._settings.lease_s if len(self._owner) else NEVER
+        if now >= self._next_request:
+            effects = self._send_requests(now)
         return effects
 
-    def _ask(self, now: float) -> list[Effect]:
-        """Ask for all active accounts once a period, and in between for those whose share ran out."""
-        self._last_ask = now
-        due = self._hurried
+    def _send_requests(self, now: float) -> list[Effect]:
+        """Request tokens for all active accounts once a period, and in between for exhausted shares."""
+        self._last_request = now
+        due = self._urgent
         if now >= self._next_round:
-            self._next_round = now + self._settings.ask_period_s
-            self._rest(now)
+            self._next_round = now + self._settings.request_period_s
+            self._retire_idle(now)
             due = self._active
         demands: dict[NodeId, list[AccountDemand]] = {}
         for account, share in due.items():
             demands.setdefault(self._owner_of(account), []).append(share.demand(len(self._staying), now))
-        self._hurried = {}
-        self._next_ask = self._next_round if self._active else NEVER
+        self._urgent = {}
+        self._next_request = self._next_round if self._active else NEVER
         effects: list[Effect] = []
-        for owner, asked in demands.items():
-            effects += self._send_ask(owner, tuple(asked), now)
+        for owner, owner_demands in demands.items():
+            effects += self._send_request(owner, tuple(owner_demands), now)
         return effects
 
-    def _rest(self, now: float) -> None:
-        """Fall silent about idle accounts, and forget those that have long been idle."""
+    def _retire_idle(self, now: float) -> None:
+        """Stop requests for idle accounts, and remove those that have long been idle."""
         for account, share in list(self._active.items()):
             if share.is_idle(now) and share.is_reported():
                 del self._active[account]
-                self._resting[account] = None
-        while self._resting:
-            oldest = next(iter(self._resting))
-            if not self._shares[oldest].is_forgotten(now):
+                self._idle[account] = None
+        while self._idle:
+            oldest = next(iter(self._idle))
+            if not self._shares[oldest].is_expired(now):
                 break
-            del self._resting[oldest]
+            del self._idle[oldest]
             del self._shares[oldest]
 
-    def _send_ask(self, owner: NodeId, demands: tuple[AccountDemand, ...], now: float) -> list[Effect]:
+    def _send_request(self, owner: NodeId, demands: tuple[AccountDemand, ...], now: float) -> list[Effect]:
         self._sequence += 1
-        kept = self._asked.setdefault(owner, {})
-        kept[self._sequence] = demands
-        while len(kept) > KEPT_ASKS:
-            del kept[next(iter(kept))]
-        ask = QuotaRequest(self._boot, self._sequence, demands)
+        pending = self._pending_requests.setdefault(owner, {})
+        pending[self._sequence] = demands
+        while len(pending) > REQUESTS_KEPT:
+            del pending[next(iter(pending))]
+        request = QuotaRequest(self._incarnation, self._sequence, demands)
         if owner == self._own:
-            self._take_share(owner, self._answer(owner, ask, now), now)
+            self._apply_reply(owner, self._reply(owner, request, now), now)
             return []
-        return [Send(owner, ask)]
+        return [Send(owner, request)]
 
     def _receive(self, sender: NodeId, message: PeerMessage, now: float) -> list[Effect]:
         match message:
             case QuotaRequest():
-                share = self._answer(sender, message, now)
+                share = self._reply(sender, message, now)
                 return [Send(sender, share)] if share.grants else []
             case QuotaReply():
-                self._take_share(sender, message, now)
+                self._apply_reply(sender, message, now)
         return []
 
-    def _answer(self, sender: NodeId, ask: QuotaRequest, now: float) -> QuotaReply:
-        """Answer for the accounts that this node believes to own; for others the asker looks elsewhere."""
+    def _reply(self, sender: NodeId, request: QuotaRequest, now: float) -> QuotaReply:
+        """Return grants for the accounts that this node owns in its view; the sender finds others' owners."""
         grants = []
-        fresh = now < self._take_over_until
-        sequence = RequestSequence(ask.boot, ask.sequence)
-        for demand in ask.demands:
+        is_takeover = now < self._takeover_until
+        sequence = RequestSequence(request.incarnation, request.sequence)
+        for demand in request.demands:
             rate = self._rates.get(demand.account)
             if rate is None or self._owner_of(demand.account) != self._own:
                 continue
-            grant = self._owner.grant(sender, sequence, demand, rate, fresh, now)
+            grant = self._owner.grant(sender, sequence, demand, rate, is_takeover, now)
             if grant is not None:
                 grants.append(grant)
-        if grants and self._next_sweep == NEVER:
-            self._next_sweep = now + self._settings.lease_s
-        return QuotaReply(ask.boot, ask.sequence, tuple(grants))
+        if grants and self._next_expiry == NEVER:
+            self._next_expiry = now + self._settings.lease_s
+        return QuotaReply(request.incarnation, request.sequence, tuple(grants))
 
-    def _take_share(self, sender: NodeId, message: QuotaReply, now: float) -> None:
-        kept = self._asked.get(sender)
-        if message.boot != self._boot or kept is None or message.sequence not in kept:
+    def _apply_reply(self, sender: NodeId, message: QuotaReply, now: float) -> None:
+        pending = self._pending_requests.get(sender)
+        if message.incarnation != self._incarnation or pending is None or message.sequence not in pending:
             return
-        asked = {demand.account: demand for demand in kept.pop(message.sequence)}
-        for older in [number for number in kept if number < message.sequence]:
-            del kept[older]
+        requested = {demand.account: demand for demand in pending.pop(message.sequence)}
+        for older in [number for number in pending if number < message.sequence]:
+            del pending[older]
         for grant in message.grants:
             share = self._shares.get(grant.account)
-            if share is not None and grant.account in asked and self._owner_of(grant.account) == sender:
-                share.take(grant, asked[grant.account], now)
+            if share is not None and grant.account in requested and self._owner_of(grant.account) == sender:
+                share.apply_grant(grant, requested[grant.account])
--- a/src/springmux/coordination/quota/share.py
+++ b/src/springmux/coordination/quota/share.py
@@ -1,4 +1,4 @@
-"""The local side of one account: what this node may spend, and how much it would like to."""
+"""This node's share of one account: its limit, its demand, and its fallback without the owner."""
 
 from __future__ import annotations
 
@@ -7,175 +7,177 @@
 from springmux.coordination.quota.events import AccountRate, QuotaSettings
 from springmux.coordination.quota.messages import AccountDemand, AccountGrant
 
-SAVED_TARGETS = 4.0
-"""Without its owner a node saves up to this many times what it would like at hand, as it asks nobody."""
+LOCAL_SAVINGS_TARGETS = 4.0
+"""Multiple of its target that a node may accumulate while its owner is unreachable."""
 
-AHEAD_S = 3.0
-"""After its first request ahead of the answer a node may go on by its equal part of so many seconds' quota,
-where twice that was spare: an owner's death is noticed after about three seconds."""
+ADVANCE_S = 3.0
+"""Seconds of the quota whose equal share a node may use in advance after the first such request, if twice as
+much was available; the failure of an owner is detected after about three seconds."""
 
-TYPICAL_GAIN = 0.2
-"""Weight of the newest request in the running mean of sizes: about the last ten count."""
+TYPICAL_SIZE_GAIN = 0.2
+"""Weight of the newest request in the exponential mean of sizes."""
 
 
-class Share:
-    """This node's part of one account's tokens."""
+class LocalShare:
+    """This node's share of one account's tokens."""
 
     def __init__(self, account: str, rate: AccountRate, settings: QuotaSettings, now: float) -> None:
         self.account = account
         self.rate = rate
-        self.hurried = True
+        self.is_urgent = True
         self._settings = settings
         self._used_at = now
         self._unanswered_since: float | None = None
-        self._minted_at = now
+        self._self_granted_at = now
         self._lapsed = False
-        self._known = False
+        self._has_grant = False
         self._spent = 0.0
         self._limit = 0.0
         self._acknowledged = 0.0
-        self._minted = 0.0
+        self._self_granted = 0.0
         self._last_rate = 0.0
-        self._spare = 0.0
-        self._refused = 0.0
-        self._refusal_answered = False
+        self._available = 0.0
+        self._rejected = 0.0
+        self._rejection_answered = False
         self._demand_rate = 0.0
-        self._typical = 0.0
-        self._went_ahead = False
+        self._typical_size = 0.0
+        self._has_used_advance = False
         self._demand_at = now
 
     def reserve(self, amount: float, present: int, now: float, again: bool = False) -> bool:
-        """Take tokens if the share, or what may be taken ahead of the owner's answer, covers them."""
-        self._wake(now)
+        """Reserve tokens if the share, or the advance allowed before the owner's reply, covers them."""
+        self._record_use(now)
         if not again:
-            self._note_demand(amount, now)
-        self._mint(present, now)
+            self._add_demand(amount, now)
+        self._grant_to_self(present, now)
         missing = self._spent + amount - self._limit
-        if missing <= 0.0 or missing <= self._ahead(present):
-            self._went_ahead = self._went_ahead or missing > 0.0
+        if missing <= 0.0 or missing <= self._advance_allowance(present):
+            self._has_used_advance = self._has_used_advance or missing > 0.0
             self._spent += amount
             if self._limit - self._spent < self._target() / 2:
-                self.hurried = True
+                self.is_urgent = True
             return True
-        if amount > self._refused:
-            self._refused = amount
-            self._refusal_answered = False
-        self.hurried = True
+        if amount > self._rejected:
+            self._rejected = amount
+            self._rejection_answered = False
+        self.is_urgent = True
         return False
 
     def awaits_owner(self) -> bool:
-        """Return whether the owner has yet to answer for the largest amount that was not there."""
-        return self._refused > 0.0 and not self._refusal_answered
+        """Return whether the owner has yet to reply to the largest failed reservation."""
+        return self._rejected > 0.0 and not self._rejection_answered
 
     def settle(self, reserved: float, used: float, now: float) -> None:
-        """Give back what was not used, or take what was used beyond: the debt is paid from later shares."""
-        self._wake(now)
+        """Refund unused tokens, or charge additional ones; later shares pay the debt."""
+        self._record_use(now)
         self._spent += used - reserved
 
     def demand(self, present: int, now: float) -> AccountDemand:
-        """Return this node's figures for the owner; an idle node gives its share back with them."""
-        self.hurried = False
-        # A new owner charges what was spent and not made here: first make what the silence was worth.
-        self._mint(present, now)
+        """Return this node's figures for the owner; an idle node returns its share with them."""
+        self.is_urgent = False
+        # A new owner charges spending that was not granted here, so grant for the owner's absence first.
+        self._grant_to_self(present, now)
         if self._unanswered_since is None:
-            self._unanswered_since = self._minted_at = now
+            self._unanswered_since = self._self_granted_at = now
         self._decay(now)
-        idle = self.is_idle(now)
-        if idle:
-            self._refused = 0.0
-            if now - self._unanswered_since <= self._settings.silence_s:
+        is_idle = self.is_idle(now)
+        if is_idle:
+            self._rejected = 0.0
+            if now - self._unanswered_since <= self._settings.owner_timeout_s:
                 self._limit = min(self._limit, self._spent)
-        held = max(0.0, self._limit - self._spent)
-        wanted = 0.0 if idle else self._target()
-        least = 0.0 if idle else max(self._typical, self._refused)
+        unspent = max(0.0, self._limit - self._spent)
+        requested = 0.0 if is_idle else self._target()
+        minimum = 0.0 if is_idle else max(self._typical_size, self._rejected)
         return AccountDemand(
             self.account,
             self._spent,
-            wanted,
-            least,
+            requested,
+            minimum,
             self._acknowledged,
-            self._minted,
-            held,
-            self._refused,
+            self._self_granted,
+            unspent,
+            self._rejected,
         )
 
-    def take(self, grant: AccountGrant, asked: AccountDemand, now: float) -> None:
-        """Take the owner's answer to ``asked``."""
+    def apply_grant(self, grant: AccountGrant, request: AccountDemand) -> None:
+        """Apply the owner's reply to ``request``."""
         self._unanswered_since = None
         self._lapsed = False
-        self._known = True
-        self._acknowledged = asked.spent
-        self._minted = max(0.0, self._minted - asked.minted)
+        self._has_grant = True
+        self._acknowledged = request.spent
+        self._self_granted = max(0.0, self._self_granted - request.self_granted)
         self._last_rate = grant.rate
-        self._spare = grant.spare
-        self._went_ahead = False
+        self._available = grant.available
+        self._has_used_advance = False
         self._limit = grant.limit
-        self._refusal_answered = asked.refused >= self._refused and not grant.coming
-        self.hurried = self.hurried or grant.coming
-        if self._limit - self._spent >= self._refused:
-            self._refused = 0.0
+        self._rejection_answered = request.rejected >= self._rejected and not grant.reclaiming
+        self.is_urgent = self.is_urgent or grant.reclaiming
+        if self._limit - self._spent >= self._rejected:
+            self._rejected = 0.0
 
     def is_idle(self, now: float) -> bool:
-        """Return whether nothing was asked of the account for a while."""
+        """Return whether the account was not used for a while."""
         return now - self._used_at >= self._settings.idle_s
 
     def is_reported(self) -> bool:
-        """Return whether an owner has answered all that was spent and nothing is left here."""
-        return self._known and self._acknowledged == self._spent and self._limit <= self._spent
+        """Return whether an owner has acknowledged all spending and no tokens remain here."""
+        return self._has_grant and self._acknowledged == self._spent and self._limit <= self._spent
 
-    def is_forgotten(self, now: float) -> bool:
-        """Return whether the account was idle for so long that its figures tell nothing any more."""
-        return now - self._used_at >= self._settings.forget_s
+    def is_expired(self, now: float) -> bool:
+        """Return whether the account was idle for so long that its figures are obsolete."""
+        return now - self._used_at >= self._settings.account_expiry_s
 
     def retry_after_s(self, amount: float, present: int) -> float:
-        """Return when the share should cover ``amount``, from the rate that the owner gave."""
+        """Return the delay (s) until the share should cover ``amount`` at the owner's last rate."""
         rate = self._last_rate or self.rate.tokens_per_s / max(1, present)
         if rate <= 0.0:
             return math.inf
-        return max(self._settings.ask_period_s, (self._spent + amount - self._limit) / rate)
+        return max(self._settings.request_period_s, (self._spent + amount - self._limit) / rate)
 
-    def _wake(self, now: float) -> None:
+    def _record_use(self, now: float) -> None:
         if self.is_idle(now):
-            self.hurried = True
+            self.is_urgent = True
         self._used_at = now
 
-    def _ahead(self, present: int) -> float:
-        """Return how far this node may spend beyond its limit until the owner answers."""
-        spare = self._spare if self._known else self.rate.burst_tokens
-        if not self._went_ahead:
-            return spare * self._settings.starter_share
-        part = AHEAD_S * self.rate.tokens_per_s / max(1, present)
-        return max(spare / max(1, present), min(spare / 2, part))
+    def _advance_allowance(self, present: int) -> float:
+        """Return how many tokens beyond its limit this node may spend until the owner replies."""
+        available = self._available if self._has_grant else self.rate.burst_tokens
+        if not self._has_used_advance:
+            return available * self._settings.advance_share
+        equal_share = ADVANCE_S * self.rate.tokens_per_s / max(1, present)
+        return max(available / max(1, present), min(available / 2, equal_share))
 
-    def _mint(self, present: int, now: float) -> None:
-        """Without the owner: go on at the last rate, later at an equal part of the quota."""
+    def _grant_to_self(self, present: int, now: float) -> None:
+        """Grant tokens locally while the owner is unreachable: at the last rate, later at an equal share."""
         if self._unanswered_since is None:
             return
-        silent_s = now - self._unanswered_since
-        if silent_s <= self._settings.silence_s:
+        unreachable_s = now - self._unanswered_since
+        if unreachable_s <= self._settings.owner_timeout_s:
             return
-        if silent_s > self._settings.lease_s and not self._lapsed:
+        if unreachable_s > self._settings.lease_s and not self._lapsed:
             self._lapsed = True
-            self._limit = min(self._limit, self._spent + self._minted)
-        least = self.rate.tokens_per_s / max(1, present)
-        last = self._last_rate or least
-        rate = last if silent_s <= self._settings.last_share_s else least
-        saved = max(self.rate.burst_tokens / max(1, present), SAVED_TARGETS * self._target())
-        room = max(0.0, self._spent + saved - self._limit)
-        made = min(room, rate * (now - self._minted_at))
-        self._minted_at = now
-        self._limit += made
-        self._minted += made
+            self._limit = min(self._limit, self._spent + self._self_granted)
+        equal_rate = self.rate.tokens_per_s / max(1, present)
+        last = self._last_rate or equal_rate
+        rate = last if unreachable_s <= self._settings.last_rate_s else equal_rate
+        savings = max(self.rate.burst_tokens / max(1, present), LOCAL_SAVINGS_TARGETS * self._target())
+        headroom = max(0.0, self._spent + savings - self._limit)
+        granted = min(headroom, rate * (now - self._self_granted_at))
+        self._self_granted_at = now
+        self._limit += granted
+        self._self_granted += granted
 
     def _target(self) -> float:
-        return max(self._demand_rate * self._settings.horizon_s, self._typical, self._refused)
+        return max(self._demand_rate * self._settings.horizon_s, self._typical_size, self._rejected)
 
-    def _note_demand(self, amount: float, now: float) -> None:
+    def _add_demand(self, amount: float, now: float) -> None:
         self._decay(now)
         self._demand_rate += amount / self._settings.demand_window_s
-        self._typical += (amount - self._typical) * TYPICAL_GAIN if self._typical else amount
+        self._typical_size += (
+            (amount - self._typical_size) * TYPICAL_SIZE_GAIN if self._typical_size else amount
+        )
 
     def _decay(self, now: float) -> None:
-        passed_s = max(0.0, now - self._demand_at)
+        elapsed_s = max(0.0, now - self._demand_at)
         self._demand_at = now
-        self._demand_rate *= math.exp(-passed_s / self._settings.demand_window_s)
+        self._demand_rate *= math.exp(-elapsed_s / self._settings.demand_window_s)
--- a/tests/unit/claims/network.py
+++ b/tests/unit/claims/network.py
@@ -60,7 +60,7 @@
         self.disks = {node: ClaimDisk(ReplicaId(f"{node}-1")) for node in NODES} if durable else {}
         self.log_names: list[str] = []
         self.ring = self.ring_of(1, nodes)
-        self.parts: dict[NodeId, ClaimCoordinator] = {}
+        self.coordinators: dict[NodeId, ClaimCoordinator] = {}
         self.frozen: set[NodeId] = set()
         self.bag: list[tuple[NodeId, NodeId, PeerMessage]] = []
         self.decisions: dict[str, ClaimDecision] = {}
@@ -77,7 +77,7 @@
     def restart(self, node: NodeId) -> None:
         """Start another incarnation; what was not synced is lost."""
         recovered = self.disks[node].recover() if self.disks else None
-        self.parts[node] = ClaimCoordinator(
+        self.coordinators[node] = ClaimCoordinator(
             node, random.Random(self.random.random()), ClaimSettings(), recovered
         )
         self.give(node, HoldersChanged(self.ring))
@@ -108,15 +108,15 @@
 
     def give(self, node: NodeId, event: Event) -> None:
         if node not in self.frozen:
-            self._carry_out(node, self.parts[node].handle(event, self.now))
+            self._carry_out(node, self.coordinators[node].handle(event, self.now))
 
     def claim(self, node: NodeId, attempt: str, key: str = "key") -> None:
-        self.owner[attempt] = (node, self.parts[node], key)
+        self.owner[attempt] = (node, self.coordinators[node], key)
         self.give(node, ClaimWanted(attempt, key))
 
     def end(self, attempt: str, ran: bool = True, answer: bytes = b"") -> None:
-        node, part, key = self.owner[attempt]
-        if self.parts[node] is part:
+        node, coordinator, key = self.owner[attempt]
+        if self.coordinators[node] is coordinator:
             self.give(node, ClaimEnded(attempt, key, ran, answer))
 
     def deliver(self, index: int, keep: bool = False) -> None:
@@ -129,7 +129,7 @@
     def advance(self, seconds: float) -> None:
         self.now += seconds
         for node in NODES:
-            if node not in self.frozen and self.parts[node].next_deadline() <= self.now:
+            if node not in self.frozen and self.coordinators[node].next_deadline() <= self.now:
                 self.give(node, Tick())
 
     def settle_down(self, seconds: float = 1.0, without: tuple[NodeId, ...] = ()) -> None:
--- a/tests/unit/claims/test_durability.py
+++ b/tests/unit/claims/test_durability.py
@@ -39,7 +39,7 @@
     network: ClaimNetwork, rule_kept: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     if not rule_kept:
-        network.parts[A]._holder._persistence = None
+        network.coordinators[A]._holder._persistence = None
     network.claim(D, "t1")
     for sender, to, message in network.take_all():
         network.give(to, MessageReceived(sender, message))
@@ -148,8 +148,10 @@
     if rule_kept:
         network.bag = pages
         network.settle_down(1.0)
-        assert network.parts[C]._holder.store.find("key") is not None
-        assert network.parts[C]._synchronizer.may_grant(network.parts[C]._rings.span("key"), network.now)
+        assert network.coordinators[C]._holder.store.find("key") is not None
+        assert network.coordinators[C]._synchronizer.may_grant(
+            network.coordinators[C]._rings.span("key"), network.now
+        )
 
 
 def test_the_claimant_goes_on_without_a_stalled_disk(network: ClaimNetwork) -> None:
@@ -158,7 +160,7 @@
     network.settle_down(1.5)
     assert "claims_disk_stalled" in network.log_names
     assert granted(network, "t2", "second")
-    assert network.parts[A]._holder.store.find("second") is None
+    assert network.coordinators[A]._holder.store.find("second") is None
     network.disks[A].stalled = False
     network.settle_down(0.5)
     assert "claims_disk_resumed" in network.log_names
@@ -197,10 +199,10 @@
             network.give(holder, HoldersChanged(network.ring))
         if A not in members:
             network.settle_down(0.1)
-    assert not network.parts[A].is_synchronized(network.now)
-    assert network.parts[B].is_synchronized(network.now)
+    assert not network.coordinators[A].is_synchronized(network.now)
+    assert network.coordinators[B].is_synchronized(network.now)
     network.settle_down(0.1)
-    assert network.parts[A].is_synchronized(network.now)
+    assert network.coordinators[A].is_synchronized(network.now)
 
 
 def test_a_journal_that_can_not_keep_up_ends() -> None:
--- a/tests/unit/claims/test_model.py
+++ b/tests/unit/claims/test_model.py
@@ -88,11 +88,11 @@
     def in_step(self) -> bool:
         """Whether every node is at the newest ring and has its memory whole."""
         network = self.network
-        parts = network.parts
+        coordinators = network.coordinators
         keys = [f"key{index}" for index in range(self.count // CLAIMS_PER_KEY + 1)]
-        spans = [parts[node]._rings.span(key) for node in network.ring.nodes() for key in keys]
+        spans = [coordinators[node]._rings.span(key) for node in network.ring.nodes() for key in keys]
         return all(span is not None and span.until == network.ring.version for span in spans) and all(
-            parts[node]._synchronizer.may_grant(span, network.now)
+            coordinators[node]._synchronizer.may_grant(span, network.now)
             for node in network.ring.nodes()
             for span in spans
             if span is not None and node in span.holders
--- a/tests/unit/claims/test_schedules.py
+++ b/tests/unit/claims/test_schedules.py
@@ -139,7 +139,7 @@
     assert network.verdict("t1") is UNAVAILABLE
     network.bag = [late]
     network.settle_down(0.1)
-    assert network.parts[A].held_keys() == 0
+    assert network.coordinators[A].held_keys() == 0
 
 
 def test_holders_that_forgot_learn_from_the_third(network: ClaimNetwork) -> None:
@@ -161,7 +161,7 @@
     deliver(network, ClaimRequest, to=C)
     pulls = [to for sender, to, message in network.bag if sender == C and isinstance(message, ClaimPull)]
     assert pulls == [A, B]
-    assert network.parts[C].held_keys() == 0
+    assert network.coordinators[C].held_keys() == 0
 
 
 def test_the_outcome_is_resent_until_every_holder_has_it(network: ClaimNetwork) -> None:
@@ -171,7 +171,7 @@
     lose(network, ClaimSettle, to=A)
     network.settle_down(1.0)
     deliver(network, ClaimSettleAck)
-    assert network.parts[A]._holder.store.find("key").answer == b"done"
+    assert network.coordinators[A]._holder.store.find("key").answer == b"done"
 
 
 @INTACT_BROKEN
--- a/tests/unit/quota/fleet.py
+++ b/tests/unit/quota/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of quota parts in the virtual world, callers with a chosen demand, and what was admitted when."""
+"""Quota allocators in the virtual world, clients with a chosen demand, and the record of admissions."""
 
 from __future__ import annotations
 
@@ -25,22 +25,22 @@
 
 
 class QuotaProcess:
-    """One node: its quota part, told the accounts and the members at its start."""
+    """One node: its quota allocator, with the accounts and members from its start."""
 
     def __init__(self, node: NodeId, boot: int, fleet: QuotaFleet) -> None:
-        self.part = QuotaAllocator(node, random.Random(f"{node} {boot}"))
+        self.allocator = QuotaAllocator(node, random.Random(f"{node} {boot}"))
         self._fleet = fleet
 
     def start(self, now: float) -> list[Effect]:
-        self.part.handle(AccountsChanged({ACCOUNT: AccountRate(RATE, BURST)}), now)
-        self.part.handle(QuotaMembersChanged(self._fleet.view()), now)
+        self.allocator.handle(AccountsChanged({ACCOUNT: AccountRate(RATE, BURST)}), now)
+        self.allocator.handle(QuotaMembersChanged(self._fleet.view()), now)
         return []
 
     def handle(self, event: Event, now: float) -> list[Effect]:
-        return self.part.handle(event, now)
+        return self.allocator.handle(event, now)
 
     def next_deadline(self) -> float:
-        return self.part.next_deadline()
+        return self.allocator.next_deadline()
 
 
 class Attempt(msgspec.Struct, frozen=True):
@@ -122,14 +122,14 @@
         def reserve(process: Process) -> None:
             assert isinstance(process, QuotaProcess)
             now = self.world.now
-            taken = process.part.reserve(ACCOUNT, amount, now)
+            taken = process.allocator.reserve(ACCOUNT, amount, now)
             self.attempts.append(Attempt(now, node, used if taken else amount, taken))
             if taken:
                 self.world.scheduler.after(0.3, lambda: self.world.call(node, settle))
 
         def settle(process: Process) -> None:
             assert isinstance(process, QuotaProcess)
-            process.part.settle(ACCOUNT, amount, used, self.world.now)
+            process.allocator.settle(ACCOUNT, amount, used, self.world.now)
 
         self.world.call(node, reserve)
 
--- a/tests/unit/quota/test_accuracy.py
+++ b/tests/unit/quota/test_accuracy.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from springmux.coordination.quota.owner import Ledger, OwnedAccount
+from springmux.coordination.quota.owner import NodeAllocation, OwnedAccount
 from springmux.simulation.world.faults import Kill, Restart
 from springmux.simulation.world.network import NetworkSettings
 from unit.quota.fleet import BURST, RATE, QuotaFleet, Spread, moving, on_all, on_one, skewed
@@ -108,8 +108,10 @@
 
 def test_counting_spent_tokens_is_what_bounds_the_fleet(monkeypatch: pytest.MonkeyPatch) -> None:
     """The checks above can fail: without the count of what is outstanding far too much is admitted."""
-    monkeypatch.setattr(Ledger, "outstanding", lambda ledger: 0.0)
-    monkeypatch.setattr(OwnedAccount, "free", lambda owned: max(owned.level, owned.rate.burst_tokens / 2))
+    monkeypatch.setattr(NodeAllocation, "outstanding", lambda ledger: 0.0)
+    monkeypatch.setattr(
+        OwnedAccount, "available", lambda owned: max(owned.level, owned.rate.burst_tokens / 2)
+    )
     fleet = QuotaFleet()
     run(fleet, 3.0, on_all)
     assert fleet.extremes(5.0, 40.0, WINDOW_S)[1] > 1.0 + TOLERANCE
--- a/tests/unit/usage/scenarios.py
+++ b/tests/unit/usage/scenarios.py
@@ -196,7 +196,7 @@
 
 def ninety_lose_a_collector(seed: int) -> World:
     def faults(world: World) -> None:
-        first = next(iter(world.parts.values()))._peer_tracker.collectors[0]
+        first = next(iter(world.exchanges.values()))._peer_tracker.collectors[0]
         node = int(first.removeprefix("node-"))
         alive = [other for other in range(90) if other != node]
         world.at(CUT_AT, lambda: world.dead.add(node))
@@ -207,7 +207,7 @@
 
 def ninety_freeze_a_collector(seed: int) -> World:
     def faults(world: World) -> None:
-        first = next(iter(world.parts.values()))._peer_tracker.collectors[0]
+        first = next(iter(world.exchanges.values()))._peer_tracker.collectors[0]
         node = int(first.removeprefix("node-"))
         world.at(CUT_AT, lambda: world.frozen.add(node))
         world.at(CUT_AT + 3.0, lambda: world.thaw(node))
--- a/tests/unit/usage/test_promise.py
+++ b/tests/unit/usage/test_promise.py
@@ -95,13 +95,13 @@
     before = world.messages.total()
     world.run(20.0)
     assert world.messages.total() == before
-    assert all(part.next_deadline() == float("inf") for part in world.parts.values())
+    assert all(exchange.next_deadline() == float("inf") for exchange in world.exchanges.values())
 
 
 def test_the_checker_sees_a_limit_that_is_broken() -> None:
     world = World(2, 1)
-    for part in world.parts.values():
-        part.admit = lambda account, tokens, now: None  # type: ignore[method-assign]
+    for exchange in world.exchanges.values():
+        exchange.admit = lambda account, tokens, now: None  # type: ignore[method-assign]
     world.load(Load(lambda _: RATE * 5.0, lambda _: range(2)), 14.0)
     world.run(14.0)
     assert world.excess() > (RATE * WINDOW_S + BURST) * (TOLERANCE - 1.0) + SLACK
--- a/tests/unit/usage/test_usage_exchange.py
+++ b/tests/unit/usage/test_usage_exchange.py
@@ -1,4 +1,4 @@
-"""Transcripts of one or two usage parts."""
+"""Transcripts of one usage exchange."""
 
 import random
 
@@ -45,7 +45,7 @@
     return effects
 
 
-def part(*present: NodeId, rate: float = 1000.0, burst: float = 1200.0) -> UsageExchange:
+def make_exchange(*present: NodeId, rate: float = 1000.0, burst: float = 1200.0) -> UsageExchange:
     made = UsageExchange(A, Unlucky(1))
     made.handle(UsageMembersChanged(view(A, *present)), 0.0)
     made.handle(AccountLimitsChanged({"t": AccountLimit(rate, burst)}), 0.0)
@@ -57,13 +57,13 @@
 
 
 def test_an_account_without_a_limit_is_always_admitted() -> None:
-    node = part(A, rate=0.0)
+    node = make_exchange(A, rate=0.0)
     assert node.admit("t", 1e9, WARM) is None
     assert node.admit("other", 1e9, WARM) is None
 
 
 def test_a_new_account_starts_with_a_full_bucket_which_refills_with_its_rate() -> None:
-    node = part(A)
+    node = make_exchange(A)
     assert node.admit("t", 1200.0, WARM) is None
     wait = node.admit("t", 1000.0, WARM)
     assert wait is not None
@@ -73,7 +73,7 @@
 
 
 def test_a_request_larger_than_the_burst_is_admitted_when_the_bucket_is_full() -> None:
-    node = part(A)
+    node = make_exchange(A)
     assert node.admit("t", 5000.0, WARM) is None
     run(node, WARM + 3.0)
     assert node.admit("t", 5000.0, WARM + 3.0) is not None
@@ -81,9 +81,9 @@
     assert node.admit("t", 5000.0, WARM + 6.0) is None
 
 
-def refused_with_demand_elsewhere(demand: int) -> float:
+def retry_delay_with_demand_elsewhere(demand: int) -> float:
     """Return the time told to a small request while another node has spent all and asks for ``demand``/s."""
-    node = part(A, B)
+    node = make_exchange(A, B)
     use = AccountUse("t", 1500, demand, -300, 1500)
     node.handle(MessageReceived(B, UsageReport(5, 1, (use,))), WARM)
     wait = node.admit("t", 10.0, WARM + 0.05)
@@ -93,10 +93,10 @@
 
 def test_while_far_more_is_asked_for_callers_are_sent_away_until_the_excess_is_worked_off() -> None:
     """At six times the rate the last excess takes 2.5 s, the most; slightly above it only debt counts."""
-    assert refused_with_demand_elsewhere(6000) == pytest.approx(2.5, abs=0.02)
-    assert refused_with_demand_elsewhere(8000) == pytest.approx(2.5, abs=0.02)
-    assert refused_with_demand_elsewhere(3000) == pytest.approx(1.0, abs=0.02)
-    assert refused_with_demand_elsewhere(1100) <= 0.5
+    assert retry_delay_with_demand_elsewhere(6000) == pytest.approx(2.5, abs=0.02)
+    assert retry_delay_with_demand_elsewhere(8000) == pytest.approx(2.5, abs=0.02)
+    assert retry_delay_with_demand_elsewhere(3000) == pytest.approx(1.0, abs=0.02)
+    assert retry_delay_with_demand_elsewhere(1100) <= 0.5
 
 
 def test_callers_that_are_sent_away_come_back_spread_over_time() -> None:
@@ -113,14 +113,14 @@
 
 
 def test_what_never_ran_is_given_back() -> None:
-    node = part(A)
+    node = make_exchange(A)
     assert node.admit("t", 1200.0, WARM) is None
     node.give_back("t", 1200.0, WARM)
     assert node.admit("t", 1200.0, WARM) is None
 
 
 def test_a_report_goes_to_each_present_node_and_holds_what_changed() -> None:
-    node = part(A, B, C)
+    node = make_exchange(A, B, C)
     node.admit("t", 100.0, WARM)
     assert node.next_deadline() == WARM
     sent = reports(node.handle(Tick(), WARM))
@@ -131,7 +131,7 @@
 
 
 def test_the_end_of_a_use_is_told_once_more_and_then_nothing() -> None:
-    node = part(A, B)
+    node = make_exchange(A, B)
     node.admit("t", 100.0, WARM)
     now, sent = WARM, []
     while node.next_deadline() < 1e9:
@@ -145,7 +145,7 @@
 
 
 def test_what_others_admitted_drains_the_bucket() -> None:
-    node = part(A, B)
+    node = make_exchange(A, B)
     use = AccountUse("t", 1100, 0, 100, 1100)
     node.handle(MessageReceived(B, UsageReport(5, 1, (use,))), WARM)
     assert node.admit("t", 1100.0, WARM) is not None
@@ -154,7 +154,7 @@
 
 
 def test_a_report_is_answered_so_that_the_sender_knows_that_it_was_heard() -> None:
-    node = part(A, B)
+    node = make_exchange(A, B)
     use = AccountUse("t", 10, 20, 1190, 10)
     answers = reports(node.handle(MessageReceived(B, UsageReport(5, 1, (use,))), WARM))
     assert [(to, message.accounts) for to, message in answers] == [(B, ())]
@@ -163,7 +163,7 @@
 
 
 def test_a_restarted_peer_counts_from_zero_and_what_it_spent_stays() -> None:
-    node = part(A, B)
+    node = make_exchange(A, B)
     node.handle(MessageReceived(B, UsageReport(5, 9, (AccountUse("t", 600, 0, 600, 600),))), WARM)
     node.handle(MessageReceived(B, UsageReport(6, 1, (AccountUse("t", 500, 0, 100, 500),))), WARM)
     assert node.admit("t", 1200.0, WARM) is not None
@@ -171,7 +171,7 @@
 
 def test_a_node_that_nobody_answers_keeps_to_its_equal_share() -> None:
     present = [NodeId(f"n{index}") for index in range(9)]
-    node = part(A, *present)
+    node = make_exchange(A, *present)
     now, admitted = WARM, 0.0
     node.handle(MessageReceived(present[0], UsageReport(1, 1)), WARM)
     while now < WARM + 20.0:
@@ -184,7 +184,7 @@
 
 
 def test_a_restarted_node_begins_with_its_share_until_it_heard_a_majority() -> None:
-    node = part(A, B, C)
+    node = make_exchange(A, B, C)
     assert node.admit("t", 1000.0, 0.01) is not None
     use = AccountUse("t", 9999, 0, 900)
     for peer in (B, C):
@@ -193,7 +193,7 @@
 
 
 def test_a_lowered_limit_cuts_what_is_saved_up() -> None:
-    node = part(A)
+    node = make_exchange(A)
     node.admit("t", 1.0, WARM)
     node.handle(AccountLimitsChanged({"t": AccountLimit(100.0, 120.0)}), WARM)
     assert node.admit("t", 120.0, WARM) is None
@@ -201,7 +201,7 @@
 
 
 def test_engine_loads_are_told_and_summed_until_they_are_old() -> None:
-    node = part(A, B, C)
+    node = make_exchange(A, B, C)
     node.note_engine_load("e1", 2.0, 300.0)
     assert node.next_deadline() <= WARM
     sent = reports(node.handle(Tick(), WARM))
@@ -214,7 +214,7 @@
 
 
 def test_an_unchanged_engine_load_is_told_again_before_it_is_forgotten() -> None:
-    node = part(A, B)
+    node = make_exchange(A, B)
     node.note_engine_load("e1", 2.0, 300.0)
     node.handle(Tick(), WARM)
     now, sent = WARM, []
@@ -225,22 +225,22 @@
 
 
 def test_a_stalled_node_does_not_take_the_time_it_stood_still_for_refill() -> None:
-    node = part(A, B)
+    node = make_exchange(A, B)
     node.handle(MessageReceived(B, UsageReport(5, 1)), WARM)
     assert node.admit("t", 1200.0, WARM) is None
     node.handle(Tick(), WARM)
     assert node.admit("t", 1000.0, WARM + 3.0) is not None
 
 
-def collecting_part() -> tuple[UsageExchange, tuple[NodeId, ...]]:
+def collecting_exchange() -> tuple[UsageExchange, tuple[NodeId, ...]]:
     present = tuple(NodeId(f"n{index:02}") for index in range(29))
-    node = part(A, *present)
+    node = make_exchange(A, *present)
     collectors = node._peer_tracker.collectors
     assert A not in collectors
     return node, collectors
 
 
-def told(
+def totals_of(
     collector: NodeId,
     number: int,
     included: int = 0,
@@ -251,30 +251,32 @@
 
 
 def test_above_24_nodes_reports_go_to_two_collectors() -> None:
-    node, collectors = collecting_part()
-    node.handle(MessageReceived(collectors[0], told(collectors[0], 1)), WARM)
+    node, collectors = collecting_exchange()
+    node.handle(MessageReceived(collectors[0], totals_of(collectors[0], 1)), WARM)
     node.admit("t", 100.0, WARM)
     assert [to for to, _ in reports(node.handle(Tick(), WARM))] == list(collectors)
 
 
 def test_totals_set_the_level_less_what_they_do_not_hold_yet() -> None:
-    node, collectors = collecting_part()
-    node.handle(MessageReceived(collectors[0], told(collectors[0], 1)), WARM)
+    node, collectors = collecting_exchange()
+    node.handle(MessageReceived(collectors[0], totals_of(collectors[0], 1)), WARM)
     node.admit("t", 100.0, WARM)
     node.handle(Tick(), WARM)
     node.admit("t", 50.0, WARM + 0.1)
     total = AccountTotal("t", 400, 0)
-    node.handle(MessageReceived(collectors[0], told(collectors[0], 2, 1, (total,))), WARM + 0.1)
+    node.handle(MessageReceived(collectors[0], totals_of(collectors[0], 2, 1, (total,))), WARM + 0.1)
     assert node.admit("t", 349.0, WARM + 0.1) is None
     stranger = NodeId("n99")
-    node.handle(MessageReceived(stranger, told(stranger, 3, 1, (AccountTotal("t", 1200, 0),))), WARM + 0.1)
+    node.handle(
+        MessageReceived(stranger, totals_of(stranger, 3, 1, (AccountTotal("t", 1200, 0),))), WARM + 0.1
+    )
     assert node.admit("t", 1100.0, WARM + 0.1) is not None
 
 
 def test_a_collectors_sums_count_without_the_own_part() -> None:
-    node, collectors = collecting_part()
+    node, collectors = collecting_exchange()
     node.note_engine_load("e1", 2.0, 300.0)
     node.handle(Tick(), WARM)
     sums = (EngineLoad("e1", 5.0, 700.0), EngineLoad("e2", 1.0, 9.0))
-    node.handle(MessageReceived(collectors[0], told(collectors[0], 1, 1, (), sums)), WARM)
+    node.handle(MessageReceived(collectors[0], totals_of(collectors[0], 1, 1, (), sums)), WARM)
     assert node.other_engine_loads() == {"e1": (3.0, 400.0), "e2": (1.0, 9.0)}
--- a/tests/unit/usage/test_zone_relay.py
+++ b/tests/unit/usage/test_zone_relay.py
@@ -72,33 +72,35 @@
 
 
 def started(own: str) -> UsageExchange:
-    part = UsageExchange(NodeId(own), random.Random(1))
+    exchange = UsageExchange(NodeId(own), random.Random(1))
     records = [member(zone, number) for zone in range(3) for number in range(10)]
-    part.handle(AccountLimitsChanged({"t": AccountLimit(1000.0, 1000.0)}), 0.0)
-    part.handle(UsageMembersChanged(MembershipView(NodeId(own), {r.node: r for r in records})), 0.0)
-    return part
+    exchange.handle(AccountLimitsChanged({"t": AccountLimit(1000.0, 1000.0)}), 0.0)
+    exchange.handle(UsageMembersChanged(MembershipView(NodeId(own), {r.node: r for r in records})), 0.0)
+    return exchange
 
 
 def test_a_node_that_passes_on_takes_its_own_part() -> None:
-    part = started("z2-5")
-    collector = part._peer_tracker.collectors[0]
+    exchange = started("z2-5")
+    collector = exchange._peer_tracker.collectors[0]
     receivers = tuple((node, 4) for node in ZONES[ZoneName("z2")])
-    effects = sent(part.handle(MessageReceived(collector, ZoneTotals(totals(1, collector), receivers)), 2.0))
+    effects = sent(
+        exchange.handle(MessageReceived(collector, ZoneTotals(totals(1, collector), receivers)), 2.0)
+    )
     assert {effect.to for effect in effects} == set(ZONES[ZoneName("z2")]) - {NodeId("z2-5")}
-    part.handle(Tick(), 2.0)
-    assert part.other_engine_loads() == {"e1": (3.0, 700.0)}
+    exchange.handle(Tick(), 2.0)
+    assert exchange.other_engine_loads() == {"e1": (3.0, 700.0)}
 
 
 def test_older_totals_that_come_late_are_dropped_and_those_of_a_new_life_are_not() -> None:
-    part = started("z2-5")
-    collector = part._peer_tracker.collectors[0]
+    exchange = started("z2-5")
+    collector = exchange._peer_tracker.collectors[0]
 
     def load_after(message: UsageTotals, requests: int) -> float:
         sums = (EngineLoad("e1", requests, 0),)
         told = UsageTotals(0, (), sums, collector, message.incarnation, message.number)
-        part.handle(MessageReceived(NodeId("z2-1"), told), 2.0)
-        part.handle(Tick(), 2.0)
-        return part.other_engine_loads()["e1"][0]
+        exchange.handle(MessageReceived(NodeId("z2-1"), told), 2.0)
+        exchange.handle(Tick(), 2.0)
+        return exchange.other_engine_loads()["e1"][0]
 
     assert load_after(totals(5, collector), 5) == 5
     assert load_after(totals(4, collector), 4) == 5
@@ -111,7 +113,7 @@
     for node in range(0, 90, 3):
         for engine in range(30):
             at = WARM_S + engine * 0.1
-            world.at(at, lambda n=node, e=engine: world.parts[n].note_engine_load(f"engine-{e}", 1, 500))
+            world.at(at, lambda n=node, e=engine: world.exchanges[n].note_engine_load(f"engine-{e}", 1, 500))
     world.load(Load(lambda now: 2 * USUAL, lambda now: range(90)), seconds)
     return world
 
--- a/tests/unit/usage/world.py
+++ b/tests/unit/usage/world.py
@@ -1,4 +1,4 @@
-"""A small world of usage parts in virtual time: a lossy network, loads, faults, and a checker of windows."""
+"""Usage exchanges in virtual time: a lossy network, loads, faults, and a checker of windows."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
 
 @dataclass
 class World:
-    """Runs the parts until their time is over."""
+    """Runs the exchanges until their time is over."""
 
     size: int
     seed: int
@@ -74,7 +74,7 @@
         self.now = 0.0
         self.counter = itertools.count()
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
-        self.parts: dict[int, UsageExchange] = {}
+        self.exchanges: dict[int, UsageExchange] = {}
         self.inboxes: dict[int, list[Callable[[], None]]] = {}
         self.frozen: set[int] = set()
         self.dead: set[int] = set()
@@ -105,7 +105,7 @@
     def start(self, node: int) -> None:
         """Start a node, for the first time or again: with nothing remembered."""
         self.dead.discard(node)
-        self.parts[node] = UsageExchange(self.name(node), random.Random(self.random.getrandbits(64)))
+        self.exchanges[node] = UsageExchange(self.name(node), random.Random(self.random.getrandbits(64)))
         self.inboxes[node] = []
         self.give(node, AccountLimitsChanged(self.limits))
         self.give(node, UsageMembersChanged(self.view(node, range(self.size))))
@@ -114,7 +114,7 @@
         heapq.heappush(self.queue, (when, next(self.counter), action))
 
     def give(self, node: int, event: Event) -> None:
-        self.carry(node, self.parts[node].handle(event, self.now))
+        self.carry(node, self.exchanges[node].handle(event, self.now))
         self.plan_tick(node)
 
     def carry(self, sender: int, effects: list[Effect]) -> None:
@@ -132,13 +132,14 @@
             if cut or self.random.random() < self.lossy:
                 continue
             event = MessageReceived(self.name(sender), wire.decode(data).message)
-            part = self.parts[to]
+            exchange = self.exchanges[to]
             self.at(
-                self.now + self.random.uniform(*DELAY_S), lambda e=event, t=to, p=part: self.deliver(t, e, p)
+                self.now + self.random.uniform(*DELAY_S),
+                lambda e=event, t=to, p=exchange: self.deliver(t, e, p),
             )
 
-    def deliver(self, to: int, event: Event, part: UsageExchange) -> None:
-        if to in self.dead or self.parts[to] is not part:
+    def deliver(self, to: int, event: Event, exchange: UsageExchange) -> None:
+        if to in self.dead or self.exchanges[to] is not exchange:
             return
         if to in self.frozen:
             self.inboxes[to].append(lambda: self.give(to, event))
@@ -146,15 +147,15 @@
         self.give(to, event)
 
     def plan_tick(self, node: int) -> None:
-        part = self.parts[node]
-        due = part.next_deadline()
+        exchange = self.exchanges[node]
+        due = exchange.next_deadline()
         if due != float("inf"):
-            self.at(max(due, self.now), lambda: self.tick(node, part, due))
+            self.at(max(due, self.now), lambda: self.tick(node, exchange, due))
 
-    def tick(self, node: int, part: UsageExchange, due: float) -> None:
-        if node in self.dead or node in self.frozen or self.parts[node] is not part:
+    def tick(self, node: int, exchange: UsageExchange, due: float) -> None:
+        if node in self.dead or node in self.frozen or self.exchanges[node] is not exchange:
             return
-        if part.next_deadline() <= self.now and part.next_deadline() == due:
+        if exchange.next_deadline() <= self.now and exchange.next_deadline() == due:
             self.give(node, Tick())
 
     def thaw(self, node: int) -> None:
@@ -173,7 +174,7 @@
 
     def set_limit(self, limit: AccountLimit) -> None:
         self.limits = {**self.limits, ACCOUNT: limit}
-        for node in self.parts:
+        for node in self.exchanges:
             self.give(node, AccountLimitsChanged(self.limits))
 
     def ask(self, node: int, account: str, tokens: float) -> None:
@@ -182,7 +183,7 @@
         if node in self.frozen:
             self.inboxes[node].append(lambda: self.ask(node, account, tokens))
             return
-        wait = self.parts[node].admit(account, tokens, self.now)
+        wait = self.exchanges[node].admit(account, tokens, self.now)
         assert wait is None or wait >= 0.05
         self.requests.append(Request(self.now, node, account, tokens, wait is None))
         self.plan_tick(node)
