--- a/src/springmux/node/gateway/rollout_endpoints.py
+++ b/src/springmux/node/gateway/rollout_endpoints.py
@@ -17,7 +17,7 @@
 from springmux.node.gateway.settings import GatewaySettings
 from springmux.node.http.types import ServerExchange
 from springmux.rollout.planning.standard_plan import plan_for
-from springmux.rollout.reported_state import state_of, told_done
+from springmux.rollout.reported_state import may_report_done, state_of
 from springmux.vocabulary.engines import EngineStatus
 from springmux.vocabulary.errors import ErrorCode
 from springmux.vocabulary.names import OrderId, RolloutId, ServiceName, VersionName
@@ -109,5 +109,5 @@
             return json_reply(404, ErrorCode.NOT_FOUND, f"there is no rollout of {service!r}")
         record = in_force.record
         now = asyncio.get_running_loop().time()
-        state = state_of(record, told_done(record, in_force.since, now))
+        state = state_of(record, may_report_done(record, in_force.since, now))
         return Reply(200, msgspec.json.encode(RolloutStateBody(state, record.candidate)))
--- a/src/springmux/node/gateway/status_endpoint.py
+++ b/src/springmux/node/gateway/status_endpoint.py
@@ -11,7 +11,7 @@
 from springmux.agent.status import NodeStatusReport
 from springmux.coordination.consensus.effects import ReplicaStatus
 from springmux.coordination.identifiers import NodeId, Revision, Term
-from springmux.rollout.reported_state import RolloutState, state_of, told_done
+from springmux.rollout.reported_state import RolloutState, may_report_done, state_of
 from springmux.vocabulary.engines import EngineStatus
 from springmux.vocabulary.names import ServiceName, VersionName
 
@@ -126,6 +126,6 @@
     summaries = []
     for service, rollout in sorted(agent.gateway.rollouts.items()):
         record = rollout.record
-        state = state_of(record, told_done(record, rollout.since, now))
+        state = state_of(record, may_report_done(record, rollout.since, now))
         summaries.append(RolloutSummary(service, record.candidate, state))
     return tuple(summaries)
--- a/src/springmux/rollout/effects.py
+++ b/src/springmux/rollout/effects.py
@@ -1,6 +1,6 @@
-"""What the rollout part asks of the agent, which turns the wishes into commands of the control log.
+"""Proposals of the rollout coordinator, which the agent turns into commands of the control log.
 
-Orders of the commands are made from rollout and step, so that a wish given twice is one command.
+Order ids derive from rollout and step, so that a repeated proposal is one command.
 """
 
 from __future__ import annotations
--- a/src/springmux/rollout/elapsed.py
+++ b/src/springmux/rollout/elapsed.py
@@ -4,10 +4,10 @@
 
 
 class ElapsedClock:
-    """Runs while the rollout isn't paused. A new leader goes on from its own clock.
+    """Runs while the rollout isn't paused. A new leader continues from its own clock.
 
     Every node sets its clock by the token, whose issuer has the authority, and never lets it fall behind
-    the committed record, so that a leader change doesn't put a rollout back.
+    the committed record, so that a leader change doesn't set a rollout back.
     """
 
     def __init__(self, elapsed_s: float, running: bool, now: float) -> None:
@@ -20,12 +20,12 @@
         return self._elapsed_s + (max(0.0, now - self._at) if self._running else 0.0)
 
     def advance_to(self, elapsed_s: float, now: float) -> None:
-        """Take ``elapsed_s`` if it is more than the own reading."""
+        """Set the clock to ``elapsed_s`` if that is ahead."""
         self._elapsed_s = max(elapsed_s, self.read(now))
         self._at = now
 
     def set_to(self, elapsed_s: float, now: float) -> None:
-        """Take the issuer's reading."""
+        """Set the clock to the issuer's reading."""
         self._elapsed_s = elapsed_s
         self._at = now
 
--- a/src/springmux/rollout/events.py
+++ b/src/springmux/rollout/events.py
@@ -1,4 +1,4 @@
-"""What the agent tells the rollout part beside ticks and messages."""
+"""Events of the rollout coordinator beside ticks and messages."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 class RolloutSettings(msgspec.Struct, frozen=True):
     """A deployment's exceptions; the defaults are the ordinary path.
 
-    ``token_period_s``: fixed time between laps; ``None`` adapts it to the token's size.
+    ``token_period_s``: fixed time between rounds; ``None`` adapts it to the token's size.
     ``minimum_ready_engines``: of the candidate, below which no step is taken and nothing finished.
     """
 
--- a/src/springmux/rollout/issuer.py
+++ b/src/springmux/rollout/issuer.py
@@ -1,12 +1,13 @@
-"""What the one who launches a ring's laps knows: accounts, evidence, rates, and the credits it grants."""
+"""State of a ring's issuer, who launches its rounds: accounts, evidence, rates, and granted credits."""
 
 from __future__ import annotations
 
 import msgspec
 
 from springmux.coordination.identifiers import ZoneName
-from springmux.rollout.ledger import Need, allot, credit_pool, zone_order, zone_weights
+from springmux.rollout.ledger import CreditDemand, allocate_credits, credit_pool, zone_order, zone_weights
 from springmux.rollout.planning.plan import RolloutRecord
+from springmux.rollout.rate_meter import RateMeter
 from springmux.rollout.token_ring.token import (
     BASIS_POINTS,
     Account,
@@ -17,48 +18,24 @@
     total_accounts,
 )
 
-RATE_WINDOW_S = 3.0
-"""Time constant of measured prompt rates: some laps, short against a step of the shift's beginning."""
 MEASURE_RATES_S = 1.5
 """Rates are measured this long before the first credit, so that the quietest zones are known."""
-GRANT_HORIZON_LAPS = 2.0
-"""A grant lasts for the present lap and a late or lost next one."""
+GRANT_HORIZON_ROUNDS = 2.0
+"""A grant lasts for the present round and a late or lost next one."""
 WIDEN_AFTER_S = 3.0
 WIDEN_FACTOR = 1.5
 """Few large prefixes may leave the slice empty; it is widened until half of the weight arrives."""
 
 
-class RateMeter:
-    """Exponentially smoothed rate of a growing counter, per second."""
-
-    def __init__(self, count: int, now: float) -> None:
-        self._count = count
-        self._at = now
-        self.per_s = 0.0
-        self._weight = 0.0
-
-    def update(self, count: int, now: float) -> None:
-        """Take the counter's present value."""
-        passed_s = now - self._at
-        if passed_s <= 0 or count < self._count:
-            return
-        keep = max(0.0, 1.0 - passed_s / RATE_WINDOW_S)
-        total = self.per_s * self._weight * keep + (count - self._count) / passed_s * (1 - keep)
-        self._weight = self._weight * keep + (1 - keep)
-        self.per_s = total / self._weight
-        self._count = count
-        self._at = now
-
-
 class IssuedRollout:
-    """One rollout in one ring, as its issuer holds it between laps."""
+    """One rollout in one ring, as its issuer keeps it between rounds."""
 
     def __init__(self, entry: RolloutEntry, now: float) -> None:
         self.entry = entry
         self.began_at = now
         self.live: set[int] = set()
         self.evidence_from = now
-        """When the newest lap that came home was launched."""
+        """Launch time of the newest returned round."""
         self._meters: dict[int, RateMeter] = {}
         self._order: tuple[ZoneName, ...] = ()
         self._order_weight = -1.0
@@ -81,7 +58,7 @@
         return meter.per_s if meter is not None else 0.0
 
     def absorb(self, returned: RolloutEntry, launched_at: float | None, now: float) -> None:
-        """Take a lap that came back. Of one that was replaced (``launched_at`` None) only counters count."""
+        """Merge a returned round; of a replaced one (``launched_at`` ``None``) only the counters."""
         current = launched_at is not None
         known = by_writer(self.entry.accounts)
         accounts = dict(known)
@@ -162,7 +139,7 @@
         self._widen_totals = self.totals()
 
     def grant_from_ledger(
-        self, zones: tuple[ZoneName, ...], record: RolloutRecord, lap_s: float
+        self, zones: tuple[ZoneName, ...], record: RolloutRecord, round_s: float
     ) -> dict[int, int]:
         """Grant credits up to the ledger's bound, the quietest zones first; return them by writer."""
         targets = self._targets(zones, record)
@@ -175,21 +152,26 @@
         ]
         needs.sort(key=lambda pair: (pair[0], pair[1].taken, pair[1].writer))
         return self._grant(
-            [Need(a.writer, self.rate_of(a.writer), targets.get(zones[a.zone], 0.0)) for _, a in needs],
+            [
+                CreditDemand(a.writer, self.rate_of(a.writer), targets.get(zones[a.zone], 0.0))
+                for _, a in needs
+            ],
             pool,
-            lap_s,
+            round_s,
         )
 
-    def grant_from_pool(self, weight: float, pool: int, lap_s: float) -> dict[int, int]:
+    def grant_from_pool(self, weight: float, pool: int, round_s: float) -> dict[int, int]:
         """Grant credits that a zone ring's lead was given; return them by writer."""
         live = sorted(
             (a for a in self.entry.accounts if a.writer in self.live), key=lambda a: (a.taken, a.writer)
         )
-        return self._grant([Need(a.writer, self.rate_of(a.writer), weight) for a in live], pool, lap_s)
+        return self._grant(
+            [CreditDemand(a.writer, self.rate_of(a.writer), weight) for a in live], pool, round_s
+        )
 
-    def _grant(self, needs: list[Need], pool: int, lap_s: float) -> dict[int, int]:
+    def _grant(self, needs: list[CreditDemand], pool: int, round_s: float) -> dict[int, int]:
         accounts = by_writer(self.entry.accounts)
-        grants = allot(needs, accounts, pool, GRANT_HORIZON_LAPS * lap_s)
+        grants = allocate_credits(needs, accounts, pool, GRANT_HORIZON_ROUNDS * round_s)
         for writer, credits in grants.items():
             account = accounts[writer]
             accounts[writer] = msgspec.structs.replace(account, granted=account.granted + credits)
--- a/src/springmux/rollout/judgement/digest.py
+++ b/src/springmux/rollout/judgement/digest.py
@@ -1,6 +1,6 @@
 """Evidence as it travels: sums of counts and log bets that add up across nodes.
 
-A node's digest is cumulative since its book began. All numbers are integers, so merging is exact in
+A node's digest is cumulative since its table was created. All numbers are integers, so merging is exact in
 any order and :func:`subtract` undoes :func:`merge`. Log bets are in thousandths of a nat.
 """
 
@@ -105,7 +105,7 @@
     def __init__(self) -> None:
         self._epochs: _Sums = {}
         self._engines: _Sums = {}
-        self._uses: Counter[tuple[int, bool, int]] = Counter()
+        self._engine_counts: Counter[tuple[int, bool, int]] = Counter()
 
     def add(self, digest: EvidenceDigest, sign: int) -> None:
         for route in digest.routes:
@@ -116,8 +116,8 @@
                 key = (route.route, engine.epoch, engine.slot)
                 _add_to(self._engines, key, [engine.bad, engine.total], sign)
         for use in digest.engines:
-            self._uses[use.slot, use.candidate, 0] += sign * use.answers
-            self._uses[use.slot, use.candidate, 1] += sign * use.losses
+            self._engine_counts[use.slot, use.candidate, 0] += sign * use.answers
+            self._engine_counts[use.slot, use.candidate, 1] += sign * use.losses
 
     def digest(self) -> EvidenceDigest:
         epochs = {key: numbers for key, numbers in self._epochs.items() if any(numbers)}
@@ -134,8 +134,8 @@
         return EvidenceDigest(routes, self._engine_uses())
 
     def _engine_uses(self) -> tuple[EngineUse, ...]:
-        keys = sorted({(slot, candidate) for slot, candidate, _ in self._uses})
-        uses = (EngineUse(*key, self._uses[*key, 0], self._uses[*key, 1]) for key in keys)
+        keys = sorted({(slot, candidate) for slot, candidate, _ in self._engine_counts})
+        uses = (EngineUse(*key, self._engine_counts[*key, 0], self._engine_counts[*key, 1]) for key in keys)
         return tuple(use for use in uses if use.answers or use.losses)
 
 
--- a/src/springmux/rollout/judgement/evidence_table.py
+++ b/src/springmux/rollout/judgement/evidence_table.py
@@ -25,7 +25,7 @@
     EvidenceDigest,
     RouteEvidence,
 )
-from springmux.rollout.judgement.lateness import StableLatencies
+from springmux.rollout.judgement.stable_latencies import StableLatencies
 from springmux.rollout.outcome import BAD_ENDINGS, Ending, FirstTokenWatch, PromptOutcome
 from springmux.rollout.planning.plan import RolloutPlan
 from springmux.vocabulary.names import EngineId, RouteName, ServiceName, VersionName
@@ -63,7 +63,7 @@
     return zlib.crc32(engine.encode()) % ENGINE_SLOTS
 
 
-class _Use:
+class _EngineCounts:
     """Mutable counts of one engine slot of one version."""
 
     def __init__(self, slot: int) -> None:
@@ -84,22 +84,22 @@
     def __init__(self) -> None:
         self.first_token: _Pool = deque(maxlen=MAX_LATENCY_REFERENCES)
         self.token_gap: _Pool = deque(maxlen=MAX_LATENCY_REFERENCES)
-        self.usual = StableLatencies()
+        self.stable_latencies = StableLatencies()
 
     def is_bad(self, outcome: PromptOutcome) -> bool:
-        """Say whether an answer of either version counts as bad: failed, or far beyond the usual.
+        """Return whether an answer of either version counts as bad: failed, or a latency outlier.
 
-        Only calls without a prompt are held to the usual: a prompt's first token depends on caches, and a
+        Outliers count only for calls without a prompt: a prompt's first token depends on caches, and a
         good version's are cold.
         """
         if _is_bad(outcome.ending):
             return True
         if outcome.prompt_bytes:
             return False
-        return outcome.first_token_s is not None and self.usual.is_late(outcome.first_token_s)
+        return outcome.first_token_s is not None and self.stable_latencies.is_outlier(outcome.first_token_s)
 
 
-class _RouteBook:
+class _RouteTable:
     """Mutable sums of one route. Columns of an epoch follow :class:`EpochEvidence`."""
 
     def __init__(self) -> None:
@@ -130,7 +130,7 @@
 
 
 class EvidenceTable:
-    """Takes outcomes of one service during one rollout and gives a cumulative digest.
+    """Accumulates the outcomes of one service during one rollout into a digest.
 
     :param plan: its limits and term; the defaults of a plan if not given.
     """
@@ -154,12 +154,12 @@
         self.stable_answer_s = 0.0
         """Mean time of the stable version's answers, in seconds; 0 before the first."""
         self._began_at: float | None = None
-        self._routes: dict[str, _RouteBook] = {}
-        self._uses: dict[tuple[int, bool], _Use] = {}
-        self._known: dict[tuple[EngineId, bool], _Use] = {}
+        self._routes: dict[str, _RouteTable] = {}
+        self._engine_counts: dict[tuple[int, bool], _EngineCounts] = {}
+        self._known: dict[tuple[EngineId, bool], _EngineCounts] = {}
 
     def record(self, outcome: PromptOutcome, now: float, watch: FirstTokenWatch | None = None) -> None:
-        """Take one outcome; outcomes of other services or versions and departed callers say nothing.
+        """Record one outcome; ignore those of other services or versions and of disconnected clients.
 
         :param watch: of a candidate prompt, if it was watched: its first token is compared with the watch's.
         """
@@ -169,17 +169,17 @@
         ending = outcome.ending
         if ending is Ending.CALLER_GONE:
             return
-        use = self._known.get((outcome.engine, candidate)) or self._meet(outcome.engine, candidate)
+        use = self._known.get((outcome.engine, candidate)) or self._add_engine(outcome.engine, candidate)
         if ending is Ending.ENGINE_LOST:
             use.count_loss(now)
             return
         use.answers += 1
         number = self._epoch_number(now)
-        book = self._route(outcome.route)
+        table = self._route(outcome.route)
         if candidate:
-            self._record_candidate(outcome, book, use.slot, number, now, watch)
+            self._record_candidate(outcome, table, use.slot, number, now, watch)
         else:
-            self._record_stable(outcome, book, number, now)
+            self._record_stable(outcome, table, number, now)
 
     def watch(
         self, route: RouteName, prompt_bytes: int, expected_hit: float, now: float
@@ -187,7 +187,7 @@
         """Take the stable first tokens that a candidate prompt is compared with out of its stratum.
 
         They are chosen at dispatch, and held, so that a look before the prompt's end is the same bet as at
-        its end: a version that is many times slower is told while its first prompts are still waiting.
+        its end: a version that is many times slower is detected while its first prompts are still waiting.
         """
         if self.loaded:
             return None
@@ -203,63 +203,63 @@
 
     def record_overdue(self, watch: FirstTokenWatch, now: float) -> None:
         """Bet on a first token that is later than the limit allows; once for each watch."""
-        if watch.told:
+        if watch.recorded:
             return
-        watch.told = True
+        watch.recorded = True
         sums = self._route(watch.route).epoch(self._epoch_number(now))
         _bet_among(sums, _FIRST_TOKEN_BETS_AT, watch.references, math.inf)
 
     def digest(self) -> EvidenceDigest:
-        """Return everything recorded since the book began, in canonical order."""
+        """Return everything recorded so far, in canonical order."""
         return EvidenceDigest(
             tuple(self._routes[name].evidence(name) for name in sorted(self._routes)),
             tuple(
                 EngineUse(*key, use.answers, use.losses)
-                for key, use in sorted(self._uses.items(), key=_by_slot)
+                for key, use in sorted(self._engine_counts.items(), key=_by_slot)
             ),
         )
 
-    def _ratio(self, usual: float) -> float:
-        return max(usual, LOADED_RATIO) if self.loaded else usual
+    def _ratio(self, configured: float) -> float:
+        return max(configured, LOADED_RATIO) if self.loaded else configured
 
-    def _note_answer_time(self, outcome: PromptOutcome) -> None:
+    def _update_answer_time(self, outcome: PromptOutcome) -> None:
         if outcome.ending is not Ending.WHOLE or outcome.first_token_s is None:
             return
         answer_s = outcome.first_token_s + (outcome.token_gap_s or 0.0) * max(0, outcome.tokens - 1)
-        known_s = self.stable_answer_s or answer_s
-        self.stable_answer_s = known_s + ANSWER_TIME_WEIGHT * (answer_s - known_s)
+        mean_s = self.stable_answer_s or answer_s
+        self.stable_answer_s = mean_s + ANSWER_TIME_WEIGHT * (answer_s - mean_s)
 
     def _epoch_number(self, now: float) -> int:
         if self._began_at is None:
             self._began_at = now
         return min(int((now - self._began_at) / self._epoch_s), EPOCHS - 1)
 
-    def _route(self, name: str) -> _RouteBook:
-        book = self._routes.get(name)
-        if book is None:
+    def _route(self, name: str) -> _RouteTable:
+        table = self._routes.get(name)
+        if table is None:
             if len(self._routes) >= MAX_ROUTES - 1:
                 name = OTHER_ROUTES
-            book = self._routes.setdefault(name, _RouteBook())
-        return book
+            table = self._routes.setdefault(name, _RouteTable())
+        return table
 
-    def _meet(self, engine: EngineId, candidate: bool) -> _Use:
+    def _add_engine(self, engine: EngineId, candidate: bool) -> _EngineCounts:
         slot = engine_slot(engine)
-        use = self._uses.setdefault((slot, candidate), _Use(slot))
+        use = self._engine_counts.setdefault((slot, candidate), _EngineCounts(slot))
         self._known[engine, candidate] = use
         return use
 
-    def _record_stable(self, outcome: PromptOutcome, book: _RouteBook, number: int, now: float) -> None:
+    def _record_stable(self, outcome: PromptOutcome, table: _RouteTable, number: int, now: float) -> None:
         stratum = _stratum(outcome.prompt_bytes, outcome.expected_hit)
         first_token_s, token_gap_s = outcome.first_token_s, outcome.token_gap_s
-        pools = book.strata.get(stratum) or book.strata.setdefault(stratum, _Stratum())
+        pools = table.strata.get(stratum) or table.strata.setdefault(stratum, _Stratum())
         bad = pools.is_bad(outcome)
-        sums = book.epoch(number)
+        sums = table.epoch(number)
         sums[_STABLE_BAD] += bad
         sums[_STABLE_TOTAL] += 1
-        book.error_pool.append((now, bad))
-        self._note_answer_time(outcome)
+        table.error_pool.append((now, bad))
+        self._update_answer_time(outcome)
         if first_token_s is not None:
-            pools.usual.note(first_token_s)
+            pools.stable_latencies.add(first_token_s)
             pools.first_token.append((now, first_token_s))
         if token_gap_s is not None:
             pools.token_gap.append((now, token_gap_s))
@@ -267,19 +267,19 @@
     def _record_candidate(
         self,
         outcome: PromptOutcome,
-        book: _RouteBook,
+        table: _RouteTable,
         slot: int,
         number: int,
         now: float,
         watch: FirstTokenWatch | None,
     ) -> None:
-        pools = book.strata.get(_stratum(outcome.prompt_bytes, outcome.expected_hit))
+        pools = table.strata.get(_stratum(outcome.prompt_bytes, outcome.expected_hit))
         bad = pools.is_bad(outcome) if pools is not None else _is_bad(outcome.ending)
-        sums = book.epoch(number)
+        sums = table.epoch(number)
         sums[_CANDIDATE_BAD] += bad
         sums[_CANDIDATE_TOTAL] += 1
-        book.count_engine(number, slot, bad)
-        references = _take_fresh(book.error_pool, now)
+        table.count_engine(number, slot, bad)
+        references = _take_fresh(table.error_pool, now)
         bet = ERROR_BETS[len(references)][int(sum(references))][bad]
         sums[_ERROR_BETS_AT] += bet.odds_4
         sums[_ERROR_BETS_AT + 1] += bet.odds_16
@@ -288,8 +288,8 @@
             return
         if outcome.first_token_s is not None:
             scaled_s = outcome.first_token_s / self._ratio(self._first_token_ratio)
-            if watch is not None and not watch.told:
-                watch.told = True
+            if watch is not None and not watch.recorded:
+                watch.recorded = True
                 _bet_among(sums, _FIRST_TOKEN_BETS_AT, watch.references, scaled_s)
             elif watch is None and pools is not None:
                 _bet_on_rank(sums, _FIRST_TOKEN_BETS_AT, pools.first_token, scaled_s, now)
@@ -308,12 +308,12 @@
     return warmth + 3 * (prompt_bytes.bit_length() // 2)
 
 
-def _by_slot(item: tuple[tuple[int, bool], _Use]) -> tuple[int, bool]:
+def _by_slot(item: tuple[tuple[int, bool], _EngineCounts]) -> tuple[int, bool]:
     return item[0]
 
 
 def _is_bad(ending: Ending) -> bool:
-    """Whole answers are nearly all: spare them the look-up."""
+    """Complete answers are nearly all: skip the set lookup for them."""
     return ending is not Ending.WHOLE and ending in BAD_ENDINGS
 
 
--- a/src/springmux/rollout/judgement/final_look.py
+++ b/src/springmux/rollout/judgement/final_analysis.py
@@ -1,7 +1,7 @@
-"""One more look at the evidence, right before a rollout of a short term is finished.
+"""Final analysis of the evidence, right before a rollout of a short term is finished.
 
-The running test (:mod:`.judge`) may be looked at all the time, and pays for that with evidence that a term
-of 12 s may not bring, above all on a thin route. A look that is planned once pays nothing, so it may ask
+The sequential test (:mod:`.judge`) may be evaluated at any time, at the price of evidence that a term
+of 12 s may not bring, above all on a thin route. An analysis planned once has no such price, so it needs
 less. Its level is also less strict than the test's: a version released wrongly breaks the exposure bound,
 one that is aborted wrongly is only late.
 """
@@ -19,16 +19,16 @@
 from springmux.rollout.planning.plan import JudgeLimits, RolloutDecision
 
 FINAL_LEVEL = 0.1
-"""Chance of aborting a good version at this look, for errors and for latency each, at most. Without errors at
+"""Chance of aborting a good version here, for errors and for latency each, at most. Without errors at
 the stable version, and with latencies alike, it is far less: the limits leave room."""
 LEAST_BAD = 2
-"""One bad answer convicts nobody, however good the stable version is."""
+"""One bad answer is no evidence, however good the stable version is."""
 RECENT_EPOCHS = 3
-"""The last three of eight epochs are looked at by themselves, for a version that turned bad late."""
+"""The last three of eight epochs are tested by themselves, for a version that turned bad late."""
 _LATENCY_TESTS = ("first_token", "token_gap")
 
 
-def final_look(limits: JudgeLimits, evidence: EvidenceDigest) -> RolloutDecision | None:
+def final_analysis(limits: JudgeLimits, evidence: EvidenceDigest) -> RolloutDecision | None:
     """Return why the candidate must not be released, or ``None``."""
     scopes = [scope for scope in scopes_of(evidence) if scope.suffixes]
     if not scopes:
@@ -37,8 +37,10 @@
 
 
 def _errors(limits: JudgeLimits, scopes: Sequence[Scope]) -> RolloutDecision | None:
-    """Half of the level is for all routes together, half is shared by them (Bonferroni); routes first, since
-    the narrower says more."""
+    """Test error rates, single routes first since the narrower scope says more.
+
+    Half of the level is for all routes together, half is shared by them (Bonferroni).
+    """
     for index, scope in reversed(list(enumerate(scopes))):
         windows = list(_windows(scope)) if index == 0 else [scope.suffixes[0]]
         level = 0.5 * FINAL_LEVEL / (len(windows) if index == 0 else len(scopes) - 1)
@@ -63,10 +65,10 @@
 
 
 def _windows(scope: Scope) -> Iterator[EpochEvidence]:
-    whole, last = scope.suffixes[0], scope.suffixes[-1].epoch
-    yield whole
+    complete, last = scope.suffixes[0], scope.suffixes[-1].epoch
+    yield complete
     recent = [sums for sums in scope.suffixes if sums.epoch > last - RECENT_EPOCHS]
-    if recent[0] is not whole:
+    if recent[0] is not complete:
         yield recent[0]
 
 
--- a/src/springmux/rollout/judgement/judge.py
+++ b/src/springmux/rollout/judgement/judge.py
@@ -31,11 +31,11 @@
 GUARD_BAD = 25
 """Bad answers from which the plain guard looks; half of the fifty that start the rollback's clock."""
 GUARD_BAD_ONE_ENGINE = 40
-"""Bad answers from which even those of one engine are the version's; below fifty with a lap to spare."""
+"""Bad answers from which even those of one engine are the version's; below fifty with a round to spare."""
 GUARD_CHANCE = 1e-4
 """Chance at a look that so many of all bad answers are the candidate's. With twice the stable version's
 rate, forty to fifty bad answers are beyond it, whatever the rate. Small, because the guard looks at each
-lap, start and route."""
+round, start and route."""
 ENOUGH_STABLE = 100
 """Stable answers since a start below which those of the whole rollout tell the ordinary error rate."""
 CLEAN_ANSWERS = 8
@@ -94,7 +94,7 @@
         decision = decision or self._tests(scopes)
         if decision is not None:
             return Verdict(True, False, decision)
-        return Verdict(False, self._passed(scopes[0]), None)
+        return Verdict(False, self._passes(scopes[0]), None)
 
     def _tests(self, scopes: Sequence[Scope]) -> RolloutDecision | None:
         findings: list[_Finding] = []
@@ -159,7 +159,7 @@
             figures = f"{finding.sums.candidate_total} candidate answers; {strength}"
         return RolloutDecision("judge", reason, finding.test, finding.scope.name, figures)
 
-    def _passed(self, scope: Scope) -> bool:
+    def _passes(self, scope: Scope) -> bool:
         if not scope.suffixes:
             return False
         sums = scope.suffixes[0]
@@ -231,7 +231,7 @@
 
 
 def _one_engine_at_fault(scope: Scope, window: EpochEvidence) -> bool:
-    """Say whether the bad answers since ``window`` began are one engine's while the others are clean.
+    """Return whether the bad answers since ``window`` began are one engine's while the others are clean.
 
     If hardly any other engine was used, the version is held responsible, unless that engine was
     reported lost: then what timed out on it belongs to its loss.
--- a/src/springmux/rollout/judgement/lateness.py
+++ b/src/springmux/rollout/judgement/stable_latencies.py
@@ -1,43 +1,43 @@
-"""When a whole answer is so late that it counts as a bad one, judged by the stable version's own answers.
+"""Latency outliers: complete answers so slow, against the stable version's, that they count as bad.
 
-The latency tests compare whole distributions: a version of which only a part of the answers is many times
+The latency tests compare complete distributions: a version of which only a part of the answers is many times
 slower may have a usual median, and its quick half even speaks for it. Far beyond what the stable version
-takes, an answer is a failure to its caller; such answers go into the error test, for both versions alike.
+takes, an answer is a failure to its client; such answers go into the error test, for both versions alike.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-LATE_FACTOR = 2.5
+OUTLIER_FACTOR = 2.5
 """Times the stable version's ninth decile: above the spread of caches and queues, below "several times
 slower" than a usual answer."""
 KEPT_LATENCIES = 64
 LEAST_LATENCIES = 8
 """With fewer the decile says nothing."""
-RENEW_EVERY = 4
+UPDATE_EVERY = 4
 _DECILE = 0.9
 
 
 class StableLatencies:
     """The newest first-token times of the stable version in one stratum, in seconds."""
 
-    __slots__ = ("_limit_s", "_since_renewal", "_values")
+    __slots__ = ("_limit_s", "_since_update", "_values")
 
     def __init__(self) -> None:
         self._values: deque[float] = deque(maxlen=KEPT_LATENCIES)
         self._limit_s: float | None = None
-        self._since_renewal = 0
+        self._since_update = 0
 
-    def note(self, first_token_s: float) -> None:
-        """Take one answer of the stable version."""
+    def add(self, first_token_s: float) -> None:
+        """Add one answer of the stable version."""
         self._values.append(first_token_s)
-        self._since_renewal += 1
-        if len(self._values) >= LEAST_LATENCIES and self._since_renewal >= RENEW_EVERY:
+        self._since_update += 1
+        if len(self._values) >= LEAST_LATENCIES and self._since_update >= UPDATE_EVERY:
             ordered = sorted(self._values)
-            self._limit_s = LATE_FACTOR * ordered[int(_DECILE * (len(ordered) - 1))]
-            self._since_renewal = 0
+            self._limit_s = OUTLIER_FACTOR * ordered[int(_DECILE * (len(ordered) - 1))]
+            self._since_update = 0
 
-    def is_late(self, first_token_s: float) -> bool:
-        """Say whether an answer is far beyond the stable version's usual."""
+    def is_outlier(self, first_token_s: float) -> bool:
+        """Return whether an answer is far slower than the stable version's usual ones."""
         return self._limit_s is not None and first_token_s > self._limit_s
--- a/src/springmux/rollout/leadership.py
+++ b/src/springmux/rollout/leadership.py
@@ -1,4 +1,4 @@
-"""The control leader as issuer of the token: it paces laps, grants credits, and steers each rollout."""
+"""The control leader as issuer of the token: it paces rounds, grants credits, and proposes steps."""
 
 from __future__ import annotations
 
@@ -15,30 +15,30 @@
 from springmux.rollout.messages import RolloutToken
 from springmux.rollout.participant import ACTIVE_PHASES, Participant
 from springmux.rollout.planning.plan import RolloutPhase, RolloutRecord
-from springmux.rollout.steering import Steering
+from springmux.rollout.step_proposer import StepProposer
 from springmux.rollout.token_ring.rings import RELAY, WHOLE_FLEET, RingLayout, way_from
 from springmux.rollout.token_ring.token import RolloutEntry, index_of_zone
 from springmux.rollout.version_filter import LEASE_S
 from springmux.vocabulary.engines import EnginesView
 from springmux.vocabulary.names import RolloutId
 
-LAP_S = 0.35
-"""Time between laps in a small fleet: evidence and aborts spread in well under a second."""
-LONGEST_LAP_S = 1.0
-"""A lost lap is reissued after 1.4 s, still within the lease."""
+ROUND_S = 0.35
+"""Time between rounds in a small fleet: evidence and aborts spread in well under a second."""
+LONGEST_ROUND_S = 1.0
+"""A lost round is reissued after 1.4 s, still within the lease."""
 TOKEN_BYTES_PER_S = 1500
-"""A node's share of the 2 KB/s for the token; laps slow down before it is exceeded."""
+"""A node's share of the 2 KB/s for the token; rounds slow down before it is exceeded."""
 ACCOUNT_BYTES = 22
 """Size of one account on the wire (measured, docs/notes/token.md)."""
-STEER_S = 0.2
-"""Steps are due between laps too; looking is cheap."""
+PROPOSE_PERIOD_S = 0.2
+"""Steps are due between rounds too; the check is cheap."""
 LOST_AFTER_S = 0.8
-"""A lap that isn't home after this is reissued: six skipped hops."""
+"""A round that hasn't returned after this is reissued: six skipped hops."""
 GRANT_QUARANTINE_S = LEASE_S + 0.5
 """A new leader grants nothing until every lease of its predecessor's unknown grants has ended."""
 QUICK_HANDOVER_S = 0.7
-"""The same in the canary of a short term: two laps, which fence the predecessor's and bring its grants home
-with the nodes' accounts. What a node that they missed may still spend, the canary's weight for two laps, is
+"""The same in the canary of a short term: two rounds, which fence the predecessor's and bring its grants home
+with the nodes' accounts. What a node that they missed may still spend, the canary's weight for two rounds, is
 within the part of the bound that is kept for leader changes."""
 
 RESTART_GAP_S = 9.0
@@ -50,18 +50,18 @@
 _encoder = msgspec.msgpack.Encoder()
 
 
-class Lap(msgspec.Struct):
-    """The lap under way."""
+class TokenRound(msgspec.Struct):
+    """The round under way."""
 
     sequence: int
     launched_at: float
-    home: bool = False
+    returned: bool = False
 
 
 class Leadership:
     """What one node does while it leads under one term.
 
-    :param first_sequence: above every lap that this node has seen; the term fences the rest.
+    :param first_sequence: above every round that this node has seen; the term fences the rest.
     :param settings: the deployment's exceptions, which may change.
     """
 
@@ -70,82 +70,84 @@
     ) -> None:
         self.term = term
         self.settings = settings
-        self.lap_s = settings.token_period_s or LAP_S
+        self.round_s = settings.token_period_s or ROUND_S
         self.token_bytes = 0
-        self.steerings: dict[RolloutId, Steering] = {}
+        self.step_proposers: dict[RolloutId, StepProposer] = {}
         self.zones: list[ZoneName] = []
         self._own = own
         self._sequence = first_sequence
         self._since = now
-        self._lap: Lap | None = None
+        self._round: TokenRound | None = None
         self._unsure: set[RolloutId] = set()
-        """Rollouts taken up from the record alone, until a lap shows whether any node remembers more."""
-        self._steered_at = now
+        """Rollouts taken up from the record alone, until a round shows whether any node remembers more."""
+        self._proposed_at = now
 
     def next_deadline(self) -> float:
-        """Return when a lap, or a look at the schedule, is due."""
-        look_due = self._steered_at + STEER_S if self.steerings else NEVER
-        return min(self.lap_due(), look_due)
+        """Return when a round, or a check of the schedule, is due."""
+        proposals_due = self._proposed_at + PROPOSE_PERIOD_S if self.step_proposers else NEVER
+        return min(self.round_due(), proposals_due)
 
-    def lap_due(self) -> float:
-        """Return when the next lap is launched, or the present one counts as lost."""
-        if not self.steerings:
+    def round_due(self) -> float:
+        """Return when the next round is launched, or the present one counts as lost."""
+        if not self.step_proposers:
             return NEVER
-        if self._lap is None:
+        if self._round is None:
             return self._since
-        wait_s = self.lap_s if self._lap.home else max(LOST_AFTER_S, self.lap_s + 0.4)
-        return self._lap.launched_at + wait_s
+        wait_s = self.round_s if self._round.returned else max(LOST_AFTER_S, self.round_s + 0.4)
+        return self._round.launched_at + wait_s
 
-    def hurry(self) -> None:
-        """Launch the next lap at once: something was aborted, paused or begun."""
-        self._lap = None
+    def launch_now(self) -> None:
+        """Launch the next round at once: something was aborted, paused or begun."""
+        self._round = None
 
     def follow(self, participants: Iterable[Participant], now: float) -> None:
-        """Issue exactly these rollouts from now on, and tell the fleet of any change at once."""
+        """Issue exactly these rollouts from now on; launch a round at once to publish the change."""
         under_way = {participant.record.rollout: participant for participant in participants}
-        for rollout in set(self.steerings) - set(under_way):
-            del self.steerings[rollout]
+        for rollout in set(self.step_proposers) - set(under_way):
+            del self.step_proposers[rollout]
             self._unsure.discard(rollout)
         for rollout, participant in under_way.items():
-            if rollout not in self.steerings:
+            if rollout not in self.step_proposers:
                 self._adopt(participant, now)
-        self.hurry()
+        self.launch_now()
 
     def _adopt(self, participant: Participant, now: float) -> None:
-        """Issue a rollout, going on from this node's last copy of the token."""
+        """Issue a rollout, continuing from this node's last replica of the token."""
         rollout = participant.record.rollout
         issued = IssuedRollout(self._first_entry(participant), now)
-        self.steerings[rollout] = Steering(participant, issued, now)
-        if participant.kept is None and participant.record.elapsed_s > 0:
+        self.step_proposers[rollout] = StepProposer(participant, issued, now)
+        if participant.last_entry is None and participant.record.elapsed_s > 0:
             self._unsure.add(rollout)
-        inherited = participant.kept is not None or participant.record.elapsed_s > 0 or now <= self._since
+        inherited = (
+            participant.last_entry is not None or participant.record.elapsed_s > 0 or now <= self._since
+        )
         granting_from = now + (_quarantine_s(participant.record) if inherited else MEASURE_RATES_S)
-        self.steerings[rollout].granting_from = granting_from
+        self.step_proposers[rollout].granting_from = granting_from
 
     def _first_entry(self, participant: Participant) -> RolloutEntry:
         record = participant.record
-        kept = participant.kept
-        if kept is not None and participant.ring == WHOLE_FLEET:
-            for zone in participant.kept_zones:
+        last_entry = participant.last_entry
+        if last_entry is not None and participant.ring == WHOLE_FLEET:
+            for zone in participant.last_zones:
                 index_of_zone(self.zones, zone)
-            if tuple(self.zones) == participant.kept_zones:
-                return kept
+            if tuple(self.zones) == participant.last_zones:
+                return last_entry
         entry = _empty_entry(record)
-        if kept is not None:
-            allowance = kept.allowance
+        if last_entry is not None:
+            allowance = last_entry.allowance
         else:
             begun = record.elapsed_s > 0
             allowance = 0 if begun else allowance_part(record.plan)
         return msgspec.structs.replace(entry, allowance=allowance)
 
     def launch(self, layout: RingLayout, now: float) -> tuple[RolloutToken, list[Effect]]:
-        """Return the token of a new lap, not yet visited by this node, and notes."""
+        """Return the token of a new round, not yet visited by this node, and notes."""
         effects: list[Effect] = []
-        if self._lap is not None and not self._lap.home:
-            fields = {"term": self.term, "sequence": self._lap.sequence}
+        if self._round is not None and not self._round.returned:
+            fields = {"term": self.term, "sequence": self._round.sequence}
             effects.append(LogLine("rollout_token_reissued", LogLevel.WARNING, fields))
         self._sequence += 1
-        self._lap = Lap(self._sequence, now)
+        self._round = TokenRound(self._sequence, now)
         ring = RELAY if layout.relayed else WHOLE_FLEET
         members = layout.leads() if layout.relayed else layout.order
         token = RolloutToken(
@@ -155,13 +157,13 @@
             ring=ring,
             itinerary=way_from(self._own, members),
             zones=tuple(self.zones),
-            entries=tuple(self._entry(steering, now) for steering in self.steerings.values()),
+            entries=tuple(self._entry(step_proposer, now) for step_proposer in self.step_proposers.values()),
         )
         self._pace(token, layout)
         return token, effects
 
-    def _entry(self, steering: Steering, now: float) -> RolloutEntry:
-        participant, issued = steering.participant, steering.issued
+    def _entry(self, step_proposer: StepProposer, now: float) -> RolloutEntry:
+        participant, issued = step_proposer.participant, step_proposer.issued
         record = participant.record
         totals = issued.totals()
         issued.entry = msgspec.structs.replace(
@@ -175,41 +177,41 @@
             decision=participant.decision or issued.entry.decision,
         )
         granting = record.phase in ACTIVE_PHASES and not issued.entry.aborted
-        if granting and now >= steering.granting_from:
+        if granting and now >= step_proposer.granting_from:
             zones = tuple(self.zones)
             issued.set_zone_weights(zones, record, now)
-            issued.grant_from_ledger(zones, record, self.lap_s)
+            issued.grant_from_ledger(zones, record, self.round_s)
         return issued.entry
 
     def _pace(self, token: RolloutToken, layout: RingLayout) -> None:
-        """Set the time to the next lap, so that the busiest node (a zone ring's lead) keeps to its share."""
+        """Set the time to the next round so that the busiest node keeps its byte rate."""
         self.token_bytes = len(_encoder.encode(token))
         if layout.relayed:
             others = max(0, layout.longest_ring() - len(layout.rings))
             self.token_bytes = 2 * self.token_bytes + ACCOUNT_BYTES * others
-        adapted_s = min(LONGEST_LAP_S, max(LAP_S, self.token_bytes / TOKEN_BYTES_PER_S))
-        self.lap_s = self.settings.token_period_s or adapted_s
+        adapted_s = min(LONGEST_ROUND_S, max(ROUND_S, self.token_bytes / TOKEN_BYTES_PER_S))
+        self.round_s = self.settings.token_period_s or adapted_s
 
-    def come_home(self, token: RolloutToken, engines: EnginesView | None, now: float) -> list[Effect]:
-        """Take a lap that came back, and steer."""
+    def token_returned(self, token: RolloutToken, engines: EnginesView | None, now: float) -> list[Effect]:
+        """Handle a round that returned, then propose steps."""
         if token.term != self.term:
             return []
         launched_at: float | None = None
-        if self._lap is not None and token.sequence == self._lap.sequence:
-            launched_at = self._lap.launched_at
-            self._lap.home = True
+        if self._round is not None and token.sequence == self._round.sequence:
+            launched_at = self._round.launched_at
+            self._round.returned = True
             self.zones[:] = token.zones
         for entry in token.entries:
-            steering = self.steerings.get(entry.rollout)
-            if steering is None:
+            step_proposer = self.step_proposers.get(entry.rollout)
+            if step_proposer is None:
                 continue
-            steering.issued.absorb(entry, launched_at, now)
+            step_proposer.issued.absorb(entry, launched_at, now)
             if launched_at is not None:
-                self._set_clock(steering.participant, entry, now)
-            if entry.aborted and not steering.participant.aborted:
-                steering.participant.abort(entry.decision)
-                self.hurry()
-        return self.steer(engines, now)
+                self._set_clock(step_proposer.participant, entry, now)
+            if entry.aborted and not step_proposer.participant.aborted:
+                step_proposer.participant.abort(entry.decision)
+                self.launch_now()
+        return self.propose_steps(engines, now)
 
     def _set_clock(self, participant: Participant, entry: RolloutEntry, now: float) -> None:
         """Take the time used as the nodes know it; count a gap that no node has measured."""
@@ -221,12 +223,12 @@
             gap_s = min(RESTART_GAP_S, LARGEST_GAP_SHARE * participant.record.plan.by_s)
             participant.clock.advance_to(participant.clock.read(now) + gap_s, now)
 
-    def steer(self, engines: EnginesView | None, now: float) -> list[Effect]:
-        """Return what the schedules of all rollouts call for now."""
-        self._steered_at = now
+    def propose_steps(self, engines: EnginesView | None, now: float) -> list[Effect]:
+        """Return the proposals that the schedules of all rollouts call for now."""
+        self._proposed_at = now
         effects: list[Effect] = []
-        for steering in self.steerings.values():
-            effects += steering.steer(engines, self.settings.minimum_ready_engines, now)
+        for step_proposer in self.step_proposers.values():
+            effects += step_proposer.propose(engines, self.settings.minimum_ready_engines, now)
         return effects
 
 
--- a/src/springmux/rollout/ledger.py
+++ b/src/springmux/rollout/ledger.py
@@ -1,8 +1,8 @@
-"""The exposure ledger: how many credits may be out, and who gets them. A hard bound apart from the judge.
+"""The exposure ledger: how many credits may be outstanding, and who gets them. A hard bound beside the judge.
 
 One credit pays for one prompt sent to the candidate. The issuer grants credits so that all sent plus all
 outstanding stay below a share of the service's prompts plus an allowance. Outstanding credits of a node that
-was lost stay counted as spent; unspent ones come back only when the node itself reports that they lapsed.
+was lost stay counted as spent; unspent ones return only when the node itself reports that they expired.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 from springmux.rollout.token_ring.token import Account, AccountTotals
 
 EXPOSE_TARGET = 0.8
-"""Part of ``expose_share`` that credits are granted for; the rest covers what a leader change hides."""
+"""Fraction of ``expose_share`` that credits are granted for; the rest covers what a leader change hides."""
 CANARY_SLACK = 1.25
 """A canary may run this much above its weight, so that whole credits at quiet nodes don't starve it."""
 ZONE_SPREAD = 4.0
-"""A zone gets at most this multiple of the fleet's weight, so that a very quiet zone isn't taken whole."""
+"""A zone gets at most this multiple of the fleet's weight, so that a quiet zone isn't used completely."""
 
 
 def allowance_part(plan: RolloutPlan) -> int:
@@ -46,7 +46,7 @@
 
 
 def zone_order(rates: Mapping[ZoneName, float], first_zones: Sequence[ZoneName]) -> tuple[ZoneName, ...]:
-    """Return zones from the first tried to the last: ``first_zones``, then by rising prompt rate."""
+    """Return zones in the order in which they get weight: ``first_zones``, then by rising prompt rate."""
     given = [zone for zone in first_zones if zone in rates]
     others = sorted((zone for zone in rates if zone not in given), key=lambda zone: (rates[zone], zone))
     return (*given, *others)
@@ -59,50 +59,50 @@
     if weight >= 1.0:
         return dict.fromkeys(order, 1.0)
     cap = min(1.0, ZONE_SPREAD * weight)
-    wanted = weight * sum(rates.values())
+    remaining = weight * sum(rates.values())
     weights: dict[ZoneName, float] = {}
     for zone in order:
-        share = min(cap, wanted / rates[zone]) if rates[zone] > 0 else cap
+        share = min(cap, remaining / rates[zone]) if rates[zone] > 0 else cap
         weights[zone] = share
-        wanted = max(0.0, wanted - share * rates[zone])
+        remaining = max(0.0, remaining - share * rates[zone])
     return weights
 
 
-class Need(msgspec.Struct, frozen=True):
-    """What one writer could spend before it is visited again, in the order of the zones."""
+class CreditDemand(msgspec.Struct, frozen=True):
+    """What one writer can spend before the token's next visit."""
 
     writer: int
     rate_per_s: float
     weight: float
 
 
-def allot(
-    needs: Iterable[Need], accounts: Mapping[int, Account], pool: int, horizon_s: float
+def allocate_credits(
+    demands: Iterable[CreditDemand], accounts: Mapping[int, Account], pool: int, horizon_s: float
 ) -> dict[int, int]:
     """Return credits to add by writer, at most ``pool`` in all.
 
     Each writer is filled up to its weight's prompts within ``horizon_s``, at least one credit where its
     weight is above zero. First one each in the given order, so that a small pool reaches many; then the rest.
     """
-    wants: dict[int, int] = {}
-    for need in needs:
-        if need.weight <= 0:
+    missing_by_writer: dict[int, int] = {}
+    for demand in demands:
+        if demand.weight <= 0:
             continue
-        level = max(1, math.ceil(need.rate_per_s * need.weight * horizon_s))
-        want = level - accounts[need.writer].outstanding
-        if want > 0:
-            wants[need.writer] = want
+        level = max(1, math.ceil(demand.rate_per_s * demand.weight * horizon_s))
+        missing = level - accounts[demand.writer].outstanding
+        if missing > 0:
+            missing_by_writer[demand.writer] = missing
     grants: dict[int, int] = {}
-    for writer in wants:
+    for writer in missing_by_writer:
         if pool > 0:
             grants[writer] = 1
             pool -= 1
-    missing = sum(wants.values()) - len(grants)
-    if missing <= 0 or pool <= 0:
+    remaining = sum(missing_by_writer.values()) - len(grants)
+    if remaining <= 0 or pool <= 0:
         return grants
-    share = min(1.0, pool / missing)
+    share = min(1.0, pool / remaining)
     for writer in grants:
-        extra = min(pool, math.ceil((wants[writer] - 1) * share))
+        extra = min(pool, math.ceil((missing_by_writer[writer] - 1) * share))
         grants[writer] += extra
         pool -= extra
     return grants
--- a/src/springmux/rollout/messages.py
+++ b/src/springmux/rollout/messages.py
@@ -10,11 +10,12 @@
 
 
 class RolloutToken(PeerMessage, frozen=True, tag="RolloutToken"):
-    """The circulating token: one lap of one ring.
+    """The circulating token: one round of one ring.
 
-    ``issuer`` launched the lap and gets it back. ``(term, sequence)`` grows with every lap; a node takes each
-    at most once and ignores older ones (fencing). ``ring``: see :mod:`springmux.rollout.token_ring.rings`.
-    ``itinerary``: the nodes still to be visited. ``zones``: names behind the accounts' zone indexes.
+    ``issuer`` launched the round and gets it back. ``(term, sequence)`` grows with every round; a node
+    handles each at most once and ignores older ones (fencing). ``ring``: see
+    :mod:`springmux.rollout.token_ring.rings`. ``itinerary``: the nodes still to be visited. ``zones``: names
+    behind the accounts' zone indexes.
     """
 
     issuer: NodeId
@@ -26,13 +27,13 @@
     entries: tuple[RolloutEntry, ...]
 
     @property
-    def lap(self) -> tuple[int, int]:
-        """Ordering of laps, oldest first."""
+    def round_id(self) -> tuple[int, int]:
+        """Order of rounds, oldest first."""
         return (self.term, self.sequence)
 
 
 class RolloutTokenAck(PeerMessage, frozen=True, tag="RolloutTokenAck"):
-    """The token of this lap arrived; its sender need not skip the receiver."""
+    """The token of this round arrived; its sender need not skip the receiver."""
 
     term: Term
     sequence: int
--- a/src/springmux/rollout/outcome.py
+++ b/src/springmux/rollout/outcome.py
@@ -69,14 +69,14 @@
     """One candidate prompt under way, beside the stable ones that it is compared with, chosen at dispatch.
 
     ``overdue_after_s``: age without a first token at which it is slower than all of them beyond the limit;
-    the node need not wait for its end to tell. ``told``: the comparison is made; it is made once.
+    the node need not wait for its end to tell. ``recorded``: the comparison, made once, is in the evidence.
     """
 
     service: ServiceName
     route: RouteName
     references: tuple[float, ...]
     overdue_after_s: float
-    told: bool = False
+    recorded: bool = False
 
 
 class VersionChooser(Protocol):
@@ -98,7 +98,7 @@
         ...
 
     def recheck(self, service: ServiceName, version: VersionName, now: float) -> bool:
-        """Say, at dispatch itself, whether ``version`` may still be sent to (lease and abort)."""
+        """Return, at dispatch itself, whether ``version`` may still be sent to (lease and abort)."""
         ...
 
     def watch(
@@ -108,9 +108,9 @@
         ...
 
     def overdue(self, watch: FirstTokenWatch, now: float) -> None:
-        """Say that no first token came within the watch's ``overdue_after_s``."""
+        """Record that no first token came within the watch's ``overdue_after_s``."""
         ...
 
     def observe(self, outcome: PromptOutcome, now: float, watch: FirstTokenWatch | None = None) -> None:
-        """Take one prompt's outcome as evidence; ``watch`` is what :meth:`watch` gave for it, if anything."""
+        """Record one prompt's outcome as evidence; ``watch`` is what :meth:`watch` returned for it."""
         ...
--- a/src/springmux/rollout/participant.py
+++ b/src/springmux/rollout/participant.py
@@ -19,11 +19,11 @@
 from springmux.rollout.token_ring.token import RolloutEntry, index_of_zone, recover_accounts, with_account
 from springmux.rollout.version_filter import ServiceGate
 
-HISTORY_LAPS = 256
-"""Digests remembered by visit: about 90 s of laps, longer than any copy of a token can come back."""
+HISTORY_ROUNDS = 256
+"""Digests remembered by visit: about 90 s of rounds, longer than any copy of a token can come back."""
 PROVEN_AGE_S = 2.5
 """A lease ends this long after the newest own visit that the token shows. A token that waited for a frozen
-node shows no recent one. Usually that visit is a lap or two old, and the lease whole."""
+node shows no recent one. Usually that visit is a round or two old, and the lease whole."""
 CLOCK_RECENT_S = 5.0
 """A node visited within this heard of any pause; its clock may set a new leader's right."""
 _WRITER_BITS = 31
@@ -50,7 +50,7 @@
     def remember(self, visit: int, digest: EvidenceDigest) -> None:
         """Keep the digest of a visit; the base stays."""
         self._digests[visit] = digest
-        if len(self._digests) > HISTORY_LAPS:
+        if len(self._digests) > HISTORY_ROUNDS:
             oldest = min(known for known in self._digests if known > 0)
             del self._digests[oldest]
 
@@ -59,7 +59,7 @@
         return self._digests[max(self._digests)]
 
 
-class Visit(msgspec.Struct, frozen=True):
+class TokenVisit(msgspec.Struct, frozen=True):
     """Where and when a token passes. ``zones`` may be appended to. ``leading``: this node has the clock."""
 
     ring: int
@@ -87,8 +87,8 @@
         self.clock = ElapsedClock(record.elapsed_s, record.phase in ACTIVE_PHASES, now)
         self.decision: RolloutDecision | None = record.decision
         self.aborted = record.phase is RolloutPhase.ABORTED
-        self.kept: RolloutEntry | None = None
-        self.kept_zones: tuple[ZoneName, ...] = ()
+        self.last_entry: RolloutEntry | None = None
+        self.last_zones: tuple[ZoneName, ...] = ()
         self.received_evidence = EMPTY_DIGEST
         self.verdict: Verdict | None = None
         self.history = SampleHistory()
@@ -97,7 +97,7 @@
         self._own = own
         self._zone = zone
         self._rng = rng
-        self._book = EvidenceTable(record.service, record.stable, record.candidate, record.plan)
+        self._evidence = EvidenceTable(record.service, record.stable, record.candidate, record.plan)
         self._judge = Judge(record.plan)
         self._judged = EMPTY_DIGEST
         self._history = EvidenceHistory(EMPTY_DIGEST)
@@ -107,12 +107,14 @@
         self.ring: int | None = None
         self._term = -1
         self._lease_end = -NEVER
-        gate.begin(record.rollout, record.candidate, hash_salt(record), self._book, record.plan.pacing.even)
+        gate.begin(
+            record.rollout, record.candidate, hash_salt(record), self._evidence, record.plan.pacing.even
+        )
 
     @property
     def stable_answer_s(self) -> float:
         """Mean time of the stable version's answers at this node, in seconds; 0 if it has none yet."""
-        return self._book.stable_answer_s
+        return self._evidence.stable_answer_s
 
     @property
     def terminal(self) -> bool:
@@ -136,7 +138,7 @@
         self.decision = self.decision or decision
         self.gate.close()
 
-    def contribute(self, entry: RolloutEntry, visit: Visit) -> RolloutEntry:
+    def contribute(self, entry: RolloutEntry, visit: TokenVisit) -> RolloutEntry:
         """Return the token's entry with this node's counters, evidence and verdict; renew the lease."""
         entry = self._recover(entry, visit)
         if not visit.leading:
@@ -146,18 +148,18 @@
         self.received_evidence = entry.evidence
         entry = self.judge_merged(self._add_own(entry, visit))
         self._renew_lease(entry, visit)
-        self.kept = entry
-        self.kept_zones = tuple(visit.zones)
+        self.last_entry = entry
+        self.last_zones = tuple(visit.zones)
         return entry
 
-    def _recover(self, entry: RolloutEntry, visit: Visit) -> RolloutEntry:
+    def _recover(self, entry: RolloutEntry, visit: TokenVisit) -> RolloutEntry:
         if visit.ring != self.ring:
             if self.ring is not None:
                 self._open_account()
             self.ring = visit.ring
-        elif visit.term != self._term and self.kept is not None:
+        elif visit.term != self._term and self.last_entry is not None:
             entry = self.remind(entry, visit.now)
-            entry, zones = recover_accounts(entry, self.kept, tuple(visit.zones), self.kept_zones)
+            entry, zones = recover_accounts(entry, self.last_entry, tuple(visit.zones), self.last_zones)
             visit.zones[:] = zones
         self._term = visit.term
         return entry
@@ -176,7 +178,7 @@
         self._history = EvidenceHistory(self._history.last())
         self.gate.open_account()
 
-    def _add_own(self, entry: RolloutEntry, visit: Visit) -> RolloutEntry:
+    def _add_own(self, entry: RolloutEntry, visit: TokenVisit) -> RolloutEntry:
         self.gate.lapse(visit.now)
         known = entry.account(self._writer)
         if known is not None and known.visits > self._visits:
@@ -186,14 +188,14 @@
         proven_at = self._visited_at.get(shown, -NEVER)
         self._lease_end = proven_at + PROVEN_AGE_S
         included = self._history.at(shown)
-        digest = self._book.digest()
+        digest = self._evidence.digest()
         if digest != included:
             missing = subtract(digest, included)
             entry = msgspec.structs.replace(entry, evidence=merge(entry.evidence, missing))
         self._visits += 1
         self._history.remember(self._visits, digest)
         self._visited_at[self._visits] = visit.now
-        self._visited_at.pop(self._visits - HISTORY_LAPS, None)
+        self._visited_at.pop(self._visits - HISTORY_ROUNDS, None)
         self.gate.accept_granted(known.granted if known is not None else 0)
         zone = index_of_zone(visit.zones, self._zone)
         return with_account(entry, self.gate.account(self._writer, zone, self._visits))
@@ -201,7 +203,7 @@
     def judge_merged(self, entry: RolloutEntry) -> RolloutEntry:
         """Return ``entry``, turned to aborted if its merged evidence calls for it or this node knows of one.
 
-        The judge runs once for each change of the evidence, so at most once a lap.
+        The judge runs once for each change of the evidence, so at most once a round.
         """
         if entry.aborted and not self.aborted:
             self.abort(entry.decision)
@@ -219,13 +221,13 @@
         decision = self.verdict.decision or RolloutDecision("", "evidence against the candidate")
         self.abort(msgspec.structs.replace(decision, decided_by=str(self._own)))
 
-    def _renew_lease(self, entry: RolloutEntry, visit: Visit) -> None:
+    def _renew_lease(self, entry: RolloutEntry, visit: TokenVisit) -> None:
         record = self.record
         active = record.phase in ACTIVE_PHASES and entry.phase in ACTIVE_PHASES
         if self.aborted or not active or entry.weight <= 0:
             self.gate.close()
             return
-        self._book.loaded = is_load_step(record.plan, entry.weight)
+        self._evidence.loaded = is_load_step(record.plan, entry.weight)
         if self._lease_end > visit.now:
             weight = entry.zone_weight(visit.zones.index(self._zone))
             self.gate.renew(weight, visit.engines_limit, visit.now, self._lease_end, entry.weight >= 1.0)
--- a/src/springmux/rollout/planning/load_step.py
+++ b/src/springmux/rollout/planning/load_step.py
@@ -21,7 +21,7 @@
 
 
 def is_load_step(plan: RolloutPlan, weight: float) -> bool:
-    """Say whether ``weight`` is the load step's or the whole one's; only short terms have a load step."""
+    """Return whether ``weight`` is the load step's or the whole one's; only short terms have a load step."""
     return plan.pacing.even and len(plan.steps) > 1 and weight >= plan.steps[-2]
 
 
--- a/src/springmux/rollout/planning/plan.py
+++ b/src/springmux/rollout/planning/plan.py
@@ -28,13 +28,13 @@
     """How a plan's term is divided; the defaults are the schedule's own rules (docs/ROLLOUT.md, Short terms).
 
     ``step_s``: seconds of each step, empty for the shares of ``by_s``. ``reserve_s``: kept between the last
-    step's end and the latest finish, 0 for the share of ``by_s``. ``told_after_s``: operators are told *done*
+    step's end and the latest finish, 0 for the share of ``by_s``. ``done_delay_s``: *done* is reported
     so long after it is in force, so a rollout finishes that much earlier. ``last_step_paid``: least share of
     the last step that credits must pay for. ``allowance_part``: of the allowance, that is granted; the rest
     covers what a leader change hides. ``capacity_share``: of the stable engines' capacity, that the
     candidate's must have for a whole weight. ``quick_handover``: in the canary a new leader grants after its
-    first laps, not after the former leases' end. ``needs_evidence``: nothing is finished, even at the term,
-    before evidence of the last weight came home to the present leader, and a last look is taken at it.
+    first rounds, not after the former leases' end. ``needs_evidence``: nothing is finished, even at the term,
+    before evidence of the last weight returned to the present leader, and a last look is taken at it.
     ``share_part``: of the exposure share, that may be spent before *done*; the rest is for what a version
     gets between *done* and the term, if it turns out bad. ``even``: zones aren't tried one after another, and
     each route gets about as many candidate prompts as another, so that a thin one is judged.
@@ -42,7 +42,7 @@
 
     step_s: tuple[float, ...] = ()
     reserve_s: float = 0.0
-    told_after_s: float = 0.0
+    done_delay_s: float = msgspec.field(default=0.0, name="told_after_s")
     last_step_paid: float = 0.75
     allowance_part: float = 0.5
     capacity_share: float = 0.5
--- a/src/springmux/rollout/planning/schedule.py
+++ b/src/springmux/rollout/planning/schedule.py
@@ -21,18 +21,18 @@
 RESERVE_SHARE = 3 / 60
 MINIMUM_RESERVE_S = 3.0
 """Time between the last step's end and the term: a leader change takes about 1.5 s, the new leader's first
-lap 0.4 s, and a lost lap before it 0.8 s. What it costs in exposure is in docs/ROLLOUT.md."""
+round 0.4 s, and a lost round before it 0.8 s. What it costs in exposure is in docs/ROLLOUT.md."""
 MINIMUM_STEP_S = 0.8
-"""Two laps of the token: one carries the weight out, one brings evidence back."""
+"""Two rounds of the token: one carries the weight out, one brings evidence back."""
 MINIMUM_CANARY_S = 5.0
-"""A canary shorter than this gathers little evidence: ten laps."""
+"""A canary shorter than this gathers little evidence: ten rounds."""
 CANARY_OF_SHORT_TERM = 0.5
 SHORT_TERM_S = 10.0
 """Of a term below this, which is too short for :data:`MINIMUM_CANARY_S`, this share is enough."""
 LATE_STEP_S = 0.4
-"""The same when the schedule is overdue, after a leader change: one lap."""
+"""The same when the schedule is overdue, after a leader change: one round."""
 ANSWER_S = 0.6
-"""Time for first answers under a new weight: a lap to spread it, and a short answer."""
+"""Time for first answers under a new weight: a round to spread it, and a short answer."""
 SUSPICIOUS_BAD = 3
 """Bad answers since the last step for which the finish waits, within the reserve, for those still to come."""
 FINISH_MARGIN_S = 0.5
@@ -110,7 +110,7 @@
     """Return the seconds kept between the last step's end and the term, telling the operators included."""
     pacing = plan.pacing
     reserve_s = pacing.reserve_s or max(MINIMUM_RESERVE_S, RESERVE_SHARE * plan.by_s)
-    return reserve_s + pacing.told_after_s
+    return reserve_s + pacing.done_delay_s
 
 
 def _check_canary(plan: RolloutPlan, durations: tuple[float, ...]) -> None:
@@ -164,8 +164,8 @@
 
     ``in_step_s``: time since the present weight was committed. ``prompts`` and ``committed`` are the ledger's
     sums. ``candidate_capacity`` and ``stable_capacity``: requests that the ready engines run at once.
-    ``recent_bad``: bad answers of the candidate since the present weight. ``evidence_fresh``: a lap
-    came home that was launched :data:`ANSWER_S` after the present weight was committed, and after this leader
+    ``recent_bad``: bad answers of the candidate since the present weight. ``evidence_fresh``: a round
+    returned that was launched :data:`ANSWER_S` after the present weight was committed, and after this leader
     could grant credits.
     """
 
@@ -197,7 +197,7 @@
 
 
 def next_step(plan: RolloutPlan, progress: Progress) -> NextStep:
-    """Return what the leader does now. Steps are never skipped: a late leader takes them two laps apart.
+    """Return what the leader does now. Steps are never skipped: a late leader takes them two rounds apart.
 
     A rollout finishes by its term with or without enough evidence; only evidence against it (an abort)
     stops it, or engines that can't carry the weight.
@@ -224,7 +224,7 @@
 def can_carry(
     weight: float, candidate_capacity: int, stable_capacity: int, share: float = CAPACITY_NEEDED
 ) -> bool:
-    """Say whether the candidate's ready engines can carry ``weight`` of the service's load.
+    """Return whether the candidate's ready engines can carry ``weight`` of the service's load.
 
     :param share: of the stable engines' capacity that is needed for a whole weight.
     """
@@ -254,7 +254,7 @@
 
 
 def _should_save(plan: RolloutPlan, progress: Progress, upcoming: float) -> bool:
-    """Say whether the first step waits because the ledger could not pay for the last one then."""
+    """Return whether the first step waits because the ledger could not pay for the last one then."""
     if upcoming != plan.steps[0] or len(plan.steps) == 1:
         return False
     if plan.pacing.even:
@@ -280,7 +280,7 @@
         return NextStep(StepKind.WAIT, reason="the last step is too recent")
     if not _carries(plan, 1.0, progress):
         return NextStep(StepKind.WAIT, reason="ready candidate engines can't carry the whole load")
-    latest = progress.elapsed_s >= plan.by_s - plan.pacing.told_after_s - FINISH_MARGIN_S
+    latest = progress.elapsed_s >= plan.by_s - plan.pacing.done_delay_s - FINISH_MARGIN_S
     if not progress.evidence_fresh and (plan.pacing.needs_evidence or not latest):
         return NextStep(StepKind.WAIT, reason="evidence of the last step is still to come")
     if progress.recent_bad >= SUSPICIOUS_BAD and not latest:
--- a/src/springmux/rollout/planning/standard_plan.py
+++ b/src/springmux/rollout/planning/standard_plan.py
@@ -1,7 +1,7 @@
 """The plan of an order that names only service, candidate and term: short terms keep canary and comparison.
 
 Terms of :data:`LONG_TERM_S` and more have the ordinary steps. Below, the shares of ``by_s`` would leave steps
-shorter than a lap of the token; three steps remain (docs/ROLLOUT.md, "Short terms").
+shorter than a round of the token; three steps remain (docs/ROLLOUT.md, "Short terms").
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from springmux.vocabulary.names import ServiceName, VersionName
 
 LONG_TERM_S = 30.0
-"""From here on the ordinary steps last for two laps and more."""
+"""From here on the ordinary steps last for two rounds and more."""
 SHORT_CANARY, SHORT_COMPARISON = 0.045, 0.10
 """Weights where the service's rate isn't known; the canary's is below the 8% that accrue as credit."""
 LOAD_STEP = 0.25
@@ -34,13 +34,13 @@
 count as its exposure too, so a short term keeps credit for them."""
 LEAST_PART_BEFORE_DONE = 0.25
 ALLOWANCE_BEFORE_DONE = 0.95
-"""The rest is for what a quick handover hides of the canary's weight, two laps of it, and for a late end."""
+"""The rest is for what a quick handover hides of the canary, two rounds of it, and for a late end."""
 COMPARISON_TIME, LOAD_TIME, MINIMUM_STEP_S = 0.15, 0.12, 0.8
 """Parts of the term for the step in which latencies are compared once more, and for the load step."""
 LAST_STEP_S = 0.8
-"""Two laps of the token."""
+"""Two rounds of the token."""
 RESERVE_SHARE, MINIMUM_RESERVE_S = 0.05, 0.9
-"""From the last step's end to the latest finish: a lap or two that are waited for, and the commit."""
+"""From the last step's end to the latest finish: a round or two that are waited for, and the commit."""
 LEAST_CAPACITY = 0.25
 """Candidate engines start after the order and may be few at first; a quarter of the capacity is enough."""
 
@@ -71,7 +71,7 @@
         rollback_ms=rollback_ms,
         canary_weight=min(RolloutPlan(service, candidate).canary_weight, CANARY_OF_SHARE * expose_share),
         pacing=Pacing(
-            told_after_s=DONE_SETTLE_S,
+            done_delay_s=DONE_SETTLE_S,
             last_step_paid=0.0,
             capacity_share=LEAST_CAPACITY,
             needs_evidence=True,
@@ -110,7 +110,7 @@
                 LAST_STEP_S,
             ),
             reserve_s=max(MINIMUM_RESERVE_S, RESERVE_SHARE * plan.by_s),
-            told_after_s=DONE_SETTLE_S,
+            done_delay_s=DONE_SETTLE_S,
             last_step_paid=0.0,
             allowance_part=ALLOWANCE_BEFORE_DONE,
             share_part=_share_before_done(plan),
--- a/src/springmux/rollout/registry.py
+++ b/src/springmux/rollout/registry.py
@@ -1,4 +1,4 @@
-"""Which rollouts this node takes part in, by the committed records, and the filter that follows from them."""
+"""Rollouts of this node by the committed records, and the version filter that they determine."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 from springmux.coordination.identifiers import NodeId, Revision, ZoneName
 from springmux.coordination.state_machine import Effect, LogLevel, LogLine
+from springmux.rollout.engine_counts import engines_limit, ready_capacity, ready_count
 from springmux.rollout.events import ControlViewChanged, RolloutSettings
 from springmux.rollout.participant import Participant
 from springmux.rollout.planning.load_step import is_load_step, load_weight, loaded_engines
 from springmux.rollout.planning.plan import TERMINAL_PHASES, RolloutPhase, RolloutRecord
-from springmux.rollout.steering import engines_limit, ready_capacity, ready_count
 from springmux.rollout.token_ring.token import RolloutEntry
 from springmux.rollout.version_filter import ServiceGate, VersionFilter
 from springmux.vocabulary.engines import EnginesView
@@ -47,7 +47,7 @@
         return participant
 
     def apply(self, event: ControlViewChanged, now: float) -> tuple[list[RolloutRecord], list[Effect]]:
-        """Take a control state, unless it is older; return the records that changed, and notes."""
+        """Apply a control state, unless it is older; return the changed records, and log lines."""
         if event.revision < self._revision:
             return [], []
         self._revision = event.revision
@@ -56,10 +56,10 @@
             if service not in event.rollouts:
                 self._gate(service, stable).release(stable)
         changed = [record for record in event.rollouts.values() if self._take(record, now)]
-        return changed, [_record_note(record) for record in changed]
+        return changed, [_record_log_line(record) for record in changed]
 
     def set_engines(self, view: EnginesView) -> None:
-        """Take a directory of back ends."""
+        """Set the directory of engines."""
         self.engines = view
         for participant in self.under_way():
             self.refresh_rest(participant)
@@ -77,7 +77,7 @@
         return loaded_engines(weight, stable, candidates, capacity, in_flight)
 
     def refresh_rest(self, participant: Participant) -> None:
-        """Let the candidate serve where it had the whole weight and stable's engines are gone.
+        """Let the candidate serve where it had the full weight and stable's engines are gone.
 
         A rollout may be done, and the old engines stopped, before this node hears of it.
         """
@@ -123,7 +123,7 @@
     return {participant.record.rollout: participant for participant in participants}
 
 
-def _record_note(record: RolloutRecord) -> LogLine:
+def _record_log_line(record: RolloutRecord) -> LogLine:
     fields = {
         "service": record.service,
         "rollout": record.rollout,
--- a/src/springmux/rollout/reported_state.py
+++ b/src/springmux/rollout/reported_state.py
@@ -1,4 +1,4 @@
-"""What operators are told of a rollout: running, done or aborted."""
+"""State of a rollout as reported to operators: running, done or aborted."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 from springmux.rollout.planning.plan import RolloutPhase, RolloutRecord
 
 DONE_SETTLE_S = 0.4
-"""The old engines stop at once when *done* is told, without draining. By then every node must send to the
-new version: a committed change reaches nodes in touch within some tenths of a second (push, and a fetch by
-whoever is behind), and prompts already under way to an old engine have this long to end."""
+"""The old engines stop at once when *done* is reported, without draining. By then every node must send to the
+new version: a committed change reaches connected nodes within some tenths of a second (push, and a fetch
+by nodes that are behind), and prompts already under way to an old engine have this long to end."""
 
 
 class RolloutState(enum.StrEnum):
@@ -20,8 +20,8 @@
     ABORTED = "aborted"
 
 
-def told_done(record: RolloutRecord, since: float, now: float) -> bool:
-    """Say whether *done* may be told.
+def may_report_done(record: RolloutRecord, since: float, now: float) -> bool:
+    """Return whether *done* may be reported.
 
     :param since: when this node put ``record`` in force, on the clock of ``now`` (seconds, monotonic).
     """
@@ -29,11 +29,11 @@
 
 
 def state_of(record: RolloutRecord, confirmed: bool) -> RolloutState:
-    """Return what operators are told.
+    """Return the state to report.
 
-    An abort is told at once, since the new engines drain after it. A paused rollout is running.
+    An abort is reported at once, since the new engines drain after it. A paused rollout is running.
 
-    :param confirmed: whether *done* may be told, see :func:`told_done`.
+    :param confirmed: whether *done* may be reported, see :func:`may_report_done`.
     """
     if record.phase is RolloutPhase.ABORTED:
         return RolloutState.ABORTED
--- a/src/springmux/rollout/rollout_coordinator.py
+++ b/src/springmux/rollout/rollout_coordinator.py
@@ -29,20 +29,20 @@
 from springmux.rollout.events import RolloutSettings as RolloutSettings
 from springmux.rollout.leadership import Leadership
 from springmux.rollout.messages import RolloutAbortNotice, RolloutToken, RolloutTokenAck
-from springmux.rollout.participant import Participant, Visit
+from springmux.rollout.participant import Participant, TokenVisit
 from springmux.rollout.registry import RolloutRegistry, by_rollout
 from springmux.rollout.reporting import build_status
 from springmux.rollout.status import RolloutSample, RolloutStatus
 from springmux.rollout.token_ring.rings import RELAY, RingLayout, lay_out, way_from
 from springmux.rollout.token_ring.token import RolloutEntry
-from springmux.rollout.token_ring.token_passing import Passage, TokenPasser
+from springmux.rollout.token_ring.token_forwarding import ForwardResult, TokenForwarder
 from springmux.rollout.token_ring.zone_ring import ZoneRing
 from springmux.vocabulary.names import ServiceName
 
-ZONE_LAP_S = 0.9
-"""Horizon of grants in a zone ring; the relay ring's laps of a large fleet take about this long."""
+ZONE_ROUND_S = 0.9
+"""Horizon of grants in a zone ring; the relay ring's rounds of a large fleet take about this long."""
 
-AddToEntry = Callable[[RolloutEntry, Participant], RolloutEntry]
+EntryUpdate = Callable[[RolloutEntry, Participant], RolloutEntry]
 """Returns a token's entry with what this node, or the ring it leads, has to add."""
 
 
@@ -57,7 +57,7 @@
         self._random = random
         self._members: tuple[NodeRecord, ...] = ()
         self._layout: RingLayout = lay_out(())
-        self._passer = TokenPasser(own)
+        self._forwarder = TokenForwarder(own)
         self._leadership: Leadership | None = None
         self._zone_ring: ZoneRing | None = None
         self._seen = (-1, -1)
@@ -65,7 +65,7 @@
         self._aborts = AbortRequests(own, self._registry, lambda: self._leadership)
 
     def handle(self, event: Event, now: float) -> list[Effect]:
-        """Take one event; see the kernel."""
+        """Handle one event; return the effects to execute."""
         if isinstance(event, MessageReceived):
             return self._on_message(event, now)
         if isinstance(event, Tick):
@@ -82,9 +82,9 @@
         return []
 
     def next_deadline(self) -> float:
-        """Return when a hop, a lap or a repeated abort is due."""
-        lap = self._leadership.next_deadline() if self._leadership is not None else NEVER
-        return min(lap, self._passer.next_deadline(), self._aborts.next_deadline())
+        """Return when a hop, a round or a repeated abort is due."""
+        round_due = self._leadership.next_deadline() if self._leadership is not None else NEVER
+        return min(round_due, self._forwarder.next_deadline(), self._aborts.next_deadline())
 
     # Control state, fleet, engines, leadership
 
@@ -120,19 +120,19 @@
         note = LogLine("rollout_issuer", LogLevel.INFO, {"term": event.term, "sequence": sequence})
         # Who decided an abort may be gone before it was committed.
         aborted = [known for known in self._registry.under_way() if known.aborted]
-        return [note, *(effect for known in aborted for effect in self._aborts.want(known, now))]
+        return [note, *(effect for known in aborted for effect in self._aborts.request(known, now))]
 
-    # Laps
+    # Rounds
 
     def _on_tick(self, now: float) -> list[Effect]:
         effects: list[Effect] = []
-        for passage in self._passer.expire(now):
-            effects += self._passed(passage, now)
-        if self._leadership is not None and self._leadership.lap_due() <= now:
+        for forwarded in self._forwarder.expire(now):
+            effects += self._apply_forwarded(forwarded, now)
+        if self._leadership is not None and self._leadership.round_due() <= now:
             effects += self._launch(self._leadership, now)
         if self._leadership is not None:
-            effects += self._leadership.steer(self._registry.engines, now)
-        return effects + self._aborts.repeat(now)
+            effects += self._leadership.propose_steps(self._registry.engines, now)
+        return effects + self._aborts.retry(now)
 
     def _launch(self, leadership: Leadership, now: float) -> list[Effect]:
         token, effects = leadership.launch(self._layout, now)
@@ -140,46 +140,48 @@
             return effects + self._visit_relay(token, now)
         if self._own in self._layout.order:
             visited, visit_effects = self._visit(token, now)
-            return effects + visit_effects + self._pass_on(visited, now)
-        return effects + self._pass_on(token, now)
+            return effects + visit_effects + self._forward(visited, now)
+        return effects + self._forward(token, now)
 
     def _on_message(self, event: MessageReceived, now: float) -> list[Effect]:
         message = event.message
         if isinstance(message, RolloutTokenAck):
-            self._passer.acknowledged(event.sender, message)
+            self._forwarder.acknowledged(event.sender, message)
             return []
         if isinstance(message, RolloutToken):
             ack = Send(event.sender, RolloutTokenAck(message.term, message.sequence, message.ring))
             return [ack, *self._on_token(message, now)]
         if isinstance(message, RolloutAbortNotice):
-            return self._aborts.heed_notice(message, now)
+            return self._aborts.handle_notice(message, now)
         return []
 
     def _on_token(self, token: RolloutToken, now: float) -> list[Effect]:
         if token.issuer == self._own:
-            return self._come_home(token, now)
+            return self._token_returned(token, now)
         if token.ring == RELAY:
-            if token.lap <= self._seen_relay:
-                return self._aborts.heed(token, now)
+            if token.round_id <= self._seen_relay:
+                return self._aborts.apply_token_aborts(token, now)
             return self._visit_relay(token, now)
-        if token.lap <= self._seen:
-            return self._aborts.heed(token, now)
+        if token.round_id <= self._seen:
+            return self._aborts.apply_token_aborts(token, now)
         visited, effects = self._visit(token, now)
-        return effects + self._pass_on(visited, now)
+        return effects + self._forward(visited, now)
 
     def _visit(self, token: RolloutToken, now: float) -> tuple[RolloutToken, list[Effect]]:
-        self._seen = token.lap
+        self._seen = token.round_id
         zones = list(token.zones)
 
         def contribute(entry: RolloutEntry, participant: Participant) -> RolloutEntry:
             limit = self._registry.engines_limit(entry)
-            visit = Visit(token.ring, token.term, zones, limit, now, leading=self._leadership is not None)
+            visit = TokenVisit(
+                token.ring, token.term, zones, limit, now, leading=self._leadership is not None
+            )
             return participant.contribute(entry, visit)
 
         return self._add_to_entries(token, zones, contribute, now)
 
     def _add_to_entries(
-        self, token: RolloutToken, zones: list[ZoneName], add: AddToEntry, now: float
+        self, token: RolloutToken, zones: list[ZoneName], add: EntryUpdate, now: float
     ) -> tuple[RolloutToken, list[Effect]]:
         """Return the token with ``add`` applied to each rollout known here; ``add`` may extend ``zones``."""
         effects: list[Effect] = []
@@ -195,11 +197,11 @@
         return msgspec.structs.replace(token, zones=tuple(zones), entries=tuple(entries)), effects
 
     def _visit_relay(self, token: RolloutToken, now: float) -> list[Effect]:
-        """Add the own zone ring's sums, pass the relay token on, and launch a lap of the zone ring."""
-        self._seen_relay = token.lap
+        """Add the own zone ring's sums, pass the relay token on, and launch a round of the zone ring."""
+        self._seen_relay = token.round_id
         ring = self._layout.led_by(self._own)
         if ring is None:
-            return self._pass_on(token, now)
+            return self._forward(token, now)
         if self._zone_ring is None or self._zone_ring.ring != ring:
             self._zone_ring = ZoneRing(ring, self._zone, self._random)
         zone_ring = self._zone_ring
@@ -209,32 +211,34 @@
             return zone_ring.report(entry, participant, token.term, zones, now)
 
         relay, effects = self._add_to_entries(token, zones, report, now)
-        return effects + self._pass_on(relay, now) + self._launch_zone_ring(zone_ring, relay, now)
+        return effects + self._forward(relay, now) + self._launch_zone_ring(zone_ring, relay, now)
 
     def _launch_zone_ring(self, zone_ring: ZoneRing, relay: RolloutToken, now: float) -> list[Effect]:
         known = by_rollout(self._registry.under_way())
-        token = zone_ring.launch(relay, known, ZONE_LAP_S, now)
+        token = zone_ring.launch(relay, known, ZONE_ROUND_S, now)
         itinerary = way_from(self._own, self._layout.rings[zone_ring.ring])
         token = msgspec.structs.replace(token, issuer=self._own, itinerary=itinerary)
         visited, effects = self._visit(token, now)
-        return effects + self._pass_on(visited, now)
+        return effects + self._forward(visited, now)
 
-    def _pass_on(self, token: RolloutToken, now: float) -> list[Effect]:
-        return self._passed(self._passer.pass_on(token, now), now)
+    def _forward(self, token: RolloutToken, now: float) -> list[Effect]:
+        return self._apply_forwarded(self._forwarder.forward(token, now), now)
 
-    def _passed(self, passage: Passage, now: float) -> list[Effect]:
-        effects = list(passage.effects)
-        if passage.home is not None:
-            effects += self._come_home(passage.home, now)
+    def _apply_forwarded(self, forwarded: ForwardResult, now: float) -> list[Effect]:
+        effects = list(forwarded.effects)
+        if forwarded.returned is not None:
+            effects += self._token_returned(forwarded.returned, now)
         return effects
 
-    def _come_home(self, token: RolloutToken, now: float) -> list[Effect]:
+    def _token_returned(self, token: RolloutToken, now: float) -> list[Effect]:
         if self._zone_ring is not None and token.ring == self._zone_ring.ring:
             self._zone_ring.absorb(token, now)
-            return self._aborts.heed(token, now)
+            return self._aborts.apply_token_aborts(token, now)
         if self._leadership is None:
-            return self._aborts.heed(token, now)
-        return self._aborts.heed(token, now) + self._leadership.come_home(token, self._registry.engines, now)
+            return self._aborts.apply_token_aborts(token, now)
+        return self._aborts.apply_token_aborts(token, now) + self._leadership.token_returned(
+            token, self._registry.engines, now
+        )
 
     # Status
 
@@ -244,8 +248,10 @@
         if participant is None:
             return None
         leadership = self._leadership
-        steering = leadership.steerings.get(participant.record.rollout) if leadership is not None else None
-        return build_status(participant, steering, self._zone, now)
+        step_proposer = (
+            leadership.step_proposers.get(participant.record.rollout) if leadership is not None else None
+        )
+        return build_status(participant, step_proposer, self._zone, now)
 
     def samples(self, service: ServiceName) -> tuple[RolloutSample, ...]:
         """Return the history that this node kept of the newest rollout while it led."""
--- a/src/springmux/rollout/status.py
+++ b/src/springmux/rollout/status.py
@@ -39,7 +39,7 @@
 class RolloutStatus(msgspec.Struct, frozen=True):
     """A rollout as this node knows it.
 
-    ``prompts`` and ``sent`` are the fleet's, as of the last lap; ``credits`` are this node's unspent ones.
+    ``prompts`` and ``sent`` are the fleet's, as of the last round; ``credits`` are this node's unspent ones.
     ``lease_age_s``: age of the lease, ``None`` without one. ``waiting``: why the leader isn't going on.
     ``zone_order``: quietest first; only the leader knows it.
     """
--- a/src/springmux/rollout/steering.py
+++ b/src/springmux/rollout/step_proposer.py
@@ -1,4 +1,4 @@
-"""The leader's hand on one rollout: when it steps, finishes or waits, and its history."""
+"""Proposes the steps and the finish of one rollout at the leader, and samples its history."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 
 from springmux.coordination.state_machine import Effect, LogLevel, LogLine
 from springmux.rollout.effects import ProposeAbort, ProposeFinish, ProposeStep
+from springmux.rollout.engine_counts import ready_capacity, ready_count
 from springmux.rollout.issuer import IssuedRollout
-from springmux.rollout.judgement.final_look import final_look
+from springmux.rollout.judgement.final_analysis import final_analysis
 from springmux.rollout.participant import ACTIVE_PHASES, Participant
 from springmux.rollout.planning.load_step import is_load_step, load_weight
 from springmux.rollout.planning.plan import RolloutDecision, RolloutPhase
 from springmux.rollout.planning.schedule import ANSWER_S, NextStep, Progress, StepKind, next_step
 from springmux.rollout.status import EvidenceSummary, RolloutSample
 from springmux.vocabulary.engines import EnginesView
-from springmux.vocabulary.names import ServiceName, VersionName
 
-WISH_REPEAT_S = 0.5
-"""A wished command that isn't seen committed is wished again after this; its order id makes it one."""
+PROPOSAL_RETRY_S = 0.5
+"""A proposed command that isn't seen committed is proposed again after this; its order id makes it one."""
 
 
-class Steering:
-    """Turns progress into wishes. One object for each rollout and leadership."""
+class StepProposer:
+    """Turns progress into proposals; one object per rollout and leadership."""
 
     def __init__(self, participant: Participant, issued: IssuedRollout, now: float) -> None:
         self.participant = participant
@@ -32,13 +32,13 @@
         self._weight = participant.record.weight
         self._weight_since = now
         self._bad_before = issued.entry.evidence.candidate_bad
-        self._wished: tuple[StepKind, int] | None = None
-        self._wished_at = now
+        self._proposed: tuple[StepKind, int] | None = None
+        self._proposed_at = now
         self._refused: RolloutDecision | None = None
         self._abort_due_at = now
 
-    def steer(self, engines: EnginesView | None, minimum_ready: int, now: float) -> list[Effect]:
-        """Return the wishes and notes of this moment.
+    def propose(self, engines: EnginesView | None, minimum_ready: int, now: float) -> list[Effect]:
+        """Return the proposals and log lines that are due.
 
         :param minimum_ready: candidate engines without which no step is taken.
         """
@@ -50,7 +50,7 @@
         self.participant.history.add(self._sample(now), now)
         if self.participant.aborted or record.phase not in ACTIVE_PHASES:
             reason = "aborted" if self.participant.aborted else record.phase.value
-            return self._wait(reason) + self._wish_abort(now)
+            return self._wait(reason) + self._propose_abort(now)
         step = next_step(record.plan, self._progress(engines, now))
         if step.kind is StepKind.WAIT:
             return self._wait(step.reason)
@@ -58,22 +58,22 @@
         if ready < minimum_ready and step.kind is not StepKind.CHECKPOINT:
             return self._wait(f"{ready} candidate engines ready, minimum_ready_engines is {minimum_ready}")
         if step.kind is StepKind.FINISH and record.plan.pacing.needs_evidence:
-            decision = final_look(record.plan.limits, self.issued.entry.evidence)
+            decision = final_analysis(record.plan.limits, self.issued.entry.evidence)
             if decision is not None:
                 self._refused = msgspec.structs.replace(decision, decided_by="leader")
                 self.participant.abort(self._refused)
-                return self._wish_abort(now)
+                return self._propose_abort(now)
         if step.kind is StepKind.STEP and is_load_step(record.plan, step.weight) and step.weight < 1.0:
             stable = ready_count(engines, record.service, record.stable)
             step = msgspec.structs.replace(step, weight=load_weight(step.weight, stable))
-        return self._wait(step.reason) + self._wish(step, now)
+        return self._wait(step.reason) + self._propose(step, now)
 
-    def _wish_abort(self, now: float) -> list[Effect]:
+    def _propose_abort(self, now: float) -> list[Effect]:
         """Wish that a release refused by the last look be an abort, until it is committed."""
         record = self.participant.record
         if self._refused is None or record.phase is RolloutPhase.ABORTED or now < self._abort_due_at:
             return []
-        self._abort_due_at = now + WISH_REPEAT_S
+        self._abort_due_at = now + PROPOSAL_RETRY_S
         fields = {"service": record.service, "rollout": record.rollout, "reason": self._refused.reason}
         return [
             ProposeAbort(record.service, record.rollout, self._refused),
@@ -105,15 +105,15 @@
         record = self.participant.record
         return [LogLine("rollout_waits", LogLevel.INFO, {"service": record.service, "reason": reason})]
 
-    def _wish(self, step: NextStep, now: float) -> list[Effect]:
+    def _propose(self, step: NextStep, now: float) -> list[Effect]:
         record = self.participant.record
         # A checkpoint only notes the time used: it stays at the present step.
         number = record.step if step.kind is StepKind.CHECKPOINT else record.step + 1
         wish = (step.kind, number)
-        if wish == self._wished and now - self._wished_at < WISH_REPEAT_S:
+        if wish == self._proposed and now - self._proposed_at < PROPOSAL_RETRY_S:
             return []
-        self._wished = wish
-        self._wished_at = now
+        self._proposed = wish
+        self._proposed_at = now
         elapsed_s = self.participant.clock.read(now)
         fields = {"service": record.service, "rollout": record.rollout, "elapsed_s": round(elapsed_s, 2)}
         fields |= msgspec.structs.asdict(summarize(self.participant, self.issued))
@@ -144,7 +144,7 @@
 
 def summarize(participant: Participant, issued: IssuedRollout | None) -> EvidenceSummary:
     """Return the counts of the newest merged evidence that this node has."""
-    entry = issued.entry if issued is not None else participant.kept
+    entry = issued.entry if issued is not None else participant.last_entry
     if entry is None:
         return EvidenceSummary()
     evidence = entry.evidence
@@ -155,25 +155,3 @@
         stable_bad=evidence.stable_bad,
         passed=participant.verdict is not None and participant.verdict.passed,
     )
-
-
-def ready_capacity(engines: EnginesView | None, service: ServiceName, version: VersionName) -> int:
-    """Return how many requests the ready engines of a version run at once."""
-    if engines is None:
-        return 0
-    return sum(record.capacity for record in engines.ready(service) if record.version == version)
-
-
-def ready_count(engines: EnginesView | None, service: ServiceName, version: VersionName) -> int:
-    """Return how many engines of a version are ready."""
-    if engines is None:
-        return 0
-    return sum(record.version == version for record in engines.ready(service))
-
-
-def engines_limit(weight: float, stable_count: int, candidate_count: int) -> int:
-    """Return on how many candidate engines ``weight`` gives each the load of a stable one; 0 means all."""
-    if weight >= 1.0 or stable_count == 0:
-        return 0
-    wanted = max(1, round(weight * stable_count / (1.0 - weight)))
-    return 0 if wanted >= candidate_count else wanted
--- a/src/springmux/rollout/token_ring/rings.py
+++ b/src/springmux/rollout/token_ring/rings.py
@@ -1,8 +1,8 @@
 """Who passes the token to whom: one ring in a small fleet, zone rings and a relay ring in a large one.
 
 A node's work grows with the size of its ring, not of the fleet. In a large fleet the control leader's relay
-ring visits one lead of each zone ring; the lead then launches a lap of its own ring and carries that ring's
-sums on the next relay lap.
+ring visits one lead of each zone ring; the lead then launches a round of its own ring and carries that ring's
+sums on the next relay round.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
         return self._ring_by_node.get(node)
 
     def lead(self, ring: int) -> NodeId:
-        """Return the node that launches the laps of a zone ring."""
+        """Return the node that launches the rounds of a zone ring."""
         return self.rings[ring][0]
 
     def longest_ring(self) -> int:
--- a/src/springmux/rollout/token_ring/token.py
+++ b/src/springmux/rollout/token_ring/token.py
@@ -61,7 +61,7 @@
 
     ``weight`` and ``phase`` are what the issuer saw committed; ``elapsed_s`` unpaused time. ``allowance``:
     credits on top of the share. ``fleet_prompts`` and ``fleet_sent`` are sums over the whole fleet as of the
-    last lap. ``evidence`` is merged over the token's ring. ``aborted`` never goes back to false.
+    last round. ``evidence`` is merged over the token's ring. ``aborted`` never goes back to false.
     ``zone_rates``: each zone's measured prompts in ten seconds. ``remembered``: some node has a copy from
     before this term, so not the whole fleet was restarted.
     """
@@ -121,7 +121,10 @@
 
 
 def recover_accounts(
-    entry: RolloutEntry, kept: RolloutEntry, zones: tuple[ZoneName, ...], kept_zones: tuple[ZoneName, ...]
+    entry: RolloutEntry,
+    last_entry: RolloutEntry,
+    zones: tuple[ZoneName, ...],
+    last_zones: tuple[ZoneName, ...],
 ) -> tuple[RolloutEntry, tuple[ZoneName, ...]]:
     """Merge the counters of an older copy into ``entry``, for an issuer that may not know them.
 
@@ -130,18 +133,18 @@
     """
     accounts = {account.writer: account for account in entry.accounts}
     all_zones = list(zones)
-    for old in kept.accounts:
+    for old in last_entry.accounts:
         known = accounts.get(old.writer)
         if known is not None:
             accounts[old.writer] = merge_accounts(known, old)
             continue
-        zone = index_of_zone(all_zones, kept_zones[old.zone] if old.zone < len(kept_zones) else ZoneName(""))
+        zone = index_of_zone(all_zones, last_zones[old.zone] if old.zone < len(last_zones) else ZoneName(""))
         accounts[old.writer] = msgspec.structs.replace(old, zone=zone, visits=0)
     recovered = msgspec.structs.replace(
         entry,
         accounts=tuple(accounts.values()),
-        aborted=entry.aborted or kept.aborted,
-        decision=entry.decision or kept.decision,
+        aborted=entry.aborted or last_entry.aborted,
+        decision=entry.decision or last_entry.decision,
     )
     return recovered, tuple(all_zones)
 
--- a/src/springmux/rollout/token_ring/token_passing.py
+++ b/src/springmux/rollout/token_ring/token_forwarding.py
@@ -1,4 +1,4 @@
-"""Passing a token from node to node: acknowledgements, skipped hops, and the way home to its issuer."""
+"""Forwarding of a token from node to node: acknowledgements, skipped hops, and its return to the issuer."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from springmux.rollout.messages import RolloutToken, RolloutTokenAck
 
 HOP_TIMEOUT_S = 0.12
-"""A hop that doesn't acknowledge within this is skipped: some round trips, and a third of a lap."""
+"""A hop that doesn't acknowledge within this is skipped: some round trips, and a third of a round."""
 AVOID_S = 0.6
-"""A skipped node isn't tried again for this long: a lap or two, well within the lease."""
-HOME_ATTEMPTS = 3
+"""A skipped node isn't tried again for this long: a round or two, well within the lease."""
+RETURN_ATTEMPTS = 3
 """Times that the last hop, to the issuer, is tried; the issuer reissues the token anyway."""
 
 
 class PendingHop(msgspec.Struct):
-    """A token sent on and not yet acknowledged."""
+    """A token forwarded and not yet acknowledged."""
 
     token: RolloutToken
     to: NodeId
@@ -25,15 +25,15 @@
     attempts: int = 1
 
 
-class Passage(msgspec.Struct, frozen=True):
-    """What passing on led to: effects, and a token whose way ended at this very node."""
+class ForwardResult(msgspec.Struct, frozen=True):
+    """Effects of forwarding, and the token if it returned to its issuer, this node."""
 
     effects: tuple[Effect, ...] = ()
-    home: RolloutToken | None = None
+    returned: RolloutToken | None = None
 
 
-class TokenPasser:
-    """Hands tokens on, one pending hop a ring; a newer lap replaces an older one's hop."""
+class TokenForwarder:
+    """Forwards tokens, one pending hop per ring; a newer round replaces an older one's hop."""
 
     def __init__(self, own: NodeId) -> None:
         self._own = own
@@ -44,8 +44,8 @@
         """Return when the first pending hop counts as failed."""
         return min((hop.deadline for hop in self._pending.values()), default=NEVER)
 
-    def pass_on(self, token: RolloutToken, now: float) -> Passage:
-        """Send ``token`` to the next node of its itinerary that isn't avoided, or home."""
+    def forward(self, token: RolloutToken, now: float) -> ForwardResult:
+        """Send ``token`` to the next node of its itinerary that isn't avoided, or back to its issuer."""
         itinerary = token.itinerary
         while itinerary and self._avoid_until.get(itinerary[0], -NEVER) > now:
             itinerary = itinerary[1:]
@@ -53,38 +53,38 @@
         onward = msgspec.structs.replace(token, itinerary=itinerary[1:])
         if to == self._own:
             self._pending.pop(token.ring, None)
-            return Passage(home=onward)
+            return ForwardResult(returned=onward)
         self._pending[token.ring] = PendingHop(onward, to, now + HOP_TIMEOUT_S)
-        return Passage(effects=(Send(to, onward),))
+        return ForwardResult(effects=(Send(to, onward),))
 
     def acknowledged(self, sender: NodeId, ack: RolloutTokenAck) -> None:
-        """Take an acknowledgement; a late or foreign one changes nothing."""
+        """Handle an acknowledgement; a late or foreign one changes nothing."""
         hop = self._pending.get(ack.ring)
-        if hop is not None and hop.to == sender and hop.token.lap == (ack.term, ack.sequence):
+        if hop is not None and hop.to == sender and hop.token.round_id == (ack.term, ack.sequence):
             del self._pending[ack.ring]
             self._avoid_until.pop(sender, None)
 
-    def expire(self, now: float) -> list[Passage]:
+    def expire(self, now: float) -> list[ForwardResult]:
         """Skip the hops whose time has run out."""
         due = [hop for hop in self._pending.values() if hop.deadline <= now]
         return [self._skip(hop, now) for hop in due]
 
-    def _skip(self, hop: PendingHop, now: float) -> Passage:
+    def _skip(self, hop: PendingHop, now: float) -> ForwardResult:
         if hop.to == hop.token.issuer:
-            return self._retry_home(hop, now)
+            return self._retry_return(hop, now)
         self._avoid_until[hop.to] = now + AVOID_S
-        note = LogLine(
+        skipped = LogLine(
             "rollout_token_hop_skipped",
             LogLevel.WARNING,
             {"to": hop.to, "term": hop.token.term, "sequence": hop.token.sequence},
         )
-        passage = self.pass_on(hop.token, now)
-        return Passage(effects=(note, *passage.effects), home=passage.home)
+        forwarded = self.forward(hop.token, now)
+        return ForwardResult(effects=(skipped, *forwarded.effects), returned=forwarded.returned)
 
-    def _retry_home(self, hop: PendingHop, now: float) -> Passage:
-        if hop.attempts >= HOME_ATTEMPTS:
+    def _retry_return(self, hop: PendingHop, now: float) -> ForwardResult:
+        if hop.attempts >= RETURN_ATTEMPTS:
             del self._pending[hop.token.ring]
-            return Passage()
+            return ForwardResult()
         hop.attempts += 1
         hop.deadline = now + HOP_TIMEOUT_S
-        return Passage(effects=(Send(hop.to, hop.token),))
+        return ForwardResult(effects=(Send(hop.to, hop.token),))
--- a/src/springmux/rollout/token_ring/zone_ring.py
+++ b/src/springmux/rollout/token_ring/zone_ring.py
@@ -1,6 +1,6 @@
-"""A zone ring's lead: it launches its ring's laps and carries the ring's sums on the relay ring.
+"""A zone ring's lead: it launches its ring's rounds and carries the ring's sums on the relay ring.
 
-To the relay ring a zone ring looks like one node: one account and one cumulative digest. Laps are launched
+To the relay ring a zone ring looks like one node: one account and one cumulative digest. Rounds are launched
 only when a relay token arrives, so a lead that is cut off from the issuer renews nobody's lease.
 """
 
@@ -84,7 +84,7 @@
         return with_account(entry, account)
 
     def _added(self) -> AccountTotals:
-        """Return the ring's sums since this node's first whole lap as its lead.
+        """Return the ring's sums since this node's first whole round as its lead.
 
         What came before was reported by the former lead; what fell between is left out, which only
         lowers the prompts that credits accrue from.
@@ -94,9 +94,9 @@
         return self.issued.totals().less(self._base)
 
     def prepare(
-        self, entry: RolloutEntry, zones: tuple[ZoneName, ...], lap_s: float, now: float
+        self, entry: RolloutEntry, zones: tuple[ZoneName, ...], round_s: float, now: float
     ) -> RolloutEntry:
-        """Return the entry for a lap of the zone ring, with credits out of those given to the ring."""
+        """Return the entry for a round of the zone ring, with credits out of those given to the ring."""
         if self.issued is None:
             self.issued = IssuedRollout(self._first_entry(entry), now)
         issued = self.issued
@@ -109,17 +109,17 @@
         )
         if self._base is not None and not issued.entry.aborted:
             pool = self._granted - (issued.totals().granted - self._base.granted)
-            issued.grant_from_pool(entry.zone_weight(zones.index(self._zone)), max(0, pool), lap_s)
+            issued.grant_from_pool(entry.zone_weight(zones.index(self._zone)), max(0, pool), round_s)
         return issued.entry
 
     def _first_entry(self, entry: RolloutEntry) -> RolloutEntry:
-        kept = self.participant.kept
-        if kept is not None and self.participant.ring == self._ring:
-            return kept
+        last_entry = self.participant.last_entry
+        if last_entry is not None and self.participant.ring == self._ring:
+            return last_entry
         return msgspec.structs.replace(entry, accounts=(), evidence=EMPTY_DIGEST)
 
     def absorb(self, returned: RolloutEntry, current: bool, now: float) -> None:
-        """Take a lap of the zone ring that came back."""
+        """Take a round of the zone ring that came back."""
         if self.issued is None:
             return
         self.issued.absorb(returned, now if current else None, now)
@@ -128,14 +128,14 @@
 
 
 class ZoneRing:
-    """The laps of one zone ring, for all rollouts under way."""
+    """The rounds of one zone ring, for all rollouts under way."""
 
     def __init__(self, ring: int, zone: ZoneName, rng: random.Random) -> None:
         self.ring = ring
         self._zone = zone
         self._rng = rng
         self._shares: dict[RolloutId, RingShare] = {}
-        self._lap = (-1, -1)
+        self._round = (-1, -1)
 
     def report(
         self, entry: RolloutEntry, participant: Participant, term: int, zones: list[ZoneName], now: float
@@ -144,12 +144,12 @@
         return self._share(participant).report(entry, term, zones, now)
 
     def launch(
-        self, relay: RolloutToken, participants: Mapping[RolloutId, Participant], lap_s: float, now: float
+        self, relay: RolloutToken, participants: Mapping[RolloutId, Participant], round_s: float, now: float
     ) -> RolloutToken:
-        """Return this ring's token for the relay token's lap; the caller sets issuer and itinerary."""
-        self._lap = relay.lap
+        """Return this ring's token for the relay token's round; the caller sets issuer and itinerary."""
+        self._round = relay.round_id
         entries = [
-            self._share(participants[entry.rollout]).prepare(entry, relay.zones, lap_s, now)
+            self._share(participants[entry.rollout]).prepare(entry, relay.zones, round_s, now)
             if entry.rollout in participants
             else entry
             for entry in relay.entries
@@ -157,8 +157,8 @@
         return msgspec.structs.replace(relay, ring=self.ring, entries=tuple(entries))
 
     def absorb(self, token: RolloutToken, now: float) -> None:
-        """Take a lap that came back."""
-        current = token.lap == self._lap
+        """Take a round that came back."""
+        current = token.round_id == self._round
         for entry in token.entries:
             share = self._shares.get(entry.rollout)
             if share is not None:
--- a/src/springmux/rollout/version_filter.py
+++ b/src/springmux/rollout/version_filter.py
@@ -250,7 +250,7 @@
             gate.given_back += 1
 
     def recheck(self, service: ServiceName, version: VersionName, now: float) -> bool:
-        """Say whether ``version`` may still be sent to: a candidate only under a lease that still holds."""
+        """Return whether ``version`` may still be sent to: a candidate only under a valid lease."""
         gate = self.gates.get(service)
         if gate is None or version == gate.stable:
             return True
--- a/tests/unit/judgement/support.py
+++ b/tests/unit/judgement/support.py
@@ -47,7 +47,7 @@
     """Feeds one book: each call to ``canary`` is one candidate answer after ``stable`` stable ones."""
 
     def __init__(self, seed: int = 0, plan: RolloutPlan = PLAN) -> None:
-        self.book = new_book(plan)
+        self.table = new_book(plan)
         self.random = random.Random(seed)
         self.now = 0.0
 
@@ -60,11 +60,11 @@
             bad = self.random.random() < error_rate
             ending = Ending.ERROR_STATUS if bad else Ending.WHOLE
             given = {"first_token_s": self.first_token(), "ending": ending, **fields}
-            self.book.record(outcome(STABLE, **given), self.now)  # type: ignore[arg-type]
+            self.table.record(outcome(STABLE, **given), self.now)  # type: ignore[arg-type]
 
     def canary(self, **fields: object) -> None:
         given = {"first_token_s": self.first_token(), **fields}
-        self.book.record(outcome(CANDIDATE, **given), self.now)  # type: ignore[arg-type]
+        self.table.record(outcome(CANDIDATE, **given), self.now)  # type: ignore[arg-type]
 
     def verdict(self) -> Verdict:
-        return judge(self.book.digest())
+        return judge(self.table.digest())
--- a/tests/unit/judgement/test_digest.py
+++ b/tests/unit/judgement/test_digest.py
@@ -21,12 +21,12 @@
 
 @st.composite
 def digests(draw: st.DrawFn) -> EvidenceDigest:
-    book = new_book()
+    table = new_book()
     now = 0.0
     for version, ending, engine, route, latency in draw(st.lists(step, max_size=40)):
         now += 1.5
-        book.record(outcome(version, ending=ending, engine=engine, route=route, first_token_s=latency), now)
-    return book.digest()
+        table.record(outcome(version, ending=ending, engine=engine, route=route, first_token_s=latency), now)
+    return table.digest()
 
 
 @settings(derandomize=True, max_examples=60)
@@ -54,18 +54,18 @@
 
 def test_a_busy_digest_of_two_routes_is_small_and_many_routes_stay_bounded() -> None:
     # Given two routes over a whole rollout on nine candidate engines
-    book = new_book()
+    table = new_book()
     for index in range(6000):
         version = CANDIDATE if index % 3 == 0 else STABLE
         ending = Ending.ERROR_STATUS if index % 7 == 0 else Ending.WHOLE
         route = ("fault-digest", "stock-query")[index % 2]
         latency = 0.01 + index % 11 / 10
         engine = f"engine-{index % 9}"
-        book.record(
+        table.record(
             outcome(version, ending=ending, engine=engine, route=route, first_token_s=latency), index / 100
         )
-    assert len(msgspec.msgpack.encode(book.digest())) < 1500
+    assert len(msgspec.msgpack.encode(table.digest())) < 1500
     # When hundreds of routes come, then the digest keeps eight
     for index in range(300):
-        book.record(outcome(CANDIDATE, route=f"route-{index}"), 60.0)
-    assert len(book.digest().routes) == 8
+        table.record(outcome(CANDIDATE, route=f"route-{index}"), 60.0)
+    assert len(table.digest().routes) == 8
--- a/tests/unit/judgement/test_judge.py
+++ b/tests/unit/judgement/test_judge.py
@@ -64,7 +64,7 @@
     for index in range(100):
         both.stable(4, error_rate=0.6)
         both.canary(ending=BAD if index % 2 else Ending.WHOLE, engine=f"engine-{index % 3}")
-    assert both.book.digest().candidate_bad == 50
+    assert both.table.digest().candidate_bad == 50
     assert not both.verdict().abort
 
 
@@ -153,7 +153,7 @@
         stream.canary(engine=f"candidate-{1 + index % 2}", ending=ordinary)
         if index > 200:
             stream.canary(engine="candidate-0", ending=Ending.TIMED_OUT, first_token_s=None)
-        assert not stream.verdict().abort or stream.book.digest().candidate_bad >= 40
+        assert not stream.verdict().abort or stream.table.digest().candidate_bad >= 40
 
 
 def test_timeouts_of_the_only_engine_after_its_loss_wait_for_the_guard() -> None:
@@ -162,7 +162,7 @@
     while not stream.verdict().abort:
         stream.stable(12)
         stream.canary(ending=Ending.TIMED_OUT, first_token_s=None)
-    assert stream.book.digest().candidate_bad == 40
+    assert stream.table.digest().candidate_bad == 40
 
 
 @pytest.mark.parametrize(
@@ -205,27 +205,27 @@
 
 
 def test_losses_of_most_candidate_engines_condemn_unless_stable_engines_are_lost_too() -> None:
-    book = new_book()
+    table = new_book()
     for index in range(3):
-        book.record(outcome(STABLE, engine=f"stable-{index}"), 0.0)
+        table.record(outcome(STABLE, engine=f"stable-{index}"), 0.0)
         for _ in range(40):
-            book.record(outcome(CANDIDATE, engine=f"candidate-{index}", ending=Ending.ENGINE_LOST), 0.1)
+            table.record(outcome(CANDIDATE, engine=f"candidate-{index}", ending=Ending.ENGINE_LOST), 0.1)
         if index < 2:
-            assert not judge(book.digest()).abort
-    decision = judge(book.digest()).decision
+            assert not judge(table.digest()).abort
+    decision = judge(table.digest()).decision
     assert decision is not None and decision.test == "lost_engines"
-    assert [use.losses for use in book.digest().engines if use.candidate] == [1, 1, 1]
+    assert [use.losses for use in table.digest().engines if use.candidate] == [1, 1, 1]
     for index in range(2):
-        book.record(outcome(STABLE, engine=f"stable-{index}", ending=Ending.ENGINE_LOST), 0.2)
-    assert not judge(book.digest()).abort
+        table.record(outcome(STABLE, engine=f"stable-{index}", ending=Ending.ENGINE_LOST), 0.2)
+    assert not judge(table.digest()).abort
 
 
 def test_what_says_nothing_is_not_recorded() -> None:
-    book = new_book()
-    book.record(outcome(CANDIDATE, ending=Ending.CALLER_GONE), 0.0)
-    book.record(outcome(VersionName("v0"), ending=BAD), 0.0)
-    book.record(outcome(CANDIDATE, ending=BAD, service=ServiceName("pages")), 0.0)
-    assert book.digest() == EMPTY_DIGEST
+    table = new_book()
+    table.record(outcome(CANDIDATE, ending=Ending.CALLER_GONE), 0.0)
+    table.record(outcome(VersionName("v0"), ending=BAD), 0.0)
+    table.record(outcome(CANDIDATE, ending=BAD, service=ServiceName("pages")), 0.0)
+    assert table.digest() == EMPTY_DIGEST
 
 
 def test_old_stable_answers_are_not_compared() -> None:
@@ -233,16 +233,16 @@
     stream.stable(24)
     stream.now += 60.0
     stream.canary(ending=BAD)
-    assert all(epoch.error_100 == 0 for route in stream.book.digest().routes for epoch in route.epochs)
+    assert all(epoch.error_100 == 0 for route in stream.table.digest().routes for epoch in route.epochs)
 
 
 def test_a_stable_answer_is_compared_once() -> None:
     stream = Stream()
     stream.stable(24)
     stream.canary(ending=BAD)
-    first = stream.book.digest().routes[0].epochs[0]
+    first = stream.table.digest().routes[0].epochs[0]
     stream.canary(ending=BAD)
-    second = stream.book.digest().routes[0].epochs[0]
+    second = stream.table.digest().routes[0].epochs[0]
     assert first.error_100 == second.error_100 > 0
 
 
@@ -263,7 +263,7 @@
         for _ in range(2):
             stream.stable(20)
             stream.canary(ending=BAD)
-    digests = [stream.book.digest() for stream in streams]
+    digests = [stream.table.digest() for stream in streams]
     assert not judge(digests[0]).abort
     assert judge(merge_all(digests)) == judge(merge_all(reversed(digests)))
     assert judge(merge_all(digests)).abort
@@ -282,7 +282,7 @@
                 bad = stream.random.random() < error_rate
                 latency = stream.first_token(0.1 * first_token_ratio)
                 stream.canary(ending=BAD if bad else Ending.WHOLE, first_token_s=latency)
-            if Judge(plan).judge(stream.book.digest()).decision is not None:
+            if Judge(plan).judge(stream.table.digest()).decision is not None:
                 alarms += 1
                 break
     return alarms
--- a/tests/unit/rollout/test_ledger.py
+++ b/tests/unit/rollout/test_ledger.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from springmux.coordination.identifiers import ZoneName
-from springmux.rollout.ledger import Need, allot, credit_pool, zone_order, zone_weights
+from springmux.rollout.ledger import CreditDemand, allocate_credits, credit_pool, zone_order, zone_weights
 from springmux.rollout.planning.plan import RolloutPhase
 from springmux.rollout.token_ring.token import Account, AccountTotals
 from tests.unit.rollout.virtual_fleet import PLAN
@@ -52,13 +52,13 @@
 )
 def test_no_more_is_granted_than_the_pool_has(rows: list[tuple[float, float, int]], pool: int) -> None:
     accounts = {n: Account(n, 0, granted=out) for n, (_, _, out) in enumerate(rows)}
-    needs = [Need(n, rate, weight) for n, (rate, weight, _) in enumerate(rows)]
-    grants = allot(needs, accounts, pool, 1.0)
+    needs = [CreditDemand(n, rate, weight) for n, (rate, weight, _) in enumerate(rows)]
+    grants = allocate_credits(needs, accounts, pool, 1.0)
     assert sum(grants.values()) <= pool
     assert all(credits > 0 for credits in grants.values())
 
 
 def test_a_small_pool_goes_to_the_first_and_outstanding_credits_count() -> None:
     accounts = {1: Account(1, 0, granted=1), 2: Account(2, 0), 3: Account(3, 0)}
-    needs = [Need(1, 0.1, 0.1), Need(2, 0.1, 0.1), Need(3, 0.1, 0.1)]
-    assert allot(needs, accounts, 1, 1.0) == {2: 1}
+    needs = [CreditDemand(1, 0.1, 0.1), CreditDemand(2, 0.1, 0.1), CreditDemand(3, 0.1, 0.1)]
+    assert allocate_credits(needs, accounts, 1, 1.0) == {2: 1}
--- a/tests/unit/rollout/test_load_step.py
+++ b/tests/unit/rollout/test_load_step.py
@@ -64,13 +64,13 @@
 
 def latency_bets(loaded: bool, first_token_s: float, prompt_bytes: int) -> int:
     """Return the bet against a candidate answer beside four stable ones of 0.1 s."""
-    book = EvidenceTable(SERVICE, STABLE, VersionName("v2"))
+    table = EvidenceTable(SERVICE, STABLE, VersionName("v2"))
     for number in range(4):
         answer = outcome(STABLE, first_token_s=0.1 + 0.001 * number, prompt_bytes=prompt_bytes)
-        book.record(answer, 1.0)
-    book.loaded = loaded
-    book.record(outcome(CANDIDATE, first_token_s=first_token_s, prompt_bytes=prompt_bytes), 1.5)
-    (route,) = book.digest().routes
+        table.record(answer, 1.0)
+    table.loaded = loaded
+    table.record(outcome(CANDIDATE, first_token_s=first_token_s, prompt_bytes=prompt_bytes), 1.5)
+    (route,) = table.digest().routes
     return route.epochs[0].first_token_steep
 
 
@@ -84,24 +84,24 @@
     """Given cold caches and more load than a stable engine's, a good version is many times slower."""
     assert latency_bets(False, 0.9, 600) > 0
     assert latency_bets(True, 0.9, 600) == 0
-    book = EvidenceTable(SERVICE, STABLE, VersionName("v2"))
-    book.record(outcome(STABLE), 1.0)
-    book.loaded = True
-    assert book.watch(CAPTION, 600, 0.0, 1.1) is None
-    book.record(outcome(CANDIDATE, ending=Ending.ERROR_STATUS, first_token_s=None), 1.2)
-    (route,) = book.digest().routes
+    table = EvidenceTable(SERVICE, STABLE, VersionName("v2"))
+    table.record(outcome(STABLE), 1.0)
+    table.loaded = True
+    assert table.watch(CAPTION, 600, 0.0, 1.1) is None
+    table.record(outcome(CANDIDATE, ending=Ending.ERROR_STATUS, first_token_s=None), 1.2)
+    (route,) = table.digest().routes
     assert route.epochs[0].candidate_bad == 1
     assert route.epochs[0].error_100 > 0
 
 
 def test_the_mean_time_of_stable_answers_is_known_from_the_first_one() -> None:
-    book = EvidenceTable(SERVICE, STABLE, VersionName("v2"))
-    assert book.stable_answer_s == 0.0
+    table = EvidenceTable(SERVICE, STABLE, VersionName("v2"))
+    assert table.stable_answer_s == 0.0
     answer = msgspec.structs.replace(outcome(STABLE, first_token_s=0.1), token_gap_s=0.02, tokens=21)
-    book.record(answer, 1.0)
-    assert book.stable_answer_s == pytest.approx(0.5)
-    book.record(msgspec.structs.replace(answer, version=CANDIDATE, first_token_s=9.0), 1.0)
-    assert book.stable_answer_s == pytest.approx(0.5), "candidate answers don't count"
+    table.record(answer, 1.0)
+    assert table.stable_answer_s == pytest.approx(0.5)
+    table.record(msgspec.structs.replace(answer, version=CANDIDATE, first_token_s=9.0), 1.0)
+    assert table.stable_answer_s == pytest.approx(0.5), "candidate answers don't count"
 
 
 @pytest.mark.parametrize("prompts_per_s", [30.0, 60.0, 130.0, 250.0])
--- a/tests/unit/rollout/test_part.py
+++ b/tests/unit/rollout/test_part.py
@@ -18,7 +18,7 @@
 from springmux.rollout.planning.plan import RolloutDecision, RolloutPhase, RolloutRecord
 from springmux.rollout.rollout_coordinator import RolloutCoordinator, RolloutSettings
 from springmux.rollout.token_ring.rings import RELAY, WHOLE_FLEET, lay_out
-from springmux.rollout.token_ring.token_passing import HOP_TIMEOUT_S
+from springmux.rollout.token_ring.token_forwarding import HOP_TIMEOUT_S
 from springmux.vocabulary.names import OrderId
 from tests.unit.rollout.virtual_fleet import CANDIDATE, SERVICE, STABLE, engines_view, record_of
 
--- a/tests/unit/rollout/test_participant.py
+++ b/tests/unit/rollout/test_participant.py
@@ -10,7 +10,7 @@
 
 from springmux.coordination.identifiers import NodeId, ZoneName
 from springmux.rollout.outcome import Ending, PromptOutcome
-from springmux.rollout.participant import Participant, Visit
+from springmux.rollout.participant import Participant, TokenVisit
 from springmux.rollout.planning.plan import RolloutDecision, RolloutPhase
 from springmux.rollout.token_ring.token import (
     Account,
@@ -45,8 +45,8 @@
     return msgspec.structs.replace(first, **changes)
 
 
-def visit(term: int = 1, ring: int = 0, now: float = 1.0) -> Visit:
-    return Visit(ring, term, [ZONE], 0, now)
+def visit(term: int = 1, ring: int = 0, now: float = 1.0) -> TokenVisit:
+    return TokenVisit(ring, term, [ZONE], 0, now)
 
 
 def answer(node: Participant, version: str = STABLE, ending: Ending = Ending.WHOLE) -> None:
@@ -162,8 +162,8 @@
     first = Account(1, 0, prompts=5, visits=3, granted=2, taken=1)
     second = Account(1, 0, prompts=4, visits=9, granted=6)
     assert merge_accounts(first, second) == Account(1, 0, prompts=5, visits=3, granted=6, taken=1)
-    kept = entry(accounts=(second, Account(2, 0, prompts=8, visits=4)), aborted=True)
-    recovered, zones = recover_accounts(entry(accounts=(first,)), kept, (ZoneName("y"),), (ZONE,))
+    last_entry = entry(accounts=(second, Account(2, 0, prompts=8, visits=4)), aborted=True)
+    recovered, zones = recover_accounts(entry(accounts=(first,)), last_entry, (ZoneName("y"),), (ZONE,))
     assert recovered.account(2) == Account(2, 1, prompts=8, visits=0)
     assert zones == ("y", "z")
     assert recovered.aborted
--- a/tests/unit/rollout/test_short_term_parts.py
+++ b/tests/unit/rollout/test_short_term_parts.py
@@ -17,13 +17,13 @@
     RouteEvidence,
 )
 from springmux.rollout.judgement.evidence_table import EvidenceTable
-from springmux.rollout.judgement.final_look import final_look
+from springmux.rollout.judgement.final_analysis import final_analysis
 from springmux.rollout.outcome import FirstTokenWatch
 from springmux.rollout.planning.plan import JudgeLimits, RolloutPhase
 from springmux.rollout.planning.plan_checks import validate_plan
 from springmux.rollout.planning.schedule import plan_schedule
 from springmux.rollout.planning.standard_plan import plan_for
-from springmux.rollout.reported_state import DONE_SETTLE_S, RolloutState, state_of, told_done
+from springmux.rollout.reported_state import DONE_SETTLE_S, RolloutState, may_report_done, state_of
 from springmux.rollout.rollout_coordinator import RolloutCoordinator
 from springmux.rollout.version_filter import NO_VERSIONS, THIN_ROUTE_WEIGHT, route_weights
 from springmux.vocabulary.names import RouteName, VersionName
@@ -62,10 +62,10 @@
 
 def test_done_is_told_a_moment_after_it_is_in_force_and_an_abort_at_once() -> None:
     done = record_of(phase=RolloutPhase.DONE, stable=CANDIDATE, weight=1.0)
-    assert not told_done(done, since=10.0, now=10.0 + 0.9 * DONE_SETTLE_S)
-    assert told_done(done, since=10.0, now=10.0 + DONE_SETTLE_S)
+    assert not may_report_done(done, since=10.0, now=10.0 + 0.9 * DONE_SETTLE_S)
+    assert may_report_done(done, since=10.0, now=10.0 + DONE_SETTLE_S)
     assert DONE_SETTLE_S >= 0.4  # a change reaches every node in touch well within this
-    assert not told_done(record_of(), since=10.0, now=99.0)
+    assert not may_report_done(record_of(), since=10.0, now=99.0)
     assert state_of(done, confirmed=False) is RolloutState.RUNNING
     assert state_of(done, confirmed=True) is RolloutState.DONE
     assert state_of(record_of(phase=RolloutPhase.ABORTED), confirmed=False) is RolloutState.ABORTED
@@ -114,39 +114,39 @@
 
 
 def watched_book() -> tuple[EvidenceTable, FirstTokenWatch]:
-    book = EvidenceTable(SERVICE, STABLE, VersionName("v2"))
+    table = EvidenceTable(SERVICE, STABLE, VersionName("v2"))
     for number in range(4):
-        book.record(outcome(STABLE, first_token_s=0.1 + 0.01 * number), 1.0)
-    watch = book.watch(CAPTION, 600, 0.0, 1.5)
+        table.record(outcome(STABLE, first_token_s=0.1 + 0.01 * number), 1.0)
+    watch = table.watch(CAPTION, 600, 0.0, 1.5)
     assert watch is not None
-    return book, watch
+    return table, watch
 
 
-def first_token_bets(book: EvidenceTable) -> list[int]:
-    return [epoch.first_token_steep for route in book.digest().routes for epoch in route.epochs]
+def first_token_bets(table: EvidenceTable) -> list[int]:
+    return [epoch.first_token_steep for route in table.digest().routes for epoch in route.epochs]
 
 
 def test_an_overdue_first_token_is_the_same_bet_as_at_the_prompts_end_and_is_made_once() -> None:
-    book, watch = watched_book()
+    table, watch = watched_book()
     assert watch.overdue_after_s == pytest.approx(0.13 * JudgeLimits().first_token_ratio)
-    book.record_overdue(watch, 1.8)
-    early = first_token_bets(book)
+    table.record_overdue(watch, 1.8)
+    early = first_token_bets(table)
     assert early[0] > 0
-    book.record_overdue(watch, 1.9)
-    book.record(outcome(CANDIDATE, first_token_s=5.0), 6.0, watch)
-    assert first_token_bets(book) == early
+    table.record_overdue(watch, 1.9)
+    table.record(outcome(CANDIDATE, first_token_s=5.0), 6.0, watch)
+    assert first_token_bets(table) == early
     at_end, watch_at_end = watched_book()
     at_end.record(outcome(CANDIDATE, first_token_s=5.0), 6.0, watch_at_end)
     assert first_token_bets(at_end) == early
 
 
 def test_what_a_watch_holds_is_compared_with_nothing_else() -> None:
-    book, watch = watched_book()
-    assert book.watch(CAPTION, 600, 0.0, 1.5) is None
-    book.record(outcome(CANDIDATE, first_token_s=0.1), 1.7)
-    assert first_token_bets(book) == [0]
-    book.record(outcome(CANDIDATE, first_token_s=0.1), 1.7, watch)
-    assert first_token_bets(book)[0] < 0
+    table, watch = watched_book()
+    assert table.watch(CAPTION, 600, 0.0, 1.5) is None
+    table.record(outcome(CANDIDATE, first_token_s=0.1), 1.7)
+    assert first_token_bets(table) == [0]
+    table.record(outcome(CANDIDATE, first_token_s=0.1), 1.7, watch)
+    assert first_token_bets(table)[0] < 0
 
 
 def evidence(*routes: tuple[RouteName, EpochEvidence]) -> EvidenceDigest:
@@ -164,25 +164,25 @@
 
 def test_the_last_look_refuses_a_fault_on_a_thin_route_and_lets_ordinary_errors_pass() -> None:
     captions = sums(0, 50, 0, 500)
-    refused = final_look(JudgeLimits(), evidence((CAPTION, captions), (DOSSIER, sums(5, 10, 0, 25))))
+    refused = final_analysis(JudgeLimits(), evidence((CAPTION, captions), (DOSSIER, sums(5, 10, 0, 25))))
     assert refused is not None
     assert (refused.test, refused.stratum) == ("final errors", DOSSIER)
     few = evidence((CAPTION, captions), (DOSSIER, sums(1, 10, 0, 25)))
-    assert final_look(JudgeLimits(), few) is None
+    assert final_analysis(JudgeLimits(), few) is None
     ordinary = evidence((CAPTION, sums(2, 50, 12, 500)), (DOSSIER, sums(1, 10, 2, 25)))
-    assert final_look(JudgeLimits(), ordinary) is None
-    assert final_look(JudgeLimits(), EvidenceDigest()) is None
+    assert final_analysis(JudgeLimits(), ordinary) is None
+    assert final_analysis(JudgeLimits(), EvidenceDigest()) is None
 
 
 def test_bad_answers_of_a_lost_engine_are_not_the_versions() -> None:
     found = evidence((CAPTION, sums(6, 50, 0, 500)))
-    assert final_look(JudgeLimits(), found) is not None
+    assert final_analysis(JudgeLimits(), found) is not None
     lost = msgspec.structs.replace(found, engines=(EngineUse(1, True, 50, 1),))
-    assert final_look(JudgeLimits(), lost) is None
+    assert final_analysis(JudgeLimits(), lost) is None
 
 
 def test_the_last_look_refuses_slow_first_tokens() -> None:
     slow = msgspec.structs.replace(sums(0, 30, 0, 300), first_token_steep=7000)
-    refused = final_look(JudgeLimits(), evidence((CAPTION, slow)))
+    refused = final_analysis(JudgeLimits(), evidence((CAPTION, slow)))
     assert refused is not None
     assert refused.test == "final first_token"
--- a/tests/unit/simulation/test_mutations.py
+++ b/tests/unit/simulation/test_mutations.py
@@ -15,7 +15,7 @@
 from springmux.coordination.membership.contact_monitor import ContactMonitor
 from springmux.coordination.quota.quota_allocator import QuotaAllocator
 from springmux.coordination.retry_budget import RetryBudget
-from springmux.rollout import steering
+from springmux.rollout import step_proposer
 from springmux.rollout.judgement.judge import Judge, Verdict
 from springmux.rollout.planning import schedule
 from springmux.rollout.version_filter import ServiceGate
@@ -129,7 +129,7 @@
     def never_step(plan: Any, progress: Any) -> schedule.NextStep:
         return schedule.NextStep(schedule.StepKind.WAIT, reason="mutation")
 
-    patch.setattr(steering, "next_step", never_step)
+    patch.setattr(step_proposer, "next_step", never_step)
     assert "good rollout done" in broken_rules(small_run())
 
 
