--- a/src/springmux/rollout/judgement/judge.py
+++ b/src/springmux/rollout/judgement/judge.py
@@ -37,7 +37,7 @@
 rate, forty to fifty bad answers are beyond it, whatever the rate. Small, because the guard looks at each
 round, start and route."""
 ENOUGH_STABLE = 100
-"""Stable answers since a start below which those of the whole rollout tell the ordinary error rate."""
+"""Stable answers since a start below which those of the complete rollout give the ordinary error rate."""
 CLEAN_ANSWERS = 8
 """Answers of the other engines needed to say that only one engine is at fault."""
 CLEAN_LEVEL = 0.001
@@ -252,8 +252,8 @@
         return worst in scope.lost
     other_bad = sum(bad for slot, (bad, _) in counts.items() if slot != worst)
     other_total = sum(total for slot, (_, total) in counts.items() if slot != worst)
-    whole = scope.suffixes[0]
-    rate = (whole.stable_bad + 0.5) / (whole.stable_total + 1)
+    complete = scope.suffixes[0]
+    rate = (complete.stable_bad + 0.5) / (complete.stable_total + 1)
     rate = max(rate, _rate(window.stable_bad, window.stable_total))
     return poisson_tail(other_bad, rate * other_total) > CLEAN_LEVEL
 
--- a/src/springmux/rollout/participant.py
+++ b/src/springmux/rollout/participant.py
@@ -1,4 +1,4 @@
-"""One node's share in one rollout: its account, evidence and lease, and what it adds to a token."""
+"""One node's participation in one rollout: its account, evidence, lease and additions to a token."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
 from springmux.rollout.version_filter import ServiceGate
 
 HISTORY_ROUNDS = 256
-"""Digests remembered by visit: about 90 s of rounds, longer than any copy of a token can come back."""
+"""Digests remembered by visit: about 90 s of rounds, longer than any token can take to return."""
 PROVEN_AGE_S = 2.5
 """A lease ends this long after the newest own visit that the token shows. A token that waited for a frozen
-node shows no recent one. Usually that visit is a round or two old, and the lease whole."""
+node shows no recent one. Usually that visit is a round or two old, and the lease complete."""
 CLOCK_RECENT_S = 5.0
-"""A node visited within this heard of any pause; its clock may set a new leader's right."""
+"""A node visited within this knows of any pause; its clock may set a new leader's right."""
 _WRITER_BITS = 31
 """A writer fits five bytes on the wire; two of 360 collide with probability 3e-5, and notice it."""
 ACTIVE_PHASES = frozenset({RolloutPhase.CANARY, RolloutPhase.SHIFTING})
 
 
 class EvidenceHistory:
-    """What this node's digest was at each of its visits, so that exactly the missing part is added."""
+    """Digests of this node as of each token visit, so that exactly the missing evidence is added."""
 
     def __init__(self, base: EvidenceDigest) -> None:
         self._digests: dict[int, EvidenceDigest] = {0: base}
@@ -60,7 +60,7 @@
 
 
 class TokenVisit(msgspec.Struct, frozen=True):
-    """Where and when a token passes. ``zones`` may be appended to. ``leading``: this node has the clock."""
+    """One visit of a token; ``zones`` may be appended to. ``leading``: this node has the clock."""
 
     ring: int
     term: int
@@ -71,7 +71,7 @@
 
 
 class Participant:
-    """A node's part in one rollout of one service."""
+    """A node's participation in one rollout of one service."""
 
     def __init__(
         self,
@@ -122,7 +122,7 @@
         return self.record.phase in TERMINAL_PHASES
 
     def update_record(self, record: RolloutRecord, now: float) -> None:
-        """Take a newer committed record of the same rollout."""
+        """Apply a newer committed record of the same rollout."""
         self.record = record
         self.clock.advance_to(record.elapsed_s, now)
         self.clock.set_running(record.phase in ACTIVE_PHASES, now)
--- a/src/springmux/rollout/planning/load_step.py
+++ b/src/springmux/rollout/planning/load_step.py
@@ -1,4 +1,4 @@
-"""The load step of a short term: the last step before the whole weight tries the candidate under load.
+"""The load step of a short term: the last step before the full weight tries the candidate under load.
 
 A version may be bad only above a load that its engines meet after *done*, when the old engines are gone and
 nothing can be taken back. So that it shows before, the step's prompts go to so few candidate engines that
@@ -21,7 +21,7 @@
 
 
 def is_load_step(plan: RolloutPlan, weight: float) -> bool:
-    """Return whether ``weight`` is the load step's or the whole one's; only short terms have a load step."""
+    """Return whether ``weight`` is the load step's or the full one; only short terms have a load step."""
     return plan.pacing.even and len(plan.steps) > 1 and weight >= plan.steps[-2]
 
 
--- a/src/springmux/rollout/planning/plan.py
+++ b/src/springmux/rollout/planning/plan.py
@@ -15,7 +15,7 @@
 
     ``error_rise``: absolute rise of the error rate that must be excluded or shown.
     ``first_token_ratio`` and ``token_gap_ratio``: ratio of medians. ``false_alarm``: probability of
-    a wrong abort over a whole rollout, shared among all tests.
+    a wrong abort over a complete rollout, shared among all tests.
     """
 
     error_rise: float = 0.02
@@ -32,7 +32,7 @@
     so long after it is in force, so a rollout finishes that much earlier. ``last_step_paid``: least share of
     the last step that credits must pay for. ``allowance_part``: of the allowance, that is granted; the rest
     covers what a leader change hides. ``capacity_share``: of the stable engines' capacity, that the
-    candidate's must have for a whole weight. ``quick_handover``: in the canary a new leader grants after its
+    candidate's must have for the full weight. ``quick_handover``: in the canary a new leader grants after its
     first rounds, not after the former leases' end. ``needs_evidence``: nothing is finished, even at the term,
     before evidence of the last weight returned to the present leader, and a last look is taken at it.
     ``share_part``: of the exposure share, that may be spent before *done*; the rest is for what a version
--- a/src/springmux/rollout/planning/preview.py
+++ b/src/springmux/rollout/planning/preview.py
@@ -65,7 +65,7 @@
         expected_prompts=expected,
         canary_prompts=canary_prompts,
         worst_bad_prompts=min(bound, _bad_until_rollback(plan, prompts_per_s)),
-        warnings=_warnings(plan, prompts_per_s, schedule, capacity),
+        warnings=_warnings(prompts_per_s, schedule, capacity),
         refusal=refusal,
     )
 
@@ -86,7 +86,7 @@
 
 
 def _warnings(
-    plan: RolloutPlan, prompts_per_s: float, schedule: Schedule | None, capacity: EngineCapacity | None
+    prompts_per_s: float, schedule: Schedule | None, capacity: EngineCapacity | None
 ) -> tuple[str, ...]:
     warnings: list[str] = []
     if prompts_per_s <= 0:
--- a/src/springmux/rollout/planning/schedule.py
+++ b/src/springmux/rollout/planning/schedule.py
@@ -61,7 +61,7 @@
 
 
 class Schedule(msgspec.Struct, frozen=True):
-    """A whole rollout. ``done_s``: when FINISH is due; ``reserve_s``: what is left to the term then."""
+    """A complete rollout. ``done_s``: when FINISH is due; ``reserve_s``: what is left to the term then."""
 
     steps: tuple[ScheduledStep, ...]
     done_s: float
@@ -192,7 +192,7 @@
 
 
 CAPACITY_NEEDED = 0.5
-"""Share of the stable engines' capacity at which the candidate must carry a whole weight, unless the plan
+"""Share of the stable engines' capacity at which the candidate must carry the full weight, unless the plan
 says another."""
 
 
@@ -226,7 +226,7 @@
 ) -> bool:
     """Return whether the candidate's ready engines can carry ``weight`` of the service's load.
 
-    :param share: of the stable engines' capacity that is needed for a whole weight.
+    :param share: of the stable engines' capacity that is needed for the full weight.
     """
     return candidate_capacity > 0 and candidate_capacity >= share * weight * stable_capacity
 
--- a/src/springmux/rollout/registry.py
+++ b/src/springmux/rollout/registry.py
@@ -82,12 +82,12 @@
         A rollout may be done, and the old engines stopped, before this node hears of it.
         """
         record = participant.record
-        whole = participant.weight_seen >= 1.0 and not participant.aborted
+        full_weight = participant.weight_seen >= 1.0 and not participant.aborted
         stable_gone = self.engines is not None and not ready_count(
             self.engines, record.service, record.stable
         )
         candidate_there = ready_count(self.engines, record.service, record.candidate) > 0
-        participant.gate.set_rest(whole and stable_gone and candidate_there)
+        participant.gate.set_rest(full_weight and stable_gone and candidate_there)
 
     def _take(self, record: RolloutRecord, now: float) -> bool:
         participant = self._participants.get(record.service)
--- a/src/springmux/rollout/status.py
+++ b/src/springmux/rollout/status.py
@@ -24,7 +24,7 @@
 
 
 class RolloutSample(msgspec.Struct, frozen=True):
-    """One point of a rollout's history, over the whole fleet."""
+    """One point of a rollout's history, over the complete fleet."""
 
     elapsed_s: float
     phase: RolloutPhase
--- a/src/springmux/rollout/step_proposer.py
+++ b/src/springmux/rollout/step_proposer.py
@@ -32,7 +32,7 @@
         self._weight = participant.record.weight
         self._weight_since = now
         self._bad_before = issued.entry.evidence.candidate_bad
-        self._proposed: tuple[StepKind, int] | None = None
+        self._last_proposal: tuple[StepKind, int] | None = None
         self._proposed_at = now
         self._refused: RolloutDecision | None = None
         self._abort_due_at = now
@@ -66,10 +66,10 @@
         if step.kind is StepKind.STEP and is_load_step(record.plan, step.weight) and step.weight < 1.0:
             stable = ready_count(engines, record.service, record.stable)
             step = msgspec.structs.replace(step, weight=load_weight(step.weight, stable))
-        return self._wait(step.reason) + self._propose(step, now)
+        return self._wait(step.reason) + self._propose_step(step, now)
 
     def _propose_abort(self, now: float) -> list[Effect]:
-        """Wish that a release refused by the last look be an abort, until it is committed."""
+        """Propose the abort of a release that the final analysis refused, until it is committed."""
         record = self.participant.record
         if self._refused is None or record.phase is RolloutPhase.ABORTED or now < self._abort_due_at:
             return []
@@ -105,14 +105,14 @@
         record = self.participant.record
         return [LogLine("rollout_waits", LogLevel.INFO, {"service": record.service, "reason": reason})]
 
-    def _propose(self, step: NextStep, now: float) -> list[Effect]:
+    def _propose_step(self, step: NextStep, now: float) -> list[Effect]:
         record = self.participant.record
-        # A checkpoint only notes the time used: it stays at the present step.
+        # A checkpoint only records the elapsed time: it stays at the present step.
         number = record.step if step.kind is StepKind.CHECKPOINT else record.step + 1
-        wish = (step.kind, number)
-        if wish == self._proposed and now - self._proposed_at < PROPOSAL_RETRY_S:
+        proposal = (step.kind, number)
+        if proposal == self._last_proposal and now - self._proposed_at < PROPOSAL_RETRY_S:
             return []
-        self._proposed = wish
+        self._last_proposal = proposal
         self._proposed_at = now
         elapsed_s = self.participant.clock.read(now)
         fields = {"service": record.service, "rollout": record.rollout, "elapsed_s": round(elapsed_s, 2)}
--- a/src/springmux/rollout/token_ring/zone_ring.py
+++ b/src/springmux/rollout/token_ring/zone_ring.py
@@ -48,7 +48,7 @@
         self._history = EvidenceHistory(before)
 
     def report(self, entry: RolloutEntry, term: int, zones: list[ZoneName], now: float) -> RolloutEntry:
-        """Return the relay token's entry with this ring's sums, and judged on the whole fleet's evidence."""
+        """Return the relay token's entry with this ring's sums, judged on the fleet's evidence."""
         if term != self._term and self._kept is not None:
             entry = self.participant.remind(entry, now)
             entry, known_zones = recover_accounts(entry, self._kept, tuple(zones), self._kept_zones)
@@ -84,7 +84,7 @@
         return with_account(entry, account)
 
     def _added(self) -> AccountTotals:
-        """Return the ring's sums since this node's first whole round as its lead.
+        """Return the ring's sums since this node's first complete round as its lead.
 
         What came before was reported by the former lead; what fell between is left out, which only
         lowers the prompts that credits accrue from.
--- a/src/springmux/rollout/version_filter.py
+++ b/src/springmux/rollout/version_filter.py
@@ -26,7 +26,7 @@
 """With a larger share of a thin route's prompts fewer stable ones are left to compare with; at about a third
 a fault in half of the answers takes the fewest prompts to show."""
 EVEN_LAST_WEIGHT = 0.25
-"""At the whole weight credits are few, and would go to the widest route; they are spread over routes."""
+"""At full weight credits are few, and would go to the widest route; they are spread over routes."""
 MAX_ROUTES = 8
 """Routes that are evened out; further ones get the weight itself. The evidence's digest has as many."""
 
@@ -165,7 +165,7 @@
         """Hold a fresh lease: ``weight`` of the prefixes, on ``engines_limit`` candidate engines.
 
         :param until: latest end of the lease, if it is before the usual one.
-        :param last_step: the committed weight is the whole; a widened ``weight`` reaches it before.
+        :param last_step: the committed weight is 1; a widened ``weight`` reaches it before.
         """
         assert self.candidate is not None
         self._threshold = _HASH_RANGE if weight >= 1.0 else int(weight * _HASH_RANGE)
@@ -217,16 +217,15 @@
 def route_weights(prompts: Mapping[RouteName, int], weight: float) -> dict[RouteName, float]:
     """Return each route's weight so that all together have ``weight`` and each route about as many prompts.
 
-    Thinnest first: each gets an even part of what is left, at most :data:`THIN_ROUTE_WEIGHT` of its prompts.
+    Thinnest first: each gets an even part of what remains, at most :data:`THIN_ROUTE_WEIGHT` of its prompts.
     """
-    whole = sum(prompts.values())
-    left = weight * whole
+    remaining = weight * sum(prompts.values())
     cap = max(weight, THIN_ROUTE_WEIGHT)
     weights: dict[RouteName, float] = {}
     for number, route in enumerate(sorted(prompts, key=lambda name: (prompts[name], name))):
-        part = min(left / (len(prompts) - number), cap * prompts[route])
-        weights[route] = part / prompts[route]
-        left -= part
+        prompt_share = min(remaining / (len(prompts) - number), cap * prompts[route])
+        weights[route] = prompt_share / prompts[route]
+        remaining -= prompt_share
     return weights
 
 
--- a/tests/unit/judgement/support.py
+++ b/tests/unit/judgement/support.py
@@ -35,7 +35,7 @@
     )  # fmt: skip
 
 
-def new_book(plan: RolloutPlan = PLAN) -> EvidenceTable:
+def new_table(plan: RolloutPlan = PLAN) -> EvidenceTable:
     return EvidenceTable(SERVICE, STABLE, CANDIDATE, plan)
 
 
@@ -47,7 +47,7 @@
     """Feeds one book: each call to ``canary`` is one candidate answer after ``stable`` stable ones."""
 
     def __init__(self, seed: int = 0, plan: RolloutPlan = PLAN) -> None:
-        self.table = new_book(plan)
+        self.table = new_table(plan)
         self.random = random.Random(seed)
         self.now = 0.0
 
--- a/tests/unit/judgement/test_digest.py
+++ b/tests/unit/judgement/test_digest.py
@@ -8,7 +8,7 @@
 
 from springmux.rollout.judgement.digest import EMPTY_DIGEST, EvidenceDigest, merge, merge_all, subtract
 from springmux.rollout.outcome import Ending
-from tests.unit.judgement.support import CANDIDATE, STABLE, new_book, outcome
+from tests.unit.judgement.support import CANDIDATE, STABLE, new_table, outcome
 
 step = st.tuples(
     st.sampled_from([STABLE, CANDIDATE]),
@@ -21,7 +21,7 @@
 
 @st.composite
 def digests(draw: st.DrawFn) -> EvidenceDigest:
-    table = new_book()
+    table = new_table()
     now = 0.0
     for version, ending, engine, route, latency in draw(st.lists(step, max_size=40)):
         now += 1.5
@@ -54,7 +54,7 @@
 
 def test_a_busy_digest_of_two_routes_is_small_and_many_routes_stay_bounded() -> None:
     # Given two routes over a whole rollout on nine candidate engines
-    table = new_book()
+    table = new_table()
     for index in range(6000):
         version = CANDIDATE if index % 3 == 0 else STABLE
         ending = Ending.ERROR_STATUS if index % 7 == 0 else Ending.WHOLE
--- a/tests/unit/judgement/test_judge.py
+++ b/tests/unit/judgement/test_judge.py
@@ -18,7 +18,7 @@
 from springmux.rollout.judgement.judge import Judge
 from springmux.rollout.outcome import Ending
 from springmux.vocabulary.names import ServiceName, VersionName
-from tests.unit.judgement.support import CANDIDATE, PLAN, STABLE, Stream, judge, new_book, outcome
+from tests.unit.judgement.support import CANDIDATE, PLAN, STABLE, Stream, judge, new_table, outcome
 
 BAD = Ending.ERROR_STATUS
 
@@ -205,7 +205,7 @@
 
 
 def test_losses_of_most_candidate_engines_condemn_unless_stable_engines_are_lost_too() -> None:
-    table = new_book()
+    table = new_table()
     for index in range(3):
         table.record(outcome(STABLE, engine=f"stable-{index}"), 0.0)
         for _ in range(40):
@@ -221,7 +221,7 @@
 
 
 def test_what_says_nothing_is_not_recorded() -> None:
-    table = new_book()
+    table = new_table()
     table.record(outcome(CANDIDATE, ending=Ending.CALLER_GONE), 0.0)
     table.record(outcome(VersionName("v0"), ending=BAD), 0.0)
     table.record(outcome(CANDIDATE, ending=BAD, service=ServiceName("pages")), 0.0)
