--- a/src/springmux/control/commands.py
+++ b/src/springmux/control/commands.py
@@ -16,7 +16,7 @@
 from springmux.control.view import Tenant
 from springmux.coordination.claims.ring import ClaimRing
 from springmux.coordination.identifiers import Revision
-from springmux.rollout.planning.plan import RolloutDecision, RolloutPhase, RolloutPlan
+from springmux.rollout.plan import RolloutDecision, RolloutPhase, RolloutPlan
 from springmux.vocabulary.errors import FieldError, SpringmuxError
 from springmux.vocabulary.names import (
     KeyDigest,
--- a/src/springmux/control/order_window.py
+++ b/src/springmux/control/order_window.py
@@ -16,7 +16,7 @@
     PromoteRollout,
     encode_plain,
 )
-from springmux.rollout.planning.plan import RolloutPlan
+from springmux.rollout.plan import RolloutPlan
 from springmux.vocabulary.names import OrderId, RolloutId, VersionName
 
 DEFAULT_MAX_ORDERS = 10_000
--- a/src/springmux/control/rollout_section.py
+++ b/src/springmux/control/rollout_section.py
@@ -22,7 +22,7 @@
 from springmux.control.configuration_section import RolloutConstraint
 from springmux.control.verdict import ACCEPTED, Verdict, conflict, invalid, not_found
 from springmux.coordination.identifiers import Revision
-from springmux.rollout.planning.plan import TERMINAL_PHASES, RolloutDecision, RolloutPhase, RolloutRecord
+from springmux.rollout.plan import TERMINAL_PHASES, RolloutDecision, RolloutPhase, RolloutRecord
 from springmux.vocabulary.errors import FieldError
 from springmux.vocabulary.names import RolloutId, ServiceName, VersionName
 
--- a/src/springmux/control/state_image.py
+++ b/src/springmux/control/state_image.py
@@ -13,7 +13,7 @@
 from springmux.control.view import Configuration, KeyRecord, Tenant
 from springmux.coordination.claims.ring import ClaimRing
 from springmux.coordination.identifiers import Revision
-from springmux.rollout.planning.plan import RolloutRecord
+from springmux.rollout.plan import RolloutRecord
 from springmux.vocabulary.errors import SpringmuxError
 
 FORMAT = b"SMCTL\x02"
--- a/src/springmux/control/view.py
+++ b/src/springmux/control/view.py
@@ -10,7 +10,7 @@
 from springmux.control.gateway_configuration import EMPTY_GATEWAY, GatewayConfiguration
 from springmux.coordination.claims.ring import ClaimRing
 from springmux.coordination.identifiers import Revision
-from springmux.rollout.planning.plan import RolloutPhase, RolloutRecord
+from springmux.rollout.plan import RolloutPhase, RolloutRecord
 from springmux.vocabulary.names import KeyDigest, KeyId, RouteName, ServiceName, TenantName, VersionName
 
 
--- a/src/springmux/gateway/core.py
+++ b/src/springmux/gateway/core.py
@@ -15,7 +15,7 @@
 from springmux.gateway.refusals import GatewayCounters
 from springmux.gateway.routing import RouteTable
 from springmux.rollout.outcome import VersionChooser
-from springmux.rollout.planning.plan import RolloutRecord
+from springmux.rollout.plan import RolloutRecord
 from springmux.vocabulary.engines import EnginesView
 from springmux.vocabulary.names import EngineId, ServiceName
 
--- a/src/springmux/lab/faults/injection.py
+++ b/src/springmux/lab/faults/injection.py
@@ -20,7 +20,7 @@
 from springmux.lab.stand_ins.host import BackEndAction, BackEndOrder
 from springmux.node.admin.fault_endpoint import FAULTS_PATH
 from springmux.node.fault_injection import NodeFaults
-from springmux.rollout.planning.plan import RolloutPlan
+from springmux.rollout.plan import RolloutPlan
 from springmux.simulation.engine_model import VersionBehaviour
 from springmux.vocabulary.names import ServiceName, VersionName
 
--- a/src/springmux/lab/judge/judge_trials.py
+++ b/src/springmux/lab/judge/judge_trials.py
@@ -25,7 +25,7 @@
 from springmux.rollout.judgement.evidence_table import EvidenceTable
 from springmux.rollout.judgement.judge import Judge
 from springmux.rollout.outcome import BAD_ENDINGS, Ending, PromptOutcome
-from springmux.rollout.planning.plan import RolloutPlan
+from springmux.rollout.plan import RolloutPlan
 
 LAP_S = 0.5
 """Time between two looks at the merged evidence."""
--- a/src/springmux/node/admin/rollout_endpoints.py
+++ b/src/springmux/node/admin/rollout_endpoints.py
@@ -15,7 +15,7 @@
 from springmux.node.admin.order_submission import OrderSubmitter, operator, order_id
 from springmux.node.admin.rollout_history import RolloutHistory
 from springmux.node.service_rates import ServiceRates
-from springmux.rollout.planning.plan import RolloutPlan, RolloutRecord
+from springmux.rollout.plan import RolloutPlan, RolloutRecord
 from springmux.rollout.planning.preview import EngineCapacity, Preview, preview
 from springmux.rollout.planning.standard_template import STANDARD_TEMPLATE
 from springmux.rollout.planning.template import (
--- a/src/springmux/node/admin/rollout_history.py
+++ b/src/springmux/node/admin/rollout_history.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from springmux.rollout.planning.plan import TERMINAL_PHASES
+from springmux.rollout.plan import TERMINAL_PHASES
 from springmux.rollout.status import RolloutStatus
 
 SAMPLE_PERIOD_S = 0.5
--- a/src/springmux/rollout/effects.py
+++ b/src/springmux/rollout/effects.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from springmux.coordination.state_machine import Effect
-from springmux.rollout.planning.plan import RolloutDecision, RolloutPhase
+from springmux.rollout.plan import RolloutDecision, RolloutPhase
 from springmux.vocabulary.names import RolloutId, ServiceName
 
 
--- a/src/springmux/rollout/events.py
+++ b/src/springmux/rollout/events.py
@@ -9,7 +9,7 @@
 from springmux.coordination.identifiers import Revision, Term
 from springmux.coordination.membership.view import MembershipView
 from springmux.coordination.state_machine import Event
-from springmux.rollout.planning.plan import RolloutRecord
+from springmux.rollout.plan import RolloutRecord
 from springmux.vocabulary.engines import EnginesView
 from springmux.vocabulary.names import ServiceName, VersionName
 
--- a/src/springmux/rollout/issuer.py
+++ b/src/springmux/rollout/issuer.py
@@ -6,9 +6,9 @@
 
 from springmux.coordination.identifiers import ZoneName
 from springmux.rollout.ledger import CreditDemand, allocate_credits, credit_pool, zone_order, zone_weights
-from springmux.rollout.planning.plan import RolloutRecord
+from springmux.rollout.plan import RolloutRecord
 from springmux.rollout.rate_meter import RateMeter
-from springmux.rollout.token_ring.token import (
+from springmux.rollout.token import (
     BASIS_POINTS,
     Account,
     AccountTotals,
--- a/src/springmux/rollout/judgement/evidence_table.py
+++ b/src/springmux/rollout/judgement/evidence_table.py
@@ -27,7 +27,7 @@
 )
 from springmux.rollout.judgement.stable_latencies import StableLatencies
 from springmux.rollout.outcome import BAD_ENDINGS, Ending, FirstTokenWatch, PromptOutcome
-from springmux.rollout.planning.plan import RolloutPlan
+from springmux.rollout.plan import RolloutPlan
 from springmux.vocabulary.names import EngineId, RouteName, ServiceName, VersionName
 
 EPOCHS = 8
--- a/src/springmux/rollout/judgement/final_analysis.py
+++ b/src/springmux/rollout/judgement/final_analysis.py
@@ -16,7 +16,7 @@
 from springmux.rollout.judgement.chance import chance_of_bad, log_sum_exp
 from springmux.rollout.judgement.digest import MILLINATS, EpochEvidence, EvidenceDigest
 from springmux.rollout.judgement.judge import Scope, scopes_of
-from springmux.rollout.planning.plan import JudgeLimits, RolloutDecision
+from springmux.rollout.plan import JudgeLimits, RolloutDecision
 
 FINAL_LEVEL = 0.1
 """Chance of aborting a good version here, for errors and for latency each, at most. Without errors at
--- a/src/springmux/rollout/judgement/judge.py
+++ b/src/springmux/rollout/judgement/judge.py
@@ -26,7 +26,7 @@
     EvidenceDigest,
 )
 from springmux.rollout.judgement.evidence_table import EPOCHS
-from springmux.rollout.planning.plan import RolloutDecision, RolloutPlan
+from springmux.rollout.plan import RolloutDecision, RolloutPlan
 
 GUARD_BAD = 25
 """Bad answers from which the plain guard looks; half of the fifty that start the rollback's clock."""
--- a/src/springmux/rollout/leadership.py
+++ b/src/springmux/rollout/leadership.py
@@ -14,10 +14,10 @@
 from springmux.rollout.ledger import allowance_part
 from springmux.rollout.messages import RolloutToken
 from springmux.rollout.participant import ACTIVE_PHASES, Participant
-from springmux.rollout.planning.plan import RolloutPhase, RolloutRecord
+from springmux.rollout.plan import RolloutPhase, RolloutRecord
 from springmux.rollout.step_proposer import StepProposer
+from springmux.rollout.token import RolloutEntry, index_of_zone
 from springmux.rollout.token_ring.rings import RELAY, WHOLE_FLEET, RingLayout, way_from
-from springmux.rollout.token_ring.token import RolloutEntry, index_of_zone
 from springmux.rollout.version_filter import LEASE_S
 from springmux.vocabulary.engines import EnginesView
 from springmux.vocabulary.names import RolloutId
--- a/src/springmux/rollout/ledger.py
+++ b/src/springmux/rollout/ledger.py
@@ -13,8 +13,8 @@
 import msgspec
 
 from springmux.coordination.identifiers import ZoneName
-from springmux.rollout.planning.plan import RolloutPhase, RolloutPlan
-from springmux.rollout.token_ring.token import Account, AccountTotals
+from springmux.rollout.plan import RolloutPhase, RolloutPlan
+from springmux.rollout.token import Account, AccountTotals
 
 EXPOSE_TARGET = 0.8
 """Fraction of ``expose_share`` that credits are granted for; the rest covers what a leader change hides."""
--- a/src/springmux/rollout/messages.py
+++ b/src/springmux/rollout/messages.py
@@ -4,8 +4,8 @@
 
 from springmux.coordination.identifiers import NodeId, Term, ZoneName
 from springmux.coordination.state_machine import PeerMessage
-from springmux.rollout.planning.plan import RolloutDecision
-from springmux.rollout.token_ring.token import RolloutEntry
+from springmux.rollout.plan import RolloutDecision
+from springmux.rollout.token import RolloutEntry
 from springmux.vocabulary.names import RolloutId, ServiceName
 
 
--- a/src/springmux/rollout/participant.py
+++ b/src/springmux/rollout/participant.py
@@ -13,10 +13,10 @@
 from springmux.rollout.judgement.digest import EMPTY_DIGEST, EvidenceDigest, merge, subtract
 from springmux.rollout.judgement.evidence_table import EvidenceTable
 from springmux.rollout.judgement.judge import Judge, Verdict
+from springmux.rollout.plan import TERMINAL_PHASES, RolloutDecision, RolloutPhase, RolloutRecord
 from springmux.rollout.planning.load_step import is_load_step
-from springmux.rollout.planning.plan import TERMINAL_PHASES, RolloutDecision, RolloutPhase, RolloutRecord
 from springmux.rollout.status import SampleHistory
-from springmux.rollout.token_ring.token import RolloutEntry, index_of_zone, recover_accounts, with_account
+from springmux.rollout.token import RolloutEntry, index_of_zone, recover_accounts, with_account
 from springmux.rollout.version_filter import ServiceGate
 
 HISTORY_ROUNDS = 256
--- a/src/springmux/rollout/planning/load_step.py
+++ b/src/springmux/rollout/planning/load_step.py
@@ -9,7 +9,7 @@
 
 import math
 
-from springmux.rollout.planning.plan import RolloutPlan
+from springmux.rollout.plan import RolloutPlan
 
 LOAD_FACTOR = 2.5
 """Times a stable engine's load. After *done* there may be two candidate engines for three stable ones, and a
--- a/src/springmux/rollout/planning/plan_checks.py
+++ b/src/springmux/rollout/planning/plan_checks.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from springmux.rollout.planning.plan import JudgeLimits, RolloutPlan
+from springmux.rollout.plan import JudgeLimits, RolloutPlan
 from springmux.vocabulary.errors import FieldError
 
 MINIMUM_BY_S, MAXIMUM_BY_S = 10.0, 7 * 86_400.0
--- a/src/springmux/rollout/planning/preview.py
+++ b/src/springmux/rollout/planning/preview.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from springmux.rollout.judgement.judge import GUARD_BAD_ONE_ENGINE
-from springmux.rollout.planning.plan import RolloutPlan
+from springmux.rollout.plan import RolloutPlan
 from springmux.rollout.planning.schedule import Schedule, ScheduleImpossibleError, can_carry, plan_schedule
 
 FEW_CANARY_PROMPTS = 50
--- a/src/springmux/rollout/planning/schedule.py
+++ b/src/springmux/rollout/planning/schedule.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from springmux.rollout.ledger import EXPOSE_TARGET, accruing_share, allowance_part
-from springmux.rollout.planning.plan import RolloutPhase, RolloutPlan
+from springmux.rollout.plan import RolloutPhase, RolloutPlan
 from springmux.vocabulary.errors import SpringmuxError
 
 STEP_SHARES = (12 / 60, 2 / 60, 1 / 60, 1 / 60)
--- a/src/springmux/rollout/planning/standard_plan.py
+++ b/src/springmux/rollout/planning/standard_plan.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from springmux.rollout.ledger import EXPOSE_TARGET, accruing_share, allowance_part
-from springmux.rollout.planning.plan import Pacing, RolloutPlan
+from springmux.rollout.plan import Pacing, RolloutPlan
 from springmux.rollout.planning.schedule import reserve_of
 from springmux.rollout.reported_state import DONE_SETTLE_S
 from springmux.vocabulary.names import ServiceName, VersionName
--- a/src/springmux/rollout/planning/template.py
+++ b/src/springmux/rollout/planning/template.py
@@ -15,7 +15,7 @@
 import msgspec
 import pydantic
 
-from springmux.rollout.planning.plan import JudgeLimits, RolloutPlan
+from springmux.rollout.plan import JudgeLimits, RolloutPlan
 from springmux.rollout.planning.plan_checks import validate_plan
 from springmux.vocabulary.errors import FieldError, SpringmuxError
 
--- a/src/springmux/rollout/registry.py
+++ b/src/springmux/rollout/registry.py
@@ -10,9 +10,9 @@
 from springmux.rollout.engine_counts import engines_limit, ready_capacity, ready_count
 from springmux.rollout.events import ControlViewChanged, RolloutSettings
 from springmux.rollout.participant import Participant
+from springmux.rollout.plan import TERMINAL_PHASES, RolloutPhase, RolloutRecord
 from springmux.rollout.planning.load_step import is_load_step, load_weight, loaded_engines
-from springmux.rollout.planning.plan import TERMINAL_PHASES, RolloutPhase, RolloutRecord
-from springmux.rollout.token_ring.token import RolloutEntry
+from springmux.rollout.token import RolloutEntry
 from springmux.rollout.version_filter import ServiceGate, VersionFilter
 from springmux.vocabulary.engines import EnginesView
 from springmux.vocabulary.names import RolloutId, ServiceName, VersionName
--- a/src/springmux/rollout/reported_state.py
+++ b/src/springmux/rollout/reported_state.py
@@ -4,7 +4,7 @@
 
 import enum
 
-from springmux.rollout.planning.plan import RolloutPhase, RolloutRecord
+from springmux.rollout.plan import RolloutPhase, RolloutRecord
 
 DONE_SETTLE_S = 0.4
 """The old engines stop at once when *done* is reported, without draining. By then every node must send to the
--- a/src/springmux/rollout/rollout_coordinator.py
+++ b/src/springmux/rollout/rollout_coordinator.py
@@ -33,8 +33,8 @@
 from springmux.rollout.registry import RolloutRegistry, by_rollout
 from springmux.rollout.reporting import build_status
 from springmux.rollout.status import RolloutSample, RolloutStatus
+from springmux.rollout.token import RolloutEntry
 from springmux.rollout.token_ring.rings import RELAY, RingLayout, lay_out, way_from
-from springmux.rollout.token_ring.token import RolloutEntry
 from springmux.rollout.token_ring.token_forwarding import ForwardResult, TokenForwarder
 from springmux.rollout.token_ring.zone_ring import ZoneRing
 from springmux.vocabulary.names import ServiceName
--- a/src/springmux/rollout/status.py
+++ b/src/springmux/rollout/status.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from springmux.coordination.identifiers import ZoneName
-from springmux.rollout.planning.plan import RolloutDecision, RolloutPhase
+from springmux.rollout.plan import RolloutDecision, RolloutPhase
 from springmux.vocabulary.names import RolloutId, ServiceName, VersionName
 
 MAX_SAMPLES = 600
--- a/src/springmux/rollout/step_proposer.py
+++ b/src/springmux/rollout/step_proposer.py
@@ -10,8 +10,8 @@
 from springmux.rollout.issuer import IssuedRollout
 from springmux.rollout.judgement.final_analysis import final_analysis
 from springmux.rollout.participant import ACTIVE_PHASES, Participant
+from springmux.rollout.plan import RolloutDecision, RolloutPhase
 from springmux.rollout.planning.load_step import is_load_step, load_weight
-from springmux.rollout.planning.plan import RolloutDecision, RolloutPhase
 from springmux.rollout.planning.schedule import ANSWER_S, NextStep, Progress, StepKind, next_step
 from springmux.rollout.status import EvidenceSummary, RolloutSample
 from springmux.vocabulary.engines import EnginesView
--- a/src/springmux/rollout/token_ring/token.py
+++ b/src/springmux/rollout/token.py
@@ -14,7 +14,7 @@
 
 from springmux.coordination.identifiers import ZoneName
 from springmux.rollout.judgement.digest import EMPTY_DIGEST, EvidenceDigest
-from springmux.rollout.planning.plan import RolloutDecision, RolloutPhase
+from springmux.rollout.plan import RolloutDecision, RolloutPhase
 from springmux.vocabulary.names import RolloutId, ServiceName, VersionName
 
 BASIS_POINTS = 10_000
--- a/src/springmux/rollout/token_ring/zone_ring.py
+++ b/src/springmux/rollout/token_ring/zone_ring.py
@@ -16,7 +16,7 @@
 from springmux.rollout.judgement.digest import EMPTY_DIGEST, merge, subtract
 from springmux.rollout.messages import RolloutToken
 from springmux.rollout.participant import EvidenceHistory, Participant
-from springmux.rollout.token_ring.token import (
+from springmux.rollout.token import (
     Account,
     AccountTotals,
     RolloutEntry,
--- a/src/springmux/rollout/version_filter.py
+++ b/src/springmux/rollout/version_filter.py
@@ -11,7 +11,7 @@
 
 from springmux.coordination.state_machine import NEVER
 from springmux.rollout.outcome import FirstTokenWatch, PromptOutcome, VersionChoice
-from springmux.rollout.token_ring.token import Account
+from springmux.rollout.token import Account
 from springmux.vocabulary.names import RolloutId, RouteName, ServiceName, VersionName
 
 LEASE_S = 2.0
@@ -55,7 +55,7 @@
 class ServiceGate:
     """The filter's state for one service: prepared choices, the lease, and the node's own counters.
 
-    Counters only grow within one account (see :class:`springmux.rollout.token_ring.token.Account`).
+    Counters only grow within one account (see :class:`springmux.rollout.token.Account`).
     """
 
     __slots__ = (
--- a/src/springmux/simulation/checkers/durability.py
+++ b/src/springmux/simulation/checkers/durability.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from springmux.coordination.identifiers import NodeId, Revision
-from springmux.rollout.planning.plan import TERMINAL_PHASES, RolloutPhase
+from springmux.rollout.plan import TERMINAL_PHASES, RolloutPhase
 from springmux.simulation.checkers.violation import Violation
 from springmux.simulation.facts import RunFacts
 from springmux.simulation.history import History, Sampled
--- a/src/springmux/simulation/checkers/exposure.py
+++ b/src/springmux/simulation/checkers/exposure.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from springmux.rollout.planning.plan import RolloutPhase
+from springmux.rollout.plan import RolloutPhase
 from springmux.simulation.checkers.violation import Violation
 from springmux.simulation.facts import RunFacts
 from springmux.simulation.history import Dispatched, History
--- a/src/springmux/simulation/checkers/finishing.py
+++ b/src/springmux/simulation/checkers/finishing.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from springmux.coordination.identifiers import NodeId
-from springmux.rollout.planning.plan import RolloutPhase
+from springmux.rollout.plan import RolloutPhase
 from springmux.simulation.checkers.violation import Violation
 from springmux.simulation.facts import RunFacts
 from springmux.simulation.history import History, RolloutSeen, Sampled
--- a/src/springmux/simulation/facts.py
+++ b/src/springmux/simulation/facts.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from springmux.rollout.planning.plan import RolloutPlan
+from springmux.rollout.plan import RolloutPlan
 from springmux.simulation.deployments import Deployment
 
 
--- a/src/springmux/simulation/history.py
+++ b/src/springmux/simulation/history.py
@@ -6,7 +6,7 @@
 
 from springmux.control.commands import AnyCommand, CommandResult
 from springmux.coordination.identifiers import NodeId, Revision, Term
-from springmux.rollout.planning.plan import RolloutPhase
+from springmux.rollout.plan import RolloutPhase
 from springmux.simulation.world.faults import AnyFault
 from springmux.vocabulary.errors import ApiError, ErrorCode, Fate
 from springmux.vocabulary.names import (
--- a/src/springmux/simulation/operators.py
+++ b/src/springmux/simulation/operators.py
@@ -24,7 +24,7 @@
 )
 from springmux.control.view import Tenant
 from springmux.coordination.identifiers import NodeId
-from springmux.rollout.planning.plan import RolloutPlan
+from springmux.rollout.plan import RolloutPlan
 from springmux.simulation.deployments import Deployment
 from springmux.simulation.history import History, Ordered, OrderSeen
 from springmux.simulation.hollow_fleet import FleetObserver, HollowFleet
--- a/src/springmux/simulation/recorder.py
+++ b/src/springmux/simulation/recorder.py
@@ -7,7 +7,7 @@
 from springmux.agent.agent import NodeAgent
 from springmux.agent.effects import OrderAnswered
 from springmux.coordination.identifiers import NodeId
-from springmux.rollout.planning.plan import RolloutPhase
+from springmux.rollout.plan import RolloutPhase
 from springmux.simulation.history import FaultSeen, History, RolloutSeen, Sampled, StateSeen
 from springmux.simulation.hollow_fleet import FleetObserver, HollowFleet
 from springmux.simulation.world.faults import AnyFault
--- a/src/springmux/simulation/rollout_baselines.py
+++ b/src/springmux/simulation/rollout_baselines.py
@@ -17,8 +17,8 @@
 from springmux.rollout.judgement.evidence_table import EvidenceTable
 from springmux.rollout.judgement.judge import Judge, Verdict
 from springmux.rollout.outcome import FirstTokenWatch, PromptOutcome
-from springmux.rollout.planning.plan import RolloutDecision, RolloutPhase, RolloutPlan
-from springmux.rollout.token_ring.token import AccountTotals
+from springmux.rollout.plan import RolloutDecision, RolloutPhase, RolloutPlan
+from springmux.rollout.token import AccountTotals
 
 UNLIMITED_CREDITS = 1_000_000
 FIXED_CANARY = 0.10
--- a/src/springmux/simulation/rollout_trial.py
+++ b/src/springmux/simulation/rollout_trial.py
@@ -15,7 +15,7 @@
 from springmux.coordination.identifiers import NodeId
 from springmux.coordination.state_machine import PeerMessage
 from springmux.rollout.messages import RolloutToken
-from springmux.rollout.planning.plan import TERMINAL_PHASES, RolloutPhase
+from springmux.rollout.plan import TERMINAL_PHASES, RolloutPhase
 from springmux.simulation.candidates import Candidate, behaviour_for
 from springmux.simulation.checkers.exposure import BAD_ANSWERS
 from springmux.simulation.engine_model import GOOD, VersionBehaviour
--- a/src/springmux/simulation/run.py
+++ b/src/springmux/simulation/run.py
@@ -9,7 +9,7 @@
 from springmux.agent.effects import OrderAnswered
 from springmux.control.commands import Outcome
 from springmux.coordination.identifiers import Address, NodeId
-from springmux.rollout.planning.plan import RolloutPhase, RolloutPlan
+from springmux.rollout.plan import RolloutPhase, RolloutPlan
 from springmux.simulation.candidates import CANDIDATES, behaviour_for
 from springmux.simulation.checkers.all_checkers import check
 from springmux.simulation.checkers.violation import Violation
--- a/tests/unit/bad_days/test_bad_versions.py
+++ b/tests/unit/bad_days/test_bad_versions.py
@@ -6,7 +6,7 @@
 
 from springmux.rollout.judgement import evidence_table as book
 from springmux.rollout.judgement.judge import Judge, Verdict
-from springmux.rollout.planning.plan import RolloutPhase
+from springmux.rollout.plan import RolloutPhase
 from springmux.rollout.version_filter import ServiceGate
 from tests.unit.judgement.support import Stream
 from tests.unit.rollout.short_term_fleet import Fault, ShortTermFleet
--- a/tests/unit/compatibility/test_data_folder.py
+++ b/tests/unit/compatibility/test_data_folder.py
@@ -14,7 +14,7 @@
 from springmux.coordination.identifiers import Revision
 from springmux.node.logs import EventLog
 from springmux.node.storage.opening import OpenedStorage, open_storage
-from springmux.rollout.planning.plan import RolloutPhase
+from springmux.rollout.plan import RolloutPhase
 from springmux.vocabulary.names import ServiceName
 
 DATA = Path(__file__).with_name("data")
--- a/tests/unit/control/support.py
+++ b/tests/unit/control/support.py
@@ -21,7 +21,7 @@
 from springmux.control.state import ControlState
 from springmux.control.view import Tenant
 from springmux.coordination.identifiers import Revision
-from springmux.rollout.planning.plan import RolloutPhase, RolloutPlan
+from springmux.rollout.plan import RolloutPhase, RolloutPlan
 from springmux.vocabulary.names import (
     KeyDigest,
     KeyId,
--- a/tests/unit/control/test_gateway_rollouts.py
+++ b/tests/unit/control/test_gateway_rollouts.py
@@ -9,7 +9,7 @@
 
 from springmux.control.commands import CONTENT_ORDER_PREFIX, AbortRollout, Outcome, PromoteRollout
 from springmux.control.state import ControlState
-from springmux.rollout.planning.plan import RolloutPhase
+from springmux.rollout.plan import RolloutPhase
 from springmux.rollout.planning.standard_plan import plan_for
 from springmux.vocabulary.names import OrderId, RolloutId, ServiceName, VersionName
 from tests.unit.control.gateway_support import change, patch, whole, with_gateway
--- a/tests/unit/control/test_state.py
+++ b/tests/unit/control/test_state.py
@@ -29,7 +29,7 @@
 from springmux.control.state_image import UnreadableImageError
 from springmux.coordination.claims.ring import ClaimRing, RingMember
 from springmux.coordination.identifiers import NodeId, Revision, ZoneName
-from springmux.rollout.planning.plan import RolloutPhase
+from springmux.rollout.plan import RolloutPhase
 from springmux.vocabulary.names import KeyId, OrderId, RolloutId, ServiceName, TenantName
 from tests.unit.control.support import (
     DOCUMENT,
--- a/tests/unit/judgement/support.py
+++ b/tests/unit/judgement/support.py
@@ -8,7 +8,7 @@
 from springmux.rollout.judgement.evidence_table import EvidenceTable
 from springmux.rollout.judgement.judge import Judge, Verdict
 from springmux.rollout.outcome import Ending, PromptOutcome
-from springmux.rollout.planning.plan import RolloutPlan
+from springmux.rollout.plan import RolloutPlan
 from springmux.vocabulary.names import EngineId, RouteName, ServiceName, VersionName
 
 SERVICE = ServiceName("text")
--- a/tests/unit/node/test_samples.py
+++ b/tests/unit/node/test_samples.py
@@ -4,7 +4,7 @@
 
 from springmux.node.admin.rollout_history import MAX_SAMPLES, RolloutHistory
 from springmux.node.service_rates import WINDOW_S, ServiceRates
-from springmux.rollout.planning.plan import RolloutPhase
+from springmux.rollout.plan import RolloutPhase
 from springmux.rollout.status import EvidenceSummary, RolloutStatus
 from springmux.vocabulary.names import RolloutId, ServiceName, VersionName
 
--- a/tests/unit/rollout/short_term_fleet.py
+++ b/tests/unit/rollout/short_term_fleet.py
@@ -11,7 +11,7 @@
 from springmux.rollout.engine_counts import ready_count
 from springmux.rollout.events import IssuerChanged
 from springmux.rollout.outcome import Ending, FirstTokenWatch, PromptOutcome, VersionChoice
-from springmux.rollout.planning.plan import RolloutPhase
+from springmux.rollout.plan import RolloutPhase
 from springmux.rollout.planning.standard_plan import plan_for
 from springmux.rollout.reported_state import DONE_SETTLE_S
 from springmux.vocabulary.names import EngineId, RouteName, VersionName
--- a/tests/unit/rollout/test_fleet.py
+++ b/tests/unit/rollout/test_fleet.py
@@ -8,7 +8,7 @@
 import pytest
 
 from springmux.control.commands import Outcome
-from springmux.rollout.planning.plan import RolloutPhase
+from springmux.rollout.plan import RolloutPhase
 from tests.unit.rollout.virtual_fleet import (
     CANDIDATE,
     PLAN,
--- a/tests/unit/rollout/test_ledger.py
+++ b/tests/unit/rollout/test_ledger.py
@@ -7,8 +7,8 @@
 
 from springmux.coordination.identifiers import ZoneName
 from springmux.rollout.ledger import CreditDemand, allocate_credits, credit_pool, zone_order, zone_weights
-from springmux.rollout.planning.plan import RolloutPhase
-from springmux.rollout.token_ring.token import Account, AccountTotals
+from springmux.rollout.plan import RolloutPhase
+from springmux.rollout.token import Account, AccountTotals
 from tests.unit.rollout.virtual_fleet import PLAN
 
 QUIET, BUSY, NIGHT = ZoneName("quiet"), ZoneName("busy"), ZoneName("night")
--- a/tests/unit/rollout/test_load_step.py
+++ b/tests/unit/rollout/test_load_step.py
@@ -10,8 +10,8 @@
 
 from springmux.rollout.judgement.evidence_table import LOADED_RATIO, EvidenceTable
 from springmux.rollout.outcome import Ending
+from springmux.rollout.plan import RolloutPhase
 from springmux.rollout.planning.load_step import FULLEST, LOAD_FACTOR, load_weight, loaded_engines
-from springmux.rollout.planning.plan import RolloutPhase
 from springmux.rollout.planning.schedule import plan_schedule
 from springmux.rollout.planning.standard_plan import plan_for
 from springmux.rollout.version_filter import EVEN_LAST_WEIGHT, ServiceGate
--- a/tests/unit/rollout/test_participant.py
+++ b/tests/unit/rollout/test_participant.py
@@ -11,8 +11,8 @@
 from springmux.coordination.identifiers import NodeId, ZoneName
 from springmux.rollout.outcome import Ending, PromptOutcome
 from springmux.rollout.participant import Participant, TokenVisit
-from springmux.rollout.planning.plan import RolloutDecision, RolloutPhase
-from springmux.rollout.token_ring.token import (
+from springmux.rollout.plan import RolloutDecision, RolloutPhase
+from springmux.rollout.token import (
     Account,
     RolloutEntry,
     merge_accounts,
--- a/tests/unit/rollout/test_rollout_coordinator.py
+++ b/tests/unit/rollout/test_rollout_coordinator.py
@@ -15,7 +15,7 @@
 from springmux.rollout.effects import ProposeAbort, ProposeStep
 from springmux.rollout.events import ControlViewChanged, EnginesChanged, FleetChanged, IssuerChanged
 from springmux.rollout.messages import RolloutAbortNotice, RolloutToken, RolloutTokenAck
-from springmux.rollout.planning.plan import RolloutDecision, RolloutPhase, RolloutRecord
+from springmux.rollout.plan import RolloutDecision, RolloutPhase, RolloutRecord
 from springmux.rollout.rollout_coordinator import RolloutCoordinator, RolloutSettings
 from springmux.rollout.token_ring.rings import RELAY, WHOLE_FLEET, lay_out
 from springmux.rollout.token_ring.token_forwarding import HOP_TIMEOUT_S
--- a/tests/unit/rollout/test_schedule.py
+++ b/tests/unit/rollout/test_schedule.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from springmux.rollout.planning.plan import RolloutPhase
+from springmux.rollout.plan import RolloutPhase
 from springmux.rollout.planning.schedule import (
     Progress,
     ScheduleImpossibleError,
--- a/tests/unit/rollout/test_short_term_components.py
+++ b/tests/unit/rollout/test_short_term_components.py
@@ -19,7 +19,7 @@
 from springmux.rollout.judgement.evidence_table import EvidenceTable
 from springmux.rollout.judgement.final_analysis import final_analysis
 from springmux.rollout.outcome import FirstTokenWatch
-from springmux.rollout.planning.plan import JudgeLimits, RolloutPhase
+from springmux.rollout.plan import JudgeLimits, RolloutPhase
 from springmux.rollout.planning.plan_checks import validate_plan
 from springmux.rollout.planning.schedule import plan_schedule
 from springmux.rollout.planning.standard_plan import plan_for
--- a/tests/unit/rollout/test_short_terms.py
+++ b/tests/unit/rollout/test_short_terms.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from springmux.rollout.planning.plan import RolloutPhase
+from springmux.rollout.plan import RolloutPhase
 from springmux.vocabulary.names import EngineId
 from tests.unit.rollout.short_term_fleet import (
     GOOD,
--- a/tests/unit/rollout/virtual_fleet.py
+++ b/tests/unit/rollout/virtual_fleet.py
@@ -27,7 +27,7 @@
 from springmux.rollout.events import ControlViewChanged, EnginesChanged, FleetChanged, IssuerChanged
 from springmux.rollout.messages import RolloutToken
 from springmux.rollout.outcome import Ending, PromptOutcome
-from springmux.rollout.planning.plan import TERMINAL_PHASES, RolloutPhase, RolloutPlan, RolloutRecord
+from springmux.rollout.plan import TERMINAL_PHASES, RolloutPhase, RolloutPlan, RolloutRecord
 from springmux.rollout.rollout_coordinator import RolloutCoordinator, RolloutSettings
 from springmux.vocabulary.engines import EngineRecord, EngineStatus, EnginesView
 from springmux.vocabulary.names import EngineId, OrderId, RolloutId, RouteName, ServiceName, VersionName
--- a/tests/unit/template/test_preview.py
+++ b/tests/unit/template/test_preview.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from springmux.rollout.planning.plan import RolloutPlan
+from springmux.rollout.plan import RolloutPlan
 from springmux.rollout.planning.preview import EngineCapacity, preview
 from springmux.vocabulary.names import ServiceName, VersionName
 
--- a/tests/unit/template/test_template.py
+++ b/tests/unit/template/test_template.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 
-from springmux.rollout.planning.plan import JudgeLimits, RolloutPlan
+from springmux.rollout.plan import JudgeLimits, RolloutPlan
 from springmux.rollout.planning.plan_checks import validate_plan
 from springmux.rollout.planning.standard_template import STANDARD_TEMPLATE
 from springmux.rollout.planning.template import (
