--- a/src/springmux/coordination/quota/quota_allocator.py
+++ b/src/springmux/coordination/quota/quota_allocator.py
@@ -218,7 +218,7 @@
             del pending[next(iter(pending))]
         request = QuotaRequest(self._incarnation, self._sequence, demands)
         if owner == self._own:
-            self._apply_reply(owner, self._reply(owner, request, now), now)
+            self._apply_reply(owner, self._reply(owner, request, now))
             return []
         return [Send(owner, request)]
 
@@ -228,7 +228,7 @@
                 share = self._reply(sender, message, now)
                 return [Send(sender, share)] if share.grants else []
             case QuotaReply():
-                self._apply_reply(sender, message, now)
+                self._apply_reply(sender, message)
         return []
 
     def _reply(self, sender: NodeId, request: QuotaRequest, now: float) -> QuotaReply:
@@ -247,7 +247,7 @@
             self._next_expiry = now + self._settings.lease_s
         return QuotaReply(request.incarnation, request.sequence, tuple(grants))
 
-    def _apply_reply(self, sender: NodeId, message: QuotaReply, now: float) -> None:
+    def _apply_reply(self, sender: NodeId, message: QuotaReply) -> None:
         pending = self._pending_requests.get(sender)
         if message.incarnation != self._incarnation or pending is None or message.sequence not in pending:
             return
--- a/src/springmux/coordination/retry_budget.py
+++ b/src/springmux/coordination/retry_budget.py
@@ -12,20 +12,19 @@
 import msgspec
 
 DEFAULT_SHARE = 0.15
-"""Brief: about a fifth over all nodes; 0.15 leaves room for the floors."""
+"""Of first attempts; with the floors of all nodes it stays below a fifth of the fleet's traffic."""
 
 DEFAULT_FLOOR = 5
-"""Twelve nodes may add 60 retries in 10 s beyond the share: 4% of the 1,530 requests of the brief's sizes."""
+"""Retries in a window beyond the share, so that a node with little traffic can retry at all."""
 
 DEFAULT_WINDOW_S = 10.0
-"""Brief: measured over ten seconds."""
 
-ROUNDING = 1e-9
-"""Sums of the share may end a hair below a whole number."""
+ROUNDING_TOLERANCE = 1e-9
+"""Products of floats may end just below a whole number."""
 
 
-class TakenRetry(msgspec.Struct, frozen=True):
-    """A retry in the log, with the counts of requests and retries before it."""
+class GrantedRetry(msgspec.Struct, frozen=True):
+    """A granted retry, with the counts of requests and retries before it."""
 
     at: float
     requests_before: int
@@ -55,10 +54,10 @@
         self._window_s = window_s
         self._requests = 0
         self._retries = 0
-        self._taken: deque[TakenRetry] = deque()
+        self._granted: deque[GrantedRetry] = deque()
 
     def set_floor(self, floor: int) -> None:
-        """Use another floor from now on, as where it is a fleet's floor spread over a changing fleet."""
+        """Use another floor from now on: a fleet's floor is divided among a changing number of nodes."""
         self._floor = floor
 
     def note_request(self, now: float) -> None:
@@ -66,16 +65,16 @@
         self._requests += 1
 
     def may_retry(self, now: float) -> bool:
-        """Take a retry if the budget allows it at ``now``; ``False``: give the answer as it is."""
-        while self._taken and self._taken[0].at <= now - self._window_s:
-            self._taken.popleft()
-        if self._floor < 1 or not all(self._fits_since(first) for first in self._taken):
+        """Take a retry out of the budget at ``now`` (monotonic, s); return whether it is allowed."""
+        while self._granted and self._granted[0].at <= now - self._window_s:
+            self._granted.popleft()
+        if self._floor < 1 or not all(self._fits_since(first) for first in self._granted):
             return False
-        self._taken.append(TakenRetry(now, self._requests, self._retries))
+        self._granted.append(GrantedRetry(now, self._requests, self._retries))
         self._retries += 1
         return True
 
-    def _fits_since(self, first: TakenRetry) -> bool:
+    def _fits_since(self, first: GrantedRetry) -> bool:
         requests = self._requests - first.requests_before
         retries = self._retries - first.retries_before + 1
-        return retries <= self._share * requests + self._floor + ROUNDING
+        return retries <= self._share * requests + self._floor + ROUNDING_TOLERANCE
--- a/src/springmux/coordination/state_machine.py
+++ b/src/springmux/coordination/state_machine.py
@@ -1,9 +1,9 @@
-"""The contract that every coordination part keeps: events in, effects out, time handed in.
+"""The interface of every state machine: events in, effects out, time passed in.
 
-A *part* is a pure state machine. Its driver (the daemon's event loop, or the simulation) calls
-``handle`` with one event and the present monotonic time in seconds, and carries out the effects
-that come back, in their order. A part never sleeps, reads a clock, or does I/O; randomness is
-handed to its constructor as a seeded :class:`random.Random`.
+The driver (the daemon's event loop, or the simulation) calls ``handle`` with one event and the present
+monotonic time in seconds, and executes the returned effects in their order. A state machine never
+sleeps, reads a clock, or does I/O; randomness comes from a seeded :class:`random.Random` that its
+constructor gets.
 """
 
 from __future__ import annotations
@@ -16,21 +16,22 @@
 from springmux.coordination.identifiers import NodeId
 
 NEVER = float("inf")
-"""Deadline of a part that waits for nothing."""
+"""Deadline of a state machine that waits for nothing."""
 
 
 class Event(msgspec.Struct, frozen=True):
-    """Something that happened, given to a part. Subclasses carry the facts."""
+    """Something that happened; subclasses carry its data."""
 
 
 class Effect(msgspec.Struct, frozen=True):
-    """Something that a part asks its driver to do."""
+    """Something that a state machine requests of its driver."""
 
 
 class PeerMessage(msgspec.Struct, frozen=True, array_like=True, omit_defaults=True):
-    """Base of every message between nodes. The class name is the wire tag, so it is unique in the fleet.
+    """Base of every message between nodes.
 
-    Fields may be added at the end with a default; readers ignore what they don't know.
+    Each subclass states its wire tag (``tag="..."``), unique in the fleet; the tag never changes, whatever
+    the class is called. Fields may be added at the end with a default; readers ignore unknown ones.
     """
 
 
@@ -44,7 +45,7 @@
 
 
 class Tick(Event, frozen=True):
-    """The part's ``next_deadline`` has come (or passed)."""
+    """The ``next_deadline`` of the state machine has come or passed."""
 
 
 class MessageReceived(Event, frozen=True):
@@ -82,9 +83,9 @@
     """A pure state machine that a driver runs."""
 
     def handle(self, event: Event, now: float) -> list[Effect]:
-        """Take one event at monotonic time ``now`` (seconds) and return what is to be done."""
+        """Handle one event at monotonic time ``now`` (seconds); return the effects to execute."""
         ...
 
     def next_deadline(self) -> float:
-        """Return the monotonic time at which the part wants a :class:`Tick`, or :data:`NEVER`."""
+        """Return the monotonic time at which a :class:`Tick` is due, or :data:`NEVER`."""
         ...
--- a/src/springmux/rollout/judgement/chance.py
+++ b/src/springmux/rollout/judgement/chance.py
@@ -49,6 +49,7 @@
 
 
 def log_sum_exp(terms: Sequence[float]) -> float:
+    """Return ``log(sum(exp(term)))`` without overflow."""
     largest = max(terms, default=-math.inf)
     if largest == -math.inf:
         return -math.inf
