--- a/src/springmux/agent/control_handlers.py
+++ b/src/springmux/agent/control_handlers.py
@@ -17,6 +17,7 @@
 )
 from springmux.control.order_events import ProposalEnded, ProposeCommand, ReplyToOrder
 from springmux.coordination.consensus import effects as raft
+from springmux.coordination.consensus.proposals import STORAGE_FULL
 from springmux.coordination.state_machine import Effect
 
 
@@ -91,7 +92,7 @@
         return []
 
     def _on_proposal_dropped(self, effect: raft.ProposalDropped, now: float) -> list[Effect]:
-        full = "storage full" in effect.reason
+        full = effect.reason == STORAGE_FULL
         ended = ProposalEnded(effect.correlation_id, effect.unknown, full)
         return self._dispatcher.deliver(self._components.orders, ended, now)
 
