--- a/src/springmux/node/admin/control_endpoints.py
+++ b/src/springmux/node/admin/control_endpoints.py
@@ -1,11 +1,12 @@
-"""Admin listener, control's part: configuration, tenants, keys, controllers."""
+"""Admin endpoints of the control state: configuration, tenants, keys, controllers."""
 
 from __future__ import annotations
 
 import asyncio
 import hashlib
+import math
 import re
-from typing import Any, Protocol, TypeVar
+from typing import Protocol
 
 import msgspec
 from aiohttp import web
@@ -20,9 +21,9 @@
 from springmux.control.name_pattern import NAME_PATTERN
 from springmux.control.state import ControlState
 from springmux.control.view import ControlView, Tenant
-from springmux.node.admin.errors import bad_field, decode_failure, invalid
+from springmux.node.admin.errors import bad_field, invalid
+from springmux.node.admin.json_bodies import decode_body, json_response
 from springmux.node.admin.order_submission import OrderSubmitter, operator, order_id
-from springmux.node.admin.rollout_endpoints import json_response
 from springmux.vocabulary.errors import ApiError, ApiResponseError, ErrorCode, FieldError
 from springmux.vocabulary.names import KeyDigest, KeyId, TenantName
 
@@ -30,9 +31,8 @@
 _DIGEST = re.compile(r"[0-9a-f]{64}")
 _VERSION = re.compile(r"[0-9]{1,15}")
 """Below 2**53, so that every JSON reader keeps it exact."""
-Body = TypeVar("Body", bound=msgspec.Struct)
 MINIMUM_KEY_LENGTH = 16
-"""A key must not be guessable; made ones have 43 characters."""
+"""A key must not be guessable; generated ones have 43 characters."""
 
 
 class ConfigurationEntry(msgspec.Struct, frozen=True):
@@ -79,13 +79,13 @@
 
 
 class RemoveBody(msgspec.Struct, frozen=True):
-    """Body of a replica's removal."""
+    """Body of a removal of a replica."""
 
     replica: str
 
 
 class ConfigurationBody(msgspec.Struct, frozen=True):
-    """Answer of ``GET /v1/configuration``."""
+    """Response of ``GET /v1/configuration``."""
 
     version: int
     revision: int
@@ -93,11 +93,20 @@
 
 
 class ValidBody(msgspec.Struct, frozen=True):
-    """Answer of a validation that found nothing wrong."""
+    """Response of a validation that found nothing wrong."""
 
     valid: bool = True
 
 
+class TenantEntry(msgspec.Struct, frozen=True):
+    """One tenant with every field, defaults too: readers should not have to know them."""
+
+    name: TenantName
+    tokens_per_s: float
+    burst_tokens: float
+    weight: float
+
+
 class KeyEntry(msgspec.Struct, frozen=True):
     """One key, without anything that lets one use it."""
 
@@ -107,7 +116,7 @@
 
 
 class ControlEndpoints:
-    """Turns operators' requests into orders. ``max_configuration_bytes`` bounds a document."""
+    """Submit operators' requests as orders. ``max_configuration_bytes`` bounds a document."""
 
     def __init__(self, agent: ControlAgent, orders: OrderSubmitter, max_configuration_bytes: int) -> None:
         self._agent = agent
@@ -186,20 +195,20 @@
 
     async def _list_tenants(self, _: web.Request) -> web.Response:
         tenants = self._agent.view.tenants
-        # Every field, defaults too: readers should not have to know them.
-        rows: list[dict[str, Any]] = []
-        for name in sorted(tenants):
-            tenant = tenants[name]
-            rows.append({field: getattr(tenant, field) for field in tenant.__struct_fields__})
-        return json_response(rows)
+        return json_response([_tenant_entry(tenants[name]) for name in sorted(tenants)])
 
     async def _put_tenant(self, request: web.Request) -> web.Response:
-        body = _decode(await request.read(), TenantBody)
-        name = _name(request.match_info["tenant"], "tenant")
+        body = decode_body(await request.read(), TenantBody)
+        name = _checked_name(request.match_info["tenant"], "tenant")
+        numbers = {
+            "tokens_per_s": body.tokens_per_s,
+            "burst_tokens": body.burst_tokens,
+            "weight": body.weight,
+        }
         wrong = tuple(
             FieldError(field, "must be a positive number")
-            for field in ("tokens_per_s", "burst_tokens", "weight")
-            if not 0 < getattr(body, field) < float("inf")
+            for field, number in numbers.items()
+            if not 0 < number < math.inf
         )
         if wrong:
             raise invalid(ErrorCode.INVALID_ORDER, "the tenant is wrong", wrong)
@@ -213,7 +222,7 @@
         return await self._orders.submit(command, ErrorCode.VERSION_CONFLICT)
 
     async def _remove_tenant(self, request: web.Request) -> web.Response:
-        tenant = TenantName(_name(request.match_info["tenant"], "tenant"))
+        tenant = TenantName(_checked_name(request.match_info["tenant"], "tenant"))
         command = RemoveTenant(order=order_id(request), issued_by=operator(request), tenant=tenant)
         return await self._orders.submit(command, ErrorCode.VERSION_CONFLICT)
 
@@ -222,28 +231,28 @@
         return json_response([KeyEntry(key.key, key.tenant, key.revoked) for key in keys])
 
     async def _put_key(self, request: web.Request) -> web.Response:
-        body = _decode(await request.read(), KeyBody)
+        body = decode_body(await request.read(), KeyBody)
         command = PutKey(
             order=order_id(request),
             issued_by=operator(request),
-            key=KeyId(_name(request.match_info["key"], "key_id")),
+            key=KeyId(_checked_name(request.match_info["key"], "key_id")),
             digest=_digest(body),
-            tenant=TenantName(_name(body.tenant, "tenant")),
+            tenant=TenantName(_checked_name(body.tenant, "tenant")),
         )
         return await self._orders.submit(command, ErrorCode.VERSION_CONFLICT)
 
     async def _revoke_key(self, request: web.Request) -> web.Response:
-        key = KeyId(_name(request.match_info["key"], "key_id"))
+        key = KeyId(_checked_name(request.match_info["key"], "key_id"))
         command = RevokeKey(order=order_id(request), issued_by=operator(request), key=key)
         return await self._orders.submit(command, ErrorCode.VERSION_CONFLICT)
 
     async def _transfer(self, request: web.Request) -> web.Response:
-        body = _decode(await request.read() or b"{}", TransferBody)
-        return await self._orders.transfer(body.target and _name(body.target, "target"))
+        body = decode_body(await request.read() or b"{}", TransferBody)
+        return await self._orders.transfer(body.target and _checked_name(body.target, "target"))
 
     async def _remove(self, request: web.Request) -> web.Response:
-        replica = _decode(await request.read(), RemoveBody).replica
-        return await self._orders.remove(_name(replica, "replica"))
+        replica = decode_body(await request.read(), RemoveBody).replica
+        return await self._orders.remove(_checked_name(replica, "replica"))
 
 
 def _too_large(size_bytes: int, limit_bytes: int) -> ApiResponseError:
@@ -251,6 +260,15 @@
     return ApiResponseError(ApiError(code=ErrorCode.BODY_TOO_LARGE, message=text, status=413))
 
 
+def _tenant_entry(tenant: Tenant) -> TenantEntry:
+    return TenantEntry(
+        name=tenant.name,
+        tokens_per_s=tenant.tokens_per_s,
+        burst_tokens=tenant.burst_tokens,
+        weight=tenant.weight,
+    )
+
+
 def _version(request: web.Request) -> int:
     text = request.query.get("version", "")
     if not _VERSION.fullmatch(text) or int(text) == 0:
@@ -258,7 +276,7 @@
     return int(text)
 
 
-def _name(value: str, path: str) -> str:
+def _checked_name(value: str, path: str) -> str:
     if not _NAME.fullmatch(value):
         raise invalid(
             ErrorCode.INVALID_ORDER, "the name is wrong", (FieldError(path, f"must match {NAME_PATTERN}"),)
@@ -277,10 +295,3 @@
     if not _DIGEST.fullmatch(digest):
         raise bad_field("digest", "must be a SHA-256 of 64 hex digits")
     return KeyDigest(digest)
-
-
-def _decode(data: bytes, kind: type[Body]) -> Body:
-    try:
-        return msgspec.json.decode(data, type=kind)
-    except (msgspec.DecodeError, RecursionError) as error:
-        raise decode_failure(error) from None
--- a/src/springmux/node/admin/engine_endpoints.py
+++ b/src/springmux/node/admin/engine_endpoints.py
@@ -1,11 +1,11 @@
-"""Admin listener, back ends' part: announce, heartbeat, drain, leave, and the directory."""
+"""Admin endpoints of the engines: announce, heartbeat, drain, leave, and the directory."""
 
 from __future__ import annotations
 
 import asyncio
 import re
 from collections.abc import Callable
-from typing import Annotated, Literal, TypeVar
+from typing import Annotated, Literal
 
 import msgspec
 from aiohttp import web
@@ -14,7 +14,8 @@
 from springmux.coordination.identifiers import Address, ZoneName
 from springmux.coordination.state_machine import Event
 from springmux.node.addresses import check_address
-from springmux.node.admin.errors import bad_field, decode_failure
+from springmux.node.admin.errors import bad_field
+from springmux.node.admin.json_bodies import decode_body, json_response
 from springmux.node.health import NodeHealth
 from springmux.node.settings import NAME_PATTERN
 from springmux.vocabulary.engines import EngineLoad, EngineRecord, EngineStatus, EnginesView
@@ -24,9 +25,9 @@
 _NAME = re.compile(NAME_PATTERN)
 MAX_CAPACITY = 1_000_000
 """Far above any engine; sums of many stay exact."""
-_MAX_NUMBER = (1 << 63) - 1
-"""Peers' messages hold no larger ones."""
-Count = Annotated[int, msgspec.Meta(ge=0, le=_MAX_NUMBER)]
+_MAX_COUNT = (1 << 63) - 1
+"""Peer messages hold no larger integers."""
+Count = Annotated[int, msgspec.Meta(ge=0, le=_MAX_COUNT)]
 
 
 class AnnounceBody(msgspec.Struct, frozen=True, kw_only=True):
@@ -52,30 +53,27 @@
 
 
 class EngineBody(msgspec.Struct, frozen=True):
-    """Body of drain and leave. With the life's incarnation a late copy can't stop the next life."""
+    """Body of drain and leave. Its incarnation keeps a late duplicate from stopping the next incarnation."""
 
     engine: str
     incarnation: Count = 0
 
 
 class EngineEntry(msgspec.Struct, frozen=True):
-    """One line of the directory: the record and its last known load."""
+    """One engine of the directory: its record and its last known load."""
 
     record: dict[str, object]
     load: dict[str, object] | None
 
 
 class EngineList(msgspec.Struct, frozen=True):
-    """Answer of ``GET /v1/engines``."""
+    """Response of ``GET /v1/engines``."""
 
     engines: tuple[EngineEntry, ...]
 
 
-Body = TypeVar("Body", AnnounceBody, HeartbeatBody, EngineBody)
-
-
 class EngineEndpoints:
-    """Turns back ends' reports into the agent's events."""
+    """Submit the engines' reports to the agent as events."""
 
     def __init__(
         self, submit: Callable[[Event], None], engines: Callable[[], EnginesView], health: NodeHealth
@@ -93,11 +91,11 @@
         router.add_get("/v1/engines", self._list)
 
     async def _announce(self, request: web.Request) -> web.Response:
-        body = _decode(await request.read(), AnnounceBody)
-        return self._hear(EngineAnnounced(record=_record(body, 0, EngineStatus.READY)))
+        body = decode_body(await request.read(), AnnounceBody)
+        return self._accept(EngineAnnounced(record=_record(body, 0, EngineStatus.READY)))
 
     async def _heartbeat(self, request: web.Request) -> web.Response:
-        body = _decode(await request.read(), HeartbeatBody)
+        body = decode_body(await request.read(), HeartbeatBody)
         record = _record(body, body.sequence, EngineStatus(body.status))
         load = EngineLoad(
             engine=record.engine,
@@ -106,21 +104,21 @@
             cache_used=body.cache_used,
             measured_at=asyncio.get_running_loop().time(),
         )
-        return self._hear(EngineHeartbeat(record=record, load=load))
+        return self._accept(EngineHeartbeat(record=record, load=load))
 
     async def _drain(self, request: web.Request) -> web.Response:
-        body = _decode(await request.read(), EngineBody)
-        return self._hear(EngineDraining(EngineId(_plain("engine", body.engine)), body.incarnation))
+        body = decode_body(await request.read(), EngineBody)
+        return self._accept(EngineDraining(EngineId(_checked_name("engine", body.engine)), body.incarnation))
 
     async def _leave(self, request: web.Request) -> web.Response:
-        body = _decode(await request.read(), EngineBody)
-        return self._hear(EngineLeft(EngineId(_plain("engine", body.engine)), body.incarnation))
-
-    def _hear(self, event: Event) -> web.Response:
-        """Take a report, or refuse it where it would reach nobody else: the engine goes to another node."""
-        deafness = self._health.deafness()
-        if deafness is not None:
-            raise ApiResponseError(deafness)
+        body = decode_body(await request.read(), EngineBody)
+        return self._accept(EngineLeft(EngineId(_checked_name("engine", body.engine)), body.incarnation))
+
+    def _accept(self, event: Event) -> web.Response:
+        """Submit a report, or reject it where it would reach no other node: the engine tries another one."""
+        rejection = self._health.report_rejection()
+        if rejection is not None:
+            raise ApiResponseError(rejection)
         self._submit(event)
         return web.Response(status=204)
 
@@ -129,29 +127,22 @@
         entries = []
         for engine, record in sorted(view.engines.items()):
             load = view.loads.get(engine)
-            entries.append(EngineEntry(_named(record), _named(load) if load is not None else None))
-        body = msgspec.json.encode(EngineList(tuple(entries)))
-        return web.Response(body=body, content_type="application/json")
-
-
-def _decode(data: bytes, kind: type[Body]) -> Body:
-    try:
-        return msgspec.json.decode(data, type=kind)
-    except (msgspec.DecodeError, RecursionError) as error:
-        raise decode_failure(error) from None
+            entries.append(EngineEntry(_fields(record), _fields(load) if load is not None else None))
+        return json_response(EngineList(tuple(entries)))
 
 
-def _plain(path: str, name: str) -> str:
+def _checked_name(path: str, name: str) -> str:
     if not _NAME.fullmatch(name):
         raise bad_field(path, f"must match {NAME_PATTERN}")
     return name
 
 
 def _record(body: AnnounceBody, sequence: int, status: EngineStatus) -> EngineRecord:
-    for name in ("engine", "service", "version"):
-        _plain(name, getattr(body, name))
+    _checked_name("engine", body.engine)
+    _checked_name("service", body.service)
+    _checked_name("version", body.version)
     if body.zone:
-        _plain("zone", body.zone)
+        _checked_name("zone", body.zone)
     try:
         check_address(body.address)
     except ValueError as error:
@@ -169,6 +160,6 @@
     )
 
 
-def _named(record: EngineRecord | EngineLoad) -> dict[str, object]:
-    """Return a record by field names (on the peers' wire it is an array)."""
-    return {name: getattr(record, name) for name in record.__struct_fields__}
+def _fields(record: EngineRecord | EngineLoad) -> dict[str, object]:
+    """Return a record's values by field name: encoded itself, it would be an array as between peers."""
+    return msgspec.structs.asdict(record)
--- a/src/springmux/node/admin/errors.py
+++ b/src/springmux/node/admin/errors.py
@@ -1,4 +1,4 @@
-"""Typed errors of the admin listener, and the middleware that answers them."""
+"""Typed errors of the admin listener, and the middleware that turns them into responses."""
 
 from __future__ import annotations
 
@@ -42,15 +42,15 @@
 
 
 def error_response(error: ApiError) -> web.Response:
-    """Return the HTTP answer of a typed error."""
+    """Return the HTTP response of a typed error."""
     return web.Response(status=error.status, body=error_body(error), headers=error_headers(error))
 
 
 def error_middleware(node: str, log: EventLog) -> Middleware:
-    """Return the middleware that turns exceptions into typed answers with the node's name."""
+    """Return the middleware that turns exceptions into typed error responses with the node's name."""
 
     @web.middleware
-    async def answer_errors(request: web.Request, handler: Handler) -> web.StreamResponse:
+    async def respond_to_errors(request: web.Request, handler: Handler) -> web.StreamResponse:
         try:
             return await handler(request)
         except ApiResponseError as raised:
@@ -65,9 +65,9 @@
             error = ApiError(code=ErrorCode.NOT_FOUND, message=NOT_FOUND_HINT, status=404)
         except web.HTTPException:
             raise
-        except Exception as fault:
+        except Exception as fault:  # a fault in one request must not end the node
             log.crash("admin_request_crashed", fault)
             error = ApiError(code=ErrorCode.INTERNAL, message="the node failed; see its log", status=500)
         return error_response(msgspec.structs.replace(error, node=node))
 
-    return answer_errors
+    return respond_to_errors
--- a/src/springmux/node/admin/fault_endpoint.py
+++ b/src/springmux/node/admin/fault_endpoint.py
@@ -1,4 +1,4 @@
-"""``POST /v1/lab/faults``: replaces the faults in force by those in its body; faults left out end."""
+"""``POST /v1/lab/faults``: replace the faults in force by those in its body; faults left out end."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class FaultEndpoint:
-    """Sets the faults of one node's injector."""
+    """Set the faults of one node's injector."""
 
     def __init__(self, injector: FaultInjector) -> None:
         self._injector = injector
--- a/src/springmux/node/admin/listener.py
+++ b/src/springmux/node/admin/listener.py
@@ -1,4 +1,4 @@
-"""The operators' and back ends' listener: puts the endpoint groups together, health and metrics."""
+"""The listener for operators and engines: all endpoint groups, health, status and metrics."""
 
 from __future__ import annotations
 
@@ -7,13 +7,15 @@
 import msgspec
 from aiohttp import web
 
+from springmux.agent.status import NodeStatusReport
 from springmux.node.addresses import split_address
 from springmux.node.admin.control_endpoints import ControlAgent, ControlEndpoints
 from springmux.node.admin.engine_endpoints import EngineEndpoints
 from springmux.node.admin.errors import error_middleware
 from springmux.node.admin.fault_endpoint import FaultEndpoint
+from springmux.node.admin.json_bodies import json_response
 from springmux.node.admin.order_submission import OrderSubmitter
-from springmux.node.admin.rollout_endpoints import RolloutEndpoints, RolloutsAgent, json_response
+from springmux.node.admin.rollout_endpoints import RolloutEndpoints, RolloutsAgent
 from springmux.node.admin.rollout_history import RolloutHistory
 from springmux.node.client.protocol import quiet_logger
 from springmux.node.driver import AgentDriver
@@ -26,19 +28,19 @@
 from springmux.node.settings import NodeSettings
 
 BODY_MARGIN_BYTES = 64 << 10
-"""Bodies a little over the configuration's limit are read, so that the answer can name the limit."""
+"""Bodies a little over the configuration's limit are read, so that the error response can name it."""
 CLOSE_TIMEOUT_S = 1.0
 
 
 class AdminAgent(RolloutsAgent, ControlAgent, ReadyAgent, Protocol):
     """What the admin listener reads of the node's agent."""
 
-    def status(self) -> Any:
-        """A struct for ``GET /v1/status``."""
+    def status(self) -> NodeStatusReport:
+        """Return the agent's part of ``GET /v1/status``."""
 
 
 class StatusBody(msgspec.Struct, frozen=True):
-    """Answer of ``GET /v1/status``: the agent's report and what only this process knows."""
+    """Response of ``GET /v1/status``: the agent's report and what only this process knows."""
 
     node: Any
     ready: bool
@@ -48,7 +50,7 @@
 
 
 class AdminListener:
-    """Serves docs/API.md's admin part."""
+    """Serve the admin interface of docs/API.md."""
 
     def __init__(
         self,
@@ -71,12 +73,9 @@
             client_max_size=settings.max_configuration_bytes + BODY_MARGIN_BYTES,
             middlewares=[error_middleware(settings.node, log)],
         )
+        self._add_own_routes()
         router = self._application.router
         orders = OrderSubmitter(driver, metrics, settings.order_timeout_s, settings.node)
-        router.add_get(HEALTH_PATH, self._alive)
-        router.add_get(READY_PATH, self._ready)
-        router.add_get("/metrics", self._exposition)
-        router.add_get("/v1/status", self._status)
         EngineEndpoints(driver.submit, lambda: agent.engines, health).add_routes(router)
         ControlEndpoints(agent, orders, settings.max_configuration_bytes).add_routes(router)
         RolloutEndpoints(agent, orders, history, rates).add_routes(router)
@@ -86,8 +85,15 @@
             self._application, access_log=None, logger=quiet_logger, shutdown_timeout=CLOSE_TIMEOUT_S
         )
 
+    def _add_own_routes(self) -> None:
+        router = self._application.router
+        router.add_get(HEALTH_PATH, self._alive)
+        router.add_get(READY_PATH, self._ready)
+        router.add_get("/metrics", self._exposition)
+        router.add_get("/v1/status", self._status)
+
     async def listen(self) -> None:
-        """Accept operators and back ends.
+        """Accept operators and engines.
 
         :raises OSError: if the address can't be bound.
         """
@@ -104,9 +110,7 @@
 
     async def _ready(self, _: web.Request) -> web.Response:
         readiness = self._health.readiness()
-        answer = json_response(readiness)
-        answer.set_status(200 if readiness.ready else 503)
-        return answer
+        return json_response(readiness, status=200 if readiness.ready else 503)
 
     async def _exposition(self, _: web.Request) -> web.Response:
         return web.Response(body=self._metrics.exposition(), headers={"Content-Type": EXPOSITION_TYPE})
--- a/src/springmux/node/admin/order_submission.py
+++ b/src/springmux/node/admin/order_submission.py
@@ -1,4 +1,4 @@
-"""Submitting operators' orders to the agent and turning their answers into HTTP."""
+"""Submit operators' orders to the agent and turn their results into HTTP responses."""
 
 from __future__ import annotations
 
@@ -13,20 +13,21 @@
 from springmux.agent.effects import OrderAnswered
 from springmux.control.commands import AnyCommand, CommandResult, Outcome
 from springmux.node.admin.errors import bad_field
+from springmux.node.admin.json_bodies import json_response
 from springmux.node.client.error_responses import error_headers
 from springmux.node.driver import AgentDriver, OrderCallback
 from springmux.node.metrics.registry import NodeMetrics
-from springmux.node.order_wait import answer_of
+from springmux.node.order_wait import wait_for_order
 from springmux.vocabulary.errors import ApiError, ApiResponseError, ErrorCode, Fate
 from springmux.vocabulary.names import OrderId
 
 ORDER_HEADER = "X-Order-Id"
 OPERATOR_HEADER = "X-Operator"
-_HEADER_TEXT = re.compile(r"^[\x21-\x7e]{1,200}$")
+_PRINTABLE_TEXT = re.compile(r"^[\x21-\x7e]{1,200}$")
 
 
 class AcceptedBody(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Answer of an accepted order."""
+    """Response to an accepted order."""
 
     order: str
     outcome: str
@@ -36,7 +37,7 @@
 
 
 class ConflictBody(msgspec.Struct, frozen=True):
-    """Answer of an order that lost: the typed error and what stands instead."""
+    """Response to an order that lost: the typed error, and what is in force instead."""
 
     error: ApiError
     winner: dict[str, Any] | None
@@ -50,21 +51,24 @@
     value = request.headers.get(ORDER_HEADER)
     if value is None:
         return OrderId(str(uuid.uuid4()))
-    if not _HEADER_TEXT.match(value):
+    if not _PRINTABLE_TEXT.match(value):
         raise bad_field(ORDER_HEADER, "must be 1 to 200 printable characters without spaces")
     return OrderId(value)
 
 
 def operator(request: web.Request) -> str:
-    """Return who orders, for the history."""
+    """Return the operator's name, for the history.
+
+    :raises ApiResponseError: if it is not 1 to 200 printable characters.
+    """
     value = request.headers.get(OPERATOR_HEADER, "operator")
-    if not _HEADER_TEXT.match(value):
+    if not _PRINTABLE_TEXT.match(value):
         raise bad_field(OPERATOR_HEADER, "must be 1 to 200 printable characters without spaces")
     return value
 
 
 class OrderSubmitter:
-    """Waits for the answers of orders. ``timeout_s``: after it the order's fate is unknown here."""
+    """Submit orders and wait for their results; after ``timeout_s`` an order's fate is unknown here."""
 
     def __init__(self, driver: AgentDriver, metrics: NodeMetrics, timeout_s: float, node: str) -> None:
         self._node = node
@@ -73,12 +77,12 @@
         self._timeout_s = timeout_s
 
     async def submit(self, command: AnyCommand, conflict: ErrorCode) -> web.Response:
-        """Submit a command and answer its outcome; ``conflict`` is the code if it lost."""
+        """Submit a command and return the response to it; ``conflict`` is the error code if it lost."""
         answered = await self._wait(lambda callback: self._driver.submit_order(command, callback))
         return self._response(answered, conflict)
 
     async def transfer(self, target: str) -> web.Response:
-        """Move leadership."""
+        """Transfer leadership; to any replica if ``target`` is empty."""
         answered = await self._wait(lambda callback: self._driver.submit_transfer(target, callback))
         return self._response(answered, ErrorCode.INVALID_ORDER)
 
@@ -88,9 +92,9 @@
         return self._response(answered, ErrorCode.INVALID_ORDER)
 
     async def _wait(self, submit: Callable[[OrderCallback], str]) -> OrderAnswered | None:
-        return await answer_of(self._driver, submit, self._timeout_s)
+        return await wait_for_order(self._driver, submit, self._timeout_s)
 
-    def _unknown(self) -> ApiError:
+    def _timed_out(self) -> ApiError:
         return ApiError(
             code=ErrorCode.DEADLINE_EXCEEDED,
             message=f"no answer within {self._timeout_s} s; resend it under the same {ORDER_HEADER}",
@@ -102,28 +106,32 @@
     def _response(self, answered: OrderAnswered | None, conflict: ErrorCode) -> web.Response:
         result = answered.result if answered is not None else None
         if result is None:
-            error = (answered.error if answered is not None else None) or self._unknown()
+            error = (answered.error if answered is not None else None) or self._timed_out()
             self._metrics.count("orders_total", error.code)
             raise ApiResponseError(error)
         self._metrics.count("orders_total", result.outcome)
         if result.outcome is Outcome.ACCEPTED:
             return _accepted(result)
         if result.outcome is Outcome.CONFLICT:
-            text = result.message or "another order won"
-            error = ApiError(code=conflict, message=text, status=409, node=self._node)
-            body = msgspec.json.encode(ConflictBody(error=error, winner=result.winner))
-            return web.Response(status=409, body=body, headers=error_headers(error))
-        if result.outcome is Outcome.NOT_FOUND:
-            error = ApiError(code=ErrorCode.NOT_FOUND, message=result.message or "no such thing", status=404)
-            raise ApiResponseError(error)
-        raise ApiResponseError(
-            ApiError(
-                code=ErrorCode.INVALID_ORDER,
-                message=result.message or "the order is not valid",
-                status=422,
-                errors=result.errors,
-            )
-        )
+            return self._conflict(result, conflict)
+        raise ApiResponseError(_rejection(result))
+
+    def _conflict(self, result: CommandResult, code: ErrorCode) -> web.Response:
+        text = result.message or "another order won"
+        error = ApiError(code=code, message=text, status=409, node=self._node)
+        body = msgspec.json.encode(ConflictBody(error=error, winner=result.winner))
+        return web.Response(status=409, body=body, headers=error_headers(error))
+
+
+def _rejection(result: CommandResult) -> ApiError:
+    if result.outcome is Outcome.NOT_FOUND:
+        return ApiError(code=ErrorCode.NOT_FOUND, message=result.message or "no such thing", status=404)
+    return ApiError(
+        code=ErrorCode.INVALID_ORDER,
+        message=result.message or "the order is not valid",
+        status=422,
+        errors=result.errors,
+    )
 
 
 def _accepted(result: CommandResult) -> web.Response:
@@ -134,4 +142,4 @@
         version=result.version,
         message=result.message,
     )
-    return web.Response(body=msgspec.json.encode(body), content_type="application/json")
+    return json_response(body)
--- a/src/springmux/node/admin/rollout_endpoints.py
+++ b/src/springmux/node/admin/rollout_endpoints.py
@@ -1,9 +1,9 @@
-"""Admin listener, rollouts' part: templates, preview, orders, status, history."""
+"""Admin endpoints of rollouts: templates, preview, orders, status, history."""
 
 from __future__ import annotations
 
 import uuid
-from typing import Any, Protocol
+from typing import Protocol
 
 import msgspec
 from aiohttp import web
@@ -12,6 +12,7 @@
 from springmux.control.view import ControlView
 from springmux.coordination.membership.view import MembershipView
 from springmux.node.admin.errors import bad_field, invalid
+from springmux.node.admin.json_bodies import json_response
 from springmux.node.admin.order_submission import OrderSubmitter, operator, order_id
 from springmux.node.admin.rollout_history import RolloutHistory
 from springmux.node.service_rates import ServiceRates
@@ -31,7 +32,7 @@
 from springmux.vocabulary.names import RolloutId, ServiceName
 
 MAX_PROMPTS_PER_S = 1e9
-"""Far above any fleet; sums over the longest term (a day) stay exact."""
+"""Far above any fleet; sums over the longest rollout (a day) stay exact."""
 
 
 class RolloutsAgent(Protocol):
@@ -47,21 +48,21 @@
 
     @property
     def engines(self) -> EnginesView:
-        """Directory of back ends."""
+        """Directory of engines."""
 
     def rollout_status(self, service: ServiceName) -> RolloutStatus | None:
         """Status of a rollout as this node knows it."""
 
 
 class RolloutReport(msgspec.Struct, frozen=True):
-    """Answer of ``GET /v1/rollouts/{service}``."""
+    """Response of ``GET /v1/rollouts/{service}``."""
 
     record: RolloutRecord
     status: RolloutStatus | None
 
 
 class RolloutEndpoints:
-    """Turns operators' rollout requests into orders and reads."""
+    """Submit operators' rollout requests as orders, and report rollouts."""
 
     def __init__(
         self, agent: RolloutsAgent, orders: OrderSubmitter, history: RolloutHistory, rates: ServiceRates
@@ -92,16 +93,7 @@
     async def _put_template(self, request: web.Request) -> web.Response:
         name = request.match_info["name"]
         document = await request.read()
-        try:
-            template = parse_template(document)
-        except TemplateError as error:
-            raise invalid(ErrorCode.INVALID_ORDER, "the template is wrong", error.errors) from None
-        if template.name != name:
-            wrong = FieldError("name", f"is {template.name!r}, the path says {name!r}")
-            raise invalid(ErrorCode.INVALID_ORDER, "the template is wrong", (wrong,))
-        if name == STANDARD_TEMPLATE.name:
-            wrong = FieldError("name", "this name belongs to the built-in template")
-            raise invalid(ErrorCode.INVALID_ORDER, "the template is wrong", (wrong,))
+        _check_template(name, document)
         command = PutTemplate(
             order=order_id(request), issued_by=operator(request), name=name, document=document
         )
@@ -117,7 +109,7 @@
             raise invalid(ErrorCode.INVALID_ORDER, "the order is wrong", (wrong,))
         return parse_template(document)
 
-    async def _stamped(self, request: web.Request, service: str) -> RolloutPlan:
+    async def _planned(self, request: web.Request, service: str) -> RolloutPlan:
         try:
             body = parse_promote_body(await request.read())
             parameters = dict(body.parameters)
@@ -134,11 +126,11 @@
             raise invalid(ErrorCode.INVALID_ORDER, "the plan is wrong", (wrong,))
         return plan
 
-    def _outlook(self, plan: RolloutPlan, given: str | None) -> Preview:
-        if given is not None:
-            prompts_per_s = _rate(given)
+    def _outlook(self, plan: RolloutPlan, requested_rate: str | None) -> Preview:
+        if requested_rate is not None:
+            prompts_per_s = _parse_rate(requested_rate)
         else:
-            # Callers are spread over the nodes, so this node's share stands for each.
+            # Clients are spread evenly, so every node has about this node's rate.
             nodes = max(1, len(self._agent.membership.present()))
             prompts_per_s = self._rates.per_s(plan.service) * nodes
         return preview(plan, prompts_per_s, self._capacity(plan))
@@ -154,18 +146,18 @@
         )
 
     async def _preview(self, request: web.Request) -> web.Response:
-        outlook = self._outlook(await self._stamped(request, ""), request.query.get("prompts_per_s"))
-        _check(outlook)
+        outlook = self._outlook(await self._planned(request, ""), request.query.get("prompts_per_s"))
+        _check_feasible(outlook)
         return json_response(outlook)
 
     async def _promote(self, request: web.Request) -> web.Response:
         service = request.match_info["service"]
-        plan = await self._stamped(request, service)
+        plan = await self._planned(request, service)
         order = order_id(request)
         command = PromoteRollout(
             order=order,
             issued_by=operator(request),
-            # Made from the order, so that a resent one means the same rollout.
+            # Derived from the order, so that a resent one means the same rollout.
             rollout=RolloutId(uuid.uuid5(uuid.NAMESPACE_OID, order).hex),
             plan=plan,
         )
@@ -207,16 +199,24 @@
         return json_response(self._history.of(_service(request)))
 
 
-def json_response(value: Any) -> web.Response:
-    """Return a value as a JSON answer."""
-    return web.Response(body=msgspec.json.encode(value), content_type="application/json")
+def _check_template(name: str, document: bytes) -> None:
+    try:
+        template = parse_template(document)
+    except TemplateError as error:
+        raise invalid(ErrorCode.INVALID_ORDER, "the template is wrong", error.errors) from None
+    if template.name != name:
+        wrong = FieldError("name", f"is {template.name!r}, the path says {name!r}")
+        raise invalid(ErrorCode.INVALID_ORDER, "the template is wrong", (wrong,))
+    if name == STANDARD_TEMPLATE.name:
+        wrong = FieldError("name", "this name belongs to the built-in template")
+        raise invalid(ErrorCode.INVALID_ORDER, "the template is wrong", (wrong,))
 
 
 def _service(request: web.Request) -> ServiceName:
     return ServiceName(request.match_info["service"])
 
 
-def _rate(text: str) -> float:
+def _parse_rate(text: str) -> float:
     try:
         rate = float(text)
     except ValueError:
@@ -226,7 +226,7 @@
     return rate
 
 
-def _check(outlook: Preview) -> None:
+def _check_feasible(outlook: Preview) -> None:
     if outlook.refusal:
         wrong = FieldError("plan", outlook.refusal)
         raise invalid(ErrorCode.INVALID_ORDER, "the plan can't keep its promises", (wrong,))
--- a/src/springmux/node/admin/rollout_history.py
+++ b/src/springmux/node/admin/rollout_history.py
@@ -18,7 +18,7 @@
 
 
 class RolloutSample(msgspec.Struct, frozen=True):
-    """What a node knew of a rollout at one moment. ``wall_time`` only labels it (seconds since 1970)."""
+    """A rollout's status as a node knew it. ``wall_time`` (seconds since 1970) only labels the sample."""
 
     at_s: float
     wall_time: float
@@ -26,25 +26,25 @@
 
 
 class RolloutSamples(msgspec.Struct, frozen=True):
-    """Answer of ``GET /v1/rollouts/{service}/history``."""
+    """Response of ``GET /v1/rollouts/{service}/history``."""
 
     service: str
     samples: tuple[RolloutSample, ...]
 
 
 class RolloutHistory:
-    """Keeps a bounded run of samples a service."""
+    """Keep a bounded series of samples for each service."""
 
     def __init__(self) -> None:
         self._samples: dict[str, deque[RolloutSample]] = {}
 
     def add(self, service: str, status: RolloutStatus, now: float) -> None:
-        """Take one sample at monotonic time ``now``; an ended rollout is sampled once."""
-        kept = self._samples.setdefault(service, deque(maxlen=MAX_SAMPLES))
+        """Add one sample at monotonic time ``now``; an ended rollout is sampled once."""
+        series = self._samples.setdefault(service, deque(maxlen=MAX_SAMPLES))
         built = msgspec.to_builtins(status)
-        if kept and status.phase in TERMINAL_PHASES and _same_end(kept[-1].status, built):
+        if series and status.phase in TERMINAL_PHASES and _same_end(series[-1].status, built):
             return
-        kept.append(RolloutSample(at_s=now, wall_time=time.time(), status=built))
+        series.append(RolloutSample(at_s=now, wall_time=time.time(), status=built))
 
     def of(self, service: str) -> RolloutSamples:
         """Return the samples of a service, oldest first."""
--- a/src/springmux/node/gateway/replies.py
+++ b/src/springmux/node/gateway/replies.py
@@ -9,7 +9,7 @@
 from springmux.node.driver import AgentDriver
 from springmux.node.http.types import Header
 from springmux.node.metrics.table import EXPOSITION_TYPE
-from springmux.node.order_wait import answer_of
+from springmux.node.order_wait import wait_for_order
 from springmux.vocabulary.errors import ErrorCode, FieldError
 
 JSON_HEADERS: tuple[Header, ...] = ((b"content-type", b"application/json"),)
@@ -48,7 +48,7 @@
 
 async def submit(driver: AgentDriver, command: AnyCommand, timeout_s: float) -> OrderAnswered | None:
     """Submit an order and wait for its answer; ``None`` if none came in time: its fate is unknown here."""
-    return await answer_of(driver, lambda callback: driver.submit_order(command, callback), timeout_s)
+    return await wait_for_order(driver, lambda callback: driver.submit_order(command, callback), timeout_s)
 
 
 def order_reply(
--- a/src/springmux/node/health.py
+++ b/src/springmux/node/health.py
@@ -1,4 +1,4 @@
-"""Liveness and readiness of the node: one answer for both listeners, and whether engines are heard."""
+"""Liveness and readiness of the node for both listeners, and whether it accepts engines' reports."""
 
 from __future__ import annotations
 
@@ -13,39 +13,39 @@
 READY_PATH = "/readyz"
 HEALTH_BODY = b"ok\n"
 RETRY_AFTER_S = 1.0
-"""An engine asks the next node at once; by then this one may be back."""
+"""An engine tries the next node at once; by then this one may be ready again."""
 
-_DEAF = {
+_REPORTS_REJECTED = {
     STARTING: ErrorCode.NOT_READY,
     JOINING: ErrorCode.NOT_READY,
     CUT_OFF: ErrorCode.CUT_OFF,
     STOPPING: ErrorCode.STOPPING,
 }
-"""Reasons for which what an engine says here may reach nobody else. A node that only fetches the control
-state does pass it on."""
+"""Reasons for which an engine's report may reach no other node. A node that only fetches the control
+state does pass reports on."""
 
 
 class ReadyAgent(Protocol):
-    """What is read of the agent."""
+    """The agent's readiness."""
 
     @property
     def ready(self) -> bool:
-        """Whether the node takes requests."""
+        """Whether the node accepts requests."""
 
     @property
     def not_ready_reason(self) -> str:
-        """Why not."""
+        """Why the node isn't ready, empty if it is."""
 
 
 class ReadyBody(msgspec.Struct, frozen=True):
-    """Answer of ``GET /readyz``."""
+    """Response of ``GET /readyz``."""
 
     ready: bool
     reason: str
 
 
 class NodeHealth:
-    """Readiness as the platform sees it. ``stopping`` comes before the agent hears of the stop."""
+    """Readiness as the platform sees it. ``stopping`` is set before the agent is notified of the stop."""
 
     def __init__(self, agent: ReadyAgent) -> None:
         self._agent = agent
@@ -57,9 +57,9 @@
             return ReadyBody(ready=False, reason=STOPPING)
         return ReadyBody(ready=self._agent.ready, reason=self._agent.not_ready_reason)
 
-    def deafness(self) -> ApiError | None:
-        """Return the refusal for an engine's report that would reach nobody, or ``None``."""
-        code = _DEAF.get(self.readiness().reason)
+    def report_rejection(self) -> ApiError | None:
+        """Return the error for an engine's report that would reach no other node, or ``None``."""
+        code = _REPORTS_REJECTED.get(self.readiness().reason)
         if code is None:
             return None
         text = f"not heard: this node is {self.readiness().reason}; tell another one"
--- a/src/springmux/node/order_wait.py
+++ b/src/springmux/node/order_wait.py
@@ -1,4 +1,4 @@
-"""Waiting for the answer of an operator's order."""
+"""Wait for the result of an operator's order."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 from springmux.node.driver import AgentDriver, OrderCallback
 
 
-async def answer_of(
+async def wait_for_order(
     driver: AgentDriver, submit: Callable[[OrderCallback], str], timeout_s: float
 ) -> OrderAnswered | None:
-    """Submit an order and wait for its answer; ``None`` if none came in time: its fate is unknown here.
+    """Submit an order and wait for its result; ``None`` if none came in time: its fate is unknown here.
 
-    :param submit: gives the order to ``driver`` with the callback, and returns its correlation_id.
+    :param submit: submits the order to ``driver`` with the callback, and returns its correlation_id.
     """
-    answer: asyncio.Future[OrderAnswered] = asyncio.get_running_loop().create_future()
+    result: asyncio.Future[OrderAnswered] = asyncio.get_running_loop().create_future()
 
-    def take(answered: OrderAnswered) -> None:
-        if not answer.done():
-            answer.set_result(answered)
+    def set_result(answered: OrderAnswered) -> None:
+        if not result.done():
+            result.set_result(answered)
 
-    correlation_id = submit(take)
+    correlation_id = submit(set_result)
     try:
         async with asyncio.timeout(timeout_s):
-            return await answer
+            return await result
     except TimeoutError:
         return None
     finally:
--- a/tests/unit/node/test_lifecycle.py
+++ b/tests/unit/node/test_lifecycle.py
@@ -22,7 +22,7 @@
 )
 from springmux.node.logs import EventLog
 from springmux.node.metrics.registry import NodeMetrics
-from springmux.node.order_wait import answer_of
+from springmux.node.order_wait import wait_for_order
 from springmux.node.storage.opening import OpenedStorage, open_storage
 from tests.unit.node.support import FakeAgent, make_view
 
@@ -129,7 +129,7 @@
         callback(OrderAnswered("t", None))
         return "t"
 
-    assert await answer_of(driver, submit, 10.0) is answered
+    assert await wait_for_order(driver, submit, 10.0) is answered
     assert forgotten == ["t"]
 
 
@@ -140,6 +140,6 @@
         late.append(callback)
         return "t"
 
-    assert await answer_of(driver, submit, 0.0) is None
+    assert await wait_for_order(driver, submit, 0.0) is None
     callback: Any = late[0]
     callback(OrderAnswered("t", None))
