--- a/src/springmux/node/client/request_runner.py
+++ b/src/springmux/node/client/request_runner.py
@@ -152,7 +152,7 @@
         finally:
             self._working = False
         if type(event) is not UpstreamData or self._over:
-            self._services.driver.look_again()
+            self._services.driver.refresh_timer()
 
     def _step(self, event: Event) -> None:
         for effect in self._flow.handle(event, self._clock()):
--- a/src/springmux/node/daemon.py
+++ b/src/springmux/node/daemon.py
@@ -1,4 +1,4 @@
-"""Wiring and life of one node process: start, readiness, orderly stop, exit codes."""
+"""Construction and lifecycle of one node process: start, readiness, orderly stop, exit codes."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from springmux.node.driver import AgentDriver
 from springmux.node.fault_injection import FaultInjector
 from springmux.node.health import NodeHealth
-from springmux.node.lifecycle import EXIT_CRASHED, EXIT_KILLED, present_end, run_nodes, wait_for_end
+from springmux.node.lifecycle import EXIT_CRASHED, EXIT_KILLED, exit_code, run_nodes, wait_for_end
 from springmux.node.logs import EventLog
 from springmux.node.metrics.registry import NodeMetrics
 from springmux.node.peer.agent_codec import AgentCodec
@@ -33,11 +33,11 @@
 
 STORAGE_STOP_S = 2.0
 LEAVE_MESSAGES_S = 0.2
-"""Time for the messages that say this node is leaving."""
+"""Time for sending the messages that announce this node's leave."""
 
 
 class NodeProcess:
-    """Everything of one running node. ``stop_requested`` begins the orderly stop."""
+    """All components of one running node. Setting ``stop_requested`` begins the orderly stop."""
 
     def __init__(
         self,
@@ -47,65 +47,49 @@
         fault_injector: FaultInjector | None = None,
         stop_requested: asyncio.Event | None = None,
     ) -> None:
-        loop = asyncio.get_running_loop()
         self._settings = settings
         self._log = log
+        self._fault_injector = fault_injector
         self.metrics = NodeMetrics()
         self.stop_requested = stop_requested or asyncio.Event()
         randomness = random.Random(int.from_bytes(os.urandom(8), "big"))
         self.agent = NodeAgent(
             settings.agent_settings(), opened.recovered, randomness, opened.claims, opened.remembered
         )
-        self.driver = AgentDriver(self.agent, log, self.metrics)
-        if settings.data_folder is not None and opened.store is None:
-            self.driver.replica_stopped_reason = opened.reason
-            self.metrics.set("replica_stopped", 1)
-        self._transport = self._make_transport(randomness, fault_injector)
+        self.driver = self._make_driver(opened)
+        self._transport = self._make_transport(randomness)
         self._storage = self._make_storage(opened)
         self.driver.attach(self._transport, self._storage)
         self._upstream = UpstreamClient(self.metrics)
         self._health = NodeHealth(self.agent)
-        services = RunnerServices(
-            node=settings.node,
-            router=self.agent.router,
-            driver=self.driver,
-            upstream=self._upstream,
-            metrics=self.metrics,
-            log=log,
-        )
-        self._clients = ClientListener(settings, services, self._health)
+        self._clients = self._make_client_listener()
         self._prober = EngineProber(self.agent.router)
-        self.agent.router.set_probe_listener(self._prober.probe)
-        self.driver.revocation_listeners.append(self._clients.end_revoked)
         self._history = RolloutHistory()
-        self._admin = AdminListener(
-            settings,
-            self.agent,
-            self.driver,
-            self.metrics,
-            log,
-            self._history,
-            self._upstream.rates,
-            self._health,
-            fault_injector,
-        )
-        self._sampler: asyncio.TimerHandle = loop.call_later(SAMPLE_PERIOD_S, self._sample)
+        self._admin = self._make_admin_listener()
+        self._connect_listeners()
+        self._sampler = asyncio.get_running_loop().call_later(SAMPLE_PERIOD_S, self._sample)
+
+    def _make_driver(self, opened: OpenedStorage) -> AgentDriver:
+        driver = AgentDriver(self.agent, self._log, self.metrics)
+        if self._settings.data_folder is not None and opened.store is None:
+            driver.replica_stopped_reason = opened.reason
+            self.metrics.set("replica_stopped", 1)
+        return driver
 
-    def _make_transport(
-        self, randomness: random.Random, fault_injector: FaultInjector | None
-    ) -> PeerTransport:
+    def _make_transport(self, randomness: random.Random) -> PeerTransport:
         settings = self._settings
+        injector = self._fault_injector
         secret = settings.peer_secret.get_secret_value() if settings.peer_secret is not None else None
-        keeper = HandshakeAuthenticator(settings.fleet, settings.node, uuid.uuid4().hex, secret)
+        authenticator = HandshakeAuthenticator(settings.fleet, settings.node, uuid.uuid4().hex, secret)
         return PeerTransport(
             AgentCodec(self.agent),
-            keeper,
+            authenticator,
             lambda: self.agent.membership,
             self.driver.submit,
             self._log,
             self.metrics,
             randomness,
-            cut=fault_injector.cut if fault_injector is not None else lambda: False,
+            cut=injector.cut if injector is not None else lambda: False,
         )
 
     def _make_storage(self, opened: OpenedStorage) -> StorageWorker | None:
@@ -113,6 +97,34 @@
             return None
         return StorageWorker(opened.store, self.driver.submit, self.metrics, opened.journal, opened.peer_list)
 
+    def _make_client_listener(self) -> ClientListener:
+        services = RunnerServices(
+            node=self._settings.node,
+            router=self.agent.router,
+            driver=self.driver,
+            upstream=self._upstream,
+            metrics=self.metrics,
+            log=self._log,
+        )
+        return ClientListener(self._settings, services, self._health)
+
+    def _make_admin_listener(self) -> AdminListener:
+        return AdminListener(
+            self._settings,
+            self.agent,
+            self.driver,
+            self.metrics,
+            self._log,
+            self._history,
+            self._upstream.rates,
+            self._health,
+            self._fault_injector,
+        )
+
+    def _connect_listeners(self) -> None:
+        self.agent.router.set_probe_listener(self._prober.probe)
+        self.driver.revocation_listeners.append(self._clients.end_revoked)
+
     async def start(self) -> None:
         """Open the listeners, then start the agent.
 
@@ -125,17 +137,17 @@
         self._log.write("node_started", zone=self._settings.zone, fleet=self._settings.fleet)
 
     async def wait(self) -> int:
-        """Wait for a stop or a crash, and stop. Returns the exit code, or :data:`BEGIN_ANEW`."""
+        """Wait for a stop or a crash, and stop. Returns the exit code, or :data:`RESTART_AS_NEW`."""
         if await wait_for_end(self.driver, self.stop_requested) == EXIT_CRASHED:
             return EXIT_CRASHED
         await self.stop()
-        return present_end(self.driver, self.stop_requested)
+        return exit_code(self.driver, self.stop_requested)
 
     async def stop(self) -> None:
         """Stop in order: not ready, leave, stop accepting, finish streams, close."""
         self._log.write("node_stopping", grace_s=self._settings.stop_grace_s)
         self._health.stopping = True
-        # Callers are still accepted while the platform's readiness checks take notice.
+        # Clients are still accepted until the platform's readiness checks see that the node is not ready.
         await asyncio.sleep(self._settings.stop_delay_s)
         self._clients.stop_accepting()
         self.driver.submit(StopBegun())
@@ -146,7 +158,7 @@
         self._log.write("node_stopped")
 
     async def close(self) -> None:
-        """Close everything at once."""
+        """Close listeners, connections and storage at once."""
         self._sampler.cancel()
         self.driver.stop()
         self._prober.stop()
--- a/src/springmux/node/driver.py
+++ b/src/springmux/node/driver.py
@@ -1,7 +1,7 @@
-"""Runs the pure agent: events in, effects out to I/O, a timer at the agent's next deadline.
+"""Run the pure agent: events in, effects out to I/O, a timer at the agent's next deadline.
 
 All of it happens on the event loop, one event after another. An exception in the agent ends the
-process (exit 70): a state machine that broke once can't be trusted to go on.
+process (exit 70): a state machine that failed once may be inconsistent.
 """
 
 from __future__ import annotations
@@ -37,16 +37,16 @@
     ReplicaStopped,
 )
 from springmux.coordination.state_machine import NEVER, Effect, Event, LogLevel, LogLine, Send, Tick
-from springmux.node.driver_protocols import AgentUnderDriver, PeerSender
+from springmux.node.driver_protocols import DrivenAgent, PeerSender
 from springmux.node.logs import EventLog
 from springmux.node.metrics.registry import NodeMetrics
 from springmux.node.storage.worker import STALL_AFTER_S, StorageWorker
 from springmux.vocabulary.names import RequestId
 
 LAG_PROBE_S = 0.25
-"""How often the loop's lag and the disk's oldest wait are looked at."""
+"""Period of checks of the loop's lag and of the disk's oldest wait."""
 LAG_WARNING_S = 0.25
-"""A lag beyond this eats into failure detection (probe periods are about a second)."""
+"""A longer lag disturbs failure detection (probe periods are about a second)."""
 
 
 OrderCallback = Callable[[OrderAnswered], None]
@@ -54,9 +54,9 @@
 
 
 class AgentDriver:
-    """Owns the agent. Listeners hand in events by :meth:`submit` and the ticketed calls."""
+    """Owns the agent. Listeners submit events, orders and claims; their callbacks receive the results."""
 
-    def __init__(self, agent: AgentUnderDriver, log: EventLog, metrics: NodeMetrics) -> None:
+    def __init__(self, agent: DrivenAgent, log: EventLog, metrics: NodeMetrics) -> None:
         self._agent = agent
         self._log = log
         self._metrics = metrics
@@ -67,7 +67,7 @@
         self._timer_at = NEVER
         self._probe: asyncio.TimerHandle | None = None
         self._inbox: deque[Event] = deque()
-        self._working = False
+        self._handling = False
         self._correlation_ids = 0
         self._orders: dict[str, OrderCallback] = {}
         self._claims: dict[str, ClaimCallback] = {}
@@ -77,17 +77,17 @@
         self.revocation_listeners: list[Callable[[tuple[RequestId, ...]], None]] = []
         self.replica_stopped_reason = ""
         self.replica_given_up = asyncio.Event()
-        """Set once the data folder is of no use any more: the process begins anew with an empty one."""
+        """Set once the data folder is unusable: the process runs a new node with an empty one."""
 
     def attach(self, transport: PeerSender, storage: StorageWorker | None) -> None:
-        """Connect the I/O that effects go to; before :meth:`start`."""
+        """Set the I/O that executes effects; to be called before :meth:`start`."""
         self._transport = transport
         self._storage = storage
 
     def start(self) -> None:
         """Start the agent and its timers."""
-        self._guarded(lambda: self._agent.start(self._loop.time()))
-        self._arm()
+        self._execute(lambda: self._agent.start(self._loop.time()))
+        self._set_timer()
         self._schedule_probe()
 
     def stop(self) -> None:
@@ -98,27 +98,27 @@
                 handle.cancel()
 
     def submit(self, event: Event) -> None:
-        """Give the agent one event and carry out what it asks. Events from within wait their turn."""
+        """Have the agent handle one event, and execute its effects. Re-entrant events are queued."""
         self.submit_all((event,))
 
     def submit_all(self, events: Iterable[Event]) -> None:
-        """Give the agent events that came together; the timer is looked at once, after the last."""
+        """Have the agent handle several events; the timer is set once, after the last."""
         self._inbox.extend(events)
-        if self._working:
+        if self._handling:
             return
-        self._working = True
+        self._handling = True
         try:
             while self._inbox and not self._stopped:
-                following = self._inbox.popleft()
-                self._guarded(lambda event=following: self._agent.handle(event, self._loop.time()))  # type: ignore[misc]
+                next_event = self._inbox.popleft()
+                self._execute(lambda event=next_event: self._agent.handle(event, self._loop.time()))  # type: ignore[misc]
         finally:
-            self._working = False
-        self._arm()
+            self._handling = False
+        self._set_timer()
 
-    def look_again(self) -> None:
-        """Look at the agent's deadline after a flow's work: quota may want a tick sooner than before."""
-        if not self._working:
-            self._arm()
+    def refresh_timer(self) -> None:
+        """Set the timer anew after a flow's work: quota may need a tick sooner than before."""
+        if not self._handling:
+            self._set_timer()
 
     def new_correlation_id(self, kind: str) -> str:
         """Return a correlation_id that is unique in this process."""
@@ -126,32 +126,32 @@
         return f"{kind}-{self._correlation_ids}"
 
     def submit_order(self, command: AnyCommand, callback: OrderCallback) -> str:
-        """Submit an operator's command; ``callback`` gets the answer once. Returns its correlation_id."""
+        """Submit an operator's command; ``callback`` gets its result once. Return its correlation_id."""
         correlation_id = self.new_correlation_id("order")
         self._orders[correlation_id] = callback
         self.submit(OrderSubmitted(correlation_id=correlation_id, command=command))
         return correlation_id
 
     def submit_transfer(self, target: str, callback: OrderCallback) -> str:
-        """Ask for leadership to be moved; answered like an order."""
+        """Request a leadership transfer; its result comes as an order's does."""
         correlation_id = self.new_correlation_id("transfer")
         self._orders[correlation_id] = callback
         self.submit(LeadershipTransferRequested(correlation_id=correlation_id, target=target))
         return correlation_id
 
     def submit_removal(self, replica: str, callback: OrderCallback) -> str:
-        """Ask for a replica to be removed; answered like an order."""
+        """Request a replica's removal; its result comes as an order's does."""
         correlation_id = self.new_correlation_id("removal")
         self._orders[correlation_id] = callback
         self.submit(ControllerRemovalRequested(correlation_id=correlation_id, replica=replica))
         return correlation_id
 
     def forget_order(self, correlation_id: str) -> None:
-        """Drop a callback whose waiter gave up."""
+        """Drop the callback of an order that nobody waits for any more."""
         self._orders.pop(correlation_id, None)
 
     def request_claim(self, claim_key: str, callback: ClaimCallback) -> str:
-        """Ask for an at-most-once claim. Returns the correlation_id that :meth:`settle_claim` needs."""
+        """Request an at-most-once claim. Return the correlation_id that :meth:`settle_claim` needs."""
         correlation_id = self.new_correlation_id("claim")
         self._claims[correlation_id] = callback
         self.submit(ClaimRequested(correlation_id=correlation_id, claim_key=claim_key))
@@ -162,20 +162,20 @@
         self._claims.pop(correlation_id, None)
 
     def settle_claim(self, correlation_id: str, claim_key: str, ran: bool, answer: bytes) -> None:
-        """Say how a claimed request ended."""
+        """Report how a claimed request ended."""
         self.submit(ClaimSettled(correlation_id=correlation_id, claim_key=claim_key, ran=ran, answer=answer))
 
     def abandon_waiters(self) -> None:
-        """At the end of the process: nobody will answer what still waits."""
+        """Decide pending claims as unavailable: the process ends, and no decision will come."""
         for correlation_id in list(self._claims):
             callback = self._claims.pop(correlation_id)
             callback(ClaimDecision(verdict=ClaimVerdict.UNAVAILABLE))
 
-    def _guarded(self, call: Callable[[], list[Effect]]) -> None:
+    def _execute(self, call: Callable[[], list[Effect]]) -> None:
         try:
             for effect in call():
-                self._carry_out(effect)
-        except Exception as error:
+                self._execute_effect(effect)
+        except Exception as error:  # any fault leaves the agent inconsistent: end the process
             self._crash(error)
 
     def _crash(self, error: Exception) -> None:
@@ -184,10 +184,10 @@
         if not self.crashed.done():
             self.crashed.set_result(error)
 
-    def _arm(self) -> None:
-        """Plan a tick at the agent's deadline. A timer that is due earlier stays and plans anew.
+    def _set_timer(self) -> None:
+        """Schedule a tick at the agent's deadline. A timer that is due earlier stays, and schedules the next.
 
-        Most events move the deadline later; making a timer costs more than letting one fire in vain.
+        Most events move the deadline later; a new timer costs more than one that fires too early.
         """
         deadline = NEVER if self._stopped else self._deadline()
         if deadline >= self._timer_at:
@@ -203,17 +203,17 @@
         if self._deadline() <= self._loop.time():
             self.submit(Tick())
         else:
-            self._arm()
+            self._set_timer()
 
     def _deadline(self) -> float:
-        """Return the agent's deadline. A fault in it ends the process: without ticks the node is dead."""
+        """Return the agent's deadline. A fault in it ends the process: without ticks nothing happens."""
         try:
             return self._agent.next_deadline()
-        except Exception as error:
+        except Exception as error:  # as in handling an event
             self._crash(error)
             return NEVER
 
-    def _carry_out(self, effect: Effect) -> None:
+    def _execute_effect(self, effect: Effect) -> None:
         if isinstance(effect, Send):
             if self._transport is not None:
                 self._transport.send(effect.to, effect.message)
@@ -225,7 +225,7 @@
         elif isinstance(effect, StorageEffect):
             self._store(effect)
         else:
-            self._announce(effect)
+            self._notify(effect)
 
     def _store(self, effect: StorageEffect) -> None:
         if self._storage is not None:
@@ -233,15 +233,11 @@
         elif isinstance(effect, Persist):
             self.submit(PersistFailed(batch=effect.batch, full=False, reason="this node has no data folder"))
 
-    def _announce(self, effect: Effect) -> None:
+    def _notify(self, effect: Effect) -> None:
         if isinstance(effect, OrderAnswered):
-            order_callback = self._orders.pop(effect.correlation_id, None)
-            if order_callback is not None:
-                order_callback(effect)
+            self._order_answered(effect)
         elif isinstance(effect, ClaimAnswered):
-            claim_callback = self._claims.pop(effect.correlation_id, None)
-            if claim_callback is not None:
-                claim_callback(effect.decision)
+            self._claim_answered(effect)
         elif isinstance(effect, ControlChanged):
             self._control_changed(effect)
         elif isinstance(effect, FlowsRevoked):
@@ -249,9 +245,7 @@
             for listener in self.revocation_listeners:
                 listener(revoked)
         elif isinstance(effect, PrepareCommands):
-            task = self._loop.create_task(self._prepare(effect.commands))
-            self._preparing.add(task)
-            task.add_done_callback(self._preparing.discard)
+            self._start_preparing(effect.commands)
         elif isinstance(effect, ReadinessChanged):
             self._metrics.set("ready", float(effect.ready))
             self._log.write("readiness_changed", ready=effect.ready, reason=effect.reason)
@@ -260,6 +254,16 @@
         else:
             raise TypeError(f"no I/O for effect {type(effect).__name__}")
 
+    def _order_answered(self, effect: OrderAnswered) -> None:
+        callback = self._orders.pop(effect.correlation_id, None)
+        if callback is not None:
+            callback(effect)
+
+    def _claim_answered(self, effect: ClaimAnswered) -> None:
+        callback = self._claims.pop(effect.correlation_id, None)
+        if callback is not None:
+            callback(effect.decision)
+
     def _control_changed(self, effect: ControlChanged) -> None:
         self._metrics.set("control_revision", effect.revision)
         if effect.arrival is None:
@@ -275,6 +279,11 @@
             gateway_version=effect.gateway_version,
         )
 
+    def _start_preparing(self, commands: tuple[bytes, ...]) -> None:
+        task = self._loop.create_task(self._prepare(commands))
+        self._preparing.add(task)
+        task.add_done_callback(self._preparing.discard)
+
     async def _prepare(self, commands: tuple[bytes, ...]) -> None:
         def parse() -> None:
             for command in commands:
@@ -299,9 +308,9 @@
 
     def _schedule_probe(self) -> None:
         due = self._loop.time() + LAG_PROBE_S
-        self._probe = self._loop.call_at(due, self._look, due)
+        self._probe = self._loop.call_at(due, self._check_lag, due)
 
-    def _look(self, due: float) -> None:
+    def _check_lag(self, due: float) -> None:
         lag_s = max(0.0, self._loop.time() - due)
         self._metrics.observe("loop_lag_seconds", lag_s)
         if lag_s > LAG_WARNING_S:
--- a/src/springmux/node/driver_protocols.py
+++ b/src/springmux/node/driver_protocols.py
@@ -1,4 +1,4 @@
-"""What the driver needs of the agent and of the peers' transport."""
+"""Interfaces of the driver to the agent and to the peers' transport."""
 
 from __future__ import annotations
 
@@ -9,34 +9,34 @@
 
 
 class CommandPreparer(Protocol):
-    """What the driver needs of :class:`springmux.control.state.ControlState`."""
+    """Interface to :class:`springmux.control.state.ControlState`."""
 
     def prepare(self, data: bytes) -> None:
-        """Parse a large command ahead; may run in a thread."""
+        """Parse a large command in advance; may run in a thread."""
 
 
-class AgentUnderDriver(Protocol):
-    """What the driver needs of :class:`springmux.agent.agent.NodeAgent`."""
+class DrivenAgent(Protocol):
+    """Interface to :class:`springmux.agent.agent.NodeAgent`."""
 
     @property
     def control(self) -> CommandPreparer:
         """The control state machine."""
 
     def start(self, now: float) -> list[Effect]:
-        """Return the first effects."""
+        """Begin at time ``now``; return the first effects to execute."""
 
     def handle(self, event: Event, now: float) -> list[Effect]:
-        """Take one event."""
+        """Handle one event; return the effects to execute."""
 
     def next_deadline(self) -> float:
-        """Return when a Tick is wanted."""
+        """Return when the next Tick is due (event loop time)."""
 
 
 class PeerSender(Protocol):
-    """What the driver needs of the peers' transport."""
+    """Interface to :class:`springmux.node.peer.transport.PeerTransport`."""
 
     def send(self, to: NodeId, message: PeerMessage) -> None:
         """Queue a message for a node."""
 
     def send_to_address(self, address: Address, message: PeerMessage) -> None:
-        """Queue a message for an address."""
+        """Queue a message for the node at an address."""
--- a/src/springmux/node/gateway/process.py
+++ b/src/springmux/node/gateway/process.py
@@ -28,10 +28,10 @@
 from springmux.node.http.server import HttpServer
 from springmux.node.http.types import ServerLimits
 from springmux.node.lifecycle import (
-    BEGIN_ANEW,
     EXIT_CRASHED,
     EXIT_WRONG_SETTINGS,
-    present_end,
+    RESTART_AS_NEW,
+    exit_code,
     run_nodes,
     wait_for_end,
 )
@@ -146,15 +146,15 @@
         self._log.write("node_started", zone=settings.zone, fleet=settings.fleet)
 
     async def wait(self) -> int:
-        """Wait for a stop or a crash, and stop. Returns the exit code, or :data:`BEGIN_ANEW`."""
+        """Wait for a stop or a crash, and stop. Returns the exit code, or :data:`RESTART_AS_NEW`."""
         ending = await wait_for_end(self.driver, self._stop_requested)
         if ending == EXIT_CRASHED:
             return EXIT_CRASHED
-        if ending == BEGIN_ANEW:
+        if ending == RESTART_AS_NEW:
             await self.close()
-            return BEGIN_ANEW
+            return RESTART_AS_NEW
         await self._stop()
-        return present_end(self.driver, self._stop_requested)
+        return exit_code(self.driver, self._stop_requested)
 
     async def _stop(self) -> None:
         """Stop in order: not ready, hand over leadership, finish every request that was read, close."""
@@ -187,7 +187,7 @@
 
     def _exchange_loads(self) -> None:
         self.agent.gateway.exchange_loads()
-        self.driver.look_again()
+        self.driver.refresh_timer()
         self._loads_timer = asyncio.get_running_loop().call_later(LOADS_PERIOD_S, self._exchange_loads)
 
     def _sample_rates(self) -> None:
--- a/src/springmux/node/lifecycle.py
+++ b/src/springmux/node/lifecycle.py
@@ -1,11 +1,11 @@
-"""What the processes of all kinds of nodes share: how one ends, and running again with a new replica."""
+"""Lifecycle common to the processes of all kinds of nodes: their end, and a new run with a new replica."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any, Protocol
+from typing import Literal, Protocol
 
 from springmux.coordination.state_machine import LogLevel
 from springmux.node.driver import AgentDriver
@@ -20,8 +20,8 @@
 EXIT_CRASHED = 70
 """``EX_SOFTWARE`` of sysexits.h: an internal fault; a supervisor should start the process again."""
 EXIT_KILLED = 130
-BEGIN_ANEW = -1
-"""Not an exit code: the replica's folder is of no use, run again in this process with an empty one."""
+RESTART_AS_NEW = -1
+"""Not an exit code: the replica's folder is unusable, run again in this process with an empty one."""
 
 
 class RunnableNode(Protocol):
@@ -35,7 +35,7 @@
         ...
 
     async def wait(self) -> int:
-        """Wait for a stop or a crash, and stop. Returns the exit code, or :data:`BEGIN_ANEW`."""
+        """Wait for a stop or a crash, and stop. Returns the exit code, or :data:`RESTART_AS_NEW`."""
         ...
 
     async def close(self) -> None:
@@ -44,21 +44,25 @@
 
 
 async def wait_for_end(driver: AgentDriver, stop_requested: asyncio.Event) -> int:
-    """Wait for a stop asked for, a crash or a replica that was given up; see :func:`present_end`."""
+    """Wait for a requested stop, a crash or an abandoned replica; return :func:`exit_code`."""
     stopping = asyncio.ensure_future(stop_requested.wait())
     given_up = asyncio.ensure_future(driver.replica_given_up.wait())
-    awaited: set[asyncio.Future[Any]] = {stopping, given_up, driver.crashed}
+    awaited: set[asyncio.Future[Literal[True]] | asyncio.Future[BaseException]] = {
+        stopping,
+        given_up,
+        driver.crashed,
+    }
     await asyncio.wait(awaited, return_when=asyncio.FIRST_COMPLETED)
     stopping.cancel()
     given_up.cancel()
-    return present_end(driver, stop_requested)
+    return exit_code(driver, stop_requested)
 
 
-def present_end(driver: AgentDriver, stop_requested: asyncio.Event) -> int:
-    """Return how a node that ends now ends: its exit code, or :data:`BEGIN_ANEW`."""
+def exit_code(driver: AgentDriver, stop_requested: asyncio.Event) -> int:
+    """Return the exit code of a node that ends now, or :data:`RESTART_AS_NEW`."""
     if driver.crashed.done():
         return EXIT_CRASHED
-    return EXIT_STOPPED if stop_requested.is_set() else BEGIN_ANEW
+    return EXIT_STOPPED if stop_requested.is_set() else RESTART_AS_NEW
 
 
 async def run_nodes(
@@ -68,23 +72,23 @@
     make_disk: Callable[[Path], Disk] = RealDisk,
     first_start: bool = False,
 ) -> int:
-    """Run node after node until one stops; all but the first with a new replica. Returns the exit code.
+    """Run node after node until one stops, all but the first with a new replica; return the exit code.
 
     ``first_start``: this is the first start of the whole system.
     """
-    ending = BEGIN_ANEW
+    code = RESTART_AS_NEW
     try:
-        while ending == BEGIN_ANEW:
+        while code == RESTART_AS_NEW:
             opened = OpenedStorage(store=None, recovered=None)
             if data_folder is not None:
                 opened = await asyncio.to_thread(open_storage, data_folder, log, make_disk, first_start)
-            ending = await _run_once(make_node(opened), log)
-            if ending == BEGIN_ANEW and data_folder is not None:
+            code = await _run_once(make_node(opened), log)
+            if code == RESTART_AS_NEW and data_folder is not None:
                 await asyncio.to_thread(set_aside_replica, data_folder, log, make_disk)
     except FolderLockedError as error:
         log.write("data_folder_locked", LogLevel.ERROR, reason=str(error), action="stop the other process")
         return EXIT_CANNOT_START
-    return ending
+    return code
 
 
 async def _run_once(node: RunnableNode, log: EventLog) -> int:
--- a/tests/unit/node/test_driver.py
+++ b/tests/unit/node/test_driver.py
@@ -214,7 +214,7 @@
     driver, _ = make_driver(agent)
     driver.start()
     agent.next_deadline = lambda: 1 / 0  # type: ignore[method-assign]
-    driver.look_again()
+    driver.refresh_timer()
     assert isinstance(await driver.crashed, ZeroDivisionError)
 
 
--- a/tests/unit/node/test_lifecycle.py
+++ b/tests/unit/node/test_lifecycle.py
@@ -13,10 +13,10 @@
 from springmux.agent.effects import OrderAnswered
 from springmux.node.driver import AgentDriver, OrderCallback
 from springmux.node.lifecycle import (
-    BEGIN_ANEW,
     EXIT_CANNOT_START,
     EXIT_CRASHED,
     EXIT_STOPPED,
+    RESTART_AS_NEW,
     run_nodes,
     wait_for_end,
 )
@@ -69,7 +69,7 @@
 
 
 async def test_a_node_that_begins_anew_gets_a_new_replica(tmp_path: Path) -> None:
-    run = Run(BEGIN_ANEW, BEGIN_ANEW, EXIT_STOPPED)
+    run = Run(RESTART_AS_NEW, RESTART_AS_NEW, EXIT_STOPPED)
     assert await run.until_stopped(tmp_path) == EXIT_STOPPED
     replicas = {node.opened.recovered.replica for node in run.nodes if node.opened.recovered is not None}
     assert len(replicas) == 3
@@ -98,7 +98,7 @@
 
 
 @pytest.mark.parametrize(
-    ("what", "ending"), [("stop", EXIT_STOPPED), ("given up", BEGIN_ANEW), ("crash", EXIT_CRASHED)]
+    ("what", "ending"), [("stop", EXIT_STOPPED), ("given up", RESTART_AS_NEW), ("crash", EXIT_CRASHED)]
 )
 async def test_what_ends_a_node_decides_how(what: str, ending: int) -> None:
     driver, stop_requested = make_driver(), asyncio.Event()
