--- a/src/springmux/node/client/__init__.py
+++ b/src/springmux/node/client/__init__.py
@@ -1,1 +1,1 @@
-"""The clients' listener: requests read whole, one request runner each, exchanges with back ends."""
+"""The clients' listener: complete requests, one request runner each, exchanges with engines."""
--- a/src/springmux/node/client/engine_prober.py
+++ b/src/springmux/node/client/engine_prober.py
@@ -1,4 +1,4 @@
-"""Connects to engines whose streams were reset, to tell a dead engine from a version that breaks off."""
+"""Connect to engines whose streams were reset, to distinguish a dead engine from a faulty version."""
 
 from __future__ import annotations
 
@@ -8,39 +8,39 @@
 from springmux.node.addresses import split_address
 from springmux.vocabulary.engines import EngineRecord
 
-DELAY_S = 0.05
-"""A process that ends closes its sockets one after another; by then its listener is closed too."""
+PROBE_DELAY_S = 0.05
+"""A process that ends closes its sockets one after another; after this delay its listener is closed too."""
 
-TIMEOUT_S = 0.5
+PROBE_TIMEOUT_S = 0.5
 
 
 class ProbedRouter(Protocol):
-    """What the prober needs of :class:`springmux.router.router.Router`."""
+    """Interface to :class:`springmux.router.router.Router`."""
 
     def engine_probed(self, record: EngineRecord, alive: bool, now: float) -> None:
-        """Take a result."""
+        """Handle a probe's result."""
 
 
 class EngineProber:
-    """Runs probes as tasks; the router asks for one at a time for each engine."""
+    """Run probes as tasks; the router requests one at a time for each engine."""
 
     def __init__(self, router: ProbedRouter) -> None:
         self._router = router
         self._tasks: set[asyncio.Task[None]] = set()
 
     def probe(self, record: EngineRecord) -> None:
-        """Begin a probe; its result goes to the router."""
+        """Start a probe; its result goes to the router."""
         task = asyncio.get_running_loop().create_task(self._probe(record))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def stop(self) -> None:
-        """End the probes under way."""
+        """Cancel the running probes."""
         for task in self._tasks:
             task.cancel()
 
     async def _probe(self, record: EngineRecord) -> None:
-        await asyncio.sleep(DELAY_S)
+        await asyncio.sleep(PROBE_DELAY_S)
         alive = await _accepts(record.address)
         self._router.engine_probed(record, alive, asyncio.get_running_loop().time())
 
@@ -48,7 +48,7 @@
 async def _accepts(address: str) -> bool:
     host, port = split_address(address)
     try:
-        async with asyncio.timeout(TIMEOUT_S):
+        async with asyncio.timeout(PROBE_TIMEOUT_S):
             _, writer = await asyncio.open_connection(host, port)
     except (OSError, TimeoutError):
         return False
--- a/src/springmux/node/client/error_responses.py
+++ b/src/springmux/node/client/error_responses.py
@@ -1,4 +1,4 @@
-"""Typed error answers as bytes: the one place that turns an :class:`ApiError` into HTTP."""
+"""Typed error responses as bytes: the one place that turns an :class:`ApiError` into HTTP."""
 
 from __future__ import annotations
 
--- a/src/springmux/node/client/listener.py
+++ b/src/springmux/node/client/listener.py
@@ -1,4 +1,4 @@
-"""The callers' listener: reads requests whole under limits and runs a flow for each."""
+"""The clients' listener: read complete requests under limits and run a flow for each."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import Any, cast
 
 import msgspec
-from aiohttp import HttpVersion11, web
+from aiohttp import HttpVersion11, StreamReader, web
 
 from springmux.coordination.state_machine import Tick
 from springmux.node.addresses import split_address
@@ -23,24 +23,24 @@
 
 LISTEN_BACKLOG = 1024
 STOP_MARGIN_S = 1.0
-"""Time for cut streams' last bytes once the grace is over."""
+"""Time for the last bytes of aborted streams once the grace period is over."""
 
 
-class _Written:
-    """Tells the HTTP library that the answer is already on its way."""
+class _SentResponse:
+    """Stands for a response that :class:`ResponseWriter` has sent already, towards the HTTP library."""
 
     def __init__(self, keep_alive: bool) -> None:
         self.keep_alive = keep_alive
 
     async def prepare(self, _: web.BaseRequest) -> None:
-        """Nothing is left to prepare."""
+        """Do nothing: the head was sent."""
 
     async def write_eof(self) -> None:
-        """Nothing is left to write."""
+        """Do nothing: the body was sent."""
 
 
 class _ClientServer(web.Server):
-    """Makes :class:`ClientProtocol` connections."""
+    """Creates :class:`ClientProtocol` connections."""
 
     def __init__(self, handler: Any, listener: ClientListener, keep_alive_s: float) -> None:
         super().__init__(handler)
@@ -52,7 +52,7 @@
 
 
 class ClientListener:
-    """Accepts callers at one address."""
+    """Accept clients at one address, and run their requests."""
 
     def __init__(self, settings: NodeSettings, services: RunnerServices, health: NodeHealth) -> None:
         self.node = settings.node
@@ -69,13 +69,13 @@
         self._idle.set()
         self._protocols: _ClientServer | None = None
         self._server: asyncio.Server | None = None
-        # Unique to the process and cheap; a counter makes each request's id.
+        # A random prefix for the process and a counter are cheaper than a UUID for each request.
         self._id_prefix = uuid.uuid4().hex[:16]
         self._next_id = 0
         services.router.set_wake_listener(self._wake)
 
     async def listen(self) -> None:
-        """Accept callers.
+        """Accept clients.
 
         :raises OSError: if the address can't be bound.
         """
@@ -86,7 +86,7 @@
         )
 
     def stop_accepting(self) -> None:
-        """Close the listening socket; kept connections get one last answer."""
+        """Close the listening socket; open connections get one last response."""
         self._stopping = True
         if self._server is not None:
             self._server.close()
@@ -116,11 +116,11 @@
                 runner.deliver(KeyRevoked())
 
     def paused_requests(self) -> int:
-        """Return how many running requests wait for their caller to read."""
+        """Return how many running requests wait for their client to read."""
         return sum(runner.paused() for runner in self._runners.values())
 
     def admit(self) -> bool:
-        """Count one more connection, if there is room."""
+        """Return whether one more connection is allowed, and count it."""
         if self._connections >= self._settings.max_connections:
             self._metrics.count("client_connections_refused_total")
             return False
@@ -128,13 +128,13 @@
         self._metrics.set("client_connections", self._connections)
         return True
 
-    def released(self) -> None:
+    def connection_ended(self) -> None:
         """Count one connection less."""
         self._connections -= 1
         self._metrics.set("client_connections", self._connections)
 
     def count_error(self, error: ApiError) -> None:
-        """Count an error answered outside a flow."""
+        """Count an error response sent outside a flow."""
         self._metrics.count("request_errors_total", error.code)
         self._metrics.count("requests_total", str(error.status))
 
@@ -147,7 +147,7 @@
             head_only=request.method == "HEAD",
         )
         if request.path in (HEALTH_PATH, READY_PATH) and request.method in ("GET", "HEAD"):
-            return self._answer_probe(request, writer)
+            return self._health_response(request, writer)
         self._next_id += 1
         request_id = RequestId(f"{self._id_prefix}-{self._next_id}")
         try:
@@ -160,19 +160,19 @@
                 writer.keep_alive = False
             writer.error(raised.error)
         self._metrics.count("requests_total", str(writer.status))
-        return cast(web.StreamResponse, _Written(writer.keep_alive))
+        return cast(web.StreamResponse, _SentResponse(writer.keep_alive))
 
-    def _answer_probe(self, request: web.BaseRequest, writer: ResponseWriter) -> web.StreamResponse:
-        """Answer the platform's check, without a key and uncounted."""
+    def _health_response(self, request: web.BaseRequest, writer: ResponseWriter) -> web.StreamResponse:
+        """Respond to the platform's health check, without a key and uncounted."""
         if not request.content.is_eof():
             writer.keep_alive = False
         if request.path == HEALTH_PATH:
-            writer.whole(200, [("Content-Type", "text/plain; charset=utf-8")], HEALTH_BODY)
+            writer.complete(200, [("Content-Type", "text/plain; charset=utf-8")], HEALTH_BODY)
         else:
             readiness = self._health.readiness()
             status = 200 if readiness.ready else 503
-            writer.whole(status, [("Content-Type", JSON_TYPE)], msgspec.json.encode(readiness))
-        return cast(web.StreamResponse, _Written(writer.keep_alive))
+            writer.complete(status, [("Content-Type", JSON_TYPE)], msgspec.json.encode(readiness))
+        return cast(web.StreamResponse, _SentResponse(writer.keep_alive))
 
     async def _run(
         self,
@@ -183,25 +183,25 @@
         protocol: ClientProtocol,
     ) -> None:
         headers = {name.lower(): value for name, value in request.headers.items()}
-        caller = ClientRequest(
+        client_request = ClientRequest(
             request_id=request_id, method=request.method, path=request.path, headers=headers, body=body
         )
-        runner = RequestRunner(self._services, caller, writer, self._over)
+        runner = RequestRunner(self._services, client_request, writer, self._finished)
         protocol.runner = runner
         self._runners[request_id] = runner
         self._idle.clear()
         self._metrics.set("requests_in_flight", len(self._runners))
-        if protocol.transport is None:  # the caller left while its body was read
+        if protocol.transport is None:  # the client left while its body was read
             protocol.runner = None
             runner.abandon()
-            raise ConnectionResetError("the caller is gone")
+            raise ConnectionResetError("the client has disconnected")
         try:
             await runner.run()
         finally:
             protocol.runner = None
 
     def _wake(self, request_id: RequestId) -> None:
-        # Not from inside the call: the router is in the middle of another flow's step.
+        # Not at once: the router is in the middle of another flow's step.
         asyncio.get_running_loop().call_soon(self._tick, request_id)
 
     def _tick(self, request_id: RequestId) -> None:
@@ -209,7 +209,7 @@
         if runner is not None:
             runner.deliver(Tick())
 
-    def _over(self, runner: RequestRunner) -> None:
+    def _finished(self, runner: RequestRunner) -> None:
         self._runners.pop(runner.request.request_id, None)
         self._metrics.set("requests_in_flight", len(self._runners))
         if not self._runners:
@@ -245,19 +245,22 @@
             return b""
         content = request.content
         if content.is_eof() and content.exception() is None and content.total_bytes <= limit:
-            return content.read_nowait()  # it came together with its headers, as short ones do
-        pieces: list[bytes] = []
+            return content.read_nowait()  # short bodies arrive together with their headers
+        return await self._read_chunks(content, limit, request_id)
+
+    async def _read_chunks(self, content: StreamReader, limit: int, request_id: str) -> bytes:
+        chunks: list[bytes] = []
         size = 0
         try:
             async with asyncio.timeout(self._settings.body_timeout_s):
-                while piece := await request.content.readany():
-                    size += len(piece)
+                while chunk := await content.readany():
+                    size += len(chunk)
                     if size > limit:
                         text = f"the body is over {limit} bytes"
                         self._raise(ErrorCode.BODY_TOO_LARGE, 413, text, request_id)
-                    pieces.append(piece)
+                    chunks.append(chunk)
         except TimeoutError:
             self._raise(ErrorCode.REQUEST_TIMEOUT, 408, "the body came too slowly", request_id)
         except (web.RequestPayloadError, ValueError):
             self._raise(ErrorCode.INVALID_REQUEST, 400, "the body's framing is broken", request_id)
-        return pieces[0] if len(pieces) == 1 else b"".join(pieces)
+        return chunks[0] if len(chunks) == 1 else b"".join(chunks)
--- a/src/springmux/node/client/protocol.py
+++ b/src/springmux/node/client/protocol.py
@@ -1,4 +1,4 @@
-"""A caller's connection: bounds on headers and on the time they take, typed errors, disconnects."""
+"""A client's connection: limits on headers and on the time they take, typed errors, disconnects."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
     from springmux.node.client.request_runner import RequestRunner
 
 WRITE_BUFFER_BYTES = 512 << 10
-"""More than the longest ordinary stream (2048 tokens at about 200 bytes), so that a slow caller
-does not hold up reading from its engine and make that engine look slow."""
+"""More than the longest ordinary stream (2048 tokens at about 200 bytes), so that a slow client
+does not delay reading from its engine and make that engine look slow."""
 LINGER_S = 1.0
-"""After an early error answer the rest of the body is read so long, so that the answer arrives."""
+"""Time for reading the rest of the body after an early error response, so that the response arrives."""
 MAX_HEADERS = 100
 
 quiet_logger = logging.getLogger("springmux.http")
@@ -33,24 +33,24 @@
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of its listener."""
+    """Interface to :class:`springmux.node.client.listener.ClientListener`."""
 
     node: str
     max_header_bytes: int
     header_timeout_s: float
 
     def admit(self) -> bool:
-        """Whether one more connection is allowed; counts it."""
+        """Return whether one more connection is allowed, and count it."""
 
-    def released(self) -> None:
-        """An admitted connection ended."""
+    def connection_ended(self) -> None:
+        """Handle the end of an admitted connection."""
 
     def count_error(self, error: ApiError) -> None:
-        """Count an error that was answered on the connection."""
+        """Count an error response sent outside any request."""
 
 
 class ClientProtocol(RequestHandler):
-    """One caller's connection. ``runner`` is the request under way, if any."""
+    """One client's connection. ``runner`` is the running request, if any."""
 
     __slots__ = ("_admitted", "_header_timer", "_owner", "_received_bytes", "runner")
 
@@ -74,29 +74,29 @@
         self.runner: RequestRunner | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Admit the connection, or answer that the node is full."""
+        """Admit the connection, or respond that the node is full."""
         super().connection_made(transport)
         assert isinstance(transport, asyncio.Transport)
         transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
         self._admitted = self._owner.admit()
         if not self._admitted:
-            self.refuse(ErrorCode.OVERLOADED, 503, "too many connections to this node", 1.0)
+            self.reject(ErrorCode.OVERLOADED, 503, "too many connections to this node", 1.0)
             return
         self._arm_header_timer()
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Tell the request under way that its caller is gone."""
+        """Notify the running request that its client has disconnected."""
         self._stop_header_timer()
         if self._admitted:
             self._admitted = False
-            self._owner.released()
+            self._owner.connection_ended()
         runner = self.runner
         super().connection_lost(exc)
         if runner is not None:
             runner.deliver(ClientDisconnected())
 
     def data_received(self, data: bytes) -> None:
-        """Count bytes until a request's headers are whole."""
+        """Count bytes until a request's headers are complete."""
         idle, requests_before = self._awaits_headers(), self._request_count
         if idle:
             self._received_bytes += len(data)
@@ -109,10 +109,10 @@
             self._stop_header_timer()
             self._received_bytes = 0
         elif self._received_bytes > self._owner.max_header_bytes:
-            self.refuse(ErrorCode.HEADERS_TOO_LARGE, 431, self._too_large_text())
+            self.reject(ErrorCode.HEADERS_TOO_LARGE, 431, self._too_large_text())
 
     def _awaits_headers(self) -> bool:
-        """Whether what comes now belongs to headers. A body's rest must never count as such.
+        """Return whether the next bytes belong to headers. The rest of a body must never count as such.
 
         The library waits for a request's headers before the first one, and later on ``_waiter``. Its other
         flags leave a gap of a loop's turn between the headers and the handler's start.
@@ -123,22 +123,22 @@
         return f"request line and headers are larger than {self._owner.max_header_bytes} bytes"
 
     def _arm_header_timer(self) -> None:
-        self._header_timer = self._loop.call_later(self._owner.header_timeout_s, self._headers_late)
+        self._header_timer = self._loop.call_later(self._owner.header_timeout_s, self._headers_timed_out)
 
     def _stop_header_timer(self) -> None:
         if self._header_timer is not None:
             self._header_timer.cancel()
             self._header_timer = None
 
-    def _headers_late(self) -> None:
+    def _headers_timed_out(self) -> None:
         self._header_timer = None
         if self._received_bytes == 0:
-            self.force_close()  # nothing was asked, so there is nothing to answer
+            self.force_close()  # no request has begun, so none gets a response
             return
-        self.refuse(ErrorCode.REQUEST_TIMEOUT, 408, "the headers came too slowly")
+        self.reject(ErrorCode.REQUEST_TIMEOUT, 408, "the headers came too slowly")
 
-    def refuse(self, code: ErrorCode, status: int, message: str, retry_after_s: float | None = None) -> None:
-        """Answer outside any request and close the connection."""
+    def reject(self, code: ErrorCode, status: int, message: str, retry_after_s: float | None = None) -> None:
+        """Send an error outside any request and close the connection."""
         self._stop_header_timer()
         error = ApiError(
             code=code, message=message, status=status, node=self._owner.node, retry_after_s=retry_after_s
@@ -154,16 +154,16 @@
         exc: BaseException | None = None,
         message: str | None = None,
     ) -> web.StreamResponse:
-        """Turn the HTTP library's refusals into typed errors (it quotes no header in them)."""
+        """Turn the HTTP library's errors into typed ones, which quote no header."""
         if self.runner is not None or request.writer.output_size > 0:
-            raise ConnectionError("an answer was begun")
-        error = self._typed(status, exc, message or "")
+            raise ConnectionError("the response has begun")
+        error = self._typed_error(status, exc, message or "")
         self._owner.count_error(error)
-        answer = web.Response(status=error.status, body=error_body(error), headers=error_headers(error))
-        answer.force_close()
-        return answer
+        response = web.Response(status=error.status, body=error_body(error), headers=error_headers(error))
+        response.force_close()
+        return response
 
-    def _typed(self, status: int, exc: BaseException | None, message: str) -> ApiError:
+    def _typed_error(self, status: int, exc: BaseException | None, message: str) -> ApiError:
         node = self._owner.node
         if isinstance(exc, LineTooLong) or "Too many headers" in message:
             return refusal(ErrorCode.HEADERS_TOO_LARGE, self._too_large_text(), 431, node)
--- a/src/springmux/node/client/request_runner.py
+++ b/src/springmux/node/client/request_runner.py
@@ -1,7 +1,7 @@
-"""Drives one :class:`RequestFlow`: events in, effects to the caller's socket and the engines'.
+"""Run one :class:`RequestFlow`: events in, effects out to the client's socket and the engines'.
 
-Everything is synchronous between an engine's bytes and the write to the caller; re-entrant events
-wait their turn in an inbox.
+Everything is synchronous between an engine's bytes and the write to the client; re-entrant events
+are queued.
 """
 
 from __future__ import annotations
@@ -46,27 +46,27 @@
 
 
 class Flow(Protocol):
-    """What the runner needs of :class:`springmux.router.flow.RequestFlow`."""
+    """Interface to :class:`springmux.router.flow.RequestFlow`."""
 
     def handle(self, event: Event, now: float) -> list[Effect]:
-        """Take one event."""
+        """Handle one event; return the effects to execute."""
 
     def next_deadline(self) -> float:
-        """Return when a Tick is wanted."""
+        """Return when the next Tick is due (event loop time)."""
 
 
 class FlowOpener(Protocol):
-    """What the listener needs of :class:`springmux.router.router.Router`."""
+    """Interface to :class:`springmux.router.router.Router`."""
 
     def open(self, request: ClientRequest, now: float) -> Flow:
-        """Make the flow of one request."""
+        """Return the flow of a new request."""
 
     def set_wake_listener(self, listener: Callable[[RequestId], None]) -> None:
-        """Have ``listener`` called when a waiting request gets a slot."""
+        """Call ``listener`` when a waiting request gets a slot."""
 
 
 class RunnerServices(msgspec.Struct, frozen=True):
-    """What every runner of a node shares."""
+    """What all runners of a node share."""
 
     node: str
     router: FlowOpener
@@ -77,9 +77,9 @@
 
 
 class RequestRunner:
-    """One request from its body's end to its flow's end, which may come after the answer's end.
+    """One request from its body's end to its flow's end, which may come after the response's end.
 
-    ``on_over`` is called once when the flow is over.
+    ``on_finished`` is called once when the flow has ended.
     """
 
     def __init__(
@@ -87,19 +87,19 @@
         services: RunnerServices,
         request: ClientRequest,
         writer: ResponseWriter,
-        on_over: Callable[[RequestRunner], None],
+        on_finished: Callable[[RequestRunner], None],
     ) -> None:
         self.request = request
         self._services = services
         self._writer = writer
-        self._on_over = on_over
+        self._on_finished = on_finished
         self._loop = asyncio.get_running_loop()
         self._clock = self._loop.time
         self._flow = services.router.open(request, self._clock())
         self._inbox: deque[Event] = deque()
-        self._working = False
-        self._over = False
-        self._answered: asyncio.Future[None] = self._loop.create_future()
+        self._handling = False
+        self._finished = False
+        self._responded: asyncio.Future[None] = self._loop.create_future()
         self._exchanges: dict[int, Exchange] = {}
         self._claims: dict[str, str] = {}
         self._timer: asyncio.TimerHandle | None = None
@@ -109,18 +109,18 @@
         self.paused = writer.paused
 
     async def run(self) -> None:
-        """Begin the flow and return once the caller's answer is written, or the caller is gone."""
+        """Begin the flow; return once the response is written or the client has disconnected."""
         begun_at = self._clock()
         self.deliver(RequestBegun())
-        await self._answered
+        await self._responded
         self._services.metrics.observe("request_seconds", self._clock() - begun_at)
 
     def abandon(self) -> None:
-        """End the flow before it began: its caller left."""
+        """End a flow that has not begun: its client has disconnected."""
         self.deliver(ClientDisconnected())
 
     async def drain(self) -> None:
-        """Return when the caller's socket takes more; meanwhile its engine can't be judged."""
+        """Wait until the client's socket accepts more; meanwhile the engine's speed can't be judged."""
         self.deliver(ClientBlocked())
         try:
             await self._writer.drain()
@@ -128,62 +128,62 @@
             self.deliver(ClientReady())
 
     def upstream_event(self, event: UpstreamEvent) -> None:
-        """Take an engine's event (hot path)."""
+        """Handle an engine's event (hot path)."""
         self.deliver(event)
 
     def deliver(self, event: Event) -> None:
-        """Give the flow one event and carry out its effects."""
-        if self._over:
+        """Have the flow handle one event, and execute its effects."""
+        if self._finished:
             return
-        if self._working:
+        if self._handling:
             self._inbox.append(event)
             return
-        self._working = True
+        self._handling = True
         try:
             self._step(event)
-            while self._inbox and not self._over:
+            while self._inbox and not self._finished:
                 self._step(self._inbox.popleft())
             self._writer.flush()
             deadline = self._flow.next_deadline()
-            if deadline < self._timer_at and not self._over:
-                self._arm(deadline)
-        except Exception as error:
+            if deadline < self._timer_at and not self._finished:
+                self._set_timer(deadline)
+        except Exception as error:  # a fault in one flow must not end the node or leak its slot
             self._crashed(error)
         finally:
-            self._working = False
-        if type(event) is not UpstreamData or self._over:
+            self._handling = False
+        if type(event) is not UpstreamData or self._finished:
             self._services.driver.refresh_timer()
 
     def _step(self, event: Event) -> None:
         for effect in self._flow.handle(event, self._clock()):
             if type(effect) is ResponseData:
-                if not self._answered.done():
+                if not self._responded.done():
                     self._writer.data(effect.data)
             else:
-                self._carry_out(effect)
+                self._execute(effect)
 
-    def _arm(self, deadline: float) -> None:
+    def _set_timer(self, deadline: float) -> None:
         if self._timer is not None:
             self._timer.cancel()
         self._timer_at = deadline
-        self._timer = self._loop.call_at(deadline, self._due)
+        self._timer = self._loop.call_at(deadline, self._timer_fired)
 
-    def _due(self) -> None:
-        # The deadline moves on with every piece; the timer follows only when it fires.
+    def _timer_fired(self) -> None:
+        # Each chunk moves the deadline; the timer follows only when it fires.
         self._timer, self._timer_at = None, NEVER
         deadline = self._flow.next_deadline()
         if deadline > self._clock():
             if deadline != NEVER:
-                self._arm(deadline)
+                self._set_timer(deadline)
             return
         self.deliver(Tick())
 
-    def _carry_out(self, effect: Effect) -> None:
+    def _execute(self, effect: Effect) -> None:
         if isinstance(effect, ResponseHead):
             self._writer.head(effect.status, effect.headers, effect.length)
         elif isinstance(effect, ResponseEnd):
             self._writer.end()
-            self._finish_answer()
+            self._finish_response()
         elif isinstance(effect, Dispatch):
             self._dispatched = True
             self._exchanges[effect.attempt] = self._services.upstream.begin(effect, self)
@@ -194,18 +194,18 @@
         elif isinstance(effect, ResponseError):
             self._services.metrics.count("request_errors_total", effect.error.code)
             self._writer.error(effect.error)
-            self._finish_answer()
+            self._finish_response()
         elif isinstance(effect, ResponseAborted):
-            self._writer.cut()
-            self._finish_answer()
+            self._writer.abort()
+            self._finish_response()
         elif isinstance(effect, FlowDone):
             self._end()
         else:
-            self._other(effect)
+            self._execute_other(effect)
 
-    def _other(self, effect: Effect) -> None:
+    def _execute_other(self, effect: Effect) -> None:
         if isinstance(effect, RequestClaim):
-            self._ask_claim(effect.claim_key)
+            self._request_claim(effect.claim_key)
         elif isinstance(effect, SettleClaim):
             correlation_id = self._claims.get(effect.claim_key, "")
             self._services.driver.settle_claim(correlation_id, effect.claim_key, effect.ran, effect.answer)
@@ -214,39 +214,39 @@
         else:
             raise TypeError(f"no I/O for effect {type(effect).__name__}")
 
-    def _ask_claim(self, claim_key: str) -> None:
+    def _request_claim(self, claim_key: str) -> None:
         correlation_id = self._services.driver.request_claim(claim_key, self._claim_decided)
         self._claims[claim_key] = correlation_id
 
     def _claim_decided(self, decision: ClaimDecision) -> None:
         self.deliver(ClaimDecided(decision=decision))
 
-    def _finish_answer(self) -> None:
-        if not self._answered.done():
-            self._answered.set_result(None)
+    def _finish_response(self) -> None:
+        if not self._responded.done():
+            self._responded.set_result(None)
 
     def _end(self) -> None:
-        if self._over:
+        if self._finished:
             return
-        self._over = True
-        self._finish_answer()
+        self._finished = True
+        self._finish_response()
         if self._timer is not None:
             self._timer.cancel()
         for exchange in self._exchanges.values():
             exchange.close(reusable=False)
         for correlation_id in self._claims.values():
             self._services.driver.forget_claim(correlation_id)
-        self._on_over(self)
+        self._on_finished(self)
 
     def _crashed(self, error: Exception) -> None:
-        """Answer for a fault of our own; what an engine did with the request is unknown."""
+        """Respond to an internal fault; what an engine did with the request is unknown."""
         self._services.log.crash("request_flow_crashed", error)
         self._crashes += 1
         if self._crashes > 1:
             self._end()
             return
         if self._writer.begun:
-            self._writer.cut()
+            self._writer.abort()
         else:
             self._writer.keep_alive = False
             self._writer.error(
@@ -259,7 +259,7 @@
                     node=self._services.node,
                 )
             )
-        self._finish_answer()
-        # What the request holds (slot, quota, claim) is the flow's to give back.
-        self._working = False
+        self._finish_response()
+        # The flow releases what the request holds (slot, quota, claim).
+        self._handling = False
         self.deliver(ClientDisconnected())
--- a/src/springmux/node/client/response_writer.py
+++ b/src/springmux/node/client/response_writer.py
@@ -1,6 +1,6 @@
-"""Writes one answer to a caller's connection: head, pieces, end. Synchronous, so that pieces keep order.
+"""Write one response to a client's connection: head, chunks, end. Synchronous, so that chunks keep order.
 
-Framing is HTTP/1.1 (RFC 9112): ``Content-Length`` or chunked; a caller of HTTP/1.0 gets a stream
+Framing is HTTP/1.1 (RFC 9112): ``Content-Length`` or chunked; a client of HTTP/1.0 gets a stream
 that ends with its connection.
 """
 
@@ -18,7 +18,7 @@
 
 
 class Connection(Protocol):
-    """What the writer needs of a caller's connection."""
+    """Interface to :class:`springmux.node.client.protocol.ClientProtocol`."""
 
     transport: asyncio.Transport | None
 
@@ -30,9 +30,9 @@
 
 
 class ResponseWriter:
-    """The answer to one request. ``keep_alive`` may turn false, never true again.
+    """The response to one request. ``keep_alive`` may turn false, never true again.
 
-    Head, pieces and end of one event go out together at :meth:`flush`: one system call, one packet.
+    Head, chunks and end of one event are sent together at :meth:`flush`: one system call, one packet.
     """
 
     def __init__(self, connection: Connection, keep_alive: bool, http_1_1: bool, head_only: bool) -> None:
@@ -46,7 +46,7 @@
         self.status = 0
 
     def head(self, status: int, headers: Headers | list[tuple[str, str]], length: int | None) -> None:
-        """Begin the answer; ``length`` ``None`` means a stream."""
+        """Begin the response; ``length`` ``None`` means a stream."""
         self._write(self._head_bytes(status, headers, length))
 
     def _head_bytes(self, status: int, headers: Headers | list[tuple[str, str]], length: int | None) -> bytes:
@@ -68,7 +68,7 @@
         return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1", "replace")
 
     def data(self, data: bytes) -> None:
-        """Write a piece of the body."""
+        """Write a chunk of the body."""
         if self._head_only or not data:
             return
         if self._chunked:
@@ -77,46 +77,46 @@
             self._write(data)
 
     def end(self) -> None:
-        """Finish the answer."""
+        """Finish the response."""
         if self._chunked and not self._head_only:
             self._write(b"0\r\n\r\n")
 
-    def cut(self) -> None:
-        """Break off without an end: the connection closes, so the caller sees that it is not whole.
+    def abort(self) -> None:
+        """Stop without an end: the connection closes, so the client sees that the response is incomplete.
 
-        What was written before, an error event say, still goes out.
+        What was written before, such as an error event, is still sent.
         """
         self.keep_alive = False
         self.flush()
 
     def error(self, error: ApiError) -> None:
-        """Write a whole typed error answer."""
+        """Write a complete typed error response."""
         body = error_body(error)
-        self.whole(error.status, error_headers(error), body)
+        self.complete(error.status, error_headers(error), body)
 
-    def whole(self, status: int, headers: Headers | list[tuple[str, str]], body: bytes) -> None:
-        """Write a whole answer in one go."""
+    def complete(self, status: int, headers: Headers | list[tuple[str, str]], body: bytes) -> None:
+        """Write a complete response at once."""
         self._write(self._head_bytes(status, headers, len(body)))
         if not self._head_only:
             self._write(body)
         self.flush()
 
     def paused(self) -> bool:
-        """Whether the caller's socket is full."""
+        """Return whether the client's socket is full."""
         return self._connection.writing_paused
 
     async def drain(self) -> None:
-        """Wait until the socket takes more."""
+        """Wait until the socket accepts more."""
         try:
             await self._connection._drain_helper()
         except ConnectionError:
-            return  # ClientDisconnected comes on its own way
+            return  # the protocol reports ClientDisconnected
 
     def _write(self, data: bytes) -> None:
         self._pending.append(data)
 
     def flush(self) -> None:
-        """Hand what was written so far to the socket."""
+        """Pass what was written so far to the socket."""
         pending = self._pending
         if not pending:
             return
@@ -127,5 +127,5 @@
 
 
 def _one_line(value: str) -> str:
-    """Keep a value from an engine or a caller from beginning a header of its own."""
+    """Remove line breaks: a value from an engine or a client must not begin another header."""
     return value.replace("\r", " ").replace("\n", " ")
--- a/src/springmux/node/client/upstream.py
+++ b/src/springmux/node/client/upstream.py
@@ -1,13 +1,14 @@
-"""HTTP client towards back ends: one exchange per dispatch, its outcome as the flow's events.
+"""HTTP client of the engines: one exchange per dispatch, its outcome as the flow's events.
 
-No retries, redirects or decompression. A connection is kept only after ``CloseUpstream`` said that
-its answer ended properly. ``sent`` is exact: false only if no connection was ever at hand.
+No retries, redirects or decompression. A connection is reused only after ``CloseUpstream`` confirmed
+that its response ended properly. ``sent`` is exact: false only if no connection was established.
 """
 
 from __future__ import annotations
 
 import asyncio
-from typing import Any, Protocol
+from types import SimpleNamespace
+from typing import Protocol
 
 import aiohttp
 import msgspec
@@ -28,32 +29,32 @@
 
 READ_BUFFER_BYTES = 64 << 10
 MAX_ENGINE_LINE_BYTES = 8190
-"""Longest status or header line taken from an engine (the HTTP library's own default)."""
-KEPT_IDLE_S = 15.0
-"""Idle connections are dropped before ordinary servers (20 s and more) close them under us."""
-SKIPPED_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
+"""Longest status or header line accepted from an engine (the HTTP library's own default)."""
+POOL_IDLE_S = 15.0
+"""Idle connections are closed before ordinary servers (20 s and more) close them."""
+OMITTED_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 
 
-class Paced(Protocol):
-    """Who takes an exchange's events."""
+class UpstreamEventSink(Protocol):
+    """Receiver of an exchange's events, with backpressure."""
 
     def upstream_event(self, event: UpstreamEvent) -> None:
-        """Take one event; synchronous."""
+        """Handle one event; synchronous."""
 
     def paused(self) -> bool:
-        """Whether the caller's socket is full."""
+        """Whether the client's socket is full."""
 
     async def drain(self) -> None:
-        """Return when the caller's socket takes more."""
+        """Wait until the client's socket accepts more."""
 
 
 class _Progress(msgspec.Struct):
-    """How far the HTTP library got; shared with its trace signals."""
+    """Progress of the HTTP library; shared with its trace callbacks."""
 
     connected: bool = False
 
 
-async def _connected(_: Any, context: Any, __: Any) -> None:
+async def _connected(_: aiohttp.ClientSession, context: SimpleNamespace, __: object) -> None:
     progress = context.trace_request_ctx
     if isinstance(progress, _Progress):
         progress.connected = True
@@ -66,14 +67,14 @@
     return trace
 
 
-class _ConnectionEnded(aiohttp.ClientPayloadError):
-    """The connection ended inside a body that the library's parser had given up on."""
+class _ConnectionEndedError(aiohttp.ClientPayloadError):
+    """The connection ended inside a body that the library's parser had rejected."""
 
 
-class _HeldResponse(aiohttp.ClientResponse):
-    """Keeps its connection at the body's end until the flow has judged the whole answer.
+class _DeferredReleaseResponse(aiohttp.ClientResponse):
+    """A response that keeps its connection at the body's end until the flow has checked all of it.
 
-    The library would return the connection to the pool at once, also after an odd answer.
+    The library would return the connection to the pool at once, also after a malformed response.
     """
 
     def _response_eof(self) -> None:
@@ -81,54 +82,58 @@
 
 
 class UpstreamClient:
-    """The node's connections to back ends: one pool of kept ones, one session that keeps none."""
+    """The node's connections to engines: one session with a pool, one that reuses no connection."""
 
     def __init__(self, metrics: NodeMetrics) -> None:
         self._metrics = metrics
         self.rates = ServiceRates()
-        self._kept = self._session(force_close=False)
-        self._fresh = self._session(force_close=True)
+        self._pooled = self._session(force_close=False)
+        self._unpooled = self._session(force_close=True)
 
     def _session(self, force_close: bool) -> aiohttp.ClientSession:
         if force_close:
             connector = aiohttp.TCPConnector(limit=0, force_close=True, use_dns_cache=False)
         else:
-            connector = aiohttp.TCPConnector(limit=0, keepalive_timeout=KEPT_IDLE_S, use_dns_cache=False)
+            connector = aiohttp.TCPConnector(limit=0, keepalive_timeout=POOL_IDLE_S, use_dns_cache=False)
         return aiohttp.ClientSession(
             connector=connector,
             auto_decompress=False,
-            response_class=_HeldResponse,
+            response_class=_DeferredReleaseResponse,
             cookie_jar=aiohttp.DummyCookieJar(),
             trace_configs=[_trace()],
-            skip_auto_headers=SKIPPED_HEADERS,
+            skip_auto_headers=OMITTED_HEADERS,
             max_line_size=MAX_ENGINE_LINE_BYTES,
             max_field_size=MAX_ENGINE_LINE_BYTES,
             read_bufsize=READ_BUFFER_BYTES,
         )
 
-    def begin(self, dispatch: Dispatch, taker: Paced) -> Exchange:
-        """Start an exchange; its events go to ``taker``."""
+    def begin(self, dispatch: Dispatch, sink: UpstreamEventSink) -> Exchange:
+        """Start an exchange that sends its events to ``sink``."""
         self._metrics.count("upstream_attempts_total", dispatch.engine.service, dispatch.engine.version)
         self.rates.dispatched(dispatch.engine.service)
-        session = self._fresh if dispatch.fresh else self._kept
-        return Exchange(session, dispatch, taker, self._metrics)
+        session = self._unpooled if dispatch.fresh else self._pooled
+        return Exchange(session, dispatch, sink, self._metrics)
 
     async def close(self) -> None:
         """Close every connection."""
-        await self._kept.close()
-        await self._fresh.close()
+        await self._pooled.close()
+        await self._unpooled.close()
 
 
 class Exchange:
     """One request to one engine."""
 
     def __init__(
-        self, session: aiohttp.ClientSession, dispatch: Dispatch, taker: Paced, metrics: NodeMetrics
+        self,
+        session: aiohttp.ClientSession,
+        dispatch: Dispatch,
+        sink: UpstreamEventSink,
+        metrics: NodeMetrics,
     ) -> None:
         self._session = session
         self._dispatch = dispatch
         self._attempt = dispatch.attempt
-        self._taker = taker
+        self._sink = sink
         self._metrics = metrics
         self._progress = _Progress()
         self._response: aiohttp.ClientResponse | None = None
@@ -138,7 +143,7 @@
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     def close(self, reusable: bool) -> None:
-        """Leave the exchange; no event comes after. The connection is kept only if ``reusable``."""
+        """End the exchange without further events. The connection is reused only if ``reusable``."""
         if self._closed:
             return
         self._closed = True
@@ -159,7 +164,7 @@
             if self._response is not None:
                 self._response.close()
             raise
-        except Exception as error:
+        except Exception as error:  # whatever the library raises is a failed attempt, not the node's end
             self._unwatch()
             if self._response is not None:
                 self._response.close()
@@ -182,13 +187,13 @@
             return
         self._watch(response)
         headers = {name.lower(): value for name, value in response.headers.items()}
-        self._give(UpstreamHead(attempt=self._attempt, status=response.status, headers=headers))
-        await self._pump(response.content)
+        self._emit(UpstreamHead(attempt=self._attempt, status=response.status, headers=headers))
+        await self._read_body(response.content)
         if not self._closed:
             self._end(response)
 
     def _watch(self, response: aiohttp.ClientResponse) -> None:
-        """Notice a connection that ends: after a malformed chunk the library leaves readers waiting."""
+        """Observe the connection's end: after a malformed chunk the library leaves readers waiting."""
         protocol = response.connection.protocol if response.connection is not None else None
         end = protocol.closed if protocol is not None else None
         if end is None:
@@ -205,20 +210,20 @@
     def _connection_ended(self, _: asyncio.Future[None] | None) -> None:
         content = self._response.content if self._response is not None else None
         if content is not None and not content.is_eof() and content.exception() is None:
-            content.set_exception(_ConnectionEnded("the body's framing is malformed"))
+            content.set_exception(_ConnectionEndedError("the body's framing is malformed"))
 
     def _end(self, response: aiohttp.ClientResponse) -> None:
         self._ended = True
         chunked = "chunked" in response.headers.get("Transfer-Encoding", "").lower()
         if not chunked and "Content-Length" not in response.headers:
-            # The body ended because the connection did: that proves nothing about its length.
+            # The body ended with the connection, so its length can't be verified.
             response.close()
             self._failed(UpstreamCause.PROTOCOL)
             return
-        self._give(UpstreamEnd(attempt=self._attempt))
+        self._emit(UpstreamEnd(attempt=self._attempt))
 
-    async def _pump(self, content: aiohttp.StreamReader) -> None:
-        taker, attempt, read = self._taker, self._attempt, content.readany
+    async def _read_body(self, content: aiohttp.StreamReader) -> None:
+        sink, attempt, read = self._sink, self._attempt, content.readany
         while not self._closed:
             data = await read()
             if self._closed:
@@ -227,29 +232,29 @@
                 if content.at_eof():
                     return
                 continue
-            taker.upstream_event(UpstreamData(attempt=attempt, data=data))
-            if taker.paused():
-                await taker.drain()
+            sink.upstream_event(UpstreamData(attempt=attempt, data=data))
+            if sink.paused():
+                await sink.drain()
 
-    def _give(self, event: UpstreamEvent) -> None:
+    def _emit(self, event: UpstreamEvent) -> None:
         if not self._closed:
-            self._taker.upstream_event(event)
+            self._sink.upstream_event(event)
 
     def _failed(self, cause: UpstreamCause) -> None:
         self._metrics.count("upstream_failures_total", cause)
         self._ended = True
-        self._give(UpstreamFailed(attempt=self._attempt, cause=cause, sent=self._progress.connected))
+        self._emit(UpstreamFailed(attempt=self._attempt, cause=cause, sent=self._progress.connected))
 
 
 def _cause(error: Exception) -> UpstreamCause:
-    """Return why an exchange failed. Anything odd is a protocol fault of the engine."""
+    """Return why an exchange failed. Any unknown error is a protocol fault of the engine."""
     if isinstance(error, aiohttp.ConnectionTimeoutError):
         return UpstreamCause.CONNECT_TIMEOUT
     if isinstance(error, aiohttp.ClientConnectorError):
         return UpstreamCause.REFUSED
     if isinstance(error, aiohttp.ServerDisconnectedError | aiohttp.ClientOSError | OSError):
         return UpstreamCause.RESET
-    if isinstance(error, aiohttp.ClientPayloadError) and not isinstance(error, _ConnectionEnded):
+    if isinstance(error, aiohttp.ClientPayloadError) and not isinstance(error, _ConnectionEndedError):
         # Closed before the announced length or the last chunk; a malformed chunk is not a reset.
         early = "Not enough data" in repr(error.__cause__) or error.__cause__ is None
         return UpstreamCause.RESET if early else UpstreamCause.PROTOCOL
