--- a/src/springmux/node/daemon.py
+++ b/src/springmux/node/daemon.py
@@ -89,7 +89,7 @@
             self._log,
             self.metrics,
             randomness,
-            cut=injector.cut if injector is not None else lambda: False,
+            partitioned=injector.partitioned if injector is not None else lambda: False,
         )
 
     def _make_storage(self, opened: OpenedStorage) -> StorageWorker | None:
--- a/src/springmux/node/fault_injection.py
+++ b/src/springmux/node/fault_injection.py
@@ -1,4 +1,4 @@
-"""Faults that experiments cause inside a node: peers cut off, a bad disk, a wall clock that jumps.
+"""Faults that experiments inject into a node: a partition, a faulty disk, a wall clock that jumps.
 
 Only with the setting ``fault_injection``; :mod:`springmux.node.admin.fault_endpoint` sets them.
 """
@@ -17,10 +17,10 @@
 
 
 class NodeFaults(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """Faults in force in one node. ``disk_delay_s``: before each write, sync or rename.
+    """Faults in force in one node. ``disk_delay_s``: delay of each write, sync and rename.
 
-    ``cut``: no message comes from or goes to a peer, in silence. ``disk_full``: no space beyond what
-    removed files leave. ``clock_offset_s``: added to the process's wall clock.
+    ``cut``: messages from and to peers are dropped silently. ``disk_full``: no space except what
+    removed files free. ``clock_offset_s``: added to the process's wall clock.
     """
 
     cut: bool = False
@@ -30,27 +30,27 @@
 
 
 class FaultInjector:
-    """Holds the faults in force; asked from the event loop and from the storage thread."""
+    """Holds the faults in force; read by the event loop and by the storage thread."""
 
     def __init__(self) -> None:
         self._faults = NodeFaults()
         self._changed = threading.Condition()
-        self._room_bytes = 0
+        self._space_bytes = 0
         self._real_time = time.time
 
-    def cut(self) -> bool:
-        """Whether the node is cut off from its peers."""
+    def partitioned(self) -> bool:
+        """Return whether the node is partitioned from its peers."""
         return self._faults.cut
 
     def set(self, faults: NodeFaults) -> None:
-        """Put ``faults`` in place of those in force; a stalled disk goes on at once when it is whole."""
+        """Replace the faults in force; a stalled disk continues at once when its delay ends."""
         with self._changed:
             self._faults = faults
-            self._room_bytes = 0
+            self._space_bytes = 0
             self._changed.notify_all()
         real_time = self._real_time
         offset_s = faults.clock_offset_s
-        # The whole process must see the jump, libraries too; the monotonic clock stays.
+        # The jump must affect the entire process, libraries too; the monotonic clock stays.
         time.time = lambda: real_time() + offset_s
 
     def disk(self, root: Path) -> Disk:
@@ -58,37 +58,37 @@
         return FaultyDisk(root, self)
 
     def wait_for_disk(self) -> None:
-        """Wait as long as the disk is slow now (blocking)."""
-        began = time.monotonic()
+        """Wait for the disk's present delay (blocking)."""
+        began_at = time.monotonic()
         with self._changed:
-            while (rest_s := began + self._faults.disk_delay_s - time.monotonic()) > 0:
-                self._changed.wait(rest_s)
+            while (remaining_s := began_at + self._faults.disk_delay_s - time.monotonic()) > 0:
+                self._changed.wait(remaining_s)
 
-    def take_room(self, path: str, size_bytes: int) -> None:
-        """Use up room for ``size_bytes``.
+    def use_space(self, path: str, size_bytes: int) -> None:
+        """Use ``size_bytes`` of space.
 
-        :raises DiskFullError: if the disk is full and removed files left less.
+        :raises DiskFullError: if the disk is full and removed files freed less.
         """
         with self._changed:
             if not self._faults.disk_full:
                 return
-            if size_bytes > self._room_bytes:
+            if size_bytes > self._space_bytes:
                 raise DiskFullError(path, "no space left on device (injected)")
-            self._room_bytes -= size_bytes
+            self._space_bytes -= size_bytes
 
-    def leave_room(self, size_bytes: int) -> None:
-        """Note that a removed file left room."""
+    def free_space(self, size_bytes: int) -> None:
+        """Add the space that a removed file freed."""
         with self._changed:
-            self._room_bytes += size_bytes
+            self._space_bytes += size_bytes
 
-    def room_bytes(self, real_bytes: int) -> int:
-        """Return the free space that the node may see."""
+    def space_bytes(self, real_bytes: int) -> int:
+        """Return the free space that the node sees."""
         with self._changed:
-            return self._room_bytes if self._faults.disk_full else real_bytes
+            return self._space_bytes if self._faults.disk_full else real_bytes
 
 
 class FaultyFile(DiskFile):
-    """A file on a disk with faults."""
+    """A file of a :class:`FaultyDisk`."""
 
     def __init__(self, path: str, file: DiskFile, injector: FaultInjector) -> None:
         self._path = path
@@ -96,23 +96,26 @@
         self._injector = injector
 
     def append(self, data: bytes) -> None:
-        """Write, if the disk lets one."""
+        """Append after the disk's delay.
+
+        :raises DiskFullError: if the disk is full.
+        """
         self._injector.wait_for_disk()
-        self._injector.take_room(self._path, len(data))
+        self._injector.use_space(self._path, len(data))
         self._file.append(data)
 
     def truncate(self, size_bytes: int) -> None:
-        """Cut the file."""
+        """Truncate the file after the disk's delay."""
         self._injector.wait_for_disk()
         self._file.truncate(size_bytes)
 
     def fsync(self) -> None:
-        """Sync, as slowly as the disk is."""
+        """Sync the file after the disk's delay."""
         self._injector.wait_for_disk()
         self._file.fsync()
 
     def close(self) -> None:
-        """Release the file."""
+        """Close the file."""
         self._file.close()
 
 
@@ -125,15 +128,15 @@
         self._injector = injector
 
     def make_folder(self, path: str) -> None:
-        """Make a folder."""
-        self._slowly(lambda: self._disk.make_folder(path))
+        """Make a folder after the disk's delay."""
+        self._after_delay(lambda: self._disk.make_folder(path))
 
     def list_folder(self, path: str) -> list[str]:
         """Return the names of files."""
         return self._disk.list_folder(path)
 
     def exists(self, path: str) -> bool:
-        """Say whether there is such a file."""
+        """Return whether the file exists."""
         return self._disk.exists(path)
 
     def open(self, path: str) -> DiskFile:
@@ -141,38 +144,41 @@
         return FaultyFile(path, self._disk.open(path), self._injector)
 
     def read(self, path: str) -> bytes:
-        """Return the whole file."""
+        """Return the file's content."""
         return self._disk.read(path)
 
     def rename(self, source: str, target: str) -> None:
-        """Give a file another name."""
-        self._slowly(lambda: self._disk.rename(source, target))
+        """Rename a file after the disk's delay."""
+        self._after_delay(lambda: self._disk.rename(source, target))
 
     def remove(self, path: str) -> None:
-        """Remove a file; its bytes are room again."""
+        """Remove a file and free its space."""
         full = self._root / path
         size_bytes = full.stat().st_size if full.is_file() else 0
-        self._slowly(lambda: self._disk.remove(path))
-        self._injector.leave_room(size_bytes)
+        self._after_delay(lambda: self._disk.remove(path))
+        self._injector.free_space(size_bytes)
 
     def fsync_folder(self, path: str) -> None:
-        """Sync names."""
-        self._slowly(lambda: self._disk.fsync_folder(path))
+        """Sync a folder after the disk's delay."""
+        self._after_delay(lambda: self._disk.fsync_folder(path))
 
     def preallocate(self, path: str, size_bytes: int) -> None:
-        """Take room ahead."""
+        """Reserve space for a file.
+
+        :raises DiskFullError: if the disk is full.
+        """
         self._injector.wait_for_disk()
-        self._injector.take_room(path, size_bytes)
+        self._injector.use_space(path, size_bytes)
         self._disk.preallocate(path, size_bytes)
 
     def free_bytes(self, path: str) -> int:
-        """Return the space left."""
-        return self._injector.room_bytes(self._disk.free_bytes(path))
+        """Return the free space in bytes."""
+        return self._injector.space_bytes(self._disk.free_bytes(path))
 
     def lock(self, path: str) -> FolderLock:
-        """Take the lock file."""
+        """Lock the folder by its lock file."""
         return self._disk.lock(path)
 
-    def _slowly(self, call: Callable[[], None]) -> None:
+    def _after_delay(self, call: Callable[[], None]) -> None:
         self._injector.wait_for_disk()
         call()
--- a/src/springmux/node/metrics/exposition.py
+++ b/src/springmux/node/metrics/exposition.py
@@ -1,4 +1,4 @@
-"""The metrics in the text exposition format. Only a scrape imports this module and its library."""
+"""Render the metrics in the text exposition format. Only a scrape imports this module and its library."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     values: Mapping[tuple[str, ...], float],
     histograms: Mapping[str, HistogramState],
 ) -> bytes:
-    """Return the exposition of the table's metrics. ``values`` are by name and labels' values."""
+    """Return the exposition of the table's metrics. ``values``: by name and label values."""
     registry = CollectorRegistry(auto_describe=False)
     registry.register(_Snapshot(tuple(specs), values, histograms))
     return generate_latest(registry)
@@ -48,14 +48,14 @@
     def _numbers(self, spec: MetricSpec) -> Metric:
         make = CounterMetricFamily if spec.kind is MetricKind.COUNTER else GaugeMetricFamily
         family = make(PREFIX + spec.name, spec.help, labels=spec.labels)
-        for place, value in self._values.items():
-            if place[0] == spec.name:
-                family.add_metric(place[1:], value)
+        for series, value in self._values.items():
+            if series[0] == spec.name:
+                family.add_metric(series[1:], value)
         return family
 
     def _histogram(self, spec: MetricSpec) -> Metric:
         state = self._histograms[spec.name]
         bounds = [*(str(float(bound)) for bound in spec.buckets), "+Inf"]
         family = HistogramMetricFamily(PREFIX + spec.name, spec.help)
-        family.add_metric((), list(zip(bounds, state.cumulated, strict=True)), state.sum)
+        family.add_metric((), list(zip(bounds, state.cumulative, strict=True)), state.sum)
         return family
--- a/src/springmux/node/metrics/registry.py
+++ b/src/springmux/node/metrics/registry.py
@@ -1,4 +1,4 @@
-"""The present values of a node's metrics, plain numbers until a scrape asks for them."""
+"""The present values of a node's metrics, plain numbers until a scrape."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 _SPECS = {spec.name: spec for spec in METRICS}
 _Series = tuple[str, ...]
-"""A metric's name and its labels' values: one time series."""
+"""A time series: the metric's name, then its label values."""
 MetricsSource = Callable[[], Mapping[_Series, float]]
-"""Returns the present values of metrics that are counted elsewhere."""
+"""Returns the present values of metrics that are counted elsewhere, by series."""
 
 
 class _Observations:
-    """A histogram: how many observations fell into each bucket, the last one without bound, and their sum."""
+    """A histogram: number of observations in each bucket, the last one unbounded, and their sum."""
 
     def __init__(self, bounds: tuple[float, ...]) -> None:
         self.bounds = bounds
@@ -24,15 +24,15 @@
         self.sum = 0.0
 
     def add(self, value: float) -> None:
-        # A bucket holds what is at most its bound, as Prometheus defines it.
+        # A bucket's bound is inclusive, as Prometheus defines it.
         self.counts[bisect_left(self.bounds, value)] += 1
         self.sum += value
 
 
 class NodeMetrics:
-    """The node's metrics, plain numbers until somebody asks for the exposition.
+    """The node's metrics, plain numbers until a scrape.
 
-    Threads other than the event loop's may count under labels that are theirs alone.
+    Threads other than the event loop's may count only under labels that no other thread uses.
     """
 
     def __init__(self) -> None:
@@ -46,7 +46,7 @@
                 self._values[(spec.name,)] = 0.0
 
     def add_source(self, source: MetricsSource) -> None:
-        """Have ``source`` asked at each exposition for counters and gauges of the table."""
+        """Read counters and gauges of the table from ``source`` at each exposition."""
         self._sources.append(source)
 
     def count(self, name: str, *labels: str, amount: float = 1) -> None:
@@ -57,7 +57,7 @@
         series = (name, *labels)
         before = self._values.get(series)
         if before is None:
-            before = self._first(series)
+            before = self._initial_value(series)
         self._values[series] = before + amount
 
     def set(self, name: str, value: float) -> None:
@@ -74,7 +74,7 @@
         """Return a counter's or gauge's present value (for status pages and tests)."""
         series = (name, *labels)
         found = self._values.get(series)
-        return self._first(series) if found is None else found
+        return self._initial_value(series) if found is None else found
 
     def exposition(self) -> bytes:
         """Return the text exposition format. The library is loaded at the first scrape."""
@@ -83,13 +83,13 @@
         values = dict(self._values)
         for source in self._sources:
             values.update(source())
-        return render(METRICS, values, {n: self._buckets(n) for n in self._histograms})
+        return render(METRICS, values, {name: self._buckets(name) for name in self._histograms})
 
     def _buckets(self, name: str) -> HistogramState:
         observations = self._histograms[name]
         return HistogramState(tuple(accumulate(observations.counts)), observations.sum)
 
-    def _first(self, series: _Series) -> float:
+    def _initial_value(self, series: _Series) -> float:
         """Return the value of a series that has none yet."""
         spec = _SPECS[series[0]]
         if spec.kind is MetricKind.HISTOGRAM:
--- a/src/springmux/node/metrics/table.py
+++ b/src/springmux/node/metrics/table.py
@@ -26,9 +26,9 @@
 
 
 class HistogramState(msgspec.Struct, frozen=True):
-    """A histogram at one moment: cumulated counts of its buckets, the one without bound last, and the sum."""
+    """A histogram at one moment: cumulative counts of its buckets, the unbounded one last, and the sum."""
 
-    cumulated: tuple[int, ...]
+    cumulative: tuple[int, ...]
     sum: float
 
 
@@ -39,45 +39,57 @@
 LAG_BUCKETS_S = (0.001, 0.005, 0.01, 0.05, 0.1, 0.25, 0.5, 1.0)
 FSYNC_BUCKETS_S = (0.0005, 0.001, 0.005, 0.01, 0.05, 0.1, 0.25, 0.5, 1.0, 5.0)
 
-_C, _G, _H = MetricKind.COUNTER, MetricKind.GAUGE, MetricKind.HISTOGRAM
+_COUNTER, _GAUGE, _HISTOGRAM = MetricKind.COUNTER, MetricKind.GAUGE, MetricKind.HISTOGRAM
 
 METRICS: tuple[MetricSpec, ...] = (
-    MetricSpec("requests_total", _C, "Answered caller requests by HTTP status.", ("status",)),
-    MetricSpec("request_errors_total", _C, "Typed errors answered to callers.", ("code",)),
-    MetricSpec("requests_in_flight", _G, "Caller requests that are being served."),
-    MetricSpec("request_seconds", _H, "Time from a request read whole to its end.", (), LATENCY_BUCKETS_S),
-    MetricSpec("client_connections", _G, "Open connections of callers."),
-    MetricSpec("client_connections_refused_total", _C, "Connections closed over max_connections."),
-    MetricSpec("upstream_attempts_total", _C, "Exchanges begun with back ends.", ("service", "version")),
-    MetricSpec("upstream_failures_total", _C, "Exchanges with back ends that failed.", ("cause",)),
-    MetricSpec("peer_sent_messages_total", _C, "Messages sent to peers by type.", ("message",)),
-    MetricSpec("peer_sent_bytes_total", _C, "Bytes sent to peers by message type.", ("message",)),
-    MetricSpec("peer_received_messages_total", _C, "Messages from peers by type.", ("message",)),
-    MetricSpec("peer_received_bytes_total", _C, "Bytes from peers by message type.", ("message",)),
+    MetricSpec("requests_total", _COUNTER, "Answered caller requests by HTTP status.", ("status",)),
+    MetricSpec("request_errors_total", _COUNTER, "Typed errors answered to callers.", ("code",)),
+    MetricSpec("requests_in_flight", _GAUGE, "Caller requests that are being served."),
     MetricSpec(
-        "peer_dropped_messages_total", _C, "Messages from and to peers that were dropped.", ("reason",)
+        "request_seconds", _HISTOGRAM, "Time from a request read whole to its end.", (), LATENCY_BUCKETS_S
+    ),
+    MetricSpec("client_connections", _GAUGE, "Open connections of callers."),
+    MetricSpec("client_connections_refused_total", _COUNTER, "Connections closed over max_connections."),
+    MetricSpec(
+        "upstream_attempts_total", _COUNTER, "Exchanges begun with back ends.", ("service", "version")
+    ),
+    MetricSpec("upstream_failures_total", _COUNTER, "Exchanges with back ends that failed.", ("cause",)),
+    MetricSpec("peer_sent_messages_total", _COUNTER, "Messages sent to peers by type.", ("message",)),
+    MetricSpec("peer_sent_bytes_total", _COUNTER, "Bytes sent to peers by message type.", ("message",)),
+    MetricSpec("peer_received_messages_total", _COUNTER, "Messages from peers by type.", ("message",)),
+    MetricSpec("peer_received_bytes_total", _COUNTER, "Bytes from peers by message type.", ("message",)),
+    MetricSpec(
+        "peer_dropped_messages_total", _COUNTER, "Messages from and to peers that were dropped.", ("reason",)
+    ),
+    MetricSpec("peer_refused_hellos_total", _COUNTER, "Peers refused at the hello.", ("reason",)),
+    MetricSpec("peer_connections", _GAUGE, "Established outgoing peer connections."),
+    MetricSpec(
+        "loop_lag_seconds", _HISTOGRAM, "Delay of the event loop beyond a due timer.", (), LAG_BUCKETS_S
+    ),
+    MetricSpec("storage_write_seconds", _HISTOGRAM, "Time of one storage operation.", (), FSYNC_BUCKETS_S),
+    MetricSpec("storage_failures_total", _COUNTER, "Storage operations that failed.", ("kind",)),
+    MetricSpec("storage_waiting_seconds", _GAUGE, "Age of the oldest waiting storage operation."),
+    MetricSpec("orders_total", _COUNTER, "Operators' orders by outcome.", ("outcome",)),
+    MetricSpec("gateway_requests_total", _COUNTER, "Requests to the gateway whose head was read."),
+    MetricSpec("gateway_dispatches_total", _COUNTER, "Attempts of the gateway at engines."),
+    MetricSpec(
+        "gateway_retries_total", _COUNTER, "Attempts at another engine after one that had the request."
+    ),
+    MetricSpec(
+        "gateway_resumed_total", _COUNTER, "Streams begun that another engine was asked to go on with."
+    ),
+    MetricSpec("gateway_refusals_total", _COUNTER, "Requests that the gateway refused or cut.", ("reason",)),
+    MetricSpec("ready", _GAUGE, "1 while the node is ready."),
+    MetricSpec("control_revision", _GAUGE, "Revision of the control state in force here."),
+    MetricSpec(
+        "control_changes_total", _COUNTER, "Newer control states put in force, by how they came.", ("way",)
     ),
-    MetricSpec("peer_refused_hellos_total", _C, "Peers refused at the hello.", ("reason",)),
-    MetricSpec("peer_connections", _G, "Established outgoing peer connections."),
-    MetricSpec("loop_lag_seconds", _H, "Delay of the event loop beyond a due timer.", (), LAG_BUCKETS_S),
-    MetricSpec("storage_write_seconds", _H, "Time of one storage operation.", (), FSYNC_BUCKETS_S),
-    MetricSpec("storage_failures_total", _C, "Storage operations that failed.", ("kind",)),
-    MetricSpec("storage_waiting_seconds", _G, "Age of the oldest waiting storage operation."),
-    MetricSpec("orders_total", _C, "Operators' orders by outcome.", ("outcome",)),
-    MetricSpec("gateway_requests_total", _C, "Requests to the gateway whose head was read."),
-    MetricSpec("gateway_dispatches_total", _C, "Attempts of the gateway at engines."),
-    MetricSpec("gateway_retries_total", _C, "Attempts at another engine after one that had the request."),
-    MetricSpec("gateway_resumed_total", _C, "Streams begun that another engine was asked to go on with."),
-    MetricSpec("gateway_refusals_total", _C, "Requests that the gateway refused or cut.", ("reason",)),
-    MetricSpec("ready", _G, "1 while the node is ready."),
-    MetricSpec("control_revision", _G, "Revision of the control state in force here."),
-    MetricSpec("control_changes_total", _C, "Newer control states put in force, by how they came.", ("way",)),
     MetricSpec(
         "control_behind_seconds",
-        _H,
+        _HISTOGRAM,
         "Time from first hearing of a newer control state to its being in force.",
         (),
         LATENCY_BUCKETS_S,
     ),
-    MetricSpec("replica_stopped", _G, "1 if this node's replica stopped."),
+    MetricSpec("replica_stopped", _GAUGE, "1 if this node's replica stopped."),
 )
--- a/src/springmux/node/peer/__init__.py
+++ b/src/springmux/node/peer/__init__.py
@@ -1,1 +1,1 @@
-"""The peers' channel: framing, handshake, connections, and the envelope of messages."""
+"""Connections between peers: framing, handshake, channels, and the envelope of messages."""
--- a/src/springmux/node/peer/agent_codec.py
+++ b/src/springmux/node/peer/agent_codec.py
@@ -1,4 +1,4 @@
-"""Encodes peer messages with this node's envelope and decodes them (:mod:`springmux.agent.wire`)."""
+"""Encode peer messages in this node's envelope and decode them (:mod:`springmux.agent.wire`)."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 
 class LogFollower(Protocol):
-    """What the envelope needs of the agent."""
+    """Interface to the agent: the position that the envelope carries."""
 
     @property
     def log_position(self) -> LogPosition:
-        """How far the node has followed the control log."""
+        """The node's position in the control log."""
 
 
 class AgentCodec:
-    """Codec of one node's transport."""
+    """Codec of one node's peer transport."""
 
     def __init__(self, agent: LogFollower) -> None:
         self._agent = agent
@@ -35,9 +35,9 @@
         return wire.encode(position.term, position.leader, position.revision, message)
 
     def decode(self, sender: NodeId, data: bytes) -> list[Event]:
-        """Return the message's event; before it, events of changes in its sender's log position.
+        """Return the message's event, preceded by events of changes in its sender's log position.
 
-        :raises ValueError: if they are no message of this fleet.
+        :raises ValueError: if ``data`` is no message of this fleet.
         """
         try:
             envelope = wire.decode(data)
@@ -47,7 +47,7 @@
         events: list[Event] = []
         if envelope.leader and (envelope.term > position.term or position.leader is None):
             events.append(LeaderObserved(envelope.term, envelope.leader))
-        # Of a peer that is ahead every message counts: the fetch from it may have been lost.
+        # Every message of a peer that is ahead is reported: the fetch from it may have been lost.
         if envelope.revision > position.revision or self._reported.get(sender) != envelope.revision:
             self._reported[sender] = envelope.revision
             events.append(PeerRevisionObserved(sender, envelope.term, envelope.revision))
--- a/src/springmux/node/peer/handshake.py
+++ b/src/springmux/node/peer/handshake.py
@@ -1,4 +1,4 @@
-"""Who is at the other end of a peer connection: challenge, hello, welcome.
+"""Authentication of peer connections: challenge, hello, welcome.
 
 With a shared secret both sides prove that they know it: HMAC-SHA-256 (RFC 2104) over the other
 side's nonce and one's own names, compared in constant time. Without a secret the names alone are
@@ -19,7 +19,7 @@
 
 
 class HandshakeError(SpringmuxError):
-    """The other side is not a peer of this fleet. ``reason`` is a stable word for metrics."""
+    """The other side is not a peer of this fleet. ``reason`` is a stable label for metrics."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(f"peer refused: {reason}")
@@ -65,7 +65,7 @@
 def decode_handshake(data: bytes) -> Handshake:
     """Return the handshake message in ``data``.
 
-    :raises HandshakeError: if it is none.
+    :raises HandshakeError: if ``data`` is no such message.
     """
     try:
         return _decoder.decode(data)
@@ -74,7 +74,7 @@
 
 
 class HandshakeAuthenticator:
-    """Makes and checks the handshake of one node."""
+    """Create and verify one node's handshake messages."""
 
     def __init__(self, fleet: str, node: str, boot: str, secret: str | None) -> None:
         self._fleet = fleet
@@ -87,13 +87,13 @@
         return Challenge(nonce=os.urandom(NONCE_BYTES))
 
     def hello(self, challenge: Challenge, lane: str) -> Hello:
-        """Answer a challenge and pose one's own."""
+        """Return the hello that answers a challenge, with a challenge of its own."""
         nonce = os.urandom(NONCE_BYTES)
         proof = self._proof("hello", challenge.nonce, self._fleet, self._node, self._boot, lane)
         return Hello(self._fleet, self._node, self._boot, lane, nonce, proof)
 
     def welcome(self, challenge: Challenge, hello: Hello) -> Welcome:
-        """Check a hello and answer it.
+        """Verify a hello and return the welcome.
 
         :raises HandshakeError: if it is of another fleet, of this node's name, or does not know the secret.
         """
@@ -108,7 +108,7 @@
         return Welcome(self._fleet, self._node, self._boot, proof)
 
     def check_welcome(self, hello: Hello, welcome: Welcome) -> None:
-        """Check the accepting side's answer.
+        """Verify the accepting side's welcome.
 
         :raises HandshakeError: if it is of another fleet, of this node's name, or does not know the secret.
         """
@@ -123,7 +123,7 @@
     def _proof(self, purpose: str, nonce: bytes, *names: str) -> bytes:
         if self._secret is None:
             return b""
-        # A length before each part keeps ("ab", "c") and ("a", "bc") apart.
-        parts = [purpose.encode(), nonce, *(name.encode() for name in names)]
-        text = b"".join(len(part).to_bytes(4, "big") + part for part in parts)
+        # A length before each field distinguishes ("ab", "c") from ("a", "bc").
+        fields = [purpose.encode(), nonce, *(name.encode() for name in names)]
+        text = b"".join(len(field).to_bytes(4, "big") + field for field in fields)
         return hmac.digest(self._secret, text, hashlib.sha256)
--- a/src/springmux/node/peer/transport.py
+++ b/src/springmux/node/peer/transport.py
@@ -1,7 +1,7 @@
-"""The peers' channel: length-prefixed frames over TCP between nodes, one way per connection.
+"""The peers' transport: length-prefixed frames over TCP between nodes, each connection one-way.
 
-A node sends over connections that it made and receives over those that others made. Large messages
-have a connection of their own, so that a 12 MiB configuration holds up no heartbeat.
+A node sends over connections that it opened and receives over those that others opened. Large messages
+have a connection of their own, so that a 12 MiB configuration delays no heartbeat.
 """
 
 from __future__ import annotations
@@ -18,20 +18,24 @@
 from springmux.node.addresses import split_address
 from springmux.node.logs import EventLog
 from springmux.node.metrics.registry import NodeMetrics
-from springmux.node.peer.channel import Outgoing, PeerChannel
+from springmux.node.peer.channel import OutgoingMessage, PeerChannel
 from springmux.node.peer.frames import MAX_MESSAGE_BYTES
 from springmux.node.peer.handshake import HandshakeAuthenticator
 from springmux.node.peer.reception import PeerReception
 from springmux.node.peer.unknown_peers import UnknownPeerLog
 
-LARGE_BYTES = 64 << 10
-"""From this size a message goes on the second connection (one socket buffer's worth)."""
-WATCH_S = 0.25
-"""How often all connections are looked at. A timer for each message costs more than the checks."""
+LARGE_MESSAGE_BYTES = 64 << 10
+"""Messages from this size (about one socket buffer) use the second connection."""
+CHECK_PERIOD_S = 0.25
+"""Period of checks of all connections. A timer for each message would cost more."""
 BACKLOG = 1024
 """All nodes of a fleet may connect at once, twice each."""
 MAX_CHANNELS = 2048
-"""Bound against addresses that gossip has long forgotten; idle channels are dropped first."""
+"""Limit on channels to addresses that gossip no longer knows; idle ones are dropped."""
+
+
+_ChannelKey = tuple[Address, str]
+"""A channel's address and lane."""
 
 
 class Codec(Protocol):
@@ -44,42 +48,42 @@
         """
 
     def decode(self, sender: NodeId, data: bytes) -> list[Event]:
-        """Return the events that the bytes mean.
+        """Return the events of the message in ``data``.
 
-        :raises ValueError: if they are no message of this fleet.
+        :raises ValueError: if it is no message of this fleet.
         """
 
 
 class PeerTransport:
     """Sends and receives peer messages. ``membership`` maps node names to addresses.
 
-    While ``cut()`` holds (fault injection), messages are dropped in both directions.
+    While ``partitioned()`` is true (fault injection), messages are dropped in both directions.
     """
 
     def __init__(
         self,
         codec: Codec,
-        keeper: HandshakeAuthenticator,
+        authenticator: HandshakeAuthenticator,
         membership: Callable[[], MembershipView],
         deliver: Callable[[Event], None],
         log: EventLog,
         metrics: NodeMetrics,
         randomness: random.Random,
-        cut: Callable[[], bool] = lambda: False,
+        partitioned: Callable[[], bool] = lambda: False,
     ) -> None:
         self._codec = codec
-        self._keeper = keeper
+        self._authenticator = authenticator
         self._membership = membership
         self._deliver = deliver
         self._log = log
         self._metrics = metrics
         self._random = randomness
-        self._cut = cut
+        self._partitioned = partitioned
         self._unknown = UnknownPeerLog(log)
-        self._channels: dict[tuple[Address, str], PeerChannel] = {}
+        self._channels: dict[_ChannelKey, PeerChannel] = {}
         self._server: asyncio.Server | None = None
         self._receptions: set[PeerReception] = set()
-        self._watcher: asyncio.TimerHandle | None = None
+        self._check_timer: asyncio.TimerHandle | None = None
 
     async def listen(self, address: str) -> None:
         """Accept peers at ``address``.
@@ -93,8 +97,8 @@
 
     async def close(self) -> None:
         """Close every connection."""
-        if self._watcher is not None:
-            self._watcher.cancel()
+        if self._check_timer is not None:
+            self._check_timer.cancel()
         if self._server is not None:
             self._server.close()
         for reception in list(self._receptions):
@@ -114,14 +118,14 @@
         self.send_to_address(record.peer_address, message)
 
     def send_to_address(self, address: Address, message: PeerMessage) -> None:
-        """Queue a message for whoever listens at ``address``."""
-        if self._cut():
+        """Queue a message for the node that listens at ``address``."""
+        if self._partitioned():
             self._metrics.count("peer_dropped_messages_total", "injected_cut")
             return
         try:
             data = self._codec.encode(message)
         except (OverflowError, UnicodeError) as error:
-            # A peer may have handed in what can't be passed on; that is no reason to end.
+            # The value may come from a peer, so it must not end this node.
             self._metrics.count("peer_dropped_messages_total", "unencodable")
             name = message_name(type(message))
             self._log.write("peer_message_unencodable", LogLevel.ERROR, message=name, error=str(error))
@@ -129,41 +133,42 @@
         if len(data) > MAX_MESSAGE_BYTES:
             self._metrics.count("peer_dropped_messages_total", "too_large")
             return
-        lane = "large" if len(data) >= LARGE_BYTES else "small"
-        self._channel(address, lane).send(Outgoing(message_name(type(message)), data))
+        lane = "large" if len(data) >= LARGE_MESSAGE_BYTES else "small"
+        self._channel(address, lane).send(OutgoingMessage(message_name(type(message)), data))
 
     def _channel(self, address: Address, lane: str) -> PeerChannel:
-        found = self._channels.get((address, lane))
-        if found is not None:
-            return found
+        key = (address, lane)
+        channel = self._channels.get(key)
+        if channel is not None:
+            return channel
         if len(self._channels) >= MAX_CHANNELS:
             self._drop_idle()
         channel = PeerChannel(
             address,
             lane,
-            self._keeper,
+            self._authenticator,
             self._log,
             self._metrics,
             self._random,
             on_connected=lambda node: self._deliver(PeerReachable(node=NodeId(node))),
             on_lost=lambda node: self._lost(address, node),
         )
-        self._channels[address, lane] = channel
-        if self._watcher is None:
-            self._watch()
+        self._channels[key] = channel
+        if self._check_timer is None:
+            self._check_channels()
         return channel
 
-    def _watch(self) -> None:
+    def _check_channels(self) -> None:
         loop = asyncio.get_running_loop()
         now = loop.time()
         for channel in self._channels.values():
-            channel.look(now)
-        self._watcher = loop.call_later(WATCH_S, self._watch)
+            channel.check(now)
+        self._check_timer = loop.call_later(CHECK_PERIOD_S, self._check_channels)
 
     def _drop_idle(self) -> None:
-        for place, channel in list(self._channels.items()):
+        for key, channel in list(self._channels.items()):
             if not channel.active:
-                del self._channels[place]
+                del self._channels[key]
 
     def _lost(self, address: Address, node: str) -> None:
         record = self._membership().nodes.get(NodeId(node))
@@ -172,12 +177,12 @@
 
     def _accept(self) -> asyncio.Protocol:
         reception = PeerReception(
-            self._keeper,
+            self._authenticator,
             self._receive,
             self._receptions.discard,
             self._log,
             self._metrics,
-            self._cut,
+            self._partitioned,
         )
         self._receptions.add(reception)
         return reception.connection
@@ -187,7 +192,7 @@
             events = self._codec.decode(sender, data)
         except (ValueError, RecursionError) as error:
             self._metrics.count("peer_dropped_messages_total", "undecodable")
-            if not reception.reported:  # a peer of a newer version sends many: one line a connection
+            if not reception.reported:  # a peer of a newer version sends many: one line for each connection
                 reception.reported = True
                 self._log.write("peer_message_undecodable", LogLevel.WARNING, sender=sender, error=str(error))
             return
--- a/src/springmux/node/peer/unknown_peers.py
+++ b/src/springmux/node/peer/unknown_peers.py
@@ -1,4 +1,4 @@
-"""Log lines about messages to nodes whose address isn't known, a bounded number of them."""
+"""Rate-limited log lines about messages to nodes whose address is unknown."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from springmux.node.logs import EventLog
 
 LINE_PERIOD_S = 5.0
-"""One line for each unknown node in this time; such messages come several times a second."""
+"""Period of one unknown node's lines; such messages come several times a second."""
 MAX_NODES = 256
 
 
 class UnknownPeerLog:
-    """Counts what is dropped and writes a line at once, then one for each period in which more is."""
+    """Count dropped messages; log the first at once, then one line for each period with further ones."""
 
     def __init__(self, log: EventLog) -> None:
         self._log = log
@@ -20,7 +20,7 @@
         self._next_line_at: dict[NodeId, float] = {}
 
     def dropped(self, node: NodeId, message: str, now: float) -> None:
-        """Take note of a message to ``node`` that was dropped at monotonic time ``now``."""
+        """Count a message to ``node`` that was dropped at monotonic time ``now``."""
         if len(self._next_line_at) >= MAX_NODES and node not in self._next_line_at:
             return
         self._dropped[node] = self._dropped.get(node, 0) + 1
--- a/src/springmux/node/storage/__init__.py
+++ b/src/springmux/node/storage/__init__.py
@@ -1,1 +1,1 @@
-"""The node's data folder: opening it, and the thread that writes to it."""
+"""The node's data folder: open it, and write to it in a thread."""
--- a/src/springmux/node/storage/opening.py
+++ b/src/springmux/node/storage/opening.py
@@ -1,4 +1,4 @@
-"""Opening a node's data folder: what becomes of damage, a wiped folder, and a failing disk."""
+"""Open a node's data folder; handle damage, a wiped folder, and a failing disk."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 
 REPLICA_FOLDER = "replica"
 FLEET_FOLDER = "fleet"
-"""What a node keeps whatever becomes of its replica."""
+"""Folder of what a node keeps even if its replica is set aside."""
 
 
 class OpenedStorage(msgspec.Struct, frozen=True):
-    """A usable store with what it recovered, or why there is none."""
+    """A usable store with what it recovered, or the reason why there is none."""
 
     store: ReplicaStore | None
     recovered: RecoveredState | None
@@ -42,12 +42,12 @@
     make_disk: Callable[[Path], Disk] = RealDisk,
     first_start: bool = False,
 ) -> OpenedStorage:
-    """Open the replica in ``data_folder`` (blocking); ``make_disk`` gives the disk below it.
+    """Open the replica in ``data_folder`` (blocking); ``make_disk`` returns the disk below it.
 
-    ``first_start``: a replica that has to be made is made at the first start of the whole system.
+    ``first_start``: this is the first start of the whole system, for a replica that has to be created.
 
-    A damaged or wiped one is set aside and begins anew under another identity; a disk that fails
-    leaves the node routing without a replica.
+    A damaged or wiped replica is set aside and replaced by one with a new identity; with a failing disk
+    the node routes without a replica.
 
     :raises FolderLockedError: another process uses the folder.
     """
@@ -68,7 +68,7 @@
         return _unusable(error, log)
     try:
         store.set_aside()
-        # No mark of the first start: what the damaged replica promised is lost.
+        # Not a first start: what the damaged replica had acknowledged is lost.
         return _opened(disk, ReplicaStore(disk, REPLICA_FOLDER), log)
     except (StorageDamagedError, DiskError) as error:
         return _unusable(error, log)
@@ -77,7 +77,7 @@
 def set_aside_replica(data_folder: Path, log: EventLog, make_disk: Callable[[Path], Disk] = RealDisk) -> None:
     """Set a closed replica's files aside (blocking), so that the next opening begins a new one.
 
-    A disk that fails is logged only: the replica will be told again to begin anew.
+    A failing disk is only logged: the replica will be asked again to restart as a new one.
 
     :raises FolderLockedError: the folder is still in use.
     """
--- a/src/springmux/node/storage/worker.py
+++ b/src/springmux/node/storage/worker.py
@@ -1,6 +1,6 @@
-"""One thread that carries out storage effects in their order, off the event loop.
+"""One thread that executes storage effects in their order, off the event loop.
 
-Effects that wait together run one after another; each result comes back on the loop as an event.
+Each result is delivered on the loop as an event.
 """
 
 from __future__ import annotations
@@ -35,24 +35,24 @@
 from springmux.storage.peer_list import PeerList
 
 STALL_AFTER_S = 0.25
-"""A write that waits longer is reported; well under an election timeout, so a leader can hand over."""
+"""A longer wait is reported; well below an election timeout, so that a leader can transfer leadership."""
 
 FAILURE_KINDS: dict[type[Event], str] = {
     PersistFailed: "PersistFailed",
     SnapshotFailed: "SnapshotFailed",
     ClaimsPersistFailed: "ClaimsPersistFailed",
 }
-"""Failures and the labels that they are counted under."""
+"""Metric labels of the failures."""
 
 
 class Store(Protocol):
-    """Blocking storage of one replica (:class:`springmux.storage.store.ReplicaStore`)."""
+    """Blocking storage of one replica (:class:`springmux.storage.replica_store.ReplicaStore`)."""
 
     def persist(self, batch: Persist) -> None:
         """Write and fsync a batch."""
 
     def take_snapshot(self, meta: SnapshotMeta, data: bytes) -> SnapshotMeta:
-        """Write a snapshot durably; returns its metadata with the size."""
+        """Write a snapshot durably; return its metadata with the size."""
 
     def install_snapshot(self, meta: SnapshotMeta, data: bytes) -> None:
         """Replace snapshot and log durably."""
@@ -61,13 +61,13 @@
         """Drop entries before ``first_kept``."""
 
     def close(self) -> None:
-        """Release the folder."""
+        """Close the files and release the folder."""
 
 
 class StorageWorker:
-    """Owns store, claim journal and list of peers: nothing else calls them after start.
+    """Owns store, claim journal and peer list: nothing else calls them after the start.
 
-    :param deliver: gets results on the event loop.
+    :param deliver: receives the results on the event loop.
     """
 
     def __init__(
@@ -91,22 +91,22 @@
         self._thread.start()
 
     def submit(self, effect: StorageEffect) -> None:
-        """Queue an effect behind those already waiting."""
+        """Queue an effect."""
         self._waiting_since.append(self._loop.time())
         self._work.put(effect)
 
     def oldest_wait_s(self) -> float:
-        """Return how long the operation at the head has been waiting, 0 if none is."""
+        """Return the age of the oldest unfinished operation, 0 if there is none."""
         return self._loop.time() - self._waiting_since[0] if self._waiting_since else 0.0
 
     def stop(self, timeout_s: float) -> None:
-        """Finish what is queued and close the store, at most ``timeout_s`` long (blocking)."""
+        """Finish queued effects and close the store, within ``timeout_s`` (blocking)."""
         self._work.put(None)
         self._thread.join(timeout_s)
 
     def _run(self) -> None:
         while (effect := self._work.get()) is not None:
-            event = self._carry_out(effect)
+            event = self._execute(effect)
             try:
                 self._loop.call_soon_threadsafe(self._finished, event)
             except RuntimeError:
@@ -126,7 +126,7 @@
         if event is not None:
             self._deliver(event)
 
-    def _carry_out(self, effect: StorageEffect) -> Event | None:
+    def _execute(self, effect: StorageEffect) -> Event | None:
         if isinstance(effect, Persist):
             return self._persist(effect)
         if isinstance(effect, WriteSnapshot):
@@ -156,7 +156,7 @@
             self._journal.append(effect.records)
         except DiskFullError as error:
             return ClaimsPersistFailed(batch=effect.batch, full=True, reason=str(error))
-        except Exception as error:  # as for the log's batches
+        except Exception as error:  # whatever it was, the batch is not known to be durable
             reason = f"{type(error).__name__}: {error}"
             return ClaimsPersistFailed(batch=effect.batch, full=False, reason=reason)
         return ClaimsPersisted(batch=effect.batch)
@@ -164,14 +164,14 @@
     def _take_snapshot(self, effect: WriteSnapshot) -> Event:
         try:
             meta = self._store.take_snapshot(effect.meta, effect.data)
-        except Exception as error:
+        except Exception as error:  # whatever it was, the snapshot is not known to be durable
             return SnapshotFailed(index=effect.meta.index, reason=f"{type(error).__name__}: {error}")
         return SnapshotTaken(meta=meta, data=effect.data)
 
     def _install_snapshot(self, effect: InstallSnapshot) -> Event:
         try:
             self._store.install_snapshot(effect.meta, effect.data)
-        except Exception as error:
+        except Exception as error:  # whatever it was, the snapshot is not known to be durable
             return SnapshotFailed(index=effect.meta.index, reason=f"{type(error).__name__}: {error}")
         return SnapshotInstalled(meta=effect.meta)
 
@@ -180,14 +180,14 @@
             if self._peer_list is not None:
                 self._peer_list.save(effect.peers)
         except Exception:
-            # The older list stays; a disk that really fails shows at the next batch.
+            # Whatever it was, the older list stays; a disk that really fails shows at the next batch.
             self._metrics.count("storage_failures_total", "peer_list")
 
     def _compact(self, effect: CompactLog) -> Event | None:
         try:
             self._store.compact(effect.first_kept)
         except Exception:
-            # Only space is lost, and the next snapshot compacts again; a disk that really fails shows
-            # at the next batch.
+            # Whatever it was, only space is lost, and the next snapshot compacts again; a disk that
+            # really fails shows at the next batch.
             self._metrics.count("storage_failures_total", "compaction")
         return None
--- a/tests/unit/lab/test_fault_injection.py
+++ b/tests/unit/lab/test_fault_injection.py
@@ -71,6 +71,6 @@
 
 def test_cut_holds_until_it_is_taken_back(injector: FaultInjector) -> None:
     injector.set(NodeFaults(cut=True))
-    assert injector.cut()
+    assert injector.partitioned()
     injector.set(NodeFaults(clock_offset_s=1.0))
-    assert not injector.cut()
+    assert not injector.partitioned()
--- a/tests/unit/node/test_peer_transport.py
+++ b/tests/unit/node/test_peer_transport.py
@@ -23,7 +23,7 @@
     MAX_QUEUED_MESSAGES,
     SEND_TIMEOUT_S,
     URGENT_BYTES,
-    Outgoing,
+    OutgoingMessage,
     PeerChannel,
     SendQueue,
     connect_timeout_s,
@@ -45,7 +45,7 @@
     encode_handshake,
 )
 from springmux.node.peer.link import CONNECT_TIMEOUT_S
-from springmux.node.peer.transport import LARGE_BYTES, PeerTransport
+from springmux.node.peer.transport import LARGE_MESSAGE_BYTES, PeerTransport
 from tests.unit.node.support import LONG_S, free_address, until
 
 
@@ -91,7 +91,7 @@
             EventLog(name, output=self.log_lines),
             self.metrics,
             random.Random(1),
-            cut=lambda: self.cut,
+            partitioned=lambda: self.cut,
         )
         self.address = address
 
@@ -138,7 +138,7 @@
         a.transport.send(NodeId("b"), TransportProbe(2))
         await until(lambda: len(b.received()) == 2)
         assert a.metrics.value("peer_connections") == 2
-        assert LARGE_BYTES < 12 << 20
+        assert LARGE_MESSAGE_BYTES < 12 << 20
 
 
 async def test_another_secret_or_fleet_is_refused_by_both_sides() -> None:
@@ -178,8 +178,8 @@
         assert isinstance(challenge, Challenge)
         return challenge
 
-    async def greet(self, keeper: HandshakeAuthenticator) -> None:
-        self.send(encode_handshake(keeper.hello(await self.challenge(), "small")))
+    async def greet(self, authenticator: HandshakeAuthenticator) -> None:
+        self.send(encode_handshake(authenticator.hello(await self.challenge(), "small")))
         assert await self.receive() is not None
 
 
@@ -195,11 +195,11 @@
 
 async def test_a_hello_heard_before_proves_nothing_later() -> None:
     async with two_peers("s", "s") as (_, b):
-        keeper = HandshakeAuthenticator("f", "a", "boot", "s")
+        authenticator = HandshakeAuthenticator("f", "a", "boot", "s")
 
         async def attempt(recorded: Hello | None) -> tuple[Hello, bytes | None]:
             async with raw_peer(b.address) as peer:
-                hello = recorded or keeper.hello(await peer.challenge(), "small")
+                hello = recorded or authenticator.hello(await peer.challenge(), "small")
                 if recorded is not None:
                     await peer.challenge()
                 peer.send(encode_handshake(hello))
@@ -362,9 +362,9 @@
     async with two_peers() as (a, b):
         channel = await connected_channel(a, b)
         now = asyncio.get_running_loop().time()
-        channel.look(now + IDLE_CLOSE_S - 1)
+        channel.check(now + IDLE_CLOSE_S - 1)
         assert channel._connection is not None
-        channel.look(now + IDLE_CLOSE_S + 1)
+        channel.check(now + IDLE_CLOSE_S + 1)
         a.transport.send(NodeId("b"), TransportProbe(2))  # while it closes
         await until(lambda: len(b.received()) == 2)
         assert PeerUnreachable(NodeId("b")) not in a.events
@@ -379,13 +379,13 @@
         unsent = 100
         monkeypatch.setattr(type(connection), "unsent_bytes", property(lambda _: unsent))
         now = asyncio.get_running_loop().time()
-        channel.look(now)
+        channel.check(now)
         unsent = 90  # progress, however slow, is no reason to begin anew
-        channel.look(now + SEND_TIMEOUT_S)
-        channel.look(now + 2 * SEND_TIMEOUT_S - 1)
+        channel.check(now + SEND_TIMEOUT_S)
+        channel.check(now + 2 * SEND_TIMEOUT_S - 1)
         await asyncio.sleep(0)
         assert channel._connection is connection
-        channel.look(now + 2 * SEND_TIMEOUT_S)
+        channel.check(now + 2 * SEND_TIMEOUT_S)
         await until(lambda: PeerUnreachable(NodeId("b")) in a.events)
 
 
@@ -395,8 +395,10 @@
     async with two_peers() as (a, b):
         channel = await connected_channel(a, b)
         first = channel._connection
-        monkeypatch.setattr(FrameConnection, "unanswered", property(lambda connection: connection is first))
-        channel.look(asyncio.get_running_loop().time())
+        monkeypatch.setattr(
+            FrameConnection, "unacknowledged", property(lambda connection: connection is first)
+        )
+        channel.check(asyncio.get_running_loop().time())
         await until(lambda: channel._connection not in (first, None))
         a.transport.send(NodeId("b"), TransportProbe(2))
         await until(lambda: len(b.received()) == 2)
@@ -413,10 +415,10 @@
         first = channel._connection
         assert b.transport._server is not None
         b.transport._server.close()
-        monkeypatch.setattr(FrameConnection, "unanswered", True)
-        channel.look(asyncio.get_running_loop().time())
-        assert channel._rival is not None
-        await channel._rival
+        monkeypatch.setattr(FrameConnection, "unacknowledged", True)
+        channel.check(asyncio.get_running_loop().time())
+        assert channel._replacing is not None
+        await channel._replacing
         assert channel._connection is first
         a.transport.send(NodeId("b"), TransportProbe(2))
         await until(lambda: len(b.received()) == 2)
@@ -428,27 +430,27 @@
     async with two_peers() as (a, b):
         channel = await connected_channel(a, b)
         first = channel._connection
-        monkeypatch.setattr(FrameConnection, "unanswered", True)
-        channel.look(asyncio.get_running_loop().time())
-        monkeypatch.setattr(FrameConnection, "unanswered", False)
-        assert channel._rival is not None
-        await channel._rival
+        monkeypatch.setattr(FrameConnection, "unacknowledged", True)
+        channel.check(asyncio.get_running_loop().time())
+        monkeypatch.setattr(FrameConnection, "unacknowledged", False)
+        assert channel._replacing is not None
+        await channel._replacing
         assert channel._connection is first
         await until(lambda: len(b.transport._receptions) == 1)
 
 
 async def test_a_peer_that_speaks_after_its_welcome_is_dropped() -> None:
-    keeper = HandshakeAuthenticator("f", "b", "boot", None)
+    authenticator = HandshakeAuthenticator("f", "b", "boot", None)
 
     async def talkative(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         peer = RawPeer(reader, writer)
-        challenge = keeper.challenge()
+        challenge = authenticator.challenge()
         peer.send(encode_handshake(challenge))
         frame = await peer.receive()
         assert frame is not None
         hello = decode_handshake(frame)
         assert isinstance(hello, Hello)
-        peer.send(encode_handshake(keeper.welcome(challenge, hello)))
+        peer.send(encode_handshake(authenticator.welcome(challenge, hello)))
         peer.send(b"more")
         while await peer.receive() is not None:
             pass
@@ -538,12 +540,12 @@
 def test_a_full_queue_drops_the_oldest_large_message_before_urgent_ones() -> None:
     dropped: list[int] = []
     queue = SendQueue(lambda: dropped.append(1))
-    queue.put(Outgoing("urgent", b"0"))
-    queue.put(Outgoing("large", bytes(URGENT_BYTES + 1)))
+    queue.put(OutgoingMessage("urgent", b"0"))
+    queue.put(OutgoingMessage("large", bytes(URGENT_BYTES + 1)))
     for _ in range(MAX_QUEUED_MESSAGES - 2):
-        queue.put(Outgoing("filler", b"1"))
+        queue.put(OutgoingMessage("filler", b"1"))
     assert not dropped
-    queue.put(Outgoing("newer", b"2"))
+    queue.put(OutgoingMessage("newer", b"2"))
     assert len(dropped) == 1
     first = queue.pop()
     assert first.name == "urgent"
@@ -555,7 +557,7 @@
 def test_a_queue_full_of_urgent_messages_drops_the_oldest() -> None:
     queue = SendQueue(lambda: None)
     for number in range(MAX_QUEUED_MESSAGES + 1):
-        queue.put(Outgoing(str(number), b"0"))
+        queue.put(OutgoingMessage(str(number), b"0"))
     assert queue.pop().name == "1"
 
 
