--- a/src/springmux/fleet/layout.py
+++ b/src/springmux/fleet/layout.py
@@ -1,10 +1,11 @@
-"""Where a fleet on loopback lives: node settings files, ports, folders, and the file that names them."""
+"""Layout of a fleet on loopback: node settings files, ports, folders, and the file that lists them."""
 
 from __future__ import annotations
 
 import json
 import random
 import socket
+from collections.abc import Callable
 from pathlib import Path
 
 import msgspec
@@ -14,16 +15,16 @@
 LAYOUT_FILE = "fleet.json"
 LOOPBACK = "127.0.0.1"
 PORTS = range(10_000, 32_000)
-"""Below 32768, where Linux begins to take the ports of outgoing connections (ip_local_port_range)."""
+"""Below 32768, the start of Linux's range for outgoing connections (``ip_local_port_range``)."""
 SEED_COUNT = 3
-"""Each node is told three addresses of other processes."""
+"""Number of nodes whose peer addresses every node gets as seeds."""
 
-
-_given_ports: set[int] = set()
+_allocated_ports: set[int] = set()
+"""Ports that :func:`free_ports` returned in this process."""
 
 
 class FleetError(SpringmuxError):
-    """The fleet can't be started or addressed; the message says what to do."""
+    """The fleet can't be started or addressed; the message names the remedy."""
 
 
 class NodeLayout(msgspec.Struct, kw_only=True):
@@ -42,7 +43,7 @@
 
 
 class FleetLayout(msgspec.Struct, kw_only=True):
-    """A whole fleet under one folder."""
+    """All nodes of a fleet under one folder."""
 
     fleet: str
     folder: str
@@ -60,7 +61,7 @@
         raise FleetError(f"no node named {node!r}; the fleet has {names}")
 
     def save(self) -> None:
-        """Write the fleet's file."""
+        """Write the layout file atomically."""
         path = Path(self.folder) / LAYOUT_FILE
         temporary = path.with_suffix(".new")
         temporary.write_bytes(msgspec.json.format(msgspec.json.encode(self)))
@@ -68,7 +69,7 @@
 
 
 def load_layout(folder: Path) -> FleetLayout:
-    """Read the fleet's file from ``folder``.
+    """Read the layout file in ``folder``.
 
     :raises FleetError: if there is none.
     """
@@ -80,18 +81,18 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Return loopback ports that nothing listens on now and that this process has not given out before.
+    """Return loopback ports that nothing listens on now and that were not returned before in this process.
 
-    They lie below the range that outgoing connections take theirs from, so that none of these takes the
-    port of a process while it is down.
+    They lie below the range of outgoing connections, so that none of these occupies a process's port
+    while the process is down.
 
-    :raises FleetError: if there are not so many.
+    :raises FleetError: if too few are free.
     """
     ports: list[int] = []
     for port in random.sample(PORTS, len(PORTS)):
-        if port in _given_ports or not _is_free(port):
+        if port in _allocated_ports or not _is_free(port):
             continue
-        _given_ports.add(port)
+        _allocated_ports.add(port)
         ports.append(port)
         if len(ports) == count:
             return ports
@@ -108,7 +109,7 @@
 
 
 class NodePlace(msgspec.Struct, frozen=True, kw_only=True):
-    """A node wanted in a fleet."""
+    """A node to create: its name, its zone, and whether it is a controller."""
 
     node: str
     zone: str
@@ -125,7 +126,10 @@
 
 
 def lay_out(folder: Path, places: list[NodePlace], options: FleetOptions) -> FleetLayout:
-    """Write a settings file for each place, with free ports, and the fleet's file."""
+    """Write a settings file with free ports for each node, and the layout file.
+
+    :raises FleetError: if no node is a controller, or too few ports are free.
+    """
     folder.mkdir(parents=True, exist_ok=True)
     ports = iter(free_ports(3 * len(places)))
     nodes = [_node_layout(folder, place, ports.__next__) for place in places]
@@ -139,8 +143,7 @@
     return fleet
 
 
-def _node_layout(folder: Path, place: NodePlace, next_port: object) -> NodeLayout:
-    assert callable(next_port)
+def _node_layout(folder: Path, place: NodePlace, next_port: Callable[[], int]) -> NodeLayout:
     data_folder = str(folder / "data" / place.node) if place.controller else ""
     return NodeLayout(
         node=place.node,
--- a/src/springmux/fleet/supervisor.py
+++ b/src/springmux/fleet/supervisor.py
@@ -1,4 +1,4 @@
-"""Starts, stops, kills and freezes the processes of a fleet on loopback. For developers and experiments."""
+"""Start, stop, kill and freeze the processes of a fleet on loopback, for development and experiments."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 from springmux.fleet.layout import FleetError, FleetLayout, NodeLayout
 
-BECOMING_S = 1.0
-"""How long a process that was just started may be without a command line, on a busy machine."""
-BECOMING_LOOK_S = 0.005
+EXEC_TIMEOUT_S = 1.0
+"""How long a new process may have no command line yet on a busy machine (between fork and exec)."""
+EXEC_POLL_S = 0.005
 STOP_GRACE_S = 15.0
 POLL_S = 0.05
 
@@ -29,7 +29,7 @@
 class Supervisor:
     """Owns the processes of one fleet. Also works on a fleet that another shell started (by process id).
 
-    :param command: gives a node's command line; it must hold the settings file's name.
+    :param command: returns a node's command line, which must contain the settings file's name.
     """
 
     def __init__(
@@ -40,13 +40,16 @@
         self._processes: dict[str, subprocess.Popen[bytes]] = {}
 
     def start_all(self) -> None:
-        """Start every node that doesn't run."""
+        """Start every node that isn't running."""
         for node in self.layout.nodes:
             if not self.running(node.node):
                 self.start(node.node)
 
     def start(self, node: str) -> None:
-        """Start one node; returns at once."""
+        """Start one node, without waiting for its readiness.
+
+        :raises FleetError: if it is running.
+        """
         layout = self.layout.find(node)
         if self.running(node):
             raise FleetError(f"{node} runs already (process {layout.pid})")
@@ -59,20 +62,23 @@
         self.layout.save()
 
     def running(self, node: str) -> bool:
-        """Say whether the node's process exists (a frozen one does)."""
+        """Return whether the node's process exists (a frozen one does)."""
         layout = self.layout.find(node)
         process = self._processes.get(node)
         if process is not None:
             return process.poll() is None
-        return layout.pid > 0 and _is_ours(layout)
+        return layout.pid > 0 and _is_process_of(layout)
 
     def kill(self, node: str) -> None:
-        """End a node without warning (SIGKILL)."""
+        """Kill a node (SIGKILL).
+
+        :raises FleetError: if it isn't running.
+        """
         self._signal(node, signal.SIGKILL)
         self._reap(node, STOP_GRACE_S)
 
     def kill_all(self) -> None:
-        """End every node at once without warning, as a loss of power does."""
+        """Kill every node at once, as a power failure does."""
         running = [node.node for node in self.layout.nodes if self.running(node.node)]
         for node in running:
             self._signal_if_running(node, signal.SIGKILL)
@@ -80,15 +86,24 @@
             self._reap(node, STOP_GRACE_S)
 
     def freeze(self, node: str) -> None:
-        """Stop a node's process from running (SIGSTOP); its connections stay."""
+        """Suspend a node's process (SIGSTOP); its connections stay.
+
+        :raises FleetError: if it isn't running.
+        """
         self._signal(node, signal.SIGSTOP)
 
     def thaw(self, node: str) -> None:
-        """Let a frozen node go on (SIGCONT)."""
+        """Resume a frozen node (SIGCONT).
+
+        :raises FleetError: if it isn't running.
+        """
         self._signal(node, signal.SIGCONT)
 
     def stop(self, node: str, grace_s: float = STOP_GRACE_S) -> bool:
-        """Ask a node to stop (SIGTERM); kill it after ``grace_s``. ``True`` if it stopped by itself."""
+        """Stop a node (SIGTERM), and kill it after ``grace_s``. Return whether it stopped by itself.
+
+        :raises FleetError: if it isn't running.
+        """
         self._signal(node, signal.SIGTERM)
         if self._reap(node, grace_s):
             return True
@@ -105,7 +120,10 @@
         self.start(node)
 
     def wipe(self, node: str) -> None:
-        """Delete the data folder of a node that doesn't run: its machine came back empty."""
+        """Delete the data folder of a stopped node, as when its machine was replaced.
+
+        :raises FleetError: if it is running.
+        """
         layout = self.layout.find(node)
         if self.running(node):
             raise FleetError(f"{node} runs; stop or kill it before its data is wiped")
@@ -113,7 +131,7 @@
             shutil.rmtree(layout.data_folder, ignore_errors=True)
 
     def stop_all(self) -> None:
-        """End every node; frozen ones are thawed first so that they can stop."""
+        """Stop every node; resume frozen ones first so that they can stop."""
         running = [node.node for node in self.layout.nodes if self.running(node.node)]
         for node in running:
             self._signal_if_running(node, signal.SIGCONT)
@@ -148,12 +166,12 @@
         return True
 
 
-def _is_ours(layout: NodeLayout) -> bool:
+def _is_process_of(layout: NodeLayout) -> bool:
     """Check by its command line that the process id still belongs to this node.
 
-    A process that was just started has an empty one for a moment, while it becomes the new program.
+    A new process has an empty one until it executes its program.
     """
-    deadline = time.monotonic() + BECOMING_S
+    deadline = time.monotonic() + EXEC_TIMEOUT_S
     while True:
         try:
             command = Path(f"/proc/{layout.pid}/cmdline").read_bytes()
@@ -162,4 +180,4 @@
             return False
         if command or state == "Z" or time.monotonic() >= deadline:
             return layout.settings_file.encode() in command and state != "Z"
-        time.sleep(BECOMING_LOOK_S)
+        time.sleep(EXEC_POLL_S)
--- a/src/springmux/node/addresses.py
+++ b/src/springmux/node/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses of listeners and peers: an IP number and a port. Nothing is looked up in the DNS."""
+"""Addresses of listeners and peers: an IP address and a port, without DNS names."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 def check_address(value: str) -> str:
     """Return ``value`` if it is ``IP:port`` (IPv6 in brackets).
 
-    :raises ValueError: if the host is not an IP number or the port is not 1..65535.
+    :raises ValueError: if the host is not an IP address or the port is not 1..65535.
     """
-    import ipaddress  # some ms, and a running node rarely needs it
+    import ipaddress  # costs some ms at start, and a running node rarely needs it
 
     host, separator, port = value.rpartition(":")
     if not separator:
@@ -27,6 +27,6 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return host and port of a checked address."""
+    """Return host and port of an address that :func:`check_address` accepted."""
     host, _, port = address.rpartition(":")
     return host.removeprefix("[").removesuffix("]"), int(port)
--- a/src/springmux/node/client/request_runner.py
+++ b/src/springmux/node/client/request_runner.py
@@ -210,7 +210,7 @@
             correlation_id = self._claims.get(effect.claim_key, "")
             self._services.driver.settle_claim(correlation_id, effect.claim_key, effect.ran, effect.answer)
         elif isinstance(effect, LogLine):
-            self._services.log.note(effect)
+            self._services.log.write_line(effect)
         else:
             raise TypeError(f"no I/O for effect {type(effect).__name__}")
 
--- a/src/springmux/node/driver.py
+++ b/src/springmux/node/driver.py
@@ -221,7 +221,7 @@
             if self._transport is not None:
                 self._transport.send_to_address(effect.address, effect.message)
         elif isinstance(effect, LogLine):
-            self._log.note(effect)
+            self._log.write_line(effect)
         elif isinstance(effect, StorageEffect):
             self._store(effect)
         else:
--- a/src/springmux/node/service_rates.py
+++ b/src/springmux/node/service_rates.py
@@ -1,4 +1,4 @@
-"""Prompts a second of each service, measured at this node: the outlook's guess of a fleet's traffic."""
+"""Prompts per second of each service at this node: the basis of a rollout preview's traffic estimate."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import msgspec
 
 WINDOW_S = 30.0
-"""Long enough to smooth bursts of a few seconds, short enough to follow a morning's rise."""
+"""Long enough to smooth bursts of a few seconds, short enough to follow a daily rise."""
 
 
 class _Sample(msgspec.Struct, frozen=True):
@@ -16,7 +16,7 @@
 
 
 class ServiceRates:
-    """Counts dispatches and keeps samples of the counts over a sliding window."""
+    """Count dispatches, and sample the counts over a sliding window."""
 
     def __init__(self) -> None:
         self._counts: Counter[str] = Counter()
@@ -27,16 +27,16 @@
         self._counts[service] += 1
 
     def sample(self, now: float) -> None:
-        """Take a sample; call it about twice a second."""
+        """Sample the counts; to be called about twice a second."""
         self._samples.append(_Sample(now, dict(self._counts)))
         while self._samples[0].at < now - WINDOW_S:
             self._samples.popleft()
 
     def per_s(self, service: str, window_s: float = WINDOW_S) -> float:
-        """Return this node's dispatches a second over the last ``window_s``, 0 without samples."""
+        """Return this node's dispatches per second over the last ``window_s``, 0 without two samples."""
         if len(self._samples) < 2:
             return 0.0
         last = self._samples[-1]
         first = next(sample for sample in self._samples if sample.at >= last.at - window_s)
-        gained = last.counts.get(service, 0) - first.counts.get(service, 0)
-        return gained / (last.at - first.at) if last.at > first.at else 0.0
+        dispatched = last.counts.get(service, 0) - first.counts.get(service, 0)
+        return dispatched / (last.at - first.at) if last.at > first.at else 0.0
--- a/src/springmux/node/settings.py
+++ b/src/springmux/node/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one node: TOML file, environment ``SPRINGMUX_*`` and flags, in rising precedence."""
+"""Settings of one node: TOML file, environment ``SPRINGMUX_*`` and flags, in ascending precedence."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 from springmux.vocabulary.errors import FieldError, SettingsError
 
 NAME_PATTERN = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$"
-"""Names go into headers, metrics and log lines, so they stay plain."""
+"""Names appear in headers, metrics and log lines, which need no escaping with these characters."""
 
 
-def _split_list(value: Any) -> Any:
-    """Take ``a,b,c`` from the environment or a flag as a list."""
+def _split_list(value: object) -> object:
+    """Return ``a,b,c`` of the environment or a flag as a tuple, any other value unchanged."""
     if isinstance(value, str):
         return tuple(part.strip() for part in value.split(",") if part.strip())
     return value
@@ -37,7 +37,7 @@
 
 
 class NodeSettings(BaseSettings):
-    """Everything that a node process learns from outside. Sizes in bytes, times in seconds."""
+    """Settings of a node process. Sizes in bytes, times in seconds."""
 
     model_config = SettingsConfigDict(env_prefix="SPRINGMUX_", extra="forbid", frozen=True)
 
@@ -69,7 +69,7 @@
     stop_grace_s: float = Field(default=20.0, ge=0, le=3600, description="time for running streams")
 
     def agent_settings(self) -> AgentSettings:
-        """Return what the pure agent needs of the settings. A node's own address is no seed."""
+        """Return the settings of the agent. The node's own address is removed from the seeds."""
         seeds = tuple(Address(seed) for seed in self.seeds if seed != self.peer_address)
         return AgentSettings(
             node=NodeId(self.node),
@@ -111,9 +111,9 @@
 
 
 def load_settings(file: Path | None, flags: Mapping[str, Any]) -> NodeSettings:
-    """Merge the sources and check every field; flags that are ``None`` were not given.
+    """Merge the sources and validate every field; flags that are ``None`` were not given.
 
-    :raises SettingsError: naming every wrong field at once. Never holds a field's secret value.
+    :raises SettingsError: names every invalid field at once, and never holds a secret's value.
     """
     if file is not None:
         _check_file(file)
@@ -121,11 +121,11 @@
     try:
         return _loader(file)(**given)
     except ValidationError as error:
-        wrong = tuple(
+        invalid_fields = tuple(
             FieldError(".".join(str(part) for part in item["loc"]), _message(item["msg"]))
             for item in error.errors(include_input=False, include_url=False)
         )
-        raise SettingsError(wrong) from None
+        raise SettingsError(invalid_fields) from None
 
 
 def _message(text: str) -> str:
--- a/tests/unit/node/test_driver.py
+++ b/tests/unit/node/test_driver.py
@@ -294,13 +294,13 @@
 def test_notes_below_the_level_are_dropped() -> None:
     lines = io.StringIO()
     log = EventLog("n1", level="warning", output=lines)
-    log.note(LogLine(name="quiet"))
+    log.write_line(LogLine(name="quiet"))
     assert lines.getvalue() == ""
 
 
 def test_a_note_about_another_node_keeps_both_names() -> None:
     lines = io.StringIO()
-    EventLog("n1", output=lines).note(LogLine(name="membership_status", fields={"node": "n2"}))
+    EventLog("n1", output=lines).write_line(LogLine(name="membership_status", fields={"node": "n2"}))
     line = json.loads(lines.getvalue())
     assert (line["event"], line["node"], line["about_node"]) == ("membership_status", "n1", "n2")
 
--- a/tests/unit/node/test_logs.py
+++ b/tests/unit/node/test_logs.py
@@ -30,7 +30,7 @@
 
 def test_the_name_of_an_event_and_its_level_stay_the_lines_own() -> None:
     log, output = written()
-    log.note(LogLine("moved", fields={"node": "n2", "event": "x", "name": "y", "level": "z"}))
+    log.write_line(LogLine("moved", fields={"node": "n2", "event": "x", "name": "y", "level": "z"}))
     line = json.loads(output.getvalue())
     assert (line["node"], line["event"], line["level"]) == ("n1", "moved", "info")
     assert [line[f"about_{name}"] for name in ("node", "event", "name", "level")] == ["n2", "x", "y", "z"]
@@ -41,7 +41,7 @@
     log, output = written(threshold.value)
     for level in LogLevel:
         log.write("by_write", level)
-        log.note(LogLine("by_note", level))
+        log.write_line(LogLine("by_note", level))
     levels = [json.loads(line)["level"] for line in output.getvalue().splitlines()]
     order = list(LogLevel)
     assert levels == [level for level in order[order.index(threshold) :] for _ in range(2)]
@@ -51,7 +51,7 @@
 def test_secrets_are_blanked_and_a_crash_carries_its_traceback(line_format: str) -> None:
     log, output = written(line_format=line_format)
     log.write("careless", **dict.fromkeys(FORBIDDEN_FIELDS, "hidden"))
-    log.note(LogLine("careless", fields=dict.fromkeys(FORBIDDEN_FIELDS, "hidden")))
+    log.write_line(LogLine("careless", fields=dict.fromkeys(FORBIDDEN_FIELDS, "hidden")))
     try:
         raise LookupError("broken")
     except LookupError as error:
@@ -78,5 +78,5 @@
 
     log = EventLog("n1", output=Full())
     log.write("lost")
-    log.note(LogLine("lost"))
+    log.write_line(LogLine("lost"))
     log.crash("lost", ValueError())
