--- a/src/springmux/fleet/__init__.py
+++ b/src/springmux/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Developer tool that runs a whole fleet as processes on loopback. The only package that starts processes."""
+"""Developer tool that runs a fleet as processes on loopback. The only package that starts processes."""
--- a/src/springmux/node/admin/__init__.py
+++ b/src/springmux/node/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The admin listener: endpoints for operators and back ends, orders and their answers."""
+"""The admin listener: endpoints for operators and engines, orders and their results."""
--- a/src/springmux/node/peer/channel.py
+++ b/src/springmux/node/peer/channel.py
@@ -118,7 +118,7 @@
         self._progress_at = 0.0
         """When data was last written to, or accepted by, the other side (event loop time)."""
         self.node = ""
-        """Node that answered last at this address, empty before the first answer."""
+        """Node that last completed a handshake at this address, empty before the first."""
 
     @property
     def active(self) -> bool:
--- a/src/springmux/node/peer/link.py
+++ b/src/springmux/node/peer/link.py
@@ -22,8 +22,8 @@
 """Several round trips between regions. The other machine may be starting, as all do after a power failure:
 packets that reached it too early were lost."""
 CONNECT_TIMEOUT_S = 0.5
-"""Even a busy machine's kernel answers within this time. A later answer was lost, and TCP itself retries only
-after 1 s (RFC 6298): a new attempt detects the end of a partition sooner."""
+"""Even a busy machine's kernel responds within this time. A later response is taken as lost, and TCP itself
+retries only after 1 s (RFC 6298): a new attempt detects the end of a partition sooner."""
 
 
 class PeerLink:
--- a/src/springmux/node/storage/worker.py
+++ b/src/springmux/node/storage/worker.py
@@ -146,7 +146,7 @@
         except DiskFullError as error:
             return PersistFailed(batch=effect.batch, full=True, reason=str(error))
         except Exception as error:  # whatever it was, the batch is not known to be durable
-            return PersistFailed(batch=effect.batch, full=False, reason=f"{type(error).__name__}: {error}")
+            return PersistFailed(batch=effect.batch, full=False, reason=_describe(error))
         return Persisted(batch=effect.batch)
 
     def _persist_claims(self, effect: PersistClaims) -> Event:
@@ -157,22 +157,21 @@
         except DiskFullError as error:
             return ClaimsPersistFailed(batch=effect.batch, full=True, reason=str(error))
         except Exception as error:  # whatever it was, the batch is not known to be durable
-            reason = f"{type(error).__name__}: {error}"
-            return ClaimsPersistFailed(batch=effect.batch, full=False, reason=reason)
+            return ClaimsPersistFailed(batch=effect.batch, full=False, reason=_describe(error))
         return ClaimsPersisted(batch=effect.batch)
 
     def _take_snapshot(self, effect: WriteSnapshot) -> Event:
         try:
             meta = self._store.take_snapshot(effect.meta, effect.data)
         except Exception as error:  # whatever it was, the snapshot is not known to be durable
-            return SnapshotFailed(index=effect.meta.index, reason=f"{type(error).__name__}: {error}")
+            return SnapshotFailed(index=effect.meta.index, reason=_describe(error))
         return SnapshotTaken(meta=meta, data=effect.data)
 
     def _install_snapshot(self, effect: InstallSnapshot) -> Event:
         try:
             self._store.install_snapshot(effect.meta, effect.data)
         except Exception as error:  # whatever it was, the snapshot is not known to be durable
-            return SnapshotFailed(index=effect.meta.index, reason=f"{type(error).__name__}: {error}")
+            return SnapshotFailed(index=effect.meta.index, reason=_describe(error))
         return SnapshotInstalled(meta=effect.meta)
 
     def _remember(self, effect: RememberPeers) -> None:
@@ -191,3 +190,7 @@
             # really fails shows at the next batch.
             self._metrics.count("storage_failures_total", "compaction")
         return None
+
+
+def _describe(error: Exception) -> str:
+    return f"{type(error).__name__}: {error}"
--- a/tests/unit/node/test_samples.py
+++ b/tests/unit/node/admin/test_rollout_history.py
@@ -1,9 +1,8 @@
-"""Samples in memory: rollouts over time, prompts a second."""
+"""The history of rollouts: a bounded series of samples."""
 
 import msgspec
 
 from springmux.node.admin.rollout_history import MAX_SAMPLES, RolloutHistory
-from springmux.node.service_rates import WINDOW_S, ServiceRates
 from springmux.rollout.planning.plan import RolloutPhase
 from springmux.rollout.status import EvidenceSummary, RolloutStatus
 from springmux.vocabulary.names import RolloutId, ServiceName, VersionName
@@ -38,14 +37,3 @@
     assert len(samples) == MAX_SAMPLES
     assert [sample.status["phase"] for sample in samples[-2:]] == ["canary", "done"]
     assert history.of("none").samples == ()
-
-
-def test_rates_follow_the_window() -> None:
-    rates = ServiceRates()
-    for second in range(200):
-        rates.sample(float(second))
-        for _ in range(10 if second >= 100 else 1):
-            rates.dispatched("text")
-    assert 9.9 < rates.per_s("text") < 10.1
-    assert rates.per_s("none") == 0.0
-    assert WINDOW_S < 100
--- a/tests/unit/node/test_metrics.py
+++ b/tests/unit/node/metrics/test_registry.py
@@ -15,7 +15,7 @@
 
 
 def library_of_the_table() -> tuple[prometheus_client.CollectorRegistry, dict[str, object]]:
-    """The library's own instruments for every metric of the table."""
+    """Return the library's own instruments for every metric of the table."""
     prometheus_client.disable_created_metrics()
     registry = prometheus_client.CollectorRegistry()
     made: dict[str, object] = {}
--- a/tests/unit/node/test_peer_transport.py
+++ b/tests/unit/node/peer/test_transport.py
@@ -334,7 +334,7 @@
 
 
 async def silent_server() -> tuple[asyncio.Server, str]:
-    """A listener that accepts and never says or reads anything."""
+    """Accept connections, and never read or write."""
     loop = asyncio.get_running_loop()
     server = await loop.create_server(asyncio.Protocol, "127.0.0.1", 0)
     return server, f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
