--- a/src/springmux/node/gateway/attempt.py
+++ b/src/springmux/node/gateway/attempt.py
@@ -5,7 +5,6 @@
 import asyncio
 import contextlib
 from collections.abc import Callable
-from typing import TYPE_CHECKING
 
 import msgspec
 
@@ -16,6 +15,7 @@
 from springmux.gateway.placement import ExchangeOutcome
 from springmux.gateway.versions import VersionSelection
 from springmux.node.gateway.evidence import AttemptEvidence
+from springmux.node.gateway.forwarded_request import ForwardedRequest
 from springmux.node.gateway.silence_watch import SilenceWatch
 from springmux.node.http.types import (
     EngineExchange,
@@ -26,9 +26,6 @@
 from springmux.rollout.outcome import Ending
 from springmux.vocabulary.engines import EngineRecord
 
-if TYPE_CHECKING:
-    from springmux.node.gateway.forwarding import ForwardedRequest
-
 CONNECT_TIMEOUT_S = 0.4
 """Several round trips within a region; less than the second after which a lost opening packet is resent."""
 DECLINE_BODY_S = 0.05
@@ -74,7 +71,7 @@
         self._services = request.services
         self._loop = asyncio.get_running_loop()
         self._placement = request.services.core.placement
-        self._ticket = self._placement.began(record, request.facts, self._loop.time())
+        self._ticket = self._placement.began(record, request.prompt, self._loop.time())
         self._evidence = AttemptEvidence(request, record, self._ticket.expected_tokens, self._loop.time())
         self._outcome = ExchangeOutcome.ABANDONED
         self._ending: Ending | None = Ending.CALLER_GONE
--- /dev/null
+++ b/src/springmux/node/gateway/attempt_loop.py
@@ -0,0 +1,86 @@
+"""Attempts of one forwarded request at engine after engine, until the client has a response."""
+
+from __future__ import annotations
+
+import asyncio
+
+from springmux.gateway import refusal_responses
+from springmux.gateway.attempts import AttemptEnd
+from springmux.gateway.refusal_responses import Refusal
+from springmux.gateway.versions import VersionSelection
+from springmux.node.gateway.attempt import Attempt, AttemptResult
+from springmux.node.gateway.backend_choice import choose_service, prefix_key
+from springmux.node.gateway.forwarded_request import ForwardedRequest
+from springmux.vocabulary.engines import EngineRecord
+
+
+async def run_attempts(request: ForwardedRequest) -> Refusal | None:
+    """Try engines until the client has a response; return the refusal to send if none gave one."""
+    services, route, prompt = request.services, request.route, request.prompt
+    core = services.core
+    loop = asyncio.get_running_loop()
+    core.retry_budget.note_request(loop.time())
+    service = choose_service(route, prompt, services.randomness)
+    services.rates.dispatched(service)
+    await services.start_hold.until_true(lambda: core.placement.knows_engines(service))
+    now = loop.time()
+    key = prefix_key(prompt, services.randomness)
+    selection = VersionSelection(core.chooser, service, route.name, key, now, route.repeatable)
+    try:
+        return await _try_engines(request, selection, loop)
+    finally:
+        selection.give_back(loop.time())
+
+
+async def _try_engines(
+    request: ForwardedRequest, selection: VersionSelection, loop: asyncio.AbstractEventLoop
+) -> Refusal | None:
+    core = request.services.core
+    last: AttemptResult | None = None
+    while True:
+        record = selection.next_engine(core.placement, request.prompt, loop.time())
+        if record is None:
+            return _final_refusal(request, last, refusal_responses.NO_ENGINE)
+        if last is not None:
+            _count_retry(request, last)
+        last = await _attempt(request, selection, record)
+        if last.end is None:
+            return None
+        if request.exchange.begun and (request.events is None or not request.events.events):
+            return refusal_responses.FAILED
+        if not request.rules.may_try_again(last.end, loop.time()):
+            return _final_refusal(request, last, refusal_responses.ALL_FULL)
+
+
+def _count_retry(request: ForwardedRequest, last: AttemptResult) -> None:
+    if last.end is AttemptEnd.UNSENT:
+        return
+    counters = request.services.core.counters
+    counters.retries += 1
+    if request.exchange.begun and last.end is AttemptEnd.MAY_HAVE_RUN:
+        counters.resumed += 1
+
+
+async def _attempt(
+    request: ForwardedRequest, selection: VersionSelection, record: EngineRecord
+) -> AttemptResult:
+    request.services.core.counters.dispatches += 1
+    request.trace.attempt(record.engine)
+    result = await Attempt(request, record, selection).run()
+    if result.end is AttemptEnd.UNSENT:
+        selection.not_sent(record)
+    if result.end in (AttemptEnd.UNSENT, AttemptEnd.DECLINED):
+        request.in_doubt = False
+    return result
+
+
+def _final_refusal(
+    request: ForwardedRequest, last: AttemptResult | None, not_executed: Refusal
+) -> Refusal | None:
+    """Forward the engine's own error response, or return a refusal that promises no more than is certain."""
+    if request.exchange.begun:
+        return refusal_responses.FAILED
+    if last is not None and last.pass_on is not None:
+        last.pass_on()
+        return None
+    return refusal_responses.FAILED if request.rules.may_have_run else not_executed
--- a/src/springmux/node/gateway/evidence.py
+++ b/src/springmux/node/gateway/evidence.py
@@ -3,14 +3,11 @@
 from __future__ import annotations
 
 import asyncio
-from typing import TYPE_CHECKING
 
+from springmux.node.gateway.forwarded_request import ForwardedRequest
 from springmux.rollout.outcome import Ending, FirstTokenWatch, PromptOutcome
 from springmux.vocabulary.engines import EngineRecord
 
-if TYPE_CHECKING:
-    from springmux.node.gateway.forwarding import ForwardedRequest
-
 BYTES_PER_TOKEN = 4
 """The judge compares prompts of like length in bytes; callers of the gateway state tokens."""
 
@@ -52,8 +49,8 @@
         self._judged = rollout is not None
         if rollout is None:
             return
-        if request.facts.prompt_tokens > 0:
-            self._expected_hit = max(0.0, 1.0 - unread_tokens / request.facts.prompt_tokens)
+        if request.prompt.prompt_tokens > 0:
+            self._expected_hit = max(0.0, 1.0 - unread_tokens / request.prompt.prompt_tokens)
         if record.version == rollout.record.candidate:
             self._begin_watch()
 
@@ -116,4 +113,4 @@
             self._timer = None
 
     def _prompt_bytes(self) -> int:
-        return self._request.facts.prompt_tokens * BYTES_PER_TOKEN
+        return self._request.prompt.prompt_tokens * BYTES_PER_TOKEN
--- a/src/springmux/node/gateway/forwarder.py
+++ b/src/springmux/node/gateway/forwarder.py
@@ -3,25 +3,19 @@
 from __future__ import annotations
 
 import asyncio
-import random
-from dataclasses import dataclass, field
 
 import msgspec
 
 from springmux.gateway import refusal_responses
-from springmux.gateway.core import GatewayCore
 from springmux.gateway.prompt_headers import parse_prompt_metadata, quota_tokens
 from springmux.gateway.refusal_responses import Refusal
 from springmux.gateway.refusals import RefusalReason
 from springmux.gateway.request_trace import RequestOutcome, RequestTrace
 from springmux.gateway.routing import Admitted, KeyRejectedError, RouteNotFoundError
-from springmux.node.gateway.forwarding import ForwardedRequest
-from springmux.node.gateway.headers import HeaderRules
-from springmux.node.gateway.refusal_log import RefusalLog
-from springmux.node.gateway.request_log import RequestLog
-from springmux.node.gateway.start_hold import StartHold, no_hold
-from springmux.node.http.types import BodyTooLargeError, ClientDisconnectedError, EngineClient, ServerExchange
-from springmux.node.service_rates import ServiceRates
+from springmux.node.gateway.attempt_loop import run_attempts
+from springmux.node.gateway.forwarded_request import ForwardedRequest
+from springmux.node.gateway.services import ForwarderServices
+from springmux.node.http.types import BodyTooLargeError, ClientDisconnectedError, ServerExchange
 
 DEADLINE_MARGIN_S = 0.1
 """The engine is told the deadline too and answers for itself; the gateway's own answer comes just after."""
@@ -32,20 +26,6 @@
     message: str
 
 
-@dataclass(slots=True)
-class ForwarderServices:
-    """What the handling of requests needs of the node."""
-
-    core: GatewayCore
-    client: EngineClient
-    headers: HeaderRules
-    randomness: random.Random
-    rates: ServiceRates
-    refusals: RefusalLog
-    start_hold: StartHold = field(default_factory=no_hold)
-    request_log: RequestLog | None = None
-
-
 class Forwarder:
     """The front listener's handler."""
 
@@ -144,17 +124,17 @@
     ) -> None:
         names = self._headers.names
         head = exchange.head
-        facts = parse_prompt_metadata(head.header(names.prompt_prefix), head.header(names.token_usage))
-        trace.prompt_tokens = facts.prompt_tokens
+        prompt = parse_prompt_metadata(head.header(names.prompt_prefix), head.header(names.token_usage))
+        trace.prompt_tokens = prompt.prompt_tokens
         if asyncio.get_running_loop().time() >= deadline:
             self._refuse(exchange, refusal_responses.TOO_LATE_UNSENT, trace)
             return
-        request = ForwardedRequest(self._services, exchange, admitted, facts, body, deadline, trace)
+        request = ForwardedRequest(self._services, exchange, admitted, prompt, body, deadline, trace)
         try:
             async with asyncio.timeout_at(deadline + DEADLINE_MARGIN_S):
-                refusal = await request.run()
+                refusal = await run_attempts(request)
         except TimeoutError:
-            refusal = request.too_late()
+            refusal = request.timeout_refusal()
         trace.answered()
         if refusal is not None:
             tenant = admitted.tenant
--- a/src/springmux/node/gateway/process.py
+++ b/src/springmux/node/gateway/process.py
@@ -18,10 +18,11 @@
 from springmux.node.addresses import split_address
 from springmux.node.driver import AgentDriver
 from springmux.node.gateway.control_interface import ControlInterface, ReadyBody, ready_handler
-from springmux.node.gateway.forwarder import Forwarder, ForwarderServices
+from springmux.node.gateway.forwarder import Forwarder
 from springmux.node.gateway.headers import HeaderRules
 from springmux.node.gateway.refusal_log import RefusalLog, counter_values
 from springmux.node.gateway.request_log import RequestLog
+from springmux.node.gateway.services import ForwarderServices
 from springmux.node.gateway.settings import GatewaySettings, load_gateway_settings
 from springmux.node.gateway.start_hold import HOLD_S, StartHold
 from springmux.node.http.client import PooledEngineClient
--- /dev/null
+++ b/src/springmux/node/gateway/services.py
@@ -0,0 +1,28 @@
+"""What the handling of forwarded requests needs of the node."""
+
+from __future__ import annotations
+
+import random
+from dataclasses import dataclass, field
+
+from springmux.gateway.core import GatewayCore
+from springmux.node.gateway.headers import HeaderRules
+from springmux.node.gateway.refusal_log import RefusalLog
+from springmux.node.gateway.request_log import RequestLog
+from springmux.node.gateway.start_hold import StartHold, no_hold
+from springmux.node.http.types import EngineClient
+from springmux.node.service_rates import ServiceRates
+
+
+@dataclass(slots=True)
+class ForwarderServices:
+    """What the handling of requests needs of the node."""
+
+    core: GatewayCore
+    client: EngineClient
+    headers: HeaderRules
+    randomness: random.Random
+    rates: ServiceRates
+    refusals: RefusalLog
+    start_hold: StartHold = field(default_factory=no_hold)
+    request_log: RequestLog | None = None
--- a/tests/unit/bad_days/test_answers_late_lost_crossed.py
+++ b/tests/unit/bad_days/test_answers_late_lost_crossed.py
@@ -13,9 +13,9 @@
 from springmux.gateway.attempts import AttemptRules
 from springmux.gateway.core import GatewayCore
 from springmux.gateway.event_stream import EventStream
-from springmux.node.gateway import forwarder
+from springmux.node.gateway import attempt_loop, forwarder
 from springmux.node.gateway.attempt import Attempt
-from springmux.node.gateway.forwarding import ForwardedRequest
+from springmux.node.gateway.forwarded_request import ForwardedRequest
 from springmux.node.gateway.headers import HeaderRules
 from springmux.node.http.types import RequestHead
 from tests.unit.bad_days import gateway_rules as rules
@@ -92,7 +92,7 @@
 
 
 def test_the_checker_sees_a_lost_answer_called_a_refusal(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ForwardedRequest, "_give_up", lambda request, last, unrun: unrun)
+    monkeypatch.setattr(attempt_loop, "_final_refusal", lambda request, last, not_executed: not_executed)
     assert rules.run_though_refused(bad_answers(LOSING, UNSAFE)) != []
 
 
@@ -103,7 +103,9 @@
 
 
 def test_the_checker_sees_a_late_answer_called_a_refusal(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ForwardedRequest, "too_late", lambda request: refusal_responses.TOO_LATE_UNSENT)
+    monkeypatch.setattr(
+        ForwardedRequest, "timeout_refusal", lambda request: refusal_responses.TOO_LATE_UNSENT
+    )
     assert rules.run_though_refused(bad_answers(LATE, UNSAFE)) != []
 
 
--- a/tests/unit/node_gateway/stand_ins.py
+++ b/tests/unit/node_gateway/stand_ins.py
@@ -24,9 +24,10 @@
 from springmux.coordination.usage.usage_exchange import UsageExchange
 from springmux.gateway.core import GatewayCore
 from springmux.gateway.dialect import OWN_HEADERS
-from springmux.node.gateway.forwarder import Forwarder, ForwarderServices
+from springmux.node.gateway.forwarder import Forwarder
 from springmux.node.gateway.headers import HeaderRules
 from springmux.node.gateway.refusal_log import RefusalLog
+from springmux.node.gateway.services import ForwarderServices
 from springmux.node.http.types import BodyTooLargeError, ClientDisconnectedError, Header, RequestHead
 from springmux.node.logs import EventLog
 from springmux.node.service_rates import ServiceRates
