--- a/src/springmux/node/gateway/attempt.py
+++ b/src/springmux/node/gateway/attempt.py
@@ -1,68 +1,50 @@
-"""One attempt of a forwarded request at one engine: send, judge the answer, pass it on."""
+"""One attempt of a forwarded request at one engine: send it, check the response, and forward that."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
-from collections.abc import Callable
-
-import msgspec
 
 from springmux.control.gateway_configuration import GatewayRouteKind
 from springmux.gateway.attempt_timeouts import AttemptTimeouts
 from springmux.gateway.attempts import AttemptEnd
+from springmux.gateway.engine_health import ExchangeOutcome
 from springmux.gateway.event_stream import MalformedStreamError
-from springmux.gateway.placement import ExchangeOutcome
 from springmux.gateway.versions import VersionSelection
+from springmux.node.gateway.attempt_result import (
+    ENDINGS,
+    OUTCOMES,
+    REUSABLE_OUTCOMES,
+    UNSENT_FAILURES,
+    AttemptResult,
+)
 from springmux.node.gateway.evidence import AttemptEvidence
 from springmux.node.gateway.forwarded_request import ForwardedRequest
-from springmux.node.gateway.silence_watch import SilenceWatch
+from springmux.node.gateway.response_watchdog import ResponseWatchdog
 from springmux.node.http.types import (
     EngineExchange,
     ExchangeFailedError,
     FailureKind,
+    RequestHead,
     ResponseHead,
 )
 from springmux.rollout.outcome import Ending
 from springmux.vocabulary.engines import EngineRecord
 
 CONNECT_TIMEOUT_S = 0.4
-"""Several round trips within a region; less than the second after which a lost opening packet is resent."""
-DECLINE_BODY_S = 0.05
+"""Several round trips within a region; less than the second after which a lost SYN is sent again."""
+DECLINE_BODY_TIMEOUT_S = 0.05
 """Longer than a short body needs; a new connection costs less than the wait."""
-PROMISES = frozenset({408, 421, 429, 503})
-"""Statuses that tell a caller that its request has not run and never will."""
-EVENT_ENDS = (b"\n\n", b"\r\n\r\n")
-WHOLE_ANSWER_BYTES = 1 << 20
-"""Up to this size an answer that is no stream is read whole before the caller gets any of it."""
-
-_OUTCOMES = {
-    FailureKind.CONNECT: ExchangeOutcome.CONNECT_FAILED,
-    FailureKind.NOT_SENT: ExchangeOutcome.CONNECT_FAILED,
-    FailureKind.RESET: ExchangeOutcome.RESET,
-    FailureKind.SILENT: ExchangeOutcome.SILENT,
-    FailureKind.MALFORMED: ExchangeOutcome.MALFORMED,
-    FailureKind.CUT_SHORT: ExchangeOutcome.TRUNCATED,
-}
-_ENDINGS = {
-    FailureKind.MALFORMED: Ending.BROKEN,
-    FailureKind.CUT_SHORT: Ending.BROKEN,
-}
-_UNSENT = frozenset({FailureKind.CONNECT, FailureKind.NOT_SENT})
-
-
-class AttemptResult(msgspec.Struct):
-    """How an attempt ended. ``end`` is ``None`` once the caller has an answer.
-
-    ``pass_on``: gives the caller the engine's own failure, if no other engine is tried.
-    """
-
-    end: AttemptEnd | None
-    pass_on: Callable[[], None] | None = None
+NOT_EXECUTED_STATUSES = frozenset({408, 421, 429, 503})
+"""Statuses that promise the client that its request has not been executed and never will be."""
+EVENT_TERMINATORS = (b"\n\n", b"\r\n\r\n")
+"""A blank line ends an event of a stream (HTML standard, server-sent events)."""
+MAX_BUFFERED_RESPONSE_BYTES = 1 << 20
+"""A response that is no stream is read completely up to this size before the client gets any of it."""
 
 
 class Attempt:
-    """Sends the request once."""
+    """Send the request once, and report the outcome to placement and to the rollout's judge."""
 
     def __init__(self, request: ForwardedRequest, record: EngineRecord, selection: VersionSelection) -> None:
         self._request = request
@@ -71,15 +53,15 @@
         self._services = request.services
         self._loop = asyncio.get_running_loop()
         self._placement = request.services.core.placement
-        self._ticket = self._placement.began(record, request.prompt, self._loop.time())
-        self._evidence = AttemptEvidence(request, record, self._ticket.expected_tokens, self._loop.time())
+        self._dispatch = self._placement.began(record, request.prompt, self._loop.time())
+        self._evidence = AttemptEvidence(request, record, self._dispatch.expected_tokens, self._loop.time())
         self._outcome = ExchangeOutcome.ABANDONED
         self._ending: Ending | None = Ending.CALLER_GONE
         self._upstream: EngineExchange | None = None
-        self._watch: SilenceWatch | None = None
+        self._watchdog: ResponseWatchdog | None = None
 
     async def run(self) -> AttemptResult:
-        """Carry the attempt out. Whatever happens, the engine's place is given back and its answer judged."""
+        """Run the attempt. However it ends, the dispatch is ended and its outcome reported."""
         try:
             return await self._run()
         except ExchangeFailedError as failure:
@@ -88,114 +70,117 @@
             return self._failed(FailureKind.MALFORMED)
         except asyncio.CancelledError:
             task = asyncio.current_task()
-            expired = self._watch is not None and self._watch.expired
+            expired = self._watchdog is not None and self._watchdog.expired
             if not expired or (task is not None and task.uncancel() > 0):
-                self._note_late()
+                self._record_cancellation()
                 raise
-            return self._gave_up()
+            return self._timed_out()
         finally:
-            self._settle()
+            self._finish()
 
     async def _run(self) -> AttemptResult:
         request = self._request
-        now = self._loop.time()
+        upstream = await self._services.client.send(
+            self._record.address, self._request_head(), request.body, CONNECT_TIMEOUT_S, self._is_own_response
+        )
+        self._upstream = upstream
+        self._watchdog = self._start_watchdog()
+        self._selection.sent(self._record)
+        request.in_doubt = True
+        head = await upstream.head()
+        request.trace.status = head.status
+        if self._services.headers.declined(head):
+            return await self._declined(upstream, head)
+        self._check_head(head)
+        if 200 <= head.status < 300 and request.route.kind is GatewayRouteKind.STREAM:
+            return await self._relay_stream(upstream, head)
+        return await self._relay_response(upstream, head)
+
+    def _request_head(self) -> RequestHead:
+        request = self._request
         events = request.events
         resumed_from = events.last_event_id if events is not None and events.events else None
-        head = self._services.headers.request_for(
+        return self._services.headers.request_for(
             request.exchange.head,
             self._record,
             request.tenant.name if request.tenant is not None else None,
             request.priority,
-            request.deadline - now,
+            request.deadline - self._loop.time(),
             resumed_from,
         )
-        upstream = await self._services.client.send(
-            self._record.address, head, request.body, CONNECT_TIMEOUT_S, self._is_ours
-        )
-        self._upstream = upstream
-        self._watch = self._make_watch()
-        self._selection.sent(self._record)
-        request.in_doubt = True
-        answer = await upstream.head()
-        request.trace.status = answer.status
-        if self._services.headers.declined(answer):
-            return await self._declined(upstream, answer)
-        self._check_head(answer)
-        if 200 <= answer.status < 300 and request.route.kind is GatewayRouteKind.STREAM:
-            return await self._relay_stream(upstream, answer)
-        return await self._relay_whole(upstream, answer)
 
-    def _is_ours(self, answer: ResponseHead) -> bool:
-        """Say whether an answer echoes this request's id. An engine may decline without naming it."""
+    def _is_own_response(self, head: ResponseHead) -> bool:
+        """Return whether a response echoes this request's id. An engine may decline without naming it."""
         name = self._services.headers.names.request_id
-        echoed = answer.header(name)
+        echoed = head.header(name)
         if echoed is None:
-            return self._services.headers.declined(answer)
+            return self._services.headers.declined(head)
         return echoed == self._request.exchange.head.header(name)
 
-    def _check_head(self, answer: ResponseHead) -> None:
-        """Refuse an answer that the caller must not get.
+    def _check_head(self, head: ResponseHead) -> None:
+        """Reject a response that the client must not get.
 
-        :raises ExchangeFailedError: it is a success that no engine signed, or its status would
-            tell the client of a request that may not be repeated that it has not run.
+        :raises ExchangeFailedError: it is a success without the engine's seal, or its status would promise
+            the client of a request that may not be repeated that it has not been executed.
         """
-        if 200 <= answer.status < 300 and answer.header(self._services.headers.names.seal) is None:
+        if 200 <= head.status < 300 and head.header(self._services.headers.names.seal) is None:
             raise ExchangeFailedError(FailureKind.MALFORMED, "a success without a seal")
-        if not self._request.route.repeatable and answer.status in PROMISES:
+        if not self._request.route.repeatable and head.status in NOT_EXECUTED_STATUSES:
             raise ExchangeFailedError(FailureKind.MALFORMED, "a promise without the engine's word")
 
-    async def _declined(self, upstream: EngineExchange, answer: ResponseHead) -> AttemptResult:
-        """Take the engine's word; its body is read only so that the connection can be kept."""
+    async def _declined(self, upstream: EngineExchange, head: ResponseHead) -> AttemptResult:
+        """End a declined attempt; the body is read only so that the connection can be reused."""
         with contextlib.suppress(ExchangeFailedError, TimeoutError):
-            async with asyncio.timeout(DECLINE_BODY_S):
-                await self._drain(upstream)
-        stale = answer.status == 421
-        self._outcome = ExchangeOutcome.MISDIRECTED if stale else ExchangeOutcome.DECLINED_FULL
+            async with asyncio.timeout(DECLINE_BODY_TIMEOUT_S):
+                await self._discard_body(upstream)
+        misdirected = head.status == 421
+        self._outcome = ExchangeOutcome.MISDIRECTED if misdirected else ExchangeOutcome.DECLINED_FULL
         self._ending = None
         return AttemptResult(AttemptEnd.DECLINED)
 
-    async def _drain(self, upstream: EngineExchange) -> None:
+    async def _discard_body(self, upstream: EngineExchange) -> None:
         while await upstream.read():
             pass
 
-    async def _relay_whole(self, upstream: EngineExchange, answer: ResponseHead) -> AttemptResult:
+    async def _relay_response(self, upstream: EngineExchange, head: ResponseHead) -> AttemptResult:
+        """Forward a response that is no stream, once it is complete unless it is large."""
         exchange = self._request.exchange
-        if exchange.begun:  # a stream that another engine was to go on with
+        if exchange.begun:  # a stream that this engine was to resume
             self._outcome, self._ending = ExchangeOutcome.ERROR_STATUS, Ending.ERROR_STATUS
             return AttemptResult(AttemptEnd.MAY_HAVE_RUN)
-        headers = self._services.headers.answer_headers(answer)
-        parts: list[bytes] = []
-        size = 0
+        headers = self._services.headers.response_headers(head)
+        chunks: list[bytes] = []
+        size_bytes = 0
         while data := await upstream.read():
-            self._note_event()
-            parts.append(data)
-            size += len(data)
-            if size > WHOLE_ANSWER_BYTES:
-                return await self._relay_large(upstream, answer, b"".join(parts))
-        self._judge_status(answer.status)
-        if answer.status >= 500:
+            self._record_event()
+            chunks.append(data)
+            size_bytes += len(data)
+            if size_bytes > MAX_BUFFERED_RESPONSE_BYTES:
+                return await self._relay_large(upstream, head, b"".join(chunks))
+        self._judge_status(head.status)
+        if head.status >= 500:
             return AttemptResult(
-                AttemptEnd.ERROR_RESPONSE, lambda: exchange.respond(answer.status, headers, b"".join(parts))
+                AttemptEnd.ERROR_RESPONSE, lambda: exchange.respond(head.status, headers, b"".join(chunks))
             )
-        exchange.respond(answer.status, headers, b"".join(parts))
+        exchange.respond(head.status, headers, b"".join(chunks))
         return AttemptResult(None)
 
     async def _relay_large(
-        self, upstream: EngineExchange, answer: ResponseHead, first: bytes
+        self, upstream: EngineExchange, head: ResponseHead, buffered: bytes
     ) -> AttemptResult:
         exchange = self._request.exchange
-        if self._watch is not None:
-            self._watch.stop()
-        exchange.begin(answer.status, self._services.headers.answer_headers(answer), answer.length)
-        await exchange.write(first)
+        if self._watchdog is not None:
+            self._watchdog.stop()
+        exchange.begin(head.status, self._services.headers.response_headers(head), head.length)
+        await exchange.write(buffered)
         while data := await upstream.read():
             await exchange.write(data)
         exchange.end()
-        self._judge_status(answer.status)
+        self._judge_status(head.status)
         return AttemptResult(None)
 
-    async def _relay_stream(self, upstream: EngineExchange, answer: ResponseHead) -> AttemptResult:
-        """Pass a stream on as it comes. Its head waits for the first event: until then all can be undone."""
+    async def _relay_stream(self, upstream: EngineExchange, head: ResponseHead) -> AttemptResult:
+        """Forward a stream as it arrives. Nothing is sent before its first event, so it may be retried."""
         exchange, events = self._request.exchange, self._request.events
         tail = b""
         while data := await upstream.read():
@@ -204,32 +189,32 @@
                 data = events.feed(data)
                 if not data:
                     continue
-            self._note_event()
+            self._record_event()
             if not exchange.begun:
-                exchange.begin(answer.status, self._services.headers.answer_headers(answer), None)
-            if self._watch is not None:
-                self._watch.stop()
+                exchange.begin(head.status, self._services.headers.response_headers(head), None)
+            if self._watchdog is not None:
+                self._watchdog.stop()
             await exchange.write(data)
-            if self._watch is not None:
-                self._watch.resume()
-        whole = events.at_event_end if events is not None else not tail or tail.endswith(EVENT_ENDS)
-        if not whole:
+            if self._watchdog is not None:
+                self._watchdog.resume()
+        complete = events.at_event_end if events is not None else not tail or tail.endswith(EVENT_TERMINATORS)
+        if not complete:
             return self._failed(FailureKind.CUT_SHORT)
         if not exchange.begun:
-            exchange.begin(answer.status, self._services.headers.answer_headers(answer), None)
+            exchange.begin(head.status, self._services.headers.response_headers(head), None)
         exchange.end()
         self._outcome, self._ending = ExchangeOutcome.OK, Ending.WHOLE
         return AttemptResult(None)
 
-    def _note_event(self) -> None:
+    def _record_event(self) -> None:
         now = self._loop.time()
         self._request.trace.event(now)
-        if self._evidence.event(now):
-            self._placement.first_event(self._ticket, now)
+        if self._evidence.record_event(now):
+            self._placement.first_event(self._dispatch, now)
         else:
-            self._placement.heard(self._ticket, now)
-        if self._watch is not None:
-            self._watch.progress(now)
+            self._placement.heard(self._dispatch, now)
+        if self._watchdog is not None:
+            self._watchdog.record_event(now)
 
     def _judge_status(self, status: int) -> None:
         if status >= 500:
@@ -240,56 +225,50 @@
             self._outcome, self._ending = ExchangeOutcome.OK, Ending.WHOLE
 
     def _failed(self, kind: FailureKind) -> AttemptResult:
-        self._outcome = _OUTCOMES[kind]
-        if kind in _UNSENT:
+        self._outcome = OUTCOMES[kind]
+        if kind in UNSENT_FAILURES:
             self._ending = None
             return AttemptResult(AttemptEnd.UNSENT)
-        self._ending = _ENDINGS.get(kind, Ending.ENGINE_LOST)
+        self._ending = ENDINGS.get(kind, Ending.ENGINE_LOST)
         if self._request.events is not None:
             self._request.events.break_off()
         return AttemptResult(AttemptEnd.MAY_HAVE_RUN)
 
-    def _note_late(self) -> None:
-        """The request was cancelled: its caller left, or its time is over, which the engine answers for."""
-        now = self._loop.time()
-        if now >= self._request.deadline:
+    def _record_cancellation(self) -> None:
+        """Count a request cancelled at its deadline as the engine's timeout; else the client disconnected."""
+        if self._loop.time() >= self._request.deadline:
             self._outcome, self._ending = ExchangeOutcome.TIMED_OUT, Ending.TIMED_OUT
 
-    def _gave_up(self) -> AttemptResult:
-        """The engine was silent for too long, and another one is to take the request up."""
+    def _timed_out(self) -> AttemptResult:
+        """End an attempt that its watchdog cancelled, so that another engine can serve the request."""
         self._outcome = ExchangeOutcome.TIMED_OUT
-        self._ending = Ending.WHOLE  # counts as a slow answer, not as a broken one
-        self._evidence.gave_up(self._loop.time())
+        self._ending = Ending.WHOLE  # counts as a slow response, not as a broken one
+        self._evidence.timed_out(self._loop.time())
         if self._request.events is not None:
             self._request.events.break_off()
         return AttemptResult(AttemptEnd.MAY_HAVE_RUN)
 
-    def _settle(self) -> None:
+    def _finish(self) -> None:
+        """Release the connection and report the outcome."""
         now = self._loop.time()
-        if self._watch is not None:
-            self._watch.stop()
+        if self._watchdog is not None:
+            self._watchdog.stop()
         upstream = self._upstream
         if upstream is not None:
-            proper = self._outcome in (
-                ExchangeOutcome.OK,
-                ExchangeOutcome.DECLINED_FULL,
-                ExchangeOutcome.MISDIRECTED,
-                ExchangeOutcome.ERROR_STATUS,
-            )
-            if proper:
+            if self._outcome in REUSABLE_OUTCOMES:
                 upstream.release()
             else:
                 upstream.abort()
-        self._placement.ended(self._ticket, self._outcome, now)
+        self._placement.ended(self._dispatch, self._outcome, now)
         self._evidence.report(self._ending, now)
 
-    def _make_watch(self) -> SilenceWatch | None:
-        """Return the watch over the engine's silence, where another engine could take the request up."""
+    def _start_watchdog(self) -> ResponseWatchdog | None:
+        """Return a watchdog if another engine could serve the request after a timeout."""
         rules = self._request.rules
         if not rules.spare_attempt:
             return None
-        return SilenceWatch(
-            AttemptTimeouts(self._request.route, self._ticket.prefill_wait_s),
-            lambda since: self._placement.silent_since(self._ticket, since),
+        return ResponseWatchdog(
+            AttemptTimeouts(self._request.route, self._dispatch.prefill_wait_s),
+            lambda since: self._placement.silent_since(self._dispatch, since),
             lambda: rules.reserve(self._loop.time()),
         )
--- a/src/springmux/node/gateway/attempt_loop.py
+++ b/src/springmux/node/gateway/attempt_loop.py
@@ -8,7 +8,8 @@
 from springmux.gateway.attempts import AttemptEnd
 from springmux.gateway.refusal_responses import Refusal
 from springmux.gateway.versions import VersionSelection
-from springmux.node.gateway.attempt import Attempt, AttemptResult
+from springmux.node.gateway.attempt import Attempt
+from springmux.node.gateway.attempt_result import AttemptResult
 from springmux.node.gateway.backend_choice import choose_service, prefix_key
 from springmux.node.gateway.forwarded_request import ForwardedRequest
 from springmux.vocabulary.engines import EngineRecord
@@ -22,7 +23,7 @@
     core.retry_budget.note_request(loop.time())
     service = choose_service(route, prompt, services.randomness)
     services.rates.dispatched(service)
-    await services.start_hold.until_true(lambda: core.placement.knows_engines(service))
+    await services.startup_gate.wait_for(lambda: core.placement.knows_engines(service))
     now = loop.time()
     key = prefix_key(prompt, services.randomness)
     selection = VersionSelection(core.chooser, service, route.name, key, now, route.repeatable)
@@ -80,7 +81,7 @@
     """Forward the engine's own error response, or return a refusal that promises no more than is certain."""
     if request.exchange.begun:
         return refusal_responses.FAILED
-    if last is not None and last.pass_on is not None:
-        last.pass_on()
+    if last is not None and last.forward_error is not None:
+        last.forward_error()
         return None
     return refusal_responses.FAILED if request.rules.may_have_run else not_executed
--- a/src/springmux/node/gateway/evidence.py
+++ b/src/springmux/node/gateway/evidence.py
@@ -1,4 +1,4 @@
-"""What one attempt tells the rollout's judge: how its answer ended, and how quickly it came."""
+"""Evidence of one attempt for a rollout's judge: how its response ended, and its latencies."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 from springmux.vocabulary.engines import EngineRecord
 
 BYTES_PER_TOKEN = 4
-"""The judge compares prompts of like length in bytes; callers of the gateway state tokens."""
+"""The judge compares prompts of similar length in bytes; clients of the gateway state tokens."""
 
 
 class AttemptEvidence:
-    """Times of one attempt's events. Costs nothing where the service has no rollout.
+    """Records the times of one attempt's events. Does almost nothing where the service has no rollout.
 
-    A candidate's prompt is watched: a first token that is far overdue counts before it comes, since a slow
-    version's answers may come only after the rollout's term.
+    A prompt of the candidate is watched: a first token that is far overdue counts before it arrives, since a
+    slow version's responses may arrive only after the end of the rollout.
     """
 
     __slots__ = (
         "_events",
         "_expected_hit",
         "_first_at",
-        "_judged",
+        "_in_rollout",
         "_last_at",
         "_record",
         "_request",
@@ -33,9 +33,13 @@
     )
 
     def __init__(
-        self, request: ForwardedRequest, record: EngineRecord, unread_tokens: float, sent_at: float
+        self, request: ForwardedRequest, record: EngineRecord, uncached_tokens: float, sent_at: float
     ) -> None:
-        """:param unread_tokens: prompt tokens that the engine probably has to read."""
+        """Start watching a prompt of a rollout's candidate.
+
+        :param uncached_tokens: prompt tokens that the engine probably has to prefill.
+        :param sent_at: in seconds of the event loop's clock.
+        """
         self._request = request
         self._record = record
         self._sent_at = sent_at
@@ -46,16 +50,16 @@
         self._timer: asyncio.TimerHandle | None = None
         self._expected_hit = 0.0
         rollout = request.services.core.rollouts.get(record.service)
-        self._judged = rollout is not None
+        self._in_rollout = rollout is not None
         if rollout is None:
             return
         if request.prompt.prompt_tokens > 0:
-            self._expected_hit = max(0.0, 1.0 - unread_tokens / request.prompt.prompt_tokens)
+            self._expected_hit = max(0.0, 1.0 - uncached_tokens / request.prompt.prompt_tokens)
         if record.version == rollout.record.candidate:
-            self._begin_watch()
+            self._start_watch()
 
-    def event(self, now: float) -> bool:
-        """Note a piece of the answer; ``True`` for the first."""
+    def record_event(self, now: float) -> bool:
+        """Record the arrival of response bytes; return whether they are the first."""
         self._events += 1
         self._last_at = now
         if self._first_at is not None:
@@ -64,18 +68,24 @@
         self._stop_watch()
         return True
 
-    def gave_up(self, now: float) -> None:
-        """Note that no piece came in time: it would have been at least this late."""
-        self.event(now)
+    def timed_out(self, now: float) -> None:
+        """Record a timeout as an event: the real one would have been at least this late."""
+        self.record_event(now)
 
     def report(self, ending: Ending | None, now: float) -> None:
-        """Give the outcome to the version filter. ``None``: the attempt says nothing of its version."""
+        """Report the outcome to the version filter.
+
+        :param ending: ``None`` if the attempt is no evidence for or against its version.
+        """
         self._stop_watch()
-        if not self._judged or ending is None:
+        if not self._in_rollout or ending is None:
             return
-        first_s = self._first_at - self._sent_at if self._first_at is not None else None
-        gaps = self._events - 1
-        gap_s = (self._last_at - self._first_at) / gaps if self._first_at is not None and gaps > 0 else None
+        first_token_s = token_gap_s = None
+        if self._first_at is not None:
+            first_token_s = self._first_at - self._sent_at
+            gaps = self._events - 1
+            if gaps > 0:
+                token_gap_s = (self._last_at - self._first_at) / gaps
         outcome = PromptOutcome(
             service=self._record.service,
             version=self._record.version,
@@ -84,13 +94,13 @@
             ending=ending,
             prompt_bytes=self._prompt_bytes(),
             expected_hit=self._expected_hit,
-            first_token_s=first_s,
-            token_gap_s=gap_s,
+            first_token_s=first_token_s,
+            token_gap_s=token_gap_s,
             tokens=self._events,
         )
         self._request.services.core.chooser.observe(outcome, now, self._watch)
 
-    def _begin_watch(self) -> None:
+    def _start_watch(self) -> None:
         self._watch = self._request.services.core.chooser.watch(
             self._record.service,
             self._request.route.name,
@@ -100,9 +110,9 @@
         )
         if self._watch is not None:
             loop = asyncio.get_running_loop()
-            self._timer = loop.call_later(self._watch.overdue_after_s, self._overdue)
+            self._timer = loop.call_later(self._watch.overdue_after_s, self._report_overdue)
 
-    def _overdue(self) -> None:
+    def _report_overdue(self) -> None:
         if self._watch is not None:
             now = asyncio.get_running_loop().time()
             self._request.services.core.chooser.overdue(self._watch, now)
--- a/src/springmux/node/gateway/headers.py
+++ b/src/springmux/node/gateway/headers.py
@@ -1,4 +1,4 @@
-"""Which headers go on to an engine, and which back to the caller."""
+"""Rules for the headers that are forwarded to an engine, and for those that are returned to the client."""
 
 from __future__ import annotations
 
@@ -22,17 +22,23 @@
         b"content-length",
     }
 )
-"""Concern one connection only (RFC 9110, section 7.6.1), or are set anew from the body at hand."""
+"""Valid for one connection only (RFC 9110, section 7.6.1), or recomputed from the forwarded body."""
 CONNECTION = b"connection"
 
 
 class HeaderRules:
-    """Filters and writes headers under one deployment's names."""
+    """Filter and add headers, by the names of one deployment."""
 
     def __init__(self, names: HeaderNames) -> None:
         self.names = names
-        own = {names.api_key, names.tenant, names.target_engine, names.priority, names.deadline_ms}
-        self._not_to_engine = HOP_BY_HOP | own
+        gateway_headers = {
+            names.api_key,
+            names.tenant,
+            names.target_engine,
+            names.priority,
+            names.deadline_ms,
+        }
+        self._not_to_engine = HOP_BY_HOP | gateway_headers
 
     def request_for(
         self,
@@ -43,7 +49,7 @@
         time_left_s: float,
         last_event_id: bytes | None,
     ) -> RequestHead:
-        """Return the head that an engine gets: the caller's, but for the key and what the gateway sets."""
+        """Return the head for an engine: the client's, without its key and with the gateway's headers."""
         dropped = self._not_to_engine | _named_by_connection(head.headers)
         if last_event_id is not None:
             dropped = dropped | {self.names.last_event_id}
@@ -57,13 +63,13 @@
             kept.append((self.names.last_event_id, last_event_id))
         return RequestHead(method=head.method, target=head.target, headers=tuple(kept))
 
-    def answer_headers(self, head: ResponseHead) -> list[Header]:
-        """Return the headers of an engine's answer that the caller gets."""
+    def response_headers(self, head: ResponseHead) -> list[Header]:
+        """Return the headers of an engine's response that are returned to the client."""
         dropped = HOP_BY_HOP | _named_by_connection(head.headers)
         return [header for header in head.headers if header[0] not in dropped]
 
     def refusal_headers(self, refusal: Refusal, request_id: bytes | None) -> list[Header]:
-        """Return the headers of an answer of the gateway's own."""
+        """Return the headers of an error response of the gateway itself."""
         headers: list[Header] = [(b"content-type", b"application/json")]
         if request_id is not None:
             headers.append((self.names.request_id, request_id))
@@ -72,11 +78,11 @@
         return headers
 
     def declined(self, head: ResponseHead) -> bool:
-        """Say whether the engine states that it did not run the request."""
+        """Return whether the engine states that it has not executed the request."""
         return head.status == 421 or head.header(self.names.not_executed) is not None
 
 
 def _named_by_connection(headers: tuple[Header, ...]) -> frozenset[bytes]:
-    """Return the headers that a Connection header declares as its own."""
+    """Return the names that ``Connection`` headers declare as hop-by-hop."""
     values = [value for name, value in headers if name == CONNECTION]
-    return frozenset(part.strip().lower() for value in values for part in value.split(b","))
+    return frozenset(name.strip().lower() for value in values for name in value.split(b","))
--- a/src/springmux/node/gateway/process.py
+++ b/src/springmux/node/gateway/process.py
@@ -24,7 +24,7 @@
 from springmux.node.gateway.request_log import RequestLog
 from springmux.node.gateway.services import ForwarderServices
 from springmux.node.gateway.settings import GatewaySettings, load_gateway_settings
-from springmux.node.gateway.start_hold import HOLD_S, StartHold
+from springmux.node.gateway.startup_gate import STARTUP_S, StartupGate
 from springmux.node.http.client import PooledEngineClient
 from springmux.node.http.server import HttpServer
 from springmux.node.http.types import ServerLimits
@@ -106,11 +106,13 @@
             randomness=random.Random(randomness.getrandbits(64)),
             rates=self._rates,
             refusals=self._refusals,
-            start_hold=StartHold(asyncio.get_running_loop().time() + HOLD_S),
+            startup_gate=StartupGate(asyncio.get_running_loop().time() + STARTUP_S),
             request_log=RequestLog(log) if log.writes(LogLevel.DEBUG) else None,
         )
         control = ControlInterface(settings, self.agent, self.driver, self.metrics, self, self._rates)
-        self._front = HttpServer(Forwarder(services).handle, self._front_limits, self._refusals.note_server)
+        self._front = HttpServer(
+            Forwarder(services).handle, self._front_limits, self._refusals.record_server_refusal
+        )
         self._control = HttpServer(control.handle, lambda: CONTROL_LIMITS)
         self._ready = HttpServer(ready_handler(control), lambda: CONTROL_LIMITS)
 
--- a/src/springmux/node/gateway/refusal_log.py
+++ b/src/springmux/node/gateway/refusal_log.py
@@ -1,4 +1,4 @@
-"""Counts refused and cut requests, and logs them as at most one summary for each reason and second."""
+"""Counts refused and truncated responses, and logs at most one summary per reason and second."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 SUMMARY_PERIOD_S = 1.0
 MAX_ID_LENGTH = 100
-"""A longer request id, which the caller makes, is cut in the log."""
+"""A longer request id, which the client chooses, is truncated in the log."""
 
-_OF_THE_SERVER = {
+_SERVER_REFUSAL_REASONS = {
     ServerRefusal.MALFORMED: RefusalReason.MALFORMED_REQUEST,
     ServerRefusal.TOO_SLOW: RefusalReason.SLOW_REQUEST,
     ServerRefusal.HEADERS_TOO_LARGE: RefusalReason.HEADERS_TOO_LARGE,
@@ -24,7 +24,7 @@
 
 
 class RefusalLog:
-    """Writes summaries while there are refusals; a node that refuses nothing has no timer."""
+    """Writes summaries while there are refusals. The timer runs only between a refusal and its summary."""
 
     def __init__(self, counters: GatewayCounters, log: EventLog, request_id_header: bytes) -> None:
         self._counters = counters
@@ -33,8 +33,12 @@
         self._tally = RefusalTally()
         self._timer: asyncio.TimerHandle | None = None
 
-    def note(self, reason: RefusalReason, head: RequestHead | None, route: str = "") -> None:
-        """Take one refusal. ``head``: the request's, if it was read."""
+    def record(self, reason: RefusalReason, head: RequestHead | None, route: str = "") -> None:
+        """Count one refusal.
+
+        :param head: the request's, if it was read.
+        :param route: empty if none matched.
+        """
         refusals = self._counters.refusals
         refusals[reason] = refusals.get(reason, 0) + 1
         request_id = head.header(self._request_id_header) if head is not None else None
@@ -42,12 +46,12 @@
         if self._timer is None:
             self._timer = asyncio.get_running_loop().call_later(SUMMARY_PERIOD_S, self.flush)
 
-    def note_server(self, refusal: ServerRefusal, head: RequestHead | None) -> None:
-        """Take a refusal of the HTTP server, which the forwarder doesn't see."""
-        self.note(_OF_THE_SERVER[refusal], head)
+    def record_server_refusal(self, refusal: ServerRefusal, head: RequestHead | None) -> None:
+        """Count a refusal of the HTTP server, which the forwarder doesn't see."""
+        self.record(_SERVER_REFUSAL_REASONS[refusal], head)
 
     def flush(self) -> None:
-        """Write what is open, at the end of a period or of the process."""
+        """Write the summaries of the period; also at the end of the process."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
--- a/src/springmux/node/gateway/request_log.py
+++ b/src/springmux/node/gateway/request_log.py
@@ -1,4 +1,4 @@
-"""Writes a line for each forwarded request, where the log's level asks for it."""
+"""One log line per forwarded request, at level DEBUG."""
 
 from __future__ import annotations
 
@@ -8,20 +8,23 @@
 from springmux.gateway.request_trace import RequestTrace
 from springmux.node.logs import EventLog
 
-EVENT = "request_ended"
+EVENT_NAME = "request_ended"
 
 
 class RequestLog:
-    """Debug lines of requests. Each costs processor time, so they are off by default."""
+    """Writes the traces of requests. Each line costs processor time, so they are off by default."""
 
     def __init__(self, log: EventLog) -> None:
         self._log = log
 
     def write(self, trace: RequestTrace) -> None:
-        """Write one request that is over. Times in ms; ``first_ms``: until the first piece of the answer."""
+        """Write the trace of a request that has ended.
+
+        The line's times are in ms; ``first_ms`` is the time to the first bytes of the response.
+        """
         first_at = trace.first_at
         self._log.write(
-            EVENT,
+            EVENT_NAME,
             LogLevel.DEBUG,
             request_id=trace.request_id,
             route=trace.route,
--- a/src/springmux/node/gateway/services.py
+++ b/src/springmux/node/gateway/services.py
@@ -9,7 +9,7 @@
 from springmux.node.gateway.headers import HeaderRules
 from springmux.node.gateway.refusal_log import RefusalLog
 from springmux.node.gateway.request_log import RequestLog
-from springmux.node.gateway.start_hold import StartHold, no_hold
+from springmux.node.gateway.startup_gate import StartupGate, open_gate
 from springmux.node.http.types import EngineClient
 from springmux.node.service_rates import ServiceRates
 
@@ -24,5 +24,5 @@
     randomness: random.Random
     rates: ServiceRates
     refusals: RefusalLog
-    start_hold: StartHold = field(default_factory=no_hold)
+    startup_gate: StartupGate = field(default_factory=open_gate)
     request_log: RequestLog | None = None
--- a/tests/unit/bad_days/test_answers_late_lost_crossed.py
+++ b/tests/unit/bad_days/test_answers_late_lost_crossed.py
@@ -121,7 +121,7 @@
 
 
 def test_the_checker_sees_a_crossed_answer_passed_on(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Attempt, "_is_ours", lambda *_: True)
+    monkeypatch.setattr(Attempt, "_is_own_response", lambda *_: True)
     assert rules.foreign_or_damaged(bad_answers(CROSSING, SAFE, UNSAFE)) != []
 
 
--- a/tests/unit/bad_days/test_callers_leave.py
+++ b/tests/unit/bad_days/test_callers_leave.py
@@ -53,5 +53,5 @@
 
 
 def test_the_checker_sees_exchanges_that_are_not_ended(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Attempt, "_settle", lambda attempt: None)
+    monkeypatch.setattr(Attempt, "_finish", lambda attempt: None)
     assert all_leave()[2] > 0
--- a/tests/unit/bad_days/test_traffic_swells.py
+++ b/tests/unit/bad_days/test_traffic_swells.py
@@ -13,7 +13,7 @@
 from springmux.coordination.usage.usage_exchange import UsageExchange
 from springmux.gateway import placement
 from springmux.gateway.placement_policy import PlacementPolicy
-from springmux.node.gateway.forwarder import Forwarder
+from springmux.node.gateway.admission import Admission
 from springmux.simulation.placement.comparison import Result, compare
 from springmux.simulation.placement.engine import EngineShape
 from springmux.simulation.placement.trace import dossier_trace as trace
@@ -70,7 +70,7 @@
 
 
 def test_the_checker_sees_a_quota_that_is_not_asked(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Forwarder, "_take_quota", lambda *_: None)
+    monkeypatch.setattr(Admission, "charge_quota", lambda *_: None)
     assert rules.quota_excess(hot_tenant(), "k1", RATE, BURST) > QUOTA_SLACK
 
 
--- a/tests/unit/node_gateway/test_forwarder_attempts.py
+++ b/tests/unit/node_gateway/test_forwarder_attempts.py
@@ -7,7 +7,7 @@
 import pytest
 
 from springmux.control.gateway_configuration import GatewayRoute
-from springmux.node.gateway.silence_watch import LOOK_AGAIN_S
+from springmux.node.gateway.response_watchdog import CHECK_INTERVAL_S
 from springmux.node.http.types import FailureKind
 from springmux.rollout.outcome import VersionChoice
 from tests.unit.node_gateway.scripted_engines import (
@@ -230,7 +230,7 @@
     async def story() -> None:
         node = Node(route(SAFE.kind, target_ms=500.0), (FOREVER,), WHOLE)
         caller = Caller()
-        asyncio.get_running_loop().call_later(0.3 + LOOK_AGAIN_S, caller.leave)
+        asyncio.get_running_loop().call_later(0.3 + CHECK_INTERVAL_S, caller.leave)
         await node.forwarder.handle(caller)
         assert len(node.sent) == 1 and node.in_flight == 0
 
--- a/tests/unit/node_gateway/test_refusals.py
+++ b/tests/unit/node_gateway/test_refusals.py
@@ -126,8 +126,8 @@
         written = io.StringIO()
         log = RefusalLog(GatewayCounters(), EventLog("n1", output=written), OWN_HEADERS.request_id)
         head = RequestHead(b"GET", b"/", ((OWN_HEADERS.request_id, b"a" * 4000),))
-        log.note_server(ServerRefusal.HANDLER_FAILED, head)
-        log.note_server(ServerRefusal.MALFORMED, None)
+        log.record_server_refusal(ServerRefusal.HANDLER_FAILED, head)
+        log.record_server_refusal(ServerRefusal.MALFORMED, None)
         log.flush()
         first, second = (json.loads(line) for line in written.getvalue().splitlines())
         assert (first["reason"], first["request_id"]) == ("internal_fault", "a" * MAX_ID_LENGTH)
@@ -141,7 +141,7 @@
         counters = GatewayCounters()
         log = RefusalLog(counters, EventLog("n1", output=io.StringIO()), OWN_HEADERS.request_id)
         for refusal in ServerRefusal:
-            log.note_server(refusal, None)
+            log.record_server_refusal(refusal, None)
         log.flush()
         assert len(counters.refusals) == len(ServerRefusal)
 
--- a/tests/unit/node_gateway/test_start_hold.py
+++ b/tests/unit/node_gateway/test_startup_gate.py
@@ -6,15 +6,15 @@
 
 import pytest
 
-from springmux.node.gateway import start_hold
-from springmux.node.gateway.start_hold import HOLD_S, StartHold
+from springmux.node.gateway import startup_gate
+from springmux.node.gateway.startup_gate import STARTUP_S, StartupGate
 from tests.unit.node_gateway.scripted_engines import WHOLE, now, play
 from tests.unit.node_gateway.stand_ins import SAFE, Caller, Node
 
 
 def started(node: Node) -> Node:
     """Return ``node`` as of its start."""
-    node.services.start_hold = StartHold(now() + HOLD_S)
+    node.services.startup_gate = StartupGate(now() + STARTUP_S)
     return node
 
 
@@ -54,7 +54,7 @@
         began = now()
         first = await node.ask()
         assert first.status == 503 and first.header(b"retry-after") == b"1.00"
-        assert first.answered_at - began == pytest.approx(HOLD_S, abs=0.05)
+        assert first.answered_at - began == pytest.approx(STARTUP_S, abs=0.05)
         second = await node.ask()
         assert second.status == 503 and second.answered_at == first.answered_at
 
@@ -63,7 +63,7 @@
 
 def test_a_held_request_whose_caller_leaves_is_dropped_and_frees_its_place(monkeypatch) -> None:
     """Given room for one, a second is refused at once; after the first has left, a third is held."""
-    monkeypatch.setattr(start_hold, "MOST_HELD", 1)
+    monkeypatch.setattr(startup_gate, "MAX_WAITING", 1)
 
     async def story() -> None:
         node = started(Node(SAFE, WHOLE, configured=False))
