--- a/src/springmux/node/gateway/configuration_endpoints.py
+++ b/src/springmux/node/gateway/configuration_endpoints.py
@@ -8,21 +8,27 @@
 from springmux.control.commands import ApplyGateway, gateway_order_id
 from springmux.control.freshness.events import ProofWanted
 from springmux.node.driver import AgentDriver
-from springmux.node.gateway.replies import Reply, come_back, json_reply, order_reply, submit
+from springmux.node.gateway.control_responses import (
+    ControlResponse,
+    command_response,
+    error_response,
+    retry_later,
+    submit_command,
+)
 from springmux.node.http.types import ServerExchange
 from springmux.vocabulary.errors import ErrorCode
 
 BASE_VERSION_HEADER = b"if-match"
 PRECONDITION_FAILED = 412
-PROOF_WAIT_S = 0.7
-"""Operators' clients give an answer a second."""
-LOOK_S = 0.02
+PROOF_TIMEOUT_S = 0.7
+"""Operators' clients wait a second for a response."""
+POLL_INTERVAL_S = 0.02
 
 
 class ConfigurationEndpoints:
-    """``GET``, ``PUT`` (whole) and ``PATCH`` (items by name). ``If-Match`` names the version built on.
+    """``GET``, ``PUT`` (complete) and ``PATCH`` (items by name). ``If-Match`` names the base version.
 
-    :param proof_s: a state that was the newest this recently may be shown.
+    :param proof_s: a state may be shown if a proof at most this old says that it was the newest.
     """
 
     def __init__(self, agent: NodeAgent, driver: AgentDriver, timeout_s: float, proof_s: float) -> None:
@@ -31,40 +37,40 @@
         self._timeout_s = timeout_s
         self._proof_s = proof_s
 
-    async def handle(self, method: str, exchange: ServerExchange) -> Reply:
-        """Answer one request."""
+    async def handle(self, method: str, exchange: ServerExchange) -> ControlResponse:
+        """Respond to one request."""
         if method == "GET":
             return await self._show()
         if method in ("PUT", "PATCH"):
             return await self._change(exchange, partial=method == "PATCH")
-        return json_reply(405, ErrorCode.METHOD_NOT_ALLOWED, "use GET, PUT or PATCH")
+        return error_response(405, ErrorCode.METHOD_NOT_ALLOWED, "use GET, PUT or PATCH")
 
-    async def _show(self) -> Reply:
-        """Answer with the newest configuration; a node without a proof of that says 503."""
+    async def _show(self) -> ControlResponse:
+        """Return the newest configuration, or 503 without a proof that it is the newest."""
         proven = self._agent.ready and await self._prove_newest()
         document = self._agent.control.gateway_document()
         if document is None or not proven:
             reason = self._agent.not_ready_reason or "no proof from the leader, or no configuration yet"
-            return come_back(ErrorCode.NOT_READY, f"the newest configuration is not known here: {reason}")
-        return Reply(200, document)
+            return retry_later(ErrorCode.NOT_READY, f"the newest configuration is not known here: {reason}")
+        return ControlResponse(200, document)
 
     async def _prove_newest(self) -> bool:
-        """Have the leader asked unless there is a recent proof; say whether there is one in time."""
+        """Request a proof from the leader unless there is a recent one; return whether it arrives in time."""
         loop = asyncio.get_running_loop()
-        give_up_at = loop.time() + PROOF_WAIT_S
+        deadline = loop.time() + PROOF_TIMEOUT_S
         if self._agent.state_proof_age_s(loop.time()) > self._proof_s:
             self._driver.submit(ProofWanted())
         while self._agent.state_proof_age_s(loop.time()) > self._proof_s:
-            if loop.time() >= give_up_at:
+            if loop.time() >= deadline:
                 return False
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         return True
 
-    async def _change(self, exchange: ServerExchange, partial: bool) -> Reply:
+    async def _change(self, exchange: ServerExchange, partial: bool) -> ControlResponse:
         document = await exchange.body()
         base = (exchange.head.header(BASE_VERSION_HEADER) or b"0").strip().strip(b'"')
         if not base.isdigit() or len(base) > 15:
-            return json_reply(400, ErrorCode.INVALID_ORDER, "If-Match must be the number of a version")
+            return error_response(400, ErrorCode.INVALID_ORDER, "If-Match must be the number of a version")
         base_version = int(base)
         command = ApplyGateway(
             order=gateway_order_id(base_version, document, partial),
@@ -72,7 +78,7 @@
             document=document,
             partial=partial,
         )
-        answered = await submit(self._driver, command, self._timeout_s)
-        return order_reply(
-            answered, PRECONDITION_FAILED, ErrorCode.VERSION_CONFLICT, ErrorCode.INVALID_CONFIGURATION
+        outcome = await submit_command(self._driver, command, self._timeout_s)
+        return command_response(
+            outcome, PRECONDITION_FAILED, ErrorCode.VERSION_CONFLICT, ErrorCode.INVALID_CONFIGURATION
         )
--- a/src/springmux/node/gateway/control_interface.py
+++ b/src/springmux/node/gateway/control_interface.py
@@ -1,4 +1,4 @@
-"""The gateway's control listener: engines' reports, configuration, rollout orders, readiness, status."""
+"""The gateway's control listener: engine reports, configuration, rollouts, readiness, status, metrics."""
 
 from __future__ import annotations
 
@@ -11,8 +11,13 @@
 from springmux.agent.agent import NodeAgent
 from springmux.node.driver import AgentDriver
 from springmux.node.gateway.configuration_endpoints import ConfigurationEndpoints
+from springmux.node.gateway.control_responses import (
+    METRICS_HEADERS,
+    TEXT_HEADERS,
+    ControlResponse,
+    error_response,
+)
 from springmux.node.gateway.engine_endpoints import EngineEndpoints
-from springmux.node.gateway.replies import METRICS_HEADERS, TEXT_HEADERS, Reply, json_reply
 from springmux.node.gateway.rollout_endpoints import RolloutEndpoints
 from springmux.node.gateway.settings import GatewaySettings
 from springmux.node.gateway.status_endpoint import gateway_status
@@ -32,17 +37,17 @@
 
 
 class ReadyBody(msgspec.Struct, frozen=True):
-    """Answer of the readiness check."""
+    """Body of the response to a readiness check."""
 
     ready: bool
     reason: str
 
 
 class Readiness(Protocol):
-    """Whether callers should come here."""
+    """Source of the node's readiness."""
 
     def readiness(self) -> ReadyBody:
-        """Return the present answer with its reason."""
+        """Return whether clients should be sent to this node, and why not."""
         ...
 
 
@@ -69,20 +74,20 @@
         self._rollouts = RolloutEndpoints(settings, agent, driver, rates)
 
     async def handle(self, exchange: ServerExchange) -> None:
-        """Answer one request of an operator, an engine or the platform's readiness check."""
+        """Respond to one request of an operator, an engine or the platform's readiness check."""
         path = exchange.head.target.partition(b"?")[0].decode("latin-1")
         try:
-            reply = await self._reply(exchange, path)
+            response = await self._respond(exchange, path)
         except BodyTooLargeError:
-            reply = json_reply(413, ErrorCode.BODY_TOO_LARGE, "the body is too large")
-        exchange.respond(reply.status, reply.headers, reply.body)
+            response = error_response(413, ErrorCode.BODY_TOO_LARGE, "the body is too large")
+        exchange.respond(response.status, response.headers, response.body)
 
-    def ready_reply(self) -> Reply:
-        """Return the answer of the readiness check."""
+    def ready_response(self) -> ControlResponse:
+        """Return the response to a readiness check."""
         readiness = self._readiness.readiness()
-        return Reply(200 if readiness.ready else 503, msgspec.json.encode(readiness))
+        return ControlResponse(200 if readiness.ready else 503, msgspec.json.encode(readiness))
 
-    async def _reply(self, exchange: ServerExchange, path: str) -> Reply:
+    async def _respond(self, exchange: ServerExchange, path: str) -> ControlResponse:
         method = exchange.head.method.decode("latin-1")
         if path.startswith(ENGINES_PATH):
             return await self._engines.handle(method, path.removeprefix(ENGINES_PATH), exchange)
@@ -91,39 +96,39 @@
         if path == ROLLOUTS_PATH or path.startswith(ROLLOUTS_PATH + "/"):
             service = path.removeprefix(ROLLOUTS_PATH).removeprefix("/")
             return await self._rollouts.handle(method, service, exchange)
-        plain = self._plain_paths().get(path)
-        if plain is None or method != "GET":
-            return json_reply(404, ErrorCode.NOT_FOUND, "there is no such path")
-        return plain()
+        respond = self._fixed_paths().get(path)
+        if respond is None or method != "GET":
+            return error_response(404, ErrorCode.NOT_FOUND, "there is no such path")
+        return respond()
 
-    def _plain_paths(self) -> dict[str, Callable[[], Reply]]:
+    def _fixed_paths(self) -> dict[str, Callable[[], ControlResponse]]:
         return {
-            READY_PATH: self.ready_reply,
-            HEALTH_PATH: lambda: Reply(200, b"ok\n", TEXT_HEADERS),
+            READY_PATH: self.ready_response,
+            HEALTH_PATH: lambda: ControlResponse(200, b"ok\n", TEXT_HEADERS),
             STATUS_PATH: self._status,
             GATEWAY_STATUS_PATH: self._gateway_status,
-            METRICS_PATH: lambda: Reply(200, self._metrics.exposition(), METRICS_HEADERS),
+            METRICS_PATH: lambda: ControlResponse(200, self._metrics.exposition(), METRICS_HEADERS),
         }
 
-    def _status(self) -> Reply:
-        return Reply(200, msgspec.json.encode(self._agent.status()))
+    def _status(self) -> ControlResponse:
+        return ControlResponse(200, msgspec.json.encode(self._agent.status()))
 
-    def _gateway_status(self) -> Reply:
+    def _gateway_status(self) -> ControlResponse:
         readiness = self._readiness.readiness()
         stopped = self._driver.replica_stopped_reason
         now = asyncio.get_running_loop().time()
         body = gateway_status(self._agent, readiness.ready, readiness.reason, stopped, now)
-        return Reply(200, msgspec.json.encode(body))
+        return ControlResponse(200, msgspec.json.encode(body))
 
 
 def ready_handler(interface: ControlInterface) -> Callable[[ServerExchange], Awaitable[None]]:
-    """Return the handler of the listener that only answers readiness checks."""
+    """Return the handler of the listener that serves readiness checks only."""
 
     async def handle(exchange: ServerExchange) -> None:
         await asyncio.sleep(0)
-        reply = interface.ready_reply()
+        response = interface.ready_response()
         if exchange.head.target.partition(b"?")[0] != READY_PATH.encode():
-            reply = json_reply(404, ErrorCode.NOT_FOUND, "there is no such path")
-        exchange.respond(reply.status, reply.headers, reply.body)
+            response = error_response(404, ErrorCode.NOT_FOUND, "there is no such path")
+        exchange.respond(response.status, response.headers, response.body)
 
     return handle
--- a/src/springmux/node/gateway/engine_endpoints.py
+++ b/src/springmux/node/gateway/engine_endpoints.py
@@ -1,4 +1,4 @@
-"""What engines say of themselves over HTTP: alive, draining, gone."""
+"""Reports of engines over HTTP: heartbeats, with a state of ready or draining, and departures."""
 
 from __future__ import annotations
 
@@ -13,22 +13,24 @@
 from springmux.agent.readiness import CUT_OFF, JOINING, STARTING, STOPPING
 from springmux.coordination.identifiers import Address, ZoneName
 from springmux.coordination.state_machine import Event
-from springmux.node.gateway.replies import Reply, come_back, json_reply
+from springmux.node.gateway.control_responses import ControlResponse, error_response, retry_later
 from springmux.node.http.types import ServerExchange
 from springmux.vocabulary.engines import EngineLoad, EngineRecord, EngineStatus
 from springmux.vocabulary.errors import ErrorCode
 from springmux.vocabulary.names import EngineId, ServiceName, VersionName
 
-DEAF_REASONS = frozenset({STARTING, JOINING, CUT_OFF, STOPPING})
-"""While a node is so, what an engine says here may reach nobody else: the engine is sent to another node.
-This one takes note of it all the same, and so knows engines before it knows its fleet."""
+ISOLATED_REASONS = frozenset({STARTING, JOINING, CUT_OFF, STOPPING})
+"""Reasons for which an engine's report may reach no other node, so that the engine is sent to another one.
+
+The report is applied here all the same, so this node knows engines before it knows its fleet.
+"""
 ONLY_INCARNATION = 1
-"""Each start of an engine has an identity of its own, so there is one life under each."""
+"""An engine gets a new identity at each start, so each identity has one incarnation."""
 MAX_NAME_LENGTH = 200
 
 
 class HeartbeatBody(msgspec.Struct, frozen=True):
-    """Body of a heartbeat. ``sequence`` rises with each, so that a late one is known."""
+    """Body of a heartbeat. ``sequence`` increases with each, so that a late one is detected."""
 
     service: str
     address: str
@@ -40,40 +42,42 @@
 
 
 class EngineEndpoints:
-    """Turns engines' reports into events of the directory."""
+    """Translates engines' reports into events of the directory."""
 
     def __init__(self, agent: NodeAgent, submit: Callable[[Event], None]) -> None:
         self._agent = agent
         self._submit = submit
 
-    async def handle(self, method: str, engine: str, exchange: ServerExchange) -> Reply:
-        """Answer one report of ``engine``."""
+    async def handle(self, method: str, engine: str, exchange: ServerExchange) -> ControlResponse:
+        """Apply one report of ``engine``; return the response."""
         body = await exchange.body()
         if not engine or "/" in engine or len(engine) > MAX_NAME_LENGTH:
-            return json_reply(400, ErrorCode.INVALID_ORDER, "the path must end with the engine's identity")
-        reply = self._hear(method, engine, body)
+            return error_response(
+                400, ErrorCode.INVALID_ORDER, "the path must end with the engine's identity"
+            )
+        response = self._apply(method, engine, body)
         reason = self._agent.not_ready_reason
-        if reply.status == 200 and not self._agent.ready and reason in DEAF_REASONS:
-            return come_back(ErrorCode.NOT_READY, f"not passed on: this node is {reason}; tell another one")
-        return reply
+        if response.status == 200 and not self._agent.ready and reason in ISOLATED_REASONS:
+            return retry_later(ErrorCode.NOT_READY, f"not passed on: this node is {reason}; tell another one")
+        return response
 
-    def _hear(self, method: str, engine: str, body: bytes) -> Reply:
+    def _apply(self, method: str, engine: str, body: bytes) -> ControlResponse:
         if method == "DELETE":
             self._submit(EngineLeft(EngineId(engine), ONLY_INCARNATION))
-            return Reply(200, b"{}")
+            return ControlResponse(200, b"{}")
         if method != "PUT":
-            return json_reply(405, ErrorCode.METHOD_NOT_ALLOWED, "use PUT or DELETE")
-        return self._hear_heartbeat(engine, body)
+            return error_response(405, ErrorCode.METHOD_NOT_ALLOWED, "use PUT or DELETE")
+        return self._apply_heartbeat(engine, body)
 
-    def _hear_heartbeat(self, engine: str, body: bytes) -> Reply:
+    def _apply_heartbeat(self, engine: str, body: bytes) -> ControlResponse:
         try:
             heartbeat = msgspec.json.decode(body, type=HeartbeatBody)
         except msgspec.DecodeError as error:
-            return json_reply(400, ErrorCode.INVALID_ORDER, str(error))
+            return error_response(400, ErrorCode.INVALID_ORDER, str(error))
         now = asyncio.get_running_loop().time()
         load = EngineLoad(engine=EngineId(engine), running=0, queued=0, measured_at=now)
         self._submit(EngineHeartbeat(record=_record(engine, heartbeat), load=load))
-        return Reply(200, b"{}")
+        return ControlResponse(200, b"{}")
 
 
 def _record(engine: str, heartbeat: HeartbeatBody) -> EngineRecord:
--- a/src/springmux/node/gateway/process.py
+++ b/src/springmux/node/gateway/process.py
@@ -1,233 +1,27 @@
-"""A gateway node's process: wiring of agent, listeners and storage, reload of settings, orderly stop."""
+"""The process of a gateway node: settings, signals, and starting over with a new replica."""
 
 from __future__ import annotations
 
 import asyncio
 import os
-import random
 import signal
 from pathlib import Path
 
-from springmux.agent.agent import NodeAgent
-from springmux.agent.events import StopBegun, StopFinished
-from springmux.agent.readiness import STOPPING
-from springmux.coordination.membership.events import SeedsChanged
 from springmux.coordination.state_machine import LogLevel
-from springmux.gateway.core import RetryBounds
 from springmux.gateway.dialect import OWN_HEADERS, HeaderNames
-from springmux.node.addresses import split_address
-from springmux.node.driver import AgentDriver
-from springmux.node.gateway.control_interface import ControlInterface, ReadyBody, ready_handler
-from springmux.node.gateway.forwarder import Forwarder
-from springmux.node.gateway.headers import HeaderRules
-from springmux.node.gateway.refusal_log import RefusalLog, counter_values
-from springmux.node.gateway.request_log import RequestLog
-from springmux.node.gateway.services import ForwarderServices
+from springmux.node.gateway.gateway_node import GatewayNode
 from springmux.node.gateway.settings import GatewaySettings, load_gateway_settings
-from springmux.node.gateway.startup_gate import STARTUP_S, StartupGate
-from springmux.node.http.client import PooledEngineClient
-from springmux.node.http.server import HttpServer
-from springmux.node.http.types import ServerLimits
-from springmux.node.lifecycle import (
-    BEGIN_ANEW,
-    EXIT_CRASHED,
-    EXIT_WRONG_SETTINGS,
-    present_end,
-    run_nodes,
-    wait_for_end,
-)
+from springmux.node.lifecycle import EXIT_CRASHED, EXIT_WRONG_SETTINGS, run_nodes
 from springmux.node.logs import EventLog
-from springmux.node.metrics.registry import NodeMetrics
-from springmux.node.peer.agent_codec import AgentCodec
-from springmux.node.peer.handshake import HandshakeAuthenticator
-from springmux.node.peer.transport import PeerTransport
-from springmux.node.service_rates import ServiceRates
 from springmux.node.storage.opening import OpenedStorage
-from springmux.node.storage.worker import StorageWorker
 from springmux.vocabulary.errors import SettingsError
 
-STORAGE_STOP_S = 1.0
-STILL_ACCEPTING_S = 2.5
-"""After a stop is asked for, callers still come until the platform's readiness checks have noticed."""
-LOADS_PERIOD_S = 0.1
-"""Half the period of usage reports, so that a report carries loads of the moment."""
-RATES_PERIOD_S = 0.5
-LEAVE_MESSAGES_S = 0.1
-STOP_MARGIN_S = 1.5
-"""Part of the grace that is left for closing."""
-KEYS_NOT_CURRENT = "out of contact: a key may have been taken away"
-"""A node that would refuse nearly all gets no callers while others can serve them."""
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 HANDLED_SIGNALS = (*STOP_SIGNALS, signal.SIGHUP)
-CONTROL_BODY_BYTES = 16 << 20
-CONTROL_LIMITS = ServerLimits(max_body_bytes=CONTROL_BODY_BYTES, idle_timeout_s=30.0)
-
-
-class GatewayProcess:
-    """Everything of one running gateway node."""
-
-    def __init__(
-        self,
-        settings: GatewaySettings,
-        names: HeaderNames,
-        opened: OpenedStorage,
-        log: EventLog,
-        stop_requested: asyncio.Event,
-    ) -> None:
-        self._settings = settings
-        self._log = log
-        self._stop_requested = stop_requested
-        self._stopping = False
-        self._loads_timer: asyncio.TimerHandle | None = None
-        self._rates_timer: asyncio.TimerHandle | None = None
-        self.metrics = NodeMetrics()
-        randomness = random.Random(int.from_bytes(os.urandom(8), "big"))
-        self.agent = NodeAgent(
-            settings.agent_settings(), opened.recovered, randomness, opened.claims, opened.remembered
-        )
-        retries = RetryBounds(settings.retry_share, settings.fleet_retries, settings.retry_window_s)
-        self.agent.gateway.bound_retries(retries)
-        self.driver = AgentDriver(self.agent, log, self.metrics)
-        if settings.data_folder and opened.store is None:
-            self.driver.replica_stopped_reason = opened.reason
-            self.metrics.set("replica_stopped", 1)
-        self._transport = self._make_transport(randomness)
-        self._storage = self._make_storage(opened)
-        self.driver.attach(self._transport, self._storage)
-        self._client = PooledEngineClient()
-        self._rates = ServiceRates()
-        counters = self.agent.gateway.counters
-        self._refusals = RefusalLog(counters, log, names.request_id)
-        self.metrics.add_source(lambda: counter_values(counters))
-        services = ForwarderServices(
-            core=self.agent.gateway,
-            client=self._client,
-            headers=HeaderRules(names),
-            randomness=random.Random(randomness.getrandbits(64)),
-            rates=self._rates,
-            refusals=self._refusals,
-            startup_gate=StartupGate(asyncio.get_running_loop().time() + STARTUP_S),
-            request_log=RequestLog(log) if log.writes(LogLevel.DEBUG) else None,
-        )
-        control = ControlInterface(settings, self.agent, self.driver, self.metrics, self, self._rates)
-        self._front = HttpServer(
-            Forwarder(services).handle, self._front_limits, self._refusals.record_server_refusal
-        )
-        self._control = HttpServer(control.handle, lambda: CONTROL_LIMITS)
-        self._ready = HttpServer(ready_handler(control), lambda: CONTROL_LIMITS)
-
-    def readiness(self) -> ReadyBody:
-        """Return whether callers should come here."""
-        if self._stopping:
-            return ReadyBody(False, STOPPING)
-        now = asyncio.get_running_loop().time()
-        if self.agent.gateway_ready and not self.agent.gateway.knows_keys(now):
-            return ReadyBody(False, KEYS_NOT_CURRENT)
-        return ReadyBody(self.agent.gateway_ready, self.agent.gateway_reason)
-
-    def reload(self, settings: GatewaySettings) -> None:
-        """Take what may change while running: the seeds."""
-        self._settings = settings
-        self.driver.submit(SeedsChanged(settings.peer_seeds))
-
-    async def start(self) -> None:
-        """Open the listeners, then start the agent.
-
-        :raises OSError: if an address can't be bound.
-        """
-        settings = self._settings
-        await self._transport.listen(settings.peer_address)
-        for server, address in (
-            (self._control, settings.control_address),
-            (self._ready, settings.ready_address),
-            (self._front, settings.front_address),
-        ):
-            await server.listen(*split_address(address))
-        self.driver.start()
-        self._exchange_loads()
-        self._sample_rates()
-        self._log.write("node_started", zone=settings.zone, fleet=settings.fleet)
-
-    async def wait(self) -> int:
-        """Wait for a stop or a crash, and stop. Returns the exit code, or :data:`BEGIN_ANEW`."""
-        ending = await wait_for_end(self.driver, self._stop_requested)
-        if ending == EXIT_CRASHED:
-            return EXIT_CRASHED
-        if ending == BEGIN_ANEW:
-            await self.close()
-            return BEGIN_ANEW
-        await self._stop()
-        return present_end(self.driver, self._stop_requested)
-
-    async def _stop(self) -> None:
-        """Stop in order: not ready, hand over leadership, finish every request that was read, close."""
-        settings = self._settings
-        self._log.write("node_stopping", grace_s=settings.stop_grace_s)
-        self._stopping = True
-        self.driver.submit(StopBegun())
-        await asyncio.sleep(STILL_ACCEPTING_S)
-        self._front.stop_accepting()
-        await self._front.finish(max(0.0, settings.stop_grace_s - STILL_ACCEPTING_S - STOP_MARGIN_S))
-        self.driver.submit(StopFinished())
-        await asyncio.sleep(LEAVE_MESSAGES_S)
-        await self.close()
-        self._log.write("node_stopped")
-
-    async def close(self) -> None:
-        """Close everything at once."""
-        for timer in (self._loads_timer, self._rates_timer):
-            if timer is not None:
-                timer.cancel()
-        self.driver.stop()
-        self.driver.abandon_waiters()
-        for server in (self._front, self._control, self._ready):
-            server.close()
-        self._refusals.flush()
-        self._client.close()
-        await self._transport.close()
-        if self._storage is not None:
-            await asyncio.to_thread(self._storage.stop, STORAGE_STOP_S)
-
-    def _exchange_loads(self) -> None:
-        self.agent.gateway.exchange_loads()
-        self.driver.look_again()
-        self._loads_timer = asyncio.get_running_loop().call_later(LOADS_PERIOD_S, self._exchange_loads)
-
-    def _sample_rates(self) -> None:
-        loop = asyncio.get_running_loop()
-        self._rates.sample(loop.time())
-        self._rates_timer = loop.call_later(RATES_PERIOD_S, self._sample_rates)
-
-    def _front_limits(self) -> ServerLimits:
-        limits = self.agent.gateway.table.configuration.limits
-        return ServerLimits(
-            max_header_bytes=limits.max_header_bytes,
-            max_body_bytes=limits.max_body_bytes,
-            header_timeout_s=limits.header_timeout_ms / 1000.0,
-            idle_timeout_s=limits.idle_timeout_ms / 1000.0,
-        )
-
-    def _make_transport(self, randomness: random.Random) -> PeerTransport:
-        settings = self._settings
-        boot = f"{randomness.getrandbits(128):032x}"
-        return PeerTransport(
-            AgentCodec(self.agent),
-            HandshakeAuthenticator(settings.fleet, settings.node, boot, None),
-            lambda: self.agent.membership,
-            self.driver.submit,
-            self._log,
-            self.metrics,
-            randomness,
-        )
-
-    def _make_storage(self, opened: OpenedStorage) -> StorageWorker | None:
-        if opened.store is None:
-            return None
-        return StorageWorker(opened.store, self.driver.submit, self.metrics, opened.journal, opened.peer_list)
 
 
 class GatewayRunner:
-    """Runs process after process in one life: all but the first with a new replica."""
+    """Runs one node after another in this process; all but the first start with a new replica."""
 
     def __init__(self, file: Path, settings: GatewaySettings, names: HeaderNames) -> None:
         self._file = file
@@ -235,7 +29,7 @@
         self._names = names
         self._log = EventLog(settings.node, settings.log_level)
         self._stop_requested = asyncio.Event()
-        self._process: GatewayProcess | None = None
+        self._node: GatewayNode | None = None
 
     async def run(self) -> int:
         """Run until stopped; return the exit code."""
@@ -243,13 +37,13 @@
         folder = Path(self._settings.data_folder) if self._settings.data_folder else None
         try:
             first_start = self._settings.first_start
-            return await run_nodes(folder, self._make_process, self._log, first_start=first_start)
+            return await run_nodes(folder, self._make_node, self._log, first_start=first_start)
         finally:
             self._ignore_signals()
 
-    def _make_process(self, opened: OpenedStorage) -> GatewayProcess:
-        self._process = GatewayProcess(self._settings, self._names, opened, self._log, self._stop_requested)
-        return self._process
+    def _make_node(self, opened: OpenedStorage) -> GatewayNode:
+        self._node = GatewayNode(self._settings, self._names, opened, self._log, self._stop_requested)
+        return self._node
 
     def _handle_signals(self) -> None:
         loop = asyncio.get_running_loop()
@@ -258,7 +52,7 @@
         loop.add_signal_handler(signal.SIGHUP, self._reload)
 
     def _ignore_signals(self) -> None:
-        """Let no signal end the process before it has ended by itself; the loop's end would restore that."""
+        """Ignore signals until the process has ended; closing the loop would restore their default action."""
         loop = asyncio.get_running_loop()
         for number in HANDLED_SIGNALS:
             loop.remove_signal_handler(number)
@@ -271,13 +65,13 @@
             self._log.write("settings_not_reloaded", LogLevel.ERROR, reason=str(error))
             return
         self._settings = settings
-        if self._process is not None:
-            self._process.reload(settings)
+        if self._node is not None:
+            self._node.reload(settings)
         self._log.write("settings_reloaded")
 
 
 def run_gateway(file: Path, names: HeaderNames = OWN_HEADERS) -> int:
-    """Run a gateway node until it is stopped. Returns the exit code."""
+    """Run a gateway node until it is stopped; return the exit code."""
     try:
         settings = load_gateway_settings(file)
     except SettingsError as error:
@@ -287,7 +81,7 @@
     async def main() -> int:
         return await GatewayRunner(file, settings, names).run()
 
-    code = asyncio.run(main())
-    if code == EXIT_CRASHED:
-        os._exit(code)  # threads may hang on a stalled disk; the process must end now
-    return code
+    exit_code = asyncio.run(main())
+    if exit_code == EXIT_CRASHED:
+        os._exit(exit_code)  # threads may hang on a stalled disk; the process must end now
+    return exit_code
--- a/src/springmux/node/gateway/setting_texts.py
+++ b/src/springmux/node/gateway/setting_texts.py
@@ -1,8 +1,8 @@
-"""Settings that are written as text: what a template or an environment variable can give for any type.
+"""Settings written as strings, as templates and environment variables give them for any type.
 
-A template that fills ``name = "{{value}}"`` can't know whether the value is there or what it looks like. An
-empty text is an absent setting; any other is read as the setting's type says. What can't be read is left as
-it is, so that the check of the settings names it.
+A template that fills ``name = "{{value}}"`` doesn't know whether there is a value, or its type. An empty
+string is an absent setting; any other is parsed as the setting's type. What can't be parsed is left as it is,
+so that the validation of the settings reports it.
 """
 
 from __future__ import annotations
@@ -14,28 +14,28 @@
 
 
 def base_kind(kind: Any) -> tuple[Any, tuple[Any, ...]]:
-    """Return a field's plain type and the bounds that stand beside it."""
+    """Return a field's type without its annotations, and these."""
     if get_origin(kind) is not Annotated:
         return kind, ()
     base, *metadata = get_args(kind)
     return base, tuple(metadata)
 
 
-def read_texts(
+def parse_strings(
     table: Mapping[str, Any], kinds: Mapping[str, Any], required: Collection[str]
 ) -> dict[str, Any]:
-    """Return the table with texts read as their settings' types, without the optional ones that are empty."""
-    read: dict[str, Any] = {}
+    """Return the table with its strings parsed as their settings' types, without the optional empty ones."""
+    parsed: dict[str, Any] = {}
     for name, value in table.items():
         if isinstance(value, str) and name in kinds:
             if not value.strip() and name not in required:
                 continue
-            value = _read(value, base_kind(kinds[name])[0])
-        read[name] = value
-    return read
+            value = _parse(value, base_kind(kinds[name])[0])
+        parsed[name] = value
+    return parsed
 
 
-def _read(text: str, kind: Any) -> Any:
+def _parse(text: str, kind: Any) -> Any:
     if kind is bool:
         return _FLAGS.get(text.strip().lower(), text)
     if kind is int or kind is float:
--- a/src/springmux/node/gateway/settings.py
+++ b/src/springmux/node/gateway/settings.py
@@ -16,10 +16,10 @@
 from springmux.agent.events import AgentSettings
 from springmux.coordination.identifiers import Address, NodeId
 from springmux.node.addresses import MAX_PORT, check_address
-from springmux.node.gateway.setting_texts import base_kind, read_texts
+from springmux.node.gateway.setting_texts import base_kind, parse_strings
 from springmux.vocabulary.errors import FieldError, SettingsError
 
-MAX_SHOWN = 80
+MAX_SHOWN_LENGTH = 80
 """Characters of a wrong value that its message repeats."""
 _KINDS = {
     str: "text",
@@ -32,9 +32,9 @@
 Name = Annotated[str, msgspec.Meta(min_length=1)]
 Port = Annotated[int, msgspec.Meta(ge=1, le=MAX_PORT)]
 Losses = Annotated[int, msgspec.Meta(ge=0, le=10)]
-"""With 10 the control group has 21 voters; a larger one only gets slower."""
+"""With 10 the control group has 21 voters; a larger one is only slower."""
 Amount = Annotated[float, msgspec.Meta(ge=0, le=1_000_000)]
-"""A bound on a count. It may be a fraction, as where it was scaled with the fleet."""
+"""A bound on a count; it may be a fraction, for instance after scaling with the fleet."""
 Share = Annotated[float, msgspec.Meta(ge=0, le=1)]
 Milliseconds = Annotated[float, msgspec.Meta(ge=0, le=3_600_000)]
 Seconds = Annotated[float, msgspec.Meta(ge=0, le=3600)]
@@ -42,9 +42,9 @@
 
 
 class GatewaySettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Everything that a gateway node learns from outside. Addresses are ``IP:port``.
+    """Settings of a gateway node. Addresses are ``IP:port``.
 
-    ``front_address``: callers. ``ready_address``: readiness checks. ``control_address``: operators and
+    ``front_address``: clients. ``ready_address``: readiness checks. ``control_address``: operators and
     engines. ``seeds``: addresses of three or fewer other nodes; only the host counts, since peers listen
     on ``peer_port`` everywhere. ``first_start``: the whole fleet starts for the first time, on empty disks.
     ``losses_tolerated``: controllers that may be lost at once.
@@ -86,26 +86,26 @@
 
     @property
     def peer_address(self) -> Address:
-        """Where this node hears its peers."""
+        """Address on which this node listens to its peers."""
         return Address(f"{self.host}:{self.peer_port}")
 
     @property
     def peer_seeds(self) -> tuple[Address, ...]:
-        """Peer addresses of the seeds, without the own one."""
+        """Peer addresses of the seeds, without this node's."""
         hosts = [seed.rpartition(":")[0] for seed in self.seeds]
         return tuple(Address(f"{host}:{self.peer_port}") for host in hosts if host != self.host)
 
     @property
     def read_proof_s(self) -> float:
-        """How old a proof may be by which a node shows its state as the newest one.
+        """Maximum age in seconds of a proof by which a node presents its state as the newest one.
 
-        Half of the time in which a change is to be in force everywhere, so that one acknowledged since is
-        shown in time, whatever the way to the reader takes.
+        Half of the time within which a change must be in force everywhere: a change acknowledged since the
+        proof is then shown in time, however long the response takes to reach the reader.
         """
         return self.change_in_force_ms / 1000.0 / 2.0
 
     def agent_settings(self) -> AgentSettings:
-        """Return what the pure agent needs."""
+        """Return the settings of the agent."""
         return AgentSettings(
             node=NodeId(self.node),
             zone=self.zone,
@@ -134,45 +134,45 @@
         raise SettingsError((FieldError("--settings", f"{file} is not TOML: {error}"),)) from None
     fields = msgspec.structs.fields(GatewaySettings)
     kinds = {field.name: field.type for field in fields}
-    table = read_texts(table, kinds, {field.name for field in fields if field.required})
-    wrong = _wrong_fields(table)
-    if wrong:
-        raise SettingsError(tuple(wrong))
+    table = parse_strings(table, kinds, {field.name for field in fields if field.required})
+    errors = _invalid_fields(table)
+    if errors:
+        raise SettingsError(tuple(errors))
     return msgspec.convert(table, GatewaySettings, strict=True)
 
 
-def _wrong_fields(table: dict[str, Any]) -> list[FieldError]:
+def _invalid_fields(table: dict[str, Any]) -> list[FieldError]:
     fields = {field.name: field for field in msgspec.structs.fields(GatewaySettings)}
-    wrong = [FieldError(name, "is not a setting") for name in table if name not in fields]
+    errors = [FieldError(name, "is not a setting") for name in table if name not in fields]
     for name, field in fields.items():
         if name not in table:
             if field.required:
-                wrong.append(FieldError(name, "is missing"))
+                errors.append(FieldError(name, "is missing"))
             continue
-        reason = _why_wrong(name, table[name], field.type)
+        reason = _problem(name, table[name], field.type)
         if reason:
-            wrong.append(FieldError(name, reason))
-    return wrong
+            errors.append(FieldError(name, reason))
+    return errors
 
 
-def _why_wrong(name: str, value: Any, kind: Any) -> str:
-    """Return what is wrong with a setting's value and what is allowed; empty if it is right."""
+def _problem(name: str, value: Any, kind: Any) -> str:
+    """Return what is wrong with a setting's value and what is allowed; empty if it is valid."""
     try:
         converted = msgspec.convert(value, kind, strict=True)
     except msgspec.ValidationError:
-        return f"{_shown(value)} is not allowed; it must be {_allowed(kind)}"
+        return f"{_abbreviated(value)} is not allowed; it must be {_allowed(kind)}"
     if isinstance(converted, float) and not math.isfinite(converted):
-        return f"{_shown(value)} is not allowed; it must be {_allowed(kind)}"
+        return f"{_abbreviated(value)} is not allowed; it must be {_allowed(kind)}"
     for address in _addresses(name, converted):
         try:
             check_address(address)
         except ValueError as error:
-            return f"{_shown(value)} is not allowed: {error}"
+            return f"{_abbreviated(value)} is not allowed: {error}"
     return ""
 
 
 def _addresses(name: str, value: Any) -> tuple[str, ...]:
-    """Return the addresses that a setting holds. ``host`` lacks only the port, which is another setting."""
+    """Return the addresses in a setting. The port of ``host`` is another setting."""
     if name == "host":
         return (f"{value}:{MAX_PORT}",)
     if name == "seeds":
@@ -180,13 +180,13 @@
     return (value,) if name.endswith("_address") else ()
 
 
-def _shown(value: Any) -> str:
+def _abbreviated(value: Any) -> str:
     text = repr(value)
-    return text if len(text) <= MAX_SHOWN else f"{text[:MAX_SHOWN]}..."
+    return text if len(text) <= MAX_SHOWN_LENGTH else f"{text[:MAX_SHOWN_LENGTH]}..."
 
 
 def _allowed(kind: Any) -> str:
-    """Return the type of a setting and its range in words."""
+    """Describe the type and the range of a setting."""
     if get_origin(kind) is Literal:
         return " or ".join(get_args(kind))
     base, metadata = base_kind(kind)
--- a/src/springmux/node/gateway/status_endpoint.py
+++ b/src/springmux/node/gateway/status_endpoint.py
@@ -17,20 +17,20 @@
 
 
 class NodeRole(enum.StrEnum):
-    """What a gateway node does beside forwarding."""
+    """Role of a gateway node in the control group, besides forwarding."""
 
     FORWARDER = "forwarder"
-    """It has no data folder, or its replica of the control state is not usable."""
+    """It has no data folder, or its replica of the control state is unusable."""
     LEARNER = "learner"
-    """It keeps the control state and has no vote."""
+    """It replicates the control state and has no vote."""
     VOTER = "voter"
-    """It keeps the control state and votes."""
+    """It replicates the control state and votes."""
     LEADER = "leader"
-    """It is the voter that decides orders."""
+    """It is the voter that commits commands."""
 
 
 class EngineCount(msgspec.Struct, frozen=True):
-    """How many engines of a service run a version and are in a state. Engines that left don't count."""
+    """Number of a service's engines with this version and state. Engines that left don't count."""
 
     service: ServiceName
     version: VersionName
@@ -47,7 +47,7 @@
 
 
 class ContactSummary(msgspec.Struct, frozen=True):
-    """How many of the known nodes, itself included, this node hears; with a majority it is connected."""
+    """Nodes that this node is in contact with, itself included; with a majority it is connected."""
 
     connected: bool
     known_nodes: int
@@ -55,11 +55,11 @@
 
 
 class GatewayStatusBody(msgspec.Struct, frozen=True):
-    """Answer of ``GET /v1/gateway/status``.
+    """Body of the response to ``GET /v1/gateway/status``.
 
-    ``reason``: why the node takes no requests; empty while it does. ``configuration_version``: 0 while none
+    ``reason``: why the node is not ready; empty while it is. ``configuration_version``: 0 while none
     is known. ``leader``: ``None`` while none is known. ``replica_stopped``: why the node's replica of the
-    control state can't go on; empty while it does.
+    control state has stopped; empty while it runs.
     """
 
     node: NodeId
@@ -80,7 +80,7 @@
 def gateway_status(
     agent: NodeAgent, ready: bool, reason: str, replica_stopped: str, now: float
 ) -> GatewayStatusBody:
-    """Return the status at ``now``; ``ready`` and ``reason`` are what the readiness check answers."""
+    """Return the status at ``now``; ``ready`` and ``reason`` are those of the readiness check."""
     report = agent.status()
     return GatewayStatusBody(
         node=report.node,
@@ -119,7 +119,10 @@
         for record in agent.engines.engines.values()
         if record.status is not EngineStatus.LEFT
     )
-    return tuple(EngineCount(*place, engines) for place, engines in sorted(counts.items()))
+    return tuple(
+        EngineCount(service, version, state, engines)
+        for (service, version, state), engines in sorted(counts.items())
+    )
 
 
 def _rollouts(agent: NodeAgent, now: float) -> tuple[RolloutSummary, ...]:
--- a/tests/unit/bad_days/test_engine_reports.py
+++ b/tests/unit/bad_days/test_engine_reports.py
@@ -179,7 +179,7 @@
 
 
 def test_the_checker_sees_an_acknowledgement_in_vain(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(engine_endpoints, "DEAF_REASONS", frozenset[Any]())
+    monkeypatch.setattr(engine_endpoints, "ISOLATED_REASONS", frozenset[Any]())
     assert all(acknowledged_in_vain(reason) for reason in DEAF)
 
 
--- a/tests/unit/compatibility/outer_names.py
+++ b/tests/unit/compatibility/outer_names.py
@@ -36,9 +36,9 @@
 from springmux.node.client import error_responses as answers
 from springmux.node.gateway import (
     control_interface,
+    control_responses,
     engine_endpoints,
     forwarder,
-    replies,
     rollout_endpoints,
     status_endpoint,
 )
@@ -80,7 +80,7 @@
     "gateway: PUT /v1/gateway/engines": engine_endpoints.HeartbeatBody,
     "gateway: POST /v1/gateway/rollouts": rollout_endpoints.RolloutBody,
     "gateway: GET /v1/gateway/rollouts": rollout_endpoints.RolloutStateBody,
-    "gateway: an error of control": replies.ErrorReply,
+    "gateway: an error of control": control_responses.ErrorBody,
     "gateway: an error to a client": forwarder._ErrorBody,
     "gateway: configuration, back end": gateway_documents.BackendItem,
     "gateway: configuration, route": gateway_documents.RouteItem,
--- a/tests/unit/node_gateway/test_configuration_reads.py
+++ b/tests/unit/node_gateway/test_configuration_reads.py
@@ -13,10 +13,10 @@
 from springmux.coordination.state_machine import Event
 from springmux.node.driver import AgentDriver
 from springmux.node.gateway.configuration_endpoints import (
-    PROOF_WAIT_S,
+    PROOF_TIMEOUT_S,
     ConfigurationEndpoints,
 )
-from springmux.node.gateway.replies import Reply
+from springmux.node.gateway.control_responses import ControlResponse
 from springmux.node.gateway.settings import GatewaySettings
 from springmux.node.http.types import ServerExchange
 from tests.unit.node_gateway.scripted_engines import now, play
@@ -51,13 +51,13 @@
         self.on_wanted()
 
 
-async def _read(agent: StandInAgent) -> Reply:
+async def _read(agent: StandInAgent) -> ControlResponse:
     endpoints = ConfigurationEndpoints(cast(NodeAgent, agent), cast(AgentDriver, agent), 4.0, READ_PROOF_S)
     return await endpoints.handle("GET", cast(ServerExchange, None))
 
 
-def _headers(reply: Reply) -> dict[bytes, Any]:
-    return dict(reply.headers)
+def _headers(response: ControlResponse) -> dict[bytes, Any]:
+    return dict(response.headers)
 
 
 def test_a_recent_proof_is_enough_and_nobody_is_asked() -> None:
@@ -66,8 +66,8 @@
     async def story() -> None:
         agent = StandInAgent(proven_at=now() - 0.9 * READ_PROOF_S)
         began = now()
-        reply = await _read(agent)
-        assert (reply.status, reply.body, agent.events) == (200, DOCUMENT, [])
+        response = await _read(agent)
+        assert (response.status, response.body, agent.events) == (200, DOCUMENT, [])
         assert now() == began
 
     play(story())
@@ -83,8 +83,8 @@
             agent.proven_at = now()
 
         agent.on_wanted = answered
-        reply = await _read(agent)
-        assert (reply.status, reply.body) == (200, DOCUMENT)
+        response = await _read(agent)
+        assert (response.status, response.body) == (200, DOCUMENT)
         assert [type(event) for event in agent.events] == [ProofWanted]
 
     play(story())
@@ -97,10 +97,10 @@
     async def story() -> None:
         agent = StandInAgent(proven_at=now() - age_s)
         began = now()
-        reply = await _read(agent)
-        assert reply.status == 503 and DOCUMENT not in reply.body
-        assert b"retry-after" in _headers(reply)
-        assert PROOF_WAIT_S <= now() - began < 1.0
+        response = await _read(agent)
+        assert response.status == 503 and DOCUMENT not in response.body
+        assert b"retry-after" in _headers(response)
+        assert PROOF_TIMEOUT_S <= now() - began < 1.0
 
     play(story())
 
@@ -110,8 +110,8 @@
 
     async def story() -> None:
         agent = StandInAgent(ready=False, proven_at=now())
-        reply = await _read(agent)
-        assert reply.status == 503 and b"cut off" in reply.body
+        response = await _read(agent)
+        assert response.status == 503 and b"cut off" in response.body
         assert agent.events == []
 
     play(story())
@@ -140,7 +140,7 @@
         for proof_s, status in ((0.25, 503), (1.0, 200)):
             agent = StandInAgent(proven_at=now() - 0.5)
             endpoints = ConfigurationEndpoints(cast(NodeAgent, agent), cast(AgentDriver, agent), 4.0, proof_s)
-            reply = await endpoints.handle("GET", cast(ServerExchange, None))
-            assert reply.status == status
+            response = await endpoints.handle("GET", cast(ServerExchange, None))
+            assert response.status == status
 
     play(story())
--- a/tests/unit/node_gateway/test_operators.py
+++ b/tests/unit/node_gateway/test_operators.py
@@ -14,7 +14,7 @@
 from click.testing import Result
 
 from springmux.gateway.dialect import OWN_HEADERS
-from springmux.node.gateway.process import GatewayProcess
+from springmux.node.gateway.gateway_node import GatewayNode
 from springmux.node.gateway.settings import GatewaySettings
 from springmux.node.http.client import PooledEngineClient
 from springmux.node.http.types import RequestHead
@@ -33,7 +33,7 @@
 class RunningNode:
     """A node that is the only one of its fleet, and a client of its control listener."""
 
-    def __init__(self, process: GatewayProcess, settings: GatewaySettings) -> None:
+    def __init__(self, process: GatewayNode, settings: GatewaySettings) -> None:
         self.process = process
         self._control = settings.control_address
 
@@ -77,7 +77,7 @@
     settings = msgspec.structs.replace(settings, **more)
     log = EventLog("n1", output=io.StringIO())
     opened = open_storage(folder, log)
-    process = GatewayProcess(settings, OWN_HEADERS, opened, log, asyncio.Event())
+    process = GatewayNode(settings, OWN_HEADERS, opened, log, asyncio.Event())
     async with asyncio.timeout(LONG_S):
         await process.start()
         try:
