--- a/src/springmux/node/gateway/attempt.py
+++ b/src/springmux/node/gateway/attempt.py
@@ -199,7 +199,7 @@
                 self._watchdog.resume()
         complete = events.at_event_end if events is not None else not tail or tail.endswith(EVENT_TERMINATORS)
         if not complete:
-            return self._failed(FailureKind.CUT_SHORT)
+            return self._failed(FailureKind.TRUNCATED)
         if not exchange.begun:
             exchange.begin(head.status, self._services.headers.response_headers(head), None)
         exchange.end()
--- a/src/springmux/node/gateway/attempt_result.py
+++ b/src/springmux/node/gateway/attempt_result.py
@@ -15,14 +15,14 @@
     FailureKind.CONNECT: ExchangeOutcome.CONNECT_FAILED,
     FailureKind.NOT_SENT: ExchangeOutcome.CONNECT_FAILED,
     FailureKind.RESET: ExchangeOutcome.RESET,
-    FailureKind.SILENT: ExchangeOutcome.SILENT,
+    FailureKind.UNRESPONSIVE: ExchangeOutcome.SILENT,
     FailureKind.MALFORMED: ExchangeOutcome.MALFORMED,
-    FailureKind.CUT_SHORT: ExchangeOutcome.TRUNCATED,
+    FailureKind.TRUNCATED: ExchangeOutcome.TRUNCATED,
 }
 """The outcome for the engine's health of each way in which an exchange fails."""
 ENDINGS = {
     FailureKind.MALFORMED: Ending.BROKEN,
-    FailureKind.CUT_SHORT: Ending.BROKEN,
+    FailureKind.TRUNCATED: Ending.BROKEN,
 }
 """The ending for the rollout's judge; any other failure after sending means that the engine was lost."""
 UNSENT_FAILURES = frozenset({FailureKind.CONNECT, FailureKind.NOT_SENT})
--- a/src/springmux/node/gateway/forwarder.py
+++ b/src/springmux/node/gateway/forwarder.py
@@ -47,7 +47,7 @@
             if task is not None:
                 task.cancel()
 
-        exchange.on_gone(cancel)
+        exchange.on_disconnect(cancel)
         trace = RequestTrace(exchange.received_at)
         try:
             await self._handle(exchange, trace)
--- a/src/springmux/node/http/bodies.py
+++ b/src/springmux/node/http/bodies.py
@@ -1,4 +1,4 @@
-"""Decoders of a message's body: none, by length, chunked, or until the connection's end (RFC 9112)."""
+"""Decoders of message bodies: by length, chunked, or until the connection's end (RFC 9112, section 6)."""
 
 from __future__ import annotations
 
@@ -10,30 +10,30 @@
 from springmux.node.http.types import RequestHead
 
 _HEX_DIGITS = b"0123456789abcdefABCDEF"
-# 2^60 bytes is beyond any body; more digits are an attack on whoever holds sizes in 64 bits.
+# 2^60 bytes is beyond any body; more digits would overflow the 64-bit sizes of other implementations.
 _MAX_SIZE_DIGITS = 15
 _MAX_LINE_BYTES = 4096
 _MAX_TRAILER_BYTES = 16_384
 
 
 class BodyDecoder(Protocol):
-    """Takes bytes of a connection and gives back those of the body."""
+    """Extracts the bytes of a body from those of a connection."""
 
     done: bool
-    """Whether the body is whole."""
+    """Whether the body is complete."""
     rest: bytes
-    """The bytes after the body's end, once done."""
+    """The bytes after the end of the body, once done."""
 
     def feed(self, data: bytes) -> bytes:
         """Return the body's bytes in ``data``.
 
-        :raises MalformedMessageError: if the framing is broken.
+        :raises MalformedMessageError: the framing is not valid.
         """
         ...
 
 
 class LengthDecoder:
-    """A body of a known length, also of none."""
+    """Decodes a body of a known length, which may be 0."""
 
     def __init__(self, length: int) -> None:
         self._remaining = length
@@ -53,7 +53,7 @@
 
 
 class UntilEndDecoder:
-    """A body that the connection's end ends."""
+    """Decodes a body that ends with the connection."""
 
     def __init__(self) -> None:
         self.done = False
@@ -72,7 +72,7 @@
 
 
 class ChunkedDecoder:
-    """A chunked body. Trailers are read and dropped."""
+    """Decodes a chunked body (RFC 9112, section 7.1). Trailers are dropped."""
 
     def __init__(self) -> None:
         self.done = False
@@ -85,42 +85,42 @@
     def feed(self, data: bytes) -> bytes:
         """Return the body's bytes in ``data``.
 
-        :raises MalformedMessageError: if the framing is broken.
+        :raises MalformedMessageError: the framing is not valid.
         """
         data = self._carry + data
         self._carry = b""
-        pieces: list[bytes] = []
+        chunks: list[bytes] = []
         position = 0
         while not self.done and position < len(data):
             if self._state is _State.DATA:
-                piece = data[position : position + self._remaining]
-                position += len(piece)
-                pieces.append(piece)
-                self._take_data(len(piece))
+                chunk = data[position : position + self._remaining]
+                position += len(chunk)
+                chunks.append(chunk)
+                self._consume_data(len(chunk))
                 continue
             end = data.find(b"\r\n", position)
             if end < 0:
-                self._keep(data[position:])
+                self._carry_over(data[position:])
                 break
-            self._take_line(data[position:end])
+            self._consume_line(data[position:end])
             position = end + 2
         if self.done:
             self.rest = data[position:]
-        return pieces[0] if len(pieces) == 1 else b"".join(pieces)
+        return chunks[0] if len(chunks) == 1 else b"".join(chunks)
 
-    def _take_data(self, size_bytes: int) -> None:
+    def _consume_data(self, size_bytes: int) -> None:
         self._remaining -= size_bytes
         if self._remaining == 0:
             self._state = _State.AFTER_DATA
 
-    def _keep(self, part: bytes) -> None:
+    def _carry_over(self, part: bytes) -> None:
         if self._state is _State.AFTER_DATA and part != b"\r":
             raise MalformedMessageError("a chunk is longer than its size")
         if len(part) > _MAX_LINE_BYTES or b"\n" in part:
             raise MalformedMessageError("a line of the chunked body has no proper end")
         self._carry = part
 
-    def _take_line(self, line: bytes) -> None:
+    def _consume_line(self, line: bytes) -> None:
         if len(line) > _MAX_LINE_BYTES or b"\n" in line:
             raise MalformedMessageError("a line of the chunked body is not valid")
         if self._state is _State.AFTER_DATA:
@@ -128,7 +128,7 @@
                 raise MalformedMessageError("a chunk is longer than its size")
             self._state = _State.SIZE
         elif self._state is _State.SIZE:
-            self._take_size(line)
+            self._consume_size(line)
         elif not line:
             self.done = True
         else:
@@ -136,7 +136,7 @@
             if self._trailer_bytes > _MAX_TRAILER_BYTES:
                 raise MalformedMessageError("the trailers are too long")
 
-    def _take_size(self, line: bytes) -> None:
+    def _consume_size(self, line: bytes) -> None:
         digits = line.split(b";", 1)[0].rstrip(b" \t")
         if not digits or len(digits) > _MAX_SIZE_DIGITS or digits.strip(_HEX_DIGITS):
             raise MalformedMessageError("a chunk's size is not a number")
@@ -147,7 +147,7 @@
 def request_body_decoder(head: RequestHead) -> tuple[BodyDecoder, int | None]:
     """Return the decoder of a request's body, and its announced length if any.
 
-    :raises MalformedMessageError: if its framing is not valid; only ``chunked`` is spoken as a coding.
+    :raises MalformedMessageError: its framing is not valid, or its transfer coding is not ``chunked``.
     """
     codings = transfer_codings(head.headers)
     if codings:
--- a/src/springmux/node/http/client.py
+++ b/src/springmux/node/http/client.py
@@ -1,4 +1,4 @@
-"""Connections to engines, kept for reuse: the HTTP/1.1 client (RFC 9110, RFC 9112)."""
+"""HTTP/1.1 client with a connection pool per engine (RFC 9110, RFC 9112)."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from springmux.node.http.framing import encode_request
 from springmux.node.http.types import ExchangeFailedError, FailureKind, RequestHead, ResponseHead
 
-_DEFAULT_IDLE_S = 10.0
-# An engine closes at its own timeout; the margin keeps a request from meeting that close.
+_DEFAULT_IDLE_TIMEOUT_S = 10.0
+# An engine closes at its own timeout; the margin avoids sending a request into that close.
 _IDLE_MARGIN_S = 0.5
-_SHORTEST_TIMEOUT_S = 1
-_TIMEOUT = re.compile(rb"(?:^|[,\s])timeout\s*=\s*\"?(\d{1,9})", re.IGNORECASE)
+_MIN_KEEP_ALIVE_TIMEOUT_S = 1
+_KEEP_ALIVE_TIMEOUT = re.compile(rb"(?:^|[,\s])timeout\s*=\s*\"?(\d{1,9})", re.IGNORECASE)
 
 
 class PooledEngineClient:
     """Implements :class:`~springmux.node.http.types.EngineClient`.
 
-    :param max_idle_per_address: kept idle connections of one engine; the oldest goes first.
+    :param max_idle_per_address: idle connections kept per engine; the oldest is closed first.
     """
 
     def __init__(self, max_idle_per_address: int = 16) -> None:
@@ -44,24 +44,24 @@
         :raises ExchangeFailedError: ``CONNECT`` or ``NOT_SENT``; nothing was sent.
         """
         request = encode_request(head, body)
-        # The framing of a late answer to HEAD can't be told, so such a request has a connection of its own.
+        # The framing of a late response to HEAD is unknown, so HEAD requests never share a connection.
         connection = None if head.method == b"HEAD" else self._take_idle(address)
         while True:
             if connection is None:
                 connection = await self._connect(address, connect_timeout_s)
-            # From here to the return nothing waits: a cancellation can't lose the connection.
-            exchange = HttpEngineExchange(connection, head.method, accept, self._keep)
-            connection.user = exchange
+            # Nothing awaits from here to the return, so a cancellation can't lose the connection.
+            exchange = HttpEngineExchange(connection, head.method, accept, self._return_idle)
+            connection.exchange = exchange
             if connection.write(request):
                 return exchange
-            connection.user = None
+            connection.exchange = None
             connection.abort()
             if connection.fresh:
                 raise ExchangeFailedError(FailureKind.NOT_SENT, "the connection ended before the request")
             connection = self._take_idle(address)
 
     def close(self) -> None:
-        """Close every connection; exchanges under way fail."""
+        """Close every connection; exchanges in flight fail."""
         self._closed = True
         self._idle.clear()
         for connection in tuple(self._connections):
@@ -71,8 +71,8 @@
         idle = self._idle.get(address)
         while idle:
             connection = idle.pop()
-            connection.stop_timer()
-            if connection.usable():
+            connection.stop_idle_timer()
+            if connection.reusable():
                 return connection
             connection.abort()
         return None
@@ -81,9 +81,9 @@
         if self._closed:
             raise ExchangeFailedError(FailureKind.CONNECT, "the client is closed")
         loop = asyncio.get_running_loop()
-        connection = EngineConnection(address, self._lost)
+        connection = EngineConnection(address, self._connection_lost)
         try:
-            host, port = _split(address)
+            host, port = _split_address(address)
             async with asyncio.timeout(timeout_s):
                 await loop.create_connection(lambda: connection, host, port)
         except TimeoutError:
@@ -97,19 +97,19 @@
             self._connections.add(connection)
         return connection
 
-    def _keep(self, connection: EngineConnection, answer: ResponseHead) -> None:
-        life_s = _idle_life_s(answer)
-        if life_s is None or self._closed or self._max_idle < 1:
-            connection.user = None
+    def _return_idle(self, connection: EngineConnection, response: ResponseHead) -> None:
+        idle_timeout_s = _idle_timeout_s(response)
+        if idle_timeout_s is None or self._closed or self._max_idle < 1:
+            connection.exchange = None
             connection.abort()
             return
         idle = self._idle.setdefault(connection.address, [])
         idle.append(connection)
-        connection.keep(life_s)
+        connection.set_idle(idle_timeout_s)
         if len(idle) > self._max_idle:
             idle.pop(0).abort()
 
-    def _lost(self, connection: EngineConnection) -> None:
+    def _connection_lost(self, connection: EngineConnection) -> None:
         self._connections.discard(connection)
         idle = self._idle.get(connection.address)
         if idle is None:
@@ -120,19 +120,19 @@
             del self._idle[connection.address]
 
 
-def _split(address: str) -> tuple[str, int]:
+def _split_address(address: str) -> tuple[str, int]:
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit():
         raise ValueError("the address is not host:port")
     return host.removeprefix("[").removesuffix("]"), int(port)
 
 
-def _idle_life_s(answer: ResponseHead) -> float | None:
-    """Return how long an idle connection may be kept, from ``Keep-Alive``; ``None``: not at all."""
-    found = _TIMEOUT.search(answer.header(b"keep-alive") or b"")
-    if found is None:
-        return _DEFAULT_IDLE_S
-    timeout_s = int(found.group(1))
-    if timeout_s <= _SHORTEST_TIMEOUT_S:
+def _idle_timeout_s(response: ResponseHead) -> float | None:
+    """Return the idle timeout by the ``Keep-Alive`` header, or ``None`` to close the connection."""
+    match = _KEEP_ALIVE_TIMEOUT.search(response.header(b"keep-alive") or b"")
+    if match is None:
+        return _DEFAULT_IDLE_TIMEOUT_S
+    timeout_s = int(match.group(1))
+    if timeout_s <= _MIN_KEEP_ALIVE_TIMEOUT_S:
         return None
     return timeout_s - _IDLE_MARGIN_S
--- a/src/springmux/node/http/client_exchange.py
+++ b/src/springmux/node/http/client_exchange.py
@@ -10,19 +10,19 @@
 from springmux.node.http.client_connection import EngineConnection
 from springmux.node.http.framing import has_no_body
 from springmux.node.http.heads import MalformedMessageError, ResponseHeadReader
-from springmux.node.http.sockets import SILENT_ERRORS
+from springmux.node.http.sockets import UNRESPONSIVE_PEER_ERRNOS
 from springmux.node.http.types import ExchangeFailedError, FailureKind, ResponseHead
 
-# Bytes that may wait unread before reading from the engine stops (the task's figure).
+# Received bytes that may wait to be consumed before reading from the engine pauses.
 _MAX_UNREAD_BYTES = 256 * 1024
-# Engines' heads are a few hundred bytes; a longer one than this is no answer.
+# Engines' heads are a few hundred bytes; one longer than this is not a valid response.
 _MAX_HEAD_BYTES = 65_536
 
 
 class HttpEngineExchange:
     """Implements :class:`~springmux.node.http.types.EngineExchange` on one connection.
 
-    :param give_back: takes the connection when it may serve another exchange; gets the answer's head.
+    :param return_connection: called with the connection and the response's head if it may be reused.
     """
 
     def __init__(
@@ -30,26 +30,26 @@
         connection: EngineConnection,
         method: bytes,
         accept: Callable[[ResponseHead], bool],
-        give_back: Callable[[EngineConnection, ResponseHead], None],
+        return_connection: Callable[[EngineConnection, ResponseHead], None],
     ) -> None:
         self._connection: EngineConnection | None = connection
         self._method = method
         self._accept = accept
-        self._give_back = give_back
+        self._return_connection = return_connection
         self._reader: ResponseHeadReader | None = ResponseHeadReader()
         self._decoder: BodyDecoder | None = None
         self._head: ResponseHead | None = None
-        self._done = False
+        self._complete = False
         self._reusable = method != b"HEAD"
         self._failure: Exception | None = None
-        self._pieces: deque[bytes] = deque()
+        self._chunks: deque[bytes] = deque()
         self._unread_bytes = 0
         self._waiter: asyncio.Future[None] | None = None
 
-    # What the caller uses.
+    # For the user of the exchange.
 
     async def head(self) -> ResponseHead:
-        """Return the answer's head; answers that ``accept`` refuses are skipped whole.
+        """Return the response's head; responses that ``accept`` rejects are skipped completely.
 
         :raises ExchangeFailedError: see :class:`FailureKind`.
         """
@@ -60,32 +60,32 @@
         return self._head
 
     async def read(self) -> bytes:
-        """Return the next bytes of the body as they come; empty at its proper end.
+        """Return the next bytes of the body as they arrive; empty at its proper end.
 
-        :raises ExchangeFailedError: ``CUT_SHORT`` or ``MALFORMED``.
+        :raises ExchangeFailedError: ``TRUNCATED`` or ``MALFORMED``.
         """
-        while not self._pieces:
+        while not self._chunks:
             if self._failure is not None:
                 raise self._failure
-            if self._done:
+            if self._complete:
                 return b""
             await self._wait()
-        piece = self._pieces.popleft()
-        self._unread_bytes -= len(piece)
+        chunk = self._chunks.popleft()
+        self._unread_bytes -= len(chunk)
         if self._connection is not None and self._unread_bytes <= _MAX_UNREAD_BYTES:
-            self._connection.read_on(True)
-        return piece
+            self._connection.set_reading(True)
+        return chunk
 
     def release(self) -> None:
-        """Leave a finished exchange: the connection is kept if the answer ended properly and allows it."""
+        """End the exchange; the connection is reused if the response is complete and allows it."""
         connection, self._connection = self._connection, None
         if connection is None:
             return
-        whole = self._done and self._failure is None
-        if whole and self._reusable and self._head is not None and not connection.closing:
-            self._give_back(connection, self._head)
+        complete = self._complete and self._failure is None
+        if complete and self._reusable and self._head is not None and not connection.closing:
+            self._return_connection(connection, self._head)
         else:
-            connection.user = None
+            connection.exchange = None
             connection.abort()
         self._fail(FailureKind.RESET, "released")
 
@@ -93,87 +93,87 @@
         """Close the connection at once; the engine drops the request."""
         connection, self._connection = self._connection, None
         if connection is not None:
-            connection.user = None
+            connection.exchange = None
             connection.abort()
             self._fail(FailureKind.RESET, "aborted")
 
-    # What the connection uses.
+    # For the connection.
 
-    def data_came(self, data: bytes) -> None:
-        """Take bytes of the engine."""
+    def data_received(self, data: bytes) -> None:
+        """Handle bytes from the engine."""
         try:
             while data and self._failure is None:
-                data = self._take(data)
+                data = self._receive(data)
         except MalformedMessageError as error:
             self._fail(FailureKind.MALFORMED, str(error))
             self._drop_connection()
 
-    def end_came(self) -> None:
-        """The engine ended its side: the proper end of an unframed body only."""
+    def eof_received(self) -> None:
+        """Handle the end of the engine's side, which completes only an unframed body."""
         self._reusable = False
         if self._head is not None and isinstance(self._decoder, UntilEndDecoder):
-            self._done = True
+            self._complete = True
             self._wake()
         else:
-            self._fail(self._kind_of_end(None), "the engine closed the connection")
+            self._fail(self._close_failure(None), "the engine closed the connection")
 
-    def connection_ended(self, error: Exception | None) -> None:
-        """The connection is over."""
+    def connection_lost(self, error: Exception | None) -> None:
+        """Handle the end of the connection."""
         self._reusable = False
-        self._fail(self._kind_of_end(error), type(error).__name__ if error else "closed")
-
-    def _kind_of_end(self, error: Exception | None) -> FailureKind:
-        began = self._reader is not None and self._reader.size_bytes > 0
-        if self._head is not None or began:
-            return FailureKind.CUT_SHORT
-        if isinstance(error, OSError) and error.errno in SILENT_ERRORS:
-            return FailureKind.SILENT
+        self._fail(self._close_failure(error), type(error).__name__ if error else "closed")
+
+    def _close_failure(self, error: Exception | None) -> FailureKind:
+        begun = self._reader is not None and self._reader.size_bytes > 0
+        if self._head is not None or begun:
+            return FailureKind.TRUNCATED
+        if isinstance(error, OSError) and error.errno in UNRESPONSIVE_PEER_ERRNOS:
+            return FailureKind.UNRESPONSIVE
         return FailureKind.RESET
 
-    # Reading an answer.
+    # Reading a response.
 
-    def _take(self, data: bytes) -> bytes:
-        """Take the next part of ``data``; return what is left of it."""
-        if self._done:
-            self._reusable = False  # nobody asked for these bytes
+    def _receive(self, data: bytes) -> bytes:
+        """Consume the next part of ``data``; return the rest."""
+        if self._complete:
+            self._reusable = False  # unsolicited bytes
             return b""
         if self._reader is not None:
-            return self._take_head(self._reader, data)
-        return self._take_body(data)
+            return self._receive_head(self._reader, data)
+        return self._receive_body(data)
 
-    def _take_head(self, reader: ResponseHeadReader, data: bytes) -> bytes:
+    def _receive_head(self, reader: ResponseHeadReader, data: bytes) -> bytes:
         used = reader.feed(data)
         if reader.size_bytes > _MAX_HEAD_BYTES:
-            raise MalformedMessageError("the answer's head is too long")
+            raise MalformedMessageError("the response's head is too long")
         if used is None:
             return b""
         head = reader.head()
         if head.status < 200:
             self._reader = ResponseHeadReader()
         else:
-            self._begin_answer(head, reader.keep_alive)
+            self._begin_response(head, reader.keep_alive)
         return data[used:]
 
-    def _begin_answer(self, head: ResponseHead, keep_alive: bool) -> None:
+    def _begin_response(self, head: ResponseHead, keep_alive: bool) -> None:
         connection = self._connection
         if not keep_alive or connection is None or connection.unsent_bytes:
             self._reusable = False
         try:
             accepted = self._accept(head)
-        except Exception as error:
+        except Exception as error:  # a fault of the caller's predicate is raised where the caller waits
             self._failure = error
             self._wake()
             self._drop_connection()
             return
         if not accepted and self._method == b"HEAD":
-            raise MalformedMessageError("an answer of unknown framing in place of one to HEAD")
+            raise MalformedMessageError("a response of unknown framing in place of one to HEAD")
         self._reader = None
         self._decoder = self._make_decoder(head)
         if accepted:
             self._head = head
             self._wake()
         if self._decoder.done:
-            self._end_answer()
+            self._end_response()
 
     def _make_decoder(self, head: ResponseHead) -> BodyDecoder:
         if self._method == b"HEAD" or has_no_body(head.status):
@@ -185,33 +185,33 @@
         self._reusable = False
         return UntilEndDecoder()
 
-    def _take_body(self, data: bytes) -> bytes:
+    def _receive_body(self, data: bytes) -> bytes:
         decoder = self._decoder
         assert decoder is not None
-        piece = decoder.feed(data)
-        if piece and self._head is not None:
-            self._add(piece)
+        chunk = decoder.feed(data)
+        if chunk and self._head is not None:
+            self._append(chunk)
         if not decoder.done:
             return b""
-        self._end_answer()
+        self._end_response()
         return decoder.rest
 
-    def _add(self, piece: bytes) -> None:
-        self._pieces.append(piece)
-        self._unread_bytes += len(piece)
+    def _append(self, chunk: bytes) -> None:
+        self._chunks.append(chunk)
+        self._unread_bytes += len(chunk)
         if self._unread_bytes > _MAX_UNREAD_BYTES and self._connection is not None:
-            self._connection.read_on(False)
+            self._connection.set_reading(False)
         self._wake()
 
-    def _end_answer(self) -> None:
+    def _end_response(self) -> None:
         self._decoder = None
         if self._head is not None:
-            self._done = True
+            self._complete = True
             self._wake()
         else:
-            self._reader = ResponseHeadReader()  # the skipped one was somebody else's
+            self._reader = ResponseHeadReader()  # the skipped response belongs to another request
 
-    # Waiting and ends.
+    # Waiting, failing, closing.
 
     async def _wait(self) -> None:
         self._waiter = asyncio.get_running_loop().create_future()
@@ -223,7 +223,7 @@
             waiter.set_result(None)
 
     def _fail(self, kind: FailureKind, reason: str) -> None:
-        if self._done or self._failure is not None:
+        if self._complete or self._failure is not None:
             return
         self._failure = ExchangeFailedError(kind, reason)
         self._reader = None
@@ -232,5 +232,5 @@
     def _drop_connection(self) -> None:
         connection, self._connection = self._connection, None
         if connection is not None:
-            connection.user = None
+            connection.exchange = None
             connection.abort()
--- a/src/springmux/node/http/connection_owner.py
+++ b/src/springmux/node/http/connection_owner.py
@@ -1,4 +1,4 @@
-"""What a client's connection needs of the server that owns it."""
+"""Interfaces between a client's connection and the server that owns it."""
 
 from __future__ import annotations
 
@@ -9,42 +9,42 @@
 
 
 class OwnedConnection(Protocol):
-    """What the server does to a client's connection."""
+    """A client's connection, as its server uses it."""
 
     def close_if_idle(self) -> None:
         """Close the connection unless a request is in flight."""
         ...
 
-    def cut(self) -> None:
-        """Reset the connection, whatever is in flight."""
+    def abort(self) -> None:
+        """Reset the connection, also with a request in flight."""
         ...
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of its server."""
+    """The server, as its connections use it."""
 
     stopping: bool
 
     def limits_now(self) -> ServerLimits:
-        """Return the bounds in force."""
+        """Return the current limits."""
         ...
 
-    def connected(self, connection: OwnedConnection) -> bool:
-        """Take in a new connection; ``False`` if there are too many."""
+    def connection_opened(self, connection: OwnedConnection) -> bool:
+        """Register a new connection; return ``False`` if there are too many."""
         ...
 
-    def refused(self, refusal: ServerRefusal, head: RequestHead | None) -> None:
-        """Note that a request was refused or cut. ``head``: the request's, if it was read."""
+    def request_refused(self, refusal: ServerRefusal, head: RequestHead | None) -> None:
+        """Report that a request was refused or aborted. ``head``: the request's, if it was read."""
         ...
 
-    def disconnected(self, connection: OwnedConnection) -> None:
-        """Forget a connection."""
+    def connection_closed(self, connection: OwnedConnection) -> None:
+        """Unregister a connection."""
         ...
 
-    def opened(self, exchange: HttpServerExchange) -> None:
-        """Have a new request handled."""
+    def request_started(self, exchange: HttpServerExchange) -> None:
+        """Start the handler of a new request."""
         ...
 
-    def closed(self) -> None:
-        """Note that a request was answered or its client left."""
+    def request_ended(self) -> None:
+        """Record that a request got its response or its client disconnected."""
         ...
--- a/src/springmux/node/http/framing.py
+++ b/src/springmux/node/http/framing.py
@@ -1,4 +1,4 @@
-"""Encoding of HTTP/1.1 heads (RFC 9112), and reading of the headers that frame a message."""
+"""Encoding of HTTP/1.1 heads (RFC 9112), and parsing of the headers that frame a message."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def encode_response_head(status: int, headers: Iterable[Header], framing: Iterable[Header]) -> bytes:
-    """Return an answer's head: the headers as given, then those that the server adds."""
+    """Return a response's head: the headers as given, then those that the server adds."""
     parts = [_STATUS_LINES.get(status) or b"HTTP/1.1 %d \r\n" % status]
     parts.extend(b"%b: %b\r\n" % header for header in headers)
     parts.extend(b"%b: %b\r\n" % header for header in framing)
@@ -26,7 +26,7 @@
 
 
 def encode_request(head: RequestHead, body: bytes) -> bytes:
-    """Return a whole request, its headers as given but for the framing ones, which are made anew."""
+    """Return a complete request; its framing headers are replaced by those of ``body``."""
     parts = [b"%b %b HTTP/1.1\r\n" % (head.method, head.target)]
     for name, value in head.headers:
         if name not in _FRAMING_HEADERS:
@@ -39,7 +39,7 @@
 
 
 def encode_chunk(data: bytes) -> bytes:
-    """Return one chunk (RFC 9112, 7.1). ``data`` must not be empty: that would end the body."""
+    """Return one chunk (RFC 9112, section 7.1). ``data`` must not be empty: that would end the body."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
@@ -47,12 +47,12 @@
 
 
 def has_no_body(status: int) -> bool:
-    """Return whether an answer with this status never has a body (RFC 9112, 6.3)."""
+    """Return whether a response with this status never has a body (RFC 9112, section 6.3)."""
     return status < 200 or status in (204, 304)
 
 
 def transfer_codings(headers: Sequence[Header]) -> list[bytes]:
-    """Return the transfer codings in their order, in lower case; empty without the header."""
+    """Return the transfer codings in order and in lower case; empty without the header."""
     values = [value for name, value in headers if name == b"transfer-encoding"]
     return [coding.strip().lower() for value in values for coding in value.split(b",")]
 
@@ -60,7 +60,7 @@
 def content_length(headers: Sequence[Header]) -> int | None:
     """Return Content-Length, or ``None`` without it.
 
-    :raises ValueError: if it is no plain number or stands there twice.
+    :raises ValueError: it is not a plain number, or there are several.
     """
     values = [value for name, value in headers if name == b"content-length"]
     if not values:
@@ -71,7 +71,7 @@
 
 
 def describe_exception(error: BaseException) -> str:
-    """Return an exception's type and place. Its text may hold a key or a prompt, so it is left out."""
+    """Return an exception's type and source line, without its text, which may contain a key or a prompt."""
     frames = extract_tb(error.__traceback__)
     if not frames:
         return type(error).__name__
--- a/src/springmux/node/http/heads.py
+++ b/src/springmux/node/http/heads.py
@@ -1,7 +1,7 @@
-"""Readers of one head each, from bytes as they come. The bytes after a head are never touched.
+"""Incremental readers of one message head each. The bytes after a head are never consumed.
 
 Only the head goes through ``httptools``. It has no way to stop at a message's end or to skip the body of an
-answer to HEAD, so bodies are framed in :mod:`springmux.node.http.bodies`.
+response to HEAD, so bodies are framed in :mod:`springmux.node.http.bodies`.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class _HeadReader:
-    """What readers of requests and of answers share."""
+    """Common part of the readers of request and response heads."""
 
     def __init__(self) -> None:
         self.size_bytes = 0
@@ -32,9 +32,9 @@
         self._parser: httptools.HttpRequestParser | httptools.HttpResponseParser | None = None
 
     def feed(self, data: bytes) -> int | None:
-        """Take bytes; return how many belonged to the head if it is whole now, else ``None``.
+        """Consume bytes; return how many belong to the head if it is complete now, else ``None``.
 
-        :raises MalformedMessageError: if they can't begin a valid head.
+        :raises MalformedMessageError: the bytes can't begin a valid head.
         """
         joined = self._tail + data
         found = joined.find(_HEAD_END)
@@ -48,7 +48,7 @@
         self._parse(data[:used])
         self._parser = None
         if not self._complete:
-            raise MalformedMessageError("the head is not whole at its end")
+            raise MalformedMessageError("the head is not complete at its end")
         return used
 
     def _parse(self, data: bytes) -> None:
@@ -57,17 +57,17 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            # An upgrade is never made: the message goes on as if it hadn't been offered (RFC 9110, 7.8).
+            # Upgrades are ignored: the message is read as if none had been offered (RFC 9110, section 7.8).
             return
         except httptools.HttpParserError as error:
             raise MalformedMessageError(str(error)) from None
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header (called by the parser)."""
+        """Store a header (called by the parser)."""
         self._headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Note the head's end (called by the parser)."""
+        """Record the end of the head (called by the parser)."""
         assert self._parser is not None
         if self._complete:
             raise MalformedMessageError("two heads in one")
@@ -87,18 +87,18 @@
         self._method = b""
 
     def on_url(self, part: bytes) -> None:
-        """Take a part of the target (called by the parser)."""
+        """Store a part of the target (called by the parser)."""
         self._target += part
 
     def on_headers_complete(self) -> None:
-        """Note the head's end and the method (called by the parser)."""
+        """Record the end of the head and the method (called by the parser)."""
         self._method = self._request_parser.get_method()
         super().on_headers_complete()
 
     def head(self) -> RequestHead:
-        """Return the head, once whole.
+        """Return the head, once complete.
 
-        :raises MalformedMessageError: if its version is not one that we speak.
+        :raises MalformedMessageError: its version is neither HTTP/1.0 nor HTTP/1.1.
         """
         del self._request_parser
         if self.version not in ("1.0", "1.1"):
@@ -107,25 +107,25 @@
 
 
 class ResponseHeadReader(_HeadReader):
-    """Reads the head of one answer."""
+    """Reads the head of one response."""
 
     def __init__(self) -> None:
         super().__init__()
-        self._answer_parser = httptools.HttpResponseParser(self)
-        self._parser = self._answer_parser
+        self._response_parser = httptools.HttpResponseParser(self)
+        self._parser = self._response_parser
         self._status = 0
 
     def on_headers_complete(self) -> None:
-        """Note the head's end and the status (called by the parser)."""
-        self._status = self._answer_parser.get_status_code()
+        """Record the end of the head and the status (called by the parser)."""
+        self._status = self._response_parser.get_status_code()
         super().on_headers_complete()
 
     def head(self) -> ResponseHead:
-        """Return the head, once whole.
+        """Return the head, once complete.
 
-        :raises MalformedMessageError: if its framing is not valid, or it switches protocols.
+        :raises MalformedMessageError: its framing is not valid, or it switches protocols.
         """
-        del self._answer_parser
+        del self._response_parser
         if self._status == _SWITCHING_PROTOCOLS:
             raise MalformedMessageError("the engine switches protocols")
         headers = tuple(self._headers)
--- a/src/springmux/node/http/server.py
+++ b/src/springmux/node/http/server.py
@@ -1,4 +1,4 @@
-"""A lean HTTP/1.1 server (RFC 9110, RFC 9112) over asyncio's protocols."""
+"""HTTP/1.1 server (RFC 9110, RFC 9112) over asyncio's protocols."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 _log = logging.getLogger(__name__)
 
 _BACKLOG = 1024
-# Rounds of the loop from an accepted socket to its first bytes (asyncio of Python 3.11).
-_ROUNDS_TO_READ = 4
+# Iterations of the event loop from an accepted socket to its first bytes (asyncio of Python 3.11).
+_ITERATIONS_TO_READ = 4
 
 
 class HttpServer:
     """Serves requests of clients, each in a task of its own.
 
-    :param limits: asked anew for each request, so that a change holds on open connections too.
-    :param on_refused: told of every request that the server itself refuses or cuts.
+    :param limits: called for each request, so that a change applies to open connections too.
+    :param on_refused: called for every request that the server itself refuses or aborts.
     """
 
     def __init__(
@@ -46,21 +46,21 @@
         self._on_refused = on_refused
         self._listener: asyncio.Server | None = None
         self._connections: set[OwnedConnection] = set()
-        self._refused: set[OwnedConnection] = set()
+        self._rejected_connections: set[OwnedConnection] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         self._open_requests = 0
-        self._quiet: asyncio.Event = asyncio.Event()
-        self._quiet.set()
+        self._idle: asyncio.Event = asyncio.Event()
+        self._idle.set()
 
     @property
     def open_requests(self) -> int:
-        """Requests whose head was read and whose answer hasn't ended."""
+        """Requests whose head was read and whose response has not ended."""
         return self._open_requests
 
     async def listen(self, host: str, port: int) -> int:
         """Listen and return the port (useful with port 0).
 
-        :raises OSError: if the address can't be bound.
+        :raises OSError: the address can't be bound.
         """
         loop = asyncio.get_running_loop()
         self._listener = await loop.create_server(
@@ -69,23 +69,23 @@
         return int(self._listener.sockets[0].getsockname()[1])
 
     def stop_accepting(self) -> None:
-        """Take no new connections; answers from now on say ``Connection: close``."""
+        """Accept no new connections; responses from now on carry ``Connection: close``."""
         self.stopping = True
         if self._listener is not None:
             self._listener.close()
             self._listener = None
 
     async def finish(self, grace_s: float) -> None:
-        """Close idle connections, answer what was read for at most ``grace_s``, then close the rest."""
+        """Close idle connections, finish requests in flight for at most ``grace_s``, then close the rest."""
         self.stop_accepting()
-        # What already waits in the kernel is read first, so that fewer requests meet a closed connection.
-        for _ in range(_ROUNDS_TO_READ):
+        # Bytes that wait in the kernel are read first, so that fewer requests meet a closed connection.
+        for _ in range(_ITERATIONS_TO_READ):
             await asyncio.sleep(0)
         for connection in tuple(self._connections):
             connection.close_if_idle()
         try:
             async with asyncio.timeout(grace_s):
-                await self._quiet.wait()
+                await self._idle.wait()
         except TimeoutError:
             _log.warning("http_finish_cut open_requests=%d", self._open_requests)
         self.close()
@@ -93,55 +93,55 @@
     def close(self) -> None:
         """Reset every connection and cancel every handler."""
         self.stop_accepting()
-        for connection in (*self._connections, *self._refused):
-            connection.cut()
+        for connection in (*self._connections, *self._rejected_connections):
+            connection.abort()
         for task in tuple(self._tasks):
             task.cancel()
 
-    # What the connections use.
+    # For the connections.
 
     def limits_now(self) -> ServerLimits:
-        """Return the bounds in force."""
+        """Return the current limits."""
         return self._limits()
 
-    def connected(self, connection: OwnedConnection) -> bool:
-        """Take in a new connection; ``False`` if there are too many."""
-        self._quiet.clear()
+    def connection_opened(self, connection: OwnedConnection) -> bool:
+        """Register a new connection; return ``False`` if there are too many."""
+        self._idle.clear()
         if len(self._connections) >= self._limits().max_connections:
-            self._refused.add(connection)
+            self._rejected_connections.add(connection)
             return False
         self._connections.add(connection)
         return True
 
-    def refused(self, refusal: ServerRefusal, head: RequestHead | None) -> None:
-        """Tell the listener of a refusal."""
+    def request_refused(self, refusal: ServerRefusal, head: RequestHead | None) -> None:
+        """Report a refused or aborted request."""
         self._on_refused(refusal, head)
 
-    def disconnected(self, connection: OwnedConnection) -> None:
-        """Forget a connection."""
+    def connection_closed(self, connection: OwnedConnection) -> None:
+        """Unregister a connection."""
         self._connections.discard(connection)
-        self._refused.discard(connection)
-        self._note_quiet()
+        self._rejected_connections.discard(connection)
+        self._update_idle()
 
-    def opened(self, exchange: HttpServerExchange) -> None:
-        """Have a new request handled."""
+    def request_started(self, exchange: HttpServerExchange) -> None:
+        """Start the handler of a new request."""
         self._open_requests += 1
         task = asyncio.get_running_loop().create_task(self._serve(exchange))
         self._tasks.add(task)
-        self._quiet.clear()
+        self._idle.clear()
         task.add_done_callback(self._task_done)
 
-    def closed(self) -> None:
-        """Note that a request was answered or its client left."""
+    def request_ended(self) -> None:
+        """Record that a request got its response or its client disconnected."""
         self._open_requests -= 1
 
     def _task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
-        self._note_quiet()
+        self._update_idle()
 
-    def _note_quiet(self) -> None:
-        if not self._connections and not self._refused and not self._tasks:
-            self._quiet.set()
+    def _update_idle(self) -> None:
+        if not self._connections and not self._rejected_connections and not self._tasks:
+            self._idle.set()
 
     async def _serve(self, exchange: HttpServerExchange) -> None:
         try:
@@ -153,11 +153,11 @@
         except asyncio.CancelledError:
             exchange.abort()
             raise
-        except Exception as error:
+        except Exception as error:  # whatever a handler raises, its client must not wait for a response
             _log.error("http_handler_failed error=%s", describe_exception(error))
             self._fail(exchange)
         else:
-            # A handler that returns without an end has a fault too.
+            # A handler that returns without ending its response is at fault too.
             self._fail(exchange)
 
     def _fail(self, exchange: HttpServerExchange) -> None:
--- a/src/springmux/node/http/server_connection.py
+++ b/src/springmux/node/http/server_connection.py
@@ -1,4 +1,4 @@
-"""A client's connection at the server: requests one after another, timeouts, and the ways it ends."""
+"""A client's connection at the server: its requests in sequence, their timeouts, and how it closes."""
 
 from __future__ import annotations
 
@@ -16,15 +16,16 @@
 from springmux.node.http.types import Header, RequestHead, ServerRefusal
 from springmux.node.http.write_gate import WriteGate
 
-# What a body may take beyond the header timeout (the task's figure).
-_BODY_EXTRA_S = 10.0
-# How long a client's unread bytes are dropped, so that a close doesn't reset the answer away (task's figure).
-_LINGER_S = 1.0
-_HIGH_WATER_BYTES = 64 * 1024
-# Pipelined bytes kept before reading stops. Reading goes on until then, so that the client's end is noticed.
-_MAX_KEPT_BYTES = 64 * 1024
-_CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
-_STATUSES = {
+# Time that a body may take in addition to the header timeout.
+_BODY_TIMEOUT_MARGIN_S = 10.0
+# How long received bytes are discarded before closing: unread bytes would turn the close into a reset, which
+# may destroy the response on its way (RFC 9112, section 9.6).
+_LINGERING_TIMEOUT_S = 1.0
+_WRITE_HIGH_WATER_BYTES = 64 * 1024
+# Pipelined bytes buffered before reading pauses. Reading goes on until then to detect a disconnection.
+_MAX_BUFFERED_BYTES = 64 * 1024
+_CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
+_REFUSAL_STATUSES = {
     ServerRefusal.MALFORMED: 400,
     ServerRefusal.TOO_SLOW: 408,
     ServerRefusal.HEADERS_TOO_LARGE: 431,
@@ -36,12 +37,12 @@
     IDLE = enum.auto()
     HEAD = enum.auto()
     EXCHANGE = enum.auto()
-    LINGER = enum.auto()
+    LINGERING = enum.auto()
     CLOSING = enum.auto()
 
 
 class ServerConnection(asyncio.Protocol):
-    """One connection of a client. At any time it has one phase and at most one timer."""
+    """A connection of a client. At any time it is in one phase and has at most one timer."""
 
     def __init__(self, owner: ConnectionOwner) -> None:
         self._owner = owner
@@ -52,55 +53,55 @@
         self._limits = owner.limits_now()
         self._reader: RequestHeadReader | None = None
         self._exchange: HttpServerExchange | None = None
-        self._kept = b""
+        self._buffered = b""
         self._keep_alive = True
         self._expects_continue = False
         self._reading = True
-        self._gate = WriteGate()
+        self._write_gate = WriteGate()
 
-    # Called by the loop.
+    # Called by the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take in the transport; too many connections are answered 503."""
+        """Set the transport up; respond 503 if there are too many connections."""
         self._transport = cast(asyncio.Transport, transport)
         send_without_delay(self._transport)
-        self._transport.set_write_buffer_limits(high=_HIGH_WATER_BYTES)
-        if self._owner.connected(self):
-            # A first request has the header timeout: nothing says yet that the client will come again.
+        self._transport.set_write_buffer_limits(high=_WRITE_HIGH_WATER_BYTES)
+        if self._owner.connection_opened(self):
+            # The header timeout: no request has shown yet that the client reuses the connection.
             self._set_timer(self._limits.header_timeout_s, self._close)
         else:
             self._refuse(ServerRefusal.TOO_MANY_CONNECTIONS, headers=((b"retry-after", b"1"),))
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes, in every phase."""
+        """Handle bytes from the client."""
         if self._phase is _Phase.EXCHANGE:
-            self._take_in_exchange(data)
+            self._receive_in_exchange(data)
         elif self._phase in (_Phase.IDLE, _Phase.HEAD):
-            self._take_head(data)
+            self._receive_head(data)
 
     def eof_received(self) -> bool:
-        """The client ended its side: a request under way is given up."""
+        """Abort the connection if a request is in flight: the client ended its side."""
         if self._phase is _Phase.EXCHANGE:
             self._transport.abort()
-            self._leave()
+            self._disconnect_exchange()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is over."""
+        """Release everything that waits for the connection."""
         self._phase = _Phase.CLOSING
         self._set_timer(None)
-        self._leave()
-        self._gate.open()
+        self._disconnect_exchange()
+        self._write_gate.open()
         self._reader = None
-        self._owner.disconnected(self)
+        self._owner.connection_closed(self)
 
     def pause_writing(self) -> None:
-        """The client's socket is full."""
-        self._gate.shut()
+        """Make writers wait: the client's socket is full."""
+        self._write_gate.close()
 
     def resume_writing(self) -> None:
-        """The client's socket takes bytes again."""
-        self._gate.open()
+        """Let writers continue: the client's socket accepts bytes again."""
+        self._write_gate.open()
 
     # Called by the exchange.
 
@@ -108,80 +109,80 @@
         """Write bytes now."""
         self._transport.write(data)
 
-    async def drained(self) -> None:
+    async def drain(self) -> None:
         """Wait while the client's socket is full."""
-        await self._gate.passed()
+        await self._write_gate.wait_open()
 
-    def invite_body(self) -> None:
-        """Answer ``Expect: 100-continue`` once the body is wanted."""
+    def send_continue(self) -> None:
+        """Send ``100 Continue`` if the client expects it, once the handler reads the body."""
         if not self._expects_continue:
             return
         self._expects_continue = False
-        self._transport.write(_CONTINUE)
-        self._set_timer(self._limits.header_timeout_s + _BODY_EXTRA_S, self._body_is_late)
+        self._transport.write(_CONTINUE_RESPONSE)
+        self._set_timer(self._limits.header_timeout_s + _BODY_TIMEOUT_MARGIN_S, self._body_timed_out)
 
     def decide_close(self) -> bool:
-        """Return whether the connection ends after the answer that begins now."""
+        """Decide and return whether the connection closes after the response that begins now."""
         exchange = self._exchange
-        if exchange is None or not exchange.body_complete or exchange.too_large:
+        if exchange is None or not exchange.body_complete or exchange.body_too_large:
             self._keep_alive = False
-        if self._owner.stopping and not self._kept:
+        if self._owner.stopping and not self._buffered:
             self._keep_alive = False
         return not self._keep_alive
 
-    def answered(self, exchange: HttpServerExchange) -> None:
-        """The exchange's answer is written: go on with the next request, or close."""
+    def response_complete(self, exchange: HttpServerExchange) -> None:
+        """Go on to the next request, or close: the exchange's response is written."""
         self._exchange = None
         self._set_timer(None)
-        self._owner.closed()
-        if not exchange.body_complete or exchange.too_large:
-            self._linger()
-        elif not self._keep_alive or (self._owner.stopping and not self._kept):
-            self._linger() if self._kept else self._close()
+        self._owner.request_ended()
+        if not exchange.body_complete or exchange.body_too_large:
+            self._close_lingering()
+        elif not self._keep_alive or (self._owner.stopping and not self._buffered):
+            self._close_lingering() if self._buffered else self._close()
         else:
-            # Not at once: a handler's next answer would nest in this one's call.
+            # Not at once: the next handler's response would be nested in this call.
             self._phase = _Phase.IDLE
             self._set_timer(self._owner.limits_now().idle_timeout_s, self._close)
-            if self._kept:
-                self._loop.call_soon(self._take_kept)
+            if self._buffered:
+                self._loop.call_soon(self._process_buffered)
 
     def reset(self) -> None:
         """Reset the connection."""
         self._phase = _Phase.CLOSING
         reset(self._transport)
-        self._leave()
+        self._disconnect_exchange()
 
     # Called by the server.
 
-    def cut(self) -> None:
-        """Reset the connection, whatever it is at."""
+    def abort(self) -> None:
+        """Reset the connection in any phase."""
         if self._exchange is not None:
-            self._owner.refused(ServerRefusal.STOPPED, self._exchange.head)
+            self._owner.request_refused(ServerRefusal.STOPPED, self._exchange.head)
         self.reset()
 
     def close_if_idle(self) -> None:
-        """Close if nothing of a request has come."""
-        if self._phase is _Phase.IDLE and not self._kept:
+        """Close if no byte of a request has been received."""
+        if self._phase is _Phase.IDLE and not self._buffered:
             self._close()
 
     # Reading.
 
-    def _take_kept(self) -> None:
+    def _process_buffered(self) -> None:
         if self._phase is not _Phase.IDLE:
             return
-        data, self._kept = self._kept, b""
-        self._read_on(True)
+        data, self._buffered = self._buffered, b""
+        self._set_reading(True)
         if data:
-            self._take_head(data)
+            self._receive_head(data)
         if self._phase is _Phase.IDLE and self._owner.stopping:
             self._close()
 
-    def _take_head(self, data: bytes) -> None:
-        if self._kept:
-            self._kept += data  # _take_kept is due
+    def _receive_head(self, data: bytes) -> None:
+        if self._buffered:
+            self._buffered += data  # _process_buffered is scheduled
             return
         if self._phase is _Phase.IDLE:
-            data = data.lstrip(b"\r\n")  # RFC 9112, 2.2
+            data = data.lstrip(b"\r\n")  # RFC 9112, section 2.2
             if not data:
                 return
             self._begin_head()
@@ -205,103 +206,103 @@
         head = reader.head()
         decoder, length = request_body_decoder(head)
         self._reader = None
-        old_version = reader.version == "1.0"
-        self._keep_alive = reader.keep_alive and not old_version
+        http_1_0 = reader.version == "1.0"
+        self._keep_alive = reader.keep_alive and not http_1_0
         exchange = HttpServerExchange(
             self,
             head,
             decoder,
             self._loop.time(),
-            old_version=old_version,
+            http_1_0=http_1_0,
             max_body_bytes=self._limits.max_body_bytes,
             announced_bytes=length,
         )
         expectation = head.header(b"expect") or b""
-        self._expects_continue = not old_version and expectation.lower() == b"100-continue"
+        self._expects_continue = not http_1_0 and expectation.lower() == b"100-continue"
         self._exchange = exchange
         self._phase = _Phase.EXCHANGE
         if decoder.done:
             self._set_timer(None)
         else:
-            self._set_timer(self._limits.header_timeout_s + _BODY_EXTRA_S, self._body_is_late)
-        self._owner.opened(exchange)
+            self._set_timer(self._limits.header_timeout_s + _BODY_TIMEOUT_MARGIN_S, self._body_timed_out)
+        self._owner.request_started(exchange)
         if rest:
-            self._take_in_exchange(rest)
+            self._receive_in_exchange(rest)
 
-    def _take_in_exchange(self, data: bytes) -> None:
+    def _receive_in_exchange(self, data: bytes) -> None:
         exchange = self._exchange
         assert exchange is not None
         if exchange.body_complete:
-            self._keep(data)
+            self._buffer(data)
             return
         self._expects_continue = False
         try:
             rest = exchange.feed(data)
         except MalformedMessageError:
-            self._give_up(exchange, ServerRefusal.MALFORMED)
+            self._abort_exchange(exchange, ServerRefusal.MALFORMED)
             return
-        if exchange.too_large:
-            self._read_on(False)
+        if exchange.body_too_large:
+            self._set_reading(False)
         if exchange.body_complete:
             self._set_timer(None)
-            self._keep(rest)
+            self._buffer(rest)
 
-    def _keep(self, data: bytes) -> None:
-        self._kept += data
-        if len(self._kept) > _MAX_KEPT_BYTES:
-            self._read_on(False)
+    def _buffer(self, data: bytes) -> None:
+        self._buffered += data
+        if len(self._buffered) > _MAX_BUFFERED_BYTES:
+            self._set_reading(False)
 
-    def _read_on(self, wanted: bool) -> None:
-        if wanted == self._reading or self._transport.is_closing():
+    def _set_reading(self, enabled: bool) -> None:
+        if enabled == self._reading or self._transport.is_closing():
             return
-        self._reading = wanted
-        if wanted:
+        self._reading = enabled
+        if enabled:
             self._transport.resume_reading()
         else:
             self._transport.pause_reading()
 
-    # Ends.
+    # Closing.
 
-    def _body_is_late(self) -> None:
+    def _body_timed_out(self) -> None:
         if self._exchange is not None:
-            self._give_up(self._exchange, ServerRefusal.TOO_SLOW)
+            self._abort_exchange(self._exchange, ServerRefusal.TOO_SLOW)
 
-    def _give_up(self, exchange: HttpServerExchange, refusal: ServerRefusal) -> None:
-        """End an exchange for the client's fault; its handler sees the client gone."""
+    def _abort_exchange(self, exchange: HttpServerExchange, refusal: ServerRefusal) -> None:
+        """End an exchange for a fault of the client; to its handler the client has disconnected."""
         if exchange.begun:
-            self._owner.refused(refusal, exchange.head)
+            self._owner.request_refused(refusal, exchange.head)
             self.reset()
             return
-        self._leave()
+        self._disconnect_exchange()
         self._refuse(refusal, exchange.head)
 
-    def _leave(self) -> None:
+    def _disconnect_exchange(self) -> None:
         exchange, self._exchange = self._exchange, None
         if exchange is not None:
-            exchange.leave()
-            self._gate.open()
-            self._owner.closed()
+            exchange.client_disconnected()
+            self._write_gate.open()
+            self._owner.request_ended()
 
     def _refuse(
         self, refusal: ServerRefusal, head: RequestHead | None = None, headers: tuple[Header, ...] = ()
     ) -> None:
-        self._owner.refused(refusal, head)
+        self._owner.request_refused(refusal, head)
         framing = ((b"content-length", b"0"), (b"connection", b"close"))
-        self._transport.write(encode_response_head(_STATUSES[refusal], headers, framing))
-        self._linger()
-
-    def _linger(self) -> None:
-        """Send the end, and drop what the client still sends for a while."""
-        self._phase = _Phase.LINGER
-        self._kept = b""
-        self._read_on(True)
+        self._transport.write(encode_response_head(_REFUSAL_STATUSES[refusal], headers, framing))
+        self._close_lingering()
+
+    def _close_lingering(self) -> None:
+        """End this side, and discard for a while what the client still sends."""
+        self._phase = _Phase.LINGERING
+        self._buffered = b""
+        self._set_reading(True)
         if self._transport.is_closing():
             return
         self._transport.write_eof()
-        self._set_timer(_LINGER_S, self._close)
+        self._set_timer(_LINGERING_TIMEOUT_S, self._close)
 
     def _close(self) -> None:
-        """Close once everything is written; a client that takes nothing is cut off after a while."""
+        """Close once everything is written, or abort if the client doesn't read that in time."""
         self._phase = _Phase.CLOSING
         self._transport.close()
         self._set_timer(self._limits.idle_timeout_s, self._transport.abort)
--- a/src/springmux/node/http/server_exchange.py
+++ b/src/springmux/node/http/server_exchange.py
@@ -1,4 +1,4 @@
-"""One request on a client's connection and its answer: the server's side of an exchange."""
+"""One request on a client's connection and its response: the server's side of an exchange."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
         """Write bytes of the response."""
         ...
 
-    async def drained(self) -> None:
+    async def drain(self) -> None:
         """Wait until the client takes more bytes.
 
-        :raises ClientDisconnectedError: if the client left.
+        :raises ClientDisconnectedError: the client has disconnected.
         """
         ...
 
-    def invite_body(self) -> None:
+    def send_continue(self) -> None:
         """Send ``100 Continue`` if the client waits for it (RFC 9110, section 10.1.1)."""
         ...
 
@@ -44,7 +44,7 @@
         """Return whether the connection closes after this response."""
         ...
 
-    def answered(self, exchange: HttpServerExchange) -> None:
+    def response_complete(self, exchange: HttpServerExchange) -> None:
         """Go on to the next request: the response is complete."""
         ...
 
@@ -66,34 +66,34 @@
         decoder: BodyDecoder,
         received_at: float,
         *,
-        old_version: bool,
+        http_1_0: bool,
         max_body_bytes: int,
         announced_bytes: int | None,
     ) -> None:
         self.head = head
         self.received_at = received_at
         self.finished = False
-        self.gone = False
-        self.too_large = announced_bytes is not None and announced_bytes > max_body_bytes
+        self.disconnected = False
+        self.body_too_large = announced_bytes is not None and announced_bytes > max_body_bytes
         self._connection = connection
         self._decoder = decoder
-        self._old_version = old_version
+        self._http_1_0 = http_1_0
         self._max_body_bytes = max_body_bytes
         self._parts: list[bytes] = []
         self._size_bytes = 0
         self._body: bytes | None = None
         self._waiters: list[asyncio.Future[None]] = []
-        self._gone_callbacks: list[Callable[[], None]] = []
+        self._disconnect_callbacks: list[Callable[[], None]] = []
         self._begun = False
-        self._bodiless = False
+        self._without_body = False
         self._chunked = False
-        self._remaining: int | None = None
+        self._remaining_bytes: int | None = None
 
-    # What the handler uses.
+    # For the handler.
 
     @property
     def begun(self) -> bool:
-        """Whether any byte of an answer was sent."""
+        """Whether any byte of a response was sent."""
         return self._begun
 
     @property
@@ -102,13 +102,13 @@
         return self._decoder.done
 
     async def body(self) -> bytes:
-        """Return the whole body.
+        """Return the complete body.
 
-        :raises BodyTooLargeError: if it is over the limit; answer 413.
-        :raises ClientDisconnectedError: if the client left before its end.
+        :raises BodyTooLargeError: it is over the limit; respond 413.
+        :raises ClientDisconnectedError: the client disconnected before its end.
         """
         while True:
-            if self.too_large:
+            if self.body_too_large:
                 raise BodyTooLargeError
             if self._body is not None:
                 return self._body
@@ -116,96 +116,96 @@
                 self._body = b"".join(self._parts)
                 self._parts.clear()
                 return self._body
-            if self.gone or self.finished:
+            if self.disconnected or self.finished:
                 raise ClientDisconnectedError
-            self._connection.invite_body()
+            self._connection.send_continue()
             waiter = asyncio.get_running_loop().create_future()
             self._waiters.append(waiter)
             await waiter
 
     def respond(self, status: int, headers: Sequence[Header], body: bytes) -> None:
-        """Send a whole answer with Content-Length, in one write."""
+        """Send a complete response with Content-Length, in one write."""
         if self._ended():
             return
         head = self._encode_head(status, headers, len(body))
-        self._connection.send(head if self._bodiless else head + body)
+        self._connection.send(head if self._without_body else head + body)
         self._finish()
 
     def begin(self, status: int, headers: Sequence[Header], length: int | None) -> None:
-        """Begin an answer whose body follows; chunked where ``length`` is ``None``."""
+        """Begin a response whose body follows; chunked if ``length`` is ``None``."""
         if self._ended():
             return
-        self._remaining = length
+        self._remaining_bytes = length
         self._connection.send(self._encode_head(status, headers, length))
 
     async def write(self, data: bytes) -> None:
         """Send a part of the body at once; waits while the client's socket is full.
 
-        :raises ClientDisconnectedError: if the client left.
+        :raises ClientDisconnectedError: the client has disconnected.
         """
-        if self.gone or self.finished:
+        if self.disconnected or self.finished:
             raise ClientDisconnectedError
         if not self._begun:
             raise RuntimeError("write before begin")
-        if not data or self._bodiless:
+        if not data or self._without_body:
             return
-        if self._remaining is not None:
-            if len(data) > self._remaining:
+        if self._remaining_bytes is not None:
+            if len(data) > self._remaining_bytes:
                 raise RuntimeError("the body is longer than announced")
-            self._remaining -= len(data)
+            self._remaining_bytes -= len(data)
         self._connection.send(encode_chunk(data) if self._chunked else data)
-        await self._connection.drained()
-        if self.gone:
+        await self._connection.drain()
+        if self.disconnected:
             raise ClientDisconnectedError
 
     def end(self) -> None:
-        """End the body properly; a body shorter than announced is a reset."""
-        if self.gone or self.finished:
+        """End the body; one shorter than announced resets the connection."""
+        if self.disconnected or self.finished:
             return
         if not self._begun:
             raise RuntimeError("end before begin")
-        if self._remaining and not self._bodiless:
+        if self._remaining_bytes and not self._without_body:
             self.abort()
             return
-        if self._chunked and not self._bodiless:
+        if self._chunked and not self._without_body:
             self._connection.send(LAST_CHUNK)
         self._finish()
 
     def abort(self) -> None:
-        """Reset the connection, so that an unfinished answer can't look complete."""
-        if not self.finished and not self.gone:
-            self._gone_callbacks.clear()  # the client didn't leave
+        """Reset the connection, so that a truncated response can't look complete."""
+        if not self.finished and not self.disconnected:
+            self._disconnect_callbacks.clear()  # the client didn't disconnect
             self._connection.reset()
 
-    def on_gone(self, callback: Callable[[], None]) -> None:
-        """Call ``callback`` once if the client leaves before the answer's end."""
-        if self.gone:
+    def on_disconnect(self, callback: Callable[[], None]) -> None:
+        """Call ``callback`` once if the client disconnects before the end of the response."""
+        if self.disconnected:
             asyncio.get_running_loop().call_soon(_call, callback)
         elif not self.finished:
-            self._gone_callbacks.append(callback)
+            self._disconnect_callbacks.append(callback)
 
-    # What the connection uses.
+    # For the connection.
 
     def feed(self, data: bytes) -> bytes:
-        """Take bytes of the body; return those after its end.
+        """Consume bytes of the body; return those after its end.
 
-        :raises MalformedMessageError: if its framing is broken.
+        :raises MalformedMessageError: its framing is not valid.
         """
         part = self._decoder.feed(data)
         self._size_bytes += len(part)
         if self._size_bytes > self._max_body_bytes:
-            self.too_large = True
+            self.body_too_large = True
             self._parts.clear()
-        elif not self.too_large:
+        elif not self.body_too_large:
             self._parts.append(part)
-        if self.too_large or self._decoder.done:
+        if self.body_too_large or self._decoder.done:
             self._wake()
         return self._decoder.rest
 
     def fail(self, status: int) -> bool:
-        """Give the exchange up: with an answer if nothing of one was sent, else with a reset.
+        """Abort the exchange: with an error response if no response has begun, else with a reset.
 
-        Returns whether it hadn't ended already.
+        Returns whether the exchange was still open.
         """
         if self._ended():
             return False
@@ -215,18 +215,18 @@
             self.respond(status, (), b"")
         return True
 
-    def leave(self) -> None:
-        """Note that the client is gone: whoever waits gets ClientDisconnectedError."""
-        if self.gone or self.finished:
+    def client_disconnected(self) -> None:
+        """Record the disconnection; whoever waits gets ClientDisconnectedError."""
+        if self.disconnected or self.finished:
             return
-        self.gone = True
+        self.disconnected = True
         self._wake()
-        callbacks, self._gone_callbacks = self._gone_callbacks, []
+        callbacks, self._disconnect_callbacks = self._disconnect_callbacks, []
         for callback in callbacks:
             _call(callback)
 
     def _ended(self) -> bool:
-        return self.gone or self.finished
+        return self.disconnected or self.finished
 
     def _wake(self) -> None:
         waiters, self._waiters = self._waiters, []
@@ -236,20 +236,20 @@
 
     def _finish(self) -> None:
         self.finished = True
-        self._gone_callbacks.clear()
+        self._disconnect_callbacks.clear()
         self._wake()
-        self._connection.answered(self)
+        self._connection.response_complete(self)
 
     def _encode_head(self, status: int, headers: Sequence[Header], length: int | None) -> bytes:
         if self._begun:
-            raise RuntimeError("the answer has begun already")
+            raise RuntimeError("the response has begun already")
         self._begun = True
         without_body = has_no_body(status)
-        self._bodiless = without_body or self.head.method == b"HEAD"
+        self._without_body = without_body or self.head.method == b"HEAD"
         framing: list[Header] = []
         if not without_body and length is not None:
             framing.append((b"content-length", b"%d" % length))
-        elif not without_body and not self._old_version:
+        elif not without_body and not self._http_1_0:
             self._chunked = True
             framing.append((b"transfer-encoding", b"chunked"))
         if self._connection.decide_close():
@@ -260,5 +260,5 @@
 def _call(callback: Callable[[], None]) -> None:
     try:
         callback()
-    except Exception as error:
+    except Exception as error:  # one callback's fault must not keep the others from running
         _log.error("http_gone_callback_failed error=%s", describe_exception(error))
--- a/src/springmux/node/http/sockets.py
+++ b/src/springmux/node/http/sockets.py
@@ -9,14 +9,16 @@
 import struct
 from typing import cast
 
-# The task's figures: a machine without power says nothing, and must be noticed within two seconds.
+# A machine without power sends nothing, and must be detected within two seconds.
 _KEEPALIVE_IDLE_S = 1
 _KEEPALIVE_INTERVAL_S = 1
 _KEEPALIVE_PROBES = 2
 _USER_TIMEOUT_MS = 1500
 
-# What Linux reports when a peer's machine stays silent: the last three if ARP or a router noticed first.
-SILENT_ERRORS = frozenset((errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH, errno.EHOSTDOWN))
+# What Linux reports of an unresponsive machine; the last three if ARP or a router detected it first.
+UNRESPONSIVE_PEER_ERRNOS = frozenset(
+    (errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH, errno.EHOSTDOWN)
+)
 
 
 def _socket_of(transport: asyncio.Transport) -> socket.socket | None:
@@ -30,8 +32,8 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
-def notice_silent_peer(transport: asyncio.Transport) -> None:
-    """Have the kernel end the connection (ETIMEDOUT) when the peer's machine doesn't acknowledge."""
+def detect_unresponsive_peer(transport: asyncio.Transport) -> None:
+    """Let the kernel end the connection (ETIMEDOUT) when the peer's machine doesn't acknowledge."""
     sock = _socket_of(transport)
     if sock is None:
         return
@@ -43,15 +45,15 @@
 
 
 def reset(transport: asyncio.Transport) -> None:
-    """Close with a reset, also dropping what the kernel still holds to send."""
+    """Reset the connection, and drop what the kernel has not sent yet."""
     sock = _socket_of(transport)
     if sock is not None and sock.fileno() >= 0:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     transport.abort()
 
 
-def has_news(transport: asyncio.Transport) -> bool:
-    """Return whether bytes, the end or an error wait in the kernel, not yet seen by the loop."""
+def has_pending_input(transport: asyncio.Transport) -> bool:
+    """Return whether the kernel has bytes, an EOF or an error that the loop has not read yet."""
     sock = _socket_of(transport)
     if sock is None or sock.fileno() < 0:
         return True
--- a/src/springmux/node/http/types.py
+++ b/src/springmux/node/http/types.py
@@ -28,7 +28,7 @@
 
 
 class ResponseHead(msgspec.Struct, frozen=True):
-    """An answer's status and headers. ``length``: from Content-Length; ``None`` if chunked or unframed."""
+    """A response's status and headers. ``length``: from Content-Length; ``None`` if chunked or unframed."""
 
     status: int
     headers: tuple[Header, ...]
@@ -44,7 +44,7 @@
 
 
 class BodyTooLargeError(Exception):
-    """A client's body is over the limit. Nothing of it is kept; the connection ends after the answer."""
+    """A client's body is over the limit. It is discarded; the connection closes after the response."""
 
 
 class ClientDisconnectedError(Exception):
@@ -52,50 +52,50 @@
 
 
 class ServerExchange(Protocol):
-    """One request on a client's connection, for its handler. Answered once."""
+    """One request on a client's connection, for its handler. It gets one response."""
 
     head: RequestHead
     received_at: float
-    """Monotonic time at which the head was whole."""
+    """Time of the event loop's clock at which the head was complete."""
 
     async def body(self) -> bytes:
-        """Return the whole body.
+        """Return the complete body.
 
-        :raises BodyTooLargeError: if it is over the limit; answer 413.
-        :raises ClientDisconnectedError: if the client left before its end.
+        :raises BodyTooLargeError: it is over the limit; respond 413.
+        :raises ClientDisconnectedError: the client disconnected before its end.
         """
         ...
 
     def respond(self, status: int, headers: Sequence[Header], body: bytes) -> None:
-        """Send a whole answer with Content-Length."""
+        """Send a complete response with Content-Length."""
         ...
 
     def begin(self, status: int, headers: Sequence[Header], length: int | None) -> None:
-        """Begin an answer whose body follows; chunked where ``length`` is ``None``."""
+        """Begin a response whose body follows; chunked if ``length`` is ``None``."""
         ...
 
     async def write(self, data: bytes) -> None:
         """Send a part of the body at once; waits while the client's socket is full.
 
-        :raises ClientDisconnectedError: if the client left.
+        :raises ClientDisconnectedError: the client has disconnected.
         """
         ...
 
     def end(self) -> None:
-        """End the body properly."""
+        """End the body."""
         ...
 
     def abort(self) -> None:
-        """Reset the connection, so that an unfinished answer can't look complete."""
+        """Reset the connection, so that a truncated response can't look complete."""
         ...
 
     @property
     def begun(self) -> bool:
-        """Whether any byte of an answer was sent."""
+        """Whether any byte of a response was sent."""
         ...
 
-    def on_gone(self, callback: Callable[[], None]) -> None:
-        """Call ``callback`` once if the client leaves before the answer's end."""
+    def on_disconnect(self, callback: Callable[[], None]) -> None:
+        """Call ``callback`` once if the client disconnects before the end of the response."""
         ...
 
 
@@ -103,28 +103,28 @@
 
 
 class ServerRefusal(enum.StrEnum):
-    """Why the server itself refused or cut a request, so that its handler didn't answer it."""
+    """Why the server itself refused or aborted a request, in place of its handler."""
 
     MALFORMED = "malformed"
-    """Not HTTP: 400, or a reset if an answer has begun."""
+    """Not HTTP: 400, or a reset if a response has begun."""
     TOO_SLOW = "too_slow"
-    """The head or the body came too slowly: 408, or a reset if an answer has begun."""
+    """The head or the body timed out: 408, or a reset if a response has begun."""
     HEADERS_TOO_LARGE = "headers_too_large"
     """The head is over the limit: 431."""
     TOO_MANY_CONNECTIONS = "too_many_connections"
     """A new connection over the limit: 503."""
     HANDLER_FAILED = "handler_failed"
-    """The handler raised an exception or returned without an answer: 500, or a reset."""
+    """The handler raised an exception or returned without a response: 500, or a reset."""
     STOPPED = "stopped"
-    """The server closed before the answer's end: a reset."""
+    """The server closed before the end of the response: a reset."""
 
 
 RefusalListener = Callable[[ServerRefusal, RequestHead | None], None]
-"""Gets each refusal of the server, with the request's head if it was read."""
+"""Called for each refusal of the server, with the request's head if it was read."""
 
 
 class ServerLimits(msgspec.Struct, frozen=True):
-    """Bounds of a listener; read anew for each request, so that a change holds on open connections too."""
+    """Limits of a listener; read for each request, so that a change applies to open connections too."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 8 << 20
@@ -137,17 +137,17 @@
     """How an exchange with an engine failed."""
 
     CONNECT = "connect"
-    """No connection came about: nothing was sent."""
+    """No connection was established: nothing was sent."""
     NOT_SENT = "not_sent"
-    """A kept connection had ended before anything of the request was written."""
+    """The connection had ended before any byte of the request was written."""
     RESET = "reset"
-    """The connection was reset or closed after something was written: the request may have run."""
-    SILENT = "silent"
-    """The peer's machine took no bytes (TCP user timeout): the request may have run."""
+    """The connection was reset or closed after a write: the request may have been executed."""
+    UNRESPONSIVE = "silent"
+    """The peer's machine acknowledged nothing (TCP user timeout): the request may have been executed."""
     MALFORMED = "malformed"
-    """What came is not an HTTP answer."""
-    CUT_SHORT = "cut_short"
-    """The answer began and ended before its announced end, or by a reset."""
+    """The received bytes are not a valid HTTP response."""
+    TRUNCATED = "cut_short"
+    """The response began, and ended by a reset or before its announced length."""
 
 
 class ExchangeFailedError(Exception):
@@ -162,21 +162,21 @@
     """One request to one engine over one connection."""
 
     async def head(self) -> ResponseHead:
-        """Return the answer's head; answers that ``accept`` refuses are skipped whole.
+        """Return the response's head; responses that ``accept`` rejects are skipped completely.
 
         :raises ExchangeFailedError: see :class:`FailureKind`.
         """
         ...
 
     async def read(self) -> bytes:
-        """Return the next bytes of the body as they come; empty at its proper end.
+        """Return the next bytes of the body as they arrive; empty at its proper end.
 
-        :raises ExchangeFailedError: ``CUT_SHORT`` or ``MALFORMED``.
+        :raises ExchangeFailedError: ``TRUNCATED`` or ``MALFORMED``.
         """
         ...
 
     def release(self) -> None:
-        """Leave a finished exchange: the connection is kept if the answer ended properly and allows it."""
+        """End the exchange; the connection is reused if the response is complete and allows it."""
         ...
 
     def abort(self) -> None:
@@ -185,7 +185,7 @@
 
 
 class EngineClient(Protocol):
-    """Connections to engines, kept for reuse by address."""
+    """Pool of connections to engines, by address."""
 
     async def send(
         self,
@@ -197,8 +197,8 @@
     ) -> EngineExchange:
         """Connect or reuse a connection, write the request, and return the exchange.
 
-        :param accept: says whether an answer belongs to this request (by its echoed id). One that doesn't is
-            a late answer of somebody else: it is read and dropped, and the next one is waited for.
+        :param accept: returns whether a response belongs to this request, by its echoed id. One that doesn't
+            is a late response to another request: it is discarded, and the next one is awaited.
         :raises ExchangeFailedError: ``CONNECT`` or ``NOT_SENT``; nothing was sent.
         """
         ...
--- a/src/springmux/node/http/write_gate.py
+++ b/src/springmux/node/http/write_gate.py
@@ -6,23 +6,23 @@
 
 
 class WriteGate:
-    """Open while the socket takes bytes; whoever writes waits while it is shut."""
+    """Open while the socket accepts bytes; writers wait while it is closed."""
 
     def __init__(self) -> None:
         self._waiter: asyncio.Future[None] | None = None
 
-    def shut(self) -> None:
-        """Have writers wait."""
+    def close(self) -> None:
+        """Make writers wait."""
         if self._waiter is None:
             self._waiter = asyncio.get_running_loop().create_future()
 
     def open(self) -> None:
-        """Let writers go on."""
+        """Let writers continue."""
         waiter, self._waiter = self._waiter, None
         if waiter is not None and not waiter.done():
             waiter.set_result(None)
 
-    async def passed(self) -> None:
+    async def wait_open(self) -> None:
         """Wait until the gate is open."""
         if self._waiter is not None:
             # Shielded: a cancelled writer must not end the wait of the others.
--- a/tests/unit/bad_days/model_engines.py
+++ b/tests/unit/bad_days/model_engines.py
@@ -156,7 +156,7 @@
     async def read(self) -> bytes:
         """Return the next piece."""
         if self._cut:
-            raise ExchangeFailedError(FailureKind.CUT_SHORT)
+            raise ExchangeFailedError(FailureKind.TRUNCATED)
         if not self._pieces:
             return b""
         await self._pause(self._engine.behaviour.service_s / EVENTS)
@@ -187,7 +187,7 @@
             if engine.mode is Mode.UP:
                 return
             await engine.broken.wait()
-        raise ExchangeFailedError(FailureKind.CUT_SHORT if self._answering else FailureKind.RESET)
+        raise ExchangeFailedError(FailureKind.TRUNCATED if self._answering else FailureKind.RESET)
 
 
 @dataclass
--- a/tests/unit/http/test_client.py
+++ b/tests/unit/http/test_client.py
@@ -114,10 +114,10 @@
         (b"", "close", FailureKind.RESET),
         (b"", "reset", FailureKind.RESET),
         (b"HTTP/1.1 100 Continue\r\n\r\n", "close", FailureKind.RESET),
-        (b"HTTP/1.1 200 OK\r\ncont", "close", FailureKind.CUT_SHORT),
-        (OK[:-1], "close", FailureKind.CUT_SHORT),
-        (OK[:-2], "reset", FailureKind.CUT_SHORT),
-        (b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\nok\r\n", "close", FailureKind.CUT_SHORT),
+        (b"HTTP/1.1 200 OK\r\ncont", "close", FailureKind.TRUNCATED),
+        (OK[:-1], "close", FailureKind.TRUNCATED),
+        (OK[:-2], "reset", FailureKind.TRUNCATED),
+        (b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\nok\r\n", "close", FailureKind.TRUNCATED),
         (b"SSH-2.0-x\r\n", "close", FailureKind.MALFORMED),
         (b"HTTP/1.1 200 OK\r\ncontent-length: x\r\n\r\n", "close", FailureKind.MALFORMED),
         (b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\nzz\r\n", "close", FailureKind.MALFORMED),
@@ -150,7 +150,7 @@
         got.set()
         with pytest.raises(ExchangeFailedError) as caught:
             await exchange.read()
-        assert caught.value.kind is FailureKind.CUT_SHORT
+        assert caught.value.kind is FailureKind.TRUNCATED
 
 
 async def test_nobody_at_the_address_is_a_failure_to_connect() -> None:
@@ -179,10 +179,10 @@
     connection = EngineConnection("x:1", lambda _: None)
     silence = OSError(errno.ETIMEDOUT, "timed out")
     before = HttpEngineExchange(connection, b"GET", any_answer, lambda *_: None)
-    before.connection_ended(silence)
+    before.connection_lost(silence)
     with pytest.raises(ExchangeFailedError) as caught:
         await before.head()
-    assert caught.value.kind is FailureKind.SILENT
+    assert caught.value.kind is FailureKind.UNRESPONSIVE
 
 
 async def test_engine_sockets_have_their_options() -> None:
--- a/tests/unit/http/test_client_pool.py
+++ b/tests/unit/http/test_client_pool.py
@@ -60,7 +60,7 @@
         client = PooledEngineClient()
         await ask(client, there.address)
         (kept,) = client._idle[there.address]
-        remaining_s = kept.kept_until - asyncio.get_running_loop().time()
+        remaining_s = kept.idle_until - asyncio.get_running_loop().time()
         assert 1.0 < remaining_s <= 1.5
 
 
@@ -173,4 +173,4 @@
         with pytest.raises(ExchangeFailedError) as caught:
             while await exchange.read():
                 pass
-        assert caught.value.kind is FailureKind.CUT_SHORT
+        assert caught.value.kind is FailureKind.TRUNCATED
--- a/tests/unit/http/test_server.py
+++ b/tests/unit/http/test_server.py
@@ -263,7 +263,7 @@
     calls: list[str] = []
 
     async def handler(exchange: ServerExchange) -> None:
-        exchange.on_gone(lambda: calls.append("gone"))
+        exchange.on_disconnect(lambda: calls.append("gone"))
         exchange.begin(200, (), None)
         await exchange.write(b"a")
         exchange.abort()
--- a/tests/unit/http/test_server_ends.py
+++ b/tests/unit/http/test_server_ends.py
@@ -23,9 +23,9 @@
         raise ValueError("a callback's fault reaches nobody else")
 
     async def handler(exchange: ServerExchange) -> None:
-        exchange.on_gone(lambda: calls.append("gone"))
-        exchange.on_gone(fail)
-        exchange.on_gone(gone.set)
+        exchange.on_disconnect(lambda: calls.append("gone"))
+        exchange.on_disconnect(fail)
+        exchange.on_disconnect(gone.set)
         if begun:
             exchange.begin(200, (), None)
         ready.set()
@@ -33,7 +33,7 @@
         with pytest.raises(ClientDisconnectedError):
             await exchange.write(b"a")
         late = asyncio.Event()
-        exchange.on_gone(late.set)
+        exchange.on_disconnect(late.set)
         await late.wait()
         exchange.respond(200, (), b"to nobody")
         seen.set()
@@ -98,7 +98,7 @@
 
 
 async def test_a_body_that_is_late_is_a_408(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("springmux.node.http.server_connection._BODY_EXTRA_S", 0.05)
+    monkeypatch.setattr("springmux.node.http.server_connection._BODY_TIMEOUT_MARGIN_S", 0.05)
     seen = asyncio.Event()
 
     async def handler(exchange: ServerExchange) -> None:
--- a/tests/unit/node_gateway/scripted_engines.py
+++ b/tests/unit/node_gateway/scripted_engines.py
@@ -143,7 +143,7 @@
         self.tried.append(address)
         assert self.scripts, "an engine too many"
         script = list(self.scripts.pop(0))
-        if script and script[0] is FailureKind.SILENT:
+        if script and script[0] is FailureKind.UNRESPONSIVE:
             await asyncio.sleep(connect_timeout_s)  # a connection that does not come up
             raise ExchangeFailedError(FailureKind.CONNECT)
         if script and script[0] in (FailureKind.CONNECT, FailureKind.NOT_SENT):
--- a/tests/unit/node_gateway/stand_ins.py
+++ b/tests/unit/node_gateway/stand_ins.py
@@ -102,7 +102,7 @@
     def begun(self) -> bool:
         return self.status != 0
 
-    def on_gone(self, callback: Callable[[], None]) -> None:
+    def on_disconnect(self, callback: Callable[[], None]) -> None:
         self._callbacks.append(callback)
 
     def leave(self) -> None:
--- a/tests/unit/node_gateway/test_forwarder.py
+++ b/tests/unit/node_gateway/test_forwarder.py
@@ -245,7 +245,7 @@
     """Given engines whose connections don't come up, nothing was sent: the caller may come back."""
 
     async def story() -> None:
-        node = Node(UNSAFE, *[(FailureKind.SILENT,)] * 4)
+        node = Node(UNSAFE, *[(FailureKind.UNRESPONSIVE,)] * 4)
         caller = await node.ask((b"x-deadline-ms", b"700"))
         assert node.sent == []
         assert caller.status == 503 and caller.header(b"retry-after") is not None
@@ -258,7 +258,7 @@
     """Given a decline and then a connection that does not come up, the request has surely not run."""
 
     async def story() -> None:
-        node = Node(UNSAFE, (Pause(0.5), *DECLINE), (FailureKind.SILENT,))
+        node = Node(UNSAFE, (Pause(0.5), *DECLINE), (FailureKind.UNRESPONSIVE,))
         caller = await node.ask((b"x-deadline-ms", b"700"))
         assert caller.status == 503 and caller.header(b"retry-after") is not None
 
--- a/tests/unit/node_gateway/test_forwarder_attempts.py
+++ b/tests/unit/node_gateway/test_forwarder_attempts.py
@@ -58,7 +58,7 @@
     """Given the head of a decline and then a reset, the engine's word stands."""
 
     async def story() -> None:
-        node = Node(UNSAFE, (DECLINE[0], FailureKind.CUT_SHORT), WHOLE)
+        node = Node(UNSAFE, (DECLINE[0], FailureKind.TRUNCATED), WHOLE)
         assert (await node.ask()).status == 200
 
     play(story())
@@ -75,7 +75,7 @@
     play(story())
 
 
-AFTER_SENDING = [FailureKind.RESET, FailureKind.SILENT, FailureKind.MALFORMED, FailureKind.CUT_SHORT]
+AFTER_SENDING = [FailureKind.RESET, FailureKind.UNRESPONSIVE, FailureKind.MALFORMED, FailureKind.TRUNCATED]
 
 
 @pytest.mark.parametrize("used", [UNSAFE, STREAM], ids=["unsafe", "stream"])
@@ -84,7 +84,7 @@
     """Given a failure after sending, 502 without a promise and without a second engine."""
 
     async def story() -> None:
-        script: Script = (Pause(0.1), kind) if kind is not FailureKind.CUT_SHORT else (answer(200), kind)
+        script: Script = (Pause(0.1), kind) if kind is not FailureKind.TRUNCATED else (answer(200), kind)
         node = Node(used, script)
         caller = await node.ask()
         assert caller.status == 502
@@ -118,7 +118,7 @@
     play(story())
 
 
-@pytest.mark.parametrize("failure", [RESET, (answer(200), b"ha", FailureKind.CUT_SHORT), FAILURE])
+@pytest.mark.parametrize("failure", [RESET, (answer(200), b"ha", FailureKind.TRUNCATED), FAILURE])
 def test_a_safe_request_goes_to_a_second_engine(failure: Script) -> None:
     """Given a failure of the first engine, the caller gets the second one's answer alone."""
 
@@ -172,7 +172,7 @@
     """Given an answer of which the caller has a part, another engine's run would be in vain."""
 
     async def story() -> None:
-        node = Node(SAFE, (answer(200), b"x" * 1_100_000, FailureKind.CUT_SHORT), WHOLE)
+        node = Node(SAFE, (answer(200), b"x" * 1_100_000, FailureKind.TRUNCATED), WHOLE)
         caller = await node.ask()
         assert caller.aborted and not caller.ended
         assert len(node.sent) == 1
@@ -199,7 +199,9 @@
     """Given a patience shorter than a connection attempt, the engine that nothing reached costs no run."""
 
     async def story() -> None:
-        node = Node(route(SAFE.kind, max_attempts=2, target_ms=300.0), (FailureKind.SILENT,), RESET, WHOLE)
+        node = Node(
+            route(SAFE.kind, max_attempts=2, target_ms=300.0), (FailureKind.UNRESPONSIVE,), RESET, WHOLE
+        )
         assert (await node.ask()).status == 200
         assert len(set(node.client.tried)) == 3
 
@@ -268,7 +270,7 @@
     """Given a caller that leaves while the candidate's connection comes up, the credit returns."""
 
     async def story() -> None:
-        node = Node(UNSAFE, (FailureKind.SILENT,), versions=(OLD, NEW), choice=CANDIDATE_FIRST)
+        node = Node(UNSAFE, (FailureKind.UNRESPONSIVE,), versions=(OLD, NEW), choice=CANDIDATE_FIRST)
         caller = Caller()
         asyncio.get_running_loop().call_later(0.1, caller.leave)
         await node.forwarder.handle(caller)
--- a/tests/unit/node_gateway/test_forwarder_streams.py
+++ b/tests/unit/node_gateway/test_forwarder_streams.py
@@ -22,7 +22,7 @@
 from tests.unit.node_gateway.stand_ins import OLD, RESUMABLE, STREAM, Caller, Node, route
 
 FIRST, SECOND = answer(200, seal=b"s1"), answer(200, seal=b"s2")
-CUT = FailureKind.CUT_SHORT
+CUT = FailureKind.TRUNCATED
 QUICK: dict[str, float] = {"target_ms": 1000.0, "gap_target_ms": 100.0}
 
 
--- a/tests/unit/node_gateway/test_refusals.py
+++ b/tests/unit/node_gateway/test_refusals.py
@@ -20,7 +20,7 @@
 from tests.unit.node_gateway.stand_ins import RESUMABLE, SAFE, STREAM, UNSAFE, Node, tenant
 
 R = RefusalReason
-CUT = FailureKind.CUT_SHORT
+CUT = FailureKind.TRUNCATED
 KEYED = (tenant("acme", "k1"),)
 SOON = (b"x-deadline-ms", b"300")
 
@@ -36,7 +36,7 @@
         ([DECLINE] * 3, R.ENGINES_FULL),
         ([(FailureKind.RESET,)], R.ENGINE_BROKE_OFF),
         ([(FOREVER,)], R.NO_ANSWER_IN_TIME),
-        ([(FailureKind.SILENT,)] * 3, R.NOT_SENT_IN_TIME),
+        ([(FailureKind.UNRESPONSIVE,)] * 3, R.NOT_SENT_IN_TIME),
         ([(answer(200), b"part", CUT)], R.ENGINE_BROKE_OFF),
     ],
 )
