--- a/src/springmux/node/http/server.py
+++ b/src/springmux/node/http/server.py
@@ -38,7 +38,7 @@
         self,
         handler: Handler,
         limits: Callable[[], ServerLimits],
-        on_refused: RefusalListener = lambda refusal, head: None,
+        on_refused: RefusalListener = lambda _refusal, _head: None,
     ) -> None:
         self.stopping = False
         self._handler = handler
--- a/src/springmux/node/http/server_connection.py
+++ b/src/springmux/node/http/server_connection.py
@@ -86,7 +86,7 @@
             self._disconnect_exchange()
         return False
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, _exc: Exception | None) -> None:
         """Release everything that waits for the connection."""
         self._phase = _Phase.CLOSING
         self._set_timer(None)
--- a/tests/unit/bad_days/gateway_fleet.py
+++ b/tests/unit/bad_days/gateway_fleet.py
@@ -40,7 +40,7 @@
 from springmux.vocabulary.names import EngineId, RouteName, ServiceName, VersionName
 from tests.unit.bad_days.model_engines import Behaviour, EngineFarm, ModelEngine
 from tests.unit.node_gateway.scripted_engines import now
-from tests.unit.node_gateway.stand_ins import Caller, Chooser
+from tests.unit.node_gateway.stand_ins import Chooser, RecordingClient
 
 TEXT, V1 = ServiceName("text"), VersionName("v1")
 TIMEOUT_S = 2.0
@@ -80,7 +80,7 @@
     kind: GatewayRouteKind
     key: str
     tokens: int
-    caller: Caller
+    caller: RecordingClient
     at: float
 
     @property
@@ -230,7 +230,7 @@
     def ask(self, node: FleetNode, kind: GatewayRouteKind, key: str = "", tokens: int = 0) -> Asked:
         """Have a caller ask one node now."""
         number = next(self._numbers)
-        caller = Caller()
+        caller = RecordingClient()
         headers = [(b"host", b"api"), (OWN_HEADERS.request_id, b"r%d" % number)]
         if key:
             headers.append((OWN_HEADERS.api_key, key.encode()))
--- a/tests/unit/bad_days/gateway_rules.py
+++ b/tests/unit/bad_days/gateway_rules.py
@@ -50,7 +50,7 @@
         one.request_id
         for one in fleet.asked
         if not (one.caller.ended or one.caller.aborted)
-        or one.caller.answered_at - one.caller.received_at > longest
+        or one.caller.responded_at - one.caller.received_at > longest
     ]
 
 
--- a/tests/unit/bad_days/test_engine_reports.py
+++ b/tests/unit/bad_days/test_engine_reports.py
@@ -24,7 +24,7 @@
 from tests.unit.bad_days.gateway_fleet import SAFE, SETTLED_S, STREAM, TEXT, V1, GatewayFleet
 from tests.unit.bad_days.model_engines import Behaviour, ModelEngine
 from tests.unit.node_gateway.scripted_engines import now, play
-from tests.unit.node_gateway.stand_ins import Caller
+from tests.unit.node_gateway.stand_ins import RecordingClient
 
 LEAVES_AT, ENDS_AT, END = 4.0, 6.0, 8.0
 LATE_S = 0.3
@@ -57,7 +57,7 @@
 
     async def delete(self, engine: str) -> int:
         """Deliver a DELETE; return the status of its answer."""
-        return (await self._endpoints.handle("DELETE", engine, Caller(body=b""))).status
+        return (await self._endpoints.handle("DELETE", engine, RecordingClient(body=b""))).status
 
     def _hear(self, event: Event) -> None:
         self.directory.handle(event, now())
@@ -65,8 +65,8 @@
             node.core.update_engines(self.directory.view, now())
 
 
-def _said(heartbeat: HeartbeatBody) -> Caller:
-    return Caller(body=msgspec.json.encode(heartbeat))
+def _said(heartbeat: HeartbeatBody) -> RecordingClient:
+    return RecordingClient(body=msgspec.json.encode(heartbeat))
 
 
 def engine_leaves(drains_first: bool) -> GatewayFleet:
--- a/tests/unit/bad_days/test_slow_body.py
+++ b/tests/unit/bad_days/test_slow_body.py
@@ -6,13 +6,13 @@
 
 from springmux.control.gateway_configuration import GatewayRouteKind
 from tests.unit.node_gateway.scripted_engines import play
-from tests.unit.node_gateway.stand_ins import Caller, Node, route
+from tests.unit.node_gateway.stand_ins import Node, RecordingClient, route
 
 TIMEOUT_S = 2.0
 COMES_AFTER_S = 4.0
 
 
-class SlowSender(Caller):
+class SlowSender(RecordingClient):
     """Sends the end of its body late."""
 
     async def body(self) -> bytes:
@@ -28,6 +28,6 @@
         caller = SlowSender()
         await node.forwarder.handle(caller)
         assert caller.ended and node.sent == []
-        assert caller.answered_at - caller.received_at <= TIMEOUT_S + 0.5
+        assert caller.responded_at - caller.received_at <= TIMEOUT_S + 0.5
 
     play(story())
--- a/tests/unit/node_gateway/stand_ins.py
+++ b/tests/unit/node_gateway/stand_ins.py
@@ -1,4 +1,4 @@
-"""A node's forwarder with scripted engines, and its callers."""
+"""A node's forwarder with scripted engines, and its clients."""
 
 from __future__ import annotations
 
@@ -40,8 +40,8 @@
 OLD, NEW = VersionName("v1"), VersionName("v2")
 
 
-class Caller:
-    """Implements ServerExchange: a caller that notes what it gets."""
+class RecordingClient:
+    """Implements ServerExchange: a client that records its response."""
 
     def __init__(
         self,
@@ -59,7 +59,7 @@
         self.data = b""
         self.ended = False
         self.aborted = False
-        self.answered_at = 0.0
+        self.responded_at = 0.0
         self._body = body
         self._slow_s = slow_s
         self._gone = False
@@ -90,12 +90,12 @@
     def end(self) -> None:
         assert self.begun and not self.ended and not self.aborted
         self.ended = True
-        self.answered_at = now()
+        self.responded_at = now()
         self._callbacks.clear()
 
     def abort(self) -> None:
         self.aborted = True
-        self.answered_at = now()
+        self.responded_at = now()
         self._callbacks.clear()
 
     @property
@@ -215,11 +215,11 @@
         known = {EngineId(name): found for name, found in records.items()}
         self.core.update_engines(EnginesView(known, dict.fromkeys(known, -100.0), {}), now())
 
-    async def ask(self, *headers: Header, **more: Any) -> Caller:
-        """Have one caller answered."""
-        caller = Caller(headers, **more)
-        await self.forwarder.handle(caller)
-        return caller
+    async def ask(self, *headers: Header, **more: Any) -> RecordingClient:
+        """Send one request; return its client."""
+        client = RecordingClient(headers, **more)
+        await self.forwarder.handle(client)
+        return client
 
     @property
     def logged(self) -> list[dict[str, Any]]:
--- a/tests/unit/node_gateway/test_forwarder.py
+++ b/tests/unit/node_gateway/test_forwarder.py
@@ -1,4 +1,4 @@
-"""What a caller is told before any engine is asked, and what the engine and the caller are passed."""
+"""What a client is told before any engine is asked, and what the engine and the client are passed."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     now,
     play,
 )
-from tests.unit.node_gateway.stand_ins import SAFE, UNSAFE, Caller, Node, route, tenant
+from tests.unit.node_gateway.stand_ins import SAFE, UNSAFE, Node, RecordingClient, route, tenant
 
 KEYED = tenant("acme", "k1", priority=1)
 
@@ -31,9 +31,9 @@
     """Given a node that knows no configuration, 503 with a time."""
 
     async def story() -> None:
-        caller = await Node(SAFE, configured=False).ask()
-        assert caller.status == 503 and caller.header(b"retry-after") == b"1.00"
-        assert caller.header(SEAL) is None
+        client = await Node(SAFE, configured=False).ask()
+        assert client.status == 503 and client.header(b"retry-after") == b"1.00"
+        assert client.header(SEAL) is None
 
     play(story())
 
@@ -55,8 +55,8 @@
 
     async def story() -> None:
         node = Node(SAFE, tenants=[KEYED])
-        caller = await node.ask(*headers)
-        assert caller.status == 401 and caller.header(b"retry-after") is None
+        client = await node.ask(*headers)
+        assert client.status == 401 and client.header(b"retry-after") is None
         assert node.sent == []
 
     play(story())
@@ -67,8 +67,8 @@
 
     async def story() -> None:
         node = Node(route(SAFE.kind, public=True), WHOLE, tenants=[KEYED])
-        caller = await node.ask((b"x-api-key", b"k2"), (b"x-tenant", b"acme"))
-        assert caller.status == 200
+        client = await node.ask((b"x-api-key", b"k2"), (b"x-tenant", b"acme"))
+        assert client.status == 200
         assert node.sent[0].head.header(b"x-tenant") is None
         assert node.sent[0].head.header(b"x-api-key") is None
 
@@ -200,30 +200,30 @@
             (b"keep-alive", b"timeout=3"),
             (b"etag", b"e"),
         )
-        caller = await Node(UNSAFE, (head, b"not ", b"here")).ask()
-        assert (caller.status, caller.data, caller.ended) == (404, b"not here", True)
-        assert caller.headers == (ID, (SEAL, b"s1"), (b"etag", b"e"))
+        client = await Node(UNSAFE, (head, b"not ", b"here")).ask()
+        assert (client.status, client.data, client.ended) == (404, b"not here", True)
+        assert client.headers == (ID, (SEAL, b"s1"), (b"etag", b"e"))
 
     play(story())
 
 
 def test_a_success_without_a_seal_is_not_the_engines_answer() -> None:
-    """Given a 200 without the engine's signature, the caller gets no success."""
+    """Given a 200 without the engine's signature, the client gets no success."""
 
     async def story() -> None:
-        caller = await Node(UNSAFE, (answer(200, seal=None), b"not ours")).ask()
-        assert caller.status == 502 and caller.header(SEAL) is None
+        client = await Node(UNSAFE, (answer(200, seal=None), b"not ours")).ask()
+        assert client.status == 502 and client.header(SEAL) is None
 
     play(story())
 
 
 @pytest.mark.parametrize("status", [408, 429, 503])
 def test_a_promise_that_an_engine_did_not_make_is_not_passed_on(status: int) -> None:
-    """Given such a status without the engine's word that it did not run, an unsafe caller must not repeat."""
+    """Given such a status without the engine's word that it did not run, an unsafe client must not repeat."""
 
     async def story() -> None:
-        caller = await Node(UNSAFE, (answer(status, seal=None), b"busy")).ask()
-        assert caller.status == 502
+        client = await Node(UNSAFE, (answer(status, seal=None), b"busy")).ask()
+        assert client.status == 502
 
     play(story())
 
@@ -233,23 +233,23 @@
 
     async def story() -> None:
         node = Node(UNSAFE, (FOREVER,))
-        caller = await node.ask((b"x-deadline-ms", b"700"))
-        assert caller.status == 504 and caller.header(b"retry-after") is None
-        assert 0.7 <= caller.answered_at - caller.received_at <= 0.9
+        client = await node.ask((b"x-deadline-ms", b"700"))
+        assert client.status == 504 and client.header(b"retry-after") is None
+        assert 0.7 <= client.responded_at - client.received_at <= 0.9
         assert node.sent[0].exchange.aborted and node.in_flight == 0
 
     play(story())
 
 
 def test_a_deadline_before_sending_is_503_with_a_time() -> None:
-    """Given engines whose connections don't come up, nothing was sent: the caller may come back."""
+    """Given engines whose connections don't come up, nothing was sent: the client may come back."""
 
     async def story() -> None:
         node = Node(UNSAFE, *[(FailureKind.UNRESPONSIVE,)] * 4)
-        caller = await node.ask((b"x-deadline-ms", b"700"))
+        client = await node.ask((b"x-deadline-ms", b"700"))
         assert node.sent == []
-        assert caller.status == 503 and caller.header(b"retry-after") is not None
-        assert caller.answered_at - caller.received_at <= 0.9
+        assert client.status == 503 and client.header(b"retry-after") is not None
+        assert client.responded_at - client.received_at <= 0.9
 
     play(story())
 
@@ -259,21 +259,21 @@
 
     async def story() -> None:
         node = Node(UNSAFE, (Pause(0.5), *DECLINE), (FailureKind.UNRESPONSIVE,))
-        caller = await node.ask((b"x-deadline-ms", b"700"))
-        assert caller.status == 503 and caller.header(b"retry-after") is not None
+        client = await node.ask((b"x-deadline-ms", b"700"))
+        assert client.status == 503 and client.header(b"retry-after") is not None
 
     play(story())
 
 
 def test_a_request_whose_time_is_over_before_its_body_came_is_sent_to_nobody() -> None:
-    """Given a body that took longer than the caller waits, nothing is sent, and the caller may come back."""
+    """Given a body that took longer than the client waits, nothing is sent, and the client may come back."""
 
     async def story() -> None:
         node = Node(UNSAFE, (FOREVER,))
-        caller = Caller([(b"x-deadline-ms", b"700")])
-        caller.received_at -= 1.0
-        await node.forwarder.handle(caller)
+        client = RecordingClient([(b"x-deadline-ms", b"700")])
+        client.received_at -= 1.0
+        await node.forwarder.handle(client)
         assert node.sent == []
-        assert caller.status == 503 and caller.header(b"retry-after") is not None
+        assert client.status == 503 and client.header(b"retry-after") is not None
 
     play(story())
--- a/tests/unit/node_gateway/test_forwarder_attempts.py
+++ b/tests/unit/node_gateway/test_forwarder_attempts.py
@@ -1,4 +1,4 @@
-"""When a request goes to another engine, and what its caller gets where it may not."""
+"""When a request goes to another engine, and what its client gets where it may not."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     answer,
     play,
 )
-from tests.unit.node_gateway.stand_ins import NEW, OLD, SAFE, STREAM, UNSAFE, Caller, Node, route
+from tests.unit.node_gateway.stand_ins import NEW, OLD, SAFE, STREAM, UNSAFE, Node, RecordingClient, route
 
 MISDIRECTED = (answer(421, seal=None), b"")
 RESET = (FailureKind.RESET,)
@@ -34,8 +34,8 @@
 
     async def story() -> None:
         node = Node(UNSAFE, decline, WHOLE)
-        caller = await node.ask()
-        assert (caller.status, caller.data) == (200, b"whole")
+        client = await node.ask()
+        assert (client.status, client.data) == (200, b"whole")
         assert len({sent.address for sent in node.sent}) == 2
         assert node.sent[0].exchange.released and node.in_flight == 0
 
@@ -43,13 +43,13 @@
 
 
 def test_declined_by_all_is_503_with_a_time() -> None:
-    """Given nothing but declines, the caller is told that the request has not run."""
+    """Given nothing but declines, the client is told that the request has not run."""
 
     async def story() -> None:
         node = Node(UNSAFE, *[DECLINE] * 3)
-        caller = await node.ask()
-        assert caller.status == 503 and caller.header(b"retry-after") is not None
-        assert caller.header(SEAL) is None and caller.header(b"x-not-executed") is None
+        client = await node.ask()
+        assert client.status == 503 and client.header(b"retry-after") is not None
+        assert client.header(SEAL) is None and client.header(b"x-not-executed") is None
 
     play(story())
 
@@ -69,8 +69,8 @@
 
     async def story() -> None:
         node = Node(UNSAFE, (DECLINE[0], FOREVER), WHOLE)
-        caller = await node.ask()
-        assert caller.status == 200 and caller.answered_at - caller.received_at < 1.0
+        client = await node.ask()
+        assert client.status == 200 and client.responded_at - client.received_at < 1.0
 
     play(story())
 
@@ -86,9 +86,9 @@
     async def story() -> None:
         script: Script = (Pause(0.1), kind) if kind is not FailureKind.TRUNCATED else (answer(200), kind)
         node = Node(used, script)
-        caller = await node.ask()
-        assert caller.status == 502
-        assert caller.header(b"retry-after") is None and caller.header(SEAL) is None
+        client = await node.ask()
+        assert client.status == 502
+        assert client.header(b"retry-after") is None and client.header(SEAL) is None
         assert len(node.sent) == 1 and node.sent[0].exchange.aborted and node.in_flight == 0
 
     play(story())
@@ -111,8 +111,8 @@
 
     async def story() -> None:
         node = Node(UNSAFE, *[(FailureKind.CONNECT,)] * 4)
-        caller = await node.ask()
-        assert caller.status == 503 and caller.header(b"retry-after") is not None
+        client = await node.ask()
+        assert client.status == 503 and client.header(b"retry-after") is not None
         assert sorted(node.client.tried) == ["e0:80", "e1:80", "e2:80", "e3:80"]
 
     play(story())
@@ -120,12 +120,12 @@
 
 @pytest.mark.parametrize("failure", [RESET, (answer(200), b"ha", FailureKind.TRUNCATED), FAILURE])
 def test_a_safe_request_goes_to_a_second_engine(failure: Script) -> None:
-    """Given a failure of the first engine, the caller gets the second one's answer alone."""
+    """Given a failure of the first engine, the client gets the second one's answer alone."""
 
     async def story() -> None:
         node = Node(SAFE, failure, WHOLE)
-        caller = await node.ask()
-        assert (caller.status, caller.data, caller.ended) == (200, b"whole", True)
+        client = await node.ask()
+        assert (client.status, client.data, client.ended) == (200, b"whole", True)
         assert len({sent.address for sent in node.sent}) == 2
 
     play(story())
@@ -161,20 +161,20 @@
     async def story() -> None:
         for used, scripts in ((UNSAFE, [FAILURE]), (SAFE, [FAILURE] * 3)):
             node = Node(used, *scripts)
-            caller = await node.ask()
-            assert (caller.status, caller.data, caller.header(SEAL)) == (500, b"broken", b"s9")
+            client = await node.ask()
+            assert (client.status, client.data, client.header(SEAL)) == (500, b"broken", b"s9")
             assert node.client.scripts == []
 
     play(story())
 
 
 def test_a_large_answer_that_breaks_off_ends_with_a_reset_and_no_second_run() -> None:
-    """Given an answer of which the caller has a part, another engine's run would be in vain."""
+    """Given an answer of which the client has a part, another engine's run would be in vain."""
 
     async def story() -> None:
         node = Node(SAFE, (answer(200), b"x" * 1_100_000, FailureKind.TRUNCATED), WHOLE)
-        caller = await node.ask()
-        assert caller.aborted and not caller.ended
+        client = await node.ask()
+        assert client.aborted and not client.ended
         assert len(node.sent) == 1
 
     play(story())
@@ -188,8 +188,8 @@
         piece = b"x" * piece_bytes
         pieces: list[Step] = [part for _ in range(10) for part in (Pause(0.1), piece)]
         node = Node(route(SAFE.kind, target_ms=500.0), (answer(200), *pieces), WHOLE)
-        caller = await node.ask()
-        assert caller.ended and not caller.aborted and caller.data == piece * 10
+        client = await node.ask()
+        assert client.ended and not client.aborted and client.data == piece * 10
         assert len(node.sent) == 1
 
     play(story())
@@ -209,19 +209,19 @@
 
 
 def test_a_caller_that_leaves_ends_the_engines_work_at_once() -> None:
-    """Given a caller that leaves while its engine works, the exchange ends then, and nobody is asked anew."""
+    """Given a client that leaves while its engine works, the exchange ends then, and nobody is asked anew."""
 
     async def story() -> None:
         node = Node(SAFE, (FOREVER,))
-        caller = Caller()
-        handled = asyncio.create_task(node.forwarder.handle(caller))
+        client = RecordingClient()
+        handled = asyncio.create_task(node.forwarder.handle(client))
         await asyncio.sleep(0.3)
         assert node.in_flight == 1
-        caller.leave()
+        client.leave()
         await handled
         exchange = node.sent[0].exchange
-        assert exchange.aborted and exchange.ended_at == pytest.approx(caller.received_at + 0.3)
-        assert node.in_flight == 0 and len(node.sent) == 1 and not caller.begun
+        assert exchange.aborted and exchange.ended_at == pytest.approx(client.received_at + 0.3)
+        assert node.in_flight == 0 and len(node.sent) == 1 and not client.begun
 
     play(story())
 
@@ -231,9 +231,9 @@
 
     async def story() -> None:
         node = Node(route(SAFE.kind, target_ms=500.0), (FOREVER,), WHOLE)
-        caller = Caller()
-        asyncio.get_running_loop().call_later(0.3 + CHECK_INTERVAL_S, caller.leave)
-        await node.forwarder.handle(caller)
+        client = RecordingClient()
+        asyncio.get_running_loop().call_later(0.3 + CHECK_INTERVAL_S, client.leave)
+        await node.forwarder.handle(client)
         assert len(node.sent) == 1 and node.in_flight == 0
 
     play(story())
@@ -267,13 +267,13 @@
 
 
 def test_a_credit_returns_when_the_caller_leaves_before_anything_was_sent() -> None:
-    """Given a caller that leaves while the candidate's connection comes up, the credit returns."""
+    """Given a client that leaves while the candidate's connection comes up, the credit returns."""
 
     async def story() -> None:
         node = Node(UNSAFE, (FailureKind.UNRESPONSIVE,), versions=(OLD, NEW), choice=CANDIDATE_FIRST)
-        caller = Caller()
-        asyncio.get_running_loop().call_later(0.1, caller.leave)
-        await node.forwarder.handle(caller)
+        client = RecordingClient()
+        asyncio.get_running_loop().call_later(0.1, client.leave)
+        await node.forwarder.handle(client)
         assert node.chooser.given_back == [NEW] and node.in_flight == 0
 
     play(story())
--- a/tests/unit/node_gateway/test_forwarder_keys.py
+++ b/tests/unit/node_gateway/test_forwarder_keys.py
@@ -26,12 +26,12 @@
 
 
 def test_a_keyed_request_is_refused_with_a_time_and_runs_nowhere() -> None:
-    """Given a valid key and no proof, the caller may come back, elsewhere, and no engine is asked."""
+    """Given a valid key and no proof, the client may come back, elsewhere, and no engine is asked."""
 
     async def story() -> None:
         node = Node(SAFE, WHOLE, tenants=(tenant("a", "k1"),))
-        caller = await node.ask(KEY)
-        assert caller.status == 503 and caller.header(b"retry-after") == b"0.20"
+        client = await node.ask(KEY)
+        assert client.status == 503 and client.header(b"retry-after") == b"0.20"
         assert node.sent == []
         assert node.core.counters.refusals == {RefusalReason.KEYS_NOT_CURRENT: 1}
 
--- a/tests/unit/node_gateway/test_forwarder_streams.py
+++ b/tests/unit/node_gateway/test_forwarder_streams.py
@@ -19,31 +19,31 @@
     events,
     play,
 )
-from tests.unit.node_gateway.stand_ins import OLD, RESUMABLE, STREAM, Caller, Node, route
+from tests.unit.node_gateway.stand_ins import OLD, RESUMABLE, STREAM, Node, RecordingClient, route
 
 FIRST, SECOND = answer(200, seal=b"s1"), answer(200, seal=b"s2")
 CUT = FailureKind.TRUNCATED
 QUICK: dict[str, float] = {"target_ms": 1000.0, "gap_target_ms": 100.0}
 
 
-def _whole(caller: Caller, last: int) -> bool:
-    return caller.ended and not caller.aborted and caller.data == events(1, last)
+def _whole(client: RecordingClient, last: int) -> bool:
+    return client.ended and not client.aborted and client.data == events(1, last)
 
 
 @pytest.mark.parametrize("used", [STREAM, RESUMABLE], ids=["stream", "resumable"])
 def test_a_stream_is_passed_on_event_by_event(used: GatewayRoute) -> None:
-    """Given events a second apart, the caller has each when it comes, and then a proper end."""
+    """Given events a second apart, the client has each when it comes, and then a proper end."""
 
     async def story() -> None:
         node = Node(used, (FIRST, events(1, 1), Pause(1.0), events(2, 2), Pause(1.0), events(3, 3)))
-        caller = Caller()
-        handled = asyncio.create_task(node.forwarder.handle(caller))
+        client = RecordingClient()
+        handled = asyncio.create_task(node.forwarder.handle(client))
         await asyncio.sleep(0.5)
-        assert caller.data == events(1, 1) and caller.header(SEAL) == b"s1"
+        assert client.data == events(1, 1) and client.header(SEAL) == b"s1"
         await asyncio.sleep(1.0)
-        assert caller.data == events(1, 2)
+        assert client.data == events(1, 2)
         await handled
-        assert _whole(caller, 3)
+        assert _whole(client, 3)
         assert node.sent[0].exchange.released and node.in_flight == 0
 
     play(story())
@@ -54,8 +54,8 @@
 
     async def story() -> None:
         node = Node(RESUMABLE, (FIRST, events(1, 3)[:-4], CUT), (SECOND, events(3, 5)))
-        caller = await node.ask()
-        assert _whole(caller, 5) and caller.header(SEAL) == b"s1"
+        client = await node.ask()
+        assert _whole(client, 5) and client.header(SEAL) == b"s1"
         assert node.sent[0].head.header(b"last-event-id") is None
         assert node.sent[1].head.header(b"last-event-id") == b"2"
         assert node.sent[0].address != node.sent[1].address and node.in_flight == 0
@@ -80,19 +80,19 @@
 
 
 def test_the_callers_own_last_event_id_goes_on() -> None:
-    """Given a caller that continues after event 2, the engine is told so, and after a cut what came since."""
+    """Given a client that continues after event 2, the engine is told so, and after a cut what came since."""
 
     async def story() -> None:
         node = Node(RESUMABLE, (FIRST, events(3, 4), CUT), (SECOND, events(5, 5)))
-        caller = await node.ask((b"last-event-id", b"2"))
-        assert caller.data == events(3, 5) and caller.ended
+        client = await node.ask((b"last-event-id", b"2"))
+        assert client.data == events(3, 5) and client.ended
         assert [sent.head.header(b"last-event-id") for sent in node.sent] == [b"2", b"4"]
 
     play(story())
 
 
 def test_a_second_engine_that_begins_anew_repeats_nothing_to_the_caller() -> None:
-    """Given an engine that does not heed the id, the events that the caller has are left out."""
+    """Given an engine that does not heed the id, the events that the client has are left out."""
 
     async def story() -> None:
         node = Node(RESUMABLE, (FIRST, events(1, 2), CUT), (SECOND, events(1, 4)))
@@ -102,7 +102,7 @@
 
 
 def test_a_second_engine_that_skips_events_ends_the_stream_with_a_reset() -> None:
-    """Given an engine that goes on after a gap, nothing of it reaches the caller, nor a proper end."""
+    """Given an engine that goes on after a gap, nothing of it reaches the client, nor a proper end."""
 
     async def story() -> None:
         node = Node(
@@ -110,8 +110,8 @@
             (FIRST, events(1, 2), CUT),
             (SECOND, events(4, 5)),
         )
-        caller = await node.ask()
-        assert caller.data == events(1, 2) and caller.aborted and not caller.ended
+        client = await node.ask()
+        assert client.data == events(1, 2) and client.aborted and not client.ended
 
     play(story())
 
@@ -121,20 +121,20 @@
 
     async def story() -> None:
         node = Node(RESUMABLE, (FIRST, b"data: a\n\n", CUT), (SECOND, b"data: a\n\ndata: b\n\n"))
-        caller = await node.ask()
-        assert caller.data == b"data: a\n\n" and caller.aborted
+        client = await node.ask()
+        assert client.data == b"data: a\n\n" and client.aborted
 
     play(story())
 
 
 @pytest.mark.parametrize("failure", [(answer(500, seal=b"s9"), b"no"), (FailureKind.RESET,), DECLINE])
 def test_a_stream_that_nobody_goes_on_with_ends_with_a_reset(failure: Script) -> None:
-    """Given a cut and then only failures, the caller's connection is reset after its whole events."""
+    """Given a cut and then only failures, the client's connection is reset after its whole events."""
 
     async def story() -> None:
         node = Node(RESUMABLE, (FIRST, events(1, 2), CUT), *[failure] * 4)
-        caller = await node.ask()
-        assert caller.data == events(1, 2) and caller.aborted and not caller.ended
+        client = await node.ask()
+        assert client.data == events(1, 2) and client.aborted and not client.ended
 
     play(story())
 
@@ -144,20 +144,20 @@
 
     async def story() -> None:
         node = Node(STREAM, (FIRST, events(1, 2), CUT))
-        caller = await node.ask()
-        assert caller.data == events(1, 2) and caller.aborted and len(node.sent) == 1
+        client = await node.ask()
+        assert client.data == events(1, 2) and client.aborted and len(node.sent) == 1
 
     play(story())
 
 
 @pytest.mark.parametrize("used", [STREAM, RESUMABLE], ids=["stream", "resumable"])
 def test_an_end_inside_an_event_is_not_the_streams_end(used: GatewayRoute) -> None:
-    """Given an unframed stream whose connection ends inside an event, the caller sees no proper end."""
+    """Given an unframed stream whose connection ends inside an event, the client sees no proper end."""
 
     async def story() -> None:
         node = Node(used, (FIRST, events(1, 2)[:-4]), *[(FailureKind.CONNECT,)] * 3)
-        caller = await node.ask()
-        assert caller.aborted and not caller.ended
+        client = await node.ask()
+        assert client.aborted and not client.ended
 
     play(story())
 
@@ -167,22 +167,22 @@
 
     async def story() -> None:
         node = Node(STREAM, (FIRST, events(1, 1), FOREVER))
-        caller = await node.ask((b"x-deadline-ms", b"900"))
-        assert caller.aborted and not caller.ended
-        assert caller.answered_at - caller.received_at <= 1.1
+        client = await node.ask((b"x-deadline-ms", b"900"))
+        assert client.aborted and not client.ended
+        assert client.responded_at - client.received_at <= 1.1
         assert node.sent[0].exchange.aborted and node.in_flight == 0
 
     play(story())
 
 
 def test_a_caller_that_leaves_its_stream_ends_the_engines_work() -> None:
-    """Given a caller that leaves inside its stream, the engine's exchange ends at once."""
+    """Given a client that leaves inside its stream, the engine's exchange ends at once."""
 
     async def story() -> None:
         node = Node(RESUMABLE, (FIRST, events(1, 1), FOREVER))
-        caller = Caller()
-        asyncio.get_running_loop().call_later(0.5, caller.leave)
-        await node.forwarder.handle(caller)
+        client = RecordingClient()
+        asyncio.get_running_loop().call_later(0.5, client.leave)
+        await node.forwarder.handle(client)
         assert node.sent[0].exchange.aborted and node.in_flight == 0 and len(node.sent) == 1
 
     play(story())
@@ -194,10 +194,10 @@
     async def story() -> None:
         used = route(STREAM.kind, resumable=True, **QUICK)
         node = Node(used, (FIRST, events(1, 2), FOREVER), (SECOND, events(3, 4)))
-        caller = await node.ask()
-        assert _whole(caller, 4)
+        client = await node.ask()
+        assert _whole(client, 4)
         assert node.sent[0].exchange.aborted and node.in_flight == 0
-        assert caller.answered_at - caller.received_at < 1.0
+        assert client.responded_at - client.received_at < 1.0
 
     play(story())
 
@@ -207,9 +207,9 @@
 
     async def story() -> None:
         node = Node(route(STREAM.kind, resumable=True, **QUICK), (FOREVER,), (SECOND, events(1, 2)))
-        caller = await node.ask()
-        assert _whole(caller, 2) and caller.header(SEAL) == b"s2"
-        assert 0.6 <= caller.answered_at - caller.received_at < 1.0
+        client = await node.ask()
+        assert _whole(client, 2) and client.header(SEAL) == b"s2"
+        assert 0.6 <= client.responded_at - client.received_at < 1.0
 
     play(story())
 
@@ -235,21 +235,21 @@
             step for number in range(1, 40) for step in (events(number, number), Pause(0.02))
         ]
         node = Node(used, (FIRST, *beside), (FIRST, events(1, 1), Pause(0.4), events(2, 2)), versions=[OLD])
-        other, caller = Caller(), Caller()
-        await asyncio.gather(node.forwarder.handle(other), node.forwarder.handle(caller))
-        assert _whole(caller, 2) and _whole(other, 39) and len(node.sent) == 2
+        other, client = RecordingClient(), RecordingClient()
+        await asyncio.gather(node.forwarder.handle(other), node.forwarder.handle(client))
+        assert _whole(client, 2) and _whole(other, 39) and len(node.sent) == 2
 
     play(story())
 
 
 def test_a_slow_caller_is_not_its_engines_silence() -> None:
-    """Given a caller whose socket is full for longer than the patience, its engine is not given up."""
+    """Given a client whose socket is full for longer than the patience, its engine is not given up."""
 
     async def story() -> None:
         used = route(STREAM.kind, resumable=True, **QUICK)
         node = Node(used, (FIRST, events(1, 1), events(2, 2)), (SECOND, events(2, 2)))
-        caller = await node.ask(slow_s=0.5)
-        assert _whole(caller, 2) and len(node.sent) == 1
+        client = await node.ask(slow_s=0.5)
+        assert _whole(client, 2) and len(node.sent) == 1
 
     play(story())
 
@@ -259,7 +259,7 @@
 
     async def story() -> None:
         body = b"id: 1\ndata: a\n\n\n\nid: 2\ndata: b\n\n"
-        caller = await Node(RESUMABLE, (FIRST, body)).ask()
-        assert caller.data == body and caller.ended
+        client = await Node(RESUMABLE, (FIRST, body)).ask()
+        assert client.data == body and client.ended
 
     play(story())
--- a/tests/unit/node_gateway/test_forwarder_wire.py
+++ b/tests/unit/node_gateway/test_forwarder_wire.py
@@ -1,4 +1,4 @@
-"""The forwarder between the real listener and the real client: what callers and engines see as bytes."""
+"""The forwarder between the real listener and the real client: what clients and engines see as bytes."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
 
 
 async def test_a_late_answer_of_another_request_is_skipped() -> None:
-    """Given an answer with another id in the place of ours, the caller gets its own."""
+    """Given an answer with another id in the place of ours, the client gets its own."""
 
     async def script(wire: Wire) -> None:
         await _asked(wire)
@@ -70,15 +70,15 @@
         await wire.reader.read()
 
     async with engine(script) as only, _front(UNSAFE, only) as site:
-        caller = await site.wire()
-        caller.send(ASK)
-        head = await caller.until(b"\r\n\r\n")
+        client = await site.wire()
+        client.send(ASK)
+        head = await client.until(b"\r\n\r\n")
         assert head.startswith(b"HTTP/1.1 200 ") and b"x-request-id: r1\r\n" in head.lower()
-        await caller.expect(b"ours")
+        await client.expect(b"ours")
 
 
 async def test_an_answer_without_an_id_is_nobodys() -> None:
-    """Given a whole answer without the id that engines echo, a caller that stated one doesn't get it."""
+    """Given a whole answer without the id that engines echo, a client that stated one doesn't get it."""
 
     async def script(wire: Wire) -> None:
         await _asked(wire)
@@ -87,10 +87,10 @@
         await wire.reader.read()
 
     async with engine(script) as only, _front(UNSAFE, only) as site:
-        caller = await site.wire()
-        caller.send(ASK)
-        await caller.until(b"\r\n\r\n")
-        got = await caller.reader.readexactly(4)
+        client = await site.wire()
+        client.send(ASK)
+        await client.until(b"\r\n\r\n")
+        got = await client.reader.readexactly(4)
         assert got != b"late"
 
 
@@ -108,15 +108,15 @@
         await wire.reader.read()
 
     async with engine(first, second) as only, _front(UNSAFE, only) as site:
-        caller = await site.wire()
+        client = await site.wire()
         for body in (b"ours", b"next"):
-            caller.send(ASK)
-            await caller.until(b"\r\n\r\n")
-            await caller.expect(body)
+            client.send(ASK)
+            await client.until(b"\r\n\r\n")
+            await client.expect(body)
 
 
 async def test_a_cut_stream_is_joined_inside_one_answer() -> None:
-    """Given a reset inside event 2, the caller's one chunked answer goes on from the second engine."""
+    """Given a reset inside event 2, the client's one chunked answer goes on from the second engine."""
     heads: list[bytes] = []
     passed_on = asyncio.Event()
 
@@ -131,19 +131,19 @@
         await wire.reader.read()
 
     async with _two(serve) as found, _front(RESUMABLE, *found) as site:
-        caller = await site.wire()
-        caller.send(ASK)
-        head = await caller.until(b"\r\n\r\n")
+        client = await site.wire()
+        client.send(ASK)
+        head = await client.until(b"\r\n\r\n")
         assert b"x-answer-seal: s1\r\n" in head
-        await caller.expect(_chunk(events(1, 1)))
+        await client.expect(_chunk(events(1, 1)))
         passed_on.set()
-        await caller.expect(_chunk(events(2, 3)) + END)
+        await client.expect(_chunk(events(2, 3)) + END)
         assert b"last-event-id: 1\r\n" in heads[1]
 
 
 @pytest.mark.parametrize("used", [STREAM, UNSAFE], ids=["stream", "unsafe"])
 async def test_a_cut_answer_does_not_look_whole(used: GatewayRoute) -> None:
-    """Given an engine that resets inside its answer, the caller sees a reset or a 502, never an end."""
+    """Given an engine that resets inside its answer, the client sees a reset or a 502, never an end."""
     passed_on = asyncio.Event()
     if used is UNSAFE:
         passed_on.set()
@@ -155,19 +155,19 @@
         wire.reset()
 
     async with engine(script) as only, _front(used, only) as site:
-        caller = await site.wire()
-        caller.send(ASK)
-        head = await caller.until(b"\r\n\r\n")
+        client = await site.wire()
+        client.send(ASK)
+        head = await client.until(b"\r\n\r\n")
         if used is UNSAFE:
             assert head.startswith(b"HTTP/1.1 502 ") and b"x-answer-seal" not in head
             return
-        await caller.expect(_chunk(events(1, 1)))
+        await client.expect(_chunk(events(1, 1)))
         passed_on.set()
-        await caller.expect_gone()
+        await client.expect_gone()
 
 
 async def test_a_caller_that_resets_ends_the_engines_work() -> None:
-    """Given a caller that resets, the engine sees its connection end."""
+    """Given a client that resets, the engine sees its connection end."""
     asked, ended = asyncio.Event(), asyncio.Event()
 
     async def script(wire: Wire) -> None:
@@ -177,11 +177,11 @@
         ended.set()
 
     async with engine(script) as only, _front(SAFE, only) as site:
-        caller = await site.wire()
-        caller.send(ASK)
+        client = await site.wire()
+        client.send(ASK)
         async with asyncio.timeout(PATIENCE_S):
             await asked.wait()
-        caller.reset()
+        client.reset()
         async with asyncio.timeout(PATIENCE_S):
             await ended.wait()
 
--- a/tests/unit/node_gateway/test_refusals.py
+++ b/tests/unit/node_gateway/test_refusals.py
@@ -59,7 +59,7 @@
 
 
 def test_a_begun_answer_that_is_cut_counts_as_that() -> None:
-    """Given a stream whose beginning the caller has, its end without a rest is a cut, not a refusal."""
+    """Given a stream whose beginning the client has, its end without a rest is a cut, not a refusal."""
 
     async def story() -> None:
         node = Node(STREAM, (answer(200), events(1, 2), CUT))
--- a/tests/unit/node_gateway/test_startup_gate.py
+++ b/tests/unit/node_gateway/test_startup_gate.py
@@ -9,7 +9,7 @@
 from springmux.node.gateway import startup_gate
 from springmux.node.gateway.startup_gate import STARTUP_S, StartupGate
 from tests.unit.node_gateway.scripted_engines import WHOLE, now, play
-from tests.unit.node_gateway.stand_ins import SAFE, Caller, Node
+from tests.unit.node_gateway.stand_ins import SAFE, Node, RecordingClient
 
 
 def started(node: Node) -> Node:
@@ -25,9 +25,9 @@
         node = started(Node(SAFE, WHOLE, configured=False))
         began = now()
         asyncio.get_running_loop().call_later(0.5, node.configure)
-        caller = await node.ask()
-        assert caller.status == 200
-        assert caller.answered_at - began == pytest.approx(0.5, abs=0.05)
+        client = await node.ask()
+        assert client.status == 200
+        assert client.responded_at - began == pytest.approx(0.5, abs=0.05)
 
     play(story())
 
@@ -39,9 +39,9 @@
         node = started(Node(SAFE, WHOLE, versions=()))
         began = now()
         asyncio.get_running_loop().call_later(0.8, node.know_engines)
-        caller = await node.ask()
-        assert caller.status == 200
-        assert caller.answered_at - began == pytest.approx(0.8, abs=0.05)
+        client = await node.ask()
+        assert client.status == 200
+        assert client.responded_at - began == pytest.approx(0.8, abs=0.05)
 
     play(story())
 
@@ -54,9 +54,9 @@
         began = now()
         first = await node.ask()
         assert first.status == 503 and first.header(b"retry-after") == b"1.00"
-        assert first.answered_at - began == pytest.approx(STARTUP_S, abs=0.05)
+        assert first.responded_at - began == pytest.approx(STARTUP_S, abs=0.05)
         second = await node.ask()
-        assert second.status == 503 and second.answered_at == first.answered_at
+        assert second.status == 503 and second.responded_at == first.responded_at
 
     play(story())
 
@@ -67,7 +67,7 @@
 
     async def story() -> None:
         node = started(Node(SAFE, WHOLE, configured=False))
-        leaving = Caller()
+        leaving = RecordingClient()
         held = asyncio.ensure_future(node.forwarder.handle(leaving))
         await asyncio.sleep(0.1)
         assert (await node.ask()).status == 503
@@ -86,7 +86,7 @@
     async def story() -> None:
         node = started(Node(SAFE, WHOLE, configured=False))
         asyncio.get_running_loop().call_later(0.5, node.configure)
-        caller = await node.ask((b"x-deadline-ms", b"300"))
-        assert caller.status == 503 and node.sent == []
+        client = await node.ask((b"x-deadline-ms", b"300"))
+        assert client.status == 503 and node.sent == []
 
     play(story())
