--- a/src/springmux/node/gateway/__init__.py
+++ b/src/springmux/node/gateway/__init__.py
@@ -1,1 +1,4 @@
-"""The gateway's sockets: front listener, forwarding of requests to engines, control interface, process."""
+"""The gateway node: front listener, forwarding to engines, control listener, settings and process.
+
+Does the I/O for the decisions of :mod:`springmux.gateway`, over :mod:`springmux.node.http`.
+"""
--- a/src/springmux/node/gateway/settings.py
+++ b/src/springmux/node/gateway/settings.py
@@ -46,11 +46,11 @@
 
     ``front_address``: clients. ``ready_address``: readiness checks. ``control_address``: operators and
     engines. ``seeds``: addresses of three or fewer other nodes; only the host counts, since peers listen
-    on ``peer_port`` everywhere. ``first_start``: the whole fleet starts for the first time, on empty disks.
+    on ``peer_port`` everywhere. ``first_start``: the fleet starts for the first time, with empty disks.
     ``losses_tolerated``: controllers that may be lost at once.
-    ``fleet_retries``: repeats that the whole fleet may send in ``retry_window_s`` beside ``retry_share`` of
+    ``fleet_retries``: retries that the fleet may send in ``retry_window_s`` in addition to ``retry_share`` of
     its requests. ``strict_revocation``: a node that can't tell whether its keys are current refuses keyed
-    requests, so that a key is dead everywhere ``revocation_ms`` after its removal was acknowledged.
+    requests, so that a key is rejected everywhere ``revocation_ms`` after its removal was acknowledged.
     ``contact_ms``: after this time without a disturbance a node counts as in contact with the fleet.
     ``change_in_force_ms``: within this time an acknowledged change is in force at every node in contact.
 
