--- a/tests/unit/node_gateway/test_refusals.py
+++ b/tests/unit/node_gateway/test_refusals.py
@@ -20,7 +20,7 @@
 from tests.unit.node_gateway.stand_ins import RESUMABLE, SAFE, STREAM, UNSAFE, Node, tenant
 
 R = RefusalReason
-CUT = FailureKind.CUT_SHORT
+CUT = FailureKind.TRUNCATED
 KEYED = (tenant("acme", "k1"),)
 SOON = (b"x-deadline-ms", b"300")
 
@@ -36,7 +36,7 @@
         ([DECLINE] * 3, R.ENGINES_FULL),
         ([(FailureKind.RESET,)], R.ENGINE_BROKE_OFF),
         ([(FOREVER,)], R.NO_ANSWER_IN_TIME),
-        ([(FailureKind.SILENT,)] * 3, R.NOT_SENT_IN_TIME),
+        ([(FailureKind.UNRESPONSIVE,)] * 3, R.NOT_SENT_IN_TIME),
         ([(answer(200), b"part", CUT)], R.ENGINE_BROKE_OFF),
     ],
 )
@@ -59,7 +59,7 @@
 
 
 def test_a_begun_answer_that_is_cut_counts_as_that() -> None:
-    """Given a stream whose beginning the caller has, its end without a rest is a cut, not a refusal."""
+    """Given a stream whose beginning the client has, its end without a rest is a cut, not a refusal."""
 
     async def story() -> None:
         node = Node(STREAM, (answer(200), events(1, 2), CUT))
@@ -126,8 +126,8 @@
         written = io.StringIO()
         log = RefusalLog(GatewayCounters(), EventLog("n1", output=written), OWN_HEADERS.request_id)
         head = RequestHead(b"GET", b"/", ((OWN_HEADERS.request_id, b"a" * 4000),))
-        log.note_server(ServerRefusal.HANDLER_FAILED, head)
-        log.note_server(ServerRefusal.MALFORMED, None)
+        log.record_server_refusal(ServerRefusal.HANDLER_FAILED, head)
+        log.record_server_refusal(ServerRefusal.MALFORMED, None)
         log.flush()
         first, second = (json.loads(line) for line in written.getvalue().splitlines())
         assert (first["reason"], first["request_id"]) == ("internal_fault", "a" * MAX_ID_LENGTH)
@@ -141,7 +141,7 @@
         counters = GatewayCounters()
         log = RefusalLog(counters, EventLog("n1", output=io.StringIO()), OWN_HEADERS.request_id)
         for refusal in ServerRefusal:
-            log.note_server(refusal, None)
+            log.record_server_refusal(refusal, None)
         log.flush()
         assert len(counters.refusals) == len(ServerRefusal)
 
