--- a/src/springmux/simulation/placement/comparison.py
+++ b/src/springmux/simulation/placement/comparison.py
@@ -1,4 +1,4 @@
-"""Runs a trace under a policy and sums up what came in time."""
+"""Run a trace under a placement policy and summarize latencies and cache hits."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from springmux.simulation.placement.world import Chooser, LoadExchange, World
 
 WARM_UP_S = 15.0
-"""Caches are filled and rates known by then."""
-LARGEST_PART = 0.1
-LATE_WORTH = 0.3
-"""What a late answer earns of its worth."""
+"""By then caches are filled and rates are known."""
+LARGEST_FRACTION = 0.1
+LATE_VALUE = 0.3
+"""Fraction of its weight that a late response earns."""
 
 
 class Result(msgspec.Struct, frozen=True):
-    """Figures after the warm-up. ``hit_share``: of the long prompts' shared tokens."""
+    """Results after the warm-up. ``hit_share``: fraction of the long prompts' shared tokens in the cache."""
 
     hit_share: float
     short_p95_s: float
@@ -27,8 +27,11 @@
 
 
 class KindResult(msgspec.Struct, frozen=True):
-    """One kind's prompts after the warm-up: the late ones, also of its largest tenth, the 95th percentile of
-    the first event, and the part of the shared tokens that engines had kept."""
+    """Results of one kind's prompts after the warm-up.
+
+    ``late``: fraction beyond the latency target. ``largest_late``: the same of the largest tenth. ``p95_s``:
+    95th percentile of the time to the first event. ``kept``: fraction of the shared tokens in the cache.
+    """
 
     kind: str
     late: float
@@ -38,7 +41,7 @@
 
 
 class MixResult(msgspec.Struct, frozen=True):
-    """What a mix of kinds earned of its worth, and each kind's figures. Late answers earn ``LATE_WORTH``."""
+    """Fraction of the total weight that a mix of kinds earned, and the results of each kind."""
 
     earned: float
     kinds: tuple[KindResult, ...]
@@ -57,12 +60,12 @@
     world = World(nodes, engines, seed, shape, exchange)
     source = random.Random(seed)
 
-    def least_loaded(node: int, request: Request, now: float) -> int:
+    def least_loaded(node: int, _request: Request, _now: float) -> int:
         return min(range(engines), key=lambda n: (world.in_flight[node][n], source.random()))
 
     choosers: dict[str, Chooser] = {
         "placement": world.by_placement,
-        "random": lambda node, request, now: source.randrange(engines),
+        "random": lambda _node, _request, _now: source.randrange(engines),
         "least_loaded": least_loaded,
     }
     world.run(requests, choosers[policy])
@@ -75,10 +78,10 @@
 
 
 def hit_share(requests: Sequence[Request]) -> float:
-    """Return the part of the requests' shared tokens that engines had kept."""
-    kept = sum(request.kept_tokens for request in requests)
-    shared = sum(sum(tokens for _, tokens in request.facts.prefix[:-1]) for request in requests)
-    return kept / shared if shared else 0.0
+    """Return the fraction of the requests' shared tokens that engines had cached."""
+    cached = sum(request.cached_tokens for request in requests)
+    shared = sum(sum(tokens for _, tokens in request.metadata.prefix[:-1]) for request in requests)
+    return cached / shared if shared else 0.0
 
 
 def run_mix(
@@ -86,30 +89,32 @@
     kinds: tuple[PromptKind, ...],
     world: World,
 ) -> MixResult:
-    """Run a trace of kinds under the placement of ``world``, and sum up what came after the warm-up."""
+    """Run a trace of kinds under the placement of ``world``; return the results after the warm-up."""
     world.run(requests, world.by_placement)
     measured = [request for request in requests if request.at >= WARM_UP_S]
     results = tuple(_kind_result(index, kind, measured) for index, kind in enumerate(kinds))
     counts = [sum(request.kind == index for request in measured) for index in range(len(kinds))]
-    owed = sum(count * kind.worth for count, kind in zip(counts, kinds, strict=True))
+    total = sum(count * kind.weight for count, kind in zip(counts, kinds, strict=True))
     lost = sum(
-        count * kind.worth * result.late * (1.0 - LATE_WORTH)
+        count * kind.weight * result.late * (1.0 - LATE_VALUE)
         for count, kind, result in zip(counts, kinds, results, strict=True)
     )
-    return MixResult(1.0 - lost / owed, results)
+    return MixResult(1.0 - lost / total, results)
 
 
 def _kind_result(index: int, kind: PromptKind, measured: Sequence[Request]) -> KindResult:
     own = sorted(
         (request for request in measured if request.kind == index),
-        key=lambda request: request.facts.prompt_tokens,
+        key=lambda request: request.metadata.prompt_tokens,
     )
-    largest = own[int((1.0 - LARGEST_PART) * len(own)) :]
+    largest = own[int((1.0 - LARGEST_FRACTION) * len(own)) :]
     p95_s = _p95([request.first_event_s for request in own])
-    return KindResult(kind.name, _late(own, kind), _late(largest, kind), p95_s, hit_share(own))
+    return KindResult(
+        kind.name, _late_fraction(own, kind), _late_fraction(largest, kind), p95_s, hit_share(own)
+    )
 
 
-def _late(requests: Sequence[Request], kind: PromptKind) -> float:
+def _late_fraction(requests: Sequence[Request], kind: PromptKind) -> float:
     return sum(request.first_event_s > kind.target_s for request in requests) / max(1, len(requests))
 
 
--- a/src/springmux/simulation/placement/engine.py
+++ b/src/springmux/simulation/placement/engine.py
@@ -1,15 +1,16 @@
-"""A model engine in virtual time: continuous batching in steps, prefill in pieces, a cache of prompt parts.
+"""Model of an engine in virtual time: continuous batching in steps, chunked prefill, and a prefix cache.
 
-Each step takes a fixed time, some more for each running request, and the time of the piece of prefill that
-goes on in it, so that a long prompt delays everybody's tokens (chunked prefill: Agrawal et al. 2024,
-Sarathi-Serve). The cache holds the parts of running and past prompts; the least recently used give way. A
-kept part counts only if all parts before it are kept.
+Each step takes a fixed time, some more for each running request, and the time of the prefill chunk that it
+processes, so that a long prompt delays everybody's tokens (chunked prefill: Agrawal et al. 2024,
+Sarathi-Serve). The cache holds the prefix segments of running and past prompts and evicts the least recently
+used. A cached segment counts only if all segments before it are cached.
 """
 
 from __future__ import annotations
 
 from collections import OrderedDict, deque
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from springmux.gateway.dispatches import Dispatch
 from springmux.gateway.prompt_metadata import PromptMetadata
@@ -17,10 +18,11 @@
 
 @dataclass(frozen=True)
 class EngineShape:
-    """An engine's figures.
+    """Speed and size of an engine.
 
-    ``step_slot_s``: more a step for each running request. ``piece_tokens``: most prefill of one step.
-    ``pair_s``: for each pair of a read token and one before it. ``first_s``: before each first event.
+    ``step_slot_s``: added to a step for each running request. ``piece_tokens``: largest prefill chunk of one
+    step. ``pair_s``: attention time for each pair of a processed token and an earlier one. ``first_s``: delay
+    before each first event.
     """
 
     slots: int = 64
@@ -35,74 +37,91 @@
 
 @dataclass(eq=False)
 class Request:
-    """One request; ``at`` in seconds. ``kind``: index of its kind in the trace."""
+    """One request and its results.
+
+    ``at``: arrival time in seconds. ``kind``: index of its kind in the trace. ``first_event_s``: time from
+    arrival to the first event, -1 before it. ``cached_tokens``: prefix tokens found in the cache.
+    ``engine``: index of the chosen engine, -1 before the choice.
+    """
 
     at: float
     node: int
-    facts: PromptMetadata
+    metadata: PromptMetadata
     long: bool
     kind: int = 0
     first_event_s: float = -1.0
-    kept_tokens: int = 0
+    cached_tokens: int = 0
     engine: int = -1
-    correlation_id: Dispatch | None = None
-    left: int = 0
-    read: int = 0
+    dispatch: Dispatch | None = None
+    remaining_tokens: int = 0
+    processed_tokens: int = 0
+
+
+class DecodingRequest(NamedTuple):
+    """Entry of the heap of decoding requests, ordered by the step that emits the last token."""
+
+    last_step: int
+    sequence: int
+    request: Request
 
 
 @dataclass
 class Engine:
-    """One model engine."""
+    """State of one engine."""
 
     shape: EngineShape = field(default_factory=EngineShape)
     waiting: deque[Request] = field(default_factory=deque)
     prefilling: deque[Request] = field(default_factory=deque)
-    decoding: list[tuple[int, int, Request]] = field(default_factory=list)
+    decoding: list[DecodingRequest] = field(default_factory=list)
     cache: OrderedDict[str, int] = field(default_factory=OrderedDict)
-    cached: int = 0
+    cached_tokens: int = 0
     step: int = 0
     busy: bool = False
 
     @property
     def running(self) -> int:
-        """Requests that hold a slot."""
+        """Return the number of requests that occupy a slot."""
         return len(self.prefilling) + len(self.decoding)
 
     def admit(self) -> None:
-        """Start waiting requests while there are slots."""
+        """Start waiting requests while there are free slots."""
         while self.waiting and self.running < self.shape.slots:
             request = self.waiting.popleft()
-            request.kept_tokens = self._kept(request.facts)
-            request.left = max(1, request.facts.prompt_tokens - request.kept_tokens)
-            request.read = request.kept_tokens
+            request.cached_tokens = self._lookup_and_store(request.metadata)
+            request.remaining_tokens = max(1, request.metadata.prompt_tokens - request.cached_tokens)
+            request.processed_tokens = request.cached_tokens
             self.prefilling.append(request)
 
     def prefill(self) -> tuple[list[Request], float]:
-        """Read the next piece of the oldest prompts; return those that are done, and the time taken."""
+        """Process one chunk of the oldest prompts; return the finished ones and the time taken in seconds."""
         shape = self.shape
-        room, seconds = shape.piece_tokens, 0.0
+        budget_tokens, seconds = shape.piece_tokens, 0.0
         ready = []
-        while self.prefilling and room > 0:
+        while self.prefilling and budget_tokens > 0:
             head = self.prefilling[0]
-            piece = min(room, head.left)
-            seconds += piece / shape.prefill_tokens_per_s + piece * (head.read + piece / 2) * shape.pair_s
-            head.left -= piece
-            head.read += piece
-            room -= piece
-            if head.left == 0:
+            chunk = min(budget_tokens, head.remaining_tokens)
+            seconds += (
+                chunk / shape.prefill_tokens_per_s
+                + chunk * (head.processed_tokens + chunk / 2) * shape.pair_s
+            )
+            head.remaining_tokens -= chunk
+            head.processed_tokens += chunk
+            budget_tokens -= chunk
+            if head.remaining_tokens == 0:
                 ready.append(self.prefilling.popleft())
         return ready, seconds
 
-    def _kept(self, facts: PromptMetadata) -> int:
-        kept, broken = 0, False
-        for part, tokens in facts.prefix:
-            if part in self.cache:
-                self.cache.move_to_end(part)
-                kept += 0 if broken else tokens
+    def _lookup_and_store(self, metadata: PromptMetadata) -> int:
+        """Return the tokens of the cached leading segments, and cache all segments of the prompt."""
+        cached_tokens, missed = 0, False
+        for segment, tokens in metadata.prefix:
+            if segment in self.cache:
+                self.cache.move_to_end(segment)
+                cached_tokens += 0 if missed else tokens
             else:
-                broken = True
-                self.cache[part] = tokens
-                self.cached += tokens
-        while self.cached > self.shape.cache_tokens:
-            self.cached -= self.cache.popitem(last=False)[1]
-        return kept
+                missed = True
+                self.cache[segment] = tokens
+                self.cached_tokens += tokens
+        while self.cached_tokens > self.shape.cache_tokens:
+            self.cached_tokens -= self.cache.popitem(last=False)[1]
+        return cached_tokens
--- a/src/springmux/simulation/placement/world.py
+++ b/src/springmux/simulation/placement/world.py
@@ -1,4 +1,4 @@
-"""Nodes, each a :class:`Placement`, in front of engines; they learn of each other's load late or never."""
+"""Simulated nodes, each a :class:`Placement`, in front of engines, with delayed load reports."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from springmux.gateway.engine_health import ExchangeOutcome
 from springmux.gateway.placement import Placement
 from springmux.gateway.placement_policy import PlacementPolicy
-from springmux.simulation.placement.engine import Engine, EngineShape, Request
+from springmux.simulation.placement.engine import DecodingRequest, Engine, EngineShape, Request
 from springmux.vocabulary.engines import EngineRecord, EnginesView
 from springmux.vocabulary.names import EngineId, ServiceName, VersionName
 
@@ -23,20 +23,25 @@
 
 @dataclass(frozen=True)
 class LoadExchange:
-    """How nodes learn of each other's load: sums each ``period_s``, ``delay_s`` old when they arrive."""
+    """Load reports between nodes: sent every ``period_s``, received ``delay_s`` later (seconds)."""
 
     period_s: float
     delay_s: float
 
 
+EngineLoads = dict[EngineId, tuple[float, float]]
+"""Requests and prompt tokens in flight, by engine, as :meth:`Placement.report_others` takes them."""
+
+
 @dataclass(frozen=True)
 class _Loads:
-    """Each node's loads at one moment, by engine: requests and prompt tokens."""
+    """Each node's loads at one moment."""
 
-    own: list[dict[EngineId, tuple[float, float]]]
+    own: list[EngineLoads]
 
-    def others(self, node: int) -> dict[EngineId, tuple[float, float]]:
-        sums: dict[EngineId, tuple[float, float]] = {}
+    def others(self, node: int) -> EngineLoads:
+        """Return the sum of all nodes' loads except those of ``node``."""
+        sums: EngineLoads = {}
         for number, loads in enumerate(self.own):
             if number == node:
                 continue
@@ -47,10 +52,11 @@
 
 
 Chooser = Callable[[int, Request, float], int]
+"""Chooses the index of an engine for a node, its request and the time."""
 
 
 def engine_records(count: int, slots: int) -> list[EngineRecord]:
-    """Return ready engines e00, e01, ..."""
+    """Return the records of ready engines e00, e01, …"""
     return [
         EngineRecord(EngineId(f"e{n:02}"), SERVICE, VERSION, Address(f"10.0.0.{n}:80"), slots, 1)
         for n in range(count)
@@ -58,7 +64,10 @@
 
 
 class World:
-    """Runs a trace. Each node is a :class:`Placement`, told of others' requests by ``exchange``, or not."""
+    """Run a trace over nodes and engines.
+
+    :param exchange: load reports between nodes; ``None`` for nodes that know their own requests only.
+    """
 
     def __init__(
         self,
@@ -78,40 +87,40 @@
         for node in self.nodes:
             node.update_engines(view, 0.0)
             node.set_fleet_size(nodes)
-        self._told: list[dict[EngineId, tuple[float, float]]] = [{} for _ in range(nodes)]
+        self._reported_loads: list[EngineLoads] = [{} for _ in range(nodes)]
         self.in_flight = [[0] * engines for _ in range(nodes)]
         self._events: list[tuple[float, int, Callable[[float], None]]] = []
-        self._numbers = itertools.count()
+        self._sequence = itertools.count()
 
     def run(self, requests: list[Request], choose: Chooser) -> None:
-        """Serve all requests; their results are in them."""
+        """Serve all requests; their results are stored in them."""
         for arriving in requests:
-            self._at(arriving.at, partial(self._arrive, arriving, choose))
+            self._schedule(arriving.at, partial(self._arrive, arriving, choose))
         if self._exchange is not None:
             rounds = int(requests[-1].at / self._exchange.period_s)
             for number in range(rounds):
-                self._at(number * self._exchange.period_s, self._report)
+                self._schedule(number * self._exchange.period_s, self._report)
         while self._events:
             now, _, action = heapq.heappop(self._events)
             action(now)
 
     def by_placement(self, node: int, request: Request, now: float) -> int:
-        """The policy under test."""
-        chosen = self.nodes[node].choose(SERVICE, (VERSION,), request.facts, (), now)
+        """Choose an engine by the policy under test."""
+        chosen = self.nodes[node].choose(SERVICE, (VERSION,), request.metadata, (), now)
         assert chosen is not None
         return self.records.index(chosen)
 
-    def _at(self, at: float, action: Callable[[float], None]) -> None:
-        heapq.heappush(self._events, (at, next(self._numbers), action))
+    def _schedule(self, at: float, action: Callable[[float], None]) -> None:
+        heapq.heappush(self._events, (at, next(self._sequence), action))
 
     def _report(self, now: float) -> None:
         assert self._exchange is not None
-        for told, node in zip(self._told, self.nodes, strict=True):
-            told.update((engine, (requests, tokens)) for engine, requests, tokens in node.changed_loads())
-        loads = _Loads([dict(told) for told in self._told])
-        self._at(now + self._exchange.delay_s, lambda _: self._take_reports(loads))
+        for reported, node in zip(self._reported_loads, self.nodes, strict=True):
+            reported.update((engine, (requests, tokens)) for engine, requests, tokens in node.changed_loads())
+        loads = _Loads([dict(reported) for reported in self._reported_loads])
+        self._schedule(now + self._exchange.delay_s, lambda _: self._receive_reports(loads))
 
-    def _take_reports(self, loads: _Loads) -> None:
+    def _receive_reports(self, loads: _Loads) -> None:
         for number, node in enumerate(self.nodes):
             node.report_others(loads.others(number))
 
@@ -119,14 +128,14 @@
         engine = choose(request.node, request, now)
         request.engine = engine
         self.in_flight[request.node][engine] += 1
-        request.correlation_id = self.nodes[request.node].began(self.records[engine], request.facts, now)
+        request.dispatch = self.nodes[request.node].began(self.records[engine], request.metadata, now)
         self.engines[engine].waiting.append(request)
         if not self.engines[engine].busy:
             self.engines[engine].busy = True
-            self._at(now, lambda at: self._step(engine, at))
+            self._schedule(now, lambda at: self._step(engine, at))
 
     def _step(self, number: int, now: float) -> None:
-        """Run one step that begins at ``now``; what it yields is noted at its end."""
+        """Run one step that begins at ``now``; its results take effect at its end."""
         engine = self.engines[number]
         engine.admit()
         if not engine.prefilling and not engine.decoding:
@@ -138,16 +147,16 @@
         engine.step += 1
         for request in ready:
             request.first_event_s = end + self._shape.first_s - request.at
-            self._at(end + self._shape.first_s, partial(self._first_event, request))
-            last_step = engine.step + request.facts.output_tokens
-            heapq.heappush(engine.decoding, (last_step, next(self._numbers), request))
-        while engine.decoding and engine.decoding[0][0] <= engine.step:
-            done = heapq.heappop(engine.decoding)[2]
-            assert done.correlation_id is not None
+            self._schedule(end + self._shape.first_s, partial(self._first_event, request))
+            last_step = engine.step + request.metadata.output_tokens
+            heapq.heappush(engine.decoding, DecodingRequest(last_step, next(self._sequence), request))
+        while engine.decoding and engine.decoding[0].last_step <= engine.step:
+            done = heapq.heappop(engine.decoding).request
+            assert done.dispatch is not None
             self.in_flight[done.node][number] -= 1
-            self.nodes[done.node].ended(done.correlation_id, ExchangeOutcome.OK, end)
-        self._at(end, lambda at: self._step(number, at))
+            self.nodes[done.node].ended(done.dispatch, ExchangeOutcome.OK, end)
+        self._schedule(end, lambda at: self._step(number, at))
 
     def _first_event(self, request: Request, now: float) -> None:
-        assert request.correlation_id is not None
-        self.nodes[request.node].first_event(request.correlation_id, now)
+        assert request.dispatch is not None
+        self.nodes[request.node].first_event(request.dispatch, now)
