--- a/src/springmux/cli/explore.py
+++ b/src/springmux/cli/explore.py
@@ -84,8 +84,9 @@
         return
     state = "ok" if not result.violations else f"{len(result.violations)} violations"
     typer.echo(
-        f"seed {result.seed}: {state}; {result.calls} calls, {result.whole} whole, {result.refused} refused,"
-        f" {result.executed} executions, rollout {result.rollout}, transcript {result.transcript}"
+        f"seed {result.seed}: {state}; {result.calls} calls, {result.complete} whole,"
+        f" {result.refused} refused, {result.executed} executions,"
+        f" rollout {result.rollout}, transcript {result.transcript}"
     )
     for violation in result.violations:
         nodes = ", ".join(violation.nodes)
--- a/src/springmux/simulation/checkers/all_checkers.py
+++ b/src/springmux/simulation/checkers/all_checkers.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from springmux.simulation.checkers.at_most_once import AtMostOnceChecker
+from springmux.simulation.checkers.complete_responses import CompleteResponseChecker
 from springmux.simulation.checkers.consistency import ConsistencyChecker
 from springmux.simulation.checkers.delivery import DeliveryChecker
 from springmux.simulation.checkers.draining import DrainChecker
@@ -14,32 +15,31 @@
 from springmux.simulation.checkers.repeats import RepeatsChecker
 from springmux.simulation.checkers.streams import StreamsChecker
 from springmux.simulation.checkers.violation import Checker, Violation
-from springmux.simulation.checkers.whole_answers import WholeAnswerChecker
-from springmux.simulation.facts import RunFacts
 from springmux.simulation.history import History
+from springmux.simulation.run_context import RunContext
 
 
-def make_checkers(history: History, facts: RunFacts) -> list[Checker]:
+def make_checkers(history: History, context: RunContext) -> list[Checker]:
     """Return one of each."""
     return [
         AtMostOnceChecker(history),
-        WholeAnswerChecker(history),
+        CompleteResponseChecker(history),
         StreamsChecker(history),
-        ExposureChecker(history, facts),
-        RollbackChecker(history, facts),
-        DoneByTermChecker(history, facts),
-        EndTrapsChecker(history, facts),
+        ExposureChecker(history, context),
+        RollbackChecker(history, context),
+        DoneByTermChecker(history, context),
+        EndTrapsChecker(history, context),
         DeliveryChecker(history),
         OrdersChecker(history),
         DrainChecker(history),
-        QuotaChecker(history, facts),
-        RepeatsChecker(history, len(facts.deployment.places())),
-        DurabilityChecker(history, facts),
+        QuotaChecker(history, context),
+        RepeatsChecker(history, len(context.deployment.places())),
+        DurabilityChecker(history, context),
         ConsistencyChecker(history),
     ]
 
 
-def check(history: History, facts: RunFacts) -> list[Violation]:
+def check(history: History, context: RunContext) -> list[Violation]:
     """Return what all checkers found, in the order of time."""
-    found = [violation for checker in make_checkers(history, facts) for violation in checker.violations()]
+    found = [violation for checker in make_checkers(history, context) for violation in checker.violations()]
     return sorted(found, key=lambda violation: violation.at)
--- a/src/springmux/simulation/checkers/delivery.py
+++ b/src/springmux/simulation/checkers/delivery.py
@@ -6,7 +6,7 @@
 
 from springmux.coordination.identifiers import NodeId, Revision
 from springmux.simulation.checkers.violation import Violation
-from springmux.simulation.history import History, OrderSeen
+from springmux.simulation.history import History, OrderReply
 from springmux.simulation.recorder import IN_FORCE_S, IN_FORCE_SLACK_S
 
 
@@ -58,7 +58,7 @@
 class DueRevisions:
     """Which revision must be in force at a time: the newest acknowledged long enough before."""
 
-    def __init__(self, orders: list[OrderSeen]) -> None:
+    def __init__(self, orders: list[OrderReply]) -> None:
         self._times: list[float] = []
         self._revisions: list[Revision] = []
         newest = Revision(0)
--- a/src/springmux/simulation/checkers/durability.py
+++ b/src/springmux/simulation/checkers/durability.py
@@ -5,8 +5,8 @@
 from springmux.coordination.identifiers import NodeId, Revision
 from springmux.rollout.planning.plan import TERMINAL_PHASES, RolloutPhase
 from springmux.simulation.checkers.violation import Violation
-from springmux.simulation.facts import RunFacts
-from springmux.simulation.history import History, Sampled
+from springmux.simulation.history import History, NodeSample
+from springmux.simulation.run_context import RunContext
 from springmux.simulation.world.faults import Restart
 
 SERVICE_BACK_S = 12.0
@@ -17,15 +17,15 @@
 class DurabilityChecker:
     """Compares the fleet at the end with what operators were told."""
 
-    def __init__(self, history: History, facts: RunFacts) -> None:
+    def __init__(self, history: History, context: RunContext) -> None:
         self._history = history
-        self._facts = facts
+        self._context = context
 
     def violations(self) -> list[Violation]:
         """Return lost changes, nodes that are not back, undone rollouts, and slow restarts."""
         return [*self._lost(), *self._undone_rollouts(), *self._slow_restarts()]
 
-    def _last_samples(self) -> dict[NodeId, Sampled]:
+    def _last_samples(self) -> dict[NodeId, NodeSample]:
         return {sample.node: sample for sample in self._history.samples}
 
     def _lost(self) -> list[Violation]:
@@ -35,9 +35,9 @@
         )
         found = []
         last = self._last_samples()
-        for place in self._facts.deployment.places():
+        for place in self._context.deployment.places():
             sample = last.get(place.node)
-            if sample is None or sample.at < self._facts.ended_at - 1.0:
+            if sample is None or sample.at < self._context.ended_at - 1.0:
                 found.append(self._at_end(place.node, "does not run at the end"))
             elif not sample.ready:
                 found.append(self._at_end(place.node, f"is not ready at the end: {sample.reason}"))
@@ -47,7 +47,7 @@
         return found
 
     def _at_end(self, node: NodeId, text: str) -> Violation:
-        return Violation("durability", self._facts.ended_at, (node,), f"{node} {text}")
+        return Violation("durability", self._context.ended_at, (node,), f"{node} {text}")
 
     def _undone_rollouts(self) -> list[Violation]:
         ended: dict[str, RolloutPhase] = {}
@@ -69,15 +69,15 @@
             if any(at + TOGETHER_S < seen.at < limit for seen in self._history.faults):
                 continue
             ready = {s.node for s in self._history.samples if s.ready and at < s.at <= limit}
-            missing = tuple(p.node for p in self._facts.deployment.places() if p.node not in ready)
-            if missing and limit < self._facts.ended_at:
+            missing = tuple(p.node for p in self._context.deployment.places() if p.node not in ready)
+            if missing and limit < self._context.ended_at:
                 text = f"{len(missing)} nodes are not back {SERVICE_BACK_S:g} s after a restart of everything"
                 found.append(Violation("service back", limit, missing, text))
         return found
 
     def _whole_restarts(self) -> list[float]:
         restarts = [seen for seen in self._history.faults if isinstance(seen.fault, Restart)]
-        nodes = len(self._facts.deployment.places())
+        nodes = len(self._context.deployment.places())
         times = []
         for position, seen in enumerate(restarts):
             group = restarts[position : position + nodes]
--- a/src/springmux/simulation/checkers/exposure.py
+++ b/src/springmux/simulation/checkers/exposure.py
@@ -4,12 +4,12 @@
 
 from springmux.rollout.planning.plan import RolloutPhase
 from springmux.simulation.checkers.violation import Violation
-from springmux.simulation.facts import RunFacts
 from springmux.simulation.history import Dispatched, History
+from springmux.simulation.run_context import RunContext
 
 SMALL_ALLOWANCE = 20
 """Prompts on top of the share, as a plan's default."""
-BAD_ANSWERS = 50
+BAD_RESPONSES = 50
 """Brief: counted from the fiftieth bad answer."""
 ROLLBACK_S = 5.0
 ROLLBACK_SLACK_S = 0.25
@@ -18,18 +18,18 @@
 class ExposureChecker:
     """The share of a bad candidate, at every moment of its rollout."""
 
-    def __init__(self, history: History, facts: RunFacts) -> None:
+    def __init__(self, history: History, context: RunContext) -> None:
         self._history = history
-        self._facts = facts
+        self._context = context
 
     def violations(self) -> list[Violation]:
         """Return the first moment at which the candidate had more than its share, if there is one."""
-        plan = self._facts.plan
-        if plan is None or not self._facts.bad:
+        plan = self._context.plan
+        if plan is None or not self._context.bad:
             return []
         allowance = max(plan.expose_allowance, SMALL_ALLOWANCE)
         prompts = sent = 0
-        for dispatch in _of_rollout(self._history, self._facts):
+        for dispatch in _of_rollout(self._history, self._context):
             prompts += dispatch.attempt == 1
             sent += dispatch.version == plan.candidate
             if sent > 0.10 * prompts + allowance:
@@ -41,23 +41,23 @@
 class RollbackChecker:
     """How long a bad candidate is sent to after its fiftieth bad answer."""
 
-    def __init__(self, history: History, facts: RunFacts) -> None:
+    def __init__(self, history: History, context: RunContext) -> None:
         self._history = history
-        self._facts = facts
+        self._context = context
 
     def violations(self) -> list[Violation]:
         """Return the nodes that sent to the candidate too late, each once."""
-        plan = self._facts.plan
-        if plan is None or not self._facts.bad:
+        plan = self._context.plan
+        if plan is None or not self._context.bad:
             return []
-        bad_at = [bad.at for bad in self._history.bad_answers if bad.version == plan.candidate]
-        if len(bad_at) < BAD_ANSWERS:
+        bad_at = [bad.at for bad in self._history.bad_responses if bad.version == plan.candidate]
+        if len(bad_at) < BAD_RESPONSES:
             return []
-        fiftieth = sorted(bad_at)[BAD_ANSWERS - 1]
+        fiftieth = sorted(bad_at)[BAD_RESPONSES - 1]
         limit = fiftieth + ROLLBACK_S + ROLLBACK_SLACK_S
         late = {
             dispatch.node: dispatch
-            for dispatch in _of_rollout(self._history, self._facts)
+            for dispatch in _of_rollout(self._history, self._context)
             if dispatch.version == plan.candidate and dispatch.at > limit
         }
         return [
@@ -71,17 +71,17 @@
         ]
 
 
-def _of_rollout(history: History, facts: RunFacts) -> list[Dispatched]:
+def _of_rollout(history: History, context: RunContext) -> list[Dispatched]:
     """Return the service's dispatches from the promotion to the rollout's end.
 
     An aborted rollout has no end here: its candidate must stay without prompts. Once it is done there is no
     way back (brief), and the version is no candidate any more.
     """
-    plan = facts.plan
+    plan = context.plan
     assert plan is not None
     seen = [each for each in history.rollouts if each.service == plan.service]
     begins = min((each.at for each in seen), default=0.0)
-    ends = min((each.at for each in seen if each.phase is RolloutPhase.DONE), default=facts.ended_at)
+    ends = min((each.at for each in seen if each.phase is RolloutPhase.DONE), default=context.ended_at)
     return [
         dispatch
         for dispatch in history.dispatched
--- a/src/springmux/simulation/checkers/finishing.py
+++ b/src/springmux/simulation/checkers/finishing.py
@@ -5,8 +5,8 @@
 from springmux.coordination.identifiers import NodeId
 from springmux.rollout.planning.plan import RolloutPhase
 from springmux.simulation.checkers.violation import Violation
-from springmux.simulation.facts import RunFacts
-from springmux.simulation.history import History, RolloutSeen, Sampled
+from springmux.simulation.history import History, NodeSample, RolloutPhaseChanged
+from springmux.simulation.run_context import RunContext
 from springmux.vocabulary.errors import ErrorCode
 
 TERM_SLACK_S = 0.5
@@ -15,14 +15,14 @@
 class DoneByTermChecker:
     """A good candidate is stable by ``by_s``, plus the time in which no leader could commit anything."""
 
-    def __init__(self, history: History, facts: RunFacts) -> None:
+    def __init__(self, history: History, context: RunContext) -> None:
         self._history = history
-        self._facts = facts
+        self._context = context
 
     def violations(self) -> list[Violation]:
         """Return a good rollout that was late or aborted."""
-        plan = self._facts.plan
-        if plan is None or self._facts.bad:
+        plan = self._context.plan
+        if plan is None or self._context.bad:
             return []
         seen = [each for each in self._history.rollouts if each.service == plan.service]
         begun = next((each.at for each in seen if each.phase is RolloutPhase.CANARY), None)
@@ -34,13 +34,13 @@
             return [Violation("good rollout done", aborted.at, (aborted.node,), text)]
         return self._late(begun, next((each for each in seen if each.phase is RolloutPhase.DONE), None))
 
-    def _late(self, begun: float, done: RolloutSeen | None) -> list[Violation]:
-        plan = self._facts.plan
+    def _late(self, begun: float, done: RolloutPhaseChanged | None) -> list[Violation]:
+        plan = self._context.plan
         assert plan is not None
         term = begun + plan.by_s + TERM_SLACK_S + self.stalled_s(begun) + self._paused_s()
         if done is not None and done.at <= term:
             return []
-        if done is None and self._facts.ended_at <= term:
+        if done is None and self._context.ended_at <= term:
             return []
         when = f"{done.at - begun:.1f} s after promotion" if done else "never"
         text = f"the good version {plan.candidate} was done {when}, its term was {term - begun:.1f} s"
@@ -49,7 +49,7 @@
     def stalled_s(self, since: float) -> float:
         """Return how long no node led, or the one that did committed nothing that it had to, by samples."""
         works: dict[float, bool] = {}
-        before: dict[NodeId, Sampled] = {}
+        before: dict[NodeId, NodeSample] = {}
         for sample in self._history.samples:
             if sample.at < since:
                 continue
@@ -75,25 +75,25 @@
 class EndTrapsChecker:
     """Once a rollout is done and the old engines leave, no connected node is left without an engine."""
 
-    def __init__(self, history: History, facts: RunFacts) -> None:
+    def __init__(self, history: History, context: RunContext) -> None:
         self._history = history
-        self._facts = facts
+        self._context = context
 
     def violations(self) -> list[Violation]:
         """Return refusals for want of an engine, and prompts to the old version, after the end."""
-        facts = self._facts
-        plan = facts.plan
-        if plan is None or facts.removed_at is None:
+        context = self._context
+        plan = context.plan
+        if plan is None or context.removed_at is None:
             return []
         found = []
         for call in self._history.calls:
-            if call.code is ErrorCode.NO_ENGINE and call.prompt and call.sent_at >= facts.removed_at:
+            if call.code is ErrorCode.NO_ENGINE and call.prompt and call.sent_at >= context.removed_at:
                 text = f"{call.request} found no engine after the rollout was done"
                 found.append(Violation("end of a rollout", call.ended_at, (call.node,), text))
         return found
 
 
-def _stalled(before: Sampled | None, sample: Sampled) -> bool:
+def _stalled(before: NodeSample | None, sample: NodeSample) -> bool:
     """Say whether a leader's commit index stood still between two samples although entries waited."""
     if before is None or before.term != sample.term:
         return False
--- a/src/springmux/simulation/deployments.py
+++ b/src/springmux/simulation/deployments.py
@@ -25,7 +25,7 @@
     traffic_share: float
 
 
-class BackEndSize(msgspec.Struct, frozen=True, kw_only=True):
+class BackendSize(msgspec.Struct, frozen=True, kw_only=True):
     """A group of like back ends. ``model``: an engine for prompts, else a service for calls."""
 
     service: ServiceName
@@ -67,7 +67,7 @@
     name: str
     zones: tuple[ZoneSize, ...]
     controllers: int
-    back_ends: tuple[BackEndSize, ...]
+    backends: tuple[BackendSize, ...]
     streams: tuple[StreamSize, ...]
     tenants: tuple[TenantSize, ...]
     minimum_ready_engines: int = 1
@@ -77,13 +77,13 @@
         """Return the machines, controllers first in each zone."""
         return places_by_zone({size.zone: size.nodes for size in self.zones}, self.controllers)
 
-    def models(self) -> BackEndSize:
+    def models(self) -> BackendSize:
         """Return the group of model engines, the one that is rolled out."""
-        return next(size for size in self.back_ends if size.model)
+        return next(size for size in self.backends if size.model)
 
     def document(self) -> bytes:
         """Return the deployment's whole configuration document."""
-        services = {size.service: {"stable": size.version} for size in self.back_ends}
+        services = {size.service: {"stable": size.version} for size in self.backends}
         routes = {size.route: _route(size) for size in self.streams}
         exceptions = {"minimum_ready_engines": self.minimum_ready_engines}
         return json.dumps({"services": services, "routes": routes, "exceptions": exceptions}).encode()
@@ -131,15 +131,15 @@
         ZoneSize(zone=ZoneName("west"), nodes=3, traffic_share=0.1),
     ),
     controllers=4,
-    back_ends=(
-        BackEndSize(
+    backends=(
+        BackendSize(
             service=_TEXT,
             version=VersionName("v1"),
             count=6,
             model=True,
             spec=EngineSpec(slots=24, prefill_tokens_per_s=40_000.0, cache_blocks=3000),
         ),
-        BackEndSize(service=ServiceName("pages"), version=VersionName("p1"), count=4, model=False),
+        BackendSize(service=ServiceName("pages"), version=VersionName("p1"), count=4, model=False),
     ),
     streams=(
         StreamSize(
@@ -187,15 +187,15 @@
         ZoneSize(zone=ZoneName("town"), nodes=3, traffic_share=0.2),
     ),
     controllers=3,
-    back_ends=(
-        BackEndSize(
+    backends=(
+        BackendSize(
             service=_TEXT,
             version=VersionName("v1"),
             count=9,
             model=True,
             spec=EngineSpec(slots=16, prefill_tokens_per_s=30_000.0, cache_blocks=2000),
         ),
-        BackEndSize(service=ServiceName("sales"), version=VersionName("s1"), count=3, model=False),
+        BackendSize(service=ServiceName("sales"), version=VersionName("s1"), count=3, model=False),
     ),
     streams=(
         StreamSize(
--- a/src/springmux/simulation/flow_driver.py
+++ b/src/springmux/simulation/flow_driver.py
@@ -15,7 +15,7 @@
 from springmux.vocabulary.names import RequestId
 
 
-class CallerArrived(Event, frozen=True):
+class ClientRequestArrived(Event, frozen=True):
     """A caller's whole request came to the node."""
 
     request: ClientRequest
@@ -56,7 +56,7 @@
         self._armed: dict[RequestId, float] = {}
         self._claims: dict[str, RequestId] = {}
         self._correlation_ids: dict[RequestId, str] = {}
-        self._tickets_made = 0
+        self._correlation_ids_made = 0
         self._woken: list[RequestId] = []
         self._to_probe: list[EngineRecord] = []
         agent.router.set_wake_listener(self._woken.append)
@@ -130,7 +130,7 @@
 
     def _carry_out(self, request: RequestId, effect: Effect, now: float) -> list[Effect]:
         if isinstance(effect, RequestClaim):
-            return self._ask_claim(request, effect, now)
+            return self._request_claim(request, effect, now)
         if isinstance(effect, SettleClaim):
             correlation_id = self._correlation_ids.get(request, "")
             settled = ClaimSettled(correlation_id, effect.claim_key, effect.ran, effect.answer)
@@ -141,9 +141,9 @@
             self._forget(request)
         return [FlowOutput(request, effect)]
 
-    def _ask_claim(self, request: RequestId, effect: RequestClaim, now: float) -> list[Effect]:
-        self._tickets_made += 1
-        correlation_id = f"{self._boot_name}/{self._tickets_made}"
+    def _request_claim(self, request: RequestId, effect: RequestClaim, now: float) -> list[Effect]:
+        self._correlation_ids_made += 1
+        correlation_id = f"{self._boot_name}/{self._correlation_ids_made}"
         self._claims[correlation_id] = request
         self._correlation_ids[request] = correlation_id
         return self.after_agent(
--- a/src/springmux/simulation/history.py
+++ b/src/springmux/simulation/history.py
@@ -1,4 +1,7 @@
-"""What happened in a run, as the checkers read it: typed lists in the order of virtual time."""
+"""Recorded history of a run, as the checkers read it: typed records in the order of virtual time.
+
+The encoded field names are part of a run's transcript digest.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +25,7 @@
 
 
 class Dispatched(msgspec.Struct, frozen=True):
-    """A node sent a request to an engine. ``revision``: of the control state in force there then."""
+    """A node sent a request to an engine. ``revision``: of the control state that the node applied then."""
 
     at: float
     node: NodeId
@@ -35,14 +38,14 @@
 
 
 class Unreached(msgspec.Struct, frozen=True):
-    """A dispatch of which no byte reached an engine: its connection was refused."""
+    """A dispatch of which no byte reached an engine, because its connection was refused."""
 
     request: RequestId
     attempt: int
 
 
 class Executed(msgspec.Struct, frozen=True):
-    """A page or sale service carried out an action."""
+    """A service executed the action of a call."""
 
     at: float
     service: ServiceName
@@ -51,8 +54,8 @@
     engine: EngineId
 
 
-class BadAnswer(msgspec.Struct, frozen=True):
-    """A node met an answer that departs from a good one (failed, broken, silent, or slow)."""
+class BadResponse(msgspec.Struct, frozen=True):
+    """A node received a response worse than a good version's: failed, malformed, missing, or slow."""
 
     at: float
     service: ServiceName
@@ -60,10 +63,12 @@
     request: RequestId
 
 
-class CallerSaw(msgspec.Struct, frozen=True, kw_only=True):
-    """What became of one sending of one request. ``fault``: a broken promise that the caller saw itself.
+class ClientAttempt(msgspec.Struct, frozen=True, kw_only=True):
+    """Outcome of one attempt of a client to get a request served.
 
-    ``tokens``: prompt and answer as the engine counted them, 0 without a whole answer.
+    ``complete``: the client received the complete response. ``fault``: a guarantee that the client itself
+    found broken, empty for none. ``tokens``: prompt and response tokens as the engine counted them, 0 without
+    a complete response. ``response_action``: the action that the response names.
     """
 
     sent_at: float
@@ -74,16 +79,16 @@
     tenant: TenantName
     action: str
     prompt: bool
-    whole: bool = False
+    complete: bool = msgspec.field(default=False, name="whole")
     code: ErrorCode | None = None
     fate: Fate | None = None
-    answer_action: str = ""
+    response_action: str = msgspec.field(default="", name="answer_action")
     fault: str = ""
     tokens: int = 0
-    wanted_tokens: int = 0
+    requested_tokens: int = msgspec.field(default=0, name="wanted_tokens")
 
 
-class Ordered(msgspec.Struct, frozen=True):
+class OrderSent(msgspec.Struct, frozen=True):
     """An operator sent an order."""
 
     at: float
@@ -92,8 +97,8 @@
     command: AnyCommand
 
 
-class OrderSeen(msgspec.Struct, frozen=True):
-    """A node answered an order. ``lost``: the answer never reached the operator."""
+class OrderReply(msgspec.Struct, frozen=True):
+    """A node replied to an order. ``lost``: the reply never reached the operator."""
 
     at: float
     node: NodeId
@@ -104,8 +109,8 @@
     lost: bool
 
 
-class StateSeen(msgspec.Struct, frozen=True):
-    """A newer control state came in force. ``digest``: of the whole state."""
+class StateApplied(msgspec.Struct, frozen=True):
+    """A node applied a newer control state. ``digest``: of the complete state."""
 
     at: float
     node: NodeId
@@ -115,8 +120,8 @@
     configuration_version: int
 
 
-class RolloutSeen(msgspec.Struct, frozen=True):
-    """A rollout's committed phase at a node changed."""
+class RolloutPhaseChanged(msgspec.Struct, frozen=True):
+    """A node applied a new committed phase of a rollout."""
 
     at: float
     node: NodeId
@@ -125,8 +130,8 @@
     phase: RolloutPhase
 
 
-class StopTold(msgspec.Struct, frozen=True):
-    """An engine told a node that it drains or leaves."""
+class StopReported(msgspec.Struct, frozen=True):
+    """An engine reported to a node that it drains or leaves."""
 
     at: float
     node: NodeId
@@ -134,14 +139,14 @@
 
 
 class StopWithdrawn(msgspec.Struct, frozen=True):
-    """An engine announced itself again."""
+    """An engine that had stopped announced itself again."""
 
     at: float
     engine: EngineId
 
 
-class Sampled(msgspec.Struct, frozen=True):
-    """One running, unfrozen node at one moment. The log's indexes are known of leading nodes, else 0."""
+class NodeSample(msgspec.Struct, frozen=True):
+    """Status of one running, unfrozen node at one moment. The log indexes are 0 except on the leader."""
 
     at: float
     node: NodeId
@@ -155,26 +160,26 @@
     last_index: int = 0
 
 
-class FaultSeen(msgspec.Struct, frozen=True):
-    """A fault began."""
+class FaultStarted(msgspec.Struct, frozen=True):
+    """A fault started."""
 
     at: float
     fault: AnyFault
 
 
 class History(msgspec.Struct):
-    """Everything recorded."""
+    """All records of a run."""
 
     dispatched: list[Dispatched] = []
     unreached: list[Unreached] = []
     executed: list[Executed] = []
-    bad_answers: list[BadAnswer] = []
-    calls: list[CallerSaw] = []
-    ordered: list[Ordered] = []
-    orders: list[OrderSeen] = []
-    states: list[StateSeen] = []
-    rollouts: list[RolloutSeen] = []
-    stops: list[StopTold] = []
+    bad_responses: list[BadResponse] = msgspec.field(default_factory=list, name="bad_answers")
+    calls: list[ClientAttempt] = []
+    ordered: list[OrderSent] = []
+    orders: list[OrderReply] = []
+    states: list[StateApplied] = []
+    rollouts: list[RolloutPhaseChanged] = []
+    stops: list[StopReported] = []
     stops_withdrawn: list[StopWithdrawn] = []
-    samples: list[Sampled] = []
-    faults: list[FaultSeen] = []
+    samples: list[NodeSample] = []
+    faults: list[FaultStarted] = []
--- a/src/springmux/simulation/hollow_node.py
+++ b/src/springmux/simulation/hollow_node.py
@@ -20,7 +20,7 @@
 from springmux.coordination.membership.remembered import RememberedPeer
 from springmux.coordination.state_machine import Effect, Event, MessageReceived, PeerMessage, Send, Tick
 from springmux.router.events import UpstreamData
-from springmux.simulation.flow_driver import CallerArrived, FlowDriver, FlowInput
+from springmux.simulation.flow_driver import ClientRequestArrived, FlowDriver, FlowInput
 
 
 class Enveloped(PeerMessage, frozen=True, tag="Enveloped"):
@@ -65,7 +65,7 @@
         """Take one event."""
         if isinstance(event, FlowInput):
             return self._take_flow_input(event, now)
-        if isinstance(event, CallerArrived):
+        if isinstance(event, ClientRequestArrived):
             return self._outward(self.flows.arrive(event.request, now))
         if isinstance(event, MessageReceived) and isinstance(event.message, Enveloped):
             return self._receive(event.sender, event.message, now)
--- a/src/springmux/simulation/operators.py
+++ b/src/springmux/simulation/operators.py
@@ -26,19 +26,19 @@
 from springmux.coordination.identifiers import NodeId
 from springmux.rollout.planning.plan import RolloutPlan
 from springmux.simulation.deployments import Deployment
-from springmux.simulation.history import History, Ordered, OrderSeen
+from springmux.simulation.history import History, OrderReply, OrderSent
 from springmux.simulation.hollow_fleet import FleetObserver, HollowFleet
 from springmux.vocabulary.names import KeyDigest, KeyId, OrderId, RolloutId, ServiceName, TenantName
 
 ANSWER_WAIT_S = 7.0
 """An operator waits this long for an answer, a little longer than a node does."""
 MAX_SENDS = 12
-LOST_ANSWERS = 0.25
+LOST_REPLIES = 0.25
 """Share of answers that are lost on the way back."""
 RESEND_AFTER_S = 0.4
 
 
-class Errand(msgspec.Struct):
+class PendingOrder(msgspec.Struct):
     """One order until its operator has its answer. ``result`` is set once the answer has arrived."""
 
     command: AnyCommand
@@ -59,7 +59,7 @@
 
 
 class Operators(FleetObserver):
-    """Several operators, each with one errand at a time."""
+    """Several operators, each with one pending at a time."""
 
     def __init__(
         self,
@@ -67,43 +67,43 @@
         deployment: Deployment,
         history: History,
         seed: int,
-        lost_answers: float = LOST_ANSWERS,
+        lost_replies: float = LOST_REPLIES,
     ) -> None:
-        self.errands: list[Errand] = []
+        self.pending_orders: list[PendingOrder] = []
         self._fleet = fleet
         self._deployment = deployment
         self._history = history
         self._random = random.Random(f"operators {seed}")
-        self._lost_answers = lost_answers
+        self._lost_replies = lost_replies
         self._numbers = itertools.count(1)
-        self._by_ticket: dict[str, Errand] = {}
+        self._by_correlation_id: dict[str, PendingOrder] = {}
         self._busy_until = 0.0
         fleet.observers.append(self)
 
-    def order(self, command: AnyCommand, node: NodeId | None = None) -> Errand:
+    def order(self, command: AnyCommand, node: NodeId | None = None) -> PendingOrder:
         """Send an order and see it through."""
-        errand = Errand(command)
-        self.errands.append(errand)
-        self._send(errand, node)
-        return errand
+        pending = PendingOrder(command)
+        self.pending_orders.append(pending)
+        self._send(pending, node)
+        return pending
 
     def new_order(self) -> OrderId:
         """Return a fresh order id."""
         return OrderId(f"o{next(self._numbers)}")
 
-    def set_up(self) -> list[Errand]:
+    def set_up(self) -> list[PendingOrder]:
         """Send the deployment's configuration, tenants and keys; two keys for each tenant."""
-        errands = [
+        pending_orders = [
             self.order(
                 ApplyConfiguration(order=self.new_order(), version=1, document=self._deployment.document())
             )
         ]
         for size in self._deployment.tenants:
             tenant = Tenant(size.tenant, size.tokens_per_s, size.burst_tokens)
-            errands.append(self.order(PutTenant(order=self.new_order(), tenant=tenant)))
-        return errands
+            pending_orders.append(self.order(PutTenant(order=self.new_order(), tenant=tenant)))
+        return pending_orders
 
-    def set_up_keys(self) -> list[Errand]:
+    def set_up_keys(self) -> list[PendingOrder]:
         """Register the callers' keys; the tenants must be there."""
         return [
             self.order(self._put_key(size.tenant, number))
@@ -111,7 +111,7 @@
             for number in (1, 2)
         ]
 
-    def promote(self, plan: RolloutPlan) -> Errand:
+    def promote(self, plan: RolloutPlan) -> PendingOrder:
         """Begin a rollout."""
         order = self.new_order()
         return self.order(PromoteRollout(order=order, rollout=RolloutId(f"rollout-{order}"), plan=plan))
@@ -193,49 +193,51 @@
 
     # Sending and answers
 
-    def _send(self, errand: Errand, node: NodeId | None = None) -> None:
-        if errand.result is not None or errand.gave_up:
+    def _send(self, pending: PendingOrder, node: NodeId | None = None) -> None:
+        if pending.result is not None or pending.gave_up:
             return
-        if errand.sends >= MAX_SENDS:
-            errand.gave_up = True
+        if pending.sends >= MAX_SENDS:
+            pending.gave_up = True
             return
         world = self._fleet.world
         target = node or self._random.choice(world.nodes())
-        errand.sends += 1
-        sent = errand.sends
+        pending.sends += 1
+        sent = pending.sends
         if world.process(target) is None:
-            world.scheduler.after(RESEND_AFTER_S, lambda: self._send(errand))
+            world.scheduler.after(RESEND_AFTER_S, lambda: self._send(pending))
             return
         # Submitted in an event of its own, so that the correlation_id is known before the answer.
-        world.scheduler.at(world.now, lambda: self._submit(errand, target))
-        world.scheduler.after(ANSWER_WAIT_S, lambda: self._send(errand) if errand.sends == sent else None)
+        world.scheduler.at(world.now, lambda: self._submit(pending, target))
+        world.scheduler.after(ANSWER_WAIT_S, lambda: self._send(pending) if pending.sends == sent else None)
 
-    def _submit(self, errand: Errand, target: NodeId) -> None:
+    def _submit(self, pending: PendingOrder, target: NodeId) -> None:
         correlation_id = self._fleet.next_correlation_id()
-        self._by_ticket[correlation_id] = errand
-        errand.correlation_id = correlation_id
-        self._history.ordered.append(Ordered(self._fleet.world.now, target, correlation_id, errand.command))
-        self._fleet.submit_as(correlation_id, target, errand.command)
+        self._by_correlation_id[correlation_id] = pending
+        pending.correlation_id = correlation_id
+        self._history.ordered.append(
+            OrderSent(self._fleet.world.now, target, correlation_id, pending.command)
+        )
+        self._fleet.submit_as(correlation_id, target, pending.command)
 
     def order_answered(self, node: NodeId, answer: OrderAnswered, now: float) -> None:
         """Take an answer, or lose it and send the order again elsewhere."""
-        errand = self._by_ticket.pop(answer.correlation_id, None)
-        if errand is None:
+        pending = self._by_correlation_id.pop(answer.correlation_id, None)
+        if pending is None:
             return
-        lost = self._random.random() < self._lost_answers
-        seen = OrderSeen(
-            now, node, answer.correlation_id, errand.command.order, answer.result, answer.error, lost
+        lost = self._random.random() < self._lost_replies
+        seen = OrderReply(
+            now, node, answer.correlation_id, pending.command.order, answer.result, answer.error, lost
         )
         self._history.orders.append(seen)
         if answer.result is not None and not lost:
-            errand.result = errand.result or answer.result
+            pending.result = pending.result or answer.result
             return
         wait_s = RESEND_AFTER_S
         if answer.error is not None and answer.error.retry_after_s is not None:
             wait_s = answer.error.retry_after_s
-        self._fleet.world.scheduler.after(wait_s, lambda: self._send(errand))
+        self._fleet.world.scheduler.after(wait_s, lambda: self._send(pending))
 
 
-def accepted(errand: Errand) -> bool:
+def accepted(pending: PendingOrder) -> bool:
     """Say whether the operator knows that the order was accepted."""
-    return errand.result is not None and errand.result.outcome is Outcome.ACCEPTED
+    return pending.result is not None and pending.result.outcome is Outcome.ACCEPTED
--- a/src/springmux/simulation/recorder.py
+++ b/src/springmux/simulation/recorder.py
@@ -8,7 +8,7 @@
 from springmux.agent.effects import OrderAnswered
 from springmux.coordination.identifiers import NodeId
 from springmux.rollout.planning.plan import RolloutPhase
-from springmux.simulation.history import FaultSeen, History, RolloutSeen, Sampled, StateSeen
+from springmux.simulation.history import FaultStarted, History, NodeSample, RolloutPhaseChanged, StateApplied
 from springmux.simulation.hollow_fleet import FleetObserver, HollowFleet
 from springmux.simulation.world.faults import AnyFault
 from springmux.vocabulary.names import RolloutId
@@ -36,12 +36,12 @@
         boot = self._fleet.world.boot(node)
         digest = xxhash.xxh3_64_intdigest(agent.control.snapshot())
         version = view.configuration.version
-        self._history.states.append(StateSeen(now, node, boot, view.revision, digest, version))
+        self._history.states.append(StateApplied(now, node, boot, view.revision, digest, version))
         for service, record in view.rollouts.items():
             key = (node, boot, record.rollout)
             if self._phases.get(key) is not record.phase:
                 self._phases[key] = record.phase
-                seen = RolloutSeen(now, node, record.rollout, service, record.phase)
+                seen = RolloutPhaseChanged(now, node, record.rollout, service, record.phase)
                 self._history.rollouts.append(seen)
 
     def order_answered(self, node: NodeId, answer: OrderAnswered, now: float) -> None:
@@ -51,7 +51,7 @@
 
     def fault(self, fault: AnyFault, now: float) -> None:
         """Note a fault."""
-        self._history.faults.append(FaultSeen(now, fault))
+        self._history.faults.append(FaultStarted(now, fault))
 
     def sample(self) -> None:
         """Note where every running node stands."""
@@ -61,11 +61,11 @@
                 continue
             self._history.samples.append(self._sampled(node, agent))
 
-    def _sampled(self, node: NodeId, agent: NodeAgent) -> Sampled:
+    def _sampled(self, node: NodeId, agent: NodeAgent) -> NodeSample:
         world = self._fleet.world
         position = agent.log_position
         replica = agent.status().replica if position.leader == node else None
-        return Sampled(
+        return NodeSample(
             world.now,
             node,
             world.boot(node),
--- a/src/springmux/simulation/rollout_baselines.py
+++ b/src/springmux/simulation/rollout_baselines.py
@@ -54,7 +54,7 @@
         return Verdict(False, True, None)
 
 
-class WarmthBlindBook(EvidenceTable):
+class WarmthBlindEvidenceTable(EvidenceTable):
     """Compares every prompt of a route with every other, whatever was expected in the cache."""
 
     def record(self, outcome: PromptOutcome, now: float, watch: FirstTokenWatch | None = None) -> None:
@@ -76,12 +76,12 @@
 
 
 _JUDGED_BY_THRESHOLD = _Replaced(participant, "Judge", ThresholdJudge)
-_BLIND_TO_WARMTH = _Replaced(participant, "EvidenceTable", WarmthBlindBook)
+_IGNORING_WARMTH = _Replaced(participant, "EvidenceTable", WarmthBlindEvidenceTable)
 _WITHOUT_LEDGER = _Replaced(issuer, "credit_pool", unlimited_pool)
 _REPLACED = {
     Variant.SPRINGMUX: (),
     Variant.FIXED_CANARY: (_JUDGED_BY_THRESHOLD, _WITHOUT_LEDGER),
-    Variant.IGNORES_WARMTH: (_BLIND_TO_WARMTH,),
+    Variant.IGNORES_WARMTH: (_IGNORING_WARMTH,),
     Variant.NO_LEDGER: (_WITHOUT_LEDGER,),
 }
 
--- a/src/springmux/simulation/rollout_trial.py
+++ b/src/springmux/simulation/rollout_trial.py
@@ -17,10 +17,10 @@
 from springmux.rollout.messages import RolloutToken
 from springmux.rollout.planning.plan import TERMINAL_PHASES, RolloutPhase
 from springmux.simulation.candidates import Candidate, behaviour_for
-from springmux.simulation.checkers.exposure import BAD_ANSWERS
+from springmux.simulation.checkers.exposure import BAD_RESPONSES
 from springmux.simulation.engine_model import GOOD, VersionBehaviour
 from springmux.simulation.hollow_node import Enveloped
-from springmux.simulation.operators import Errand
+from springmux.simulation.operators import PendingOrder
 from springmux.simulation.rollout_baselines import Variant, in_force
 from springmux.simulation.run import CANDIDATE, PROMOTED_AT_S, TRAFFIC_BEGINS_S, Run
 from springmux.simulation.scenario import Scenario, ScenarioKnobs
@@ -132,7 +132,7 @@
         )
         self._rollout = rollout
         self._source = random.Random(f"trial {seed}")
-        self._orders: list[Errand] = []
+        self._orders: list[PendingOrder] = []
         self.plan = variant.plan(self.plan)
         if rollout.disturbance is Disturbance.TOKEN:
             self._make_token_unreliable(seed)
@@ -141,7 +141,7 @@
         """Run to the end of the rollout, and a little further."""
         self.set_up()
         scheduler, world = self.fleet.world.scheduler, self.fleet.world
-        scheduler.at(TRAFFIC_BEGINS_S, lambda: self.callers.start(LONGEST_S))
+        scheduler.at(TRAFFIC_BEGINS_S, lambda: self.clients.start(LONGEST_S))
         scheduler.at(CANDIDATES_START_S, self._start_candidates)
         scheduler.at(PROMOTED_AT_S, self._promote_for_trial)
         self._plan_disturbance()
@@ -156,7 +156,7 @@
         if self._rollout.after_share > 0:
             after_s = PROMOTED_AT_S - CANDIDATES_START_S + self._rollout.after_share * BY_S
             behaviour = msgspec.structs.replace(behaviour, after_s=after_s)
-        self.back_ends.add_group(msgspec.structs.replace(self.size.models(), version=CANDIDATE), behaviour)
+        self.backends.add_group(msgspec.structs.replace(self.size.models(), version=CANDIDATE), behaviour)
 
     def _promote_for_trial(self) -> None:
         first = self.operators.promote(self.plan)
@@ -254,8 +254,8 @@
                 sent += 1
                 last_sent = dispatch.at
                 excess = max(excess, sent - 0.10 * prompts - self.plan.expose_allowance)
-        bad_at = sorted(bad.at for bad in self.history.bad_answers if bad.version == CANDIDATE)
-        fiftieth = bad_at[BAD_ANSWERS - 1] if len(bad_at) >= BAD_ANSWERS else None
+        bad_at = sorted(bad.at for bad in self.history.bad_responses if bad.version == CANDIDATE)
+        fiftieth = bad_at[BAD_RESPONSES - 1] if len(bad_at) >= BAD_RESPONSES else None
         rollback = last_sent - fiftieth if last_sent is not None and fiftieth is not None else None
         finished = ended - begun - self._paused_s() if begun is not None and ended is not None else None
         return TrialResult(
@@ -278,7 +278,7 @@
         return (resumed or self.fleet.world.now) - paused
 
     def _orders_ok(self) -> bool:
-        outcomes = [errand.result.outcome for errand in self._orders if errand.result is not None]
+        outcomes = [pending.result.outcome for pending in self._orders if pending.result is not None]
         if self._rollout.disturbance is Disturbance.RACE:
             return sorted(outcomes) == sorted([Outcome.ACCEPTED, Outcome.CONFLICT])
         return len(outcomes) == len(self._orders) and set(outcomes) == {Outcome.ACCEPTED}
--- a/src/springmux/simulation/run.py
+++ b/src/springmux/simulation/run.py
@@ -14,11 +14,11 @@
 from springmux.simulation.checkers.all_checkers import check
 from springmux.simulation.checkers.violation import Violation
 from springmux.simulation.engine_model import GOOD, VersionBehaviour
-from springmux.simulation.facts import RunFacts, Swollen
 from springmux.simulation.history import History
 from springmux.simulation.hollow_fleet import FleetObserver, HollowFleet
-from springmux.simulation.operators import Errand, Operators, key_text
+from springmux.simulation.operators import Operators, PendingOrder, key_text
 from springmux.simulation.recorder import Recorder
+from springmux.simulation.run_context import DemandSurge, RunContext
 from springmux.simulation.scenario import FAULTS_BEGIN_S, Scenario
 from springmux.simulation.scenario_faults import (
     EngineCrash,
@@ -28,8 +28,8 @@
     PowerCutAfterAnswer,
     ScenarioFault,
 )
-from springmux.simulation.traffic.back_ends import BackEnds
-from springmux.simulation.traffic.callers import Callers
+from springmux.simulation.traffic.backends import Backends
+from springmux.simulation.traffic.clients import HollowClients
 from springmux.simulation.traffic.hollow_engine import HollowEngine
 from springmux.simulation.traffic.requests import Burst, RequestSource
 from springmux.simulation.world.faults import FullDisk, Heal, PowerCut, Restart, SlowDisk, Thaw
@@ -57,7 +57,7 @@
     violations: tuple[Violation, ...]
     transcript: str
     calls: int
-    whole: int
+    complete: int = msgspec.field(name="whole")
     refused: int
     dispatched: int
     executed: int
@@ -73,9 +73,9 @@
         self.history = History()
         self.fleet = HollowFleet(self.size.places(), scenario.seed)
         self.recorder = Recorder(self.fleet, self.history)
-        self.back_ends = BackEnds(self.fleet, self.history, scenario.seed, self.size, scenario.knobs.thinning)
+        self.backends = Backends(self.fleet, self.history, scenario.seed, self.size, scenario.knobs.thinning)
         self.operators = Operators(self.fleet, self.size, self.history, scenario.seed)
-        self.callers = Callers(
+        self.clients = HollowClients(
             self.fleet,
             RequestSource(self.size, scenario.seed, self._bursts()),
             self.size.streams,
@@ -87,14 +87,14 @@
         self._removed_at: float | None = None
         self._ended = False
         self._armed: list[PowerCutAfterAnswer] = []
-        self._promotion: Errand | None = None
+        self._promotion: PendingOrder | None = None
         self.fleet.observers.append(self)
 
     def run(self) -> RunResult:
         """Run to the end and check."""
         self.set_up()
         scheduler = self.fleet.world.scheduler
-        scheduler.at(TRAFFIC_BEGINS_S, lambda: self.callers.start(self._quiet_at() + LAST_CALLS_S))
+        scheduler.at(TRAFFIC_BEGINS_S, lambda: self.clients.start(self._quiet_at() + LAST_CALLS_S))
         scheduler.at(TRAFFIC_BEGINS_S + 1.0, self._start_candidates)
         scheduler.at(PROMOTED_AT_S, self._promote)
         scheduler.at(FAULTS_BEGIN_S, lambda: self.operators.work(self.scenario.healed_at))
@@ -107,18 +107,18 @@
     def set_up(self) -> None:
         """Start the fleet and its back ends, and configure them without faults."""
         self.fleet.world.start_all()
-        for size in self.size.back_ends:
-            self.back_ends.add_group(size, GOOD if size.model else SERVICE_BEHAVIOUR)
-        errands: list[Errand] = []
+        for size in self.size.backends:
+            self.backends.add_group(size, GOOD if size.model else SERVICE_BEHAVIOUR)
+        orders: list[PendingOrder] = []
         self.fleet.run_until(self.fleet.all_ready, SET_UP_WITHIN_S)
-        errands += self.operators.set_up()
-        self.fleet.run_until(lambda: all(each.result for each in errands), SET_UP_WITHIN_S)
+        orders += self.operators.set_up()
+        self.fleet.run_until(lambda: all(each.result for each in orders), SET_UP_WITHIN_S)
         keys = self.operators.set_up_keys()
         self.fleet.run_until(lambda: all(each.result for each in keys), SET_UP_WITHIN_S)
 
-    def facts(self) -> RunFacts:
-        """Return the frame of reference for the checkers."""
-        return RunFacts(
+    def context(self) -> RunContext:
+        """Return the run's context for the checkers."""
+        return RunContext(
             deployment=self.size,
             began_at=TRAFFIC_BEGINS_S,
             healed_at=self.scenario.healed_at,
@@ -133,7 +133,7 @@
     def result(self) -> RunResult:
         """Check the history."""
         history = self.history
-        violations = check(history, self.facts())
+        violations = check(history, self.context())
         encoded = msgspec.msgpack.encode(history)
         phases = [seen.phase for seen in history.rollouts]
         return RunResult(
@@ -141,7 +141,7 @@
             violations=tuple(violations),
             transcript=hashlib.blake2b(encoded, digest_size=16).hexdigest(),
             calls=len(history.calls),
-            whole=sum(call.whole for call in history.calls),
+            complete=sum(call.complete for call in history.calls),
             refused=sum(call.fate == "refused" for call in history.calls),
             dispatched=len(history.dispatched),
             executed=len(history.executed),
@@ -163,13 +163,13 @@
             bursts.append(Burst(begin=swollen.begin, end=swollen.end, factor=SWOLLEN_FACTOR, tenant=tenant))
         return tuple(bursts)
 
-    def _swollen(self) -> tuple[Swollen, ...]:
+    def _swollen(self) -> tuple[DemandSurge, ...]:
         index = self.scenario.swollen_tenant
         if index < 0:
             return ()
         begin = FAULTS_BEGIN_S + 10.0
         end = min(begin + SWOLLEN_S, self._quiet_at() + LAST_CALLS_S)
-        return (Swollen(self.size.tenants[index].tenant, begin, end),)
+        return (DemandSurge(self.size.tenants[index].tenant, begin, end),)
 
     # The rollout
 
@@ -177,7 +177,7 @@
         models = msgspec.structs.replace(self.size.models(), version=CANDIDATE)
         long_route = next(size.route for size in self.size.streams if size.traffic_class == "bulk")
         behaviour = behaviour_for(CANDIDATES[self.scenario.candidate], long_route)
-        self.back_ends.add_group(models, behaviour)
+        self.backends.add_group(models, behaviour)
 
     def _promote(self) -> None:
         self._promotion = self.operators.promote(self.plan)
@@ -201,7 +201,7 @@
         self._ended = True
         if version != CANDIDATE:
             self._removed_at = self.fleet.world.now
-        for engine in self.back_ends.of_version(version):
+        for engine in self.backends.of_version(version):
             engine.drain()
             self.fleet.world.scheduler.after(4.0, engine.leave)
 
@@ -219,7 +219,7 @@
                 self.fleet.world.apply(fault)
 
     def _apply_to_engine(self, fault: EngineCrash | EngineDark | EngineReplaced) -> None:
-        engines = [e for e in self.back_ends.of_version(VersionName(fault.version)) if not e.draining]
+        engines = [e for e in self.backends.of_version(VersionName(fault.version)) if not e.draining]
         if len(engines) < 2:
             return
         engine = engines[fault.index % len(engines)]
@@ -238,7 +238,7 @@
 
     def _bring_back(self, engine: HollowEngine) -> None:
         if not engine.running and not engine.draining and not self._gone(engine):
-            self.back_ends.restart(engine)
+            self.backends.restart(engine)
 
     def _gone(self, engine: HollowEngine) -> bool:
         """Say whether the engine's version has been let go meanwhile."""
@@ -251,9 +251,9 @@
             return
         engine.leave()
         if not self._gone(engine):
-            size = next(s for s in self.size.back_ends if s.service == engine.record.service)
+            size = next(s for s in self.size.backends if s.service == engine.record.service)
             like = msgspec.structs.replace(size, version=engine.record.version)
-            self.back_ends.add(like, engine.behaviour, engine.record.address)
+            self.backends.add(like, engine.behaviour, engine.record.address)
 
     def order_answered(self, node: NodeId, answer: OrderAnswered, now: float) -> None:
         """Cut the leader's power right after an accepted order, where that is armed."""
--- a/src/springmux/simulation/facts.py
+++ b/src/springmux/simulation/run_context.py
@@ -8,7 +8,7 @@
 from springmux.simulation.deployments import Deployment
 
 
-class Swollen(msgspec.Struct, frozen=True):
+class DemandSurge(msgspec.Struct, frozen=True):
     """A tenant asks for far more than its quota for a while."""
 
     tenant: str
@@ -16,7 +16,7 @@
     end: float
 
 
-class RunFacts(msgspec.Struct, frozen=True, kw_only=True):
+class RunContext(msgspec.Struct, frozen=True, kw_only=True):
     """Times are virtual seconds. ``plan`` is ``None`` without a rollout; ``bad``: its candidate is bad.
 
     ``healed_at``: from then on nothing is broken; ``quiet_at``: from then on the fleet must be whole.
@@ -31,5 +31,5 @@
     ended_at: float
     plan: RolloutPlan | None = None
     bad: bool = False
-    swollen: tuple[Swollen, ...] = ()
+    swollen: tuple[DemandSurge, ...] = ()
     removed_at: float | None = None
--- a/src/springmux/simulation/scenario.py
+++ b/src/springmux/simulation/scenario.py
@@ -129,7 +129,7 @@
         """Return all faults in the order of their times, none after the healing."""
         special = self._special()
         wipes = sum(isinstance(fault, Wipe) for fault in special)
-        faults = [*self._random_faults(disks=wipes < 2), *special, *self._back_ends()]
+        faults = [*self._random_faults(disks=wipes < 2), *special, *self._backend_faults()]
         faults = [self._clipped(fault) for fault in faults]
         faults.sort(key=lambda fault: fault.at)
         return self._without_many_wipes(faults)
@@ -178,9 +178,9 @@
             case _:
                 return []
 
-    def _back_ends(self) -> list[ScenarioFault]:
+    def _backend_faults(self) -> list[ScenarioFault]:
         versions = [self._size.models().version, "v2"]
-        versions += [size.version for size in self._size.back_ends if not size.model]
+        versions += [size.version for size in self._size.backends if not size.model]
         found: list[ScenarioFault] = []
         for _ in range(self._random.randint(0, 4)):
             version, index = self._random.choice(versions), self._random.randrange(12)
--- a/src/springmux/simulation/traffic/back_ends.py
+++ b/src/springmux/simulation/traffic/backends.py
@@ -14,15 +14,15 @@
     UpstreamFailed,
     UpstreamHead,
 )
-from springmux.simulation.deployments import BackEndSize, Deployment
+from springmux.simulation.deployments import BackendSize, Deployment
 from springmux.simulation.engine_model import GOOD, AnswerFault, EngineModel, VersionBehaviour
 from springmux.simulation.flow_driver import FlowInput, FlowOutput, ProbeEngine
 from springmux.simulation.history import (
-    BadAnswer,
+    BadResponse,
     Dispatched,
     Executed,
     History,
-    StopTold,
+    StopReported,
     StopWithdrawn,
     Unreached,
 )
@@ -44,7 +44,7 @@
 """Node, its boot, request and attempt."""
 
 
-class BackEnds(FleetObserver):
+class Backends(FleetObserver):
     """All back ends; carries out the flows' dispatches and takes the engines' reports to nodes."""
 
     def __init__(
@@ -61,12 +61,12 @@
         self._made = 0
         fleet.observers.append(self)
 
-    def add_group(self, size: BackEndSize, behaviour: VersionBehaviour = GOOD) -> list[HollowEngine]:
+    def add_group(self, size: BackendSize, behaviour: VersionBehaviour = GOOD) -> list[HollowEngine]:
         """Start a group of like back ends."""
         return [self.add(size, behaviour) for _ in range(size.count)]
 
     def add(
-        self, size: BackEndSize, behaviour: VersionBehaviour = GOOD, address: Address | None = None
+        self, size: BackendSize, behaviour: VersionBehaviour = GOOD, address: Address | None = None
     ) -> HollowEngine:
         """Start one back end, at a new address or at one that another has left."""
         self._made += 1
@@ -140,7 +140,7 @@
 
     def stopping(self, engine: HollowEngine, node: NodeId) -> None:
         """Note who was told of a drain."""
-        self._history.stops.append(StopTold(self._fleet.world.now, node, engine.record.engine))
+        self._history.stops.append(StopReported(self._fleet.world.now, node, engine.record.engine))
 
     # What flows ask
 
@@ -216,7 +216,7 @@
         exchange.bad = False
         record = engine.record
         now = self._fleet.world.now
-        self._history.bad_answers.append(BadAnswer(now, record.service, record.version, key[2]))
+        self._history.bad_responses.append(BadResponse(now, record.service, record.version, key[2]))
 
     def _close(self, key: Connection) -> None:
         connection = self._connections.pop(key, None)
--- a/src/springmux/simulation/traffic/engine_reports.py
+++ b/src/springmux/simulation/traffic/engine_reports.py
@@ -16,13 +16,13 @@
 
 HEARTBEAT_S = 1.0
 """About once a second, as docs/API.md asks."""
-TRY_AGAIN_S = 0.3
+RETRY_S = 0.3
 """A report that no node took is repeated this soon."""
-LATENESS_S = 0.5
+MAX_HEARTBEAT_DELAY_S = 0.5
 """A heartbeat is late by up to this."""
 
 
-class ReportTaker(Protocol):
+class ReportReceiver(Protocol):
     """The nodes as an engine reaches them."""
 
     def report(self, event: Event, source: random.Random) -> NodeId | None:
@@ -30,7 +30,7 @@
         ...
 
 
-class EngineFigures(msgspec.Struct, frozen=True):
+class EngineLoadSample(msgspec.Struct, frozen=True):
     """Load at one moment."""
 
     running: int
@@ -41,17 +41,17 @@
 class EngineReporter:
     """Reports one engine from its start to its end.
 
-    :param told_stop: called with the node that was told that the engine drains or leaves.
+    :param stop_reported: called with the node that was told that the engine drains or leaves.
     """
 
     def __init__(
         self,
         record: EngineRecord,
-        figures: Callable[[], EngineFigures],
+        figures: Callable[[], EngineLoadSample],
         scheduler: Scheduler,
         clock: Callable[[], float],
-        nodes: ReportTaker,
-        told_stop: Callable[[NodeId], None],
+        nodes: ReportReceiver,
+        stop_reported: Callable[[NodeId], None],
         source: random.Random,
     ) -> None:
         self.record = record
@@ -61,7 +61,7 @@
         self._scheduler = scheduler
         self._clock = clock
         self._nodes = nodes
-        self._told_stop = told_stop
+        self._stop_reported = stop_reported
         self._random = source
         self._life = 0
         self._sequence = 0
@@ -78,28 +78,30 @@
     def drain(self) -> None:
         """Say that no new request shall come."""
         self.draining = True
-        self._tell_stop(EngineDraining(self.record.engine, self.record.incarnation), self._life)
+        self._report_stop(EngineDraining(self.record.engine, self.record.incarnation), self._life)
 
     def leave(self) -> None:
         """Say goodbye. Nothing more is said if no node hears it: the engine is gone."""
         self.draining = True
-        self._tell_stop(EngineLeft(self.record.engine, self.record.incarnation), self._life)
+        self._report_stop(EngineLeft(self.record.engine, self.record.incarnation), self._life)
 
     def _announce(self, life: int) -> None:
         if life != self._life:
             return
         if self.dark or self._nodes.report(EngineAnnounced(self.record), self._random) is None:
-            self._scheduler.after(TRY_AGAIN_S, lambda: self._announce(life))
+            self._scheduler.after(RETRY_S, lambda: self._announce(life))
             return
-        self._plan_beat(life)
+        self._schedule_heartbeat(life)
 
-    def _plan_beat(self, life: int) -> None:
-        self._scheduler.after(HEARTBEAT_S * self._random.uniform(0.9, 1.1), lambda: self._beat(life))
+    def _schedule_heartbeat(self, life: int) -> None:
+        self._scheduler.after(
+            HEARTBEAT_S * self._random.uniform(0.9, 1.1), lambda: self._send_heartbeat(life)
+        )
 
-    def _beat(self, life: int) -> None:
+    def _send_heartbeat(self, life: int) -> None:
         if life != self._life:
             return
-        self._plan_beat(life)
+        self._schedule_heartbeat(life)
         if self.dark:
             return
         heartbeat = self._heartbeat()
@@ -110,9 +112,9 @@
                 return
             node = self._nodes.report(heartbeat, self._random)
             if node is not None and draining:
-                self._told_stop(node)
+                self._stop_reported(node)
 
-        self._scheduler.after(LATENESS_S * self._random.random(), tell)
+        self._scheduler.after(MAX_HEARTBEAT_DELAY_S * self._random.random(), tell)
 
     def _heartbeat(self) -> EngineHeartbeat:
         self._sequence += 1
@@ -122,11 +124,11 @@
         load = EngineLoad(record.engine, figures.running, figures.queued, figures.cache_used, self._clock())
         return EngineHeartbeat(record, load)
 
-    def _tell_stop(self, event: Event, life: int) -> None:
+    def _report_stop(self, event: Event, life: int) -> None:
         if life != self._life:
             return
         node = self._nodes.report(event, self._random)
         if node is None:
-            self._scheduler.after(TRY_AGAIN_S, lambda: self._tell_stop(event, life))
+            self._scheduler.after(RETRY_S, lambda: self._report_stop(event, life))
             return
-        self._told_stop(node)
+        self._stop_reported(node)
--- a/src/springmux/simulation/traffic/hollow_engine.py
+++ b/src/springmux/simulation/traffic/hollow_engine.py
@@ -26,13 +26,13 @@
     EngineModel,
     VersionBehaviour,
 )
-from springmux.simulation.traffic.engine_reports import EngineFigures, EngineReporter, ReportTaker
+from springmux.simulation.traffic.engine_reports import EngineLoadSample, EngineReporter, ReportReceiver
 from springmux.simulation.world.scheduler import Scheduler
 from springmux.vocabulary.engines import EngineRecord
 from springmux.vocabulary.names import RequestId, RouteName
 
 
-class EngineWatch(Protocol):
+class EngineObserver(Protocol):
     """Who is told what the engine did, for the history."""
 
     def executed(self, engine: HollowEngine, action: str, request: RequestId) -> None:
@@ -87,8 +87,8 @@
         behaviour: VersionBehaviour,
         scheduler: Scheduler,
         clock: Callable[[], float],
-        nodes: ReportTaker,
-        watch: EngineWatch,
+        nodes: ReportReceiver,
+        watch: EngineObserver,
         source: random.Random,
         work_s: float = 0.015,
         thinning: int = 1,
@@ -169,11 +169,11 @@
         self._reporter.leave()
         self.crash()
 
-    def _figures(self) -> EngineFigures:
+    def _figures(self) -> EngineLoadSample:
         model = self.model
         if model is None:
-            return EngineFigures(len(self._exchanges), 0, 0.0)
-        return EngineFigures(model.running, model.queued, model.cache.used_share)
+            return EngineLoadSample(len(self._exchanges), 0, 0.0)
+        return EngineLoadSample(model.running, model.queued, model.cache.used_share)
 
     # Its exchanges
 
--- a/tests/unit/rollout/test_short_terms_simulated.py
+++ b/tests/unit/rollout/test_short_terms_simulated.py
@@ -31,7 +31,7 @@
         self.set_up()
         scheduler, world = self.fleet.world.scheduler, self.fleet.world
         end = PROMOTED_AT_S + self.plan.by_s + AFTER_TERM_S
-        scheduler.at(TRAFFIC_BEGINS_S, lambda: self.callers.start(end))
+        scheduler.at(TRAFFIC_BEGINS_S, lambda: self.clients.start(end))
         scheduler.at(PROMOTED_AT_S, self._promote_for_trial)
         scheduler.at(PROMOTED_AT_S + ENGINES_APPEAR_S, self._start_candidates)
         if kill_leader:
--- a/tests/unit/simulation/test_runs.py
+++ b/tests/unit/simulation/test_runs.py
@@ -20,7 +20,7 @@
     assert result.violations == ()
     assert result.rollout == "done"
     assert result.executed > 0
-    assert result.whole > 0.9 * result.calls
+    assert result.complete > 0.9 * result.calls
 
 
 def test_bad_candidate_is_aborted_within_its_share() -> None:
