--- a/src/springmux/simulation/checkers/quota.py
+++ b/src/springmux/simulation/checkers/quota.py
@@ -1,4 +1,4 @@
-"""A tenant gets its token quota within about a tenth, from both sides."""
+"""Check that a tenant gets its token quota within a tenth, neither more nor less."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 WINDOW_S = 10.0
 STEP_S = 1.0
 SETTLING_S = 5.0
-"""After a tenant swells or a fault ends, demand is spread anew over the nodes' shares."""
+"""Time in which the nodes' quota shares adapt after a surge begins or a fault ends."""
 
 
 class QuotaChecker:
-    """Looks at windows in which a tenant asks for far more than its quota."""
+    """Checks the windows in which a tenant requests far more than its quota."""
 
     def __init__(self, history: History, context: RunContext) -> None:
         self._history = history
@@ -24,45 +24,46 @@
 
     def violations(self) -> list[Violation]:
         """Return windows with too much or, where no fault is near, too little."""
-        return [violation for swollen in self._context.swollen for violation in self._look(swollen)]
+        return [violation for surge in self._context.surges for violation in self._check_surge(surge)]
 
-    def _look(self, swollen: DemandSurge) -> list[Violation]:
-        size = next(size for size in self._context.deployment.tenants if size.tenant == swollen.tenant)
-        calls = [call for call in self._history.calls if call.tenant == swollen.tenant and call.prompt]
-        return [*self._above(swollen, size, calls), *self._below(swollen, size, calls)]
+    def _check_surge(self, surge: DemandSurge) -> list[Violation]:
+        size = next(size for size in self._context.deployment.tenants if size.tenant == surge.tenant)
+        calls = [call for call in self._history.calls if call.tenant == surge.tenant and call.prompt]
+        return [*self._above(surge, size, calls), *self._below(surge, size, calls)]
 
-    def _above(self, swollen: DemandSurge, size: TenantSize, calls: list[ClientAttempt]) -> list[Violation]:
-        """Keep the tenant's own bucket: rate and burst as configured, a tenth more rate, and a debt of a
-        tenth of what a window allows."""
+    def _above(self, surge: DemandSurge, size: TenantSize, calls: list[ClientAttempt]) -> list[Violation]:
+        """Return the first time at which the tenant exceeded its token bucket.
+
+        The bucket has the configured burst and a rate a tenth higher, and may be in debt by a tenth of what
+        a window allows.
+        """
         level = size.burst_tokens
         rate = (1 + TOLERANCE) * size.tokens_per_s
         at = self._context.began_at
-        while at < swollen.end:
+        while at < surge.end:
             level = min(size.burst_tokens, level + rate * STEP_S) - _used(calls, at, at + STEP_S)
             at += STEP_S
             if level < -TOLERANCE * (size.tokens_per_s * WINDOW_S + size.burst_tokens):
-                text = f"{swollen.tenant} got {-level:.0f} tokens more than its burst and its quota allow"
+                text = f"{surge.tenant} got {-level:.0f} tokens more than its burst and its quota allow"
                 return [Violation("quota", at, (), text)]
         return []
 
-    def _below(self, swollen: DemandSurge, size: TenantSize, calls: list[ClientAttempt]) -> list[Violation]:
+    def _below(self, surge: DemandSurge, size: TenantSize, calls: list[ClientAttempt]) -> list[Violation]:
         found = []
-        begin = swollen.begin + SETTLING_S
-        while begin + WINDOW_S <= swollen.end:
+        begin = surge.begin + SETTLING_S
+        while begin + WINDOW_S <= surge.end:
             per_s = _used(calls, begin, begin + WINDOW_S) / WINDOW_S
             refused = _refused(calls, begin, begin + WINDOW_S)
             calm = not self._faults_near(begin - SETTLING_S, begin + WINDOW_S)
             if refused and calm and per_s < (1 - TOLERANCE) * size.tokens_per_s:
-                found.append(self._violation(swollen, begin, per_s, size.tokens_per_s, "below"))
+                found.append(self._violation(surge, begin, per_s, size.tokens_per_s, "below"))
             begin += STEP_S
         return found
 
     def _violation(
-        self, swollen: DemandSurge, begin: float, per_s: float, quota: float, side: str
+        self, surge: DemandSurge, begin: float, per_s: float, quota: float, side: str
     ) -> Violation:
-        text = (
-            f"{swollen.tenant} got {per_s:.0f} tokens/s over {WINDOW_S:g} s, {side} its quota of {quota:.0f}"
-        )
+        text = f"{surge.tenant} got {per_s:.0f} tokens/s over {WINDOW_S:g} s, {side} its quota of {quota:.0f}"
         return Violation("quota", begin + WINDOW_S, (), text)
 
     def _faults_near(self, begin: float, end: float) -> bool:
@@ -72,7 +73,7 @@
 
 
 def _used(calls: list[ClientAttempt], begin: float, end: float) -> float:
-    """Return the tokens of answers by the times at which they were admitted."""
+    """Return the tokens of the complete responses to requests sent in a window."""
     return sum(call.tokens for call in calls if call.complete and begin <= call.sent_at < end)
 
 
--- a/src/springmux/simulation/deployments.py
+++ b/src/springmux/simulation/deployments.py
@@ -1,7 +1,6 @@
-"""Plain values of the two known deployments, as the virtual fleet needs them.
+"""Sizes of the two known deployments, for the simulated fleet.
 
-The same sizes as the lab's experiment files; ``lab`` may convert its plans to these structs, which know
-nothing of ``lab``.
+They are those of the lab's experiment files, but independent of :mod:`springmux.lab`.
 """
 
 from __future__ import annotations
@@ -18,7 +17,7 @@
 
 
 class ZoneSize(msgspec.Struct, frozen=True, kw_only=True):
-    """One zone: its nodes and its share of the callers."""
+    """One zone: its number of nodes and its share of the traffic, 0..1."""
 
     zone: ZoneName
     nodes: int
@@ -26,7 +25,11 @@
 
 
 class BackendSize(msgspec.Struct, frozen=True, kw_only=True):
-    """A group of like back ends. ``model``: an engine for prompts, else a service for calls."""
+    """A group of equal backends.
+
+    ``model``: whether they are model engines for prompts, or else a service for calls.
+    ``work_s``: mean duration of a call in seconds.
+    """
 
     service: ServiceName
     version: VersionName
@@ -37,7 +40,11 @@
 
 
 class StreamSize(msgspec.Struct, frozen=True, kw_only=True):
-    """One stream of requests with Poisson arrivals. Sizes in bytes, as in the brief's deployments."""
+    """One stream of requests with Poisson arrivals.
+
+    ``prefixes``: number of distinct shared prefixes. ``own_bytes``: size of the part that no other request
+    shares. ``answer_tokens``: smallest and largest response.
+    """
 
     route: RouteName
     prompt: bool
@@ -53,7 +60,7 @@
 
 
 class TenantSize(msgspec.Struct, frozen=True, kw_only=True):
-    """A tenant, its fleet-wide quota and its share of the traffic."""
+    """A tenant, its fleet-wide quota, and its share of the traffic, 0..1."""
 
     tenant: TenantName
     tokens_per_s: float
@@ -78,11 +85,11 @@
         return places_by_zone({size.zone: size.nodes for size in self.zones}, self.controllers)
 
     def models(self) -> BackendSize:
-        """Return the group of model engines, the one that is rolled out."""
+        """Return the group of model engines, whose version is rolled out."""
         return next(size for size in self.backends if size.model)
 
     def document(self) -> bytes:
-        """Return the deployment's whole configuration document."""
+        """Return the deployment's complete configuration document."""
         services = {size.service: {"stable": size.version} for size in self.backends}
         routes = {size.route: _route(size) for size in self.streams}
         exceptions = {"minimum_ready_engines": self.minimum_ready_engines}
@@ -122,58 +129,95 @@
 
 _TEXT = ServiceName("text")
 
+
+def _zones(shares: dict[str, float]) -> tuple[ZoneSize, ...]:
+    """Return zones of three nodes each, by name and traffic share."""
+    return tuple(
+        ZoneSize(zone=ZoneName(name), nodes=3, traffic_share=share) for name, share in shares.items()
+    )
+
+
+def _model_engines(count: int, spec: EngineSpec) -> BackendSize:
+    return BackendSize(service=_TEXT, version=VersionName("v1"), count=count, model=True, spec=spec)
+
+
+def _call_service(service: str, version: str, count: int) -> BackendSize:
+    return BackendSize(service=ServiceName(service), version=VersionName(version), count=count, model=False)
+
+
+def _bulk_stream(
+    route: str,
+    *,
+    rate_per_s: float,
+    prefix_bytes: int,
+    prefixes: int,
+    own_bytes: int,
+    answer_tokens: tuple[int, int],
+) -> StreamSize:
+    """Return a stream of long prompts with large shared prefixes."""
+    return StreamSize(
+        route=RouteName(route),
+        prompt=True,
+        service=_TEXT,
+        rate_per_s=rate_per_s,
+        traffic_class="bulk",
+        deadline_s=30.0,
+        first_piece_timeout_s=5.0,
+        prefix_bytes=prefix_bytes,
+        prefixes=prefixes,
+        own_bytes=own_bytes,
+        answer_tokens=answer_tokens,
+    )
+
+
+def _interactive_stream(
+    route: str, *, prefix_bytes: int, prefixes: int, answer_tokens: tuple[int, int]
+) -> StreamSize:
+    """Return a stream of many short prompts."""
+    return StreamSize(
+        route=RouteName(route),
+        prompt=True,
+        service=_TEXT,
+        rate_per_s=115.0,
+        traffic_class="interactive",
+        deadline_s=10.0,
+        prefix_bytes=prefix_bytes,
+        prefixes=prefixes,
+        answer_tokens=answer_tokens,
+    )
+
+
+def _transaction_stream(route: str, service: str) -> StreamSize:
+    """Return a stream of calls to a service."""
+    return StreamSize(
+        route=RouteName(route),
+        prompt=False,
+        service=ServiceName(service),
+        rate_per_s=30.0,
+        traffic_class="transaction",
+        deadline_s=5.0,
+    )
+
+
 ANUARIO = Deployment(
     name="anuario",
-    zones=(
-        ZoneSize(zone=ZoneName("north"), nodes=3, traffic_share=0.4),
-        ZoneSize(zone=ZoneName("east"), nodes=3, traffic_share=0.3),
-        ZoneSize(zone=ZoneName("south"), nodes=3, traffic_share=0.2),
-        ZoneSize(zone=ZoneName("west"), nodes=3, traffic_share=0.1),
-    ),
+    zones=_zones({"north": 0.4, "east": 0.3, "south": 0.2, "west": 0.1}),
     controllers=4,
     backends=(
-        BackendSize(
-            service=_TEXT,
-            version=VersionName("v1"),
-            count=6,
-            model=True,
-            spec=EngineSpec(slots=24, prefill_tokens_per_s=40_000.0, cache_blocks=3000),
-        ),
-        BackendSize(service=ServiceName("pages"), version=VersionName("p1"), count=4, model=False),
+        _model_engines(6, EngineSpec(slots=24, prefill_tokens_per_s=40_000.0, cache_blocks=3000)),
+        _call_service("pages", "p1", count=4),
     ),
     streams=(
-        StreamSize(
-            route=RouteName("dossier-draft"),
-            prompt=True,
-            service=_TEXT,
+        _bulk_stream(
+            "dossier-draft",
             rate_per_s=8.0,
-            traffic_class="bulk",
-            deadline_s=30.0,
-            first_piece_timeout_s=5.0,
             prefix_bytes=24_576,
             prefixes=60,
             own_bytes=1200,
             answer_tokens=(60, 180),
         ),
-        StreamSize(
-            route=RouteName("caption-hint"),
-            prompt=True,
-            service=_TEXT,
-            rate_per_s=115.0,
-            traffic_class="interactive",
-            deadline_s=10.0,
-            prefix_bytes=2048,
-            prefixes=200,
-            answer_tokens=(6, 18),
-        ),
-        StreamSize(
-            route=RouteName("proof-approval"),
-            prompt=False,
-            service=ServiceName("pages"),
-            rate_per_s=30.0,
-            traffic_class="transaction",
-            deadline_s=5.0,
-        ),
+        _interactive_stream("caption-hint", prefix_bytes=2048, prefixes=200, answer_tokens=(6, 18)),
+        _transaction_stream("proof-approval", "pages"),
     ),
     tenants=_tenants(("norte", "costa", "sierra", "valle", "isla")),
 )
@@ -181,58 +225,26 @@
 DERWENT = Deployment(
     name="derwent",
     minimum_ready_engines=2,
-    zones=(
-        ZoneSize(zone=ZoneName("fell"), nodes=3, traffic_share=0.5),
-        ZoneSize(zone=ZoneName("lake"), nodes=3, traffic_share=0.3),
-        ZoneSize(zone=ZoneName("town"), nodes=3, traffic_share=0.2),
-    ),
+    zones=_zones({"fell": 0.5, "lake": 0.3, "town": 0.2}),
     controllers=3,
     backends=(
-        BackendSize(
-            service=_TEXT,
-            version=VersionName("v1"),
-            count=9,
-            model=True,
-            spec=EngineSpec(slots=16, prefill_tokens_per_s=30_000.0, cache_blocks=2000),
-        ),
-        BackendSize(service=ServiceName("sales"), version=VersionName("s1"), count=3, model=False),
+        _model_engines(9, EngineSpec(slots=16, prefill_tokens_per_s=30_000.0, cache_blocks=2000)),
+        _call_service("sales", "s1", count=3),
     ),
     streams=(
-        StreamSize(
-            route=RouteName("fault-digest"),
-            prompt=True,
-            service=_TEXT,
+        _bulk_stream(
+            "fault-digest",
             rate_per_s=10.0,
-            traffic_class="bulk",
-            deadline_s=30.0,
-            first_piece_timeout_s=5.0,
             prefix_bytes=16_384,
             prefixes=120,
             own_bytes=2400,
             answer_tokens=(50, 150),
         ),
-        StreamSize(
-            route=RouteName("stock-answer"),
-            prompt=True,
-            service=_TEXT,
-            rate_per_s=115.0,
-            traffic_class="interactive",
-            deadline_s=10.0,
-            prefix_bytes=1024,
-            prefixes=300,
-            answer_tokens=(5, 15),
-        ),
-        StreamSize(
-            route=RouteName("sale-confirmation"),
-            prompt=False,
-            service=ServiceName("sales"),
-            rate_per_s=30.0,
-            traffic_class="transaction",
-            deadline_s=5.0,
-        ),
+        _interactive_stream("stock-answer", prefix_bytes=1024, prefixes=300, answer_tokens=(5, 15)),
+        _transaction_stream("sale-confirmation", "sales"),
     ),
     tenants=_tenants(("north-rounds", "city-rounds", "rail", "campus", "harbour")),
 )
 
 DEPLOYMENTS = {deployment.name: deployment for deployment in (ANUARIO, DERWENT)}
-"""By name, for the command line."""
+"""All deployments by name."""
--- a/src/springmux/simulation/flow_driver.py
+++ b/src/springmux/simulation/flow_driver.py
@@ -16,37 +16,37 @@
 
 
 class ClientRequestArrived(Event, frozen=True):
-    """A caller's whole request came to the node."""
+    """A client's complete request arrived at the node."""
 
     request: ClientRequest
 
 
 class FlowInput(Event, frozen=True):
-    """Something happened to a running request (an engine's bytes, its caller gone)."""
+    """An event of a running request: data from its engine, or its client disconnected."""
 
     request: RequestId
     event: Event
 
 
 class FlowOutput(Effect, frozen=True):
-    """A flow's effect for the world outside the node."""
+    """An effect of a flow outside the node."""
 
     request: RequestId
     effect: Effect
 
 
 class ProbeEngine(Effect, frozen=True):
-    """Connect to an engine whose stream was reset, as the daemon's prober does."""
+    """Probe an engine whose stream was reset, as the daemon's prober does."""
 
     record: EngineRecord
 
 
 NO_REQUEST = RequestId("")
-"""Request of an output that belongs to the whole router."""
+"""Request of an output that belongs to the router itself."""
 
 
 class FlowDriver:
-    """All requests of one boot of one node."""
+    """The request flows of one boot of one node."""
 
     def __init__(self, agent: NodeAgent, boot_name: str) -> None:
         self._agent = agent
@@ -63,21 +63,21 @@
         agent.router.set_probe_listener(self._to_probe.append)
 
     def next_deadline(self) -> float:
-        """Return when a flow wants a tick."""
+        """Return when the next tick is due, or ``NEVER``."""
         return self._timers[0][0] if self._timers else NEVER
 
     def arrive(self, request: ClientRequest, now: float) -> list[Effect]:
-        """Open a flow for a caller's request."""
+        """Open a flow for a client's request; return the effects outside the flows."""
         flow = self._agent.router.open(request, now)
         self._flows[request.request_id] = flow
-        return self._settle(self._give(request.request_id, RequestBegun(), now), now)
+        return self._run_woken(self._give(request.request_id, RequestBegun(), now), now)
 
     def take(self, request: RequestId, event: Event, now: float) -> list[Effect]:
-        """Give a flow one event; nothing happens if it is over."""
-        return self._settle(self._give(request, event, now), now)
+        """Handle one event of a flow; events of ended flows are ignored."""
+        return self._run_woken(self._give(request, event, now), now)
 
     def tick(self, now: float) -> list[Effect]:
-        """Give ticks to the flows that are due."""
+        """Send ticks to the flows that are due."""
         effects: list[Effect] = []
         while self._timers and self._timers[0][0] <= now:
             at, request = heapq.heappop(self._timers)
@@ -85,10 +85,10 @@
                 continue
             del self._armed[request]
             effects += self._give(request, Tick(), now)
-        return self._settle(effects, now)
+        return self._run_woken(effects, now)
 
     def after_agent(self, effects: list[Effect], now: float) -> list[Effect]:
-        """Give the flows what the agent decided for them; return what else is to be done."""
+        """Deliver the agent's decisions to the flows; return the effects outside the node's flows."""
         outward: list[Effect] = []
         for effect in effects:
             outward.append(effect)
@@ -99,10 +99,10 @@
             elif isinstance(effect, FlowsRevoked):
                 for flow in effect.flows:
                     outward += self._give(flow.request.request_id, KeyRevoked(), now)
-        return self._settle(outward, now)
+        return self._run_woken(outward, now)
 
-    def _settle(self, effects: list[Effect], now: float) -> list[Effect]:
-        """Wake the flows that got a slot meanwhile; send the probes that were asked for."""
+    def _run_woken(self, effects: list[Effect], now: float) -> list[Effect]:
+        """Run the flows that were woken meanwhile; add the probes that were requested."""
         while self._woken:
             effects += self._give(self._woken.pop(0), Tick(), now)
         effects += [FlowOutput(NO_REQUEST, ProbeEngine(record)) for record in self._to_probe]
@@ -123,7 +123,7 @@
     def _arm(self, request: RequestId, flow: RequestFlow) -> None:
         deadline = flow.next_deadline()
         armed = self._armed.get(request, NEVER)
-        # A deadline that moved on is looked at when the earlier one fires, as the daemon does.
+        # A deadline that moved later is checked when the earlier one fires, as in the daemon.
         if deadline < armed:
             self._armed[request] = deadline
             heapq.heappush(self._timers, (deadline, request))
--- a/src/springmux/simulation/hollow_disk.py
+++ b/src/springmux/simulation/hollow_disk.py
@@ -1,4 +1,4 @@
-"""A node's disk in virtual time: carries out storage effects in order, after the time a sync takes."""
+"""A node's disk in virtual time: executes storage effects in order, each with the delay of a sync."""
 
 from __future__ import annotations
 
@@ -32,9 +32,9 @@
 from springmux.storage.replica_store import ReplicaStore
 
 USUAL_SYNC_S = 0.002
-"""A sync of a small disk; measured values are in docs/CAPACITY.md."""
+"""Duration of a sync (docs/CAPACITY.md)."""
 STALL_REPORTED_S = 0.25
-"""As the daemon reports it (``node.storage_worker.STALL_AFTER_S``)."""
+"""Interval at which a stall is reported (``node.storage_worker.STALL_AFTER_S``)."""
 SMALL_RESERVE_BYTES = 64 * 1024
 SEGMENT_BYTES = 256 * 1024
 
@@ -42,7 +42,7 @@
 class HollowDisk:
     """The disk of one machine, across its boots.
 
-    :param deliver: hands an event to the node's running process.
+    :param deliver: delivers an event to the node's running process.
     """
 
     def __init__(
@@ -68,7 +68,10 @@
         self._boot = 0
 
     def open(self, first_start: bool = False) -> RecoveredState | None:
-        """Open the replica for a new boot; a damaged one is set aside, as the daemon does."""
+        """Open the replica for a new boot; return its state, or ``None`` if the disk fails.
+
+        A damaged replica is set aside, as in the daemon.
+        """
         self._boot += 1
         self._free_at = self._now()
         self.disk.process_killed()
@@ -95,31 +98,31 @@
         return None
 
     def stop(self) -> None:
-        """The process ended: what it had queued is not written."""
+        """Handle the end of the process: its queued effects are not written."""
         self._boot += 1
         self._store = None
 
     def power_cut(self) -> None:
-        """The machine lost power: a random part of what was not synced survives."""
+        """Handle a power loss: a random part of what was not synced survives."""
         self.stop()
         self.disk.power_cut(self._random)
 
     def wipe(self) -> None:
-        """The disk was swapped for an empty one."""
+        """Replace the disk by an empty one."""
         self.stop()
         self.disk.wipe()
 
     def fill(self, full: bool) -> None:
-        """Leave no space, or again have it."""
+        """Make the disk full, or free its space again."""
         self.disk.capacity_bytes = 0 if full else 1 << 40
 
     def stall(self, seconds: float) -> None:
-        """No sync ends before ``seconds`` have passed."""
+        """Delay the end of every sync until ``seconds`` have passed."""
         self.stalled_until = self._now() + seconds
         self._watch_stall()
 
     def submit(self, effect: StorageEffect) -> None:
-        """Carry out ``effect`` behind those before it: written halfway, reported at the end."""
+        """Queue ``effect``: it is written halfway through its sync and reported at the end."""
         begin = max(self._now(), self._free_at)
         end = max(begin + self.sync_s, self.stalled_until)
         self._free_at = end
--- a/src/springmux/simulation/hollow_fleet.py
+++ b/src/springmux/simulation/hollow_fleet.py
@@ -52,31 +52,31 @@
 
 
 class FleetObserver:
-    """Told of what happens in a fleet; checkers override what they need."""
+    """Observer of a fleet; subclasses override the events that they need."""
 
     def control_changed(self, node: NodeId, agent: NodeAgent, now: float) -> None:
-        """A newer control state is in force at ``node``."""
+        """Handle a newer control state applied at ``node``."""
 
     def order_answered(self, node: NodeId, answer: OrderAnswered, now: float) -> None:
-        """An operator got an answer."""
+        """Handle a node's reply to an operator's order."""
 
     def claim_answered(self, node: NodeId, answer: ClaimAnswered, now: float) -> None:
-        """A request got its claim's decision."""
+        """Handle the decision on a request's claim."""
 
     def flows_revoked(self, node: NodeId, revoked: FlowsRevoked, now: float) -> None:
-        """Running requests lost their key."""
+        """Handle the revocation of the key of running requests."""
 
     def readiness_changed(self, node: NodeId, change: ReadinessChanged, now: float) -> None:
-        """A node became ready or not."""
+        """Handle a change of a node's readiness."""
 
     def note(self, node: NodeId, note: LogLine, now: float) -> None:
-        """A node wrote a log line."""
+        """Handle a log line of a node."""
 
     def fault(self, fault: AnyFault, now: float) -> None:
-        """A fault begins."""
+        """Handle the start of a fault."""
 
     def flow_output(self, node: NodeId, output: FlowOutput, now: float) -> None:
-        """A request's flow asks for something outside the node."""
+        """Handle an effect of a request's flow outside its node."""
 
 
 class HollowFleet:
@@ -100,9 +100,9 @@
         self._controllers_expected = controllers_expected
         self._losses_tolerated = losses_tolerated
         self.first_start = True
-        """Whether nodes that start from now on are told that it is the system's first start."""
+        """Whether nodes that start from now on take part in the first start of the system."""
         self.seeds: tuple[Address, ...] = ()
-        """The seeds in the settings, in force from a node's next start."""
+        """The seed addresses in the settings of nodes that start from now on."""
         self._disks: dict[NodeId, HollowDisk] = {}
         self._correlation_ids = 0
         for number, place in enumerate(places):
@@ -176,7 +176,7 @@
         return process.agent if isinstance(process, HollowNode) else None
 
     def remembers_first_start(self, node: NodeId) -> bool:
-        """Say whether a machine's replica was made at the first start of the whole system."""
+        """Return whether a machine's replica was created at the first start of the system."""
         return self._disks[node].first_start
 
     def places(self) -> list[HollowPlace]:
@@ -194,22 +194,22 @@
         return leading[0] if len(leading) == 1 else None
 
     def submit(self, node: NodeId, command: AnyCommand) -> str:
-        """Hand an operator's command to a node; the answer goes to the observers. Returns its id."""
+        """Submit a command to a node; return its correlation id. The reply goes to the observers."""
         correlation_id = self.next_correlation_id()
         self.submit_as(correlation_id, node, command)
         return correlation_id
 
     def next_correlation_id(self) -> str:
-        """Return a fresh correlation_id for :meth:`submit_as`."""
+        """Return a new correlation id for :meth:`submit_as`."""
         self._correlation_ids += 1
         return f"order-{self._correlation_ids}"
 
     def submit_as(self, correlation_id: str, node: NodeId, command: AnyCommand) -> None:
-        """Hand an operator's command to a node under a correlation_id that the caller already knows."""
+        """Submit a command to a node under a correlation id that the caller already knows."""
         self.world.give(node, OrderSubmitted(correlation_id, command))
 
     def run_until(self, condition: Callable[[], bool], within_s: float, step_s: float = 0.05) -> bool:
-        """Let the world go on until ``condition`` holds; ``False`` if it doesn't ``within_s``."""
+        """Run the world until ``condition`` holds; return whether it did within ``within_s`` seconds."""
         end = self.world.now + within_s
         while not condition():
             if self.world.now >= end:
@@ -218,14 +218,14 @@
         return True
 
     def all_ready(self) -> bool:
-        """Say whether every machine runs and is ready."""
+        """Return whether every machine runs and is ready."""
         agents = self.agents()
         return len(agents) == len(self._places) and all(agent.ready for agent in agents.values())
 
     # World hooks
 
     def on_effect(self, node: NodeId, effect: Effect, now: float) -> None:
-        """Carry out what the world itself doesn't know."""
+        """Carry out an effect that the world itself does not handle."""
         if isinstance(effect, FlowOutput):
             for observer in self.observers:
                 observer.flow_output(node, effect, now)
@@ -236,7 +236,7 @@
         elif isinstance(effect, ReplicaStopped):
             self._replica_stopped(node, effect)
         else:
-            self._tell(node, effect, now)
+            self._notify_observers(node, effect, now)
 
     def _prepare(self, node: NodeId, effect: PrepareCommands) -> None:
         agent = self.agent(node)
@@ -246,14 +246,14 @@
             self.world.scheduler.at(self.world.now, lambda: self.world.give(node, CommandsPrepared()))
 
     def _replica_stopped(self, node: NodeId, effect: ReplicaStopped) -> None:
-        """A replica that may begin anew does, as the daemon restarts it with an empty folder."""
+        """Restart a replica that may start as new with an empty folder, as the daemon does."""
         if not effect.restart_as_new:
             return
         self._disks[node].wipe()
         restart = Restart(at=self.world.now + RESTART_AS_NEW_S, node=node)
         self.world.scheduler.at(restart.at, lambda: self.world.apply(restart))
 
-    def _tell(self, node: NodeId, effect: Effect, now: float) -> None:
+    def _notify_observers(self, node: NodeId, effect: Effect, now: float) -> None:
         agent = self.agent(node)
         for observer in self.observers:
             if isinstance(effect, ControlChanged) and agent is not None:
@@ -270,7 +270,7 @@
                 observer.note(node, effect, now)
 
     def on_fault(self, fault: AnyFault, now: float) -> None:
-        """Carry out a fault's part at the disks."""
+        """Apply a fault to the disks."""
         for observer in self.observers:
             observer.fault(fault, now)
         disk = self._disks.get(fault.node) if hasattr(fault, "node") else None
@@ -292,7 +292,7 @@
 
 
 def places_by_zone(zones: dict[str, int], controllers: int) -> list[HollowPlace]:
-    """Return machines spread over zones; the controllers are the first ones of the zones in turn."""
+    """Return machines distributed over zones; the first ones, by zones in turn, are controllers."""
     rows = [
         (number, zone)
         for number in range(max(zones.values()))
--- a/src/springmux/simulation/operators.py
+++ b/src/springmux/simulation/operators.py
@@ -1,4 +1,4 @@
-"""Operators in virtual time: orders to any node, resent elsewhere after lost answers, and races."""
+"""Simulated operators: send orders to any node, resend them elsewhere after lost replies, and race."""
 
 from __future__ import annotations
 
@@ -14,7 +14,6 @@
     AnyCommand,
     ApplyConfiguration,
     CommandResult,
-    Outcome,
     PauseRollout,
     PromoteRollout,
     PutKey,
@@ -30,36 +29,36 @@
 from springmux.simulation.hollow_fleet import FleetObserver, HollowFleet
 from springmux.vocabulary.names import KeyDigest, KeyId, OrderId, RolloutId, ServiceName, TenantName
 
-ANSWER_WAIT_S = 7.0
-"""An operator waits this long for an answer, a little longer than a node does."""
+REPLY_TIMEOUT_S = 7.0
+"""An operator waits this long for a reply, a little longer than a node does."""
 MAX_SENDS = 12
 LOST_REPLIES = 0.25
-"""Share of answers that are lost on the way back."""
+"""Fraction of replies that are lost on their way back."""
 RESEND_AFTER_S = 0.4
 
 
 class PendingOrder(msgspec.Struct):
-    """One order until its operator has its answer. ``result`` is set once the answer has arrived."""
+    """One order until its operator has the reply. ``result`` is set once the reply has arrived."""
 
     command: AnyCommand
     result: CommandResult | None = None
     sends: int = 0
-    gave_up: bool = False
+    abandoned: bool = False
     correlation_id: str = ""
 
 
 def key_text(tenant: TenantName, number: int) -> str:
-    """Return the key that callers of a tenant use."""
+    """Return the secret key that clients of a tenant send."""
     return f"key-{tenant}-{number}"
 
 
 def key_id(tenant: TenantName, number: int) -> KeyId:
-    """Return the key's public name."""
+    """Return the key's public identifier."""
     return KeyId(f"{tenant}-{number}")
 
 
 class Operators(FleetObserver):
-    """Several operators, each with one pending at a time."""
+    """All operators of a fleet. Each order is resent until it has a reply or ``MAX_SENDS`` is reached."""
 
     def __init__(
         self,
@@ -69,42 +68,40 @@
         seed: int,
         lost_replies: float = LOST_REPLIES,
     ) -> None:
-        self.pending_orders: list[PendingOrder] = []
         self._fleet = fleet
         self._deployment = deployment
         self._history = history
         self._random = random.Random(f"operators {seed}")
         self._lost_replies = lost_replies
-        self._numbers = itertools.count(1)
+        self._order_numbers = itertools.count(1)
         self._by_correlation_id: dict[str, PendingOrder] = {}
-        self._busy_until = 0.0
+        self._work_until = 0.0
         fleet.observers.append(self)
 
     def order(self, command: AnyCommand, node: NodeId | None = None) -> PendingOrder:
-        """Send an order and see it through."""
+        """Send an order, and resend it until it has a reply."""
         pending = PendingOrder(command)
-        self.pending_orders.append(pending)
         self._send(pending, node)
         return pending
 
     def new_order(self) -> OrderId:
         """Return a fresh order id."""
-        return OrderId(f"o{next(self._numbers)}")
+        return OrderId(f"o{next(self._order_numbers)}")
 
     def set_up(self) -> list[PendingOrder]:
-        """Send the deployment's configuration, tenants and keys; two keys for each tenant."""
-        pending_orders = [
+        """Send the deployment's configuration and tenants."""
+        orders = [
             self.order(
                 ApplyConfiguration(order=self.new_order(), version=1, document=self._deployment.document())
             )
         ]
         for size in self._deployment.tenants:
             tenant = Tenant(size.tenant, size.tokens_per_s, size.burst_tokens)
-            pending_orders.append(self.order(PutTenant(order=self.new_order(), tenant=tenant)))
-        return pending_orders
+            orders.append(self.order(PutTenant(order=self.new_order(), tenant=tenant)))
+        return orders
 
     def set_up_keys(self) -> list[PendingOrder]:
-        """Register the callers' keys; the tenants must be there."""
+        """Register the clients' keys; the tenants must exist."""
         return [
             self.order(self._put_key(size.tenant, number))
             for size in self._deployment.tenants
@@ -117,15 +114,16 @@
         return self.order(PromoteRollout(order=order, rollout=RolloutId(f"rollout-{order}"), plan=plan))
 
     def work(self, until: float, every_s: float = 2.5) -> None:
-        """Make random changes until a given time."""
-        self._busy_until = until
-        self._fleet.world.scheduler.after(
-            self._random.expovariate(1.0 / every_s), lambda: self._work_on(every_s)
-        )
+        """Make random changes until a given time, one every ``every_s`` seconds on average."""
+        self._work_until = until
+        self._schedule_change(every_s)
 
-    def _work_on(self, every_s: float) -> None:
-        world = self._fleet.world
-        if world.now >= self._busy_until:
+    def _schedule_change(self, every_s: float) -> None:
+        delay_s = self._random.expovariate(1.0 / every_s)
+        self._fleet.world.scheduler.after(delay_s, lambda: self._make_change(every_s))
+
+    def _make_change(self, every_s: float) -> None:
+        if self._fleet.world.now >= self._work_until:
             return
         change = self._random.random()
         if change < 0.4:
@@ -135,23 +133,23 @@
         elif change < 0.8:
             self._change_tenant()
         elif change < 0.9:
-            self._revoke()
+            self._revoke_key()
         else:
-            self.order(self._invalid())
-        world.scheduler.after(self._random.expovariate(1.0 / every_s), lambda: self._work_on(every_s))
+            self.order(self._invalid_configuration())
+        self._schedule_change(every_s)
 
     def pause_and_resume(self, service: ServiceName, pause_s: float) -> None:
-        """Pause a rollout and go on with it."""
+        """Pause a rollout, and resume it ``pause_s`` seconds later."""
         self.order(PauseRollout(order=self.new_order(), service=service))
         resume = ResumeRollout(order=self.new_order(), service=service)
 
-        def go_on() -> None:
+        def send_resume() -> None:
             self.order(resume)
 
-        self._fleet.world.scheduler.after(pause_s, go_on)
+        self._fleet.world.scheduler.after(pause_s, send_resume)
 
     def _race(self) -> None:
-        """Two operators send different changes under the same version number to different nodes."""
+        """Send two different changes under the same version number to different nodes."""
         first, second = self._configuration(partial=True), self._configuration(partial=True)
         nodes = self._random.sample(self._fleet.world.nodes(), 2)
         self.order(first, nodes[0])
@@ -166,7 +164,7 @@
         data = json.dumps(document).encode()
         return ApplyConfiguration(order=self.new_order(), version=version, document=data, partial=partial)
 
-    def _invalid(self) -> ApplyConfiguration:
+    def _invalid_configuration(self) -> ApplyConfiguration:
         version = self._newest_version() + 1
         document = b'{"services": {"text": {"stable": 7}}, "routes": {"broken": {}}}'
         return ApplyConfiguration(order=self.new_order(), version=version, document=document)
@@ -177,8 +175,8 @@
         tenant = Tenant(size.tenant, size.tokens_per_s, size.burst_tokens, weight)
         self.order(PutTenant(order=self.new_order(), tenant=tenant))
 
-    def _revoke(self) -> None:
-        """Take the second key of a tenant; its callers go on with the first."""
+    def _revoke_key(self) -> None:
+        """Revoke the second key of a tenant; its clients continue with the first."""
         size = self._random.choice(self._deployment.tenants)
         self.order(RevokeKey(order=self.new_order(), key=key_id(size.tenant, 2)))
 
@@ -187,17 +185,17 @@
         return PutKey(order=self.new_order(), key=key_id(tenant, number), digest=digest, tenant=tenant)
 
     def _newest_version(self) -> int:
-        """Return the newest version that some node shows, as an operator would ask for."""
+        """Return the newest configuration version that any node reports, as an operator would read it."""
         agents = self._fleet.agents().values()
         return max((agent.view.configuration.version for agent in agents), default=0)
 
-    # Sending and answers
+    # Orders and replies
 
     def _send(self, pending: PendingOrder, node: NodeId | None = None) -> None:
-        if pending.result is not None or pending.gave_up:
+        if pending.result is not None or pending.abandoned:
             return
         if pending.sends >= MAX_SENDS:
-            pending.gave_up = True
+            pending.abandoned = True
             return
         world = self._fleet.world
         target = node or self._random.choice(world.nodes())
@@ -206,9 +204,9 @@
         if world.process(target) is None:
             world.scheduler.after(RESEND_AFTER_S, lambda: self._send(pending))
             return
-        # Submitted in an event of its own, so that the correlation_id is known before the answer.
+        # Submitted in an event of its own, so that the correlation id is known before the reply.
         world.scheduler.at(world.now, lambda: self._submit(pending, target))
-        world.scheduler.after(ANSWER_WAIT_S, lambda: self._send(pending) if pending.sends == sent else None)
+        world.scheduler.after(REPLY_TIMEOUT_S, lambda: self._send(pending) if pending.sends == sent else None)
 
     def _submit(self, pending: PendingOrder, target: NodeId) -> None:
         correlation_id = self._fleet.next_correlation_id()
@@ -220,7 +218,7 @@
         self._fleet.submit_as(correlation_id, target, pending.command)
 
     def order_answered(self, node: NodeId, answer: OrderAnswered, now: float) -> None:
-        """Take an answer, or lose it and send the order again elsewhere."""
+        """Handle a reply: store it, or lose it at random and resend the order elsewhere."""
         pending = self._by_correlation_id.pop(answer.correlation_id, None)
         if pending is None:
             return
@@ -236,8 +234,3 @@
         if answer.error is not None and answer.error.retry_after_s is not None:
             wait_s = answer.error.retry_after_s
         self._fleet.world.scheduler.after(wait_s, lambda: self._send(pending))
-
-
-def accepted(pending: PendingOrder) -> bool:
-    """Say whether the operator knows that the order was accepted."""
-    return pending.result is not None and pending.result.outcome is Outcome.ACCEPTED
--- a/src/springmux/simulation/recorder.py
+++ b/src/springmux/simulation/recorder.py
@@ -1,4 +1,4 @@
-"""Writes what a hollow fleet's control plane does into the history."""
+"""Record what the control plane of a hollow fleet does in the history."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 SAMPLE_PERIOD_S = 0.25
 IN_FORCE_S = 2.0
-"""Brief: a change is in force at every node about 2 s after its acknowledgement."""
+"""Every node applies a change within about this time after its acknowledgement."""
 IN_FORCE_SLACK_S = 0.25
-"""What "about" allows."""
+"""Tolerance of ``IN_FORCE_S``."""
 
 
 class Recorder(FleetObserver):
@@ -31,7 +31,7 @@
         self._sample_forever()
 
     def control_changed(self, node: NodeId, agent: NodeAgent, now: float) -> None:
-        """Note a newer state and its rollouts' phases."""
+        """Record a newer state and the phases of its rollouts."""
         view = agent.view
         boot = self._fleet.world.boot(node)
         digest = xxhash.xxh3_64_intdigest(agent.control.snapshot())
@@ -45,16 +45,16 @@
                 self._history.rollouts.append(seen)
 
     def order_answered(self, node: NodeId, answer: OrderAnswered, now: float) -> None:
-        """Look at every node when an accepted order must be in force."""
+        """Sample every node at the time by which the order must be applied."""
         if answer.result is not None:
             self._fleet.world.scheduler.after(IN_FORCE_S + IN_FORCE_SLACK_S, self.sample)
 
     def fault(self, fault: AnyFault, now: float) -> None:
-        """Note a fault."""
+        """Record a fault."""
         self._history.faults.append(FaultStarted(now, fault))
 
     def sample(self) -> None:
-        """Note where every running node stands."""
+        """Record the status of every running node."""
         world = self._fleet.world
         for node, agent in self._fleet.agents().items():
             if not world.is_running(node):
--- a/src/springmux/simulation/rollout_trial.py
+++ b/src/springmux/simulation/rollout_trial.py
@@ -1,4 +1,4 @@
-"""One rollout of a whole hollow fleet in virtual time, and its figures: exposure, rollback, term.
+"""One rollout of a complete hollow fleet in virtual time, and its exposure, rollback time and duration.
 
 Built on :class:`~springmux.simulation.run.Run` without its random faults: what happens is named by the
 scenario, so that a row of the table in docs/ROLLOUT.md can be run again.
@@ -32,9 +32,9 @@
 BY_S = 60.0
 CANDIDATES_START_S = TRAFFIC_BEGINS_S + 1.0
 THINNING = 4
-"""Tokens in a piece: the thinnest at which a short answer still has pieces to cut and gaps to measure."""
+"""Tokens per chunk; short responses still have several chunks, so that cuts and gaps show."""
 AFTER_END_S = 8.0
-"""Late prompts to an aborted version would show by then; a frozen node's after it has woken."""
+"""Late prompts to an aborted version would show by then."""
 LONGEST_S = PROMOTED_AT_S + BY_S + 30.0
 FROZEN_S = 12.0
 CUT_S = 20.0
@@ -100,7 +100,7 @@
 
 
 class UnreliableToken(Network):
-    """Loses, doubles and delays the token; everything else passes as usual."""
+    """Network that loses, duplicates and delays the rollout token, and nothing else."""
 
     def arrivals(self, source: NodeId, target: NodeId, message: PeerMessage, now: float) -> list[float]:
         """Return the arrival times; see the base."""
@@ -135,10 +135,10 @@
         self._orders: list[PendingOrder] = []
         self.plan = variant.plan(self.plan)
         if rollout.disturbance is Disturbance.TOKEN:
-            self._make_token_unreliable(seed)
+            self._use_unreliable_network(seed)
 
     def measure(self) -> TrialResult:
-        """Run to the end of the rollout, and a little further."""
+        """Run to the end of the rollout, and ``AFTER_END_S`` beyond it; return the results."""
         self.set_up()
         scheduler, world = self.fleet.world.scheduler, self.fleet.world
         scheduler.at(TRAFFIC_BEGINS_S, lambda: self.clients.start(LONGEST_S))
@@ -150,7 +150,7 @@
         return self._figures()
 
     def _start_candidates(self) -> None:
-        """An engine turns bad by its own age, so the time before promotion counts."""
+        """Start the candidate's engines; one turns bad by its age, so the time before promotion counts."""
         long_route = next(size.route for size in self.size.streams if size.traffic_class == "bulk")
         behaviour = behaviour_for(Candidate("trial", self._rollout.behaviour), long_route)
         if self._rollout.after_share > 0:
@@ -222,7 +222,7 @@
         order = self.operators.new_order()
         self._orders.append(self.operators.order(AbortRollout(order=order, service=self.plan.service)))
 
-    def _make_token_unreliable(self, seed: int) -> None:
+    def _use_unreliable_network(self, seed: int) -> None:
         network = UnreliableToken(NetworkSettings(), random.Random(f"token {seed}"))
         for place in self.fleet.places():
             network.place(place.node, place.zone)
--- a/src/springmux/simulation/run.py
+++ b/src/springmux/simulation/run.py
@@ -40,18 +40,18 @@
 PROMOTED_AT_S = 11.0
 LAST_CALLS_S = 5.0
 END_AFTER_S = 13.0
-"""From quiet to the end: the longest calls are answered."""
+"""Time from quiet to the end, in which the longest requests end."""
 CANDIDATE = VersionName("v2")
 OLD_LEAVE_AFTER_S = 4.0
-"""Operators see that a rollout is done and let the old engines go this much later."""
-SWOLLEN_FACTOR = 2.0
-SWOLLEN_S = 25.0
+"""Operators remove the old engines this long after the end of a rollout."""
+SURGE_FACTOR = 2.0
+SURGE_S = 25.0
 SERVICE_BEHAVIOUR = VersionBehaviour(silent_share=0.005, error_share=0.005)
-"""Even good services lose an answer now and then."""
+"""Even good services lose a response now and then."""
 
 
 class RunResult(msgspec.Struct, frozen=True):
-    """What a run showed. ``transcript``: a digest of everything recorded, equal for equal runs."""
+    """Results of a run. ``transcript``: digest of the history, equal for equal runs."""
 
     seed: int
     violations: tuple[Violation, ...]
@@ -65,7 +65,7 @@
 
 
 class Run(FleetObserver):
-    """Brings a scenario to its end."""
+    """Runs one scenario from start to the checks."""
 
     def __init__(self, scenario: Scenario) -> None:
         self.scenario = scenario
@@ -85,13 +85,13 @@
         )
         self.plan = RolloutPlan(self.size.models().service, CANDIDATE, by_s=scenario.knobs.by_s)
         self._removed_at: float | None = None
-        self._ended = False
-        self._armed: list[PowerCutAfterAnswer] = []
+        self._rollout_ended = False
+        self._armed_power_cuts: list[PowerCutAfterAnswer] = []
         self._promotion: PendingOrder | None = None
         self.fleet.observers.append(self)
 
     def run(self) -> RunResult:
-        """Run to the end and check."""
+        """Run to the end; return the checked result."""
         self.set_up()
         scheduler = self.fleet.world.scheduler
         scheduler.at(TRAFFIC_BEGINS_S, lambda: self.clients.start(self._quiet_at() + LAST_CALLS_S))
@@ -126,12 +126,12 @@
             ended_at=self.fleet.world.now,
             plan=self.plan if self._promotion is not None else None,
             bad=CANDIDATES[self.scenario.candidate].bad,
-            swollen=self._swollen(),
+            surges=self._surges(),
             removed_at=self._removed_at,
         )
 
     def result(self) -> RunResult:
-        """Check the history."""
+        """Check the history; return the results so far."""
         history = self.history
         violations = check(history, self.context())
         encoded = msgspec.msgpack.encode(history)
@@ -158,17 +158,17 @@
             short = next(size.route for size in self.size.streams if size.traffic_class == "interactive")
             begin = FAULTS_BEGIN_S + 15.0
             bursts.append(Burst(begin=begin, end=begin + 8.0, factor=scenario.burst, route=short))
-        for swollen in self._swollen():
-            tenant = next(size.tenant for size in self.size.tenants if size.tenant == swollen.tenant)
-            bursts.append(Burst(begin=swollen.begin, end=swollen.end, factor=SWOLLEN_FACTOR, tenant=tenant))
+        for surge in self._surges():
+            tenant = next(size.tenant for size in self.size.tenants if size.tenant == surge.tenant)
+            bursts.append(Burst(begin=surge.begin, end=surge.end, factor=SURGE_FACTOR, tenant=tenant))
         return tuple(bursts)
 
-    def _swollen(self) -> tuple[DemandSurge, ...]:
+    def _surges(self) -> tuple[DemandSurge, ...]:
         index = self.scenario.swollen_tenant
         if index < 0:
             return ()
         begin = FAULTS_BEGIN_S + 10.0
-        end = min(begin + SWOLLEN_S, self._quiet_at() + LAST_CALLS_S)
+        end = min(begin + SURGE_S, self._quiet_at() + LAST_CALLS_S)
         return (DemandSurge(self.size.tenants[index].tenant, begin, end),)
 
     # The rollout
@@ -194,11 +194,11 @@
         if leaving is None:
             scheduler.after(0.5, self._watch_rollout)
             return
-        scheduler.after(OLD_LEAVE_AFTER_S, lambda: self._let_go(leaving))
+        scheduler.after(OLD_LEAVE_AFTER_S, lambda: self._remove_engines(leaving))
 
-    def _let_go(self, version: VersionName) -> None:
-        """The engines of a version that is no longer wanted drain, and leave."""
-        self._ended = True
+    def _remove_engines(self, version: VersionName) -> None:
+        """Drain the engines of a version that is no longer needed, and end them."""
+        self._rollout_ended = True
         if version != CANDIDATE:
             self._removed_at = self.fleet.world.now
         for engine in self.backends.of_version(version):
@@ -214,7 +214,7 @@
             case MoveNode():
                 self.fleet.move(fault.node, Address(fault.address))
             case PowerCutAfterAnswer():
-                self._armed.append(fault)
+                self._armed_power_cuts.append(fault)
             case _:
                 self.fleet.world.apply(fault)
 
@@ -228,21 +228,21 @@
             case EngineCrash():
                 engine.crash()
                 if fault.back_after_s:
-                    scheduler.after(fault.back_after_s, lambda: self._bring_back(engine))
+                    scheduler.after(fault.back_after_s, lambda: self._restart_engine(engine))
             case EngineDark():
-                engine.go_dark(True)
-                scheduler.after(fault.dark_s, lambda: engine.go_dark(False))
+                engine.set_unresponsive(True)
+                scheduler.after(fault.dark_s, lambda: engine.set_unresponsive(False))
             case EngineReplaced():
                 engine.drain()
                 scheduler.after(fault.grace_s, lambda: self._replace(engine))
 
-    def _bring_back(self, engine: HollowEngine) -> None:
-        if not engine.running and not engine.draining and not self._gone(engine):
+    def _restart_engine(self, engine: HollowEngine) -> None:
+        if not engine.running and not engine.draining and not self._is_removed(engine):
             self.backends.restart(engine)
 
-    def _gone(self, engine: HollowEngine) -> bool:
-        """Say whether the engine's version has been let go meanwhile."""
-        if not self._ended or not engine.model:
+    def _is_removed(self, engine: HollowEngine) -> bool:
+        """Return whether the engine's version has been removed meanwhile."""
+        if not self._rollout_ended or not engine.model:
             return False
         return (engine.record.version == CANDIDATE) == (self._removed_at is None)
 
@@ -250,19 +250,23 @@
         if not engine.running:
             return
         engine.leave()
-        if not self._gone(engine):
+        if not self._is_removed(engine):
             size = next(s for s in self.size.backends if s.service == engine.record.service)
             like = msgspec.structs.replace(size, version=engine.record.version)
             self.backends.add(like, engine.behaviour, engine.record.address)
 
     def order_answered(self, node: NodeId, answer: OrderAnswered, now: float) -> None:
         """Cut the leader's power right after an accepted order, where that is armed."""
-        if not self._armed or answer.result is None or answer.result.outcome is not Outcome.ACCEPTED:
+        if (
+            not self._armed_power_cuts
+            or answer.result is None
+            or answer.result.outcome is not Outcome.ACCEPTED
+        ):
             return
         leader = self.fleet.leader()
         if leader is None:
             return
-        fault = self._armed.pop(0)
+        fault = self._armed_power_cuts.pop(0)
         scheduler, world = self.fleet.world.scheduler, self.fleet.world
         scheduler.at(now, lambda: world.apply(PowerCut(at=now, node=leader)))
         back_at = now + fault.back_after_s
@@ -271,7 +275,7 @@
     def _heal(self) -> None:
         """End every fault."""
         world, now = self.fleet.world, self.fleet.world.now
-        self._armed.clear()
+        self._armed_power_cuts.clear()
         world.apply(Heal(at=now))
         for place in self.fleet.places():
             node = place.node
--- a/src/springmux/simulation/run_context.py
+++ b/src/springmux/simulation/run_context.py
@@ -1,4 +1,4 @@
-"""What a run was, beside its history: the checkers' frame of reference."""
+"""Context of a run, which the checkers need beside its history."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class DemandSurge(msgspec.Struct, frozen=True):
-    """A tenant asks for far more than its quota for a while."""
+    """Time span in which a tenant requests far more than its quota."""
 
     tenant: str
     begin: float
@@ -17,11 +17,12 @@
 
 
 class RunContext(msgspec.Struct, frozen=True, kw_only=True):
-    """Times are virtual seconds. ``plan`` is ``None`` without a rollout; ``bad``: its candidate is bad.
+    """Deployment, plan and phases of a run; times are virtual seconds.
 
-    ``healed_at``: from then on nothing is broken; ``quiet_at``: from then on the fleet must be whole.
-    ``swollen``: spans in which a tenant's demand is far above its quota. ``removed_at``: when the old
-    engines began to leave after a finished rollout.
+    ``plan``: ``None`` without a rollout. ``bad``: whether its candidate is bad. ``healed_at``: from then on
+    there are no faults. ``quiet_at``: from then on the fleet must be healthy. ``surges``: spans in which a
+    tenant's demand is far above its quota. ``removed_at``: when the old engines began to leave after a
+    finished rollout.
     """
 
     deployment: Deployment
@@ -31,5 +32,5 @@
     ended_at: float
     plan: RolloutPlan | None = None
     bad: bool = False
-    swollen: tuple[DemandSurge, ...] = ()
+    surges: tuple[DemandSurge, ...] = ()
     removed_at: float | None = None
--- a/src/springmux/simulation/traffic/backends.py
+++ b/src/springmux/simulation/traffic/backends.py
@@ -1,8 +1,9 @@
-"""The back ends of a hollow fleet, their addresses, and the connections between them and the nodes."""
+"""The backends of a hollow fleet, their addresses, and the connections from the nodes to them."""
 
 from __future__ import annotations
 
 import random
+from typing import NamedTuple
 
 from springmux.coordination.identifiers import Address, NodeId, ZoneName
 from springmux.coordination.state_machine import Effect, Event
@@ -34,18 +35,31 @@
 from springmux.vocabulary.engines import EngineRecord
 from springmux.vocabulary.names import EngineId, RequestId, VersionName
 
-WIRE_S = 0.0006
-"""One way between a node and a back end; constant, so that a connection keeps its order."""
+NETWORK_DELAY_S = 0.0006
+"""One-way delay between a node and a backend; constant, so that a connection keeps its order."""
 
-PROBE_S = 0.05
-"""The daemon's prober waits so long (``node.engine_prober.DELAY_S``)."""
+PROBE_DELAY_S = 0.05
+"""Delay of the daemon's prober (``node.engine_prober.DELAY_S``)."""
 
-Connection = tuple[NodeId, int, RequestId, int]
-"""Node, its boot, request and attempt."""
+
+class ConnectionKey(NamedTuple):
+    """Identifies a connection: the node, its boot, the request and the attempt."""
+
+    node: NodeId
+    boot: int
+    request: RequestId
+    attempt: int
+
+
+class Connection(NamedTuple):
+    """An open connection."""
+
+    engine: HollowEngine
+    exchange: EngineExchange
 
 
 class Backends(FleetObserver):
-    """All back ends; carries out the flows' dispatches and takes the engines' reports to nodes."""
+    """All backends: connects the nodes' dispatches to engines, and delivers the engines' reports to nodes."""
 
     def __init__(
         self, fleet: HollowFleet, history: History, seed: int, deployment: Deployment, thinning: int
@@ -57,29 +71,29 @@
         self._deployment = deployment
         self._thinning = thinning
         self._by_address: dict[Address, HollowEngine] = {}
-        self._connections: dict[Connection, tuple[HollowEngine, EngineExchange]] = {}
-        self._made = 0
+        self._connections: dict[ConnectionKey, Connection] = {}
+        self._backends_started = 0
         fleet.observers.append(self)
 
     def add_group(self, size: BackendSize, behaviour: VersionBehaviour = GOOD) -> list[HollowEngine]:
-        """Start a group of like back ends."""
+        """Start a group of equal backends."""
         return [self.add(size, behaviour) for _ in range(size.count)]
 
     def add(
         self, size: BackendSize, behaviour: VersionBehaviour = GOOD, address: Address | None = None
     ) -> HollowEngine:
-        """Start one back end, at a new address or at one that another has left."""
-        self._made += 1
-        name = EngineId(f"{size.service}-{size.version}-{self._made}")
+        """Start one backend, at a new address or at one that another has left."""
+        self._backends_started += 1
+        name = EngineId(f"{size.service}-{size.version}-{self._backends_started}")
         zones = self._deployment.zones
         record = EngineRecord(
             engine=name,
             service=size.service,
             version=size.version,
-            address=address or engine_address(self._made),
+            address=address or engine_address(self._backends_started),
             capacity=size.spec.slots,
             incarnation=self._incarnation(),
-            zone=ZoneName(zones[self._made % len(zones)].zone),
+            zone=ZoneName(zones[self._backends_started % len(zones)].zone),
         )
         source = random.Random(f"engine {self._seed} {name}")
         engine = HollowEngine(
@@ -100,7 +114,7 @@
         return engine
 
     def restart(self, engine: HollowEngine) -> None:
-        """Start a crashed back end again under its name and address, with a cold cache."""
+        """Restart a crashed backend under its name and address, with an empty cache."""
         incarnation = self._incarnation()
         model = engine.model
         if model is not None:
@@ -111,59 +125,59 @@
         engine.start_again(incarnation, model)
 
     def of_version(self, version: VersionName) -> list[HollowEngine]:
-        """Return the running back ends of a version."""
+        """Return the running backends of a version."""
         found = self.engines.values()
         return [engine for engine in found if engine.record.version == version and engine.running]
 
     def _incarnation(self) -> int:
-        """Milliseconds since the run's beginning, as an engine takes Unix milliseconds."""
+        """Return an incarnation in milliseconds since the start of the run; engines use Unix milliseconds."""
         return int(self._fleet.world.now * 1000) + 1
 
-    # What engines say
+    # Reports of engines
 
     def report(self, event: Event, source: random.Random) -> NodeId | None:
-        """Hand a report to the first node that takes it; a cut-off node takes it, as its listener does."""
+        """Deliver a report to the first running of three random nodes, even if it is partitioned."""
         world = self._fleet.world
         nodes = world.nodes()
         source.shuffle(nodes)
         for node in nodes[:3]:
             if world.is_running(node):
-                world.scheduler.after(WIRE_S, lambda node=node: world.give(node, event))  # type: ignore[misc]
+                world.scheduler.after(NETWORK_DELAY_S, lambda node=node: world.give(node, event))  # type: ignore[misc]
                 return node
         return None
 
     def executed(self, engine: HollowEngine, action: str, request: RequestId) -> None:
-        """Note an execution."""
+        """Record the execution of a call."""
         record = engine.record
         now = self._fleet.world.now
         self._history.executed.append(Executed(now, record.service, action, request, record.engine))
 
     def stopping(self, engine: HollowEngine, node: NodeId) -> None:
-        """Note who was told of a drain."""
+        """Record that a node received the report of a drain or a departure."""
         self._history.stops.append(StopReported(self._fleet.world.now, node, engine.record.engine))
 
-    # What flows ask
+    # Requests of flows
 
     def flow_output(self, node: NodeId, output: FlowOutput, now: float) -> None:
-        """Carry out a dispatch or a close."""
+        """Carry out a dispatch, a close or a probe."""
         effect: Effect = output.effect
         if isinstance(effect, Dispatch):
             self._dispatch(node, output.request, effect, now)
         elif isinstance(effect, CloseUpstream):
-            key = (node, self._fleet.world.boot(node), output.request, effect.attempt)
+            key = ConnectionKey(node, self._fleet.world.boot(node), output.request, effect.attempt)
             self._close(key)
         elif isinstance(effect, ProbeEngine):
-            self._fleet.world.scheduler.after(PROBE_S, lambda: self._answer_probe(node, effect.record))
+            self._fleet.world.scheduler.after(PROBE_DELAY_S, lambda: self._answer_probe(node, effect.record))
 
     def _answer_probe(self, node: NodeId, record: EngineRecord) -> None:
         engine = self._by_address.get(record.address)
         alive = engine is not None and engine.running
 
-        def tell(process: Process) -> None:
+        def report(process: Process) -> None:
             assert isinstance(process, HollowNode)
             process.agent.router.engine_probed(record, alive, self._fleet.world.now)
 
-        self._fleet.world.call(node, tell)
+        self._fleet.world.call(node, report)
 
     def _dispatch(self, node: NodeId, request: RequestId, effect: Dispatch, now: float) -> None:
         world = self._fleet.world
@@ -182,11 +196,11 @@
                 process.agent.view.revision,
             )
         )
-        key = (node, process.boot, request, effect.attempt)
+        key = ConnectionKey(node, process.boot, request, effect.attempt)
         exchange = EngineExchange(effect, request, lambda event: self._reply(key, event))
-        world.scheduler.after(WIRE_S, lambda: self._connect(key, exchange))
+        world.scheduler.after(NETWORK_DELAY_S, lambda: self._connect(key, exchange))
 
-    def _connect(self, key: Connection, exchange: EngineExchange) -> None:
+    def _connect(self, key: ConnectionKey, exchange: EngineExchange) -> None:
         node, boot, request, attempt = key
         engine = self._by_address.get(exchange.dispatch.engine.address)
         if self._fleet.world.boot(node) != boot or exchange.closed:
@@ -195,37 +209,37 @@
             self._history.unreached.append(Unreached(request, attempt))
             self._reply(key, UpstreamFailed(attempt, UpstreamCause.REFUSED, sent=False))
             return
-        self._connections[key] = (engine, exchange)
+        self._connections[key] = Connection(engine, exchange)
         engine.accept(exchange)
 
-    def _reply(self, key: Connection, event: UpstreamEvent) -> None:
+    def _reply(self, key: ConnectionKey, event: UpstreamEvent) -> None:
         node, boot, request, _ = key
         world = self._fleet.world
         connection = self._connections.get(key)
-        if connection is not None and _shows(connection[1], event):
-            self._note_bad(key, connection)
+        if connection is not None and _reveals_fault(connection.exchange, event):
+            self._record_bad_response(key, connection)
 
         def arrive() -> None:
             if world.boot(node) == boot and world.process(node) is not None:
                 world.give(node, FlowInput(request, event))
 
-        world.scheduler.after(WIRE_S, arrive)
+        world.scheduler.after(NETWORK_DELAY_S, arrive)
 
-    def _note_bad(self, key: Connection, connection: tuple[HollowEngine, EngineExchange]) -> None:
+    def _record_bad_response(self, key: ConnectionKey, connection: Connection) -> None:
         engine, exchange = connection
         exchange.bad = False
         record = engine.record
         now = self._fleet.world.now
-        self._history.bad_responses.append(BadResponse(now, record.service, record.version, key[2]))
+        self._history.bad_responses.append(BadResponse(now, record.service, record.version, key.request))
 
-    def _close(self, key: Connection) -> None:
+    def _close(self, key: ConnectionKey) -> None:
         connection = self._connections.pop(key, None)
         if connection is None:
             return
         engine, exchange = connection
         if exchange.bad and exchange.fault is AnswerFault.SILENT:
-            # A silent answer is bad once the node has given up on it.
-            self._note_bad(key, connection)
+            # A missing response is bad once the node has given up on it.
+            self._record_bad_response(key, connection)
         engine.closed(exchange)
 
     # Faults
@@ -234,13 +248,13 @@
         """Close the connections of a node whose process ends."""
         if not isinstance(fault, Kill | PowerCut | Restart):
             return
-        for key in [key for key in self._connections if key[0] == fault.node]:
+        for key in [key for key in self._connections if key.node == fault.node]:
             engine, exchange = self._connections.pop(key)
             engine.closed(exchange)
 
 
-def _shows(exchange: EngineExchange, event: UpstreamEvent) -> bool:
-    """Say whether ``event`` is the one by which a bad answer shows."""
+def _reveals_fault(exchange: EngineExchange, event: UpstreamEvent) -> bool:
+    """Return whether ``event`` is the one by which a node observes that a response is bad."""
     if not exchange.bad:
         return False
     if exchange.fault is AnswerFault.CUT:
--- a/src/springmux/simulation/traffic/engine_reports.py
+++ b/src/springmux/simulation/traffic/engine_reports.py
@@ -1,4 +1,4 @@
-"""What a hollow back end tells the fleet: it announces itself, sends heartbeats, drains and leaves."""
+"""Reports of a hollow backend to the fleet: announcement, heartbeats, drain and departure."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 from springmux.vocabulary.engines import EngineLoad, EngineRecord, EngineStatus
 
 HEARTBEAT_S = 1.0
-"""About once a second, as docs/API.md asks."""
+"""Mean heartbeat interval (docs/API.md)."""
 RETRY_S = 0.3
-"""A report that no node took is repeated this soon."""
+"""Delay before a report that no node accepted is sent again."""
 MAX_HEARTBEAT_DELAY_S = 0.5
-"""A heartbeat is late by up to this."""
+"""A heartbeat is delayed by up to this."""
 
 
 class ReportReceiver(Protocol):
     """The nodes as an engine reaches them."""
 
     def report(self, event: Event, source: random.Random) -> NodeId | None:
-        """Hand a report to some node that takes it; ``None`` if none does now."""
+        """Deliver a report to some node; return it, or ``None`` if no node accepts reports now."""
         ...
 
 
 class EngineLoadSample(msgspec.Struct, frozen=True):
-    """Load at one moment."""
+    """Load of an engine at one moment. ``cache_used``: fraction of the cache in use, 0..1."""
 
     running: int
     queued: int
@@ -39,15 +39,16 @@
 
 
 class EngineReporter:
-    """Reports one engine from its start to its end.
+    """Sends the reports of one engine from its start to its end.
 
-    :param stop_reported: called with the node that was told that the engine drains or leaves.
+    :param load: returns the engine's load now.
+    :param stop_reported: called with the node that received the report of a drain or a departure.
     """
 
     def __init__(
         self,
         record: EngineRecord,
-        figures: Callable[[], EngineLoadSample],
+        load: Callable[[], EngineLoadSample],
         scheduler: Scheduler,
         clock: Callable[[], float],
         nodes: ReportReceiver,
@@ -55,80 +56,81 @@
         source: random.Random,
     ) -> None:
         self.record = record
-        self.dark = False
+        self.unresponsive = False
         self.draining = False
-        self._figures = figures
+        self._sample_load = load
         self._scheduler = scheduler
         self._clock = clock
         self._nodes = nodes
         self._stop_reported = stop_reported
         self._random = source
-        self._life = 0
+        self._generation = 0
+        """Incremented at each start and end; callbacks of an earlier generation are ignored."""
         self._sequence = 0
 
     def start(self) -> None:
-        """Announce until a node takes it, then send heartbeats."""
-        self._life += 1
-        self._announce(self._life)
+        """Announce the engine until a node accepts it, then send heartbeats."""
+        self._generation += 1
+        self._announce(self._generation)
 
     def end(self) -> None:
-        """Say nothing more; what was already under way to a node still arrives."""
-        self._life += 1
+        """Send nothing more; reports already in flight still arrive."""
+        self._generation += 1
 
     def drain(self) -> None:
-        """Say that no new request shall come."""
+        """Report that the engine accepts no new requests."""
         self.draining = True
-        self._report_stop(EngineDraining(self.record.engine, self.record.incarnation), self._life)
+        self._report_stop(EngineDraining(self.record.engine, self.record.incarnation), self._generation)
 
     def leave(self) -> None:
-        """Say goodbye. Nothing more is said if no node hears it: the engine is gone."""
+        """Report that the engine leaves. The report is not repeated once the engine has ended."""
         self.draining = True
-        self._report_stop(EngineLeft(self.record.engine, self.record.incarnation), self._life)
+        self._report_stop(EngineLeft(self.record.engine, self.record.incarnation), self._generation)
 
-    def _announce(self, life: int) -> None:
-        if life != self._life:
+    def _announce(self, generation: int) -> None:
+        if generation != self._generation:
             return
-        if self.dark or self._nodes.report(EngineAnnounced(self.record), self._random) is None:
-            self._scheduler.after(RETRY_S, lambda: self._announce(life))
+        if self.unresponsive or self._nodes.report(EngineAnnounced(self.record), self._random) is None:
+            self._scheduler.after(RETRY_S, lambda: self._announce(generation))
             return
-        self._schedule_heartbeat(life)
+        self._schedule_heartbeat(generation)
 
-    def _schedule_heartbeat(self, life: int) -> None:
+    def _schedule_heartbeat(self, generation: int) -> None:
         self._scheduler.after(
-            HEARTBEAT_S * self._random.uniform(0.9, 1.1), lambda: self._send_heartbeat(life)
+            HEARTBEAT_S * self._random.uniform(0.9, 1.1), lambda: self._send_heartbeat(generation)
         )
 
-    def _send_heartbeat(self, life: int) -> None:
-        if life != self._life:
+    def _send_heartbeat(self, generation: int) -> None:
+        if generation != self._generation:
             return
-        self._schedule_heartbeat(life)
-        if self.dark:
+        self._schedule_heartbeat(generation)
+        if self.unresponsive:
             return
         heartbeat = self._heartbeat()
         draining = self.draining
 
-        def tell() -> None:
-            if life != self._life or self.dark:
+        def send() -> None:
+            if generation != self._generation or self.unresponsive:
                 return
             node = self._nodes.report(heartbeat, self._random)
             if node is not None and draining:
                 self._stop_reported(node)
 
-        self._scheduler.after(MAX_HEARTBEAT_DELAY_S * self._random.random(), tell)
+        self._scheduler.after(MAX_HEARTBEAT_DELAY_S * self._random.random(), send)
 
     def _heartbeat(self) -> EngineHeartbeat:
         self._sequence += 1
         status = EngineStatus.DRAINING if self.draining else EngineStatus.READY
         record = msgspec.structs.replace(self.record, sequence=self._sequence, status=status)
-        figures = self._figures()
-        load = EngineLoad(record.engine, figures.running, figures.queued, figures.cache_used, self._clock())
+        sample = self._sample_load()
+        load = EngineLoad(record.engine, sample.running, sample.queued, sample.cache_used, self._clock())
         return EngineHeartbeat(record, load)
 
-    def _report_stop(self, event: Event, life: int) -> None:
-        if life != self._life:
+    def _report_stop(self, event: Event, generation: int) -> None:
+        if generation != self._generation:
             return
         node = self._nodes.report(event, self._random)
         if node is None:
-            self._scheduler.after(RETRY_S, lambda: self._report_stop(event, life))
+            self._scheduler.after(RETRY_S, lambda: self._report_stop(event, generation))
             return
         self._stop_reported(node)
--- a/src/springmux/simulation/traffic/hollow_engine.py
+++ b/src/springmux/simulation/traffic/hollow_engine.py
@@ -1,10 +1,11 @@
-"""A hollow back end: the engine model behind an address in virtual time, and what it tells the fleet."""
+"""A hollow backend: the engine model behind an address in virtual time, with its reports to the fleet."""
 
 from __future__ import annotations
 
 import json
 import random
 from collections.abc import Callable
+from dataclasses import dataclass
 from typing import Protocol
 
 import msgspec
@@ -20,6 +21,7 @@
     UpstreamHead,
 )
 from springmux.simulation.engine_model import (
+    BYTES_PER_TOKEN,
     GOOD,
     AnswerFault,
     AnswerPlan,
@@ -29,23 +31,23 @@
 from springmux.simulation.traffic.engine_reports import EngineLoadSample, EngineReporter, ReportReceiver
 from springmux.simulation.world.scheduler import Scheduler
 from springmux.vocabulary.engines import EngineRecord
-from springmux.vocabulary.names import RequestId, RouteName
+from springmux.vocabulary.names import EngineId, RequestId, RouteName
 
 
 class EngineObserver(Protocol):
-    """Who is told what the engine did, for the history."""
+    """Receives what the engine did, for the history."""
 
     def executed(self, engine: HollowEngine, action: str, request: RequestId) -> None:
-        """A call was carried out."""
+        """Handle the execution of a call's action."""
         ...
 
     def stopping(self, engine: HollowEngine, node: NodeId) -> None:
-        """A node was told that the engine drains or leaves."""
+        """Handle that a node received the report of a drain or a departure."""
         ...
 
 
 class ChatFields(msgspec.Struct):
-    """What the engine needs of a prompt's body."""
+    """The fields of a chat completion request that the engine reads."""
 
     model: str
     messages: list[dict[str, str]]
@@ -53,7 +55,7 @@
 
 
 class EngineExchange:
-    """One connection with one request. ``reply`` takes what the engine sends, until it is closed."""
+    """One connection with one request. ``reply`` receives what the engine sends until it closes."""
 
     __slots__ = ("bad", "closed", "dispatch", "fault", "reply", "request")
 
@@ -65,19 +67,47 @@
         self.reply = reply
         self.closed = False
         self.bad = False
-        """Whether the answer departs from a good version's, and nobody has noticed yet."""
+        """Whether the response is worse than a good version's, and no node has observed it yet."""
         self.fault = AnswerFault.NONE
 
 
 def piece_text(request: str, engine: str, seq: int) -> str:
-    """Return the text of one piece, from which a caller sees whose answer it is, and whence."""
+    """Return the text of one chunk, which names its request, its engine and its sequence number."""
     return f"{request}.{engine}.{seq}"
 
 
+@dataclass(frozen=True, slots=True)
+class _Stream:
+    """One streamed response. ``chunks``: number of its chunks."""
+
+    exchange: EngineExchange
+    model: EngineModel
+    chat: ChatFields
+    plan: AnswerPlan
+    chunks: int
+
+    def chunk(self, engine: EngineId, seq: int) -> bytes:
+        """Return the server-sent event of one chunk; the last one carries the usage."""
+        request, chat = self.exchange.request, self.chat
+        last = seq + 1 == self.chunks
+        finish = b'"stop"' if last else b"null"
+        usage = b""
+        if last:
+            prompt = sum(len(message["content"]) for message in chat.messages) // BYTES_PER_TOKEN
+            usage = b',"usage":{"prompt_tokens":%d,"completion_tokens":%d}' % (prompt, chat.max_tokens)
+        text = piece_text(request, engine, seq).encode()
+        return (
+            b'data: {"id":"%b","object":"chat.completion.chunk","seq":%d,"choices":[{"index":0,'
+            b'"delta":{"content":"%b"},"finish_reason":%b}]%b}\n\n'
+        ) % (request.encode(), seq, text, finish, usage)
+
+
 class HollowEngine:
-    """One back end process at one address.
+    """One backend process at one address.
 
-    ``thinning``: tokens in one piece of a stream; more than 1 makes runs faster.
+    :param model: the engine model, or ``None`` for a service that executes calls.
+    :param work_s: mean duration of a call in seconds.
+    :param thinning: tokens in one chunk of a stream; more than 1 makes runs faster.
     """
 
     def __init__(
@@ -88,7 +118,7 @@
         scheduler: Scheduler,
         clock: Callable[[], float],
         nodes: ReportReceiver,
-        watch: EngineObserver,
+        observer: EngineObserver,
         source: random.Random,
         work_s: float = 0.015,
         thinning: int = 1,
@@ -96,36 +126,37 @@
         self.model = model
         self.behaviour = behaviour
         self.running = False
-        self.dark = False
+        self.unresponsive = False
         self._scheduler = scheduler
         self._clock = clock
-        self._watch = watch
+        self._observer = observer
         self._random = source
         self._work_s = work_s
         self._thinning = thinning
         self._exchanges: dict[RequestId, EngineExchange] = {}
         self._waiting: dict[RequestId, EngineExchange] = {}
-        self._life = 0
+        self._generation = 0
+        """Incremented at each start and end; callbacks of an earlier generation are ignored."""
         self._reporter = EngineReporter(
-            record, self._figures, scheduler, clock, nodes, lambda node: watch.stopping(self, node), source
+            record, self._load, scheduler, clock, nodes, lambda node: observer.stopping(self, node), source
         )
 
     @property
     def record(self) -> EngineRecord:
-        """Return what the engine says of itself."""
+        """Return the record that the engine reports of itself."""
         return self._reporter.record
 
     @property
     def draining(self) -> bool:
-        """Return whether the engine has asked for no more requests."""
+        """Return whether the engine has reported that it drains."""
         return self._reporter.draining
 
-    # Its life
+    # Process lifecycle
 
     def start(self) -> None:
-        """Listen, announce (until a node takes it), and send heartbeats."""
+        """Listen, announce the engine, and send heartbeats."""
         self.running = True
-        self._life += 1
+        self._generation += 1
         if self.model is not None:
             # A version that turns bad late does so by its process's age, at all engines alike.
             self.model.bad_since = self._clock()
@@ -136,13 +167,13 @@
         self._reporter.record = msgspec.structs.replace(self.record, incarnation=incarnation)
         self._reporter.draining = False
         self.model = model
-        self.go_dark(False)
+        self.set_unresponsive(False)
         self.start()
 
     def crash(self) -> None:
-        """Vanish: every connection is reset, nothing is said."""
+        """End at once: every connection is reset, nothing is reported."""
         self.running = False
-        self._life += 1
+        self._generation += 1
         self._reporter.end()
         exchanges, self._exchanges = list(self._exchanges.values()), {}
         self._waiting.clear()
@@ -155,65 +186,65 @@
                 exchange.bad = False
                 exchange.reply(UpstreamFailed(exchange.dispatch.attempt, UpstreamCause.RESET, sent=True))
 
-    def go_dark(self, dark: bool) -> None:
-        """Accept connections and say nothing more, or speak again (what waited stays lost)."""
-        self.dark = dark
-        self._reporter.dark = dark
+    def set_unresponsive(self, unresponsive: bool) -> None:
+        """Accept connections without any response or report, or end that; what was dropped stays lost."""
+        self.unresponsive = unresponsive
+        self._reporter.unresponsive = unresponsive
 
     def drain(self) -> None:
-        """Say that no new request shall come."""
+        """Report that the engine accepts no new requests."""
         self._reporter.drain()
 
     def leave(self) -> None:
-        """Say goodbye and stop; what still runs is reset."""
+        """Report the departure and end; running exchanges are reset."""
         self._reporter.leave()
         self.crash()
 
-    def _figures(self) -> EngineLoadSample:
+    def _load(self) -> EngineLoadSample:
         model = self.model
         if model is None:
             return EngineLoadSample(len(self._exchanges), 0, 0.0)
         return EngineLoadSample(model.running, model.queued, model.cache.used_share)
 
-    # Its exchanges
+    # Exchanges
 
     def accept(self, exchange: EngineExchange) -> None:
-        """Take a request."""
-        if self.dark:
+        """Accept a request."""
+        if self.unresponsive:
             return
         self._exchanges[exchange.request] = exchange
         if self.model is None:
-            self._call(exchange)
+            self._start_call(exchange)
         elif self.model.arrive(exchange.request):
-            self._prompt(exchange, self.model)
+            self._start_prompt(exchange, self.model)
         else:
             self._waiting[exchange.request] = exchange
 
     def closed(self, exchange: EngineExchange) -> None:
-        """The node closed the connection. A call goes on regardless, as services do."""
+        """Handle that the node closed the connection. A call runs on regardless, as in services."""
         exchange.closed = True
         if self.model is not None:
-            self._leave(exchange)
+            self._release(exchange)
 
-    def _leave(self, exchange: EngineExchange) -> None:
+    def _release(self, exchange: EngineExchange) -> None:
         if self._exchanges.pop(exchange.request, None) is None or self.model is None:
             return
         self._waiting.pop(exchange.request, None)
         successor = self.model.leave(exchange.request)
         waiting = self._waiting.pop(successor, None) if successor is not None else None
         if waiting is not None:
-            self._prompt(waiting, self.model)
+            self._start_prompt(waiting, self.model)
 
-    def _later(self, delay_s: float, exchange: EngineExchange, action: Callable[[], None]) -> None:
-        life = self._life
+    def _schedule(self, delay_s: float, exchange: EngineExchange, action: Callable[[], None]) -> None:
+        generation = self._generation
 
         def act() -> None:
-            if life == self._life and not exchange.closed and not self.dark:
+            if generation == self._generation and not exchange.closed and not self.unresponsive:
                 action()
 
         self._scheduler.after(delay_s, act)
 
-    def _prompt(self, exchange: EngineExchange, model: EngineModel) -> None:
+    def _start_prompt(self, exchange: EngineExchange, model: EngineModel) -> None:
         chat = msgspec.json.decode(exchange.dispatch.body, type=ChatFields)
         now = self._clock()
         text = "\n".join(message["content"] for message in chat.messages).encode()
@@ -221,88 +252,67 @@
         exchange.bad = plan.departs
         exchange.fault = plan.fault
         if plan.fault is not AnswerFault.SILENT:
-            self._later(plan.first_piece_delay_s, exchange, lambda: self._begin(exchange, model, chat, plan))
-
-    def _begin(
-        self, exchange: EngineExchange, model: EngineModel, chat: ChatFields, plan: AnswerPlan
-    ) -> None:
-        attempt = exchange.dispatch.attempt
-        if plan.fault is AnswerFault.ERROR:
-            self._head(exchange, 500, "application/json", exchange.request)
-            self._end(exchange)
+            chunks = max(1, chat.max_tokens // self._thinning)
+            stream = _Stream(exchange, model, chat, plan, chunks)
+            self._schedule(plan.first_piece_delay_s, exchange, lambda: self._begin(stream))
+
+    def _begin(self, stream: _Stream) -> None:
+        exchange, fault = stream.exchange, stream.plan.fault
+        if fault is AnswerFault.ERROR:
+            self._send_head(exchange, 500, "application/json", exchange.request)
+            self._send_end(exchange)
             return
-        wrong = plan.fault is AnswerFault.WRONG_ID
+        wrong = fault is AnswerFault.WRONG_ID
         name = RequestId("crossed-" + exchange.request) if wrong else exchange.request
-        self._head(exchange, 200, "text/event-stream", name)
-        if plan.fault is AnswerFault.GARBAGE:
-            exchange.reply(UpstreamData(attempt, b"data: {not json\n\n"))
-            self._end(exchange)
+        self._send_head(exchange, 200, "text/event-stream", name)
+        if fault is AnswerFault.GARBAGE:
+            exchange.reply(UpstreamData(exchange.dispatch.attempt, b"data: {not json\n\n"))
+            self._send_end(exchange)
             return
-        pieces = max(1, chat.max_tokens // self._thinning)
-        self._piece(exchange, model, chat, plan, 0, pieces)
+        self._send_chunk(stream, 0)
 
-    def _piece(
-        self,
-        exchange: EngineExchange,
-        model: EngineModel,
-        chat: ChatFields,
-        plan: AnswerPlan,
-        seq: int,
-        pieces: int,
-    ) -> None:
+    def _send_chunk(self, stream: _Stream, seq: int) -> None:
+        exchange, plan = stream.exchange, stream.plan
         attempt = exchange.dispatch.attempt
-        if plan.fault is AnswerFault.CUT and seq >= min(plan.cut_after, pieces - 1):
+        if plan.fault is AnswerFault.CUT and seq >= min(plan.cut_after, stream.chunks - 1):
             exchange.reply(UpstreamFailed(attempt, UpstreamCause.RESET, sent=True))
-            self._leave(exchange)
+            self._release(exchange)
             return
-        exchange.reply(UpstreamData(attempt, self._chunk(exchange.request, chat, seq, pieces)))
-        if seq + 1 == pieces:
+        exchange.reply(UpstreamData(attempt, stream.chunk(self.record.engine, seq)))
+        if seq + 1 == stream.chunks:
             exchange.reply(UpstreamData(attempt, b"data: [DONE]\n\n"))
-            self._end(exchange)
+            self._send_end(exchange)
             return
-        gap_s = model.piece_gap_s(RouteName(chat.model), self._clock()) * self._thinning
-        self._later(gap_s, exchange, lambda: self._piece(exchange, model, chat, plan, seq + 1, pieces))
-
-    def _chunk(self, request: RequestId, chat: ChatFields, seq: int, pieces: int) -> bytes:
-        last = seq + 1 == pieces
-        finish = b'"stop"' if last else b"null"
-        usage = b""
-        if last:
-            prompt = sum(len(message["content"]) for message in chat.messages) // 4
-            usage = b',"usage":{"prompt_tokens":%d,"completion_tokens":%d}' % (prompt, chat.max_tokens)
-        text = piece_text(request, self.record.engine, seq).encode()
-        return (
-            b'data: {"id":"%b","object":"chat.completion.chunk","seq":%d,"choices":[{"index":0,'
-            b'"delta":{"content":"%b"},"finish_reason":%b}]%b}\n\n'
-        ) % (request.encode(), seq, text, finish, usage)
+        gap_s = stream.model.piece_gap_s(RouteName(stream.chat.model), self._clock()) * self._thinning
+        self._schedule(gap_s, exchange, lambda: self._send_chunk(stream, seq + 1))
 
-    def _call(self, exchange: EngineExchange) -> None:
+    def _start_call(self, exchange: EngineExchange) -> None:
         headers = dict(exchange.dispatch.headers)
         action = headers["X-Idempotency-Key"]
-        life = self._life
+        generation = self._generation
 
         def run() -> None:
             # The effect happens although the connection may be closed: the service has begun.
-            if life != self._life:
+            if generation != self._generation:
                 return
-            self._watch.executed(self, action, exchange.request)
-            self._later(self._work_s * 0.2, exchange, answer)
+            self._observer.executed(self, action, exchange.request)
+            self._schedule(self._work_s * 0.2, exchange, answer)
 
         def answer() -> None:
             if self._random.random() < self.behaviour.silent_share:
                 return
             body = json.dumps({"action": action, "done": True}).encode()
-            self._head(exchange, 200, "application/json", exchange.request, len(body))
+            self._send_head(exchange, 200, "application/json", exchange.request, len(body))
             exchange.reply(UpstreamData(exchange.dispatch.attempt, body))
-            self._end(exchange)
+            self._send_end(exchange)
 
         if self.behaviour is not GOOD and self._random.random() < self.behaviour.error_share:
-            self._head(exchange, 500, "application/json", exchange.request)
-            self._end(exchange)
+            self._send_head(exchange, 500, "application/json", exchange.request)
+            self._send_end(exchange)
             return
         self._scheduler.after(self._work_s * self._random.uniform(0.5, 1.5), run)
 
-    def _head(
+    def _send_head(
         self,
         exchange: EngineExchange,
         status: int,
@@ -320,10 +330,10 @@
             headers["content-length"] = str(length)
         exchange.reply(UpstreamHead(exchange.dispatch.attempt, status, headers))
 
-    def _end(self, exchange: EngineExchange) -> None:
+    def _send_end(self, exchange: EngineExchange) -> None:
         exchange.reply(UpstreamEnd(exchange.dispatch.attempt))
         exchange.closed = True
-        self._leave(exchange)
+        self._release(exchange)
         self._exchanges.pop(exchange.request, None)
 
 
