--- a/src/springmux/simulation/checkers/all_checkers.py
+++ b/src/springmux/simulation/checkers/all_checkers.py
@@ -1,4 +1,4 @@
-"""All checkers together."""
+"""Create and run all checkers."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def make_checkers(history: History, context: RunContext) -> list[Checker]:
-    """Return one of each."""
+    """Return one checker of each kind."""
     return [
         AtMostOnceChecker(history),
         CompleteResponseChecker(history),
@@ -40,6 +40,6 @@
 
 
 def check(history: History, context: RunContext) -> list[Violation]:
-    """Return what all checkers found, in the order of time."""
+    """Return the violations found by all checkers, in the order of time."""
     found = [violation for checker in make_checkers(history, context) for violation in checker.violations()]
     return sorted(found, key=lambda violation: violation.at)
--- a/src/springmux/simulation/checkers/at_most_once.py
+++ b/src/springmux/simulation/checkers/at_most_once.py
@@ -1,4 +1,4 @@
-"""An action runs at most once, and never under a request that its caller was told was refused."""
+"""Check that an action runs at most once, and never under a request that was rejected."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 class AtMostOnceChecker:
-    """Compares executions with what callers were told."""
+    """Compares executions with the responses to clients."""
 
     def __init__(self, history: History) -> None:
         self._history = history
 
     def violations(self) -> list[Violation]:
-        """Return actions that ran twice or after a refusal."""
+        """Return actions that ran twice, or under a rejected request."""
         return self._twice() + self._after_refusal()
 
     def _twice(self) -> list[Violation]:
--- a/src/springmux/simulation/checkers/consistency.py
+++ b/src/springmux/simulation/checkers/consistency.py
@@ -1,4 +1,4 @@
-"""Invariants of the control log itself: one leader a term, and equal states at equal revisions."""
+"""Check the invariants of the control log: one leader per term, equal states at equal revisions."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ConsistencyChecker:
-    """Compares what nodes say of themselves (Ongaro and Ousterhout 2014, figure 3)."""
+    """Compares the samples of all nodes (Ongaro and Ousterhout 2014, figure 3)."""
 
     def __init__(self, history: History) -> None:
         self._history = history
--- a/src/springmux/simulation/checkers/delivery.py
+++ b/src/springmux/simulation/checkers/delivery.py
@@ -1,4 +1,4 @@
-"""A change is in force at every connected node about 2 s after its acknowledgement, and never undone."""
+"""Check that connected nodes apply a change about 2 s after its acknowledgement, and never undo it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class DeliveryChecker:
-    """Nodes may lag only while they serve nobody."""
+    """Checks the revisions of serving and of ready nodes; others may lag."""
 
     def __init__(self, history: History) -> None:
         self._history = history
--- a/src/springmux/simulation/checkers/draining.py
+++ b/src/springmux/simulation/checkers/draining.py
@@ -1,4 +1,4 @@
-"""A draining engine gets no new request more than about 2 s after a node learned that it is leaving."""
+"""Check that an engine gets no new request about 2 s after a node learned that it drains."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class DrainChecker:
-    """Counts from the first node that was told and could pass it on.
+    """Measures from the report to the first node that could disseminate it.
 
-    A node that is not ready two seconds later (killed, or cut off) is not counted as having been told: it
-    cannot tell anybody. The engine's next report, within about a second, reaches another node.
+    A node that is not ready two seconds later (killed, or partitioned) does not count, because it could not
+    disseminate the report. The engine's next report, within about a second, reaches another node.
     """
 
     def __init__(self, history: History) -> None:
--- a/src/springmux/simulation/checkers/durability.py
+++ b/src/springmux/simulation/checkers/durability.py
@@ -1,4 +1,4 @@
-"""What was acknowledged outlives every fault, and service is back soon after a restart of everything."""
+"""Check that acknowledged changes survive every fault, and that service returns after a full restart."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from springmux.simulation.world.faults import Restart
 
 SERVICE_BACK_S = 12.0
-TOGETHER_S = 1.0
-"""Restarts of every node within this are a restart of everything."""
+FULL_RESTART_WINDOW_S = 1.0
+"""Restarts of all nodes within this time count as a full restart."""
 
 
 class DurabilityChecker:
-    """Compares the fleet at the end with what operators were told."""
+    """Compares the final state of the fleet with the replies to operators."""
 
     def __init__(self, history: History, context: RunContext) -> None:
         self._history = history
@@ -64,9 +64,9 @@
 
     def _slow_restarts(self) -> list[Violation]:
         found = []
-        for at in self._whole_restarts():
+        for at in self._full_restarts():
             limit = at + SERVICE_BACK_S
-            if any(at + TOGETHER_S < seen.at < limit for seen in self._history.faults):
+            if any(at + FULL_RESTART_WINDOW_S < seen.at < limit for seen in self._history.faults):
                 continue
             ready = {s.node for s in self._history.samples if s.ready and at < s.at <= limit}
             missing = tuple(p.node for p in self._context.deployment.places() if p.node not in ready)
@@ -75,13 +75,13 @@
                 found.append(Violation("service back", limit, missing, text))
         return found
 
-    def _whole_restarts(self) -> list[float]:
+    def _full_restarts(self) -> list[float]:
         restarts = [seen for seen in self._history.faults if isinstance(seen.fault, Restart)]
         nodes = len(self._context.deployment.places())
         times = []
         for position, seen in enumerate(restarts):
             group = restarts[position : position + nodes]
             names = {each.fault.node for each in group if isinstance(each.fault, Restart)}
-            if len(names) == nodes and group[-1].at - seen.at <= TOGETHER_S:
+            if len(names) == nodes and group[-1].at - seen.at <= FULL_RESTART_WINDOW_S:
                 times.append(group[-1].at)
         return times
--- a/src/springmux/simulation/checkers/exposure.py
+++ b/src/springmux/simulation/checkers/exposure.py
@@ -1,4 +1,4 @@
-"""A bad version gets at most its share of its service's prompts during its rollout, and is soon left."""
+"""Check that a bad version gets at most its share of prompts, and none soon after its bad responses."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 from springmux.simulation.run_context import RunContext
 
 SMALL_ALLOWANCE = 20
-"""Prompts on top of the share, as a plan's default."""
+"""Prompts allowed beyond the share, as in a plan's default."""
 BAD_RESPONSES = 50
-"""Brief: counted from the fiftieth bad answer."""
+"""The rollback time counts from this bad response."""
 ROLLBACK_S = 5.0
 ROLLBACK_SLACK_S = 0.25
 
 
 class ExposureChecker:
-    """The share of a bad candidate, at every moment of its rollout."""
+    """Checks the share of a bad candidate at every moment of its rollout."""
 
     def __init__(self, history: History, context: RunContext) -> None:
         self._history = history
@@ -39,7 +39,7 @@
 
 
 class RollbackChecker:
-    """How long a bad candidate is sent to after its fiftieth bad answer."""
+    """Checks how long a bad candidate gets prompts after its fiftieth bad response."""
 
     def __init__(self, history: History, context: RunContext) -> None:
         self._history = history
--- a/src/springmux/simulation/checkers/finishing.py
+++ b/src/springmux/simulation/checkers/finishing.py
@@ -1,4 +1,4 @@
-"""A good rollout is done by its term, and its end refuses nobody."""
+"""Check that a good rollout is done by its term, and that its end rejects no request."""
 
 from __future__ import annotations
 
@@ -94,7 +94,7 @@
 
 
 def _stalled(before: NodeSample | None, sample: NodeSample) -> bool:
-    """Say whether a leader's commit index stood still between two samples although entries waited."""
+    """Return whether a leader's commit index did not advance despite pending entries."""
     if before is None or before.term != sample.term:
         return False
     return sample.commit_index == before.commit_index < before.last_index
--- a/src/springmux/simulation/checkers/orders.py
+++ b/src/springmux/simulation/checkers/orders.py
@@ -1,4 +1,4 @@
-"""Of racing operators one wins, and an order sent again gets its first answer."""
+"""Check that one of several racing operators wins, and that a resent order gets its first reply."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 class OrdersChecker:
-    """Compares all answers that nodes gave to operators."""
+    """Compares all replies of nodes to operators."""
 
     def __init__(self, history: History) -> None:
         self._history = history
 
     def violations(self) -> list[Violation]:
-        """Return double winners, changed answers, and refusals of what was accepted."""
+        """Return double winners, changed replies, and rejections of orders that were decided."""
         return [*self._two_winners(), *self._changed_answers(), *self._refused_but_done()]
 
     def _two_winners(self) -> list[Violation]:
@@ -49,9 +49,9 @@
         return found
 
     def _refused_but_done(self) -> list[Violation]:
-        """An order whose every sending was answered as refused must not have been decided.
+        """Return the orders that were decided although every attempt to send them was rejected.
 
-        Only the last answer counts, and only if every sending was answered.
+        An order counts only if each of its attempts got a reply.
         """
         sent: dict[OrderId, int] = {}
         for each in self._history.ordered:
--- a/src/springmux/simulation/checkers/repeats.py
+++ b/src/springmux/simulation/checkers/repeats.py
@@ -1,4 +1,4 @@
-"""Repeats over all nodes stay below a fifth of the traffic in any ten seconds."""
+"""Check that retries of all nodes stay below a fifth of the traffic in any ten seconds."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 WINDOW_S = 10.0
 LARGEST_SHARE = 0.20
 FLOOR_PER_NODE = 3
-"""Repeats that each node may make however little traffic it has (its budget's floor)."""
+"""Retries that each node may make regardless of its traffic (the floor of its retry budget)."""
 
 
 class RepeatsChecker:
-    """Counts dispatches after one that may have reached an engine; a refused connection is no repeat."""
+    """Counts retries of dispatches that may have reached an engine; refused connections do not count."""
 
     def __init__(self, history: History, nodes: int) -> None:
         self._history = history
--- a/src/springmux/simulation/checkers/streams.py
+++ b/src/springmux/simulation/checkers/streams.py
@@ -1,4 +1,4 @@
-"""A stream skips, repeats and splices nothing, and ends as complete only after its last piece."""
+"""Check that streams have no gap, repetition or splice, and end as complete after the last chunk."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class StreamsChecker:
-    """Takes the faults that callers found in their streams' bytes."""
+    """Collects the faults that clients found in their streams."""
 
     def __init__(self, history: History) -> None:
         self._history = history
--- a/src/springmux/simulation/checkers/violation.py
+++ b/src/springmux/simulation/checkers/violation.py
@@ -1,4 +1,4 @@
-"""A broken promise, and what every checker offers."""
+"""Violations of a guarantee, and the interface of checkers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Violation(msgspec.Struct, frozen=True):
-    """One broken promise: which rule, when, at which nodes, and a sentence that says what happened."""
+    """One violated guarantee: the rule, the time, the nodes, and a sentence on what happened."""
 
     rule: str
     at: float
@@ -19,8 +19,8 @@
 
 
 class Checker(Protocol):
-    """Reads a history once it is complete."""
+    """Checks a complete history against one guarantee."""
 
     def violations(self) -> list[Violation]:
-        """Return every broken promise found, in the order of time."""
+        """Return every violation found, in the order of time."""
         ...
--- a/src/springmux/simulation/engine_model.py
+++ b/src/springmux/simulation/engine_model.py
@@ -142,7 +142,7 @@
         return len(self._waiting)
 
     def arrive(self, request: RequestId) -> bool:
-        """Take a request; ``True`` if it has a slot at once, else it waits in order."""
+        """Accept a request; return whether it gets a slot at once, or else waits in order."""
         if len(self._running) < self.spec.slots:
             self._running.add(request)
             return True
--- a/src/springmux/simulation/hollow_node.py
+++ b/src/springmux/simulation/hollow_node.py
@@ -62,7 +62,7 @@
         return self._outward(self.agent.start(now))
 
     def handle(self, event: Event, now: float) -> list[Effect]:
-        """Take one event."""
+        """Handle one event; return the effects to execute."""
         if isinstance(event, FlowInput):
             return self._take_flow_input(event, now)
         if isinstance(event, ClientRequestArrived):
--- a/src/springmux/simulation/placement/world.py
+++ b/src/springmux/simulation/placement/world.py
@@ -56,7 +56,7 @@
 
 
 def engine_records(count: int, slots: int) -> list[EngineRecord]:
-    """Return the records of ready engines e00, e01, …"""
+    """Return the records of ready engines, named e00, e01 and so on."""
     return [
         EngineRecord(EngineId(f"e{n:02}"), SERVICE, VERSION, Address(f"10.0.0.{n}:80"), slots, 1)
         for n in range(count)
--- a/src/springmux/simulation/rollout_baselines.py
+++ b/src/springmux/simulation/rollout_baselines.py
@@ -58,7 +58,7 @@
     """Compares every prompt of a route with every other, whatever was expected in the cache."""
 
     def record(self, outcome: PromptOutcome, now: float, watch: FirstTokenWatch | None = None) -> None:
-        """Take one outcome."""
+        """Record one outcome."""
         super().record(msgspec.structs.replace(outcome, expected_hit=0.5, prompt_bytes=1024), now, watch)
 
 
--- a/src/springmux/simulation/traffic/stream_reader.py
+++ b/src/springmux/simulation/traffic/stream_reader.py
@@ -1,4 +1,4 @@
-"""A caller's own check of a stream: one answer, from one engine, without a gap, ended by its last piece."""
+"""A client's check of a stream: one response, from one engine, without a gap, ended by its last chunk."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class StreamReader:
-    """Reads the bytes of one stream. ``fault``: the first broken promise, empty while all is well."""
+    """Reads the bytes of one stream. ``fault``: the first broken guarantee, empty for none."""
 
     __slots__ = ("_error_next", "_rest", "_source", "done", "error", "fault", "last", "pieces", "tokens")
 
@@ -46,48 +46,48 @@
         self._error_next = False
 
     def feed(self, data: bytes) -> None:
-        """Take bytes, split anywhere."""
+        """Process bytes of the stream, split anywhere."""
         *lines, self._rest = (self._rest + data).split(b"\n")
         for line in lines:
             if line == b"event: error":
                 self._error_next = True
             elif line.startswith(b"data: "):
-                self._take(line[6:])
+                self._process_payload(line[6:])
 
-    def _take(self, data: bytes) -> None:
+    def _process_payload(self, data: bytes) -> None:
         if self._error_next:
             self.error = data
             self._error_next = False
         elif data == b"[DONE]":
             self.done = True
             if not self.last:
-                self._blame("ended as complete before its last piece")
+                self._report_fault("ended as complete before its last piece")
         else:
-            self._take_chunk(data)
+            self._process_chunk(data)
 
-    def _take_chunk(self, data: bytes) -> None:
+    def _process_chunk(self, data: bytes) -> None:
         if self.done:
-            self._blame("a piece after the end")
+            self._report_fault("a piece after the end")
         try:
             chunk = _decode(data)
         except msgspec.DecodeError:
-            self._blame("a piece that is not a chunk")
+            self._report_fault("a piece that is not a chunk")
             return
         request, engine, seq = chunk.choices[0].delta.content.rsplit(".", 2)
         source = f"{request}.{engine}"
         self._source = self._source or source
         if source != self._source or request != chunk.id:
-            self._blame(f"a piece of {source} in the stream of {self._source}")
+            self._report_fault(f"a piece of {source} in the stream of {self._source}")
         if chunk.seq != self.pieces or seq != str(self.pieces):
-            self._blame(f"piece {chunk.seq} where piece {self.pieces} was due")
+            self._report_fault(f"piece {chunk.seq} where piece {self.pieces} was due")
         self.pieces += 1
         self.last = chunk.choices[0].finish_reason is not None
         if chunk.usage is not None:
             self.tokens = chunk.usage.prompt_tokens + chunk.usage.completion_tokens
 
     def belongs_to(self, request: str) -> bool:
-        """Say whether every piece was made for ``request``."""
+        """Return whether every chunk was generated for ``request``."""
         return not self._source or self._source.rsplit(".", 1)[0] == request
 
-    def _blame(self, fault: str) -> None:
+    def _report_fault(self, fault: str) -> None:
         self.fault = self.fault or fault
--- a/src/springmux/simulation/world/faults.py
+++ b/src/springmux/simulation/world/faults.py
@@ -31,11 +31,11 @@
 
 
 class Freeze(NodeFault, frozen=True, kw_only=True, tag="Freeze"):
-    """The process stands still; what comes for it is queued."""
+    """The process is suspended; its events are queued."""
 
 
 class Thaw(NodeFault, frozen=True, kw_only=True, tag="Thaw"):
-    """The process goes on, and everything queued reaches it at once."""
+    """The process resumes, and all queued events reach it at once."""
 
 
 class Wipe(NodeFault, frozen=True, kw_only=True, tag="Wipe"):
@@ -47,14 +47,14 @@
 
 
 class CutNode(NodeFault, frozen=True, kw_only=True, tag="CutNode"):
-    """Nothing passes from or to the node, in one direction or both."""
+    """Partition the node from all others, in one direction or both."""
 
     outward: bool = True
     inward: bool = True
 
 
 class CutZone(Fault, frozen=True, kw_only=True, tag="CutZone"):
-    """Nothing passes out of or into the zone."""
+    """Partition the zone from all others, in one direction or both."""
 
     zone: ZoneName
     outward: bool = True
@@ -62,14 +62,14 @@
 
 
 class CutPair(Fault, frozen=True, kw_only=True, tag="CutPair"):
-    """Nothing passes from ``source`` to ``target``."""
+    """Partition one direction, from ``source`` to ``target``."""
 
     source: NodeId
     target: NodeId
 
 
 class Heal(Fault, frozen=True, kw_only=True, tag="Heal"):
-    """Every cut ends."""
+    """Every partition is healed."""
 
 
 class SlowDisk(NodeFault, frozen=True, kw_only=True, tag="SlowDisk"):
@@ -139,12 +139,12 @@
     """Disturbances; each brings its own repair."""
     shortest_s: float = 0.5
     longest_s: float = 20.0
-    """Brief: a control machine may be cut off for twenty seconds or more."""
+    """A controller may be partitioned for twenty seconds or more."""
     kill: float = 1.0
     freeze: float = 1.0
-    cut_node: float = 1.0
-    cut_zone: float = 0.3
-    cut_pair: float = 0.3
+    partition_node: float = 1.0
+    partition_zone: float = 0.3
+    partition_pair: float = 0.3
     power_cut: float = 0.5
     wipe: float = 0.3
     slow_disk: float = 0.3
@@ -178,9 +178,9 @@
         kinds = {
             "kill": knobs.kill,
             "freeze": knobs.freeze,
-            "cut_node": knobs.cut_node,
-            "cut_zone": knobs.cut_zone,
-            "cut_pair": knobs.cut_pair if len(self._nodes) > 1 else 0.0,
+            "partition_node": knobs.partition_node,
+            "partition_zone": knobs.partition_zone,
+            "partition_pair": knobs.partition_pair if len(self._nodes) > 1 else 0.0,
             "clock_jump": knobs.clock_jump,
         }
         if self._disks:
@@ -206,13 +206,13 @@
                 return [Kill(at=at, node=node), Restart(at=end, node=node)]
             case "freeze":
                 return [Freeze(at=at, node=node), Thaw(at=end, node=node)]
-            case "cut_node":
+            case "partition_node":
                 outward = source.random() < 0.8
                 inward = not outward or source.random() < 0.8
                 return [CutNode(at=at, node=node, outward=outward, inward=inward), Heal(at=end)]
-            case "cut_zone":
+            case "partition_zone":
                 return [CutZone(at=at, zone=source.choice(self._zones)), Heal(at=end)]
-            case "cut_pair":
+            case "partition_pair":
                 first, second = source.sample(self._nodes, 2)
                 return [CutPair(at=at, source=first, target=second), Heal(at=end)]
             case "clock_jump":
--- a/src/springmux/simulation/world/network.py
+++ b/src/springmux/simulation/world/network.py
@@ -1,4 +1,4 @@
-"""The network model: latency by zone pair, loss, doubling, reordering, directed cuts, traffic counters."""
+"""The network model: latency by zone pair, loss, duplication, reordering, partitions, counters."""
 
 from __future__ import annotations
 
@@ -47,13 +47,13 @@
 
 
 class NetworkCounters:
-    """Messages and bytes sent, for each node and message type, and what became of them."""
+    """Counters of sent messages and bytes by node and type, and of lost and duplicated messages."""
 
     def __init__(self) -> None:
         self.messages: Counter[tuple[NodeId, str]] = Counter()
         self.bytes: Counter[tuple[NodeId, str]] = Counter()
         self.lost = 0
-        self.cut = 0
+        self.partitioned = 0
         self.duplicated = 0
 
     def messages_of(self, node: NodeId) -> int:
@@ -73,8 +73,8 @@
         return _by_type(self.bytes)
 
 
-class Cuts:
-    """Which directed pairs of nodes can't reach one another. Cuts nest: each needs its own healing."""
+class Partitions:
+    """Directed partitions between nodes. They nest: each one must be healed on its own."""
 
     def __init__(self) -> None:
         self._pairs: Counter[tuple[NodeId, NodeId]] = Counter()
@@ -83,22 +83,22 @@
         self._zone_out: Counter[ZoneName] = Counter()
         self._zone_into: Counter[ZoneName] = Counter()
 
-    def cut_pair(self, source: NodeId, target: NodeId, change: int = 1) -> None:
-        """Cut (or with -1 heal) one direction between two nodes."""
+    def partition_pair(self, source: NodeId, target: NodeId, change: int = 1) -> None:
+        """Partition one direction between two nodes, or heal it with ``change`` -1."""
         self._pairs[(source, target)] += change
 
-    def cut_node(self, node: NodeId, outward: bool, inward: bool, change: int = 1) -> None:
-        """Cut a node off from all others, in one direction or both."""
+    def partition_node(self, node: NodeId, outward: bool, inward: bool, change: int = 1) -> None:
+        """Partition a node from all others, in one direction or both."""
         self._out[node] += change * outward
         self._into[node] += change * inward
 
-    def cut_zone(self, zone: ZoneName, outward: bool, inward: bool, change: int = 1) -> None:
-        """Cut a zone off from all others; inside it messages still pass."""
+    def partition_zone(self, zone: ZoneName, outward: bool, inward: bool, change: int = 1) -> None:
+        """Partition a zone from all others; messages within it still pass."""
         self._zone_out[zone] += change * outward
         self._zone_into[zone] += change * inward
 
     def heal_all(self) -> None:
-        """End every cut."""
+        """Heal every partition."""
         for counter in (self._pairs, self._out, self._into, self._zone_out, self._zone_into):
             counter.clear()
 
@@ -114,11 +114,11 @@
 
 
 class Network:
-    """Decides for each message when it arrives, if at all and how often."""
+    """Decides for each message when it arrives, if at all, and how often."""
 
     def __init__(self, settings: NetworkSettings, random: random.Random) -> None:
         self.settings = settings
-        self.cuts = Cuts()
+        self.partitions = Partitions()
         self.counters = NetworkCounters()
         self._random = random
         self._zones: dict[NodeId, ZoneName] = {}
@@ -127,12 +127,12 @@
         self._busy_until: dict[NodeId, float] = {}
 
     def place(self, node: NodeId, zone: ZoneName) -> None:
-        """Say which zone a node is in."""
+        """Set the zone of a node."""
         self._zones[node] = zone
 
-    def is_cut(self, source: NodeId, target: NodeId) -> bool:
+    def is_partitioned(self, source: NodeId, target: NodeId) -> bool:
         """Return whether nothing passes from ``source`` to ``target`` now."""
-        return self.cuts.separates(source, self._zones[source], target, self._zones[target])
+        return self.partitions.separates(source, self._zones[source], target, self._zones[target])
 
     def arrivals(self, source: NodeId, target: NodeId, message: PeerMessage, now: float) -> list[float]:
         """Return the arrival times of a message sent now: none, one, or two.
@@ -143,8 +143,8 @@
         counters, settings, draw = self.counters, self.settings, self._random.random
         counters.messages[(source, kind)] += 1
         queued_s = self._count_bytes(source, kind, message, now) if settings.count_bytes else 0.0
-        if self.is_cut(source, target):
-            counters.cut += 1
+        if self.is_partitioned(source, target):
+            counters.partitioned += 1
             return []
         if settings.loss and draw() < settings.loss:
             counters.lost += 1
--- a/src/springmux/simulation/world/world.py
+++ b/src/springmux/simulation/world/world.py
@@ -38,14 +38,14 @@
 
 
 class Process(Protocol):
-    """What runs on a node: a pure part, or a composition of components."""
+    """What runs on a node: a state machine, or a composition of them."""
 
     def start(self, now: float) -> list[Effect]:
         """Begin at monotonic time ``now``."""
         ...
 
     def handle(self, event: Event, now: float) -> list[Effect]:
-        """Take one event."""
+        """Handle one event; return the effects to execute."""
         ...
 
     def next_deadline(self) -> float:
@@ -54,14 +54,14 @@
 
 
 class Hooks(Protocol):
-    """What the world's user does with effects and faults that the world itself does not know."""
+    """Handles effects and faults outside the world itself."""
 
     def on_effect(self, node: NodeId, effect: Effect, now: float) -> None:
         """Carry out an effect other than ``Send``."""
         ...
 
     def on_fault(self, fault: AnyFault, now: float) -> None:
-        """Carry out a fault's part outside the world (disks); called before the world's own part."""
+        """Apply a fault outside the world (disks); called before the world applies it."""
         ...
 
 
@@ -186,13 +186,13 @@
             case Thaw():
                 self._thaw(self._hosts[fault.node])
             case CutNode():
-                self.network.cuts.cut_node(fault.node, fault.outward, fault.inward)
+                self.network.partitions.partition_node(fault.node, fault.outward, fault.inward)
             case CutZone():
-                self.network.cuts.cut_zone(fault.zone, fault.outward, fault.inward)
+                self.network.partitions.partition_zone(fault.zone, fault.outward, fault.inward)
             case CutPair():
-                self.network.cuts.cut_pair(fault.source, fault.target)
+                self.network.partitions.partition_pair(fault.source, fault.target)
             case Heal():
-                self.network.cuts.heal_all()
+                self.network.partitions.heal_all()
             case ClockJump():
                 self.wall_clocks.jump(fault.node, fault.by_s)
 
--- a/tests/unit/simulation/change_soak.py
+++ b/tests/unit/simulation/change_soak.py
@@ -172,7 +172,7 @@
 
         def heal() -> None:
             self._cut.discard(node)
-            world.network.cuts.cut_node(node, outward=True, inward=True, change=-1)
+            world.network.partitions.partition_node(node, outward=True, inward=True, change=-1)
 
         self._after(for_s, heal)
 
--- a/tests/unit/simulation/site.py
+++ b/tests/unit/simulation/site.py
@@ -136,7 +136,7 @@
     def heal_node(self, node: NodeId, outward: bool, inward: bool) -> None:
         """End one node's cut; others go on."""
         self.troubled.discard(node)
-        self.world.network.cuts.cut_node(node, outward, inward, -1)
+        self.world.network.partitions.partition_node(node, outward, inward, -1)
 
     def stall(self, node: NodeId, for_s: float) -> None:
         self.world.apply(StallDisk(at=self.world.now, node=node, stall_s=for_s))
--- a/tests/unit/world/test_faults.py
+++ b/tests/unit/world/test_faults.py
@@ -52,7 +52,14 @@
 
 
 def test_knobs_leave_kinds_out() -> None:
-    only = {"kill": 0, "cut_node": 0, "cut_zone": 0, "cut_pair": 0, "power_cut": 0, "wipe": 0}
+    only = {
+        "kill": 0,
+        "partition_node": 0,
+        "partition_zone": 0,
+        "partition_pair": 0,
+        "power_cut": 0,
+        "wipe": 0,
+    }
     disks = {"slow_disk": 0, "stall_disk": 0, "full_disk": 0, "freeze": 0}
     assert {type(fault) for fault in generator(**only, **disks).generate(1).faults} == {ClockJump}
 
