--- a/src/springmux/simulation/checkers/delivery.py
+++ b/src/springmux/simulation/checkers/delivery.py
@@ -1,4 +1,4 @@
-"""A change is in force at every connected node about 2 s after its acknowledgement, and never undone."""
+"""Check that connected nodes apply a change about 2 s after its acknowledgement, and never undo it."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 from springmux.coordination.identifiers import NodeId, Revision
 from springmux.simulation.checkers.violation import Violation
-from springmux.simulation.history import History, OrderSeen
+from springmux.simulation.history import History, OrderReply
 from springmux.simulation.recorder import IN_FORCE_S, IN_FORCE_SLACK_S
 
 
 class DeliveryChecker:
-    """Nodes may lag only while they serve nobody."""
+    """Checks the revisions of serving and of ready nodes; others may lag."""
 
     def __init__(self, history: History) -> None:
         self._history = history
@@ -58,7 +58,7 @@
 class DueRevisions:
     """Which revision must be in force at a time: the newest acknowledged long enough before."""
 
-    def __init__(self, orders: list[OrderSeen]) -> None:
+    def __init__(self, orders: list[OrderReply]) -> None:
         self._times: list[float] = []
         self._revisions: list[Revision] = []
         newest = Revision(0)
