--- a/src/springmux/lab/admin/operator_client.py
+++ b/src/springmux/lab/admin/operator_client.py
@@ -43,7 +43,7 @@
     leading: bool
 
 
-class StatusAnswer(msgspec.Struct, frozen=True):
+class StatusReport(msgspec.Struct, frozen=True):
     """Answer of ``GET /v1/status``."""
 
     node: NodeState
@@ -98,7 +98,7 @@
     errors: list[dict[str, str]] = []
 
 
-class _OrderAnswer(msgspec.Struct, frozen=True):
+class _OrderResponse(msgspec.Struct, frozen=True):
     outcome: str = ""
     revision: int = 0
     version: int = 0
@@ -124,10 +124,10 @@
         """Close the connections."""
         await self._session.close()
 
-    async def send(self, order: Order, node: AdminNode, drop_answer: bool = False) -> OrderRecord:
+    async def send(self, order: Order, node: AdminNode, drop_response: bool = False) -> OrderRecord:
         """Send an order once. ``drop_answer``: the answer is lost on its way, the order may be taken."""
         sent_at_s = time.monotonic()
-        status, answer = 0, _OrderAnswer()
+        status, answer = 0, _OrderResponse()
         headers = {"X-Order-Id": order.order, "X-Operator": self._operator}
         url = f"http://{node.admin_address}{order.path}"
         timeout = aiohttp.ClientTimeout(total=ORDER_TIMEOUT_S)
@@ -135,8 +135,8 @@
             async with self._session.request(
                 order.method, url, data=order.body, headers=headers, timeout=timeout
             ) as response:
-                if not drop_answer:
-                    answer = msgspec.json.decode(await response.read(), type=_OrderAnswer)
+                if not drop_response:
+                    answer = msgspec.json.decode(await response.read(), type=_OrderResponse)
                     status = response.status
         except (aiohttp.ClientError, TimeoutError, msgspec.DecodeError):
             status = 0
@@ -160,22 +160,22 @@
         self._keep(record)
         return record
 
-    async def give(self, order: Order, first: int = 0) -> OrderRecord:
+    async def submit(self, order: Order, first: int = 0) -> OrderRecord:
         """Send an order, to the next node after a lost answer, until there is a final answer."""
         record: OrderRecord | None = None
-        for sending in range(MAX_SENDINGS):
-            record = await self.send(order, self.nodes[(first + sending) % len(self.nodes)])
+        for attempt in range(MAX_SENDINGS):
+            record = await self.send(order, self.nodes[(first + attempt) % len(self.nodes)])
             if record.status not in RESEND_STATUSES:
                 break
         assert record is not None
         return record
 
-    async def give_accepted(self, order: Order, first: int = 0) -> OrderRecord:
+    async def submit_accepted(self, order: Order, first: int = 0) -> OrderRecord:
         """Send an order that must be accepted.
 
         :raises OrderFailedError: if it was not.
         """
-        record = await self.give(order, first)
+        record = await self.submit(order, first)
         if not record.accepted:
             paths = ", ".join(record.error_paths)
             raise OrderFailedError(f"{order.kind}: status {record.status} {record.code} {paths}".rstrip())
@@ -185,10 +185,10 @@
         """Return whether the node takes requests now."""
         return await self._get(node, "/readyz") is not None
 
-    async def status(self, node: AdminNode) -> StatusAnswer | None:
+    async def status(self, node: AdminNode) -> StatusReport | None:
         """Return the node's status, ``None`` if it doesn't answer in time."""
         data = await self._get(node, "/v1/status")
-        return msgspec.json.decode(data, type=StatusAnswer) if data is not None else None
+        return msgspec.json.decode(data, type=StatusReport) if data is not None else None
 
     async def configuration(self) -> ConfigurationState | None:
         """Return the configuration's version at the first node that answers."""
--- a/src/springmux/lab/checks/control_promises.py
+++ b/src/springmux/lab/checks/control_promises.py
@@ -33,17 +33,18 @@
             behind = [
                 sample
                 for sample in samples
-                if sample.asked_at_s > order.answered_at_s
+                if sample.requested_at_s > order.answered_at_s
                 and sample.ready
                 and sample.revision < order.revision
             ]
             if not behind:
                 continue
             last = behind[-1]
-            latest_s = max(latest_s, last.asked_at_s - order.answered_at_s)
-            if last.asked_at_s > due_s:
+            latest_s = max(latest_s, last.requested_at_s - order.answered_at_s)
+            if last.requested_at_s > due_s:
+                after_s = last.requested_at_s - order.answered_at_s
                 breaks.append(
-                    f"{node}: revision {last.revision} at {last.asked_at_s - order.answered_at_s:.2f} s after"
+                    f"{node}: revision {last.revision} at {after_s:.2f} s after"
                     f" {order.kind} (revision {order.revision})"
                 )
     measured = f"seen behind at most {latest_s:.2f} s after, {len(accepted)} changes"
@@ -180,9 +181,9 @@
         measured.append(f"{shown}, {recovery.changes_before} changes before")
         if not recovery.back_at_s or took_s > RECOVERY_BOUND_S:
             breaks.append(shown)
-        if recovery.found_version < recovery.wanted_version:
+        if recovery.found_version < recovery.expected_version:
             breaks.append(
-                f"configuration {recovery.found_version}, acknowledged was {recovery.wanted_version}"
+                f"configuration {recovery.found_version}, acknowledged was {recovery.expected_version}"
             )
         if not recovery.rollouts_kept:
             breaks.append("a rollout's record was lost")
--- a/src/springmux/lab/checks/measure.py
+++ b/src/springmux/lab/checks/measure.py
@@ -45,11 +45,11 @@
 
 
 class WindowShare(msgspec.Struct, frozen=True):
-    """The worst window: ``share`` of ``part`` in ``whole`` events."""
+    """The worst window: ``share`` = ``count`` of ``total`` events."""
 
     share: float
-    part: int
-    whole: int
+    count: int
+    total: int
     ends_at_s: float
 
 
@@ -90,11 +90,11 @@
     """Return percentiles by route: time to the first piece, and to the whole answer."""
     histograms: dict[tuple[str, str], HdrHistogram] = {}
     for call in calls:
-        if not call.whole:
+        if not call.complete:
             continue
         _add(histograms, call.route, "whole answer", call.ended_s - call.at_s)
-        if call.first_piece_s is not None:
-            _add(histograms, call.route, "first piece", call.first_piece_s)
+        if call.first_chunk_s is not None:
+            _add(histograms, call.route, "first piece", call.first_chunk_s)
     return [
         LatencyRow(
             route=route,
--- a/src/springmux/lab/checks/promises.py
+++ b/src/springmux/lab/checks/promises.py
@@ -42,8 +42,8 @@
     refused = 0
     breaks = []
     for action, calls in sendings.items():
-        last = max(calls, key=lambda call: call.sending)
-        if not (last.told and last.fate == "refused"):
+        last = max(calls, key=lambda call: call.attempt)
+        if not (last.reported_by_node and last.fate == "refused"):
             continue
         refused += 1
         if action not in ran_at:
@@ -69,7 +69,7 @@
         for call in records.calls
         if call.fault
     ]
-    whole = sum(call.whole for call in records.calls)
+    whole = sum(call.complete for call in records.calls)
     return judged(promise, bound, f"{len(breaks)} faulty, {whole} whole", breaks)
 
 
@@ -84,14 +84,14 @@
         later = [
             arrival
             for arrival in records.arrivals
-            if arrival.engine == drain.engine and drain.told_at_s < arrival.at_s < drain.gone_at_s
+            if arrival.engine == drain.engine and drain.acknowledged_at_s < arrival.at_s < drain.gone_at_s
         ]
         if not later:
             continue
-        after_s = later[-1].at_s - drain.told_at_s
+        after_s = later[-1].at_s - drain.acknowledged_at_s
         latest_s = max(latest_s, after_s)
         if after_s > DRAIN_BOUND_S:
-            late = sum(arrival.at_s - drain.told_at_s > DRAIN_BOUND_S for arrival in later)
+            late = sum(arrival.at_s - drain.acknowledged_at_s > DRAIN_BOUND_S for arrival in later)
             breaks.append(f"{drain.engine}: {late} requests later, the last after {after_s:.2f} s")
     return judged(promise, bound, f"last after {latest_s:.2f} s, {len(records.drains)} drains", breaks)
 
@@ -111,7 +111,7 @@
     repeats = sum(repeated for _, repeated in events)
     measured = f"worst {worst.share:.1%}, {repeats} repeats of {len(events)} requests"
     at_s = worst.ends_at_s - records.began_at_s
-    breaks = [f"{worst.part} of {worst.whole} in the 10 s before {at_s:.1f} s"]
+    breaks = [f"{worst.count} of {worst.total} in the 10 s before {at_s:.1f} s"]
     return judged(promise, bound, measured, breaks if worst.share > REPEAT_SHARE else [])
 
 
@@ -120,7 +120,7 @@
     promise, bound = "requests answered whole in the end", "shown"
     finals: dict[str, bool] = {}
     for call in records.calls:
-        finals[call.action] = finals.get(call.action, False) or call.whole
+        finals[call.action] = finals.get(call.action, False) or call.complete
     if not finals:
         return untested(promise, bound)
     whole = sum(finals.values())
@@ -133,8 +133,8 @@
     """Every fault healed and every order of the script was taken; else the run shows less than it seems."""
     promise, bound = "the fleet recovers from each fault", "0 troubles"
     breaks = [
-        f"{trouble.what} at {trouble.at_s - records.began_at_s:.1f} s: {trouble.reason}"
-        for trouble in records.troubles
+        f"{failure.what} at {failure.at_s - records.began_at_s:.1f} s: {failure.reason}"
+        for failure in records.script_failures
     ]
     return judged(promise, bound, f"{len(breaks)} troubles, {len(records.faults)} fault events", breaks)
 
--- a/src/springmux/lab/checks/quota_promises.py
+++ b/src/springmux/lab/checks/quota_promises.py
@@ -51,11 +51,11 @@
     """
     promise = "a tenant below its quota is not refused"
     bound = f"<= {QUOTA_TOLERANCE:.0%} of the quota in any {REFUSAL_WINDOW_S:g} s"
-    if not records.tenants or not any(call.asked_tokens for call in records.calls):
+    if not records.tenants or not any(call.requested_tokens for call in records.calls):
         return untested(promise, bound)
     by_tenant: dict[str, list[CallRecord]] = defaultdict(list)
     for call in records.calls:
-        if call.asked_tokens:
+        if call.requested_tokens:
             by_tenant[call.tenant].append(call)
     measured = []
     breaks = []
@@ -80,13 +80,13 @@
         last_s = call.at_s
         if call.code != REFUSED_CODE:
             # May go below zero: what was admitted beyond the smaller bucket is the tenant's debt.
-            level -= call.asked_tokens
+            level -= call.requested_tokens
             continue
-        if level < call.asked_tokens:
+        if level < call.requested_tokens:
             continue
         count += 1
-        recent.append((call.at_s, call.asked_tokens))
-        recent_tokens += call.asked_tokens
+        recent.append((call.at_s, call.requested_tokens))
+        recent_tokens += call.requested_tokens
         while recent[0][0] <= call.at_s - REFUSAL_WINDOW_S:
             recent_tokens -= recent.popleft()[1]
         worst = max(worst, recent_tokens / (tenant.tokens_per_s * REFUSAL_WINDOW_S))
--- a/src/springmux/lab/deployment/deployment.py
+++ b/src/springmux/lab/deployment/deployment.py
@@ -26,7 +26,8 @@
 from springmux.lab.admin.operator_client import AdminNode, OperatorClient
 from springmux.lab.admin.orders import put_configuration, put_key, put_tenant
 from springmux.lab.deployment.child_processes import ChildProcesses
-from springmux.lab.load.clients import CallersSettings, CallerTarget
+from springmux.lab.load.clients import LoadSettings
+from springmux.lab.load.target_node import TargetNode
 from springmux.lab.load.traffic import Surge
 from springmux.lab.plan import BackEndPlan, ExperimentPlan
 from springmux.lab.records import (
@@ -38,8 +39,8 @@
 )
 from springmux.lab.stand_ins.host import (
     BackEndAction,
-    BackEndHostPlace,
-    BackEndOrder,
+    BackEndCommand,
+    BackEndHostAddress,
     HostedBackEnd,
     HostSettings,
 )
@@ -96,7 +97,7 @@
         self.back_ends: dict[str, HostedBackEnd] = {}
         self._session: aiohttp.ClientSession
         self._children = ChildProcesses(folder)
-        self._hosts: dict[str, BackEndHostPlace] = {}
+        self._hosts: dict[str, BackEndHostAddress] = {}
         self._host_of: dict[str, str] = {}
 
     @property
@@ -161,14 +162,14 @@
         self, plan: BackEndPlan, behaviour: VersionBehaviour = GOOD
     ) -> list[HostedBackEnd]:
         """Start a further group of back ends, for instance a candidate version's."""
-        started = self._hosted(plan, behaviour)
+        started = self._assign_hosts(plan, behaviour)
         for back_end in started:
-            await self.order_back_end(
-                BackEndOrder(action=BackEndAction.START, engine=back_end.engine, back_end=back_end)
+            await self.command_back_end(
+                BackEndCommand(action=BackEndAction.START, engine=back_end.engine, back_end=back_end)
             )
         return started
 
-    async def order_back_end(self, order: BackEndOrder) -> None:
+    async def command_back_end(self, order: BackEndCommand) -> None:
         """Have a host carry out an order.
 
         :raises DeploymentError: if the host refuses it or doesn't answer.
@@ -190,12 +191,12 @@
             if back_end.plan.service == service and back_end.plan.version == version
         ]
 
-    def start_callers(self, seconds: float, began_at_s: float, surges: list[Surge], experiment: str) -> None:
+    def start_clients(self, seconds: float, began_at_s: float, surges: list[Surge], experiment: str) -> None:
         """Start the callers' process; it ends by itself when every answer has come."""
-        settings = CallersSettings(
+        settings = LoadSettings(
             experiment=experiment,
             targets=[
-                CallerTarget(
+                TargetNode(
                     node=node.node,
                     zone=node.zone,
                     client_address=node.client_address,
@@ -212,7 +213,7 @@
         )
         self._children.start("callers", "callers", msgspec.json.encode(settings))
 
-    async def wait_callers(self, within_s: float) -> None:
+    async def wait_for_clients(self, within_s: float) -> None:
         """Return once the callers' process has ended.
 
         :raises DeploymentError: if it doesn't, or fails.
@@ -230,7 +231,7 @@
         self._children.stop_all()
         for host in self._hosts.values():
             for event in back_end_events(Path(host.record_file)):
-                self.records.take_back_end_event(event)
+                self.records.add_back_end_event(event)
         self.records.calls = list(call_records(self.folder / "callers.jsonl"))
         self.records.sort()
         return self.records
@@ -250,16 +251,16 @@
 
     async def _configure(self) -> None:
         document = msgspec.json.encode(self.plan.configuration)
-        await self.operators.give_accepted(put_configuration(1, document))
+        await self.operators.submit_accepted(put_configuration(1, document))
         for tenant in self.plan.tenants:
-            await self.operators.give_accepted(
+            await self.operators.submit_accepted(
                 put_tenant(tenant.name, tenant.tokens_per_s, tenant.burst_tokens)
             )
-            await self.operators.give_accepted(
+            await self.operators.submit_accepted(
                 put_key(f"{tenant.name}-key", tenant.name, self.keys[tenant.name])
             )
 
-    def _hosted(self, plan: BackEndPlan, behaviour: VersionBehaviour) -> list[HostedBackEnd]:
+    def _assign_hosts(self, plan: BackEndPlan, behaviour: VersionBehaviour) -> list[HostedBackEnd]:
         ports = free_ports(plan.count)
         hosted = [
             HostedBackEnd(
@@ -283,8 +284,8 @@
         for (kind, number), port in zip(names, free_ports(len(names)), strict=True):
             name = f"back-ends-{kind}-{number + 1}"
             record_file = str(self.folder / f"{name}.jsonl")
-            self._hosts[name] = BackEndHostPlace(kind, f"{LOOPBACK}:{port}", record_file)
-        hosted = [back_end for plan in self.plan.back_ends for back_end in self._hosted(plan, GOOD)]
+            self._hosts[name] = BackEndHostAddress(kind, f"{LOOPBACK}:{port}", record_file)
+        hosted = [back_end for plan in self.plan.back_ends for back_end in self._assign_hosts(plan, GOOD)]
         for number, (name, host) in enumerate(self._hosts.items()):
             settings = HostSettings(
                 control_address=host.control_address,
@@ -298,12 +299,12 @@
     async def _wait_for_engines(self, wanted: int) -> None:
         """Wait until every node has every back end in its directory."""
         deadline = time.monotonic() + READY_TIMEOUT_S
-        while not await self._all_know(wanted):
+        while not await self._all_nodes_know(wanted):
             if time.monotonic() > deadline:
                 raise DeploymentError(f"not every node knows all {wanted} back ends")
             await asyncio.sleep(POLL_S)
 
-    async def _all_know(self, wanted: int) -> bool:
+    async def _all_nodes_know(self, wanted: int) -> bool:
         for node in self.nodes:
             if await self.operators.count_engines(AdminNode(node.node, node.admin_address)) < wanted:
                 return False
--- a/src/springmux/lab/experiment/demo.py
+++ b/src/springmux/lab/experiment/demo.py
@@ -4,8 +4,9 @@
 
 import asyncio
 
-from springmux.lab.experiment.script import attempt
-from springmux.lab.faults.injection import FaultBench
+from springmux.lab.experiment.rollout_driver import RolloutDriver
+from springmux.lab.experiment.script import run_step
+from springmux.lab.faults.fault_injector import DeploymentFaultInjector
 from springmux.lab.faults.operators import Operators
 from springmux.simulation.engine_model import GOOD, VersionBehaviour
 
@@ -23,45 +24,49 @@
 STABLE, GOOD_CANDIDATE, BAD_CANDIDATE = "v1", "v2", "v3"
 
 
-async def demonstrate(bench: FaultBench) -> None:
-    """Play the demonstration's script; a part that fails is recorded and the rest goes on."""
+async def demonstrate(injector: DeploymentFaultInjector) -> None:
+    """Run the script of the demonstration; a step that fails is recorded and the others continue."""
     await asyncio.sleep(WARM_UP_S)
     await asyncio.gather(
-        attempt(bench, "good rollout", _release_good(bench)), attempt(bench, "faults", _kill_and_race(bench))
+        run_step(injector, "good rollout", _release_good(injector)),
+        run_step(injector, "faults", _kill_and_race(injector)),
     )
     await asyncio.gather(
-        attempt(bench, "bad rollout", _release_bad(bench)), attempt(bench, "faults", _freeze(bench))
+        run_step(injector, "bad rollout", _release_bad(injector)),
+        run_step(injector, "faults", _freeze(injector)),
     )
 
 
-async def _release_good(bench: FaultBench) -> None:
-    await bench.load_version(GOOD_CANDIDATE, GOOD)
+async def _release_good(injector: DeploymentFaultInjector) -> None:
+    rollouts = RolloutDriver(injector)
+    await rollouts.load_version(GOOD_CANDIDATE, GOOD)
     await asyncio.sleep(WARM_UP_S)
-    run = await bench.roll_out(STABLE, GOOD_CANDIDATE, bad=False, by_s=BY_S)
-    await bench.wait_rollout(run, BY_S + TERM_MARGIN_S)
+    run = await rollouts.start_rollout(STABLE, GOOD_CANDIDATE, bad=False, by_s=BY_S)
+    await rollouts.wait_for_rollout(run, BY_S + TERM_MARGIN_S)
     if run.phase == "done":
-        await bench.retire_version(STABLE)
+        await rollouts.retire_version(STABLE)
 
 
-async def _kill_and_race(bench: FaultBench) -> None:
-    operators = Operators(bench)
+async def _kill_and_race(injector: DeploymentFaultInjector) -> None:
+    operators = Operators(injector)
     await asyncio.sleep(WARM_UP_S + KILL_AFTER_S)
-    await bench.kill(bench.pick_node(controller=False), KILL_DOWN_S)
+    await injector.kill(injector.pick_node(controller=False), KILL_DOWN_S)
     await operators.race()
-    await operators.lose_answer()
+    await operators.lose_response()
     await operators.revoke_while_streaming()
 
 
-async def _release_bad(bench: FaultBench) -> None:
-    released = any(run.phase == "done" for run in bench.records.rollouts)
-    await bench.abort_unfinished()
-    await bench.load_version(BAD_CANDIDATE, BAD_VERSION)
+async def _release_bad(injector: DeploymentFaultInjector) -> None:
+    rollouts = RolloutDriver(injector)
+    released = any(run.phase == "done" for run in injector.records.rollouts)
+    await rollouts.abort_unfinished()
+    await rollouts.load_version(BAD_CANDIDATE, BAD_VERSION)
     await asyncio.sleep(WARM_UP_S)
     stable = GOOD_CANDIDATE if released else STABLE
-    run = await bench.roll_out(stable, BAD_CANDIDATE, bad=True, by_s=BY_S)
-    await bench.wait_rollout(run, BY_S + TERM_MARGIN_S)
+    run = await rollouts.start_rollout(stable, BAD_CANDIDATE, bad=True, by_s=BY_S)
+    await rollouts.wait_for_rollout(run, BY_S + TERM_MARGIN_S)
 
 
-async def _freeze(bench: FaultBench) -> None:
+async def _freeze(injector: DeploymentFaultInjector) -> None:
     await asyncio.sleep(WARM_UP_S)
-    await bench.freeze(bench.pick_node(controller=True), FREEZE_S)
+    await injector.freeze(injector.pick_node(controller=True), FREEZE_S)
--- a/src/springmux/lab/experiment/experiment.py
+++ b/src/springmux/lab/experiment/experiment.py
@@ -14,14 +14,14 @@
 from springmux.lab.admin.operator_client import AdminNode
 from springmux.lab.deployment.deployment import Deployment
 from springmux.lab.experiment.watcher import Watcher
-from springmux.lab.faults.injection import FaultBench
+from springmux.lab.faults.fault_injector import DeploymentFaultInjector
 from springmux.lab.load.traffic import Surge
 from springmux.lab.plan import load_experiment
 from springmux.lab.records import RunRecords
 
-CALLERS_START_S = 2.0
+CLIENTS_START_S = 2.0
 """The callers' process needs so long to load and to make its prefixes."""
-CALLERS_END_S = 45.0
+CLIENTS_END_S = 45.0
 """After the last request: the longest that a caller goes on (30 s) with margin."""
 
 
@@ -34,7 +34,7 @@
     seed: int = 1
 
 
-Script = Callable[[FaultBench], Awaitable[None]]
+Script = Callable[[DeploymentFaultInjector], Awaitable[None]]
 
 
 async def run_experiment(
@@ -55,15 +55,15 @@
         watcher = Watcher(deployment.operators, nodes, records)
         await watcher.start()
         try:
-            records.began_at_s = time.monotonic() + CALLERS_START_S
-            deployment.start_callers(options.seconds, records.began_at_s, surges, options.experiment)
-            bench = FaultBench(deployment, random.Random(options.seed), progress)
-            await asyncio.sleep(CALLERS_START_S)
+            records.began_at_s = time.monotonic() + CLIENTS_START_S
+            deployment.start_clients(options.seconds, records.began_at_s, surges, options.experiment)
+            injector = DeploymentFaultInjector(deployment, random.Random(options.seed), progress)
+            await asyncio.sleep(CLIENTS_START_S)
             progress(f"traffic for {options.seconds:.0f} s")
-            await script(bench)
+            await script(injector)
             progress("waiting for the last answers")
             rest_s = max(0.0, records.began_at_s + options.seconds - time.monotonic())
-            await deployment.wait_callers(rest_s + CALLERS_END_S)
+            await deployment.wait_for_clients(rest_s + CLIENTS_END_S)
         finally:
             await watcher.stop()
         records.ended_at_s = time.monotonic()
--- a/src/springmux/lab/experiment/script.py
+++ b/src/springmux/lab/experiment/script.py
@@ -9,11 +9,12 @@
 import aiohttp
 import msgspec
 
+from springmux.lab.experiment.rollout_driver import RolloutDriver
 from springmux.lab.faults.catalogue import FaultScenario
-from springmux.lab.faults.injection import FaultBench
+from springmux.lab.faults.fault_injector import DeploymentFaultInjector
 from springmux.lab.load.traffic import Surge
 from springmux.lab.plan import ExperimentPlan
-from springmux.lab.records import Trouble
+from springmux.lab.records import ScriptFailure
 from springmux.simulation.engine_model import GOOD, VersionBehaviour
 from springmux.vocabulary.errors import SpringmuxError
 
@@ -60,52 +61,53 @@
 
 
 class RunScript:
-    """Plays slots and rollouts for ``seconds``; a part that fails is recorded and the run goes on."""
+    """Plays fault slots and rollouts for ``seconds``; a step that fails is recorded and the run continues."""
 
     def __init__(self, slots: Sequence[ScheduledFault], seconds: float) -> None:
         self._slots = slots
         self._seconds = seconds
 
-    async def play(self, bench: FaultBench) -> None:
+    async def play(self, injector: DeploymentFaultInjector) -> None:
         """Play everything."""
-        await asyncio.gather(self._play_faults(bench), self._play_rollouts(bench))
+        await asyncio.gather(self._play_faults(injector), self._play_rollouts(injector))
 
-    async def _play_faults(self, bench: FaultBench) -> None:
+    async def _play_faults(self, injector: DeploymentFaultInjector) -> None:
         for slot in self._slots:
-            bench.slot_from_s = bench.records.began_at_s + slot.at_s
-            await asyncio.sleep(max(0.0, bench.slot_from_s - time.monotonic()))
-            await attempt(bench, slot.scenario.name, slot.scenario.play(bench))
+            injector.slot_began_at_s = injector.records.began_at_s + slot.at_s
+            await asyncio.sleep(max(0.0, injector.slot_began_at_s - time.monotonic()))
+            await run_step(injector, slot.scenario.name, slot.scenario.play(injector))
 
-    async def _play_rollouts(self, bench: FaultBench) -> None:
+    async def _play_rollouts(self, injector: DeploymentFaultInjector) -> None:
         await asyncio.sleep(WARM_UP_S)
-        await attempt(bench, "rollouts", self._roll_out_in_turn(bench))
+        await run_step(injector, "rollouts", self._roll_out_in_turn(injector))
 
-    async def _roll_out_in_turn(self, bench: FaultBench) -> None:
-        plan = bench.deployment.plan
+    async def _roll_out_in_turn(self, injector: DeploymentFaultInjector) -> None:
+        rollouts = RolloutDriver(injector)
+        plan = injector.deployment.plan
         by_s = plan.rollout_by_s
         route_fault = VersionBehaviour(error_share=0.5, route=plan.traffic[0].route)
         behaviours = [GOOD, *BAD_BEHAVIOURS, route_fault]
-        end_s = bench.records.began_at_s + self._seconds
+        end_s = injector.records.began_at_s + self._seconds
         stable = next(group.version for group in plan.back_ends if group.service == plan.rollout_service)
         for number, behaviour in enumerate(behaviours):
             if time.monotonic() + by_s + SETTLE_S > end_s:
                 return
             candidate = f"v{number + 2}"
-            await bench.load_version(candidate, behaviour)
+            await rollouts.load_version(candidate, behaviour)
             await asyncio.sleep(SETTLE_S)
-            run = await bench.roll_out(stable, candidate, bad=behaviour is not GOOD, by_s=by_s)
-            await bench.wait_rollout(run, by_s + TERM_MARGIN_S)
+            run = await rollouts.start_rollout(stable, candidate, bad=behaviour is not GOOD, by_s=by_s)
+            await rollouts.wait_for_rollout(run, by_s + TERM_MARGIN_S)
             if run.phase == "done":
                 stable, candidate = candidate, stable
-            await bench.abort_unfinished()
-            await bench.retire_version(candidate)
+            await rollouts.abort_unfinished()
+            await rollouts.retire_version(candidate)
 
 
-async def attempt(bench: FaultBench, what: str, part: Awaitable[None]) -> None:
-    """Carry out a part of the script; what goes wrong becomes a record of trouble."""
+async def run_step(injector: DeploymentFaultInjector, what: str, step: Awaitable[None]) -> None:
+    """Run one step of the script; record an expected error as its failure."""
     try:
-        await part
+        await step
     except (SpringmuxError, aiohttp.ClientError, TimeoutError) as error:
         reason = str(error) or type(error).__name__
-        bench.records.troubles.append(Trouble(time.monotonic(), what, reason))
-        bench.progress(f"trouble in {what}: {reason}")
+        injector.records.script_failures.append(ScriptFailure(time.monotonic(), what, reason))
+        injector.progress(f"trouble in {what}: {reason}")
--- a/src/springmux/lab/experiment/watcher.py
+++ b/src/springmux/lab/experiment/watcher.py
@@ -38,24 +38,24 @@
 
     async def _watch_node(self, node: AdminNode) -> None:
         while True:
-            asked_at_s = time.monotonic()
-            answer = await self._operators.status(node)
+            requested_at_s = time.monotonic()
+            response = await self._operators.status(node)
             now = time.monotonic()
-            if answer is None:
-                sample = StatusSample(asked_at_s, now, node.node, answered=False)
+            if response is None:
+                sample = StatusSample(requested_at_s, now, node.node, answered=False)
             else:
                 sample = StatusSample(
-                    asked_at_s,
+                    requested_at_s,
                     now,
                     node.node,
                     answered=True,
-                    ready=answer.ready,
-                    revision=answer.node.revision,
-                    configuration_version=answer.node.configuration_version,
-                    reason=answer.reason,
+                    ready=response.ready,
+                    revision=response.node.revision,
+                    configuration_version=response.node.configuration_version,
+                    reason=response.reason,
                 )
             self._records.samples.append(sample)
-            await asyncio.sleep(max(0.0, asked_at_s + SAMPLE_PERIOD_S - time.monotonic()))
+            await asyncio.sleep(max(0.0, requested_at_s + SAMPLE_PERIOD_S - time.monotonic()))
 
     async def _watch_rollouts(self) -> None:
         while True:
--- a/src/springmux/lab/faults/catalogue.py
+++ b/src/springmux/lab/faults/catalogue.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from springmux.lab.admin.operator_client import AdminNode
-from springmux.lab.faults.injection import FaultBench
+from springmux.lab.faults.fault_injector import DeploymentFaultInjector
 from springmux.lab.faults.operators import Operators
 from springmux.lab.faults.surges import QUOTA_SURGE_S, SURGE_S, burst_surge, prefix_surge, tenant_surge
 from springmux.lab.load.traffic import Surge
@@ -17,17 +17,17 @@
 from springmux.lab.records import QuotaWindow, Recovery
 from springmux.node.fault_injection import NodeFaults
 
-CUT_S = 22.0
+PARTITION_S = 22.0
 """The brief: twenty seconds or more."""
 DISK_FAULT_S = 8.0
 DISK_SLOW_S = 0.2
 DISK_STALL_S = 60.0
 CLOCK_JUMP_S = -3600.0
-DARK_S = 8.0
+HANG_S = 8.0
 FREEZE_S = 6.0
-DOWN_S = 3.0
+DOWNTIME_S = 3.0
 MANY_CHANGES = 200
-WATCH_BACK_S = 40.0
+RECOVERY_TIMEOUT_S = 40.0
 POLL_S = 0.05
 
 
@@ -37,88 +37,88 @@
     name: str
     description: str
     lasts_s: float
-    play: Callable[[FaultBench], Awaitable[None]]
+    play: Callable[[DeploymentFaultInjector], Awaitable[None]]
     surge: Callable[[ExperimentPlan, float], Surge] | None = None
 
 
-async def _node_killed(bench: FaultBench) -> None:
-    await bench.kill(bench.pick_node(controller=False), DOWN_S)
+async def _node_killed(injector: DeploymentFaultInjector) -> None:
+    await injector.kill(injector.pick_node(controller=False), DOWNTIME_S)
 
 
-async def _node_frozen(bench: FaultBench) -> None:
-    await bench.freeze(bench.pick_node(controller=False), FREEZE_S)
+async def _node_frozen(injector: DeploymentFaultInjector) -> None:
+    await injector.freeze(injector.pick_node(controller=False), FREEZE_S)
 
 
-async def _leader_killed(bench: FaultBench) -> None:
-    await bench.kill(await bench.find_leader(), DOWN_S)
+async def _leader_killed(injector: DeploymentFaultInjector) -> None:
+    await injector.kill(await injector.find_leader(), DOWNTIME_S)
 
 
-async def _leader_frozen(bench: FaultBench) -> None:
-    await bench.freeze(await bench.find_leader(), FREEZE_S)
+async def _leader_frozen(injector: DeploymentFaultInjector) -> None:
+    await injector.freeze(await injector.find_leader(), FREEZE_S)
 
 
-async def _restart_in_turn(bench: FaultBench) -> None:
-    for node in bench.deployment.nodes:
-        await bench.restart(node)
+async def _restart_in_turn(injector: DeploymentFaultInjector) -> None:
+    for node in injector.deployment.nodes:
+        await injector.restart(node)
 
 
-async def _restart_everything(bench: FaultBench) -> None:
+async def _restart_everything(injector: DeploymentFaultInjector) -> None:
     """Acknowledge hundreds of changes, kill every node at once, start all, see what is there."""
-    operators = Operators(bench)
-    await operators.change_often(MANY_CHANGES)
-    service = bench.deployment.plan.rollout_service
-    wanted_version = await operators.next_version() - 1
-    before = await bench.operators.rollout(service)
-    supervisor = bench.deployment.supervisor
-    for node in bench.deployment.nodes:
-        bench.note("restart_everything", node.node, began=True)
+    operators = Operators(injector)
+    await operators.submit_changes(MANY_CHANGES)
+    service = injector.deployment.plan.rollout_service
+    expected_version = await operators.next_version() - 1
+    before = await injector.operators.rollout(service)
+    supervisor = injector.deployment.supervisor
+    for node in injector.deployment.nodes:
+        injector.record_fault("restart_everything", node.node, began=True)
     await asyncio.to_thread(supervisor.kill_all)
     began_at_s = time.monotonic()
     await asyncio.to_thread(supervisor.start_all)
-    back_at_s = await _all_ready(bench, began_at_s + WATCH_BACK_S)
-    for node in bench.deployment.nodes:
-        bench.note("restart_everything", node.node, began=False)
-    after = await bench.operators.rollout(service)
-    found = await bench.operators.configuration()
-    bench.records.recoveries.append(
+    back_at_s = await _all_ready(injector, began_at_s + RECOVERY_TIMEOUT_S)
+    for node in injector.deployment.nodes:
+        injector.record_fault("restart_everything", node.node, began=False)
+    after = await injector.operators.rollout(service)
+    found = await injector.operators.configuration()
+    injector.records.recoveries.append(
         Recovery(
             began_at_s=began_at_s,
             back_at_s=back_at_s,
-            changes_before=sum(order.accepted for order in bench.records.orders),
-            wanted_version=wanted_version,
+            changes_before=sum(order.accepted for order in injector.records.orders),
+            expected_version=expected_version,
             found_version=found.version if found is not None else 0,
             rollouts_kept=before is None or (after is not None and after.rollout == before.rollout),
         )
     )
 
 
-async def _all_ready(bench: FaultBench, until_s: float) -> float:
+async def _all_ready(injector: DeploymentFaultInjector, until_s: float) -> float:
     """Return when every node was ready again, 0 if not in time."""
-    waiting = [AdminNode(node.node, node.admin_address) for node in bench.deployment.nodes]
+    waiting = [AdminNode(node.node, node.admin_address) for node in injector.deployment.nodes]
     while waiting and time.monotonic() < until_s:
-        answers = await asyncio.gather(*(bench.operators.ready(node) for node in waiting))
-        waiting = [node for node, ready in zip(waiting, answers, strict=True) if not ready]
+        responses = await asyncio.gather(*(injector.operators.ready(node) for node in waiting))
+        waiting = [node for node, ready in zip(waiting, responses, strict=True) if not ready]
         await asyncio.sleep(POLL_S)
     return 0.0 if waiting else time.monotonic()
 
 
-async def _disk_wiped(bench: FaultBench) -> None:
-    await Operators(bench).patch("queue_length", 260)
+async def _disk_wiped(injector: DeploymentFaultInjector) -> None:
+    await Operators(injector).patch("queue_length", 260)
     # Right after the acknowledgement: what only this disk had must not be needed.
-    await bench.wipe(await bench.find_leader(), new_addresses=False)
+    await injector.wipe(await injector.find_leader(), new_addresses=False)
 
 
-async def _back_empty_elsewhere(bench: FaultBench) -> None:
-    await Operators(bench).patch("queue_length", 261)
-    await bench.wipe(bench.pick_node(controller=True), new_addresses=True)
+async def _back_empty_elsewhere(injector: DeploymentFaultInjector) -> None:
+    await Operators(injector).patch("queue_length", 261)
+    await injector.wipe(injector.pick_node(controller=True), new_addresses=True)
 
 
-async def _controller_cut_off(bench: FaultBench) -> None:
-    leader = await bench.find_leader()
-    operators = Operators(bench)
-    cut = asyncio.create_task(bench.inject(leader, "cut_off", NodeFaults(cut=True), CUT_S))
+async def _controller_cut_off(injector: DeploymentFaultInjector) -> None:
+    leader = await injector.find_leader()
+    operators = Operators(injector)
+    cut = asyncio.create_task(injector.inject(leader, "cut_off", NodeFaults(cut=True), PARTITION_S))
     try:
-        await asyncio.sleep(CUT_S / 4)
+        await asyncio.sleep(PARTITION_S / 4)
         # The others go on deciding.
         await operators.patch("queue_length", 262)
         await operators.race()
@@ -126,117 +126,117 @@
         await cut
 
 
-async def _disk_slow(bench: FaultBench) -> None:
-    leader = await bench.find_leader()
-    await _with_changes(bench, leader.node, "disk_slow", NodeFaults(disk_delay_s=DISK_SLOW_S))
+async def _disk_slow(injector: DeploymentFaultInjector) -> None:
+    leader = await injector.find_leader()
+    await _with_changes(injector, leader.node, "disk_slow", NodeFaults(disk_delay_s=DISK_SLOW_S))
 
 
-async def _disk_stalled(bench: FaultBench) -> None:
-    leader = await bench.find_leader()
-    await _with_changes(bench, leader.node, "disk_stalled", NodeFaults(disk_delay_s=DISK_STALL_S))
+async def _disk_stalled(injector: DeploymentFaultInjector) -> None:
+    leader = await injector.find_leader()
+    await _with_changes(injector, leader.node, "disk_stalled", NodeFaults(disk_delay_s=DISK_STALL_S))
 
 
-async def _disk_full(bench: FaultBench) -> None:
-    leader = await bench.find_leader()
-    await _with_changes(bench, leader.node, "disk_full", NodeFaults(disk_full=True))
+async def _disk_full(injector: DeploymentFaultInjector) -> None:
+    leader = await injector.find_leader()
+    await _with_changes(injector, leader.node, "disk_full", NodeFaults(disk_full=True))
 
 
-async def _with_changes(bench: FaultBench, name: str, fault: str, faults: NodeFaults) -> None:
-    node = bench.deployment.supervisor.layout.find(name)
-    injected = asyncio.create_task(bench.inject(node, fault, faults, DISK_FAULT_S))
+async def _with_changes(injector: DeploymentFaultInjector, name: str, fault: str, faults: NodeFaults) -> None:
+    node = injector.deployment.supervisor.layout.find(name)
+    injected = asyncio.create_task(injector.inject(node, fault, faults, DISK_FAULT_S))
     try:
         for number in range(4):
-            await Operators(bench).patch("queue_length", 270 + number)
+            await Operators(injector).patch("queue_length", 270 + number)
     finally:
         await injected
 
 
-async def _clock_jump(bench: FaultBench) -> None:
+async def _clock_jump(injector: DeploymentFaultInjector) -> None:
     faults = NodeFaults(clock_offset_s=CLOCK_JUMP_S)
-    await bench.inject(await bench.find_leader(), "clock_jump", faults, DISK_FAULT_S)
+    await injector.inject(await injector.find_leader(), "clock_jump", faults, DISK_FAULT_S)
 
 
-async def _engine_crash(bench: FaultBench) -> None:
-    await bench.crash_engine(bench.pick_engine("model"), DOWN_S)
+async def _engine_crash(injector: DeploymentFaultInjector) -> None:
+    await injector.crash_engine(injector.pick_engine("model"), DOWNTIME_S)
 
 
-async def _engine_dark(bench: FaultBench) -> None:
-    await bench.darken_engine(bench.pick_engine("model"), DARK_S)
+async def _engine_hung(injector: DeploymentFaultInjector) -> None:
+    await injector.hang_engine(injector.pick_engine("model"), HANG_S)
 
 
-async def _service_crash(bench: FaultBench) -> None:
-    await bench.crash_engine(bench.pick_engine("call"), DOWN_S)
+async def _service_crash(injector: DeploymentFaultInjector) -> None:
+    await injector.crash_engine(injector.pick_engine("call"), DOWNTIME_S)
 
 
-async def _engine_drained(bench: FaultBench) -> None:
-    await bench.replace_engine(bench.pick_engine("model"))
+async def _engine_drained(injector: DeploymentFaultInjector) -> None:
+    await injector.replace_engine(injector.pick_engine("model"))
 
 
-async def _engines_replaced(bench: FaultBench) -> None:
+async def _engines_replaced(injector: DeploymentFaultInjector) -> None:
     """Replace every engine of the stable version, one after another."""
-    for engine in bench.present_engines():
-        await bench.replace_engine(engine)
+    for engine in injector.idle_engines():
+        await injector.replace_engine(engine)
 
 
-async def _second_loss(bench: FaultBench) -> None:
+async def _second_loss(injector: DeploymentFaultInjector) -> None:
     """Lose one engine; as soon as its replacement has announced itself cold, lose another."""
-    first, second = bench.random.sample(bench.present_engines(), 2)
-    await bench.crash_engine(first, DOWN_S)
-    await bench.crash_engine(second, DOWN_S)
+    first, second = injector.random.sample(injector.idle_engines(), 2)
+    await injector.crash_engine(first, DOWNTIME_S)
+    await injector.crash_engine(second, DOWNTIME_S)
 
 
-async def _operators_race(bench: FaultBench) -> None:
-    operators = Operators(bench)
+async def _operators_race(injector: DeploymentFaultInjector) -> None:
+    operators = Operators(injector)
     for _ in range(5):
         await operators.race()
 
 
-async def _answers_lost(bench: FaultBench) -> None:
-    operators = Operators(bench)
+async def _responses_lost(injector: DeploymentFaultInjector) -> None:
+    operators = Operators(injector)
     for _ in range(3):
-        await operators.lose_answer()
+        await operators.lose_response()
 
 
-async def _wrong_configurations(bench: FaultBench) -> None:
-    await Operators(bench).send_wrong()
+async def _wrong_configurations(injector: DeploymentFaultInjector) -> None:
+    await Operators(injector).send_invalid()
 
 
-async def _huge_configuration(bench: FaultBench) -> None:
-    await Operators(bench).send_huge()
+async def _huge_configuration(injector: DeploymentFaultInjector) -> None:
+    await Operators(injector).send_huge()
 
 
-async def _key_revoked(bench: FaultBench) -> None:
-    await Operators(bench).revoke_while_streaming()
+async def _key_revoked(injector: DeploymentFaultInjector) -> None:
+    await Operators(injector).revoke_while_streaming()
 
 
-async def _route_burst(bench: FaultBench) -> None:
-    await _wait_marked(bench, "route_burst", SURGE_S)
+async def _route_burst(injector: DeploymentFaultInjector) -> None:
+    await _record_span(injector, "route_burst", SURGE_S)
 
 
-async def _hot_prefix(bench: FaultBench) -> None:
-    await _wait_marked(bench, "hot_prefix", SURGE_S)
+async def _hot_prefix(injector: DeploymentFaultInjector) -> None:
+    await _record_span(injector, "hot_prefix", SURGE_S)
 
 
-async def _hot_tenant(bench: FaultBench) -> None:
-    tenant = bench.deployment.plan.tenants[-1]
-    from_s, to_s = bench.slot_from_s, bench.slot_from_s + QUOTA_SURGE_S
-    await _wait_marked(bench, "hot_tenant", QUOTA_SURGE_S)
-    bench.records.quotas.append(
+async def _hot_tenant(injector: DeploymentFaultInjector) -> None:
+    tenant = injector.deployment.plan.tenants[-1]
+    from_s, to_s = injector.slot_began_at_s, injector.slot_began_at_s + QUOTA_SURGE_S
+    await _record_span(injector, "hot_tenant", QUOTA_SURGE_S)
+    injector.records.quotas.append(
         QuotaWindow(tenant.name, from_s, to_s, tenant.tokens_per_s, tenant.burst_tokens)
     )
 
 
-async def _wait_marked(bench: FaultBench, fault: str, for_s: float) -> None:
-    bench.note(fault, "callers", began=True)
+async def _record_span(injector: DeploymentFaultInjector, fault: str, for_s: float) -> None:
+    injector.record_fault(fault, "callers", began=True)
     await asyncio.sleep(for_s)
-    bench.note(fault, "callers", began=False)
+    injector.record_fault(fault, "callers", began=False)
 
 
 def _scenario(
     name: str,
     description: str,
     lasts_s: float,
-    play: Callable[[FaultBench], Awaitable[None]],
+    play: Callable[[DeploymentFaultInjector], Awaitable[None]],
     surge: Callable[[ExperimentPlan, float], Surge] | None = None,
 ) -> FaultScenario:
     return FaultScenario(name=name, description=description, lasts_s=lasts_s, play=play, surge=surge)
@@ -255,13 +255,13 @@
     _scenario("back-empty-elsewhere", "a controller returns empty elsewhere", 18, _back_empty_elsewhere),
     _scenario("clock-jump", "the leader's wall clock jumps an hour back", 12, _clock_jump),
     _scenario("engine-crash", "a model engine crashes", 8, _engine_crash),
-    _scenario("engine-dark", "a model engine hangs for 8 s", 12, _engine_dark),
+    _scenario("engine-dark", "a model engine hangs for 8 s", 12, _engine_hung),
     _scenario("service-crash", "a page or sale service crashes", 8, _service_crash),
     _scenario("engine-drained", "a model engine drains and leaves", 15, _engine_drained),
     _scenario("engines-replaced", "engines are replaced one after another", 90, _engines_replaced),
     _scenario("second-loss", "an engine is lost right after a replacement", 12, _second_loss),
     _scenario("operators-race", "two operators under one version number", 6, _operators_race),
-    _scenario("answers-lost", "orders are resent after lost answers", 6, _answers_lost),
+    _scenario("answers-lost", "orders are resent after lost answers", 6, _responses_lost),
     _scenario("wrong-configurations", "invalid and too large ones", 6, _wrong_configurations),
     _scenario("huge-configuration", "a valid one near the limit", 25, _huge_configuration),
     _scenario("key-revoked", "a key is revoked while in use", 12, _key_revoked),
--- a/src/springmux/lab/faults/operators.py
+++ b/src/springmux/lab/faults/operators.py
@@ -20,7 +20,7 @@
     put_tenant,
     revoke_key,
 )
-from springmux.lab.faults.injection import FaultBench
+from springmux.lab.faults.fault_injector import DeploymentFaultInjector
 from springmux.lab.records import OrderRecord, RevocationRecord
 
 LIMIT_BYTES = 8 << 20
@@ -30,7 +30,7 @@
 """About the size of one route in the huge document."""
 FIRST_TIMEOUT_S = 5.0
 REVOCATION_WATCH_S = 6.0
-LONG_ANSWER_TOKENS = 600
+LONG_RESPONSE_TOKENS = 600
 """At 12 to 22 ms a piece the stream lasts longer than the watch."""
 REFUSAL_POLL_S = 0.05
 TAIL_BYTES = 4096
@@ -40,9 +40,9 @@
 class Operators:
     """What operators do in an experiment. All orders are recorded by the deployment's client."""
 
-    def __init__(self, bench: FaultBench) -> None:
-        self._bench = bench
-        self._client = bench.operators
+    def __init__(self, injector: DeploymentFaultInjector) -> None:
+        self._injector = injector
+        self._client = injector.operators
         self._races = 0
 
     async def next_version(self) -> int:
@@ -58,7 +58,7 @@
     async def patch(self, field: str, value: object) -> OrderRecord:
         """Change one limit by a partial configuration."""
         patch = msgspec.json.encode({"limits": {field: value}})
-        return await self._client.give(
+        return await self._client.submit(
             patch_configuration(await self.next_version(), patch), self._any_index()
         )
 
@@ -73,81 +73,83 @@
             for length in (200 + self._races, 300 + self._races)
         ]
         await asyncio.gather(
-            *(self._client.give(order, first + number) for number, order in enumerate(orders))
+            *(self._client.submit(order, first + number) for number, order in enumerate(orders))
         )
 
-    async def lose_answer(self) -> None:
+    async def lose_response(self) -> None:
         """Lose an order's answer on the way, then resend the order to other nodes, twice."""
         patch = msgspec.json.encode({"limits": {"queue_length": 256}})
         order = patch_configuration(await self.next_version(), patch)
         first = self._any_index()
         nodes = self._client.nodes
-        await self._client.send(order, nodes[first % len(nodes)], drop_answer=True)
+        await self._client.send(order, nodes[first % len(nodes)], drop_response=True)
         for step in (1, 2):
-            await self._client.give(order, first + step)
+            await self._client.submit(order, first + step)
 
-    async def send_wrong(self) -> None:
+    async def send_invalid(self) -> None:
         """Send invalid and too large configurations; each must be refused as the interface states."""
         version = await self.next_version()
-        invalid = self._bench.deployment.plan.configuration | {
+        invalid = self._injector.deployment.plan.configuration | {
             "routes": {"x": {"kind": "prompt", "service": "nowhere", "class": "fast", "deadline_s": -1}},
             "limits": {"max_in_flight": "many"},
         }
-        await self._client.give(put_configuration(version, msgspec.json.encode(invalid), expected=422))
+        await self._client.submit(put_configuration(version, msgspec.json.encode(invalid), expected=422))
         bad_patch = msgspec.json.encode({"limits": {"queue_length": -5}})
-        await self._client.give(patch_configuration(version, bad_patch, expected=422))
-        await self._client.give(put_configuration(version, b"{not json", expected=422))
+        await self._client.submit(patch_configuration(version, bad_patch, expected=422))
+        await self._client.submit(put_configuration(version, b"{not json", expected=422))
         too_large = self._padded(LIMIT_BYTES + 1)
-        await self._client.give(put_configuration(version, too_large, expected=413))
+        await self._client.submit(put_configuration(version, too_large, expected=413))
 
     async def send_huge(self) -> None:
         """Send a valid configuration a little under the limit, then the ordinary one again."""
         huge = self._huge_document()
-        self._bench.note("huge_configuration", "operators", began=True, detail=f"{len(huge)} bytes")
-        await self._client.give_accepted(put_configuration(await self.next_version(), huge))
-        ordinary = msgspec.json.encode(self._bench.deployment.plan.configuration)
-        await self._client.give_accepted(put_configuration(await self.next_version(), ordinary))
-        self._bench.note("huge_configuration", "operators", began=False)
+        self._injector.record_fault(
+            "huge_configuration", "operators", began=True, detail=f"{len(huge)} bytes"
+        )
+        await self._client.submit_accepted(put_configuration(await self.next_version(), huge))
+        ordinary = msgspec.json.encode(self._injector.deployment.plan.configuration)
+        await self._client.submit_accepted(put_configuration(await self.next_version(), ordinary))
+        self._injector.record_fault("huge_configuration", "operators", began=False)
 
-    async def change_often(self, count: int) -> None:
+    async def submit_changes(self, count: int) -> None:
         """Acknowledge ``count`` changes: tenants' quotas and partial configurations in turn."""
-        tenant = self._bench.deployment.plan.tenants[0]
+        tenant = self._injector.deployment.plan.tenants[0]
         for number in range(count):
             if number % 2:
                 await self.patch("queue_length", 256 + number)
                 continue
             burst = tenant.burst_tokens + number % 7
-            await self._client.give_accepted(put_tenant(tenant.name, tenant.tokens_per_s, burst), number)
+            await self._client.submit_accepted(put_tenant(tenant.name, tenant.tokens_per_s, burst), number)
 
     async def revoke_while_streaming(self) -> None:
         """Revoke a key while a stream of it runs; watch the stream and a connection kept alive."""
-        plan = self._bench.deployment.plan
+        plan = self._injector.deployment.plan
         key_id, key = f"short-lived-{secrets.token_hex(4)}", secrets.token_urlsafe(24)
-        await self._client.give_accepted(put_key(key_id, plan.tenants[0].name, key))
+        await self._client.submit_accepted(put_key(key_id, plan.tenants[0].name, key))
         # Two seconds: by then the key is in force at every node.
         await asyncio.sleep(2.0)
-        node = self._bench.pick_node(controller=False)
+        node = self._injector.pick_node(controller=False)
         url = f"http://{node.client_address}/v1/chat/completions"
         route = next(traffic.route for traffic in plan.traffic if traffic.kind == "prompt")
         watch = _RevocationWatch(url, route, key)
         await watch.begin()
         try:
-            answer = await self._client.give_accepted(revoke_key(key_id))
-            record = await watch.observe(answer.answered_at_s)
-            self._bench.records.revocations.append(record)
+            response = await self._client.submit_accepted(revoke_key(key_id))
+            record = await watch.observe(response.answered_at_s)
+            self._injector.records.revocations.append(record)
         finally:
             await watch.close()
 
     def _any_index(self) -> int:
-        return self._bench.random.randrange(len(self._client.nodes))
+        return self._injector.random.randrange(len(self._client.nodes))
 
     def _padded(self, size_bytes: int) -> bytes:
-        ordinary = msgspec.json.encode(self._bench.deployment.plan.configuration)
+        ordinary = msgspec.json.encode(self._injector.deployment.plan.configuration)
         return ordinary + b" " * (size_bytes - len(ordinary))
 
     def _huge_document(self) -> bytes:
-        configuration = dict(self._bench.deployment.plan.configuration)
-        service = self._bench.deployment.plan.rollout_service
+        configuration = dict(self._injector.deployment.plan.configuration)
+        service = self._injector.deployment.plan.rollout_service
         routes: dict[str, object] = dict(msgspec.convert(configuration["routes"], dict[str, object]))
         for number in range(int(LIMIT_BYTES * HUGE_SHARE) // FILLER_ROUTE_BYTES):
             # A long name, as generated configurations have.
@@ -202,7 +204,7 @@
 
     async def _read_stream(self) -> float | None:
         """Return when the stream ended with an error event; ``None`` if it ended otherwise."""
-        body = self._body(LONG_ANSWER_TOKENS)
+        body = self._body(LONG_RESPONSE_TOKENS)
         while True:
             async with self._session.post(self._url, data=body, headers=self._headers) as response:
                 if response.status == HTTPStatus.OK:
--- a/src/springmux/lab/load/stream_checker.py
+++ b/src/springmux/lab/load/stream_checker.py
@@ -1,4 +1,4 @@
-"""Check of a streamed answer as its caller sees it."""
+"""Check of a streamed response from the client's side."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from springmux.lab.stand_ins.model_engine import piece_text
+from springmux.lab.stand_ins.model_engine import chunk_text
 
 
 class _Delta(msgspec.Struct):
@@ -33,84 +33,84 @@
 
 
 class StreamChecker:
-    """Checks a stream piece by piece: one id, no gap, no repeat, each text the one that its engine made.
+    """Checks a stream chunk by chunk: one id, no gap, no repeat, each text as its engine made it.
 
-    ``tokens`` is the engine's true count, 0 until the last piece. ``request``: the id that the answer's
-    head named; an answer of another request is blamed.
+    ``tokens`` is the count that the engine reports, 0 until the last chunk. ``request``: the request id in
+    the response head; a chunk of another request is a fault.
     """
 
-    def __init__(self, wanted_pieces: int, request: str = "") -> None:
+    def __init__(self, expected_chunks: int, request: str = "") -> None:
         self.fault = ""
-        self.pieces = 0
+        self.chunks = 0
         self.tokens = 0
         self.finished = False
         self.done = False
         self.error: dict[str, Any] = {}
-        self._wanted_pieces = wanted_pieces
+        self._expected_chunks = expected_chunks
         self._stream_id = request
         self._rest = b""
         self._error_next = False
 
     def feed(self, data: bytes) -> int:
-        """Take bytes of the answer; return how many whole pieces were in them."""
-        before = self.pieces
+        """Handle bytes of the response; return how many chunks they completed."""
+        before = self.chunks
         *lines, self._rest = (self._rest + data).split(b"\n")
         for line in lines:
-            self._take_line(line.rstrip(b"\r"))
-        return self.pieces - before
+            self._handle_line(line.rstrip(b"\r"))
+        return self.chunks - before
 
     def complete(self) -> bool:
-        """Say whether the stream presents itself as whole."""
+        """Return whether the stream ended with its done marker."""
         return self.done
 
     def close(self) -> None:
-        """Judge the ended stream."""
+        """Check what can be known only at the end of the stream."""
         if self.done and not self.finished:
-            self._blame("done marker without a last piece")
-        if self.done and self.pieces != self._wanted_pieces:
-            self._blame(f"complete with {self.pieces} of {self._wanted_pieces} pieces")
+            self._record_fault("done marker without a last piece")
+        if self.done and self.chunks != self._expected_chunks:
+            self._record_fault(f"complete with {self.chunks} of {self._expected_chunks} pieces")
 
-    def _take_line(self, line: bytes) -> None:
+    def _handle_line(self, line: bytes) -> None:
         if line == b"event: error":
             self._error_next = True
         elif line == b"data: [DONE]":
             if self.error:
-                self._blame("done marker after an error")
+                self._record_fault("done marker after an error")
             self.done = True
         elif line.startswith(b"data: "):
-            self._take_data(line[6:])
+            self._handle_data(line[6:])
 
-    def _take_data(self, data: bytes) -> None:
+    def _handle_data(self, data: bytes) -> None:
         if self._error_next:
             self._error_next = False
-            self._take_error(data)
+            self._handle_error(data)
             return
         if self.done or self.error:
-            self._blame("piece after the stream's end")
+            self._record_fault("piece after the stream's end")
         try:
             chunk = _chunk_decoder.decode(data)
         except msgspec.DecodeError as error:
-            self._blame(f"malformed piece: {error}")
+            self._record_fault(f"malformed piece: {error}")
             return
         self._stream_id = self._stream_id or chunk.id
         if chunk.id != self._stream_id:
-            self._blame("piece of another answer")
-        if chunk.seq != self.pieces:
-            self._blame(f"piece {chunk.seq} where {self.pieces} was due")
-        if chunk.choices[0].delta.content != piece_text(chunk.id, chunk.seq):
-            self._blame("piece with another answer's text")
+            self._record_fault("piece of another answer")
+        if chunk.seq != self.chunks:
+            self._record_fault(f"piece {chunk.seq} where {self.chunks} was due")
+        if chunk.choices[0].delta.content != chunk_text(chunk.id, chunk.seq):
+            self._record_fault("piece with another answer's text")
         if self.finished:
-            self._blame("piece after the last piece")
+            self._record_fault("piece after the last piece")
         self.finished = chunk.choices[0].finish_reason is not None
         if chunk.usage is not None:
             self.tokens = chunk.usage.total_tokens
-        self.pieces += 1
+        self.chunks += 1
 
-    def _take_error(self, data: bytes) -> None:
+    def _handle_error(self, data: bytes) -> None:
         try:
             self.error = msgspec.json.decode(data)["error"]
         except (msgspec.DecodeError, KeyError, TypeError):
-            self._blame("error event without the typed shape")
+            self._record_fault("error event without the typed shape")
 
-    def _blame(self, fault: str) -> None:
+    def _record_fault(self, fault: str) -> None:
         self.fault = self.fault or fault
--- a/src/springmux/lab/records.py
+++ b/src/springmux/lab/records.py
@@ -1,7 +1,8 @@
-"""What an experiment writes down: back ends' events, orders, status samples, faults, rollouts.
+"""Records of an experiment: back ends' events, orders, status samples, faults, rollouts.
 
 All times are seconds of the machine's monotonic clock, which every process on it shares; only
-:class:`CallRecord` counts from the run's beginning, ``RunRecords.began_at_s``.
+:class:`CallRecord` counts from the beginning of the run, ``RunRecords.began_at_s``. Fields whose Python name
+differs from the encoded one keep the encoded name of earlier records.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 
 
 class Ending(msgspec.Struct, frozen=True, tag="Ending"):
-    """A back end is through with a request. ``bad``: the version's planned fault touched the answer."""
+    """A back end has finished a request. ``bad``: the planned fault of the version affected the response."""
 
     at_s: float
     engine: str
@@ -36,7 +37,7 @@
 
 
 class Execution(msgspec.Struct, frozen=True, tag="Execution"):
-    """A service carried out an action (its effect happened)."""
+    """A service executed an action: its effect happened."""
 
     at_s: float
     engine: str
@@ -48,10 +49,10 @@
 
 
 class OrderRecord(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """One sending of one operator's order and its answer. ``status`` 0: no answer (lost or dropped).
+    """One attempt of an operator's order and its response. ``status`` 0: no response (lost or dropped).
 
-    ``race`` groups orders that raced under one version number; ``expected`` is the status that a
-    deliberately wrong order must get (0: none).
+    ``race`` groups orders submitted concurrently under one version number; ``expected`` is the status
+    that a deliberately invalid order must get (0: none).
     """
 
     order: str
@@ -77,9 +78,9 @@
 
 
 class StatusSample(msgspec.Struct, frozen=True):
-    """What one node said of itself. ``answered`` false: it gave no status in time."""
+    """Status that one node reported. ``answered`` false: no status within the timeout."""
 
-    asked_at_s: float
+    requested_at_s: float = msgspec.field(name="asked_at_s")
     at_s: float
     node: str
     answered: bool
@@ -90,7 +91,7 @@
 
 
 class FaultEvent(msgspec.Struct, frozen=True, kw_only=True):
-    """A fault's beginning or end. ``target``: the node or back end that it touched."""
+    """Beginning or end of a fault. ``target``: the affected node or back end."""
 
     at_s: float
     fault: str
@@ -100,7 +101,7 @@
 
 
 class RolloutRun(msgspec.Struct, kw_only=True):
-    """One rollout from its promotion's acknowledgement. ``ended_at_s`` 0: it did not end in the run."""
+    """One rollout, from the acknowledgement of its promotion. ``ended_at_s`` 0: it did not end in the run."""
 
     service: str
     stable: str
@@ -116,18 +117,18 @@
 
 
 class DrainRecord(msgspec.Struct, frozen=True):
-    """A node took an engine's word that it drains. ``gone_at_s``: when it had left.
+    """A node acknowledged that an engine drains. ``gone_at_s``: when the engine had left.
 
-    Its successor may have its name.
+    Its successor may have the same name.
     """
 
     engine: str
-    told_at_s: float
+    acknowledged_at_s: float = msgspec.field(name="told_at_s")
     gone_at_s: float
 
 
 class QuotaWindow(msgspec.Struct, frozen=True):
-    """A time in which a tenant asked for more than its quota."""
+    """An interval in which a tenant requested more than its quota."""
 
     tenant: str
     from_s: float
@@ -139,22 +140,22 @@
 class Recovery(msgspec.Struct, frozen=True):
     """A restart of the whole fleet. ``back_at_s`` 0: service did not come back in the run.
 
-    ``wanted_version`` is the newest acknowledged configuration, ``found_version`` the one after it;
-    ``rollouts_kept``: every rollout's record stood as before.
+    ``expected_version`` is the newest configuration acknowledged before the restart, ``found_version``
+    the one in force after it; ``rollouts_kept``: every rollout record survived unchanged.
     """
 
     began_at_s: float
     back_at_s: float
     changes_before: int
-    wanted_version: int
+    expected_version: int = msgspec.field(name="wanted_version")
     found_version: int
     rollouts_kept: bool = True
 
 
 class RevocationRecord(msgspec.Struct, frozen=True):
-    """A key was revoked while a stream of it ran and a connection of it was kept alive.
+    """A key was revoked while one of its streams ran and one of its connections was kept alive.
 
-    ``stream_ended_after_s`` and ``refused_after_s``: since the acknowledgement, ``None`` if it didn't happen.
+    ``stream_ended_after_s`` and ``refused_after_s`` count from the acknowledgement; ``None``: did not happen.
     """
 
     acknowledged_at_s: float
@@ -163,11 +164,11 @@
 
 
 class CallRecord(msgspec.Struct, kw_only=True, omit_defaults=True):
-    """What became of one sending of one request, times counted from the run's beginning.
+    """Outcome of one attempt of one request; times count from the beginning of the run.
 
-    ``tokens``: the engine's true count. ``asked_tokens``: what a whole answer would have counted.
-    ``fault``: a broken promise that the caller saw itself. ``told``: a node gave the answer, so that its
-    ``fate`` is the fleet's word, not the caller's guess about a lost connection.
+    ``tokens``: the count that the engine reports. ``requested_tokens``: the count of a complete response.
+    ``fault``: a protocol violation that the client detected. ``reported_by_node``: a node sent the
+    response, so its ``fate`` is the fleet's statement and not the client's guess about a lost connection.
     """
 
     route: str
@@ -177,26 +178,26 @@
     node: str
     at_s: float
     ended_s: float = 0.0
-    sending: int = 0
+    attempt: int = msgspec.field(default=0, name="sending")
     action: str = ""
     status: int = 0
-    whole: bool = False
+    complete: bool = msgspec.field(default=False, name="whole")
     code: str = ""
     fate: str = ""
     engine: str = ""
     version: str = ""
-    first_piece_s: float | None = None
+    first_chunk_s: float | None = msgspec.field(default=None, name="first_piece_s")
     mean_gap_s: float | None = None
-    pieces: int = 0
+    chunks: int = msgspec.field(default=0, name="pieces")
     tokens: int = 0
-    asked_tokens: int = 0
+    requested_tokens: int = msgspec.field(default=0, name="asked_tokens")
     fault: str = ""
-    told: bool = False
+    reported_by_node: bool = msgspec.field(default=False, name="told")
     request: str = ""
 
 
-class Trouble(msgspec.Struct, frozen=True):
-    """A part of the script that could not be carried through, for instance a node that did not come back."""
+class ScriptFailure(msgspec.Struct, frozen=True):
+    """A step of the script that failed, for instance a node that did not come back."""
 
     at_s: float
     what: str
@@ -212,7 +213,7 @@
 
 
 class RunRecords(msgspec.Struct, kw_only=True):
-    """Everything that the checkers look at."""
+    """All records of one run, as the checkers read them."""
 
     experiment: str
     began_at_s: float
@@ -231,10 +232,10 @@
     quotas: list[QuotaWindow] = []
     recoveries: list[Recovery] = []
     revocations: list[RevocationRecord] = []
-    troubles: list[Trouble] = []
+    script_failures: list[ScriptFailure] = msgspec.field(default_factory=list, name="troubles")
 
-    def take_back_end_event(self, event: BackEndEvent) -> None:
-        """File one event of a back end."""
+    def add_back_end_event(self, event: BackEndEvent) -> None:
+        """Add one event of a back end."""
         if isinstance(event, Arrival):
             self.arrivals.append(event)
         elif isinstance(event, Ending):
@@ -243,7 +244,7 @@
             self.executions.append(event)
 
     def sort(self) -> None:
-        """Put what came from several processes into order of time."""
+        """Sort by time what came from several processes."""
         self.arrivals.sort(key=lambda event: event.at_s)
         self.endings.sort(key=lambda event: event.at_s)
         self.executions.sort(key=lambda event: event.at_s)
@@ -252,7 +253,7 @@
 
 Record = TypeVar("Record")
 BUFFER_BYTES = 1 << 16
-"""Writes of some hundred records at a time, so that recording doesn't disturb what it records."""
+"""Some hundred records a write, so that recording does not disturb the measurement."""
 
 
 class LineWriter:
@@ -267,22 +268,22 @@
         self._file.write(self._encoder.encode(record) + b"\n")
 
     def close(self) -> None:
-        """Write out what is buffered and close the file."""
+        """Flush the buffer and close the file."""
         self._file.close()
 
 
 def back_end_events(path: Path) -> Iterator[BackEndEvent]:
-    """Yield what a host of back ends wrote down."""
+    """Yield the events that a host of back ends recorded."""
     return _read_lines(path, msgspec.json.Decoder(BackEndEvent))
 
 
 def call_records(path: Path) -> Iterator[CallRecord]:
-    """Yield what the callers wrote down."""
+    """Yield the records of the load clients."""
     return _read_lines(path, msgspec.json.Decoder(CallRecord))
 
 
 def _read_lines(path: Path, decoder: msgspec.json.Decoder[Record]) -> Iterator[Record]:
-    """Yield the records of a file; a last line that a killed process left half written is skipped."""
+    """Yield the records of a file; skip an incomplete last line, left by a killed process."""
     with path.open("rb") as file:
         for line in file:
             if line.endswith(b"\n"):
--- a/src/springmux/lab/reporting/plots.py
+++ b/src/springmux/lab/reporting/plots.py
@@ -74,10 +74,10 @@
     figure, axes = _figure("Traffic and errors", "answers per second")
     calls = records.calls
     series: list[tuple[str, list[CallRecord]]] = [
-        ("whole", [call for call in calls if call.whole]),
-        ("refused", [call for call in calls if not call.whole and call.fate == "refused"]),
-        ("failed", [call for call in calls if not call.whole and call.fate == "failed"]),
-        ("unknown", [call for call in calls if not call.whole and call.fate == "unknown"]),
+        ("whole", [call for call in calls if call.complete]),
+        ("refused", [call for call in calls if not call.complete and call.fate == "refused"]),
+        ("failed", [call for call in calls if not call.complete and call.fate == "failed"]),
+        ("unknown", [call for call in calls if not call.complete and call.fate == "unknown"]),
     ]
     for label, chosen in series:
         axes.plot(edges[:-1], _rate([call.ended_s for call in chosen], edges), label=label)
@@ -88,9 +88,9 @@
 def _draw_latency(folder: Path, records: RunRecords, edges: FloatArray) -> Plot:
     figure, axes = _figure("Time to the first piece", "milliseconds")
     for route in sorted({call.route for call in records.calls if call.kind == "prompt"}):
-        chosen = [call for call in records.calls if call.route == route and call.first_piece_s is not None]
+        chosen = [call for call in records.calls if call.route == route and call.first_chunk_s is not None]
         bins = np.digitize([call.at_s for call in chosen], edges)
-        values = np.array([(call.first_piece_s or 0.0) * 1000.0 for call in chosen])
+        values = np.array([(call.first_chunk_s or 0.0) * 1000.0 for call in chosen])
         for percentile, style in ((50, "-"), (99, ":")):
             line = [
                 float(np.percentile(values[bins == number], percentile)) if np.any(bins == number) else np.nan
--- a/src/springmux/lab/reporting/report.py
+++ b/src/springmux/lab/reporting/report.py
@@ -84,7 +84,7 @@
 
 def _error_table(records: RunRecords) -> str:
     counts = Counter(
-        (call.route, call.status, call.code, call.fate) for call in records.calls if not call.whole
+        (call.route, call.status, call.code, call.fate) for call in records.calls if not call.complete
     )
     rows = [
         [route, str(status), code, fate, str(count)]
--- a/src/springmux/lab/stand_ins/announcer.py
+++ b/src/springmux/lab/stand_ins/announcer.py
@@ -32,7 +32,7 @@
     zone: str = ""
 
 
-class EngineFigures(msgspec.Struct, frozen=True, kw_only=True):
+class LoadReport(msgspec.Struct, frozen=True, kw_only=True):
     """Load at one moment, for a heartbeat."""
 
     running: int
@@ -51,14 +51,14 @@
         self,
         identity: EngineIdentity,
         admin_addresses: list[str],
-        figures: Callable[[], EngineFigures],
+        figures: Callable[[], LoadReport],
         source: random.Random,
         lateness_s: float = 0.0,
     ) -> None:
         self.identity = identity
         self._addresses = list(admin_addresses)
         source.shuffle(self._addresses)
-        self._figures = figures
+        self._current_load = figures
         self._random = source
         self._lateness_s = lateness_s
         self._sequence = 0
@@ -84,18 +84,18 @@
 
     async def drain(self) -> bool:
         """Say that no new request may come; ``True`` once a node took it."""
-        return await self._tell("drain", self._life())
+        return await self._report("drain", self._identity_body())
 
     async def leave(self) -> bool:
         """Say that the engine is gone for good."""
-        return await self._tell("leave", self._life())
+        return await self._report("leave", self._identity_body())
 
-    def _life(self) -> dict[str, object]:
+    def _identity_body(self) -> dict[str, object]:
         return {"engine": self.identity.engine, "incarnation": self.identity.incarnation}
 
     async def _report_forever(self) -> None:
         announcement = msgspec.to_builtins(self.identity)
-        while self.silent or not await self._tell("announce", announcement):
+        while self.silent or not await self._report("announce", announcement):
             await asyncio.sleep(ANNOUNCE_PAUSE_S)
         while True:
             await asyncio.sleep(HEARTBEAT_PERIOD_S * (0.9 + 0.2 * self._random.random()))
@@ -103,10 +103,10 @@
             if self._lateness_s > 0.0:
                 await asyncio.sleep(self._lateness_s * self._random.random())
             if not self.silent:
-                await self._tell("heartbeat", body)
+                await self._report("heartbeat", body)
 
     def _heartbeat(self) -> dict[str, object]:
-        figures = self._figures()
+        figures = self._current_load()
         self._sequence += 1
         body: dict[str, object] = msgspec.to_builtins(self.identity)
         body["sequence"] = self._sequence
@@ -116,7 +116,7 @@
         body["cache_used"] = round(figures.cache_used, 3)
         return body
 
-    async def _tell(self, action: str, body: dict[str, object]) -> bool:
+    async def _report(self, action: str, body: dict[str, object]) -> bool:
         assert self._session is not None
         for _ in range(len(self._addresses)):
             url = f"http://{self._addresses[0]}/v1/engines/{action}"
--- a/src/springmux/lab/stand_ins/call_service.py
+++ b/src/springmux/lab/stand_ins/call_service.py
@@ -10,7 +10,7 @@
 from aiohttp import web
 
 from springmux.lab.records import Arrival, BackEndEvent, Ending, Execution
-from springmux.lab.stand_ins.announcer import Announcer, EngineFigures, EngineIdentity
+from springmux.lab.stand_ins.announcer import Announcer, EngineIdentity, LoadReport
 from springmux.simulation.engine_model import VersionBehaviour
 
 LEAVE_POLL_S = 0.05
@@ -27,26 +27,26 @@
         identity: EngineIdentity,
         behaviour: VersionBehaviour,
         admin_addresses: list[str],
-        note: Callable[[BackEndEvent], None],
+        record_event: Callable[[BackEndEvent], None],
         seed: int,
         work_s: float = 0.015,
     ) -> None:
         self.identity = identity
         self.behaviour = behaviour
         self.dark = False
-        self._note = note
+        self._record_event = record_event
         self.draining = False
         self.served = 0
         self._random = random.Random(seed)
         self._running = 0
         self._work_s = work_s
         self._runner: web.AppRunner | None = None
-        self.announcer = Announcer(identity, admin_addresses, self._figures, self._random)
+        self.announcer = Announcer(identity, admin_addresses, self._current_load, self._random)
 
     async def start(self) -> None:
         """Listen and begin to announce."""
         application = web.Application()
-        application.router.add_post("/v1/calls/{route}", self._call)
+        application.router.add_post("/v1/calls/{route}", self._handle_call)
         self._runner = web.AppRunner(application, access_log=None, shutdown_timeout=0.05)
         await self._runner.setup()
         host, port = self.identity.address.rsplit(":", 1)
@@ -87,10 +87,10 @@
         await self.announcer.leave()
         await self.crash()
 
-    def _figures(self) -> EngineFigures:
-        return EngineFigures(running=self._running, queued=0, cache_used=0.0, draining=self.draining)
+    def _current_load(self) -> LoadReport:
+        return LoadReport(running=self._running, queued=0, cache_used=0.0, draining=self.draining)
 
-    async def _call(self, http_request: web.Request) -> web.StreamResponse:
+    async def _handle_call(self, http_request: web.Request) -> web.StreamResponse:
         if self.dark:
             await asyncio.Event().wait()
         await http_request.read()
@@ -101,16 +101,16 @@
         arrival = Arrival(
             time.monotonic(), identity.engine, identity.service, identity.version, route, request_id
         )
-        self._note(arrival)
+        self._record_event(arrival)
         if self._random.random() < self.behaviour.error_share:
-            self._note_end(request_id, bad=True)
+            self._record_end(request_id, bad=True)
             answer = {"error": {"message": "service failed"}}
             return web.json_response(answer, status=500, headers=self._headers(request_id))
         await self._work(action)
         if self._random.random() < self.behaviour.silent_share:
-            self._note_end(request_id, bad=True)
+            self._record_end(request_id, bad=True)
             await asyncio.Event().wait()
-        self._note_end(request_id, bad=False)
+        self._record_end(request_id, bad=False)
         done = {"action": action, "done": True, "at": time.time()}
         return web.json_response(done, headers=self._headers(request_id))
 
@@ -120,15 +120,15 @@
         identity = self.identity
         try:
             await asyncio.sleep(self._work_s * (0.5 + self._random.random()))
-            self._note(Execution(time.monotonic(), identity.engine, identity.service, action))
+            self._record_event(Execution(time.monotonic(), identity.engine, identity.service, action))
             await asyncio.sleep(self._work_s * 0.2)
         finally:
             self._running -= 1
 
-    def _note_end(self, request_id: str, bad: bool) -> None:
+    def _record_end(self, request_id: str, bad: bool) -> None:
         identity = self.identity
         now = time.monotonic()
-        self._note(Ending(now, identity.engine, identity.service, identity.version, request_id, bad))
+        self._record_event(Ending(now, identity.engine, identity.service, identity.version, request_id, bad))
 
     def _headers(self, request_id: str) -> dict[str, str]:
         return {
--- a/src/springmux/lab/stand_ins/host.py
+++ b/src/springmux/lab/stand_ins/host.py
@@ -43,7 +43,7 @@
     seed: int = 1
 
 
-class BackEndHostPlace(msgspec.Struct, frozen=True):
+class BackEndHostAddress(msgspec.Struct, frozen=True):
     """Where one process of back ends listens and writes."""
 
     kind: str
@@ -63,7 +63,7 @@
     BEHAVE = "behave"
 
 
-class BackEndOrder(msgspec.Struct, frozen=True, kw_only=True):
+class BackEndCommand(msgspec.Struct, frozen=True, kw_only=True):
     """Do ``action`` to ``engine``; ``back_end`` says what to start, ``behaviour`` how to behave."""
 
     action: BackEndAction
@@ -130,19 +130,19 @@
             incarnation=time.time_ns() // 1_000_000,
         )
         addresses = self._settings.admin_addresses
-        note = self._records.write
+        record_event = self._records.write
         started: ModelEngine | CallService
         if plan.kind == "model":
             started = ModelEngine(
-                identity, plan.spec, back_end.behaviour, addresses, note, seed, plan.lateness_s
+                identity, plan.spec, back_end.behaviour, addresses, record_event, seed, plan.lateness_s
             )
         else:
-            started = CallService(identity, back_end.behaviour, addresses, note, seed, plan.work_s)
+            started = CallService(identity, back_end.behaviour, addresses, record_event, seed, plan.work_s)
         self._back_ends[back_end.engine] = started
         await started.start()
 
     async def _control(self, http_request: web.Request) -> web.Response:
-        order = msgspec.json.decode(await http_request.read(), type=BackEndOrder)
+        order = msgspec.json.decode(await http_request.read(), type=BackEndCommand)
         if order.action is BackEndAction.START:
             assert order.back_end is not None
             await self._start(order.back_end)
@@ -153,7 +153,7 @@
         await self._carry_out(order, found)
         return web.Response(status=204)
 
-    async def _carry_out(self, order: BackEndOrder, found: ModelEngine | CallService) -> None:
+    async def _carry_out(self, order: BackEndCommand, found: ModelEngine | CallService) -> None:
         if order.action is BackEndAction.CRASH:
             del self._back_ends[order.engine]
             await found.crash()
--- a/src/springmux/lab/stand_ins/model_engine.py
+++ b/src/springmux/lab/stand_ins/model_engine.py
@@ -12,7 +12,7 @@
 from aiohttp import web
 
 from springmux.lab.records import Arrival, BackEndEvent, Ending
-from springmux.lab.stand_ins.announcer import Announcer, EngineFigures, EngineIdentity
+from springmux.lab.stand_ins.announcer import Announcer, EngineIdentity, LoadReport
 from springmux.simulation.engine_model import (
     BYTES_PER_TOKEN,
     AnswerFault,
@@ -49,7 +49,7 @@
     }
 
 
-def piece_text(request: str, seq: int) -> str:
+def chunk_text(request: str, seq: int) -> str:
     """Return the text of one piece; derived from request and place, so that a caller can check it."""
     return f"{request[-6:]}.{seq} "
 
@@ -67,7 +67,7 @@
         spec: EngineSpec,
         behaviour: VersionBehaviour,
         admin_addresses: list[str],
-        note: Callable[[BackEndEvent], None],
+        record_event: Callable[[BackEndEvent], None],
         seed: int,
         lateness_s: float = 0.0,
         clock: Callable[[], float] = time.monotonic,
@@ -75,20 +75,20 @@
         source = random.Random(seed)
         self.identity = identity
         self.model = EngineModel(spec, behaviour, source)
-        self.announcer = Announcer(identity, admin_addresses, self._figures, source, lateness_s)
+        self.announcer = Announcer(identity, admin_addresses, self._current_load, source, lateness_s)
         self.served = 0
         self.dark = False
         self.draining = False
-        self._note = note
+        self._record_event = record_event
         self._clock = clock
-        self._bad_answers: set[RequestId] = set()
+        self._bad_responses: set[RequestId] = set()
         self._slot_waiters: dict[RequestId, asyncio.Event] = {}
         self._runner: web.AppRunner | None = None
 
     async def start(self) -> None:
         """Listen on the identity's address and begin to announce."""
         application = web.Application(client_max_size=MAX_BODY_BYTES)
-        application.router.add_post("/v1/chat/completions", self._complete)
+        application.router.add_post("/v1/chat/completions", self._handle_completion)
         self._runner = web.AppRunner(
             # A caller that is gone frees its slot, as a real engine would see to.
             application,
@@ -136,15 +136,15 @@
         await self.announcer.leave()
         await self.crash()
 
-    def _figures(self) -> EngineFigures:
-        return EngineFigures(
+    def _current_load(self) -> LoadReport:
+        return LoadReport(
             running=self.model.running,
             queued=self.model.queued,
             cache_used=self.model.cache.used_share,
             draining=self.draining,
         )
 
-    async def _complete(self, http_request: web.Request) -> web.StreamResponse:
+    async def _handle_completion(self, http_request: web.Request) -> web.StreamResponse:
         if self.dark:
             await asyncio.Event().wait()
         body = await http_request.read()
@@ -158,46 +158,46 @@
         if self.model.bad_since is None:
             self.model.bad_since = self._clock()
         identity = self.identity
-        self._note(
+        self._record_event(
             Arrival(
                 self._clock(), identity.engine, identity.service, identity.version, chat.model, request_id
             )
         )
         try:
-            await self._take_slot(request_id)
+            await self._acquire_slot(request_id)
             self.served += 1
-            return await self._answer(http_request, chat, request_id)
+            return await self._respond(http_request, chat, request_id)
         finally:
-            self._free_slot(request_id)
-            self._note_end(request_id)
+            self._release_slot(request_id)
+            self._record_end(request_id)
 
-    def _note_end(self, request_id: RequestId) -> None:
+    def _record_end(self, request_id: RequestId) -> None:
         identity = self.identity
-        bad = request_id in self._bad_answers
-        self._bad_answers.discard(request_id)
-        self._note(
+        bad = request_id in self._bad_responses
+        self._bad_responses.discard(request_id)
+        self._record_event(
             Ending(self._clock(), identity.engine, identity.service, identity.version, request_id, bad)
         )
 
-    async def _take_slot(self, request_id: RequestId) -> None:
+    async def _acquire_slot(self, request_id: RequestId) -> None:
         if self.model.arrive(request_id):
             return
         waiter = self._slot_waiters[request_id] = asyncio.Event()
         await waiter.wait()
 
-    def _free_slot(self, request_id: RequestId) -> None:
+    def _release_slot(self, request_id: RequestId) -> None:
         self._slot_waiters.pop(request_id, None)
         successor = self.model.leave(request_id)
         if successor is not None and successor in self._slot_waiters:
             self._slot_waiters[successor].set()
 
-    async def _answer(
+    async def _respond(
         self, http_request: web.Request, chat: _ChatRequest, request_id: RequestId
     ) -> web.StreamResponse:
         prompt = "\n".join(message.content for message in chat.messages).encode()
         plan = self.model.plan(prompt, RouteName(chat.model), self._clock())
         if plan.departs:
-            self._bad_answers.add(request_id)
+            self._bad_responses.add(request_id)
         if plan.fault is AnswerFault.SILENT or self.dark:
             await asyncio.Event().wait()
         await asyncio.sleep(plan.first_piece_delay_s)
@@ -208,9 +208,11 @@
             request_id = RequestId("crossed-" + request_id)
         if chat.stream:
             return await self._stream(http_request, chat, request_id, plan)
-        return await self._whole(chat, request_id, plan)
+        return await self._respond_complete(chat, request_id, plan)
 
-    async def _whole(self, chat: _ChatRequest, request_id: RequestId, plan: AnswerPlan) -> web.StreamResponse:
+    async def _respond_complete(
+        self, chat: _ChatRequest, request_id: RequestId, plan: AnswerPlan
+    ) -> web.StreamResponse:
         route = RouteName(chat.model)
         for _ in range(chat.max_tokens - 1):
             await asyncio.sleep(self.model.piece_gap_s(route, self._clock()))
@@ -218,7 +220,7 @@
             return web.Response(
                 body=b'{"id": "', content_type="application/json", headers=self._headers(request_id)
             )
-        text = "".join(piece_text(request_id, seq) for seq in range(chat.max_tokens))
+        text = "".join(chunk_text(request_id, seq) for seq in range(chat.max_tokens))
         answer = {
             "id": request_id,
             "object": "chat.completion",
@@ -259,7 +261,7 @@
         last = seq == chat.max_tokens - 1
         choice = {
             "index": 0,
-            "delta": {"content": piece_text(request_id, seq)},
+            "delta": {"content": chunk_text(request_id, seq)},
             "finish_reason": "stop" if last else None,
         }
         chunk: dict[str, object] = {
--- a/tests/unit/lab/support.py
+++ b/tests/unit/lab/support.py
@@ -13,7 +13,7 @@
     RunRecords,
     StatusSample,
 )
-from springmux.lab.stand_ins.model_engine import piece_text
+from springmux.lab.stand_ins.model_engine import chunk_text
 
 BEGAN_AT_S = 100.0
 ENDED_AT_S = 200.0
@@ -102,7 +102,7 @@
         "seq": seq,
         "choices": [
             {
-                "delta": {"content": text or piece_text(stream, seq)},
+                "delta": {"content": text or chunk_text(stream, seq)},
                 "finish_reason": "stop" if last else None,
             }
         ],
--- a/tests/unit/lab/test_promises.py
+++ b/tests/unit/lab/test_promises.py
@@ -11,8 +11,8 @@
     DrainRecord,
     Execution,
     QuotaWindow,
+    ScriptFailure,
     TenantQuota,
-    Trouble,
 )
 from tests.unit.lab.support import bad_endings, call, prompts, records, rollout
 
@@ -127,8 +127,10 @@
 
 
 def test_trouble_in_the_script() -> None:
-    trouble = Trouble(130.0, "node-killed", "not ready within 30 s")
-    assert "node-killed at 30.0 s" in evidence(promises.script_carried_through(records(troubles=[trouble])))
+    failure = ScriptFailure(130.0, "node-killed", "not ready within 30 s")
+    assert "node-killed at 30.0 s" in evidence(
+        promises.script_carried_through(records(script_failures=[failure]))
+    )
 
 
 def test_exposure_counts_the_candidate_against_all_prompts_until_its_last() -> None:
--- a/tests/unit/lab/test_stream_checker.py
+++ b/tests/unit/lab/test_stream_checker.py
@@ -21,13 +21,13 @@
 
 def test_a_whole_stream_has_no_fault_and_its_true_token_count() -> None:
     checker = checked(chunk(STREAM, 0), chunk(STREAM, 1), chunk(STREAM, 2, last=True), DONE)
-    assert (checker.fault, checker.complete(), checker.pieces, checker.tokens) == ("", True, 3, 42)
+    assert (checker.fault, checker.complete(), checker.chunks, checker.tokens) == ("", True, 3, 42)
 
 
 def test_bytes_split_anywhere_are_the_same_stream() -> None:
     data = b"".join([chunk(STREAM, 0), chunk(STREAM, 1), chunk(STREAM, 2, last=True), DONE])
     checker = checked(*(data[at : at + 1] for at in range(len(data))))
-    assert (checker.fault, checker.pieces) == ("", 3)
+    assert (checker.fault, checker.chunks) == ("", 3)
 
 
 def test_a_stream_that_ends_in_a_typed_error_is_not_whole_and_not_faulty() -> None:
