--- a/src/springmux/lab/soak/__init__.py
+++ b/src/springmux/lab/soak/__init__.py
@@ -1,5 +1,5 @@
-"""A soak of real gateway processes: signals, restarts and configuration changes in series that overlap.
+"""Soak test of real gateway processes: signals, restarts and configuration changes that overlap.
 
-Callers keep their connections open until the process at the other end is gone. Everything is drawn from one
-seed; answers, engines and processes are judged by what the acknowledged configurations allow.
+Clients keep their connections open until the process at the other end closes them. One seed determines all
+random choices; responses, engines and processes are checked against the acknowledged configurations.
 """
--- a/src/springmux/lab/soak/configurations.py
+++ b/src/springmux/lab/soak/configurations.py
@@ -1,4 +1,4 @@
-"""The versions of the configuration that a soak's operators send, and what each answers to a request."""
+"""Configuration versions that a soak's operators submit, and the outcome that each gives to a request."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 HOST = "soak.example"
 SERVICES = ("first", "second")
 KEPT_ROUTES = 40
-"""Newest numbered routes that a version has; each version adds one."""
+"""Number of newest numbered routes in a version; each version adds one."""
 MOVING_PATH = "/moving/"
 """Its service changes with each version."""
 KEY_PERIOD = 3
-"""Versions after which the key that callers use is replaced."""
+"""Number of versions after which the clients' key is replaced."""
 KEPT_KEYS = 2
 FIRST_KEY = "key-1"
 TENANT = "soak"
@@ -30,7 +30,7 @@
     keys: tuple[str, ...]
 
     def outcome(self, path: str, key: str) -> str:
-        """Return the service that a request reaches, or the status that refuses it."""
+        """Return the service that serves a request, or the status that rejects it."""
         service = self.routes.get(path)
         if service is None:
             return UNKNOWN_ROUTE
@@ -47,14 +47,14 @@
 
 
 def first_version() -> Version:
-    """Return the version of the fleet's start."""
+    """Return the version that the fleet starts with."""
     return Version(1, {MOVING_PATH: SERVICES[0], numbered_path(1): SERVICES[0]}, (FIRST_KEY,))
 
 
 def next_version(base: Version, above: int, source: random.Random) -> Version:
     """Return a version that may follow ``base``. Numbers rise in uneven steps.
 
-    :param above: the highest number used, also by a version that was refused.
+    :param above: the highest number used so far, rejected versions included.
     """
     number = max(base.number, above) + source.randint(1, 3)
     moved = SERVICES[1] if base.routes[MOVING_PATH] == SERVICES[0] else SERVICES[0]
@@ -67,8 +67,8 @@
     return Version(number, routes, keys)
 
 
-def whole_document(version: Version) -> bytes:
-    """Return the whole configuration as JSON."""
+def full_document(version: Version) -> bytes:
+    """Return the full configuration as JSON."""
     return json.dumps(
         {
             "version": version.number,
@@ -80,7 +80,7 @@
 
 
 def partial_document(base: Version, version: Version) -> bytes:
-    """Return the change from ``base`` to ``version``, items by name."""
+    """Return the difference from ``base`` to ``version`` as JSON, with items by name."""
     changed = [
         _route(path, service) for path, service in version.routes.items() if base.routes.get(path) != service
     ]
--- /dev/null
+++ b/src/springmux/lab/soak/consistency_checker.py
@@ -0,0 +1,135 @@
+"""Check of responses against the configurations that may have been in force."""
+
+from __future__ import annotations
+
+import msgspec
+
+from springmux.lab.soak.availability import AvailabilityChecker
+from springmux.lab.soak.configurations import UNKNOWN_KEY, UNKNOWN_ROUTE
+from springmux.lab.soak.findings import Findings, Rule
+from springmux.lab.soak.fleet import SoakFleet, SoakNode
+from springmux.lab.soak.history import ConfigurationHistory
+from springmux.lab.soak.http_connection import Response
+
+IN_FORCE_S = 2.0
+"""From the acknowledgement of a configuration until every undisturbed node handles requests by it."""
+STEP_BACK_S = 0.25
+"""From the first observed effect of a version until no later request may be handled by an older one."""
+LOSS_SLACK_S = 0.2
+"""A request that races with the close of its connection may stay without a response for this long."""
+SERVED = 200
+LEAST_FAILURE = 500
+REFUSED_STATUSES = frozenset({408, 421, 429, 503})
+"""Statuses that guarantee that the request has not run and never will."""
+
+
+class SentRequest(msgspec.Struct, frozen=True):
+    """A request as sent. ``undisturbed``: its node must handle it by the newest version due."""
+
+    request_id: str
+    node: SoakNode
+    incarnation: int
+    path: str
+    key: str
+    sent_at: float
+    undisturbed: bool
+
+
+class ConsistencyChecker:
+    """Checks every response, and every connection that closed without one."""
+
+    def __init__(self, history: ConfigurationHistory, fleet: SoakFleet, findings: Findings) -> None:
+        self._history = history
+        self._fleet = fleet
+        self._findings = findings
+        self._availability = AvailabilityChecker(findings)
+        self._seen: dict[tuple[int, int], list[tuple[float, int]]] = {}
+        self.refused: list[str] = []
+        """Ids of requests that were refused: no engine may run them, then or later."""
+
+    def record_sent(self, request_id: str, node: SoakNode, path: str, key: str, now: float) -> SentRequest:
+        """Record that a request is sent now."""
+        undisturbed = self._fleet.is_undisturbed(node, now)
+        return SentRequest(request_id, node, node.incarnation, path, key, now, undisturbed)
+
+    def check_response(self, request: SentRequest, response: Response, now: float) -> None:
+        """Check a response."""
+        self._findings.count(f"status {response.status}")
+        if response.status in REFUSED_STATUSES:
+            self.refused.append(request.request_id)
+        self._check_availability(request, response.status, now)
+        outcome = _outcome(response)
+        if outcome is None:
+            return
+        due = self._history.newest_acknowledged(request.sent_at - IN_FORCE_S) if request.undisturbed else 0
+        seen = self._seen_before(request)
+        allowed = self._history.possible(max(due, seen), now)
+        self._findings.count("judged" if due else "judged without a newest version")
+        if request.node.stopping:
+            self._findings.count("judged at a stopping node")
+        fitting = [v.number for v in allowed if v.outcome(request.path, request.key) == outcome]
+        if not fitting:
+            rule = Rule.NEWEST if due >= seen else Rule.NO_STEP_BACK
+            self._findings.add(rule, self._evidence(request, outcome, due, seen))
+            return
+        least = min(fitting)
+        if least > seen:
+            self._seen.setdefault((request.node.number, request.incarnation), []).append((now, least))
+
+    def _check_availability(self, request: SentRequest, status: int, now: float) -> None:
+        if status == SERVED:
+            self._availability.record_served(request.node)
+        elif (status in REFUSED_STATUSES or status >= LEAST_FAILURE) and self._is_proper(request, now):
+            self._findings.count("proper request refused")
+            self._availability.record_refused(
+                request.node, request.undisturbed, request.sent_at, f"status {status}"
+            )
+
+    def _is_proper(self, request: SentRequest, now: float) -> bool:
+        """Return whether every version that may be in force has the request's route and key."""
+        due = self._history.newest_acknowledged(request.sent_at - IN_FORCE_S)
+        outcomes = {
+            version.outcome(request.path, request.key) for version in self._history.possible(due, now)
+        }
+        return bool(outcomes) and not outcomes & {UNKNOWN_KEY, UNKNOWN_ROUTE}
+
+    def check_unreachable(self, node: SoakNode, now: float) -> None:
+        """Check a connection that a node did not accept."""
+        self._availability.record_refused(node, self._fleet.is_undisturbed(node, now), now, "no connection")
+
+    def check_missing_response(self, request: SentRequest, ran: int, now: float) -> None:
+        """Check a connection that closed, or timed out, after a request and before its response."""
+        self._findings.count("connection ended")
+        node = request.node
+        if node.incarnation != request.incarnation or node.was_killed or node.frozen_s or node.frozen:
+            return
+        waited_s = now - request.sent_at
+        if ran or waited_s > LOSS_SLACK_S:
+            what = (
+                f"{request.request_id} at {node.name} had no answer after {waited_s:.2f} s, run {ran} times"
+            )
+            self._findings.add(Rule.ANSWERED, what)
+
+    def _seen_before(self, request: SentRequest) -> int:
+        """Return the newest version that this incarnation certainly had in force before a request."""
+        seen = self._seen.get((request.node.number, request.incarnation), [])
+        return max((number for at, number in seen if at + STEP_BACK_S < request.sent_at), default=0)
+
+    def _evidence(self, request: SentRequest, outcome: str, due: int, seen: int) -> str:
+        due_version = self._history.acknowledged(due)
+        age_s = 0.0
+        if due_version is not None and due_version.acknowledged_at is not None:
+            age_s = request.sent_at - due_version.acknowledged_at
+        state = " (stopping)" if request.node.stopping else ""
+        return (
+            f"{request.path} with {request.key} at {request.node.name}{state} "
+            f"life {request.incarnation}: {outcome}; "
+            f"version {due} was acknowledged {age_s:.2f} s before, version {seen} seen there"
+        )
+
+
+def _outcome(response: Response) -> str | None:
+    """Return the configuration's outcome that a response shows; ``None`` if it shows none."""
+    if response.status == SERVED:
+        return response.body.decode("latin-1")
+    return {404: UNKNOWN_ROUTE, 401: UNKNOWN_KEY}.get(response.status)
--- a/src/springmux/lab/soak/engines.py
+++ b/src/springmux/lab/soak/engines.py
@@ -1,4 +1,4 @@
-"""Stand-in engines of a soak: they answer with their service's name and remember every run."""
+"""Stand-in engines of a soak: they respond with their service's name and count the runs of each request."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 import msgspec
 
 from springmux.lab.soak.configurations import SERVICES
-from springmux.lab.soak.wire import ask_once, read_message
+from springmux.lab.soak.http_connection import read_message, request_once
 
-ENGINES_EACH = 2
+ENGINES_PER_SERVICE = 2
 SLOTS = 64
 REPORT_PERIOD_S = 1.0
 REPORT_TIMEOUT_S = 1.0
-MOST_WORK_S = 1.2
+LONGEST_WORK_S = 1.2
 SHORT_WORK_S = 0.004
 LONG_SHARE = 0.04
-"""Requests that take long, so that a stop meets some that run."""
+"""Share of long requests, so that a stop finds some in flight."""
 OK = "HTTP/1.1 200 OK\r\ncontent-length: {size}\r\nx-answer-seal: {seal}\r\nx-request-id: {request}\r\n\r\n"
 
 
-class ControlPlace(msgspec.Struct, frozen=True):
-    """Where a node takes engines' reports."""
+class ControlEndpoint(msgspec.Struct, frozen=True):
+    """Address of a node's control listener, for reports and configuration."""
 
     host: str
     port: int
@@ -49,12 +49,12 @@
         self._address = f"{host}:{port}"
 
     def stop(self) -> None:
-        """Listen no more."""
+        """Stop listening."""
         if self._server is not None:
             self._server.close()
 
-    async def report(self, places: list[ControlPlace]) -> None:
-        """Tell one node after another until one takes it."""
+    async def report(self, endpoints: list[ControlEndpoint]) -> None:
+        """Report to one node after another until one accepts."""
         self._sequence += 1
         body = msgspec.json.encode(
             {
@@ -68,9 +68,11 @@
             }
         )
         target = f"/v1/gateway/engines/{self.name}"
-        for place in self._random.sample(places, len(places)):
-            answer = await ask_once(place.host, place.port, "PUT", target, {}, body, REPORT_TIMEOUT_S)
-            if answer is not None and answer.status == 200:
+        for endpoint in self._random.sample(endpoints, len(endpoints)):
+            response = await request_once(
+                endpoint.host, endpoint.port, "PUT", target, {}, body, REPORT_TIMEOUT_S
+            )
+            if response is not None and response.status == 200:
                 return
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -80,49 +82,51 @@
 
     async def _serve_one(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         first, headers, _ = await read_message(reader)
-        request = headers.get("x-request-id", "")
+        request_id = headers.get("x-request-id", "")
         if not first.startswith("GET /health"):
-            self.runs[request] = self.runs.get(request, 0) + 1
+            self.runs[request_id] = self.runs.get(request_id, 0) + 1
             await asyncio.sleep(self._work_s())
         body = self._service.encode()
-        writer.write(OK.format(size=len(body), seal=self.name, request=request).encode() + body)
+        writer.write(OK.format(size=len(body), seal=self.name, request=request_id).encode() + body)
         await writer.drain()
 
     def _work_s(self) -> float:
-        return self._random.uniform(0.3, MOST_WORK_S) if self._random.random() < LONG_SHARE else SHORT_WORK_S
+        return (
+            self._random.uniform(0.3, LONGEST_WORK_S) if self._random.random() < LONG_SHARE else SHORT_WORK_S
+        )
 
 
 class SoakEngines:
     """All engines and their reports."""
 
-    def __init__(self, source: random.Random, places: list[ControlPlace]) -> None:
-        self._places = places
+    def __init__(self, source: random.Random, endpoints: list[ControlEndpoint]) -> None:
+        self._endpoints = endpoints
         self.engines = [
             StandInEngine(service, number, random.Random(source.getrandbits(64)))
             for service in SERVICES
-            for number in range(ENGINES_EACH)
+            for number in range(ENGINES_PER_SERVICE)
         ]
         self._reporting: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Start all and report them from now on."""
+        """Start all engines and report them periodically from then on."""
         for engine in self.engines:
             await engine.start()
         self._reporting = asyncio.get_running_loop().create_task(self._report())
 
     async def stop(self) -> None:
-        """Stop all."""
+        """Stop the reports and all engines."""
         if self._reporting is not None:
             self._reporting.cancel()
             await asyncio.gather(self._reporting, return_exceptions=True)
         for engine in self.engines:
             engine.stop()
 
-    def runs(self, request: str) -> int:
+    def runs(self, request_id: str) -> int:
         """Return how often engines ran a request."""
-        return sum(engine.runs.get(request, 0) for engine in self.engines)
+        return sum(engine.runs.get(request_id, 0) for engine in self.engines)
 
     async def _report(self) -> None:
         while True:
-            await asyncio.gather(*(engine.report(self._places) for engine in self.engines))
+            await asyncio.gather(*(engine.report(self._endpoints) for engine in self.engines))
             await asyncio.sleep(REPORT_PERIOD_S)
--- a/src/springmux/lab/soak/findings.py
+++ b/src/springmux/lab/soak/findings.py
@@ -1,4 +1,4 @@
-"""What a soak found: broken rules with their evidence, and counts of what was looked at."""
+"""Findings of a soak: broken rules with their evidence, and counts of the checks made."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 
 class Rule(enum.StrEnum):
-    """What must hold."""
+    """A rule that must hold throughout a run."""
 
     NEWEST = "newest"
-    """Undisturbed nodes handle a request as a configuration allows that is new enough."""
+    """Undisturbed nodes handle a request by a configuration that is recent enough."""
     NO_STEP_BACK = "no step back"
-    """Within one life a node never goes back to an older configuration."""
+    """Within one incarnation a node never returns to an older configuration."""
     ACKNOWLEDGED = "acknowledged"
-    """An acknowledged configuration stays, of two on one version one wins, a valid one is taken."""
+    """An acknowledged version stays, one of two concurrent changes wins, a valid change is accepted."""
     ANSWERED = "answered"
-    """A request that a process has read is answered, though the process is asked to stop."""
+    """A request that a process has read gets a response, also while the process stops."""
     AVAILABLE = "available"
-    """Undisturbed nodes serve proper requests."""
+    """Undisturbed nodes serve valid requests."""
     ONCE = "once"
-    """Engines run a request once at most, and not at all if it was refused."""
+    """Engines run a request at most once, and not at all if it was refused."""
     END = "end"
-    """Processes end when they are asked to, in time, with code 0, and not by themselves."""
+    """Processes exit only on request, within their grace period, with code 0."""
 
 
 class Finding(msgspec.Struct, frozen=True):
@@ -45,9 +45,9 @@
         self._began_at = time.monotonic()
 
     def add(self, rule: Rule, what: str) -> None:
-        """Note a broken rule."""
+        """Record a broken rule."""
         self.found.append(Finding(rule, round(time.monotonic() - self._began_at, 3), what))
 
     def count(self, what: str) -> None:
-        """Count something that was looked at."""
+        """Count one check or event."""
         self.counts[what] += 1
--- a/src/springmux/lab/soak/nodes.py
+++ b/src/springmux/lab/soak/fleet.py
@@ -1,4 +1,4 @@
-"""The gateway processes of a soak: start, signals, and when each was last disturbed."""
+"""The gateway processes of a soak: starts, signals, and the time of each one's last disturbance."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import time
 from pathlib import Path
 
-from springmux.lab.soak.engines import ControlPlace
+from springmux.lab.soak.engines import ControlEndpoint
 from springmux.lab.soak.findings import Findings, Rule
 from springmux.lab.soak.plan import SignalKind, SoakSize, Step
 
@@ -20,53 +20,53 @@
 GRACE_S = 8.0
 """From SIGTERM to SIGKILL."""
 END_SLACK_S = 1.0
-"""A process may end this much later than its grace, on a machine that runs many."""
+"""Extra time for a process to exit after its grace period, on a loaded machine."""
 CONTACT_S = 3.0
-"""A machine, or the core, counts as undisturbed this long after the last disturbance."""
+"""A node, or the group of controllers, counts as undisturbed this long after the last disturbance."""
 POLL_S = 0.02
 
 
 class SoakNode:
-    """One machine and its present process, if it runs."""
+    """One node and its current process, if one runs."""
 
     def __init__(self, number: int, zone: str, host: str, folder: Path, has_disk: bool) -> None:
         self.number = number
         self.name = f"node-{number}"
         self.host = host
         self.has_disk = has_disk
-        self.life = 0
-        """Counts processes."""
+        self.incarnation = 0
+        """Number of processes started so far."""
         self.process: subprocess.Popen[bytes] | None = None
         self.stopping = False
         self.frozen = False
         self.frozen_s = 0.0
-        """How long this life was frozen in all."""
+        """Total time for which this incarnation was frozen."""
         self.ended = asyncio.Event()
         self.started = False
-        """Whether the present process listens; how long that takes depends on the machine."""
+        """Whether the current process listens."""
         self.undisturbed_from = 0.0
         self._zone = zone
         self._folder = folder
-        self._killed_life = 0
+        self._killed_incarnation = 0
         self._log_begins_at = 0
 
     @property
     def running(self) -> bool:
-        """Whether there is a process, frozen or not."""
+        """Return whether there is a process, frozen or not."""
         return self.process is not None
 
     @property
     def log_file(self) -> Path:
-        """What the processes write."""
+        """Return the log file of the node's processes."""
         return self._folder / f"{self.name}.log"
 
     @property
     def was_killed(self) -> bool:
-        """Whether the present or last process was killed by the run."""
-        return self._killed_life == self.life
+        """Return whether the run killed the current or last process."""
+        return self._killed_incarnation == self.incarnation
 
     def write_settings(self, seeds: list[str], first_start: bool) -> None:
-        """Write the settings file that the next start or hang-up reads."""
+        """Write the settings file that the next start or SIGHUP reads."""
         lines = {
             "node": self.name,
             "zone": self._zone,
@@ -87,7 +87,7 @@
 
     def start(self) -> None:
         """Start a process."""
-        self.life += 1
+        self.incarnation += 1
         self.started = self.stopping = self.frozen = False
         self.frozen_s = 0.0
         self.ended = asyncio.Event()
@@ -97,18 +97,18 @@
             self.process = subprocess.Popen(arguments, stdout=log, stderr=log, stdin=subprocess.DEVNULL)
 
     def disturbed(self, for_s: float = 0.0) -> None:
-        """Note a disturbance that lasts ``for_s`` from now on."""
+        """Record a disturbance that lasts ``for_s`` from now on."""
         self.undisturbed_from = max(self.undisturbed_from, time.monotonic() + for_s + CONTACT_S)
 
     def send(self, number: signal.Signals) -> None:
-        """Signal the present process."""
+        """Send a signal to the current process."""
         if self.process is not None:
             if number == signal.SIGKILL:
-                self._killed_life = self.life
+                self._killed_incarnation = self.incarnation
             self.process.send_signal(number)
 
     def has_logged(self, event: str) -> bool:
-        """Whether the present or last process wrote a line with ``event`` in it."""
+        """Return whether the current or last process logged a line that contains ``event``."""
         with self.log_file.open("rb") as log:
             log.seek(self._log_begins_at)
             return event.encode() in log.read()
@@ -128,13 +128,13 @@
         return self._folder / f"{self.name}.toml"
 
 
-class SoakNodes:
-    """All machines; carries out the steps of a plan."""
+class SoakFleet:
+    """All nodes of a soak; executes the steps of a plan."""
 
     def __init__(self, size: SoakSize, folder: Path, findings: Findings, source: random.Random) -> None:
         self._findings = findings
         self._random = source
-        self._core_undisturbed_from = 0.0
+        self._controllers_undisturbed_from = 0.0
         process = os.getpid()
         network = f"127.{1 + process // 250 % 250}.{process % 250}"
         self.nodes = [
@@ -151,20 +151,22 @@
         self._watcher: asyncio.Task[None] | None = None
         self._over = False
 
-    def control_places(self) -> list[ControlPlace]:
-        """Return where engines and operators can speak to nodes."""
-        return [ControlPlace(node.host, CONTROL_PORT) for node in self.nodes]
+    def control_endpoints(self) -> list[ControlEndpoint]:
+        """Return the control listeners of all nodes."""
+        return [ControlEndpoint(node.host, CONTROL_PORT) for node in self.nodes]
 
     def is_undisturbed(self, node: SoakNode, now: float) -> bool:
-        """Whether a node and the core had no disturbance lately. A node's own stop isn't one."""
+        """Return whether node and controllers had no recent disturbance. The node's own stop is none."""
         own = node.started and not node.frozen and now >= node.undisturbed_from
-        return own and now >= self._core_undisturbed_from and self._core_runs()
+        return own and now >= self._controllers_undisturbed_from and self._controllers_run()
 
-    def _core_runs(self) -> bool:
-        """Whether most nodes with a disk run, and none of them is starting."""
-        core = [node for node in self.nodes if node.has_disk]
-        usable = [node for node in core if node.running and node.started and not node.frozen]
-        return 2 * len(usable) > len(core) and not any(node.running and not node.started for node in core)
+    def _controllers_run(self) -> bool:
+        """Return whether a majority of the controllers run, and none of them is starting."""
+        controllers = [node for node in self.nodes if node.has_disk]
+        usable = [node for node in controllers if node.running and node.started and not node.frozen]
+        return 2 * len(usable) > len(controllers) and not any(
+            node.running and not node.started for node in controllers
+        )
 
     def start_all(self) -> None:
         """Start the fleet for the first time."""
@@ -175,7 +177,7 @@
         self._watcher = asyncio.get_running_loop().create_task(self._watch())
 
     async def carry_out(self, step: Step) -> None:
-        """Carry out one step, with the start or thaw that follows it."""
+        """Execute one step, with the restart or thaw that follows it."""
         node = self.nodes[step.node]
         if not node.running:
             return
@@ -190,15 +192,15 @@
                 self._hang_up(node)
 
     async def end(self) -> None:
-        """Stop every process in order, and see that all end so."""
+        """Stop every process gracefully and check that each exits."""
         self._over = True
-        await asyncio.gather(*(self._stopped(node) for node in self.nodes if node.running))
+        await asyncio.gather(*(self._stop(node) for node in self.nodes if node.running))
         if self._watcher is not None:
             self._watcher.cancel()
             await asyncio.gather(self._watcher, return_exceptions=True)
 
     def kill_all(self) -> None:
-        """End whatever still runs."""
+        """Kill every process that still runs."""
         for node in self.nodes:
             if node.process is not None:
                 node.process.kill()
@@ -210,26 +212,26 @@
             self._disturb(node)
 
     def _disturb(self, node: SoakNode, for_s: float = 0.0) -> None:
-        """Note a disturbance of a node that lasts ``for_s`` from now on."""
+        """Record a disturbance of a node that lasts ``for_s`` from now on."""
         node.disturbed(for_s)
-        self._disturb_core(node, for_s)
+        self._disturb_controllers(node, for_s)
 
-    def _disturb_core(self, node: SoakNode, for_s: float = 0.0) -> None:
+    def _disturb_controllers(self, node: SoakNode, for_s: float = 0.0) -> None:
         if node.has_disk:
             until = time.monotonic() + for_s + CONTACT_S
-            self._core_undisturbed_from = max(self._core_undisturbed_from, until)
+            self._controllers_undisturbed_from = max(self._controllers_undisturbed_from, until)
 
     async def _terminate(self, node: SoakNode, down_s: float) -> None:
-        if await self._stopped(node):
+        if await self._stop(node):
             await asyncio.sleep(down_s)
             node.write_settings(self._seeds, first_start=False)
             self._start(node)
 
-    async def _stopped(self, node: SoakNode) -> bool:
-        """Stop a process; ``False`` if it was stopping already."""
-        life, already = node.life, node.stopping
+    async def _stop(self, node: SoakNode) -> bool:
+        """Stop a process; return ``False`` if it was already stopping or another one runs by now."""
+        incarnation, already = node.incarnation, node.stopping
         node.stopping = True
-        self._disturb_core(node)
+        self._disturb_controllers(node)
         node.send(signal.SIGTERM)
         if already:
             return False
@@ -239,7 +241,7 @@
                 self._findings.add(Rule.END, f"{node.name} runs {GRACE_S:g} s after its stop was asked for")
                 node.send(signal.SIGKILL)
             await asyncio.sleep(POLL_S)
-        return node.life == life
+        return node.incarnation == incarnation
 
     async def _kill(self, node: SoakNode, down_s: float) -> None:
         self._disturb(node)
@@ -253,12 +255,12 @@
     async def _freeze(self, node: SoakNode, for_s: float) -> None:
         if node.frozen:
             return
-        life = node.life
+        incarnation = node.incarnation
         node.frozen = True
         self._disturb(node, for_s)
         node.send(signal.SIGSTOP)
         await asyncio.sleep(for_s)
-        if node.life == life and node.running:
+        if node.incarnation == incarnation and node.running:
             node.frozen = False
             node.frozen_s += for_s
             self._disturb(node)
@@ -270,31 +272,33 @@
         node.write_settings(self._seeds, first_start=False)
         node.send(signal.SIGHUP)
 
-    def _notice_start(self, node: SoakNode) -> None:
+    def _detect_start(self, node: SoakNode) -> None:
         if node.running and not node.started and node.has_logged("node_started"):
             node.started = True
             self._disturb(node)
 
     async def _watch(self) -> None:
-        """Notice ends; one that nobody asked for is a finding, and so is a stop with another code than 0."""
+        """Detect exits; an unrequested one is a finding, and so is a stop with another code than 0."""
         while True:
             for node in self.nodes:
-                self._notice_start(node)
+                self._detect_start(node)
                 code = node.poll()
                 if code is None or node.was_killed or (node.stopping and code == 0):
                     continue
-                if not _is_in_order(node, code):
-                    asked = "was asked to stop and" if node.stopping else "was asked nothing but"
-                    self._findings.add(Rule.END, f"{node.name} (life {node.life}) {asked} ended with {code}")
+                if not _exited_before_handlers(node, code):
+                    reason = "was asked to stop and" if node.stopping else "was asked nothing but"
+                    self._findings.add(
+                        Rule.END, f"{node.name} (life {node.incarnation}) {reason} ended with {code}"
+                    )
                 if not node.stopping:
                     self._start(node)
             await asyncio.sleep(POLL_S)
 
 
-def _is_in_order(node: SoakNode, code: int) -> bool:
-    """Whether a process may have ended with ``code`` because it didn't listen for a signal yet.
+def _exited_before_handlers(node: SoakNode, code: int) -> bool:
+    """Return whether a process may exit with ``code`` because it had no signal handler yet.
 
-    That is so for SIGTERM until the node has started, and for SIGHUP until its program begins.
+    That holds for SIGTERM until the node has started, and for SIGHUP until its program begins.
     """
     if code == -signal.SIGTERM:
         return node.stopping and not node.has_logged("node_started")
--- a/src/springmux/lab/soak/history.py
+++ b/src/springmux/lab/soak/history.py
@@ -1,4 +1,4 @@
-"""What the operator sent and what was acknowledged, with times; what a request may be answered by it."""
+"""History of submitted and acknowledged configuration versions, and which may be in force at a time."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class SentVersion(msgspec.Struct):
-    """A version with the times (monotonic seconds) of its first sending and its acknowledgement.
+    """A version with the times (monotonic seconds) of its first submission and its acknowledgement.
 
     ``refused``: it lost a race, so it is never in force.
     """
@@ -26,7 +26,7 @@
         self.sent: dict[int, SentVersion] = {}
 
     def send(self, version: Version, now: float) -> SentVersion:
-        """Note the first sending of a version."""
+        """Record the first submission of a version."""
         return self.sent.setdefault(version.number, SentVersion(version, now))
 
     def newest_acknowledged(self, before: float) -> int:
@@ -35,7 +35,7 @@
         return newest.number if newest is not None else 0
 
     def newest(self, before: float) -> Version | None:
-        """Return the newest version acknowledged before a time, whole."""
+        """Return the newest version acknowledged before a time."""
         versions = [
             sent.version
             for sent in self.sent.values()
@@ -44,7 +44,7 @@
         return max(versions, key=lambda version: version.number, default=None)
 
     def acknowledged(self, number: int) -> SentVersion | None:
-        """Return a version that was acknowledged."""
+        """Return a version if it was acknowledged."""
         sent = self.sent.get(number)
         return sent if sent is not None and sent.acknowledged_at is not None else None
 
--- a/src/springmux/lab/soak/wire.py
+++ b/src/springmux/lab/soak/http_connection.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 over one open connection, as a caller that sees when and how the other side ends it."""
+"""Minimal HTTP/1.1 client over one connection that shows when and how the peer closes it."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 import msgspec
 
 
-class Answer(msgspec.Struct, frozen=True):
-    """A whole answer. Header names are in lower case."""
+class Response(msgspec.Struct, frozen=True):
+    """A complete response. Header names are in lower case."""
 
     status: int
     headers: dict[str, str]
@@ -17,18 +17,18 @@
 
     @property
     def closes(self) -> bool:
-        """Whether the other side ends the connection after it."""
+        """Return whether the peer closes the connection after it."""
         return self.headers.get("connection", "").lower() == "close"
 
 
 class ConnectionClosedError(Exception):
-    """The connection ended without a whole answer."""
+    """The connection closed before a complete response."""
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
     """Return a message's first line, its headers with names in lower case, and its body.
 
-    :raises asyncio.IncompleteReadError: if the connection ends before.
+    :raises asyncio.IncompleteReadError: if the connection closes first.
     """
     head = await reader.readuntil(b"\r\n\r\n")
     first, *rest = head.decode("latin-1").strip().split("\r\n")
@@ -37,30 +37,30 @@
     return first, headers, await reader.readexactly(int(headers.get("content-length", "0")))
 
 
-class CallerConnection:
-    """One connection; requests go one after another."""
+class HttpConnection:
+    """One connection; requests are sent one after another."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._reader = reader
         self._writer = writer
 
     @staticmethod
-    async def open(host: str, port: int, timeout_s: float) -> CallerConnection:
+    async def open(host: str, port: int, timeout_s: float) -> HttpConnection:
         """Connect.
 
         :raises OSError: if that fails, :class:`TimeoutError` among them.
         """
         async with asyncio.timeout(timeout_s):
             reader, writer = await asyncio.open_connection(host, port)
-        return CallerConnection(reader, writer)
+        return HttpConnection(reader, writer)
 
-    async def ask(
+    async def request(
         self, method: str, target: str, headers: dict[str, str], body: bytes, timeout_s: float
-    ) -> Answer:
-        """Send a request and wait for its answer.
+    ) -> Response:
+        """Send a request and wait for its response.
 
-        :raises ConnectionClosedError: if the connection ends first.
-        :raises TimeoutError: if no whole answer comes in time.
+        :raises ConnectionClosedError: if the connection closes first.
+        :raises TimeoutError: if there is no complete response in time.
         """
         lines = [f"{method} {target} HTTP/1.1", *(f"{name}: {value}" for name, value in headers.items())]
         lines.append(f"content-length: {len(body)}")
@@ -68,28 +68,28 @@
         try:
             self._writer.write(head.encode() + body)
             async with asyncio.timeout(timeout_s):
-                return await self._answer()
+                return await self._read_response()
         except (asyncio.IncompleteReadError, ConnectionError) as error:
             raise ConnectionClosedError(type(error).__name__) from error
 
-    async def _answer(self) -> Answer:
+    async def _read_response(self) -> Response:
         first, headers, body = await read_message(self._reader)
-        return Answer(int(first.split(" ")[1]), headers, body)
+        return Response(int(first.split(" ")[1]), headers, body)
 
     def close(self) -> None:
-        """End the connection."""
+        """Close the connection."""
         with contextlib.suppress(OSError):
             self._writer.close()
 
 
-async def ask_once(
+async def request_once(
     host: str, port: int, method: str, target: str, headers: dict[str, str], body: bytes, timeout_s: float
-) -> Answer | None:
-    """Send one request over a connection of its own; return ``None`` if there is no whole answer."""
+) -> Response | None:
+    """Send one request over a connection of its own; return ``None`` without a complete response."""
     try:
-        connection = await CallerConnection.open(host, port, timeout_s)
+        connection = await HttpConnection.open(host, port, timeout_s)
         try:
-            return await connection.ask(method, target, headers, body, timeout_s)
+            return await connection.request(method, target, headers, body, timeout_s)
         finally:
             connection.close()
     except (OSError, ConnectionClosedError):
--- a/src/springmux/lab/soak/plan.py
+++ b/src/springmux/lab/soak/plan.py
@@ -1,4 +1,4 @@
-"""What happens to which process when: drawn from a seed, before the run begins."""
+"""Plan of a soak: which process gets which signal when, drawn from a seed before the run."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 SETTLE_S = 4.0
 """After the start, before the first disturbance."""
 QUIET_S = 8.0
-"""At the end: a stop takes up to its grace, and every node must be current again."""
+"""At the end: a stop takes up to its grace period, and every node must become current again."""
 PAUSE_S = (0.3, 3.5)
-"""Between the beginnings of two series; most last longer, so they overlap."""
+"""Range between the starts of two series; most last longer, so they overlap."""
 
 
 class SignalKind(enum.StrEnum):
-    """What a process gets."""
+    """The signal that a process gets, with what follows."""
 
     TERMINATE = "terminate"
     """SIGTERM, and a start once it has ended."""
@@ -29,7 +29,7 @@
 
 
 class Step(msgspec.Struct, frozen=True):
-    """One signal to one node. ``for_s``: until it is started again or goes on."""
+    """One signal to one node. ``for_s``: time until it is restarted or resumed."""
 
     at_s: float
     kind: SignalKind
@@ -63,28 +63,28 @@
     )
 
 
-def _some(source: random.Random, size: SoakSize, share: float) -> list[int]:
+def _sample_nodes(source: random.Random, size: SoakSize, share: float) -> list[int]:
     return source.sample(range(size.nodes), max(1, round(share * size.nodes)))
 
 
-def _roll(source: random.Random, size: SoakSize, at_s: float) -> list[Step]:
+def _rolling_stop(source: random.Random, size: SoakSize, at_s: float) -> list[Step]:
     """Stop nodes one after another."""
     gap_s = source.uniform(0.3, 2.0)
-    nodes = _some(source, size, source.uniform(0.2, 0.8))
+    nodes = _sample_nodes(source, size, source.uniform(0.2, 0.8))
     down_s = source.uniform(0.05, 0.8)
     return [
-        Step(at_s + place * gap_s, SignalKind.TERMINATE, node, down_s) for place, node in enumerate(nodes)
+        Step(at_s + index * gap_s, SignalKind.TERMINATE, node, down_s) for index, node in enumerate(nodes)
     ]
 
 
-def _herd(source: random.Random, size: SoakSize, at_s: float) -> list[Step]:
-    """Kill many nodes at once."""
+def _kill_many(source: random.Random, size: SoakSize, at_s: float) -> list[Step]:
+    """Kill half of the nodes at once."""
     down_s = source.uniform(0.1, 2.0)
-    return [Step(at_s, SignalKind.KILL, node, down_s) for node in _some(source, size, 0.5)]
+    return [Step(at_s, SignalKind.KILL, node, down_s) for node in _sample_nodes(source, size, 0.5)]
 
 
-def _one(source: random.Random, size: SoakSize, at_s: float) -> list[Step]:
-    """Kill one node, again as soon as it is back."""
+def _kill_one(source: random.Random, size: SoakSize, at_s: float) -> list[Step]:
+    """Kill one node, perhaps a second time once it is back."""
     node = source.randrange(size.nodes)
     return [
         Step(at_s + again * source.uniform(1.5, 3.0), SignalKind.KILL, node, source.uniform(0.1, 1.5))
@@ -92,27 +92,35 @@
     ]
 
 
-def _controllers(source: random.Random, size: SoakSize, at_s: float) -> list[Step]:
-    """Kill or stop all nodes with a disk at once."""
+def _stop_controllers(source: random.Random, size: SoakSize, at_s: float) -> list[Step]:
+    """Kill or stop all controllers at once."""
     kind = source.choice((SignalKind.KILL, SignalKind.KILL, SignalKind.TERMINATE))
     down_s = source.uniform(0.1, 1.5)
     return [Step(at_s, kind, node, down_s) for node in range(size.controllers)]
 
 
-def _freeze(source: random.Random, size: SoakSize, at_s: float) -> list[Step]:
+def _freeze_some(source: random.Random, size: SoakSize, at_s: float) -> list[Step]:
     """Freeze some nodes."""
     for_s = source.uniform(0.4, 4.0)
-    return [Step(at_s, SignalKind.FREEZE, node, for_s) for node in _some(source, size, 0.25)]
+    return [Step(at_s, SignalKind.FREEZE, node, for_s) for node in _sample_nodes(source, size, 0.25)]
 
 
-def _hang_ups(source: random.Random, size: SoakSize, at_s: float) -> list[Step]:
+def _hang_up_some(source: random.Random, size: SoakSize, at_s: float) -> list[Step]:
     """Send hang-ups in quick succession, also to nodes that are starting or stopping."""
-    nodes = _some(source, size, 0.6)
+    nodes = _sample_nodes(source, size, 0.6)
     return [
-        Step(at_s + place * 0.1 + again * 0.5, SignalKind.HANG_UP, node)
+        Step(at_s + index * 0.1 + again * 0.5, SignalKind.HANG_UP, node)
         for again in range(3)
-        for place, node in enumerate(nodes)
+        for index, node in enumerate(nodes)
     ]
 
 
-SERIES = (_roll, _roll, _herd, _one, _controllers, _freeze, _hang_ups)
+SERIES = (
+    _rolling_stop,
+    _rolling_stop,
+    _kill_many,
+    _kill_one,
+    _stop_controllers,
+    _freeze_some,
+    _hang_up_some,
+)
--- a/src/springmux/lab/soak/run.py
+++ b/src/springmux/lab/soak/run.py
@@ -1,4 +1,4 @@
-"""One run of the soak: start a fleet, let everything happen at once, look at what is left, stop the fleet."""
+"""One run of the soak: start a fleet, apply the plan under load, check the final state, stop the fleet."""
 
 from __future__ import annotations
 
@@ -6,31 +6,32 @@
 import json
 import random
 import time
+from http import HTTPStatus
 from pathlib import Path
 
 import msgspec
 
-from springmux.lab.soak.callers import SoakCaller
+from springmux.lab.soak.clients import SoakClient
 from springmux.lab.soak.configurations import HOST
+from springmux.lab.soak.consistency_checker import IN_FORCE_S, ConsistencyChecker
 from springmux.lab.soak.engines import SoakEngines
 from springmux.lab.soak.findings import Finding, Findings, Rule
+from springmux.lab.soak.fleet import CONTACT_S, FRONT_PORT, SoakFleet
 from springmux.lab.soak.history import ConfigurationHistory
-from springmux.lab.soak.judge import IN_FORCE_S, Judge
-from springmux.lab.soak.nodes import CONTACT_S, FRONT_PORT, SoakNodes
-from springmux.lab.soak.operators import SoakOperators, newest_shown
+from springmux.lab.soak.http_connection import request_once
+from springmux.lab.soak.operators import SoakOperators, read_configuration
 from springmux.lab.soak.plan import SoakSize, make_plan
-from springmux.lab.soak.wire import ask_once
 
 FIRST_CONFIGURATION_S = 60.0
-"""As long as many processes on a busy machine take to start and found their group."""
+"""Time for many processes on a busy machine to start and form their group."""
 READ_BACK_S = 10.0
-LOOK_S = 0.2
+POLL_S = 0.2
 PROBE = "probe"
-"""Id of the run's own requests, which may run often."""
+"""Id of the run's own requests, which may run more than once."""
 
 
 class SoakReport(msgspec.Struct, frozen=True):
-    """What a run found."""
+    """Findings and counts of one run."""
 
     seed: int
     findings: tuple[Finding, ...]
@@ -38,7 +39,7 @@
 
 
 class SoakRun:
-    """Everything of one run. Its processes end with it, also when it fails."""
+    """One run of the soak. Its processes end with it, also when it fails."""
 
     def __init__(self, seed: int, size: SoakSize, folder: Path) -> None:
         source = random.Random(f"soak run {seed}")
@@ -46,64 +47,68 @@
         self._size = size
         self._findings = Findings()
         self._history = ConfigurationHistory()
-        self._nodes = SoakNodes(size, folder, self._findings, random.Random(source.getrandbits(64)))
-        places = self._nodes.control_places()
-        self._engines = SoakEngines(random.Random(source.getrandbits(64)), places)
+        self._fleet = SoakFleet(size, folder, self._findings, random.Random(source.getrandbits(64)))
+        endpoints = self._fleet.control_endpoints()
+        self._engines = SoakEngines(random.Random(source.getrandbits(64)), endpoints)
         self._operators = SoakOperators(
-            places, self._history, self._findings, random.Random(source.getrandbits(64)), size.change_period_s
+            endpoints,
+            self._history,
+            self._findings,
+            random.Random(source.getrandbits(64)),
+            size.change_period_s,
         )
-        self._judge = Judge(self._history, self._nodes, self._findings)
-        self._callers = [
-            SoakCaller(
+        self._checker = ConsistencyChecker(self._history, self._fleet, self._findings)
+        self._clients = [
+            SoakClient(
                 f"{node.name}-{number}",
                 node,
                 self._history,
-                self._judge,
+                self._checker,
                 self._engines,
                 random.Random(source.getrandbits(64)),
             )
-            for node in self._nodes.nodes
+            for node in self._fleet.nodes
             for number in range(size.connections)
         ]
 
     async def run(self) -> SoakReport:
-        """Run and return what was found."""
-        self._nodes.start_all()
+        """Run the soak and return its report."""
+        self._fleet.start_all()
         await self._engines.start()
         try:
-            await self._play()
+            await self._run_phases()
         finally:
-            self._nodes.kill_all()
+            self._fleet.kill_all()
             await self._engines.stop()
         counts = dict(sorted(self._findings.counts.items()))
         return SoakReport(self._seed, tuple(self._findings.found), counts)
 
-    async def _play(self) -> None:
-        if not await self._begun():
+    async def _run_phases(self) -> None:
+        if not await self._start_serving():
             self._findings.add(Rule.ACKNOWLEDGED, "the first configuration was not taken")
             return
         loop = asyncio.get_running_loop()
-        callers = [loop.create_task(caller.run()) for caller in self._callers]
+        clients = [loop.create_task(client.run()) for client in self._clients]
         changes = loop.create_task(self._operators.run())
         await self._disturb()
         self._operators.enough.set()
         await changes
         await asyncio.sleep(IN_FORCE_S + CONTACT_S)
         await self._read_back()
-        await _end_callers(callers)
-        await self._nodes.end()
+        await _stop_clients(clients)
+        await self._fleet.end()
         self._check_runs()
 
-    async def _begun(self) -> bool:
-        """Give the first configuration, and wait until every node serves by it."""
+    async def _start_serving(self) -> bool:
+        """Submit the first configuration and wait until every node serves by it."""
         if not await self._operators.begin():
             return False
         until = time.monotonic() + FIRST_CONFIGURATION_S
         while time.monotonic() < until:
-            statuses = await asyncio.gather(*(self._probe(node.host) for node in self._nodes.nodes))
-            if set(statuses) == {200}:
+            statuses = await asyncio.gather(*(self._probe(node.host) for node in self._fleet.nodes))
+            if set(statuses) == {HTTPStatus.OK}:
                 return True
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_S)
         return False
 
     async def _disturb(self) -> None:
@@ -111,7 +116,7 @@
         running: set[asyncio.Task[None]] = set()
         for step in make_plan(self._seed, self._size):
             await asyncio.sleep(max(0.0, began_at + step.at_s - time.monotonic()))
-            task = asyncio.get_running_loop().create_task(self._nodes.carry_out(step))
+            task = asyncio.get_running_loop().create_task(self._fleet.carry_out(step))
             running.add(task)
             task.add_done_callback(running.discard)
             self._findings.count(f"step {step.kind.value}")
@@ -119,44 +124,46 @@
         await asyncio.gather(*running)
 
     async def _read_back(self) -> None:
-        """Every node must serve by the newest acknowledged version and show it."""
+        """Check that every node serves by the newest acknowledged version and reports it."""
         newest = self._history.newest_acknowledged(time.monotonic())
-        for node, place in zip(self._nodes.nodes, self._nodes.control_places(), strict=True):
+        for node, endpoint in zip(self._fleet.nodes, self._fleet.control_endpoints(), strict=True):
             until = time.monotonic() + READ_BACK_S
-            shown = await newest_shown(place)
-            while (shown is None or shown.status != 200) and time.monotonic() < until:
-                await asyncio.sleep(LOOK_S)
-                shown = await newest_shown(place)
-            number = json.loads(shown.body)["version"] if shown is not None and shown.status == 200 else None
+            response = await read_configuration(endpoint)
+            while (response is None or response.status != HTTPStatus.OK) and time.monotonic() < until:
+                await asyncio.sleep(POLL_S)
+                response = await read_configuration(endpoint)
+            number = None
+            if response is not None and response.status == HTTPStatus.OK:
+                number = json.loads(response.body)["version"]
             served = await self._probe(node.host)
-            if number != newest or served != 200:
+            if number != newest or served != HTTPStatus.OK:
                 what = f"{node.name} shows version {number} and answers {served}; {newest} was acknowledged"
                 self._findings.add(Rule.ACKNOWLEDGED, what)
 
     async def _probe(self, host: str) -> int:
-        """Ask a node on the newest acknowledged route; return the status, 0 without an answer."""
+        """Request the newest acknowledged route of a node; return the status, 0 without a response."""
         newest = self._history.newest(time.monotonic())
         assert newest is not None
         headers = {"host": HOST, "x-api-key": newest.keys[-1], "x-request-id": PROBE}
         path = newest.numbered_path()
-        answer = await ask_once(host, FRONT_PORT, "POST", path, headers, b"", READ_BACK_S)
-        return answer.status if answer is not None else 0
+        response = await request_once(host, FRONT_PORT, "POST", path, headers, b"", READ_BACK_S)
+        return response.status if response is not None else 0
 
     def _check_runs(self) -> None:
-        for request in self._judge.refused:
-            if self._engines.runs(request):
-                self._findings.add(Rule.ONCE, f"{request} was refused, and run")
+        for request_id in self._checker.refused:
+            if self._engines.runs(request_id):
+                self._findings.add(Rule.ONCE, f"{request_id} was refused, and run")
         for engine in self._engines.engines:
-            for request, runs in engine.runs.items():
-                if request != PROBE and self._engines.runs(request) > 1:
-                    self._findings.add(Rule.ONCE, f"{request} was run {runs} times at {engine.name}")
+            for request_id, runs in engine.runs.items():
+                if request_id != PROBE and self._engines.runs(request_id) > 1:
+                    self._findings.add(Rule.ONCE, f"{request_id} was run {runs} times at {engine.name}")
 
 
-async def _end_callers(callers: list[asyncio.Task[None]]) -> None:
-    """Cancel the callers; one that had ended by a fault of its own raises it."""
-    for caller in callers:
-        caller.cancel()
-    for ended in await asyncio.gather(*callers, return_exceptions=True):
+async def _stop_clients(clients: list[asyncio.Task[None]]) -> None:
+    """Cancel the clients; raise the exception of one that failed by itself."""
+    for client in clients:
+        client.cancel()
+    for ended in await asyncio.gather(*clients, return_exceptions=True):
         if not isinstance(ended, asyncio.CancelledError) and isinstance(ended, BaseException):
             raise ended
 
--- a/tests/unit/lab/test_soak.py
+++ b/tests/unit/lab/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak's plan, configurations and judge, without processes."""
+"""The soak's plan, configurations and checkers, without processes."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
     UNKNOWN_ROUTE,
     Version,
     first_version,
+    full_document,
     next_version,
     numbered_path,
     partial_document,
-    whole_document,
 )
+from springmux.lab.soak.consistency_checker import IN_FORCE_S, LOSS_SLACK_S, STEP_BACK_S, ConsistencyChecker
 from springmux.lab.soak.findings import Findings, Rule
+from springmux.lab.soak.fleet import SoakFleet, SoakNode
 from springmux.lab.soak.history import ConfigurationHistory
-from springmux.lab.soak.judge import IN_FORCE_S, LOSS_SLACK_S, STEP_BACK_S, Judge
-from springmux.lab.soak.nodes import SoakNode, SoakNodes
+from springmux.lab.soak.http_connection import Response
 from springmux.lab.soak.plan import QUIET_S, SETTLE_S, SignalKind, SoakSize, make_plan
-from springmux.lab.soak.wire import Answer
 from springmux.vocabulary.names import OrderId
 
 SIZE = SoakSize()
@@ -79,13 +79,13 @@
     source = random.Random(1)
     section = GatewaySection()
     version = first_version()
-    assert applied(section, 0, whole_document(version), False) is Outcome.ACCEPTED
+    assert applied(section, 0, full_document(version), False) is Outcome.ACCEPTED
     for _ in range(100):
         following = next_version(version, version.number, source)
         document = partial_document(version, following)
         assert applied(section, version.number, document, True) is Outcome.ACCEPTED
         whole = GatewaySection()
-        assert applied(whole, 0, whole_document(following), False) is Outcome.ACCEPTED
+        assert applied(whole, 0, full_document(following), False) is Outcome.ACCEPTED
         present, wanted = section.configuration, whole.configuration
         assert set(present.routes) == set(wanted.routes)
         assert present.tenants == wanted.tenants
@@ -98,23 +98,23 @@
     assert SECOND.outcome(numbered_path(3), NEW_KEY) == UNKNOWN_ROUTE
 
 
-class Court:
-    """A judge with two versions: the second was acknowledged at 10 s. One node runs."""
+class CheckerHarness:
+    """A checker with two versions: the second was acknowledged at 10 s. One node runs."""
 
     def __init__(self, tmp_path: Path, undisturbed: bool = True) -> None:
         self.findings = Findings()
         self.history = ConfigurationHistory()
         for version, at in ((FIRST, 0.0), (SECOND, 10.0)):
             self.history.send(version, at).acknowledged_at = at
-        nodes = SoakNodes(SoakSize(nodes=1, controllers=1), tmp_path, self.findings, random.Random(1))
+        nodes = SoakFleet(SoakSize(nodes=1, controllers=1), tmp_path, self.findings, random.Random(1))
         self.node: SoakNode = nodes.nodes[0]
-        self.node.life = 1
+        self.node.incarnation = 1
         nodes.is_undisturbed = lambda node, now: undisturbed  # type: ignore[method-assign]
-        self.judge = Judge(self.history, nodes, self.findings)
+        self.checker = ConsistencyChecker(self.history, nodes, self.findings)
 
-    def answer(self, path: str, key: str, at: float, status: int, body: bytes = b"") -> list[Rule]:
-        asked = self.judge.asked(f"request-{at}", self.node, path, key, at)
-        self.judge.answered(asked, Answer(status, {}, body), at + 0.01)
+    def respond(self, path: str, key: str, at: float, status: int, body: bytes = b"") -> list[Rule]:
+        request = self.checker.record_sent(f"request-{at}", self.node, path, key, at)
+        self.checker.check_response(request, Response(status, {}, body), at + 0.01)
         return [finding.rule for finding in self.findings.found]
 
 
@@ -134,7 +134,7 @@
 def test_an_answer_by_an_older_version_is_found_where_the_newer_one_is_due(
     path: str, key: str, status: int, body: bytes, tmp_path: Path
 ) -> None:
-    assert Court(tmp_path).answer(path, key, LATE_S, status, body) == [Rule.NEWEST]
+    assert CheckerHarness(tmp_path).respond(path, key, LATE_S, status, body) == [Rule.NEWEST]
 
 
 def test_the_older_version_may_answer_until_the_newer_one_is_due_and_at_disturbed_nodes(
@@ -142,50 +142,52 @@
 ) -> None:
     old = (numbered_path(1), OLD_KEY, 200, SERVICES[0].encode())
     path, key, status, body = old
-    assert Court(tmp_path).answer(path, key, 10.0 + IN_FORCE_S - 0.1, status, body) == []
-    assert Court(tmp_path, undisturbed=False).answer(path, key, LATE_S, status, body) == []
+    assert CheckerHarness(tmp_path).respond(path, key, 10.0 + IN_FORCE_S - 0.1, status, body) == []
+    assert CheckerHarness(tmp_path, undisturbed=False).respond(path, key, LATE_S, status, body) == []
 
 
 def test_a_node_that_answered_by_a_version_may_not_go_back(tmp_path: Path) -> None:
-    court = Court(tmp_path, undisturbed=False)
-    assert court.answer(MOVING_PATH, NEW_KEY, 10.5, 200, SERVICES[1].encode()) == []
-    assert court.answer(MOVING_PATH, OLD_KEY, 10.6, 200, SERVICES[0].encode()) == []
+    harness = CheckerHarness(tmp_path, undisturbed=False)
+    assert harness.respond(MOVING_PATH, NEW_KEY, 10.5, 200, SERVICES[1].encode()) == []
+    assert harness.respond(MOVING_PATH, OLD_KEY, 10.6, 200, SERVICES[0].encode()) == []
     later = 10.5 + STEP_BACK_S + 0.1
-    assert court.answer(MOVING_PATH, OLD_KEY, later, 200, SERVICES[0].encode()) == [Rule.NO_STEP_BACK]
+    assert harness.respond(MOVING_PATH, OLD_KEY, later, 200, SERVICES[0].encode()) == [Rule.NO_STEP_BACK]
 
 
 def test_another_life_of_a_node_may_begin_with_an_older_version(tmp_path: Path) -> None:
-    court = Court(tmp_path, undisturbed=False)
-    court.answer(MOVING_PATH, NEW_KEY, 10.5, 200, SERVICES[1].encode())
-    court.node.life = 2
-    assert court.answer(MOVING_PATH, OLD_KEY, 12.0, 200, SERVICES[0].encode()) == []
+    harness = CheckerHarness(tmp_path, undisturbed=False)
+    harness.respond(MOVING_PATH, NEW_KEY, 10.5, 200, SERVICES[1].encode())
+    harness.node.incarnation = 2
+    assert harness.respond(MOVING_PATH, OLD_KEY, 12.0, 200, SERVICES[0].encode()) == []
 
 
 def test_a_request_that_ran_and_got_no_answer_is_found_unless_its_node_was_killed(tmp_path: Path) -> None:
-    court = Court(tmp_path)
-    asked = court.judge.asked("request", court.node, MOVING_PATH, NEW_KEY, 11.0)
-    court.judge.unanswered(asked, 0, 11.0 + LOSS_SLACK_S / 2)
-    assert not court.findings.found
-    court.judge.unanswered(asked, 1, 11.0 + LOSS_SLACK_S / 2)
-    court.judge.unanswered(asked, 0, 11.0 + 2 * LOSS_SLACK_S)
-    assert [finding.rule for finding in court.findings.found] == [Rule.ANSWERED] * 2
-    court.node.life = 2
-    court.judge.unanswered(asked, 1, 12.0)
-    assert len(court.findings.found) == 2
+    harness = CheckerHarness(tmp_path)
+    request = harness.checker.record_sent("request", harness.node, MOVING_PATH, NEW_KEY, 11.0)
+    harness.checker.check_missing_response(request, 0, 11.0 + LOSS_SLACK_S / 2)
+    assert not harness.findings.found
+    harness.checker.check_missing_response(request, 1, 11.0 + LOSS_SLACK_S / 2)
+    harness.checker.check_missing_response(request, 0, 11.0 + 2 * LOSS_SLACK_S)
+    assert [finding.rule for finding in harness.findings.found] == [Rule.ANSWERED] * 2
+    harness.node.incarnation = 2
+    harness.checker.check_missing_response(request, 1, 12.0)
+    assert len(harness.findings.found) == 2
 
 
 def test_refused_requests_are_kept_to_see_that_none_ran(tmp_path: Path) -> None:
-    court = Court(tmp_path)
-    court.answer(MOVING_PATH, NEW_KEY, 11.0, 503)
-    assert court.judge.refused == ["request-11.0"]
+    harness = CheckerHarness(tmp_path)
+    harness.respond(MOVING_PATH, NEW_KEY, 11.0, 503)
+    assert harness.checker.refused == ["request-11.0"]
 
 
-def refusals(court: Court, begin: float, end: float, status: int = 503, step_s: float = 0.1) -> list[Rule]:
+def refusals(
+    harness: CheckerHarness, begin: float, end: float, status: int = 503, step_s: float = 0.1
+) -> list[Rule]:
     """Have the node answer a proper request with ``status`` each ``step_s``."""
     at = begin
     found: list[Rule] = []
     while at < end:
-        found = court.answer(numbered_path(1), NEW_KEY, at, status)
+        found = harness.respond(numbered_path(1), NEW_KEY, at, status)
         at += step_s
     return found
 
@@ -193,33 +195,33 @@
 @pytest.mark.parametrize("status", [429, 500, 502, 503])
 def test_a_node_that_refuses_everything_undisturbed_is_found_once(tmp_path: Path, status: int) -> None:
     begin = LATE_S + 1.0
-    assert refusals(Court(tmp_path), begin, begin + 3 * REFUSING_S, status) == [Rule.AVAILABLE]
+    assert refusals(CheckerHarness(tmp_path), begin, begin + 3 * REFUSING_S, status) == [Rule.AVAILABLE]
 
 
 def test_a_node_that_serves_now_and_then_is_not_found(tmp_path: Path) -> None:
-    court = Court(tmp_path)
+    harness = CheckerHarness(tmp_path)
     at = LATE_S + 1.0
     for _ in range(10):
-        assert refusals(court, at, at + 0.8 * REFUSING_S) == []
+        assert refusals(harness, at, at + 0.8 * REFUSING_S) == []
         at += 0.8 * REFUSING_S
         body = SERVICES[0].encode()
-        assert court.answer(numbered_path(1), NEW_KEY, at, 200, body) == []
+        assert harness.respond(numbered_path(1), NEW_KEY, at, 200, body) == []
         at += 0.1
 
 
 def test_disturbed_and_stopping_nodes_and_improper_requests_may_be_refused(tmp_path: Path) -> None:
     begin = LATE_S + 1.0
-    assert refusals(Court(tmp_path, undisturbed=False), begin, begin + 3 * REFUSING_S) == []
-    stopping = Court(tmp_path)
+    assert refusals(CheckerHarness(tmp_path, undisturbed=False), begin, begin + 3 * REFUSING_S) == []
+    stopping = CheckerHarness(tmp_path)
     stopping.node.stopping = True
     assert refusals(stopping, begin, begin + 3 * REFUSING_S) == []
-    court = Court(tmp_path)
+    harness = CheckerHarness(tmp_path)
     for number in range(100):
-        assert court.answer(numbered_path(1), OLD_KEY, begin + number / 10, 503) == []
+        assert harness.respond(numbered_path(1), OLD_KEY, begin + number / 10, 503) == []
 
 
 def test_a_node_that_takes_no_connection_undisturbed_is_found(tmp_path: Path) -> None:
-    court = Court(tmp_path)
+    harness = CheckerHarness(tmp_path)
     for number in range(100):
-        court.judge.unreachable(court.node, 20.0 + number / 10)
-    assert [finding.rule for finding in court.findings.found] == [Rule.AVAILABLE]
+        harness.checker.check_unreachable(harness.node, 20.0 + number / 10)
+    assert [finding.rule for finding in harness.findings.found] == [Rule.AVAILABLE]
