--- a/src/springmux/lab/bench/bare_relay.py
+++ b/src/springmux/lab/bench/bare_relay.py
@@ -1,7 +1,7 @@
-"""The baseline of the data plane's cost: a relay that decides nothing.
+"""Baseline of the data plane's cost: a relay without any decisions.
 
 An aiohttp server and an aiohttp client with the same connection reuse as a node, but no keys, limits,
-choice, checks, records or retries. ``python -m springmux.lab.bench.bare_relay LISTEN TARGET`` runs it.
+routing, checks, records or retries. ``python -m springmux.lab.bench.bare_relay LISTEN TARGET`` runs it.
 """
 
 from __future__ import annotations
@@ -19,25 +19,25 @@
 
 
 class BareRelay:
-    """Passes every request on to one back end."""
+    """Forwards every request to one back end."""
 
     def __init__(self, target: str) -> None:
         self._target = target
         self._session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0), auto_decompress=False)
 
     async def relay(self, request: web.Request) -> web.StreamResponse:
-        """Pass one request on and its answer back, piece by piece as it comes."""
+        """Forward one request; stream the response back chunk by chunk."""
         body = await request.read()
         headers = {name: value for name, value in request.headers.items() if _passes(name)}
         url = f"http://{self._target}{request.path_qs}"
-        async with self._session.request(request.method, url, data=body, headers=headers) as answer:
-            kept = {name: value for name, value in answer.headers.items() if _passes(name)}
-            if answer.content_length is not None:
-                return web.Response(status=answer.status, body=await answer.read(), headers=kept)
-            response = web.StreamResponse(status=answer.status, headers=kept)
+        async with self._session.request(request.method, url, data=body, headers=headers) as upstream:
+            headers_back = {name: value for name, value in upstream.headers.items() if _passes(name)}
+            if upstream.content_length is not None:
+                return web.Response(status=upstream.status, body=await upstream.read(), headers=headers_back)
+            response = web.StreamResponse(status=upstream.status, headers=headers_back)
             await response.prepare(request)
-            async for piece in answer.content.iter_any():
-                await response.write(piece)
+            async for chunk in upstream.content.iter_any():
+                await response.write(chunk)
             await response.write_eof()
             return response
 
--- a/src/springmux/lab/bench/control_cost.py
+++ b/src/springmux/lab/bench/control_cost.py
@@ -1,4 +1,4 @@
-"""What a node spends on control at several fleet sizes, in virtual time."""
+"""Control-plane cost of a node at several fleet sizes, in virtual time."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 
 import msgspec
 
-from springmux.lab.bench.hollow_meter import (
+from springmux.lab.bench.leader_loss import LeaderLoss, lose_leader
+from springmux.lab.bench.metered_fleet import (
     ANNOUNCE_SPREAD_S,
-    DeliveryWatch,
+    DeliveryObserver,
     MeteredFleet,
     add_engines,
     make_fleet,
     schedule_changes,
 )
-from springmux.lab.bench.leader_loss import LeaderLoss, lose_leader
 from springmux.lab.bench.report import BenchResult, Cell, Line, Plot, Table
 from springmux.lab.bench.slopes import fit, quantile
 
 CHANGES_A_DAY = 13_000
 """The target's rate of changes."""
 DAY_S = 86_400.0
-JOIN_LIMIT_S = 60.0
+JOIN_TIMEOUT_S = 60.0
 QUIET_AFTER_S = 20.0
-"""Rumours of a cold start die out within this."""
+"""Gossip of a cold start ends within this."""
 PROBE_CHANGES = 20
 """Changes whose delivery is timed, two a second."""
 SEED = 1
@@ -71,21 +71,21 @@
 
 
 def measure_size(size: FleetSize) -> SizeCost:
-    """Run one fleet through joining, quiet, changes and losses of its leader."""
+    """Measure one fleet while it joins, is quiet, changes state and loses its leader."""
     fleet = make_fleet(size.nodes, size.zones, size.controllers, SEED)
-    watch = DeliveryWatch(size.nodes)
-    fleet.observers.append(watch)
+    observer = DeliveryObserver(size.nodes)
+    fleet.observers.append(observer)
     fleet.world.start_all()
-    joined = fleet.run_until(fleet.all_ready, JOIN_LIMIT_S)
+    joined = fleet.run_until(fleet.all_ready, JOIN_TIMEOUT_S)
     joined_s = fleet.world.now if joined else float("nan")
     add_engines(fleet, size.engines)
     fleet.world.run_for(ANNOUNCE_SPREAD_S + QUIET_AFTER_S)
-    quiet = _window(fleet, size)
+    quiet = _measure_window(fleet, size)
     busiest_bytes = max(fleet.meter.bytes_of_node.values()) / size.window_s
     by_type = {name: count / size.nodes / size.window_s for name, count in fleet.meter.bytes.most_common()}
     period_s = DAY_S / CHANGES_A_DAY
     schedule_changes(fleet, int(size.window_s / period_s) + 1, period_s)
-    busy = _window(fleet, size)
+    busy = _measure_window(fleet, size)
     schedule_changes(fleet, PROBE_CHANGES, 0.5)
     fleet.world.run_for(0.5 * PROBE_CHANGES + 5.0)
     losses = tuple(lose_leader(fleet, kind, size.losses) for kind in ("kill", "freeze", "cut"))
@@ -100,14 +100,14 @@
         busy_messages=busy[1],
         busy_cpu_ms=busy[2],
         bytes_by_type=by_type,
-        delays_s=tuple(watch.delays_s),
-        undelivered=watch.unfinished,
-        refused=watch.refused,
+        delays_s=tuple(observer.delays_s),
+        undelivered=observer.unfinished,
+        refused=observer.refused,
         losses=losses,
     )
 
 
-def _window(fleet: MeteredFleet, size: FleetSize) -> tuple[float, float, float]:
+def _measure_window(fleet: MeteredFleet, size: FleetSize) -> tuple[float, float, float]:
     """Return bytes, messages and milliseconds of processor time a node a second over one window."""
     fleet.meter.clear()
     fleet.world.run_for(size.window_s)
@@ -121,24 +121,24 @@
 
 
 def measure_memory(size: FleetSize) -> float:
-    """Return the traced KiB a node of a quiet fleet.
+    """Return the traced memory of a node in a quiet fleet, in KiB.
 
-    Hollow nodes share the records and entries that they exchange, so this is what a node holds beside
-    them: its own tables, indexes and views.
+    Simulated nodes share the records and entries that they exchange, so this excludes them: it counts a
+    node's own tables, indexes and views.
     """
     gc.collect()
     tracemalloc.start()
     try:
         fleet = make_fleet(size.nodes, size.zones, size.controllers, SEED)
         fleet.world.start_all()
-        fleet.run_until(fleet.all_ready, JOIN_LIMIT_S)
+        fleet.run_until(fleet.all_ready, JOIN_TIMEOUT_S)
         add_engines(fleet, size.engines)
         fleet.world.run_for(ANNOUNCE_SPREAD_S + 5.0)
         gc.collect()
-        held_bytes, _ = tracemalloc.get_traced_memory()
+        traced_bytes, _ = tracemalloc.get_traced_memory()
     finally:
         tracemalloc.stop()
-    return held_bytes / 1024 / size.nodes
+    return traced_bytes / 1024 / size.nodes
 
 
 def control_cost(nodes_max: int = 360, memory_nodes_max: int = 120) -> BenchResult:
@@ -158,7 +158,7 @@
     rows: list[tuple[Cell, ...]] = []
     for cost in costs:
         size, delays_s = cost.size, cost.delays_s
-        held = memory.get(size.nodes)
+        traced_kib = memory.get(size.nodes)
         rows.append(
             (
                 size.nodes,
@@ -171,7 +171,7 @@
                 cost.busy_messages,
                 cost.quiet_cpu_ms,
                 cost.busy_cpu_ms,
-                "not run" if held is None else held,
+                "not run" if traced_kib is None else traced_kib,
                 f"{quantile(delays_s, 0.5):.3f} / {quantile(delays_s, 0.99):.3f} / "
                 f"{max(delays_s, default=float('nan')):.3f}",
                 f"{len(delays_s)}, {cost.undelivered}, {cost.refused}",
--- a/src/springmux/lab/bench/leader_loss.py
+++ b/src/springmux/lab/bench/leader_loss.py
@@ -1,4 +1,4 @@
-"""How long the control group is without a leader after its leader is lost."""
+"""Time without a leader after the control group loses its leader."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 import msgspec
 
 from springmux.coordination.identifiers import NodeId
-from springmux.lab.bench.hollow_meter import MeteredFleet
+from springmux.lab.bench.metered_fleet import MeteredFleet
 from springmux.simulation.world.faults import CutNode, Freeze, Heal, Kill, Restart, Thaw
 
 POLL_S = 0.02
-GIVE_UP_S = 30.0
+ELECTION_TIMEOUT_S = 30.0
 SETTLE_S = 3.0
-"""Between two losses: the former leader returns and catches up."""
+"""Between two losses, for the former leader to return and catch up."""
 
 
 class LeaderLoss(msgspec.Struct, frozen=True):
@@ -25,7 +25,7 @@
 
 
 def lose_leader(fleet: MeteredFleet, kind: str, times: int) -> LeaderLoss:
-    """Kill, freeze or cut the leader ``times`` times; it returns after each.
+    """Kill, freeze or partition the leader ``times`` times; it returns after each.
 
     :raises ValueError: for another ``kind``.
     """
@@ -33,14 +33,14 @@
     gaps_s: list[float] = []
     failed = 0
     for _ in range(times):
-        fleet.run_until(lambda: fleet.leader() is not None, GIVE_UP_S)
+        fleet.run_until(lambda: fleet.leader() is not None, ELECTION_TIMEOUT_S)
         old = fleet.leader()
         if old is None:
             failed += 1
             continue
         lost_at = fleet.world.now
         begin(old)
-        if fleet.run_until(lambda old=old: _another_leads(fleet, old), GIVE_UP_S, POLL_S):  # type: ignore[misc]
+        if fleet.run_until(lambda old=old: _another_leads(fleet, old), ELECTION_TIMEOUT_S, POLL_S):  # type: ignore[misc]
             gaps_s.append(fleet.world.now - lost_at)
         else:
             failed += 1
@@ -50,8 +50,8 @@
 
 
 def _another_leads(fleet: MeteredFleet, old: NodeId) -> bool:
-    for place in fleet.places():
-        agent = fleet.agent(place.node) if place.controller and place.node != old else None
+    for member in fleet.places():
+        agent = fleet.agent(member.node) if member.controller and member.node != old else None
         if agent is not None and agent.status().leading:
             return True
     return False
@@ -72,6 +72,6 @@
     if kind == "cut":
         return (
             lambda node: world.apply(CutNode(at=world.now, node=node)),
-            lambda node: world.apply(Heal(at=world.now)),
+            lambda _node: world.apply(Heal(at=world.now)),
         )
     raise ValueError(f"unknown loss {kind!r}")
--- a/src/springmux/lab/bench/hollow_meter.py
+++ b/src/springmux/lab/bench/metered_fleet.py
@@ -1,4 +1,4 @@
-"""Hollow fleets that count what each node sends, as encoded on the wire, and the processor time it takes."""
+"""Simulated fleets that count each node's messages, as encoded on the wire, and their processor time."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 HEARTBEAT_S = 1.0
 """As the engines' interface asks (docs/API.md)."""
 TENANTS = 50
-"""Tenants that the paced changes go round."""
+"""Number of tenants that the scheduled changes cycle through."""
 
 
-class Meter:
-    """Counters of all nodes together."""
+class MessageMeter:
+    """Counters of messages, bytes and processor time over all nodes."""
 
     def __init__(self) -> None:
         self.messages: Counter[str] = Counter()
@@ -39,7 +39,7 @@
         self.cpu_ns = 0
 
     def clear(self) -> None:
-        """Start from zero."""
+        """Reset all counters."""
         self.messages.clear()
         self.bytes.clear()
         self.bytes_of_node.clear()
@@ -47,13 +47,13 @@
 
 
 class MeteredNode(HollowNode):
-    """A hollow node that encodes each message as the daemon does and counts it."""
+    """A simulated node that encodes each message as the daemon does and counts it."""
 
-    meter: Meter
+    meter: MessageMeter
     name: NodeId
 
     def handle(self, event: Event, now: float) -> list[Effect]:
-        """Take one event and add its processor time."""
+        """Handle one event and add its processor time."""
         began_ns = time.process_time_ns()
         effects = super().handle(event, now)
         self.meter.cpu_ns += time.process_time_ns() - began_ns
@@ -70,10 +70,10 @@
 
 
 class MeteredFleet(HollowFleet):
-    """A hollow fleet of metered nodes."""
+    """A simulated fleet of metered nodes."""
 
     def __init__(self, places: list[HollowPlace], seed: int) -> None:
-        self.meter = Meter()
+        self.meter = MessageMeter()
         super().__init__(places, seed)
 
     def _builder(self, place: HollowPlace) -> Callable[[int], Process]:
@@ -91,8 +91,8 @@
         return build
 
 
-class DeliveryWatch(FleetObserver):
-    """Times from a change's acknowledgement to its being in force at the last node."""
+class DeliveryObserver(FleetObserver):
+    """Measures the delay from a change's acknowledgement until it is in force at the last node."""
 
     def __init__(self, nodes: int) -> None:
         self._nodes = nodes
@@ -107,22 +107,22 @@
         """Return how many acknowledged changes are not in force everywhere yet."""
         return len(self._waiting)
 
-    def order_answered(self, node: NodeId, answer: OrderAnswered, now: float) -> None:
-        """Note an acknowledgement."""
-        if answer.result is None:
+    def order_answered(self, node: NodeId, response: OrderAnswered, now: float) -> None:
+        """Record an acknowledgement."""
+        if response.result is None:
             self.refused += 1
             return
-        revision = int(answer.result.revision)
+        revision = int(response.result.revision)
         self._acknowledged_at[revision] = now
         self._waiting.append(revision)
-        self._settle(now)
+        self._complete_deliveries(now)
 
     def control_changed(self, node: NodeId, agent: NodeAgent, now: float) -> None:
-        """Note what is in force at a node."""
+        """Record the revision in force at a node."""
         self._revision_of[node] = int(agent.view.revision)
-        self._settle(now)
+        self._complete_deliveries(now)
 
-    def _settle(self, now: float) -> None:
+    def _complete_deliveries(self, now: float) -> None:
         if not self._waiting or len(self._revision_of) < self._nodes:
             return
         lowest = min(self._revision_of.values())
@@ -139,7 +139,7 @@
 
 
 def add_engines(fleet: MeteredFleet, count: int) -> None:
-    """Let engines announce themselves, each to one node, and send heartbeats from then on."""
+    """Schedule engines that announce themselves, each to one node, and then send heartbeats."""
     nodes = fleet.world.nodes()
     source = random.Random(f"engines {count}")
     for number in range(count):
@@ -171,7 +171,7 @@
 
 
 def schedule_changes(fleet: MeteredFleet, count: int, period_s: float) -> None:
-    """Let operators change tenants' quotas at any node, one change each ``period_s``."""
+    """Schedule changes of tenants' quotas at varying nodes, one each ``period_s``."""
     world, nodes = fleet.world, fleet.world.nodes()
 
     def change(number: int) -> None:
--- a/src/springmux/lab/bench/placement_ablation.py
+++ b/src/springmux/lab/bench/placement_ablation.py
@@ -1,4 +1,4 @@
-"""Switches the parts of the gateway's engine choice off, one at a time, and measures what each is worth."""
+"""Ablation of the gateway's placement policy: each of its rules switched off, one at a time."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class FleetCase(msgspec.Struct, frozen=True, kw_only=True):
-    """A fleet of nodes before engines, and what it is asked for."""
+    """A fleet of nodes and engines, and its traffic."""
 
     title: str
     nodes: int
@@ -119,13 +119,15 @@
 
 
 def _row(name: str, results: Sequence[MixResult], reference: Sequence[MixResult]) -> tuple[Cell, ...]:
-    differences = [whole.earned - result.earned for whole, result in zip(reference, results, strict=True)]
-    spread = statistics.stdev(differences) if len(differences) > 1 else 0.0
+    differences = [
+        baseline.earned - result.earned for baseline, result in zip(reference, results, strict=True)
+    ]
+    deviation = statistics.stdev(differences) if len(differences) > 1 else 0.0
     cells: list[Cell] = [
         name,
         statistics.fmean(result.earned for result in results),
         statistics.fmean(differences),
-        spread / math.sqrt(len(differences)),
+        deviation / math.sqrt(len(differences)),
     ]
     for index in range(len(results[0].kinds)):
         of_kind = [result.kinds[index] for result in results]
--- a/src/springmux/lab/bench/quiet_fleet.py
+++ b/src/springmux/lab/bench/quiet_fleet.py
@@ -1,4 +1,4 @@
-"""What a quiet fleet of real processes costs a node."""
+"""Cost of a node in an idle fleet of real processes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from springmux.fleet.layout import FleetLayout, FleetOptions, NodePlace, lay_out
 from springmux.fleet.supervisor import Supervisor
 from springmux.lab.bench.processes import usage
-from springmux.lab.bench.relay_stage import StageError
+from springmux.lab.bench.relay_deployment import BenchProcessError
 from springmux.lab.bench.report import BenchResult, Cell, Table
 
 ZONES = ("north", "east", "south", "west")
@@ -22,7 +22,7 @@
 CPU_BUDGET = 1.6
 MEMORY_BUDGET_MIB = 64
 """The target: percent of a core, and memory, that a node spends on control."""
-_READY_LIMIT_S = 60.0
+_READY_TIMEOUT_S = 60.0
 _POLL_S = 0.2
 
 
@@ -80,10 +80,10 @@
 
 
 def _await_ready(layout: FleetLayout) -> None:
-    deadline = time.monotonic() + _READY_LIMIT_S
+    deadline = time.monotonic() + _READY_TIMEOUT_S
     while not all(_get(node.admin_address, "/readyz") is not None for node in layout.nodes):
         if time.monotonic() > deadline:
-            raise StageError("the fleet didn't become ready")
+            raise BenchProcessError("the fleet didn't become ready")
         time.sleep(_POLL_S)
 
 
@@ -97,8 +97,8 @@
 
 def _get(address: str, path: str) -> bytes | None:
     try:
-        with urllib.request.urlopen(f"http://{address}{path}", timeout=2.0) as answer:
-            data: bytes = answer.read()
+        with urllib.request.urlopen(f"http://{address}{path}", timeout=2.0) as response:
+            data: bytes = response.read()
             return data
     except (urllib.error.URLError, OSError):
         return None
--- a/src/springmux/lab/bench/quota_cost.py
+++ b/src/springmux/lab/bench/quota_cost.py
@@ -1,4 +1,4 @@
-"""Messages of the fleet-wide quotas at the target's tenants and requests, in virtual time."""
+"""Message cost of fleet-wide quotas at the target's tenants and request rate, in virtual time."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 TENANTS_PER_NODE = 17_000 / 360
 REQUESTS_PER_NODE_S = 1_700 / 360
-TOKENS_A_REQUEST = 506.0
+TOKENS_PER_REQUEST = 506.0
 """860,000 tokens over 1,700 requests."""
 ZIPF = 1.0
 SIZES = (12, 36, 120, 360)
@@ -30,7 +30,7 @@
 
 
 class QuotaCost(msgspec.Struct, frozen=True):
-    """A node a second, at one size."""
+    """Cost for each node and second, at one fleet size."""
 
     nodes: int
     bytes: float
@@ -41,10 +41,10 @@
 
 
 class _QuotaProcess:
-    """One node's quota part as a process of the virtual world."""
+    """The quota allocator of one node as a process of the simulated world."""
 
-    def __init__(self, part: QuotaAllocator, counters: _Counters) -> None:
-        self.part = part
+    def __init__(self, allocator: QuotaAllocator, counters: _Counters) -> None:
+        self.allocator = allocator
         self._counters = counters
 
     def start(self, now: float) -> list[Effect]:
@@ -52,12 +52,12 @@
 
     def handle(self, event: Event, now: float) -> list[Effect]:
         began_ns = time.process_time_ns()
-        effects = self.part.handle(event, now)
+        effects = self.allocator.handle(event, now)
         self._counters.cpu_ns += time.process_time_ns() - began_ns
         return effects
 
     def next_deadline(self) -> float:
-        return self.part.next_deadline()
+        return self.allocator.next_deadline()
 
 
 class _Counters:
@@ -66,7 +66,7 @@
         self.messages: Counter[NodeId] = Counter()
         self.bytes: Counter[NodeId] = Counter()
         self.refused = 0
-        self.asked = 0
+        self.requested = 0
 
     def count(self, sender: NodeId, effect: Send) -> None:
         data = wire.encode(Term(7), NodeId("zone-0-1"), Revision(100_000), effect.message)
@@ -75,7 +75,7 @@
 
 
 class _CountingWorld(World):
-    """A world that counts messages as encoded."""
+    """A simulated world that counts each message as encoded."""
 
     counters: _Counters
 
@@ -94,9 +94,9 @@
     names = [NodeId(f"zone-{number % 10}-{number}") for number in range(nodes)]
     tenants = [f"tenant-{number}" for number in range(int(TENANTS_PER_NODE * nodes))]
     for name in names:
-        world.add(name, ZoneName("z"), lambda boot, name=name: _process(name, counters))  # type: ignore[misc]
+        world.add(name, ZoneName("z"), lambda _boot, name=name: _process(name, counters))  # type: ignore[misc]
     world.start_all()
-    _tell_members_and_accounts(world, names, tenants)
+    _announce_members_and_accounts(world, names, tenants)
     _schedule_requests(world, names, tenants, counters)
     world.run_for(WARM_UP_S)
     for counter in (counters.messages, counters.bytes):
@@ -110,7 +110,7 @@
         messages=counters.messages.total() / node_seconds,
         busiest_bytes=max(counters.bytes.values(), default=0) / WINDOW_S,
         cpu_ms=counters.cpu_ns / 1e6 / node_seconds,
-        refused_share=counters.refused / max(1, counters.asked),
+        refused_share=counters.refused / max(1, counters.requested),
     )
 
 
@@ -118,7 +118,7 @@
     return _QuotaProcess(QuotaAllocator(name, random.Random(f"{SEED} {name}")), counters)
 
 
-def _tell_members_and_accounts(world: World, names: list[NodeId], tenants: list[str]) -> None:
+def _announce_members_and_accounts(world: World, names: list[NodeId], tenants: list[str]) -> None:
     address = Address("10.0.0.1:7000")
     records = {name: NodeRecord(name, ZoneName("z"), address, address, address) for name in names}
     rate = AccountRate(tokens_per_s=200_000.0, burst_tokens=400_000.0)
@@ -143,8 +143,8 @@
 
 def _reserve(process: Process, tenant: str, now: float, counters: _Counters) -> None:
     assert isinstance(process, _QuotaProcess)
-    counters.asked += 1
-    counters.refused += not process.part.reserve(tenant, TOKENS_A_REQUEST, now)
+    counters.requested += 1
+    counters.refused += not process.allocator.reserve(tenant, TOKENS_PER_REQUEST, now)
 
 
 def quota_cost(nodes_max: int = 360) -> BenchResult:
@@ -168,7 +168,7 @@
             columns=("nodes", "tenants", "bytes", "busiest", "messages", "CPU ms", "refused share"),
             rows=rows,
             notes=(
-                f"{REQUESTS_PER_NODE_S:.1f} requests a node a second of {TOKENS_A_REQUEST:.0f} tokens, "
+                f"{REQUESTS_PER_NODE_S:.1f} requests a node a second of {TOKENS_PER_REQUEST:.0f} tokens, "
                 "tenants by Zipf's law at any node, no tenant over its quota. Bytes with the envelope.",
             ),
         )
--- a/src/springmux/lab/bench/relay_caller.py
+++ b/src/springmux/lab/bench/relay_client.py
@@ -1,4 +1,4 @@
-"""The caller of the data plane's measurement, in a process of its own; prints its count as JSON."""
+"""Load client of the data plane's measurement, run as a process; prints its result as JSON."""
 
 from __future__ import annotations
 
@@ -14,42 +14,42 @@
 _REQUEST_TIMEOUT_S = 30.0
 
 
-class CallerPlan(msgspec.Struct, frozen=True, kw_only=True):
-    """What to send. ``rate_per_s`` 0: as fast as ``concurrency`` requests at a time go."""
+class ClientPlan(msgspec.Struct, frozen=True, kw_only=True):
+    """Requests to send. ``rate_per_s`` 0: as fast as possible with ``concurrency`` requests at a time."""
 
     address: str
     requests: int
-    pieces: int
+    chunks: int
     stream: bool
     concurrency: int = 8
     rate_per_s: float = 0.0
     prompt_bytes: int = 200
 
 
-class CallerCount(msgspec.Struct, frozen=True, kw_only=True):
-    """What came back. ``whole``: answers with their last marker, or their length."""
+class ClientResult(msgspec.Struct, frozen=True, kw_only=True):
+    """Outcome of a plan. ``complete``: responses with status 200 and their end marker."""
 
-    whole: int
+    complete: int
     failed: int
     seconds: float
 
 
-class Caller:
-    """Sends a plan's requests."""
+class RelayClient:
+    """Sends the requests of a plan."""
 
-    def __init__(self, plan: CallerPlan) -> None:
+    def __init__(self, plan: ClientPlan) -> None:
         self._plan = plan
         self._next = 0
-        self._whole = 0
+        self._complete = 0
         self._failed = 0
 
-    async def run(self) -> CallerCount:
-        """Send everything and count the answers."""
+    async def run(self) -> ClientResult:
+        """Send all requests and count the responses."""
         began = time.monotonic()
         timeout = aiohttp.ClientTimeout(total=_REQUEST_TIMEOUT_S)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             await asyncio.gather(*(self._work(session, began) for _ in range(self._plan.concurrency)))
-        return CallerCount(whole=self._whole, failed=self._failed, seconds=time.monotonic() - began)
+        return ClientResult(complete=self._complete, failed=self._failed, seconds=time.monotonic() - began)
 
     async def _work(self, session: aiohttp.ClientSession, began: float) -> None:
         while self._next < self._plan.requests:
@@ -59,11 +59,11 @@
                 due = began + number / self._plan.rate_per_s
                 await asyncio.sleep(max(0.0, due - time.monotonic()))
             try:
-                whole = await self._send(session, number)
+                complete = await self._send(session, number)
             except (aiohttp.ClientError, TimeoutError):
-                whole = False
-            self._whole += whole
-            self._failed += not whole
+                complete = False
+            self._complete += complete
+            self._failed += not complete
 
     async def _send(self, session: aiohttp.ClientSession, number: int) -> bool:
         plan = self._plan
@@ -71,16 +71,16 @@
             "model": ROUTE,
             "messages": [{"role": "user", "content": f"{number} ".ljust(plan.prompt_bytes, "x")}],
             "stream": plan.stream,
-            "max_tokens": plan.pieces,
+            "max_tokens": plan.chunks,
         }
         headers = {"Authorization": f"Bearer {KEY}", "X-Request-Id": f"bench-{number}"}
         url = f"http://{plan.address}/v1/chat/completions"
-        async with session.post(url, data=msgspec.json.encode(body), headers=headers) as answer:
-            data = await answer.read()
+        async with session.post(url, data=msgspec.json.encode(body), headers=headers) as response:
+            data = await response.read()
             complete = data.endswith(b"data: [DONE]\n\n") if plan.stream else data.endswith(b"}")
-            return answer.status == 200 and complete
+            return response.status == 200 and complete
 
 
 if __name__ == "__main__":
-    given = msgspec.json.decode(sys.argv[1], type=CallerPlan)
-    sys.stdout.buffer.write(msgspec.json.encode(asyncio.run(Caller(given).run())))
+    given = msgspec.json.decode(sys.argv[1], type=ClientPlan)
+    sys.stdout.buffer.write(msgspec.json.encode(asyncio.run(RelayClient(given).run())))
--- a/src/springmux/lab/bench/relay_cost.py
+++ b/src/springmux/lab/bench/relay_cost.py
@@ -1,4 +1,4 @@
-"""Processor time of a node per request and per streamed piece, beside the bare relay."""
+"""Processor time of a node per request and per streamed chunk, compared with the bare relay."""
 
 from __future__ import annotations
 
@@ -13,86 +13,90 @@
 import msgspec
 
 from springmux.lab.bench.processes import usage
-from springmux.lab.bench.relay_caller import CallerPlan
-from springmux.lab.bench.relay_stage import PACED, Stage, call, open_stage
+from springmux.lab.bench.relay_client import ClientPlan
+from springmux.lab.bench.relay_deployment import PACED, RelayDeployment, run_client, run_relay_deployment
 from springmux.lab.bench.report import BenchResult, Table
 
 SHORT_REQUESTS = 4000
 STREAMS = 300
-FEW_PIECES, MANY_PIECES = 10, 200
+FEW_CHUNKS, MANY_CHUNKS = 10, 200
 WARM_UP_REQUESTS = 500
 REPEATS = 3
 GROWTH_REQUESTS = 100_000
 PACED_STREAMS = 96
 PACED_CONCURRENCY = 16
-BRIEF_RATE_PER_S = 13.0
+EXPECTED_RATE_PER_S = 13.0
 """153 requests a second over twelve nodes (docs of today's sizes)."""
-BRIEF_SECONDS = 30.0
-REQUEST_GOAL, PIECE_GOAL = 3.0, 2.0
-"""Goals, times the bare relay."""
+EXPECTED_RATE_SECONDS = 30.0
+REQUEST_GOAL, CHUNK_GOAL = 3.0, 2.0
+"""Goals, as multiples of the bare relay's cost."""
 _PROFILE_LINES = 40
 
 
-class MiddleCost(msgspec.Struct, frozen=True, kw_only=True):
-    """One measured pass: microseconds of the middle process's processor time."""
+class RelayCost(msgspec.Struct, frozen=True, kw_only=True):
+    """Processor time of one relaying process in one pass, in microseconds."""
 
     request_us: float
-    piece_us: float
+    chunk_us: float
     failed: int
 
 
-def measure_middle(pid: int, address: str) -> MiddleCost:
-    """Measure one process in the middle."""
-    call(CallerPlan(address=address, requests=WARM_UP_REQUESTS, pieces=1, stream=False))
+def measure_relay(pid: int, address: str) -> RelayCost:
+    """Measure one relaying process."""
+    run_client(ClientPlan(address=address, requests=WARM_UP_REQUESTS, chunks=1, stream=False))
     short_us, short_failed = _cpu_us(
-        pid, CallerPlan(address=address, requests=SHORT_REQUESTS, pieces=1, stream=False)
+        pid, ClientPlan(address=address, requests=SHORT_REQUESTS, chunks=1, stream=False)
     )
     few_us, few_failed = _cpu_us(
-        pid, CallerPlan(address=address, requests=STREAMS, pieces=FEW_PIECES, stream=True)
+        pid, ClientPlan(address=address, requests=STREAMS, chunks=FEW_CHUNKS, stream=True)
     )
     many_us, many_failed = _cpu_us(
-        pid, CallerPlan(address=address, requests=STREAMS, pieces=MANY_PIECES, stream=True)
+        pid, ClientPlan(address=address, requests=STREAMS, chunks=MANY_CHUNKS, stream=True)
     )
-    return MiddleCost(
+    return RelayCost(
         request_us=short_us / SHORT_REQUESTS,
-        piece_us=(many_us - few_us) / STREAMS / (MANY_PIECES - FEW_PIECES),
+        chunk_us=(many_us - few_us) / STREAMS / (MANY_CHUNKS - FEW_CHUNKS),
         failed=short_failed + few_failed + many_failed,
     )
 
 
-def _cpu_us(pid: int, plan: CallerPlan) -> tuple[float, int]:
+def _cpu_us(pid: int, plan: ClientPlan) -> tuple[float, int]:
     before = usage(pid)
-    count = call(plan)
+    count = run_client(plan)
     after = usage(pid)
     return (after.cpu_s - before.cpu_s) * 1e6, count.failed
 
 
 def relay_cost(folder: Path, growth_requests: int = GROWTH_REQUESTS, profile: bool = False) -> BenchResult:
-    """Measure node and relay in turns; with ``profile`` only say where the node's time goes."""
-    with open_stage(folder, profile) as stage:
+    """Measure node and relay in turns; with ``profile`` only profile the node."""
+    with run_relay_deployment(folder, profile) as deployment:
         if profile:
-            call(CallerPlan(address=stage.node.client_address, requests=2000, pieces=1, stream=False))
-            call(CallerPlan(address=stage.node.client_address, requests=200, pieces=200, stream=True))
+            run_client(
+                ClientPlan(address=deployment.node.client_address, requests=2000, chunks=1, stream=False)
+            )
+            run_client(
+                ClientPlan(address=deployment.node.client_address, requests=200, chunks=200, stream=True)
+            )
             tables: tuple[Table, ...] = ()
         else:
-            tables = (_ratios(stage), _growth(stage, growth_requests), _lag(stage))
+            tables = (_ratios(deployment), _growth(deployment, growth_requests), _lag(deployment))
     if not profile:
-        with open_stage(folder / "paced", spec=PACED) as stage:
-            tables = (*tables, _paced(stage))
+        with run_relay_deployment(folder / "paced", spec=PACED) as deployment:
+            tables = (*tables, _paced(deployment))
     if profile:
-        tables = (_profile_table(Path(stage.profile_file)),)
+        tables = (_profile_table(Path(deployment.profile_file)),)
     option = " --profile" if profile else f" --growth-requests {growth_requests}"
     return BenchResult(name="relay", command=f"springmux lab bench --only relay{option}", tables=tables)
 
 
-def _ratios(stage: Stage) -> Table:
+def _ratios(deployment: RelayDeployment) -> Table:
     node_costs, relay_costs = [], []
     for _ in range(REPEATS):
-        relay_costs.append(measure_middle(stage.relay_pid, stage.relay_address))
-        node_costs.append(measure_middle(stage.node.pid, stage.node.client_address))
+        relay_costs.append(measure_relay(deployment.relay_pid, deployment.relay_address))
+        node_costs.append(measure_relay(deployment.node.pid, deployment.node.client_address))
     rows = (
         _ratio_row("short request", REQUEST_GOAL, node_costs, relay_costs, lambda cost: cost.request_us),
-        _ratio_row("streamed piece", PIECE_GOAL, node_costs, relay_costs, lambda cost: cost.piece_us),
+        _ratio_row("streamed piece", CHUNK_GOAL, node_costs, relay_costs, lambda cost: cost.chunk_us),
     )
     failed = sum(cost.failed for cost in node_costs), sum(cost.failed for cost in relay_costs)
     return Table(
@@ -106,44 +110,44 @@
     )
 
 
-def _paced(stage: Stage) -> Table:
+def _paced(deployment: RelayDeployment) -> Table:
     node_us, relay_us = [], []
     for _ in range(REPEATS):
-        relay_us.append(_paced_piece_us(stage.relay_pid, stage.relay_address))
-        node_us.append(_paced_piece_us(stage.node.pid, stage.node.client_address))
+        relay_us.append(_paced_chunk_us(deployment.relay_pid, deployment.relay_address))
+        node_us.append(_paced_chunk_us(deployment.node.pid, deployment.node.client_address))
     node, relay = sorted(node_us)[REPEATS // 2], sorted(relay_us)[REPEATS // 2]
     shown = ", ".join(f"{a / b:.2f}" for a, b in zip(node_us, relay_us, strict=True))
     return Table(
         title="Processor time of a streamed piece that arrives by itself (5 ms apart)",
         columns=("unit", "bare relay us", "node us", "ratio", "goal", "all ratios"),
-        rows=(("streamed piece", relay, node, node / relay, f"at most {PIECE_GOAL:g}", shown),),
+        rows=(("streamed piece", relay, node, node / relay, f"at most {CHUNK_GOAL:g}", shown),),
         notes=("Above, the back end has no delays and pieces travel several to a packet.",),
     )
 
 
-def _paced_piece_us(pid: int, address: str) -> float:
+def _paced_chunk_us(pid: int, address: str) -> float:
     few_us, many_us = (
         _cpu_us(
             pid,
-            CallerPlan(
+            ClientPlan(
                 address=address,
                 requests=PACED_STREAMS,
-                pieces=pieces,
+                chunks=chunks,
                 stream=True,
                 concurrency=PACED_CONCURRENCY,
             ),
         )[0]
-        for pieces in (FEW_PIECES, MANY_PIECES)
+        for chunks in (FEW_CHUNKS, MANY_CHUNKS)
     )
-    return max(0.1, (many_us - few_us) / PACED_STREAMS / (MANY_PIECES - FEW_PIECES))
+    return max(0.1, (many_us - few_us) / PACED_STREAMS / (MANY_CHUNKS - FEW_CHUNKS))
 
 
 def _ratio_row(
     name: str,
     goal: float,
-    node_costs: list[MiddleCost],
-    relay_costs: list[MiddleCost],
-    figure: Callable[[MiddleCost], float],
+    node_costs: list[RelayCost],
+    relay_costs: list[RelayCost],
+    figure: Callable[[RelayCost], float],
 ) -> tuple[str | float, ...]:
     node = sorted(figure(cost) for cost in node_costs)[len(node_costs) // 2]
     relay = sorted(figure(cost) for cost in relay_costs)[len(relay_costs) // 2]
@@ -152,10 +156,12 @@
     return (name, relay, node, node / max(1e-9, relay), f"at most {goal:g}", shown)
 
 
-def _growth(stage: Stage, requests: int) -> Table:
-    before = usage(stage.node.pid).resident_bytes
-    count = call(CallerPlan(address=stage.node.client_address, requests=requests, pieces=1, stream=False))
-    after = usage(stage.node.pid).resident_bytes
+def _growth(deployment: RelayDeployment, requests: int) -> Table:
+    before = usage(deployment.node.pid).resident_bytes
+    count = run_client(
+        ClientPlan(address=deployment.node.client_address, requests=requests, chunks=1, stream=False)
+    )
+    after = usage(deployment.node.pid).resident_bytes
     return Table(
         title="Resident memory over many requests",
         columns=("requests", "failed", "before MiB", "after MiB", "bytes a request", "requests a second"),
@@ -172,21 +178,21 @@
     )
 
 
-def _lag(stage: Stage) -> Table:
-    before = _lag_buckets(stage.node.admin_address)
-    requests = int(BRIEF_RATE_PER_S * BRIEF_SECONDS)
+def _lag(deployment: RelayDeployment) -> Table:
+    before = _lag_buckets(deployment.node.admin_address)
+    requests = int(EXPECTED_RATE_PER_S * EXPECTED_RATE_SECONDS)
     began = time.monotonic()
-    count = call(
-        CallerPlan(
-            address=stage.node.client_address,
+    count = run_client(
+        ClientPlan(
+            address=deployment.node.client_address,
             requests=requests,
-            pieces=24,
+            chunks=24,
             stream=True,
             concurrency=32,
-            rate_per_s=BRIEF_RATE_PER_S,
+            rate_per_s=EXPECTED_RATE_PER_S,
         )
     )
-    after = _lag_buckets(stage.node.admin_address)
+    after = _lag_buckets(deployment.node.admin_address)
     grown = [bound for bound in after if after[bound] > before.get(bound, 0.0)]
     # Buckets are cumulative: the first that holds every new sample bounds the longest.
     total = max((after[bound] - before.get(bound, 0.0) for bound in after), default=0.0)
@@ -196,7 +202,7 @@
         columns=("requests a second", "seconds", "failed", "samples", "longest at most s"),
         rows=(
             (
-                BRIEF_RATE_PER_S,
+                EXPECTED_RATE_PER_S,
                 time.monotonic() - began,
                 count.failed,
                 int(total),
@@ -208,8 +214,8 @@
 
 
 def _lag_buckets(admin_address: str) -> dict[float, float]:
-    with urllib.request.urlopen(f"http://{admin_address}/metrics", timeout=5.0) as answer:
-        text = answer.read().decode()
+    with urllib.request.urlopen(f"http://{admin_address}/metrics", timeout=5.0) as response:
+        text = response.read().decode()
     found = re.findall(r'springmux_loop_lag_seconds_bucket\{le="([^"]+)"\} ([0-9.e+]+)', text)
     return {float(bound.replace("+Inf", "inf")): float(value) for bound, value in found}
 
@@ -222,8 +228,8 @@
     for line in output.getvalue().splitlines():
         parts = line.split(None, 5)
         if len(parts) == 6 and re.fullmatch(r"[0-9/]+", parts[0]):
-            place = re.sub(r"^.*/(site-packages|src|lib)/", "", parts[5])
-            rows.append((place, parts[0], parts[1], parts[3]))
+            location = re.sub(r"^.*/(site-packages|src|lib)/", "", parts[5])
+            rows.append((location, parts[0], parts[1], parts[3]))
     return Table(
         title="Where the node's time goes (cProfile, own time)",
         columns=("place", "calls", "own s", "with callees s"),
--- a/src/springmux/lab/bench/relay_stage.py
+++ b/src/springmux/lab/bench/relay_deployment.py
@@ -1,4 +1,4 @@
-"""The processes of the data plane's measurement: a back end, a bare relay, and a fleet of one node."""
+"""Processes of the data plane's measurement: a back end, a bare relay, and a fleet of one node."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from springmux.fleet.layout import FleetOptions, NodeLayout, NodePlace, free_ports, lay_out
 from springmux.fleet.supervisor import Supervisor
 from springmux.lab.bench.processes import Helper
-from springmux.lab.bench.relay_caller import KEY, ROUTE, CallerCount, CallerPlan
+from springmux.lab.bench.relay_client import KEY, ROUTE, ClientPlan, ClientResult
 from springmux.lab.plan import BackEndPlan
 from springmux.lab.stand_ins.host import HostedBackEnd, HostSettings
 from springmux.simulation.engine_model import EngineSpec
@@ -31,22 +31,22 @@
     jitter=0.0,
 )
 PACED = msgspec.structs.replace(NO_DELAY, decode_gap_s=0.005, decode_gap_full_s=0.005)
-"""Pieces far enough apart that each arrives by itself, as those of a real model do."""
-START_LIMIT_S = 30.0
+"""Chunks far enough apart that each arrives by itself, as from a real model."""
+START_TIMEOUT_S = 30.0
 _POLL_S = 0.1
-_CALLER_LIMIT_S = 900.0
+_CLIENT_TIMEOUT_S = 900.0
 CONFIGURATION = {
     "services": {"text": {"stable": "v1"}},
     "routes": {ROUTE: {"kind": "prompt", "service": "text", "class": "interactive"}},
 }
 
 
-class StageError(SpringmuxError):
-    """The measurement's processes didn't come up; their logs are in its folder."""
+class BenchProcessError(SpringmuxError):
+    """The processes of a measurement did not come up; their logs are in its folder."""
 
 
-class Stage(msgspec.Struct, frozen=True):
-    """What runs: process ids, and the addresses that a caller uses."""
+class RelayDeployment(msgspec.Struct, frozen=True):
+    """The running processes: their ids, and the addresses for clients."""
 
     node: NodeLayout
     relay_pid: int
@@ -55,11 +55,13 @@
 
 
 @contextlib.contextmanager
-def open_stage(folder: Path, profile: bool = False, spec: EngineSpec = NO_DELAY) -> Iterator[Stage]:
-    """Start everything, wait until the node serves, and end it all.
+def run_relay_deployment(
+    folder: Path, profile: bool = False, spec: EngineSpec = NO_DELAY
+) -> Iterator[RelayDeployment]:
+    """Start the processes, wait until the node serves, and stop them at the end.
 
-    :param profile: run the node under cProfile; its figures are then no costs.
-    :raises StageError: if something doesn't come up within 30 s.
+    :param profile: run the node under cProfile, which distorts its costs.
+    :raises StageError: if a process does not serve within 30 s.
     """
     folder.mkdir(parents=True, exist_ok=True)
     engine_port, relay_port, control_port = free_ports(3)
@@ -71,7 +73,7 @@
     )
     node = layout.nodes[0]
     profile_file = str(folder / "node.profile") if profile else ""
-    supervisor = Supervisor(layout, lambda place: _node_command(place, profile_file))
+    supervisor = Supervisor(layout, lambda node_layout: _node_command(node_layout, profile_file))
     helpers: list[Helper] = []
     try:
         supervisor.start_all()
@@ -83,18 +85,18 @@
         _configure(node)
         _wait(lambda: _serves(node.client_address), "the node doesn't serve")
         _wait(lambda: _serves(relay_address), "the relay doesn't serve")
-        yield Stage(node, helpers[1].pid, relay_address, profile_file)
+        yield RelayDeployment(node, helpers[1].pid, relay_address, profile_file)
     finally:
         for helper in helpers:
             helper.stop()
         supervisor.stop_all()
 
 
-def call(plan: CallerPlan) -> CallerCount:
-    """Run the caller's process to its end."""
-    command = [sys.executable, "-m", "springmux.lab.bench.relay_caller", msgspec.json.encode(plan).decode()]
-    finished = subprocess.run(command, capture_output=True, timeout=_CALLER_LIMIT_S, check=True)
-    return msgspec.json.decode(finished.stdout, type=CallerCount)
+def run_client(plan: ClientPlan) -> ClientResult:
+    """Run a client process to its end and return its result."""
+    command = [sys.executable, "-m", "springmux.lab.bench.relay_client", msgspec.json.encode(plan).decode()]
+    finished = subprocess.run(command, capture_output=True, timeout=_CLIENT_TIMEOUT_S, check=True)
+    return msgspec.json.decode(finished.stdout, type=ClientResult)
 
 
 def _node_command(node: NodeLayout, profile_file: str) -> list[str]:
@@ -132,20 +134,20 @@
     request = urllib.request.Request(f"http://{address}{path}", msgspec.json.encode(body), method="PUT")
     request.add_header("Content-Type", "application/json")
     try:
-        with urllib.request.urlopen(request, timeout=5.0) as answer:
-            return bool(answer.status == 200)
+        with urllib.request.urlopen(request, timeout=5.0) as response:
+            return bool(response.status == 200)
     except (urllib.error.URLError, OSError):
         return False
 
 
 def _serves(address: str) -> bool:
-    plan = CallerPlan(address=address, requests=1, pieces=2, stream=True, concurrency=1)
-    return call(plan).whole == 1
+    plan = ClientPlan(address=address, requests=1, chunks=2, stream=True, concurrency=1)
+    return run_client(plan).complete == 1
 
 
 def _wait(condition: Callable[[], bool], what: str) -> None:
-    deadline = time.monotonic() + START_LIMIT_S
+    deadline = time.monotonic() + START_TIMEOUT_S
     while not condition():
         if time.monotonic() > deadline:
-            raise StageError(what)
+            raise BenchProcessError(what)
         time.sleep(_POLL_S)
--- a/src/springmux/lab/bench/report.py
+++ b/src/springmux/lab/bench/report.py
@@ -12,7 +12,7 @@
 
 
 class Table(msgspec.Struct, frozen=True, kw_only=True):
-    """One table. ``notes``: what was not run, or what the figures leave out."""
+    """One table. ``notes``: limits of its figures."""
 
     title: str
     columns: tuple[str, ...]
@@ -46,7 +46,7 @@
 
 
 class BenchResult(msgspec.Struct, frozen=True, kw_only=True):
-    """What one measurement found. ``command`` repeats it."""
+    """Result of one measurement. ``command`` repeats it."""
 
     name: str
     command: str
--- a/src/springmux/lab/bench/routing_world.py
+++ b/src/springmux/lab/bench/routing_simulation.py
@@ -1,4 +1,4 @@
-"""Engines, callers and routing policies in virtual time, around the router's real chooser."""
+"""Simulation of one router before a few engines, in virtual time, with a given routing policy."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from springmux.coordination.identifiers import Address
 from springmux.lab.bench.routing_traces import TracedRequest
-from springmux.router.choice import ChoiceNeeds, EngineChooser
+from springmux.router.choice import EngineChooser
 from springmux.router.ejection import Ejector
 from springmux.router.engine_table import EngineSlot, EngineTable
 from springmux.router.prefix_index import PrefixIndex, PromptPrefix, hash_prefix
@@ -23,12 +23,12 @@
 SERVICE = ServiceName("text")
 VERSION = VersionName("v1")
 WARM_SINCE_S = -1000.0
-"""Engines of the start are long past their slow start."""
+"""Initial engines are long past their slow start."""
 
-Policy = Callable[["RoutingWorld", TracedRequest, PromptPrefix], EngineSlot]
+Policy = Callable[["RoutingSimulation", TracedRequest, PromptPrefix], EngineSlot]
 
 
-class Served(msgspec.Struct, frozen=True):
+class ServedRequest(msgspec.Struct, frozen=True):
     """One finished request."""
 
     arrived_at: float
@@ -38,7 +38,7 @@
     kind: str
 
 
-class RoutingWorld:
+class RoutingSimulation:
     """One router before a few engines. Events run in order of virtual time."""
 
     def __init__(self, engines: int, spec: EngineSpec, policy: Policy, seed: int) -> None:
@@ -48,7 +48,7 @@
         self.chooser = EngineChooser(self.index, Ejector(), self.random)
         self.turn = itertools.count()
         self.now = 0.0
-        self.served: list[Served] = []
+        self.served: list[ServedRequest] = []
         self.lost = 0
         self._spec = spec
         self._policy = policy
@@ -67,7 +67,7 @@
         return self.table.pool(SERVICE, VERSION).slots
 
     def run(self, trace: Sequence[TracedRequest], replacements: Sequence[float]) -> None:
-        """Serve a trace; at each time in ``replacements`` an engine is lost and a cold one comes for it."""
+        """Serve a trace; at each time in ``replacements`` a cold engine replaces a lost one."""
         for request in trace:
             self._at(request.at, lambda request=request: self._arrive(request))  # type: ignore[misc]
         for number, when in enumerate(replacements):
@@ -122,14 +122,14 @@
             return
         plan = model.plan(request.prompt, ROUTE, self.now)
         first_at = self.now + plan.first_piece_delay_s
-        found = Served(
+        found = ServedRequest(
             request.at, first_at - request.at, plan.cached_share, len(request.prompt), request.kind
         )
         gap_s = model.piece_gap_s(ROUTE, self.now)
         end_at = first_at + gap_s * (request.answer_tokens - 1)
         self._at(end_at, lambda: self._end(request, slot, tokens, found))
 
-    def _end(self, request: TracedRequest, slot: EngineSlot, tokens: int, found: Served) -> None:
+    def _end(self, request: TracedRequest, slot: EngineSlot, tokens: int, found: ServedRequest) -> None:
         slot.end(tokens)
         model = self._models.get(slot.record.engine)
         if model is None:
@@ -140,42 +140,3 @@
         start = self._waiting.pop(successor, None) if successor is not None else None
         if start is not None:
             start()
-
-
-def ours(world: RoutingWorld, request: TracedRequest, prefix: PromptPrefix) -> EngineSlot:
-    """The router's chooser."""
-    tokens = len(request.prompt) // BYTES_PER_TOKEN
-    needs = ChoiceNeeds(prefix, tokens, frozenset(), probe=False)
-    choice = world.chooser.choose(world.table.pool(SERVICE, VERSION), needs, world.now)
-    assert choice is not None
-    return choice.slot
-
-
-def random_engine(world: RoutingWorld, request: TracedRequest, prefix: PromptPrefix) -> EngineSlot:
-    """Any engine."""
-    return world.random.choice(world.usable())
-
-
-def round_robin(world: RoutingWorld, request: TracedRequest, prefix: PromptPrefix) -> EngineSlot:
-    """Each engine in turn."""
-    slots = world.usable()
-    return slots[next(world.turn) % len(slots)]
-
-
-def least_loaded(world: RoutingWorld, request: TracedRequest, prefix: PromptPrefix) -> EngineSlot:
-    """The engine with the fewest requests; at a tie any."""
-    return min(world.usable(), key=lambda slot: (slot.in_flight, world.random.random()))
-
-
-def prefix_only(world: RoutingWorld, request: TracedRequest, prefix: PromptPrefix) -> EngineSlot:
-    """The rendezvous choice for the prefix, whatever the load."""
-    return max(world.usable(), key=lambda slot: (prefix.key ^ slot.hash) * 0xBF58476D1CE4E5B9 % (1 << 64))
-
-
-POLICIES: dict[str, Policy] = {
-    "springmux": ours,
-    "random": random_engine,
-    "round robin": round_robin,
-    "least loaded": least_loaded,
-    "prefix only": prefix_only,
-}
--- a/src/springmux/lab/bench/slopes.py
+++ b/src/springmux/lab/bench/slopes.py
@@ -34,6 +34,6 @@
     return Slope(float(base), float(per_unit), float(residuals.max()))
 
 
-def quantile(values: Sequence[float], share: float) -> float:
-    """Return a quantile by linear interpolation; NaN of nothing."""
-    return float(numpy.quantile(numpy.asarray(values), share)) if values else float("nan")
+def quantile(values: Sequence[float], q: float) -> float:
+    """Return the ``q`` quantile (0 to 1) by linear interpolation; NaN for no values."""
+    return float(numpy.quantile(numpy.asarray(values), q)) if values else float("nan")
--- a/src/springmux/lab/bench/state_size.py
+++ b/src/springmux/lab/bench/state_size.py
@@ -1,4 +1,4 @@
-"""Memory that one node holds for each thing it knows, by growing each alone (tracemalloc)."""
+"""Memory of each kind of state in one node, measured by growing each alone (tracemalloc)."""
 
 from __future__ import annotations
 
@@ -37,17 +37,17 @@
 
 Build = Callable[[int], object]
 STEPS = (0.1, 0.4, 1.0)
-"""Parts of the target's count at which memory is read."""
+"""Fractions of the target's count at which memory is measured."""
 
 
 def state_size() -> BenchResult:
-    """Measure each kind of state; time a whole image of the control state at the target."""
+    """Measure each kind of state; time a snapshot of the control state at the target size."""
     rows = []
     for name, target, build in KINDS:
         counts = [int(target * step) for step in STEPS]
-        held = [_held_bytes(build, count) for count in counts]
-        slope = fit([float(count) for count in counts], held)
-        rows.append((name, target, slope.per_unit, slope.at(float(target)) / 2**20, held[-1] / 2**20))
+        sizes_bytes = [_state_bytes(build, count) for count in counts]
+        slope = fit([float(count) for count in counts], sizes_bytes)
+        rows.append((name, target, slope.per_unit, slope.at(float(target)) / 2**20, sizes_bytes[-1] / 2**20))
     table = Table(
         title="Memory of one node's state",
         columns=("state", "at the target", "bytes for each", "MiB by the slope", "MiB held at the target"),
@@ -57,15 +57,15 @@
     return BenchResult(name="state", command=command, tables=(table, _image_table()))
 
 
-def _held_bytes(build: Build, count: int) -> float:
+def _state_bytes(build: Build, count: int) -> float:
     gc.collect()
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
-    held = build(count)
+    state = build(count)
     gc.collect()
     after, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    assert held is not None
+    assert state is not None
     return float(after - before)
 
 
@@ -87,10 +87,10 @@
 
 
 def _quota(tenants: int) -> QuotaAllocator:
-    part = QuotaAllocator(NodeId("a"), random.Random(1))
+    allocator = QuotaAllocator(NodeId("a"), random.Random(1))
     rates = {f"tenant-{number}": AccountRate(100.0, 1000.0) for number in range(tenants)}
-    part.handle(AccountsChanged(rates), 1.0)
-    return part
+    allocator.handle(AccountsChanged(rates), 1.0)
+    return allocator
 
 
 def _engine(number: int) -> EngineRecord:
@@ -131,7 +131,7 @@
 def _members(nodes: int) -> Membership:
     address = Address("10.0.0.1:7000")
     own = NodeRecord(NodeId("own"), ZoneName("zone-0"), address, address, address)
-    part = Membership(own, (), random.Random(1))
+    membership = Membership(own, (), random.Random(1))
     records = tuple(
         NodeRecord(
             NodeId(f"node-{number}"),
@@ -142,8 +142,8 @@
         )
         for number in range(nodes)
     )
-    part.handle(MessageReceived(NodeId("node-0"), MemberState(records)), 1.0)
-    return part
+    membership.handle(MessageReceived(NodeId("node-0"), MemberState(records)), 1.0)
+    return membership
 
 
 KINDS: tuple[tuple[str, int, Build], ...] = (
--- a/src/springmux/lab/bench/storage_cost.py
+++ b/src/springmux/lab/bench/storage_cost.py
@@ -1,4 +1,4 @@
-"""How many changes a second the control log takes with fsync on, and how soon it is back after a restart."""
+"""Throughput of the control log with fsync, and its recovery time after a restart."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from springmux.coordination.identifiers import LogIndex, Term
 from springmux.fleet.layout import FleetLayout, FleetOptions, NodePlace, lay_out
 from springmux.fleet.supervisor import Supervisor
-from springmux.lab.bench.relay_stage import StageError
+from springmux.lab.bench.relay_deployment import BenchProcessError
 from springmux.lab.bench.report import BenchResult, Table
 from springmux.lab.bench.slopes import quantile
 from springmux.storage.real_disk import RealDisk
@@ -25,9 +25,9 @@
 GROUPED_ENTRIES = 16
 ADMIN_CHANGES = 1000
 CLIENTS = (1, 8, 32)
-PROMISE_S = 12.0
-"""Service is back within this after a restart (the brief)."""
-_READY_LIMIT_S = 60.0
+RECOVERY_BOUND_S = 12.0
+"""Required time until service is back after a restart."""
+_READY_TIMEOUT_S = 60.0
 _POLL_S = 0.05
 
 
@@ -71,7 +71,7 @@
     opened_s = time.perf_counter() - began
     again.close()
     if len(recovered.entries) != index:
-        raise StageError(f"{len(recovered.entries)} of {index} entries came back")
+        raise BenchProcessError(f"{len(recovered.entries)} of {index} entries came back")
     return (entries, STORE_BATCHES, STORE_BATCHES / seconds, index / seconds, opened_s)
 
 
@@ -110,9 +110,9 @@
             url = f"http://{address}/v1/tenants/bench-{number % 100}"
             body = {"tokens_per_s": 100.0 + number, "burst_tokens": 1000.0}
             began = time.perf_counter()
-            async with session.put(url, json=body) as answer:
-                await answer.read()
-                failed += answer.status != 200
+            async with session.put(url, json=body) as response:
+                await response.read()
+                failed += response.status != 200
             times_ms.append(1000 * (time.perf_counter() - began))
 
     began = time.perf_counter()
@@ -139,29 +139,29 @@
     return Table(
         title="All three nodes killed at once and started again",
         columns=("changes made", "revision before", "revision after", "all ready after s", "promise s"),
-        rows=((ADMIN_CHANGES * 2 + ADMIN_CHANGES // 4, revision, after, seconds, PROMISE_S),),
+        rows=((ADMIN_CHANGES * 2 + ADMIN_CHANGES // 4, revision, after, seconds, RECOVERY_BOUND_S),),
     )
 
 
 async def _revision(session: aiohttp.ClientSession, layout: FleetLayout) -> int:
-    async with session.get(f"http://{layout.nodes[0].admin_address}/v1/configuration") as answer:
-        configuration = await answer.json()
+    async with session.get(f"http://{layout.nodes[0].admin_address}/v1/configuration") as response:
+        configuration = await response.json()
         return int(configuration["revision"])
 
 
 async def _all_ready(session: aiohttp.ClientSession, layout: FleetLayout) -> None:
-    deadline = time.monotonic() + _READY_LIMIT_S
+    deadline = time.monotonic() + _READY_TIMEOUT_S
     while True:
         if all([await _ready(session, node.admin_address) for node in layout.nodes]):
             return
         if time.monotonic() > deadline:
-            raise StageError("the nodes didn't become ready")
+            raise BenchProcessError("the nodes didn't become ready")
         await asyncio.sleep(_POLL_S)
 
 
 async def _ready(session: aiohttp.ClientSession, address: str) -> bool:
     try:
-        async with session.get(f"http://{address}/readyz") as answer:
-            return answer.status == 200
+        async with session.get(f"http://{address}/readyz") as response:
+            return response.status == 200
     except aiohttp.ClientError:
         return False
--- a/src/springmux/lab/bench/suite.py
+++ b/src/springmux/lab/bench/suite.py
@@ -14,7 +14,7 @@
 from springmux.lab.bench.quota_cost import quota_cost
 from springmux.lab.bench.relay_cost import GROWTH_REQUESTS, relay_cost
 from springmux.lab.bench.report import BenchResult, write_report
-from springmux.lab.bench.routing_policies import routing_policies
+from springmux.lab.bench.routing_comparison import compare_routing_policies
 from springmux.lab.bench.state_size import state_size
 from springmux.lab.bench.storage_cost import storage_cost
 from springmux.vocabulary.errors import SpringmuxError
@@ -23,11 +23,11 @@
 
 
 class BenchError(SpringmuxError):
-    """The measurement can't be run as asked."""
+    """A requested measurement does not exist."""
 
 
 class BenchOptions(msgspec.Struct, frozen=True, kw_only=True):
-    """What to measure. ``nodes_max``: largest hollow fleet; ``profile``: of the relay's node only."""
+    """Measurements to run. ``nodes_max``: largest simulated fleet; ``profile``: of the relay's node only."""
 
     names: tuple[str, ...] = NAMES
     nodes_max: int = 360
@@ -67,7 +67,7 @@
     if name == "quota":
         return quota_cost(options.nodes_max)
     if name == "routing":
-        return routing_policies()
+        return compare_routing_policies()
     if name == "placement":
         return placement_ablation()
     if name == "storage":
--- a/tests/unit/bench/test_hollow_meter.py
+++ b/tests/unit/bench/test_metered_fleet.py
@@ -7,8 +7,8 @@
 
 from springmux.agent.effects import OrderAnswered
 from springmux.coordination.identifiers import NodeId
-from springmux.lab.bench.hollow_meter import DeliveryWatch, add_engines, make_fleet, schedule_changes
 from springmux.lab.bench.leader_loss import lose_leader
+from springmux.lab.bench.metered_fleet import DeliveryObserver, add_engines, make_fleet, schedule_changes
 
 A, B = NodeId("a"), NodeId("b")
 
@@ -22,34 +22,34 @@
 
 
 def test_a_change_is_in_force_when_the_last_node_has_it() -> None:
-    watch = DeliveryWatch(2)
-    watch.control_changed(A, at_revision(5), 1.0)
-    watch.order_answered(A, acknowledged(5), 1.1)
-    assert watch.unfinished == 1
-    watch.control_changed(B, at_revision(4), 1.2)
-    assert watch.unfinished == 1
-    watch.control_changed(B, at_revision(6), 1.5)
-    assert watch.delays_s == [pytest.approx(0.4)]
-    assert watch.unfinished == 0
+    observer = DeliveryObserver(2)
+    observer.control_changed(A, at_revision(5), 1.0)
+    observer.order_answered(A, acknowledged(5), 1.1)
+    assert observer.unfinished == 1
+    observer.control_changed(B, at_revision(4), 1.2)
+    assert observer.unfinished == 1
+    observer.control_changed(B, at_revision(6), 1.5)
+    assert observer.delays_s == [pytest.approx(0.4)]
+    assert observer.unfinished == 0
 
 
 def test_a_change_in_force_before_its_acknowledgement_took_no_time() -> None:
-    watch = DeliveryWatch(1)
-    watch.control_changed(A, at_revision(5), 1.0)
-    watch.order_answered(A, acknowledged(5), 1.1)
-    assert watch.delays_s == [0.0]
+    observer = DeliveryObserver(1)
+    observer.control_changed(A, at_revision(5), 1.0)
+    observer.order_answered(A, acknowledged(5), 1.1)
+    assert observer.delays_s == [0.0]
 
 
 def test_a_refused_change_is_counted_apart() -> None:
-    watch = DeliveryWatch(1)
-    watch.order_answered(A, OrderAnswered("ticket", None), 1.0)
-    assert (watch.refused, watch.delays_s) == (1, [])
+    observer = DeliveryObserver(1)
+    observer.order_answered(A, OrderAnswered("ticket", None), 1.0)
+    assert (observer.refused, observer.delays_s) == (1, [])
 
 
 def test_a_fleet_counts_messages_engines_changes_and_a_killed_leader() -> None:
     fleet = make_fleet(nodes=4, zones=4, controllers=3, seed=3)
-    watch = DeliveryWatch(4)
-    fleet.observers.append(watch)
+    observer = DeliveryObserver(4)
+    fleet.observers.append(observer)
     fleet.world.start_all()
     assert fleet.run_until(fleet.all_ready, 20.0)
     add_engines(fleet, 4)
@@ -58,7 +58,7 @@
     fleet.meter.clear()
     schedule_changes(fleet, 3, 0.5)
     fleet.world.run_for(4.0)
-    assert len(watch.delays_s) == 3
+    assert len(observer.delays_s) == 3
     assert fleet.meter.messages["ContactBeat"] > 0
     assert fleet.meter.bytes.total() > 10 * fleet.meter.messages.total()
     assert fleet.meter.bytes.total() == sum(fleet.meter.bytes_of_node.values())
--- a/tests/unit/bench/test_placement_ablation.py
+++ b/tests/unit/bench/test_placement_ablation.py
@@ -12,18 +12,18 @@
 
 def test_a_run_repeats_itself_and_a_policy_that_is_off_does_not_act() -> None:
     """Given one seed, the same policy gives the same figures, and another one others."""
-    whole = run_case(SMALL_BATCHES, 1.0, 1, PlacementPolicy(), TRACE_S)
-    assert whole == run_case(SMALL_BATCHES, 1.0, 1, PlacementPolicy(), TRACE_S)
+    complete = run_case(SMALL_BATCHES, 1.0, 1, PlacementPolicy(), TRACE_S)
+    assert complete == run_case(SMALL_BATCHES, 1.0, 1, PlacementPolicy(), TRACE_S)
     without = run_case(SMALL_BATCHES, 1.0, 1, PlacementPolicy(by_prefix=False), TRACE_S)
-    assert without.kinds[0].kept < whole.kinds[0].kept - 0.1
-    assert without.kinds[0].p95_s > whole.kinds[0].p95_s
+    assert without.kinds[0].kept < complete.kinds[0].kept - 0.1
+    assert without.kinds[0].p95_s > complete.kinds[0].p95_s
 
 
 def test_short_prompts_find_their_shared_parts_kept() -> None:
     """Given engines of their own, short prompts read fewer shared tokens again."""
-    whole = run_case(SMALL_BATCHES, 1.0, 1, PlacementPolicy(), TRACE_S)
+    complete = run_case(SMALL_BATCHES, 1.0, 1, PlacementPolicy(), TRACE_S)
     without = run_case(SMALL_BATCHES, 1.0, 1, PlacementPolicy(hashed_engines=0), TRACE_S)
-    assert whole.kinds[1].kept > without.kinds[1].kept + 0.05
+    assert complete.kinds[1].kept > without.kinds[1].kept + 0.05
 
 
 def test_the_table_has_a_row_for_each_part_with_its_error() -> None:
--- a/tests/unit/bench/test_routing.py
+++ b/tests/unit/bench/test_routing_simulation.py
@@ -2,21 +2,22 @@
 
 import msgspec
 
-from springmux.lab.bench.routing_policies import SPEC
+from springmux.lab.bench.routing_comparison import SPEC
+from springmux.lab.bench.routing_policies import POLICIES
+from springmux.lab.bench.routing_simulation import RoutingSimulation
 from springmux.lab.bench.routing_traces import TraceCase, make_trace
-from springmux.lab.bench.routing_world import POLICIES, RoutingWorld
 
 SHORT = TraceCase(name="short", dossiers_per_s=20.0, captions_per_s=20.0, prefixes=30, seconds=20.0)
 
 
-def run(policy: str, case: TraceCase = SHORT) -> RoutingWorld:
-    world = RoutingWorld(6, SPEC, POLICIES[policy], seed=1)
-    world.run(make_trace(case, 1), case.replacements)
-    return world
+def run(policy: str, case: TraceCase = SHORT) -> RoutingSimulation:
+    simulation = RoutingSimulation(6, SPEC, POLICIES[policy], seed=1)
+    simulation.run(make_trace(case, 1), case.replacements)
+    return simulation
 
 
-def hit_share(world: RoutingWorld) -> float:
-    return sum(found.cached_share for found in world.served) / len(world.served)
+def hit_share(simulation: RoutingSimulation) -> float:
+    return sum(found.cached_share for found in simulation.served) / len(simulation.served)
 
 
 def test_a_seed_gives_one_trace_in_order_of_time() -> None:
@@ -49,16 +50,16 @@
 
 
 def test_round_robin_takes_each_engine_in_turn() -> None:
-    world = RoutingWorld(3, SPEC, POLICIES["round robin"], seed=1)
+    simulation = RoutingSimulation(3, SPEC, POLICIES["round robin"], seed=1)
     trace = make_trace(SHORT, 1)[:3]
-    world.run(trace, ())
-    assert sorted(model.cache.used_share > 0 for model in world._models.values()) == [True] * 3
+    simulation.run(trace, ())
+    assert sorted(model.cache.used_share > 0 for model in simulation._models.values()) == [True] * 3
 
 
 def test_requests_of_a_lost_engine_are_lost_and_its_replacement_is_cold() -> None:
     case = msgspec.structs.replace(SHORT, replacements=(10.0,))
-    world = run("random", case)
-    assert world.lost > 0
-    assert world.lost + len(world.served) == len(make_trace(case, 1))
-    assert {slot.record.engine for slot in world.usable()} >= {"replacement-0"}
-    assert "engine-0" not in {slot.record.engine for slot in world.usable()}
+    simulation = run("random", case)
+    assert simulation.lost > 0
+    assert simulation.lost + len(simulation.served) == len(make_trace(case, 1))
+    assert {slot.record.engine for slot in simulation.usable()} >= {"replacement-0"}
+    assert "engine-0" not in {slot.record.engine for slot in simulation.usable()}
--- a/tests/unit/docs/measure_messages.py
+++ b/tests/unit/docs/measure_messages.py
@@ -9,7 +9,7 @@
 import sys
 from collections import Counter
 
-from springmux.lab.bench.hollow_meter import add_engines, make_fleet, schedule_changes
+from springmux.lab.bench.metered_fleet import add_engines, make_fleet, schedule_changes
 from springmux.simulation.world.faults import Kill, Restart
 
 NODES = 12
