--- a/src/springmux/cli/lab.py
+++ b/src/springmux/cli/lab.py
@@ -152,7 +152,7 @@
 
 def _run(options: RunOptions, script: Script, surges: list[Surge], report: Path | None) -> None:
     """Run, print the table, write the report, and exit by the verdicts."""
-    from springmux.lab.checks.promises import check_all
+    from springmux.lab.checks.run_checks import check_all
     from springmux.lab.experiment.experiment import run_experiment
     from springmux.lab.reporting.report import write_report
 
--- a/src/springmux/lab/checks/__init__.py
+++ b/src/springmux/lab/checks/__init__.py
@@ -1,1 +1,1 @@
-"""Checkers of the promises over a run's records."""
+"""Checks of the system's promises over the records of a run."""
--- a/src/springmux/lab/checks/measure.py
+++ b/src/springmux/lab/checks/measurements.py
@@ -1,4 +1,4 @@
-"""Figures over recorded events: sliding windows, excused times of nodes, latency percentiles."""
+"""Statistics over recorded events: sliding windows, fault intervals, latency percentiles."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 
 class Span(msgspec.Struct, frozen=True):
-    """A stretch of time."""
+    """A closed interval of time."""
 
     from_s: float
     to_s: float
 
-    def touches(self, from_s: float, to_s: float) -> bool:
-        """Whether the two stretches have a moment in common."""
+    def intersects(self, from_s: float, to_s: float) -> bool:
+        """Return whether the two intervals intersect."""
         return self.from_s <= to_s and from_s <= self.to_s
 
 
@@ -34,11 +34,11 @@
     begun: dict[tuple[str, str], float] = {}
     spans: dict[str, list[Span]] = {}
     for event in faults:
-        place = (event.fault, event.target)
+        key = (event.fault, event.target)
         if event.began:
-            begun[place] = event.at_s
-        elif place in begun:
-            spans.setdefault(event.target, []).append(Span(begun.pop(place), event.at_s))
+            begun[key] = event.at_s
+        elif key in begun:
+            spans.setdefault(event.target, []).append(Span(begun.pop(key), event.at_s))
     for (_, target), from_s in begun.items():
         spans.setdefault(target, []).append(Span(from_s, end_s))
     return spans
@@ -53,10 +53,10 @@
     ends_at_s: float
 
 
-def worst_share(events: Sequence[tuple[float, bool]], window_s: float, floor: int) -> WindowShare:
+def worst_window(events: Sequence[tuple[float, bool]], window_s: float, floor: int) -> WindowShare:
     """Return the sliding window with the highest share of marked events (sorted by time).
 
-    Windows with at most ``floor`` marked events don't count: so few say nothing about a share.
+    Windows with at most ``floor`` marked events are ignored, as too few for a share.
     """
     inside: deque[tuple[float, bool]] = deque()
     marked = 0
@@ -73,7 +73,7 @@
 
 
 def count_between(times: Sequence[float], from_s: float, to_s: float) -> int:
-    """Return how many of the sorted times lie in the stretch, ends included."""
+    """Return how many of the sorted times lie in the interval, ends included."""
     return bisect_right(times, to_s) - bisect_left(times, from_s)
 
 
@@ -87,7 +87,7 @@
 
 
 def latency_rows(calls: Iterable[CallRecord]) -> list[LatencyRow]:
-    """Return percentiles by route: time to the first piece, and to the whole answer."""
+    """Return percentiles by route: time to the first chunk and to the complete response."""
     histograms: dict[tuple[str, str], HdrHistogram] = {}
     for call in calls:
         if not call.complete:
--- a/src/springmux/lab/checks/quota_promises.py
+++ b/src/springmux/lab/checks/quota_checks.py
@@ -1,53 +1,70 @@
-"""Checkers of the token quotas over a run's records."""
+"""Checks of the token quotas over the records of a run."""
 
 from __future__ import annotations
 
 from collections import defaultdict, deque
 
-from springmux.lab.checks.verdict import Checker, Verdict, judged, untested
+import msgspec
+
+from springmux.lab.checks.verdict import Checker, Verdict, untested, verdict_from
 from springmux.lab.records import CallRecord, QuotaWindow, RunRecords, TenantQuota
 
 QUOTA_TOLERANCE = 0.10
-"""The brief's "much beyond" and "well below", as the design reads them."""
+"""Allowed deviation from a quota, in both directions."""
 REFUSAL_WINDOW_S = 10.0
 REFUSED_CODE = "quota_exceeded"
 
 
 def quotas_hold(records: RunRecords) -> Verdict:
-    """A tenant that asks for more than its quota gets it, within a tenth from both sides."""
+    """Check that a tenant that requests more than its quota gets it, within a tenth."""
     promise, bound = "a pressing tenant gets its token quota", f"+- {QUOTA_TOLERANCE:.0%}"
     if not records.quotas:
         return untested(promise, bound)
     measured = []
-    breaks = []
+    violations = []
     for window in records.quotas:
-        tokens, lowest, highest, refused = _quota_figures(records, window)
-        measured.append(f"{window.tenant}: {tokens} of {lowest:.0f} to {highest:.0f} tokens")
-        if tokens > highest:
-            breaks.append(f"{window.tenant}: {tokens} tokens, at most {highest:.0f}")
-        if tokens < lowest and refused:
-            breaks.append(f"{window.tenant}: {tokens} tokens, at least {lowest:.0f}, yet {refused} refused")
-    return judged(promise, bound, "; ".join(measured), breaks)
+        usage = _window_usage(records, window)
+        expected = f"{usage.lowest:.0f} to {usage.highest:.0f} tokens"
+        measured.append(f"{window.tenant}: {usage.tokens} of {expected}")
+        if usage.tokens > usage.highest:
+            violations.append(f"{window.tenant}: {usage.tokens} tokens, at most {usage.highest:.0f}")
+        if usage.tokens < usage.lowest and usage.refused:
+            shortage = f"at least {usage.lowest:.0f}, yet {usage.refused} refused"
+            violations.append(f"{window.tenant}: {usage.tokens} tokens, {shortage}")
+    return verdict_from(promise, bound, "; ".join(measured), violations)
+
+
+class _WindowUsage(msgspec.Struct, frozen=True):
+    """Tokens admitted in a window, their lower and upper bound, and the refusals for quota."""
+
+    tokens: int
+    lowest: float
+    highest: float
+    refused: int
 
 
-def _quota_figures(records: RunRecords, window: QuotaWindow) -> tuple[int, float, float, int]:
-    """Return tokens admitted in the window, the least and most that may be, and refusals for quota."""
+def _window_usage(records: RunRecords, window: QuotaWindow) -> _WindowUsage:
     seconds = window.to_s - window.from_s
     tokens = refused = 0
     for call in records.calls:
         if call.tenant != window.tenant or not window.from_s <= call.at_s + records.began_at_s < window.to_s:
             continue
         tokens += call.tokens
-        refused += call.code == "quota_exceeded"
+        refused += call.code == REFUSED_CODE
     quota = window.tokens_per_s * seconds
-    # What was saved up may be spent in the window on top.
-    return tokens, (1 - QUOTA_TOLERANCE) * quota, (1 + QUOTA_TOLERANCE) * quota + window.burst_tokens, refused
+    return _WindowUsage(
+        tokens=tokens,
+        lowest=(1 - QUOTA_TOLERANCE) * quota,
+        # A full bucket may be spent in the window on top of the rate.
+        highest=(1 + QUOTA_TOLERANCE) * quota + window.burst_tokens,
+        refused=refused,
+    )
 
 
 def refused_below_quota(records: RunRecords) -> Verdict:
-    """A tenant is not refused while a bucket of nine tenths of its rate still has room for the request.
+    """Check that no tenant is refused while a bucket of nine tenths of its rate has room.
 
-    Judged by the worst ten seconds: tokens refused so, as a share of the quota's tokens in that time.
+    Measured over the worst ten seconds: tokens refused thus, as a share of the quota in that time.
     """
     promise = "a tenant below its quota is not refused"
     bound = f"<= {QUOTA_TOLERANCE:.0%} of the quota in any {REFUSAL_WINDOW_S:g} s"
@@ -58,13 +75,13 @@
         if call.requested_tokens:
             by_tenant[call.tenant].append(call)
     measured = []
-    breaks = []
+    violations = []
     for tenant in records.tenants:
         count, share = _wrong_refusals(tenant, by_tenant[tenant.tenant])
         measured.append(f"{tenant.tenant}: {count}, {share:.1%}")
         if share > QUOTA_TOLERANCE:
-            breaks.append(f"{tenant.tenant}: {count} refused with room, {share:.0%} of the quota in 10 s")
-    return judged(promise, bound, "; ".join(measured), breaks)
+            violations.append(f"{tenant.tenant}: {count} refused with room, {share:.0%} of the quota in 10 s")
+    return verdict_from(promise, bound, "; ".join(measured), violations)
 
 
 def _wrong_refusals(tenant: TenantQuota, calls: list[CallRecord]) -> tuple[int, float]:
@@ -79,7 +96,7 @@
         level = min(tenant.burst_tokens, level + (call.at_s - last_s) * rate)
         last_s = call.at_s
         if call.code != REFUSED_CODE:
-            # May go below zero: what was admitted beyond the smaller bucket is the tenant's debt.
+            # May go below zero: tokens admitted beyond the smaller bucket are the tenant's debt.
             level -= call.requested_tokens
             continue
         if level < call.requested_tokens:
--- a/src/springmux/lab/checks/verdict.py
+++ b/src/springmux/lab/checks/verdict.py
@@ -1,4 +1,4 @@
-"""The verdict on one promise, and what checkers share."""
+"""The verdict on one promise, and its constructors for checkers."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from springmux.lab.records import RunRecords
 
 MAX_EVIDENCE = 10
-"""Events shown with a broken promise; the records have the others."""
+"""Violations shown with a verdict; the records have the others."""
 
 
 class Verdict(msgspec.Struct, frozen=True, kw_only=True):
-    """One promise of the brief after a run. ``kept`` is ``None`` if the run did not put it to the test."""
+    """The outcome of one check. ``kept`` is ``None`` if the run did not test the promise."""
 
     promise: str
     bound: str
@@ -26,16 +26,16 @@
 
 
 def untested(promise: str, bound: str) -> Verdict:
-    """Return the verdict on a promise that the run did not put to the test."""
+    """Return the verdict on a promise that the run did not test."""
     return Verdict(promise=promise, bound=bound, measured="not put to the test", kept=None)
 
 
-def judged(promise: str, bound: str, measured: str, breaks: Sequence[str]) -> Verdict:
-    """Return the verdict: kept if nothing broke it."""
+def verdict_from(promise: str, bound: str, measured: str, violations: Sequence[str]) -> Verdict:
+    """Return the verdict of a check: kept if there are no violations."""
     return Verdict(
         promise=promise,
         bound=bound,
         measured=measured,
-        kept=not breaks,
-        evidence=tuple(breaks[:MAX_EVIDENCE]),
+        kept=not violations,
+        evidence=tuple(violations[:MAX_EVIDENCE]),
     )
--- a/src/springmux/lab/judge/judge_trials.py
+++ b/src/springmux/lab/judge/judge_trials.py
@@ -12,14 +12,14 @@
 import msgspec
 import numpy as np
 
-from springmux.lab.judge.judge_rollouts import (
+from springmux.lab.judge.simulated_rollouts import (
     CANDIDATE,
     NODES,
     SCENARIOS,
     SERVICE,
     STABLE,
-    RolloutOutcomes,
     Scenario,
+    SimulatedRollout,
 )
 from springmux.rollout.judgement.digest import merge_all
 from springmux.rollout.judgement.evidence_table import EvidenceTable
@@ -27,7 +27,7 @@
 from springmux.rollout.outcome import BAD_ENDINGS, Ending, PromptOutcome
 from springmux.rollout.planning.plan import RolloutPlan
 
-LAP_S = 0.5
+EVALUATION_PERIOD_S = 0.5
 """Time between two looks at the merged evidence."""
 
 
@@ -59,7 +59,7 @@
     bad: int
 
 
-class _UnstratifiedBook(EvidenceTable):
+class _UnstratifiedEvidence(EvidenceTable):
     """The judge's evidence without strata by expected cache hit (a baseline)."""
 
     def _stratum(self, outcome: PromptOutcome) -> int:
@@ -106,26 +106,26 @@
 ) -> dict[str, _Stop]:
     """Run one rollout to its end under every method at once; return who stopped when."""
     judge = Judge(plan)
-    books: dict[str, Sequence[EvidenceTable]] = {
+    evidence_tables: dict[str, Sequence[EvidenceTable]] = {
         "judge": [EvidenceTable(SERVICE, STABLE, CANDIDATE, plan) for _ in range(NODES)],
-        "no strata": [_UnstratifiedBook(SERVICE, STABLE, CANDIDATE, plan) for _ in range(NODES)],
+        "no strata": [_UnstratifiedEvidence(SERVICE, STABLE, CANDIDATE, plan) for _ in range(NODES)],
     }
-    books = {method: fleet for method, fleet in books.items() if method in methods}
+    evidence_tables = {method: fleet for method, fleet in evidence_tables.items() if method in methods}
     pooled = _PooledThreshold(plan) if METHODS[2] in methods else None
     stops: dict[str, _Stop] = {}
     prompts = bad = 0
-    next_look = LAP_S
-    for at, node, outcome, faulty in RolloutOutcomes(scenario, seed, plan.by_s).outcomes():
-        while at >= next_look:
-            for method, fleet in books.items():
-                if method not in stops and judge.judge(merge_all(book.digest() for book in fleet)).abort:
-                    stops[method] = _Stop(next_look, prompts, bad)
+    next_evaluation = EVALUATION_PERIOD_S
+    for at, node, outcome, faulty in SimulatedRollout(scenario, seed, plan.by_s).outcomes():
+        while at >= next_evaluation:
+            for method, fleet in evidence_tables.items():
+                if method not in stops and judge.judge(merge_all(table.digest() for table in fleet)).abort:
+                    stops[method] = _Stop(next_evaluation, prompts, bad)
             if pooled and METHODS[2] not in stops and pooled.abort():
-                stops[METHODS[2]] = _Stop(next_look, prompts, bad)
-            next_look += LAP_S
+                stops[METHODS[2]] = _Stop(next_evaluation, prompts, bad)
+            next_evaluation += EVALUATION_PERIOD_S
             if len(stops) == len(methods):
                 return stops
-        for fleet in books.values():
+        for fleet in evidence_tables.values():
             fleet[node].record(outcome, at)
         if pooled:
             pooled.record(outcome)
--- a/src/springmux/lab/judge/judge_rollouts.py
+++ b/src/springmux/lab/judge/simulated_rollouts.py
@@ -98,7 +98,7 @@
 )
 
 
-class RolloutOutcomes:
+class SimulatedRollout:
     """Generates the outcomes of one rollout, in the order of their endings."""
 
     def __init__(self, scenario: Scenario, seed: int, by_s: float) -> None:
--- a/src/springmux/lab/reporting/plots.py
+++ b/src/springmux/lab/reporting/plots.py
@@ -12,7 +12,7 @@
 from matplotlib.axes import Axes
 from matplotlib.figure import Figure
 
-from springmux.lab.checks.measure import fault_spans
+from springmux.lab.checks.measurements import fault_spans
 from springmux.lab.records import CallRecord, RunRecords
 
 matplotlib.use("Agg")
--- a/src/springmux/lab/reporting/report.py
+++ b/src/springmux/lab/reporting/report.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from springmux.lab.checks.measure import PERCENTILES, latency_rows
+from springmux.lab.checks.measurements import PERCENTILES, latency_rows
 from springmux.lab.checks.verdict import Verdict
 from springmux.lab.records import RunRecords
 from springmux.lab.reporting import plots
--- a/tests/unit/judgement/test_trials.py
+++ b/tests/unit/judgement/test_trials.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from springmux.lab.judge.judge_rollouts import Scenario
 from springmux.lab.judge.judge_trials import METHODS, run_trials
+from springmux.lab.judge.simulated_rollouts import Scenario
 
 GOOD = Scenario("good", True, base_errors=0.02)
 BAD = Scenario("bad", False, errors=0.5)
--- a/tests/unit/lab/support.py
+++ b/tests/unit/lab/support.py
@@ -4,6 +4,7 @@
 
 import msgspec
 
+from springmux.lab.checks.verdict import Verdict
 from springmux.lab.records import (
     Arrival,
     CallRecord,
@@ -113,3 +114,8 @@
 
 
 DONE = b"data: [DONE]\n\n"
+
+
+def evidence(verdict: Verdict) -> str:
+    assert verdict.kept is False
+    return "; ".join(verdict.evidence)
--- a/tests/unit/lab/test_control_promises.py
+++ b/tests/unit/lab/test_control_plane_checks.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from springmux.lab.checks import control_promises
+from springmux.lab.checks import control_plane_checks
 from springmux.lab.records import FaultEvent, Recovery, RevocationRecord
 from tests.unit.lab.support import order, records, sample
 
@@ -16,15 +16,15 @@
 def test_a_node_that_is_still_behind_after_two_seconds() -> None:
     in_time = records(orders=[CHANGE], samples=[sample("n1", 111.9, 6), sample("n1", 112.1, 7)])
     late = records(orders=[CHANGE], samples=[sample("n1", 112.1, 6)])
-    assert control_promises.changes_in_force(in_time).kept
-    assert control_promises.changes_in_force(late).evidence == (
+    assert control_plane_checks.changes_in_force(in_time).kept
+    assert control_plane_checks.changes_in_force(late).evidence == (
         "n1: revision 6 at 2.10 s after patch_configuration (revision 7)",
     )
 
 
 def test_a_node_that_refuses_requests_may_be_behind() -> None:
     run = records(orders=[CHANGE], samples=[sample("n1", 115.0, 6, ready=False)])
-    assert control_promises.changes_in_force(run).kept
+    assert control_plane_checks.changes_in_force(run).kept
 
 
 def test_a_frozen_node_has_two_seconds_after_its_thaw() -> None:
@@ -32,16 +32,16 @@
     soon = records(orders=[CHANGE], samples=[sample("n1", 121.9, 6)], faults=faults)
     late = records(orders=[CHANGE], samples=[sample("n1", 122.1, 6)], faults=faults)
     other = records(orders=[CHANGE], samples=[sample("n2", 121.9, 6)], faults=faults)
-    assert control_promises.changes_in_force(soon).kept
-    assert control_promises.changes_in_force(late).kept is False
-    assert control_promises.changes_in_force(other).kept is False
+    assert control_plane_checks.changes_in_force(soon).kept
+    assert control_plane_checks.changes_in_force(late).kept is False
+    assert control_plane_checks.changes_in_force(other).kept is False
 
 
 def test_a_step_back_counts_only_while_the_node_takes_requests() -> None:
     restarted = [sample("n1", 110, 7), sample("n1", 115, 0, ready=False), sample("n1", 116, 7)]
     back = [sample("n1", 110, 7), sample("n1", 115, 0, ready=False), sample("n1", 116, 6)]
-    assert control_promises.never_backwards(records(samples=restarted)).kept
-    assert control_promises.never_backwards(records(samples=back)).evidence == (
+    assert control_plane_checks.no_state_regression(records(samples=restarted)).kept
+    assert control_plane_checks.no_state_regression(records(samples=back)).evidence == (
         "n1: revision 6 after 7 at 16.00 s",
     )
 
@@ -49,33 +49,33 @@
 def test_races_with_no_two_or_uninformed_losers() -> None:
     won = order("a", 200, race="r", revision=7)
     told = order("b", 409, race="r", has_winner=True)
-    assert control_promises.one_winner(records(orders=[won, told])).kept
+    assert control_plane_checks.single_race_winner(records(orders=[won, told])).kept
     two = [won, order("b", 200, race="r", revision=8)]
     none = [order("a", 409, race="r", has_winner=True), told]
     uninformed = [won, order("b", 409, race="r")]
     for orders in (two, none, uninformed):
-        assert control_promises.one_winner(records(orders=orders)).kept is False
+        assert control_plane_checks.single_race_winner(records(orders=orders)).kept is False
 
 
 def test_a_resent_order_with_another_answer_or_refused() -> None:
     lost = order("a", 0)
     first, again = order("a", 200, revision=7, version=3), order("a", 200, revision=7, version=3)
-    assert control_promises.same_answer_again(records(orders=[lost, first, again])).kept
+    assert control_plane_checks.idempotent_orders(records(orders=[lost, first, again])).kept
     changed = [first, order("a", 200, revision=8, version=4)]
     refused = [lost, order("a", 409)]
     for orders in (changed, refused):
-        assert control_promises.same_answer_again(records(orders=orders)).kept is False
+        assert control_plane_checks.idempotent_orders(records(orders=orders)).kept is False
 
 
 def test_a_wrong_order_taken_or_refused_without_paths() -> None:
     good = order("a", 422, expected=422, error_paths=("routes.x.service",))
-    assert control_promises.wrong_orders_refused(records(orders=[good])).kept
+    assert control_plane_checks.invalid_orders_rejected(records(orders=[good])).kept
     for wrong in (
         order("a", 200, expected=422),
         order("a", 422, expected=422),
         order("a", 422, expected=413),
     ):
-        assert control_promises.wrong_orders_refused(records(orders=[wrong])).kept is False
+        assert control_plane_checks.invalid_orders_rejected(records(orders=[wrong])).kept is False
 
 
 def test_a_revoked_key_that_goes_on() -> None:
@@ -86,7 +86,7 @@
         (2.1, 0.1, False),
     ):
         run = records(revocations=[RevocationRecord(110.0, stream, refused)])
-        assert control_promises.keys_revoked(run).kept is kept
+        assert control_plane_checks.keys_revoked(run).kept is kept
 
 
 def test_a_restart_that_takes_long_or_loses_state() -> None:
@@ -98,4 +98,4 @@
         (105.0, 40, False, False),
     ):
         recovery = Recovery(100.0, back, 250, 40, found, rollouts)
-        assert control_promises.back_after_restart(records(recoveries=[recovery])).kept is kept
+        assert control_plane_checks.recovery_after_restart(records(recoveries=[recovery])).kept is kept
--- a/tests/unit/lab/test_report.py
+++ b/tests/unit/lab/test_report.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from springmux.lab.checks.measure import latency_rows, worst_share
-from springmux.lab.checks.promises import check_all
+from springmux.lab.checks.measurements import latency_rows, worst_window
+from springmux.lab.checks.run_checks import check_all
 from springmux.lab.records import Execution, FaultEvent
 from springmux.lab.reporting.report import write_report
 from tests.unit.lab.support import call, prompts, records, rollout
@@ -46,6 +46,6 @@
 
 def test_the_worst_window_slides_and_leaves_out_what_is_within_the_floor() -> None:
     events = [(float(at), False) for at in range(10)] + [(20.0, True), (20.5, True), (21.0, False)]
-    worst = worst_share(events, window_s=2.0, floor=1)
+    worst = worst_window(events, window_s=2.0, floor=1)
     assert (worst.count, worst.total, worst.ends_at_s) == (2, 2, 20.5)
-    assert worst_share(events, window_s=2.0, floor=2).share == 0.0
+    assert worst_window(events, window_s=2.0, floor=2).share == 0.0
