--- a/src/springmux/lab/experiment/demo.py
+++ b/src/springmux/lab/experiment/demo.py
@@ -7,7 +7,7 @@
 from springmux.lab.experiment.rollout_driver import RolloutDriver
 from springmux.lab.experiment.script import run_step
 from springmux.lab.faults.fault_injector import DeploymentFaultInjector
-from springmux.lab.faults.operators import Operators
+from springmux.lab.faults.operators import OperatorScenarios
 from springmux.simulation.engine_model import GOOD, VersionBehaviour
 
 DEMO_EXPERIMENT = "anuario"
@@ -16,7 +16,7 @@
 WARM_UP_S = 5.0
 BY_S = 40.0
 BAD_VERSION = VersionBehaviour(error_share=0.3)
-"""Three of ten answers fail."""
+"""Three of ten responses fail."""
 KILL_AFTER_S = 8.0
 KILL_DOWN_S = 4.0
 FREEZE_S = 6.0
@@ -48,7 +48,7 @@
 
 
 async def _kill_and_race(injector: DeploymentFaultInjector) -> None:
-    operators = Operators(injector)
+    operators = OperatorScenarios(injector)
     await asyncio.sleep(WARM_UP_S + KILL_AFTER_S)
     await injector.kill(injector.pick_node(controller=False), KILL_DOWN_S)
     await operators.race()
--- a/src/springmux/lab/faults/surges.py
+++ b/src/springmux/lab/faults/surges.py
@@ -1,4 +1,4 @@
-"""Extra traffic of the faults that callers cause: a burst, a hot prefix, a swelling tenant."""
+"""Extra traffic of the faults that clients cause: a burst, a hot prefix, a tenant over its quota."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 SURGE_S = 10.0
 BURST_FACTOR = 2.0
-"""A burst triples a route for a while."""
+"""Added to the ordinary rate, so that a burst triples it."""
 QUOTA_SURGE_S = 20.0
 QUOTA_PRESSURE = 2.5
-"""The swelling tenant asks for so many times its quota."""
+"""Traffic of the surging tenant, as a multiple of its quota."""
 
 
 def burst_surge(plan: ExperimentPlan, from_s: float) -> Surge:
@@ -23,7 +23,7 @@
 
 
 def prefix_surge(plan: ExperimentPlan, from_s: float) -> Surge:
-    """Return a swelling of one of the longest prefixes."""
+    """Return a surge with one of the longest prefixes."""
     traffic = max(plan.traffic, key=lambda traffic: traffic.prefix_bytes)
     return Surge(
         route=traffic.route,
@@ -35,13 +35,13 @@
 
 
 def _mean_tokens(traffic: TrafficPlan) -> float:
-    """Return what a prompt of the stream counts on average."""
+    """Return the mean number of tokens that a prompt of the stream counts."""
     prompt_bytes = traffic.prefix_bytes + sum(traffic.own_bytes) / 2
     return prompt_bytes / BYTES_PER_TOKEN + sum(traffic.answer_tokens) / 2
 
 
 def tenant_surge(plan: ExperimentPlan, from_s: float) -> Surge:
-    """Return what the last, smaller tenant asks on top of its share."""
+    """Return the traffic of the last, smaller tenant on top of its share."""
     tenant = plan.tenants[-1]
     traffic = max(plan.traffic, key=lambda traffic: traffic.rate_per_s)
     return Surge(
