--- a/src/springmux/lab/admin/operator_client.py
+++ b/src/springmux/lab/admin/operator_client.py
@@ -1,4 +1,4 @@
-"""Operators' side of the admin interface (docs/API.md), typed; every sending of an order is recorded."""
+"""Typed client of the admin interface for operators (docs/API.md); records every attempt of an order."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 """A little over the node's own limit for an order (10 s)."""
 READ_TIMEOUT_S = 1.0
 """Reads are cheap; a node that takes longer is frozen or gone."""
-MAX_SENDINGS = 8
-"""An order is sent on to other nodes at most so often before the operator gives up."""
+MAX_ATTEMPTS = 8
+"""Attempts of one order, each at the next node."""
 RESEND_STATUSES = frozenset({0, 502, 503, 504})
-"""No answer, or one after which another node may do better under the same order id."""
+"""No response, or one after which another node may accept the same order id."""
 
 
 class OrderFailedError(SpringmuxError):
-    """An order that had to be accepted was not; the message has the last answer."""
+    """An order that had to be accepted was not; the message names the last response."""
 
 
 class AdminNode(msgspec.Struct, frozen=True):
-    """A node as operators know it."""
+    """A node with its admin address."""
 
     node: str
     admin_address: str
@@ -44,7 +44,7 @@
 
 
 class StatusReport(msgspec.Struct, frozen=True):
-    """Answer of ``GET /v1/status``."""
+    """Response of ``GET /v1/status``."""
 
     node: NodeState
     ready: bool
@@ -52,7 +52,7 @@
 
 
 class DecisionState(msgspec.Struct, frozen=True):
-    """Why a rollout turned."""
+    """The last decision on a rollout and its reason."""
 
     decided_by: str = ""
     reason: str = ""
@@ -69,7 +69,7 @@
 
 
 class ConfigurationState(msgspec.Struct, frozen=True):
-    """Answer of ``GET /v1/configuration`` without the document."""
+    """Response of ``GET /v1/configuration`` without the document."""
 
     version: int
     revision: int
@@ -107,9 +107,9 @@
 
 
 class OperatorClient:
-    """Gives orders to nodes and reads their state.
+    """Submits orders to nodes and reads their state.
 
-    :param keep: takes the record of every sending.
+    :param keep: receives the record of every attempt.
     """
 
     def __init__(
@@ -125,9 +125,9 @@
         await self._session.close()
 
     async def send(self, order: Order, node: AdminNode, drop_response: bool = False) -> OrderRecord:
-        """Send an order once. ``drop_answer``: the answer is lost on its way, the order may be taken."""
+        """Send an order once. ``drop_response``: discard the response, as if it were lost on its way."""
         sent_at_s = time.monotonic()
-        status, answer = 0, _OrderResponse()
+        status, content = 0, _OrderResponse()
         headers = {"X-Order-Id": order.order, "X-Operator": self._operator}
         url = f"http://{node.admin_address}{order.path}"
         timeout = aiohttp.ClientTimeout(total=ORDER_TIMEOUT_S)
@@ -136,7 +136,7 @@
                 order.method, url, data=order.body, headers=headers, timeout=timeout
             ) as response:
                 if not drop_response:
-                    answer = msgspec.json.decode(await response.read(), type=_OrderResponse)
+                    content = msgspec.json.decode(await response.read(), type=_OrderResponse)
                     status = response.status
         except (aiohttp.ClientError, TimeoutError, msgspec.DecodeError):
             status = 0
@@ -147,13 +147,13 @@
             sent_at_s=sent_at_s,
             answered_at_s=time.monotonic(),
             status=status,
-            outcome=answer.outcome,
-            revision=answer.revision,
-            version=answer.version,
-            code=answer.error.code,
-            fate=answer.error.fate,
-            error_paths=tuple(error.get("path", "") for error in answer.error.errors),
-            has_winner=answer.winner is not None,
+            outcome=content.outcome,
+            revision=content.revision,
+            version=content.version,
+            code=content.error.code,
+            fate=content.error.fate,
+            error_paths=tuple(error.get("path", "") for error in content.error.errors),
+            has_winner=content.winner is not None,
             race=order.race,
             expected=order.expected,
         )
@@ -161,9 +161,9 @@
         return record
 
     async def submit(self, order: Order, first: int = 0) -> OrderRecord:
-        """Send an order, to the next node after a lost answer, until there is a final answer."""
+        """Send an order until there is a final response, to the next node after each lost one."""
         record: OrderRecord | None = None
-        for attempt in range(MAX_SENDINGS):
+        for attempt in range(MAX_ATTEMPTS):
             record = await self.send(order, self.nodes[(first + attempt) % len(self.nodes)])
             if record.status not in RESEND_STATUSES:
                 break
@@ -182,21 +182,21 @@
         return record
 
     async def ready(self, node: AdminNode) -> bool:
-        """Return whether the node takes requests now."""
+        """Return whether the node is ready."""
         return await self._get(node, "/readyz") is not None
 
     async def status(self, node: AdminNode) -> StatusReport | None:
-        """Return the node's status, ``None`` if it doesn't answer in time."""
+        """Return the node's status, ``None`` if it does not respond in time."""
         data = await self._get(node, "/v1/status")
         return msgspec.json.decode(data, type=StatusReport) if data is not None else None
 
     async def configuration(self) -> ConfigurationState | None:
-        """Return the configuration's version at the first node that answers."""
+        """Return the configuration's version from the first node that responds."""
         data = await self._get_any("/v1/configuration")
         return msgspec.json.decode(data, type=ConfigurationState) if data is not None else None
 
     async def rollout(self, service: str) -> RolloutRecordState | None:
-        """Return the newest rollout's record at the first node that answers."""
+        """Return the newest rollout's record from the first node that responds."""
         data = await self._get_any(f"/v1/rollouts/{service}")
         return msgspec.json.decode(data, type=_RolloutReport).record if data is not None else None
 
@@ -213,7 +213,7 @@
             data = await self._get(node, path)
             if data is not None:
                 return data
-            # The others are asked first next time, so that a dead node costs one timeout.
+            # Next time the others come first, so that a dead node costs one timeout.
             self.nodes.append(self.nodes.pop(0))
         return None
 
--- a/src/springmux/lab/admin/orders.py
+++ b/src/springmux/lab/admin/orders.py
@@ -1,4 +1,4 @@
-"""Operators' orders as requests to the admin interface (docs/API.md)."""
+"""Orders of operators as requests to the admin interface (docs/API.md)."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 def new_order_id() -> str:
-    """Return a fresh order id, made by the client."""
+    """Return a new unique order id."""
     return uuid.uuid4().hex
 
 
 class Order(msgspec.Struct, frozen=True, kw_only=True):
-    """One order to give: what the request is, under which id."""
+    """One order: its request and its id."""
 
     order: str
     kind: str
@@ -61,7 +61,7 @@
 
 
 def put_key(key_id: str, tenant: str, key: str) -> Order:
-    """Return the order that makes a key known."""
+    """Return the order that registers a key."""
     body = msgspec.json.encode({"tenant": tenant, "key": key})
     return Order(order=new_order_id(), kind="put_key", method="PUT", path=f"/v1/keys/{key_id}", body=body)
 
@@ -91,6 +91,6 @@
     )
 
 
-def steer_rollout(service: str, turn: str) -> Order:
-    """Return the order ``pause``, ``resume`` or ``abort``."""
-    return Order(order=new_order_id(), kind=turn, method="POST", path=f"/v1/rollouts/{service}/{turn}")
+def steer_rollout(service: str, action: str) -> Order:
+    """Return the order that applies ``pause``, ``resume`` or ``abort`` to a rollout."""
+    return Order(order=new_order_id(), kind=action, method="POST", path=f"/v1/rollouts/{service}/{action}")
--- a/src/springmux/lab/deployment/child_processes.py
+++ b/src/springmux/lab/deployment/child_processes.py
@@ -1,4 +1,4 @@
-"""The lab's own processes beside a fleet: back ends and callers."""
+"""The lab's own processes beside a fleet: back ends and clients."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 from pathlib import Path
 
 STOP_GRACE_S = 5.0
-"""Time to write out records after SIGTERM."""
+"""Time to flush records after SIGTERM."""
 PRIVATE_MODE = 0o600
-"""The callers' settings hold keys."""
+"""The clients' settings contain keys."""
 
 
 class ChildProcesses:
@@ -32,15 +32,15 @@
             )
 
     def running(self, name: str) -> bool:
-        """Say whether the process has not ended yet."""
+        """Return whether the process is still running."""
         return self._children[name].poll() is None
 
     def exit_code(self, name: str) -> int | None:
-        """Return the exit code of an ended process."""
+        """Return the exit code, ``None`` while the process runs."""
         return self._children[name].poll()
 
     def stop_all(self) -> None:
-        """End every process (SIGTERM, then SIGKILL) and wait for its end (blocking)."""
+        """End every process (SIGTERM, then SIGKILL) and wait for its exit (blocking)."""
         running = [child for child in self._children.values() if child.poll() is None]
         for child in running:
             child.terminate()
--- a/src/springmux/lab/deployment/deployment.py
+++ b/src/springmux/lab/deployment/deployment.py
@@ -1,4 +1,4 @@
-"""Brings up one experiment's fleet and back ends as processes on loopback, and tears all of it down."""
+"""One experiment's fleet, back ends and clients as processes on loopback."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 from springmux.vocabulary.errors import SpringmuxError
 
 READY_TIMEOUT_S = 60.0
-"""A dozen processes start at once, perhaps on a busy machine."""
+"""For a dozen processes that start at once on a busy machine."""
 POLL_S = 0.1
 CONTROL_TIMEOUT_S = 15.0
 KEY_BYTES = 24
@@ -57,13 +57,13 @@
 
 
 class DeploymentError(SpringmuxError):
-    """The experiment's processes could not be brought up or asked; the message says which."""
+    """Processes of the experiment failed to start or to respond; the message names them."""
 
 
 HOSTS_OF_KIND = {"model": 3, "call": 1}
-"""Processes of back ends: a burst of prompts keeps one interpreter busy, calls need no second."""
+"""Host processes by kind of back end: bursts of prompts need more than one interpreter."""
 HOST_SEED_STEP = 1_000_003
-"""Keeps the seeds of hosts apart, whatever the run's seed."""
+"""Keeps the seeds of hosts distinct for any seed of the run."""
 
 
 class Deployment:
@@ -84,15 +84,15 @@
             TenantQuota(tenant.name, tenant.tokens_per_s, tenant.burst_tokens) for tenant in plan.tenants
         ]
         self.keys = {tenant.name: secrets.token_urlsafe(KEY_BYTES) for tenant in plan.tenants}
-        places = [
+        placements = [
             NodePlace(node=name, zone=zone.name, controller=controller)
             for name, zone, controller in plan.node_names()
         ]
-        controllers = sum(place.controller for place in places)
+        controllers = sum(placement.controller for placement in placements)
         self._options = FleetOptions(
             fleet=plan.name, controllers_expected=min(VOTERS, controllers), fault_injection=True
         )
-        self.supervisor = Supervisor(lay_out(folder, places, self._options))
+        self.supervisor = Supervisor(lay_out(folder, placements, self._options))
         self.operators: OperatorClient
         self.back_ends: dict[str, HostedBackEnd] = {}
         self._session: aiohttp.ClientSession
@@ -117,7 +117,7 @@
         error: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        # Blocking on purpose: once leaving has begun nothing may cut the ending of processes short.
+        # Blocking on purpose: nothing may interrupt the shutdown of processes once it has begun.
         try:
             self._children.stop_all()
         finally:
@@ -126,9 +126,9 @@
         await self._session.close()
 
     async def bring_up(self, progress: Callable[[str], None]) -> None:
-        """Start nodes and back ends, apply configuration, tenants and keys, wait until all is ready.
+        """Start nodes and back ends, apply configuration, tenants and keys, wait until all are ready.
 
-        :raises DeploymentError: if something doesn't come up in time.
+        :raises DeploymentError: if a process is not ready in time.
         :raises OrderFailedError: if the fleet refuses the experiment's configuration.
         """
         progress(f"starting {len(self.nodes)} nodes")
@@ -141,9 +141,9 @@
         await self._wait_for_engines(len(self.back_ends))
 
     async def wait_ready(self, names: list[str], within_s: float = READY_TIMEOUT_S) -> None:
-        """Return once every named node is ready.
+        """Wait until every named node is ready.
 
-        :raises DeploymentError: naming those that are not in time, with the reason.
+        :raises DeploymentError: naming the nodes that are not ready in time or have exited.
         """
         waiting = [AdminNode(node.node, node.admin_address) for node in self.nodes if node.node in names]
         deadline = time.monotonic() + within_s
@@ -151,8 +151,8 @@
             answers = await asyncio.gather(*(self.operators.ready(node) for node in waiting))
             waiting = [node for node, ready in zip(waiting, answers, strict=True) if not ready]
             if waiting and time.monotonic() > deadline:
-                silent = ", ".join(node.node for node in waiting)
-                raise DeploymentError(f"not ready within {within_s:.0f} s: {silent}; logs in {self.folder}")
+                late = ", ".join(node.node for node in waiting)
+                raise DeploymentError(f"not ready within {within_s:.0f} s: {late}; logs in {self.folder}")
             ended = [node.node for node in waiting if not self.supervisor.running(node.node)]
             if ended:
                 raise DeploymentError(f"ended at their start: {', '.join(ended)}; logs in {self.folder}/logs")
@@ -161,7 +161,7 @@
     async def start_back_ends(
         self, plan: BackEndPlan, behaviour: VersionBehaviour = GOOD
     ) -> list[HostedBackEnd]:
-        """Start a further group of back ends, for instance a candidate version's."""
+        """Start another group of back ends, for instance of a candidate version."""
         started = self._assign_hosts(plan, behaviour)
         for back_end in started:
             await self.command_back_end(
@@ -170,9 +170,9 @@
         return started
 
     async def command_back_end(self, order: BackEndCommand) -> None:
-        """Have a host carry out an order.
+        """Send a command to the host of its back end.
 
-        :raises DeploymentError: if the host refuses it or doesn't answer.
+        :raises DeploymentError: if the host rejects it or does not respond.
         """
         host = self._hosts[self._host_of[order.engine]]
         url = f"http://{host.control_address}/control"
@@ -192,7 +192,7 @@
         ]
 
     def start_clients(self, seconds: float, began_at_s: float, surges: list[Surge], experiment: str) -> None:
-        """Start the callers' process; it ends by itself when every answer has come."""
+        """Start the client process; it exits once every response has arrived."""
         settings = LoadSettings(
             experiment=experiment,
             targets=[
@@ -214,9 +214,9 @@
         self._children.start("callers", "callers", msgspec.json.encode(settings))
 
     async def wait_for_clients(self, within_s: float) -> None:
-        """Return once the callers' process has ended.
+        """Wait until the client process has exited.
 
-        :raises DeploymentError: if it doesn't, or fails.
+        :raises DeploymentError: if it does not exit in time, or fails.
         """
         deadline = time.monotonic() + within_s
         while self._children.running("callers"):
@@ -227,7 +227,7 @@
             raise DeploymentError(f"the callers failed; see {self.folder / 'logs' / 'callers.log'}")
 
     def collect(self) -> RunRecords:
-        """End the back ends, read what all processes wrote, and return everything in order of time."""
+        """Stop the back ends, read the records of all processes, and return them sorted by time."""
         self._children.stop_all()
         for host in self._hosts.values():
             for event in back_end_events(Path(host.record_file)):
@@ -237,7 +237,7 @@
         return self.records
 
     def move(self, node: NodeLayout) -> None:
-        """Give a node that doesn't run other ports: its machine came back at another address."""
+        """Move a stopped node to other ports, as if its machine had returned at another address."""
         client, peer, admin = free_ports(3)
         node.client_address = f"{LOOPBACK}:{client}"
         node.peer_address = f"{LOOPBACK}:{peer}"
@@ -278,7 +278,7 @@
         return hosted
 
     def _start_hosts(self) -> None:
-        """Start the processes of the back ends, and spread the plan's back ends over them."""
+        """Start the host processes and distribute the plan's back ends over them."""
         kinds = {plan.kind for plan in self.plan.back_ends}
         names = [(kind, number) for kind in sorted(kinds) for number in range(HOSTS_OF_KIND[kind])]
         for (kind, number), port in zip(names, free_ports(len(names)), strict=True):
--- a/src/springmux/lab/experiment/experiment.py
+++ b/src/springmux/lab/experiment/experiment.py
@@ -1,4 +1,4 @@
-"""One run of an experiment: deployment, callers, a script of rollouts and faults, then the records."""
+"""One run of an experiment: deployment, clients, a script of rollouts and faults, then the records."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 from springmux.lab.records import RunRecords
 
 CLIENTS_START_S = 2.0
-"""The callers' process needs so long to load and to make its prefixes."""
+"""Time for the client process to load and to generate its prefixes."""
 CLIENTS_END_S = 45.0
-"""After the last request: the longest that a caller goes on (30 s) with margin."""
+"""After the last request: the longest time that a client keeps trying (30 s), with margin."""
 
 
 class RunOptions(msgspec.Struct, frozen=True, kw_only=True):
@@ -40,11 +40,11 @@
 async def run_experiment(
     options: RunOptions, script: Script, surges: list[Surge], progress: Callable[[str], None]
 ) -> RunRecords:
-    """Run ``script`` beside the traffic and return what happened. Leaves no process behind.
+    """Run ``script`` beside the traffic and return the records. Leaves no process behind.
 
     :raises ExperimentError: if there is no such experiment.
-    :raises DeploymentError: if its processes don't come up or fail.
-    :raises OrderFailedError: if the fleet refuses an order that had to be accepted.
+    :raises DeploymentError: if its processes do not start, or fail.
+    :raises OrderFailedError: if the fleet rejects an order that must be accepted.
     """
     plan = load_experiment(options.experiment)
     _cancel_on_sigterm()
@@ -71,7 +71,7 @@
 
 
 def _cancel_on_sigterm() -> None:
-    """Have SIGTERM end the run as Ctrl-C does, so that no process stays behind."""
+    """Cancel the run on SIGTERM, as on Ctrl-C, so that no process is left behind."""
     task = asyncio.current_task()
     assert task is not None
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
--- a/src/springmux/lab/experiment/watcher.py
+++ b/src/springmux/lab/experiment/watcher.py
@@ -1,4 +1,4 @@
-"""Looks at every node's status and at rollouts while an experiment runs."""
+"""Periodic samples of every node's status and of rollouts during an experiment."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Begin to look; each node by itself, so that a frozen one holds up no other."""
+        """Start sampling, one task a node, so that a frozen node delays no other."""
         self._tasks = [asyncio.create_task(self._watch_node(node)) for node in self._nodes]
         self._tasks.append(asyncio.create_task(self._watch_rollouts()))
 
     async def stop(self) -> None:
-        """Stop looking."""
+        """Stop sampling."""
         for task in self._tasks:
             task.cancel()
         for task in self._tasks:
@@ -61,10 +61,10 @@
         while True:
             for run in self._records.rollouts:
                 if run.ended_at_s == 0.0:
-                    await self._look_at(run)
+                    await self._update_run(run)
             await asyncio.sleep(SAMPLE_PERIOD_S)
 
-    async def _look_at(self, run: RolloutRun) -> None:
+    async def _update_run(self, run: RolloutRun) -> None:
         state = await self._operators.rollout(run.service)
         if state is None or state.candidate != run.candidate:
             return
--- a/src/springmux/lab/judge/__init__.py
+++ b/src/springmux/lab/judge/__init__.py
@@ -1,1 +1,1 @@
-"""Trials of the rollout's judge over simulated rollouts."""
+"""Offline trials of the rollout's judge over simulated rollouts."""
--- a/src/springmux/lab/judge/judge_trials.py
+++ b/src/springmux/lab/judge/judge_trials.py
@@ -28,14 +28,14 @@
 from springmux.rollout.planning.plan import RolloutPlan
 
 EVALUATION_PERIOD_S = 0.5
-"""Time between two looks at the merged evidence."""
+"""Time between two evaluations of the merged evidence."""
 
 
 class TrialRow(msgspec.Struct, frozen=True):
-    """Measured figures of one scenario under one method, over ``rollouts`` seeds.
+    """Results of one scenario under one method, over ``rollouts`` seeds.
 
     ``aborted``: rollouts aborted. ``prompts_median``/``prompts_p95``: candidate prompts from the
-    moment the version turns bad until the abort; ``bad_median``/``bad_p95``: bad answers until then
+    moment the version turns bad until the abort; ``bad_median``/``bad_p95``: bad responses until then
     (errors, not slow ones); all over the aborted rollouts.
     """
 
@@ -52,7 +52,7 @@
 
 
 class _Stop(msgspec.Struct, frozen=True):
-    """When a method aborted one rollout, and what the candidate had got by then."""
+    """Time at which a method aborted a rollout, and the candidate's prompts and bad responses until then."""
 
     at: float
     prompts: int
@@ -67,7 +67,7 @@
 
 
 class _PooledThreshold:
-    """Baseline: abort at 5 bad answers with a rate above the limit, or at 30 with mean ratio above it."""
+    """Baseline: abort at 5 bad responses with a rate above the limit, or at 30 with mean ratio above it."""
 
     def __init__(self, plan: RolloutPlan) -> None:
         self._limits = plan.limits
@@ -104,7 +104,7 @@
 def _run_rollout(
     scenario: Scenario, seed: int, plan: RolloutPlan, methods: Sequence[str]
 ) -> dict[str, _Stop]:
-    """Run one rollout to its end under every method at once; return who stopped when."""
+    """Run one rollout under every method at once; return the abort of each method that aborted."""
     judge = Judge(plan)
     evidence_tables: dict[str, Sequence[EvidenceTable]] = {
         "judge": [EvidenceTable(SERVICE, STABLE, CANDIDATE, plan) for _ in range(NODES)],
@@ -115,8 +115,8 @@
     stops: dict[str, _Stop] = {}
     prompts = bad = 0
     next_evaluation = EVALUATION_PERIOD_S
-    for at, node, outcome, faulty in SimulatedRollout(scenario, seed, plan.by_s).outcomes():
-        while at >= next_evaluation:
+    for ended in SimulatedRollout(scenario, seed, plan.by_s).outcomes():
+        while ended.ended_at >= next_evaluation:
             for method, fleet in evidence_tables.items():
                 if method not in stops and judge.judge(merge_all(table.digest() for table in fleet)).abort:
                     stops[method] = _Stop(next_evaluation, prompts, bad)
@@ -126,11 +126,11 @@
             if len(stops) == len(methods):
                 return stops
         for fleet in evidence_tables.values():
-            fleet[node].record(outcome, at)
+            fleet[ended.node].record(ended.outcome, ended.ended_at)
         if pooled:
-            pooled.record(outcome)
-        prompts += faulty
-        bad += faulty and outcome.ending in BAD_ENDINGS
+            pooled.record(ended.outcome)
+        prompts += ended.faulty
+        bad += ended.faulty and ended.outcome.ending in BAD_ENDINGS
     return stops
 
 
@@ -140,7 +140,7 @@
     first_seed: int = 0,
     methods: Sequence[str] = METHODS,
 ) -> list[TrialRow]:
-    """Return the figures of each scenario under each method, over ``seeds`` rollouts each."""
+    """Return the results of each scenario under each method, over ``seeds`` rollouts each."""
     plan = RolloutPlan(SERVICE, CANDIDATE)
     numbers = range(first_seed, first_seed + seeds)
     rows: list[TrialRow] = []
--- a/src/springmux/lab/judge/simulated_rollouts.py
+++ b/src/springmux/lab/judge/simulated_rollouts.py
@@ -1,8 +1,8 @@
-"""Model rollouts for the judge's trials: scenarios, and outcomes of prompts drawn with numpy from a seed."""
+"""Simulated rollouts for the judge's trials: scenarios, and outcomes of prompts drawn from a seed."""
 
 from __future__ import annotations
 
-from collections.abc import Iterator, Sequence
+from collections.abc import Sequence
 
 import msgspec
 import numpy as np
@@ -18,25 +18,25 @@
 CANDIDATE = VersionName("v2")
 NODES = 12
 PROMPTS_PER_S = 123.0
-"""8 dossier drafts and 115 caption hints a second: the brief's first deployment."""
+"""8 dossier drafts and 115 caption hints a second, as in the smaller deployment."""
 DOSSIER_SHARE = 8.0 / 123.0
 DOSSIER = RouteName("dossier-draft")
 CAPTION = RouteName("caption-hint")
 ENGINES = 6
 WEIGHTS = ((42.0, 0.04), (54.0, 0.10), (56.0, 0.25), (57.0, 0.50), (60.0, 1.0))
-"""End time in seconds and weight: the worked schedule of a 60 s plan."""
+"""End time in seconds and weight of each step in the schedule of a 60 s plan."""
 CANARY_ENGINES = 2
-"""Candidate engines used below a weight of a quarter (the canary is concentrated)."""
+"""Candidate engines in use below a weight of a quarter."""
 PREFIXES = 200
 """Shared prefixes in use; popularity falls with rank."""
 CAPTION_PROMPTS = 4000
 """Distinct caption prompts; too short to gain from the cache."""
 PREFIX_SKEW = 0.8
-"""Exponent of the popularity's fall: the most used prefix gets about 6% of the dossiers."""
-DARK_S = 8.0
-"""A crashed engine is refused for two seconds, then dark (prompts time out) until this age."""
+"""Exponent of the popularity by rank: the most used prefix gets about 6% of the dossiers."""
+UNRESPONSIVE_UNTIL_S = 8.0
+"""A crashed engine loses requests for 2 s; then prompts time out until this time after the crash."""
 LATENCY_SIGMA = 0.4
-"""Spread of log latency within a stratum."""
+"""Standard deviation of log latency within a stratum."""
 
 
 class Scenario(msgspec.Struct, frozen=True):
@@ -98,8 +98,17 @@
 )
 
 
+class SimulatedOutcome(msgspec.Struct, frozen=True):
+    """The end of one prompt at a node. ``faulty``: the candidate served it after it had turned bad."""
+
+    ended_at: float
+    node: int
+    outcome: PromptOutcome
+    faulty: bool
+
+
 class SimulatedRollout:
-    """Generates the outcomes of one rollout, in the order of their endings."""
+    """Generates the outcomes of one rollout, in the order of their ends."""
 
     def __init__(self, scenario: Scenario, seed: int, by_s: float) -> None:
         self._scenario = scenario
@@ -107,8 +116,8 @@
         self._by_s = by_s
         self._cached: dict[tuple[bool, int], set[int]] = {}
 
-    def outcomes(self) -> Iterator[tuple[float, int, PromptOutcome, bool]]:
-        """Yield ``(time, node, outcome, faulty)``; ``faulty``: the version has turned bad."""
+    def outcomes(self) -> list[SimulatedOutcome]:
+        """Return all outcomes, sorted by their ends."""
         random = self._random
         starts = self._arrivals()
         count = len(starts)
@@ -121,7 +130,7 @@
         noise = np.exp(random.normal(0.0, LATENCY_SIGMA, (count, 2)))
         weights = np.array([weight for _, weight in WEIGHTS])
         edges = np.array([end for end, _ in WEIGHTS]) * self._by_s / WEIGHTS[-1][0]
-        ended: list[tuple[float, int, PromptOutcome, bool]] = []
+        ended: list[SimulatedOutcome] = []
         for i in range(count):
             at = float(starts[i])
             weight = float(weights[min(int(np.searchsorted(edges, at, "right")), len(weights) - 1)])
@@ -131,16 +140,16 @@
                 at, candidate, bool(dossier[i]), key, weight, uniform[i].tolist(), noise[i].tolist()
             )
             took = min((outcome.first_token_s or 0.1) + outcome.tokens * (outcome.token_gap_s or 0.0), 5.0)
-            ended.append((at + took, int(node[i]), outcome, faulty))
-        ended.sort(key=lambda item: item[0])
-        yield from ended
+            ended.append(SimulatedOutcome(at + took, int(node[i]), outcome, faulty))
+        ended.sort(key=lambda item: item.ended_at)
+        return ended
 
     def _arrivals(self) -> FloatArray:
         rate = np.full(int(self._by_s), PROMPTS_PER_S)
         rate[self._burst_from() : self._burst_from() + 10] *= self._scenario.burst
         counts = self._random.poisson(rate)
-        parts = [second + self._random.random(number) for second, number in enumerate(counts)]
-        return np.sort(np.concatenate(parts))
+        arrivals = [second + self._random.random(number) for second, number in enumerate(counts)]
+        return np.sort(np.concatenate(arrivals))
 
     def _burst_from(self) -> int:
         return int(self._by_s * 0.7)
@@ -161,17 +170,17 @@
         affected = faulty and scenario.route in (None, route)
         used = self._scenario.canary_engines if candidate and weight < 0.25 else ENGINES
         engine_number = key % used
-        hit, really = self._cache(candidate, engine_number, key, dossier, float(uniform[1]))
+        expected_hit, actual_hit = self._cache(candidate, engine_number, key, dossier, float(uniform[1]))
         size = 24_000 if dossier else 600
         load = scenario.burst if 0 <= at - self._burst_from() < 10 else 1.0
-        first = (0.04 + size / 24_000 * 0.8 * (1 - really)) * load * float(noise[0])
+        first = (0.04 + size / 24_000 * 0.8 * (1 - actual_hit)) * load * float(noise[0])
         gap = 0.02 * load * float(noise[1])
         if candidate and (scenario.good or affected):
             first *= scenario.first_token_ratio
             gap *= scenario.token_gap_ratio
         engine = EngineId(f"{'candidate' if candidate else 'stable'}-{engine_number}")
         ending = self._ending(at, candidate, engine_number, affected, float(uniform[2]))
-        whole = ending is Ending.WHOLE
+        complete = ending is Ending.WHOLE
         outcome = PromptOutcome(
             SERVICE,
             CANDIDATE if candidate else STABLE,
@@ -179,9 +188,9 @@
             route,
             ending,
             size,
-            hit,
-            first if whole else None,
-            gap if whole else None,
+            expected_hit,
+            first if complete else None,
+            gap if complete else None,
             60 if dossier else 8,
         )
         return outcome, faulty
@@ -189,7 +198,7 @@
     def _cache(
         self, candidate: bool, engine: int, key: int, dossier: bool, uniform: float
     ) -> tuple[float, float]:
-        """Return the expected hit and the true one, and remember the prefix."""
+        """Return the expected and the actual cache hit; add the prefix to the cache."""
         if not dossier:
             return 0.0, 0.0
         cached = self._cached.setdefault((candidate, engine), set())
@@ -204,7 +213,7 @@
         crash_at = self._by_s * 0.4
         if crashes and engine == 0 and crash_at <= at < crash_at + 2.0:
             return Ending.ENGINE_LOST
-        if crashes and engine == 0 and crash_at + 2.0 <= at < crash_at + DARK_S:
+        if crashes and engine == 0 and crash_at + 2.0 <= at < crash_at + UNRESPONSIVE_UNTIL_S:
             return Ending.TIMED_OUT
         rate = self._scenario.base_errors
         if affected:
--- a/src/springmux/lab/load/traffic.py
+++ b/src/springmux/lab/load/traffic.py
@@ -1,4 +1,4 @@
-"""Seeded generation of the brief's requests: arrival times, prompts with shared prefixes, tenants."""
+"""Seeded generation of requests: arrival times, prompts with shared prefixes, tenants."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
     ["press", "photo", "class", "spring", "motor", "stock", "page", "fault", "lens", "coin", "year"]
 )
 _SHORTEST_WORD_AND_SPACE = 5
-"""So many words are surely enough to fill a text."""
+"""Lower bound of a word's length, to draw enough words for a text."""
 
 
 class PlannedRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """One request to come. ``at_s`` counts from the beginning of the run.
+    """One planned request. ``at_s`` counts from the beginning of the run.
 
-    ``tokens``: what a whole answer counts against the quota, prompt and answer (0 for calls).
+    ``tokens``: the tokens of prompt and complete response, which count against the quota (0 for calls).
     """
 
     at_s: float
@@ -36,10 +36,10 @@
 
 
 class Surge(msgspec.Struct, frozen=True, kw_only=True):
-    """More traffic for a while: ``extra_per_s`` requests of one route on top of the ordinary ones.
+    """Additional traffic for a time: ``extra_per_s`` requests of one route beside the ordinary ones.
 
-    ``tenant``: all of it is this tenant's (empty: as usual). ``prefix``: all of it has this one of the
-    route's shared prefixes (``None``: as usual).
+    ``tenant``: the tenant of all its requests (empty: drawn). ``prefix``: the index of the shared prefix of
+    all its requests (``None``: drawn).
     """
 
     route: str
@@ -51,7 +51,7 @@
 
 
 class TrafficSource:
-    """Makes the requests of one experiment, the same for the same seed. Each stream draws by itself."""
+    """Generates the requests of one experiment, the same for the same seed. Streams draw independently."""
 
     def __init__(self, plan: ExperimentPlan, seed: int) -> None:
         self._plan = plan
@@ -70,7 +70,7 @@
         }
 
     def all_requests(self, seconds: float, surges: Sequence[Surge] = ()) -> Iterator[PlannedRequest]:
-        """Yield the whole run's requests in order of time, made as they are asked for."""
+        """Yield the whole run's requests in order of time, generated lazily."""
         ordinary = [
             Surge(route=traffic.route, from_s=0.0, for_s=seconds, extra_per_s=traffic.rate_per_s)
             for traffic in self._plan.traffic
@@ -79,7 +79,7 @@
         return heapq.merge(*streams, key=lambda request: request.at_s)
 
     def stream(self, surge: Surge, number: int) -> Iterator[PlannedRequest]:
-        """Yield Poisson arrivals of one stream; ``number`` tells streams of one run apart."""
+        """Yield Poisson arrivals of one stream; ``number`` distinguishes the streams of one run."""
         generator = np.random.default_rng([self._seed, number])
         traffic = next(traffic for traffic in self._plan.traffic if traffic.route == surge.route)
         at_s = surge.from_s
--- a/src/springmux/lab/plan.py
+++ b/src/springmux/lab/plan.py
@@ -13,11 +13,11 @@
 
 
 class ExperimentError(SpringmuxError):
-    """An experiment file can't be used; the message says where and why."""
+    """An experiment file is missing or invalid; the message says where and why."""
 
 
 class ZonePlan(msgspec.Struct, frozen=True, kw_only=True):
-    """One zone: how many nodes, how many of them with a data folder, and its share of the callers."""
+    """One zone: how many nodes, how many of them with a data folder, and its share of the clients."""
 
     name: str
     nodes: int
@@ -26,7 +26,7 @@
 
 
 class BackEndPlan(msgspec.Struct, frozen=True, kw_only=True):
-    """A group of like back ends of one service and version. ``kind``: ``model`` or ``call``."""
+    """A group of equal back ends of one service and version. ``kind``: ``model`` or ``call``."""
 
     kind: str
     service: str
@@ -88,7 +88,7 @@
 
 
 def built_in_experiments() -> list[ExperimentPlan]:
-    """Return the experiments that come with the lab."""
+    """Return the built-in experiments."""
     return [load_experiment(file.stem) for file in sorted(BUILT_IN_FOLDER.glob("*.toml"))]
 
 
--- a/src/springmux/lab/reporting/report.py
+++ b/src/springmux/lab/reporting/report.py
@@ -19,14 +19,14 @@
 
 
 def verdict_word(verdict: Verdict) -> str:
-    """Return the word for the table."""
+    """Return the verdict's word for the table."""
     if verdict.kept is None:
         return "-"
     return "kept" if verdict.kept else "BROKEN"
 
 
 def write_report(folder: Path, records: RunRecords, verdicts: Sequence[Verdict]) -> Path:
-    """Write page, plots and raw records into ``folder``; returns the page's path."""
+    """Write page, plots and raw records into ``folder``; return the path of the page."""
     folder.mkdir(parents=True, exist_ok=True)
     (folder / RECORDS_FILE).write_bytes(msgspec.json.encode(records))
     (folder / VERDICTS_FILE).write_bytes(msgspec.json.format(msgspec.json.encode(verdicts)))
@@ -37,7 +37,7 @@
 
 
 def _page(records: RunRecords, verdicts: Sequence[Verdict], drawn: Sequence[plots.Plot]) -> str:
-    parts = [
+    sections = [
         f"# Experiment {records.experiment}",
         f"{len(records.calls)} requests in {records.ended_at_s - records.began_at_s:.0f} s.",
         _promise_table(verdicts),
@@ -49,8 +49,8 @@
         "## What was done to it",
         _events(records),
     ]
-    parts += [f"## {plot.title}\n\n![{plot.title}]({plot.file})" for plot in drawn]
-    return "\n\n".join(part for part in parts if part) + "\n"
+    sections += [f"## {plot.title}\n\n![{plot.title}]({plot.file})" for plot in drawn]
+    return "\n\n".join(section for section in sections if section) + "\n"
 
 
 def _table(headers: Sequence[str], rows: Sequence[Sequence[str]]) -> str:
--- a/src/springmux/lab/reporting/request_losses.py
+++ b/src/springmux/lab/reporting/request_losses.py
@@ -1,8 +1,7 @@
-"""Where a fleet loses what its callers asked for: a table out of the nodes' ``request_ended`` lines.
+"""Losses of a fleet by a property of its requests: a table from the nodes' ``request_ended`` lines.
 
-Each request earns 1 if it is served in time, less if it is late, nothing if it isn't served. What is lost is
-summed over one property of the requests at a time, so that an operator sees which route, which size, which
-second, which node, tenant, engine or reason it is lost at.
+Each request earns 1 if it is served in time, less if it is late, nothing if it is not served. The lost part
+is summed over one property of the requests, such as route, size, second, node, tenant, engine or reason.
 """
 
 from __future__ import annotations
@@ -10,7 +9,6 @@
 import enum
 import json
 from collections.abc import Iterable, Iterator, Mapping, Sequence
-from typing import Any
 
 import msgspec
 
@@ -18,9 +16,9 @@
 
 EVENT = "request_ended"
 LATE_WORTH = 0.3
-"""What a late answer earns of its worth, unless the caller of this says otherwise."""
+"""Fraction that a late response earns by default."""
 SIZE_CLASSES = ((0.9, "largest tenth"), (0.7, "fifth beneath"), (0.0, "the rest"))
-"""Ranks from which a prompt belongs to a class, among those of its route."""
+"""Lower bounds of the size classes, as quantiles among the prompts of a route."""
 NO_VALUE = "-"
 _TO_THE_SECOND = len("2026-12-02T11:17:44")
 
@@ -31,7 +29,7 @@
     ROUTE = "route"
     SIZE = "size"
     SECOND = "second"
-    """In which it ended, by the log's time of day: monotonic clocks of machines have nothing in common."""
+    """The second in which it ended, by the log's wall clock, as machines share no monotonic clock."""
     NODE = "node"
     TENANT = "tenant"
     ENGINE = "engine"
@@ -61,7 +59,7 @@
 
     @property
     def late(self) -> bool:
-        """Whether it was served, but its first piece or a further one came too late."""
+        """Return whether it was served, but its first chunk or a later one came too late."""
         if self.outcome is not RequestOutcome.SERVED:
             return False
         answered_ms = self.total_ms if self.first_ms is None else self.first_ms
@@ -70,7 +68,7 @@
 
 
 class LossRow(msgspec.Struct, frozen=True):
-    """Requests of one group. Shares are of its requests; ``lost`` is the sum of what they didn't earn."""
+    """Requests of one group. Fractions are of its requests; ``lost`` is the sum that they did not earn."""
 
     group: str
     requests: int
@@ -82,7 +80,7 @@
 
 
 def read_requests(lines: Iterable[str]) -> Iterator[EndedRequest]:
-    """Yield the requests in log lines; anything before a line's JSON, and other events, are passed over."""
+    """Yield the requests in log lines; skip other events, and any text before the JSON of a line."""
     for line in lines:
         start = line.find("{")
         if start < 0 or EVENT not in line:
@@ -127,7 +125,7 @@
 
 
 def _value(request: EndedRequest, dimension: Dimension, sizes: Mapping[int, str]) -> str:
-    value: Any
+    value: object
     if dimension is Dimension.SIZE:
         value = f"{request.route}, {sizes[id(request)]}"
     elif dimension is Dimension.SECOND:
--- a/src/springmux/lab/stand_ins/announcer.py
+++ b/src/springmux/lab/stand_ins/announcer.py
@@ -1,4 +1,4 @@
-"""A stand-in's side of the engine interface: announce, heartbeat, drain, leave (docs/API.md)."""
+"""Client of the engine interface: announce, heartbeat, drain, leave (docs/API.md)."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 import msgspec
 
 HEARTBEAT_PERIOD_S = 1.0
-"""About once a second, as the interface asks."""
+"""As the interface specifies."""
 
 REPORT_TIMEOUT_S = 1.0
-"""A node that takes longer is passed over, so that a frozen one costs one heartbeat."""
+"""After it the next node is tried, so that a frozen node costs one heartbeat."""
 
 ANNOUNCE_PAUSE_S = 0.2
-"""Between rounds over all nodes, while none answers (a fleet that is still starting)."""
+"""Between attempts at all nodes while none responds, as in a starting fleet."""
 
 
 class EngineIdentity(msgspec.Struct, frozen=True, kw_only=True):
-    """What an engine says of itself when it announces."""
+    """The identity that an engine announces."""
 
     engine: str
     service: str
@@ -42,9 +42,9 @@
 
 
 class Announcer:
-    """Reports one engine to the fleet, going on to the next node when one doesn't answer.
+    """Reports one engine to the fleet, trying the next node when one does not respond.
 
-    :param lateness_s: extra delay of each heartbeat, to stand for engines that report late.
+    :param lateness_s: upper bound of a random delay of each heartbeat, as of engines that report late.
     """
 
     def __init__(
@@ -62,19 +62,19 @@
         self._random = source
         self._lateness_s = lateness_s
         self._sequence = 0
-        self.silent = False
-        """While set nothing is reported, as by an engine that hangs."""
+        self.paused = False
+        """While set no report is sent, as by an engine that hangs."""
         self._session: aiohttp.ClientSession | None = None
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Begin to announce; returns at once."""
+        """Start to announce in the background."""
         timeout = aiohttp.ClientTimeout(total=REPORT_TIMEOUT_S)
         self._session = aiohttp.ClientSession(timeout=timeout)
         self._task = asyncio.create_task(self._report_forever())
 
     async def stop(self) -> None:
-        """Fall silent without a word, as a crash does."""
+        """Stop without deregistering, as a crash does."""
         if self._task is not None:
             self._task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
@@ -83,11 +83,11 @@
             await self._session.close()
 
     async def drain(self) -> bool:
-        """Say that no new request may come; ``True`` once a node took it."""
+        """Report that the engine drains; return whether a node acknowledged it."""
         return await self._report("drain", self._identity_body())
 
     async def leave(self) -> bool:
-        """Say that the engine is gone for good."""
+        """Deregister the engine; return whether a node acknowledged it."""
         return await self._report("leave", self._identity_body())
 
     def _identity_body(self) -> dict[str, object]:
@@ -95,14 +95,14 @@
 
     async def _report_forever(self) -> None:
         announcement = msgspec.to_builtins(self.identity)
-        while self.silent or not await self._report("announce", announcement):
+        while self.paused or not await self._report("announce", announcement):
             await asyncio.sleep(ANNOUNCE_PAUSE_S)
         while True:
             await asyncio.sleep(HEARTBEAT_PERIOD_S * (0.9 + 0.2 * self._random.random()))
             body = self._heartbeat()
             if self._lateness_s > 0.0:
                 await asyncio.sleep(self._lateness_s * self._random.random())
-            if not self.silent:
+            if not self.paused:
                 await self._report("heartbeat", body)
 
     def _heartbeat(self) -> dict[str, object]:
--- a/src/springmux/lab/stand_ins/call_service.py
+++ b/src/springmux/lab/stand_ins/call_service.py
@@ -1,4 +1,4 @@
-"""Stand-in page or sale service: plain JSON calls, each execution recorded by its action's id."""
+"""Stand-in call service: JSON calls, each execution recorded with the id of its action."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 
 class CallService:
-    """One service process on one port. The effect happens first, the answer afterwards, as in life.
+    """One service on one port. An action's effect happens before its response.
 
-    :param note: takes each arrival, execution and ending.
+    :param record_event: receives each arrival, execution and ending.
     """
 
     def __init__(
@@ -33,7 +33,7 @@
     ) -> None:
         self.identity = identity
         self.behaviour = behaviour
-        self.dark = False
+        self.unresponsive = False
         self._record_event = record_event
         self.draining = False
         self.served = 0
@@ -44,7 +44,7 @@
         self.announcer = Announcer(identity, admin_addresses, self._current_load, self._random)
 
     async def start(self) -> None:
-        """Listen and begin to announce."""
+        """Listen and start to announce."""
         application = web.Application()
         application.router.add_post("/v1/calls/{route}", self._handle_call)
         self._runner = web.AppRunner(application, access_log=None, shutdown_timeout=0.05)
@@ -54,7 +54,7 @@
         await self.announcer.start()
 
     async def crash(self) -> None:
-        """Vanish: close every connection, say nothing."""
+        """Close every connection without deregistering."""
         await self.announcer.stop()
         if self._runner is not None:
             await self._runner.cleanup()
@@ -62,25 +62,25 @@
 
     @property
     def running(self) -> int:
-        """Return the number of calls under way."""
+        """Return the number of calls in flight."""
         return self._running
 
-    def hang(self, dark: bool) -> None:
-        """Accept connections and answer nothing, reports included; or go on."""
-        self.dark = dark
-        self.announcer.silent = dark
+    def hang(self, unresponsive: bool) -> None:
+        """Stop or resume responding and reporting, while connections are accepted."""
+        self.unresponsive = unresponsive
+        self.announcer.paused = unresponsive
 
     def behave(self, behaviour: VersionBehaviour) -> None:
-        """Take on another version behaviour from now on."""
+        """Switch to another version behaviour."""
         self.behaviour = behaviour
 
     async def drain(self) -> bool:
-        """Say that no new request may come, and go on serving; ``True`` once a node took it."""
+        """Report that no new request may come and keep serving; return whether a node acknowledged it."""
         self.draining = True
         return await self.announcer.drain()
 
     async def leave(self, grace_s: float = 0.0) -> None:
-        """Let running calls finish, say goodbye, stop."""
+        """Let running calls finish within ``grace_s``, deregister, stop."""
         deadline = time.monotonic() + grace_s
         while self._running and time.monotonic() < deadline:
             await asyncio.sleep(LEAVE_POLL_S)
@@ -91,7 +91,7 @@
         return LoadReport(running=self._running, queued=0, cache_used=0.0, draining=self.draining)
 
     async def _handle_call(self, http_request: web.Request) -> web.StreamResponse:
-        if self.dark:
+        if self.unresponsive:
             await asyncio.Event().wait()
         await http_request.read()
         request_id = http_request.headers.get("X-Request-Id", "")
--- a/src/springmux/lab/stand_ins/host.py
+++ b/src/springmux/lab/stand_ins/host.py
@@ -1,8 +1,8 @@
 """Many stand-in back ends in one process, with a control interface for faults.
 
-``springmux lab backends --settings FILE`` runs it. The control listener (loopback) takes
-``POST /control`` with one :class:`BackEndOrder` and answers ``GET /back-ends``. Every arrival, execution and
-ending goes to a file (:mod:`springmux.lab.records`).
+``springmux lab backends --settings FILE`` runs it. The control listener (loopback) accepts
+``POST /control`` with one :class:`BackEndCommand` and serves ``GET /back-ends``. Every arrival, execution
+and ending goes to a file (:mod:`springmux.lab.records`).
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 class HostSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """What one host process runs."""
+    """Settings of one host process."""
 
     control_address: str
     admin_addresses: list[str]
@@ -44,7 +44,7 @@
 
 
 class BackEndHostAddress(msgspec.Struct, frozen=True):
-    """Where one process of back ends listens and writes."""
+    """Control address and record file of one host process."""
 
     kind: str
     control_address: str
@@ -52,7 +52,7 @@
 
 
 class BackEndAction(enum.StrEnum):
-    """Faults and changes of one back end."""
+    """An action on one back end."""
 
     CRASH = "crash"
     START = "start"
@@ -64,7 +64,7 @@
 
 
 class BackEndCommand(msgspec.Struct, frozen=True, kw_only=True):
-    """Do ``action`` to ``engine``; ``back_end`` says what to start, ``behaviour`` how to behave."""
+    """Apply ``action`` to ``engine``; ``back_end`` is for START, ``behaviour`` for BEHAVE."""
 
     action: BackEndAction
     engine: str
@@ -84,7 +84,7 @@
 
 
 class BackEndHost:
-    """Runs back ends and carries out orders."""
+    """Runs back ends and executes commands on them."""
 
     def __init__(self, settings: HostSettings) -> None:
         self._settings = settings
@@ -142,33 +142,33 @@
         await started.start()
 
     async def _control(self, http_request: web.Request) -> web.Response:
-        order = msgspec.json.decode(await http_request.read(), type=BackEndCommand)
-        if order.action is BackEndAction.START:
-            assert order.back_end is not None
-            await self._start(order.back_end)
+        command = msgspec.json.decode(await http_request.read(), type=BackEndCommand)
+        if command.action is BackEndAction.START:
+            assert command.back_end is not None
+            await self._start(command.back_end)
             return web.Response(status=204)
-        found = self._back_ends.get(order.engine)
+        found = self._back_ends.get(command.engine)
         if found is None:
-            return web.Response(status=404, text=f"no back end named {order.engine}")
-        await self._carry_out(order, found)
+            return web.Response(status=404, text=f"no back end named {command.engine}")
+        await self._execute(command, found)
         return web.Response(status=204)
 
-    async def _carry_out(self, order: BackEndCommand, found: ModelEngine | CallService) -> None:
-        if order.action is BackEndAction.CRASH:
-            del self._back_ends[order.engine]
+    async def _execute(self, command: BackEndCommand, found: ModelEngine | CallService) -> None:
+        if command.action is BackEndAction.CRASH:
+            del self._back_ends[command.engine]
             await found.crash()
-        elif order.action is BackEndAction.LEAVE:
-            del self._back_ends[order.engine]
-            await found.leave(order.grace_s)
-        elif order.action is BackEndAction.DRAIN:
+        elif command.action is BackEndAction.LEAVE:
+            del self._back_ends[command.engine]
+            await found.leave(command.grace_s)
+        elif command.action is BackEndAction.DRAIN:
             if not await found.drain():
                 raise web.HTTPServiceUnavailable(text="no node took the drain report")
-        elif order.action is BackEndAction.BEHAVE and order.behaviour is not None:
-            found.behave(order.behaviour)
+        elif command.action is BackEndAction.BEHAVE and command.behaviour is not None:
+            found.behave(command.behaviour)
         else:
-            found.hang(order.action is BackEndAction.DARK)
+            found.hang(command.action is BackEndAction.DARK)
 
-    async def _list(self, http_request: web.Request) -> web.Response:
+    async def _list(self, _http_request: web.Request) -> web.Response:
         states = [
             BackEndState(
                 engine=name,
--- a/src/springmux/lab/stand_ins/model_engine.py
+++ b/src/springmux/lab/stand_ins/model_engine.py
@@ -1,4 +1,4 @@
-"""Stand-in model engine: the chat-completions shape over HTTP, driven by the engine model."""
+"""Stand-in model engine: the chat-completions API over HTTP, driven by the engine model."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def _usage(chat: _ChatRequest, answer_tokens: int) -> dict[str, int]:
-    """Return the true count: the lab's tokens are four bytes of prompt, and one piece of answer."""
+    """Return the token counts: a token is four bytes of prompt, or one chunk of the response."""
     prompt_bytes = sum(len(message.content.encode()) for message in chat.messages)
     prompt_tokens = prompt_bytes // BYTES_PER_TOKEN + 1
     return {
@@ -50,14 +50,14 @@
 
 
 def chunk_text(request: str, seq: int) -> str:
-    """Return the text of one piece; derived from request and place, so that a caller can check it."""
+    """Return the text of one chunk, derived from request and number so that a client can check it."""
     return f"{request[-6:]}.{seq} "
 
 
 class ModelEngine:
     """One engine on one port.
 
-    :param note: takes each arrival and ending.
+    :param record_event: receives each arrival and ending.
     :param clock: monotonic seconds; handed in for tests.
     """
 
@@ -77,7 +77,7 @@
         self.model = EngineModel(spec, behaviour, source)
         self.announcer = Announcer(identity, admin_addresses, self._current_load, source, lateness_s)
         self.served = 0
-        self.dark = False
+        self.unresponsive = False
         self.draining = False
         self._record_event = record_event
         self._clock = clock
@@ -86,11 +86,11 @@
         self._runner: web.AppRunner | None = None
 
     async def start(self) -> None:
-        """Listen on the identity's address and begin to announce."""
+        """Listen on the identity's address and start to announce."""
         application = web.Application(client_max_size=MAX_BODY_BYTES)
         application.router.add_post("/v1/chat/completions", self._handle_completion)
         self._runner = web.AppRunner(
-            # A caller that is gone frees its slot, as a real engine would see to.
+            # A disconnected client releases its slot, as at a real engine.
             application,
             access_log=None,
             shutdown_timeout=0.05,
@@ -103,33 +103,33 @@
 
     @property
     def running(self) -> int:
-        """Return the number of requests under way."""
+        """Return the number of requests in flight."""
         return self.model.running
 
-    def hang(self, dark: bool) -> None:
-        """Accept connections and answer nothing, reports included; or go on."""
-        self.dark = dark
-        self.announcer.silent = dark
+    def hang(self, unresponsive: bool) -> None:
+        """Stop or resume responding and reporting, while connections are accepted."""
+        self.unresponsive = unresponsive
+        self.announcer.paused = unresponsive
 
     def behave(self, behaviour: VersionBehaviour) -> None:
-        """Take on another version behaviour from now on."""
+        """Switch to another version behaviour."""
         self.model.behaviour = behaviour
         self.model.bad_since = None
 
     async def crash(self) -> None:
-        """Vanish: close every connection, say nothing."""
+        """Close every connection without deregistering."""
         await self.announcer.stop()
         if self._runner is not None:
             await self._runner.cleanup()
             self._runner = None
 
     async def drain(self) -> bool:
-        """Say that no new request may come, and go on serving; ``True`` once a node took it."""
+        """Report that no new request may come and keep serving; return whether a node acknowledged it."""
         self.draining = True
         return await self.announcer.drain()
 
     async def leave(self, grace_s: float = 0.0) -> None:
-        """Let running requests finish, say goodbye, stop."""
+        """Let running requests finish within ``grace_s``, deregister, stop."""
         deadline = self._clock() + grace_s
         while self.running and self._clock() < deadline:
             await asyncio.sleep(0.05)
@@ -145,7 +145,7 @@
         )
 
     async def _handle_completion(self, http_request: web.Request) -> web.StreamResponse:
-        if self.dark:
+        if self.unresponsive:
             await asyncio.Event().wait()
         body = await http_request.read()
         request_id = RequestId(http_request.headers.get("X-Request-Id", ""))
@@ -198,7 +198,7 @@
         plan = self.model.plan(prompt, RouteName(chat.model), self._clock())
         if plan.departs:
             self._bad_responses.add(request_id)
-        if plan.fault is AnswerFault.SILENT or self.dark:
+        if plan.fault is AnswerFault.SILENT or self.unresponsive:
             await asyncio.Event().wait()
         await asyncio.sleep(plan.first_piece_delay_s)
         if plan.fault is AnswerFault.ERROR:
@@ -247,7 +247,7 @@
         for seq in range(chat.max_tokens):
             if seq:
                 await asyncio.sleep(self.model.piece_gap_s(route, self._clock()))
-            if self.dark:
+            if self.unresponsive:
                 await asyncio.Event().wait()
             if plan.fault is AnswerFault.CUT and seq >= plan.cut_after:
                 self._abort_connection(http_request)
