--- a/src/springmux/lab/experiment/experiment.py
+++ b/src/springmux/lab/experiment/experiment.py
@@ -1,4 +1,4 @@
-"""One run of an experiment: deployment, callers, a script of rollouts and faults, then the records."""
+"""One run of an experiment: deployment, clients, a script of rollouts and faults, then the records."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from springmux.lab.admin.operator_client import AdminNode
 from springmux.lab.deployment.deployment import Deployment
 from springmux.lab.experiment.watcher import Watcher
-from springmux.lab.faults.injection import FaultBench
+from springmux.lab.faults.fault_injector import DeploymentFaultInjector
 from springmux.lab.load.traffic import Surge
 from springmux.lab.plan import load_experiment
 from springmux.lab.records import RunRecords
 
-CALLERS_START_S = 2.0
-"""The callers' process needs so long to load and to make its prefixes."""
-CALLERS_END_S = 45.0
-"""After the last request: the longest that a caller goes on (30 s) with margin."""
+CLIENTS_START_S = 2.0
+"""Time for the client process to load and to generate its prefixes."""
+CLIENTS_END_S = 45.0
+"""After the last request: the longest time that a client keeps trying (30 s), with margin."""
 
 
 class RunOptions(msgspec.Struct, frozen=True, kw_only=True):
@@ -34,17 +34,17 @@
     seed: int = 1
 
 
-Script = Callable[[FaultBench], Awaitable[None]]
+Script = Callable[[DeploymentFaultInjector], Awaitable[None]]
 
 
 async def run_experiment(
     options: RunOptions, script: Script, surges: list[Surge], progress: Callable[[str], None]
 ) -> RunRecords:
-    """Run ``script`` beside the traffic and return what happened. Leaves no process behind.
+    """Run ``script`` beside the traffic and return the records. Leaves no process behind.
 
     :raises ExperimentError: if there is no such experiment.
-    :raises DeploymentError: if its processes don't come up or fail.
-    :raises OrderFailedError: if the fleet refuses an order that had to be accepted.
+    :raises DeploymentError: if its processes do not start, or fail.
+    :raises OrderFailedError: if the fleet rejects an order that must be accepted.
     """
     plan = load_experiment(options.experiment)
     _cancel_on_sigterm()
@@ -55,15 +55,15 @@
         watcher = Watcher(deployment.operators, nodes, records)
         await watcher.start()
         try:
-            records.began_at_s = time.monotonic() + CALLERS_START_S
-            deployment.start_callers(options.seconds, records.began_at_s, surges, options.experiment)
-            bench = FaultBench(deployment, random.Random(options.seed), progress)
-            await asyncio.sleep(CALLERS_START_S)
+            records.began_at_s = time.monotonic() + CLIENTS_START_S
+            deployment.start_clients(options.seconds, records.began_at_s, surges, options.experiment)
+            injector = DeploymentFaultInjector(deployment, random.Random(options.seed), progress)
+            await asyncio.sleep(CLIENTS_START_S)
             progress(f"traffic for {options.seconds:.0f} s")
-            await script(bench)
+            await script(injector)
             progress("waiting for the last answers")
             rest_s = max(0.0, records.began_at_s + options.seconds - time.monotonic())
-            await deployment.wait_callers(rest_s + CALLERS_END_S)
+            await deployment.wait_for_clients(rest_s + CLIENTS_END_S)
         finally:
             await watcher.stop()
         records.ended_at_s = time.monotonic()
@@ -71,7 +71,7 @@
 
 
 def _cancel_on_sigterm() -> None:
-    """Have SIGTERM end the run as Ctrl-C does, so that no process stays behind."""
+    """Cancel the run on SIGTERM, as on Ctrl-C, so that no process is left behind."""
     task = asyncio.current_task()
     assert task is not None
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
--- a/src/springmux/lab/stand_ins/call_service.py
+++ b/src/springmux/lab/stand_ins/call_service.py
@@ -1,4 +1,4 @@
-"""Stand-in page or sale service: plain JSON calls, each execution recorded by its action's id."""
+"""Stand-in call service: JSON calls, each execution recorded with the id of its action."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from aiohttp import web
 
 from springmux.lab.records import Arrival, BackEndEvent, Ending, Execution
-from springmux.lab.stand_ins.announcer import Announcer, EngineFigures, EngineIdentity
+from springmux.lab.stand_ins.announcer import Announcer, EngineIdentity, LoadReport
 from springmux.simulation.engine_model import VersionBehaviour
 
 LEAVE_POLL_S = 0.05
 
 
 class CallService:
-    """One service process on one port. The effect happens first, the answer afterwards, as in life.
+    """One service on one port. An action's effect happens before its response.
 
-    :param note: takes each arrival, execution and ending.
+    :param record_event: receives each arrival, execution and ending.
     """
 
     def __init__(
@@ -27,26 +27,26 @@
         identity: EngineIdentity,
         behaviour: VersionBehaviour,
         admin_addresses: list[str],
-        note: Callable[[BackEndEvent], None],
+        record_event: Callable[[BackEndEvent], None],
         seed: int,
         work_s: float = 0.015,
     ) -> None:
         self.identity = identity
         self.behaviour = behaviour
-        self.dark = False
-        self._note = note
+        self.unresponsive = False
+        self._record_event = record_event
         self.draining = False
         self.served = 0
         self._random = random.Random(seed)
         self._running = 0
         self._work_s = work_s
         self._runner: web.AppRunner | None = None
-        self.announcer = Announcer(identity, admin_addresses, self._figures, self._random)
+        self.announcer = Announcer(identity, admin_addresses, self._current_load, self._random)
 
     async def start(self) -> None:
-        """Listen and begin to announce."""
+        """Listen and start to announce."""
         application = web.Application()
-        application.router.add_post("/v1/calls/{route}", self._call)
+        application.router.add_post("/v1/calls/{route}", self._handle_call)
         self._runner = web.AppRunner(application, access_log=None, shutdown_timeout=0.05)
         await self._runner.setup()
         host, port = self.identity.address.rsplit(":", 1)
@@ -54,7 +54,7 @@
         await self.announcer.start()
 
     async def crash(self) -> None:
-        """Vanish: close every connection, say nothing."""
+        """Close every connection without deregistering."""
         await self.announcer.stop()
         if self._runner is not None:
             await self._runner.cleanup()
@@ -62,36 +62,36 @@
 
     @property
     def running(self) -> int:
-        """Return the number of calls under way."""
+        """Return the number of calls in flight."""
         return self._running
 
-    def hang(self, dark: bool) -> None:
-        """Accept connections and answer nothing, reports included; or go on."""
-        self.dark = dark
-        self.announcer.silent = dark
+    def hang(self, unresponsive: bool) -> None:
+        """Stop or resume responding and reporting, while connections are accepted."""
+        self.unresponsive = unresponsive
+        self.announcer.paused = unresponsive
 
     def behave(self, behaviour: VersionBehaviour) -> None:
-        """Take on another version behaviour from now on."""
+        """Switch to another version behaviour."""
         self.behaviour = behaviour
 
     async def drain(self) -> bool:
-        """Say that no new request may come, and go on serving; ``True`` once a node took it."""
+        """Report that no new request may come and keep serving; return whether a node acknowledged it."""
         self.draining = True
         return await self.announcer.drain()
 
     async def leave(self, grace_s: float = 0.0) -> None:
-        """Let running calls finish, say goodbye, stop."""
+        """Let running calls finish within ``grace_s``, deregister, stop."""
         deadline = time.monotonic() + grace_s
         while self._running and time.monotonic() < deadline:
             await asyncio.sleep(LEAVE_POLL_S)
         await self.announcer.leave()
         await self.crash()
 
-    def _figures(self) -> EngineFigures:
-        return EngineFigures(running=self._running, queued=0, cache_used=0.0, draining=self.draining)
+    def _current_load(self) -> LoadReport:
+        return LoadReport(running=self._running, queued=0, cache_used=0.0, draining=self.draining)
 
-    async def _call(self, http_request: web.Request) -> web.StreamResponse:
-        if self.dark:
+    async def _handle_call(self, http_request: web.Request) -> web.StreamResponse:
+        if self.unresponsive:
             await asyncio.Event().wait()
         await http_request.read()
         request_id = http_request.headers.get("X-Request-Id", "")
@@ -101,16 +101,16 @@
         arrival = Arrival(
             time.monotonic(), identity.engine, identity.service, identity.version, route, request_id
         )
-        self._note(arrival)
+        self._record_event(arrival)
         if self._random.random() < self.behaviour.error_share:
-            self._note_end(request_id, bad=True)
+            self._record_end(request_id, bad=True)
             answer = {"error": {"message": "service failed"}}
             return web.json_response(answer, status=500, headers=self._headers(request_id))
         await self._work(action)
         if self._random.random() < self.behaviour.silent_share:
-            self._note_end(request_id, bad=True)
+            self._record_end(request_id, bad=True)
             await asyncio.Event().wait()
-        self._note_end(request_id, bad=False)
+        self._record_end(request_id, bad=False)
         done = {"action": action, "done": True, "at": time.time()}
         return web.json_response(done, headers=self._headers(request_id))
 
@@ -120,15 +120,15 @@
         identity = self.identity
         try:
             await asyncio.sleep(self._work_s * (0.5 + self._random.random()))
-            self._note(Execution(time.monotonic(), identity.engine, identity.service, action))
+            self._record_event(Execution(time.monotonic(), identity.engine, identity.service, action))
             await asyncio.sleep(self._work_s * 0.2)
         finally:
             self._running -= 1
 
-    def _note_end(self, request_id: str, bad: bool) -> None:
+    def _record_end(self, request_id: str, bad: bool) -> None:
         identity = self.identity
         now = time.monotonic()
-        self._note(Ending(now, identity.engine, identity.service, identity.version, request_id, bad))
+        self._record_event(Ending(now, identity.engine, identity.service, identity.version, request_id, bad))
 
     def _headers(self, request_id: str) -> dict[str, str]:
         return {
--- a/tests/unit/lab/support.py
+++ b/tests/unit/lab/support.py
@@ -4,6 +4,7 @@
 
 import msgspec
 
+from springmux.lab.checks.verdict import Verdict
 from springmux.lab.records import (
     Arrival,
     CallRecord,
@@ -13,7 +14,7 @@
     RunRecords,
     StatusSample,
 )
-from springmux.lab.stand_ins.model_engine import piece_text
+from springmux.lab.stand_ins.model_engine import chunk_text
 
 BEGAN_AT_S = 100.0
 ENDED_AT_S = 200.0
@@ -102,7 +103,7 @@
         "seq": seq,
         "choices": [
             {
-                "delta": {"content": text or piece_text(stream, seq)},
+                "delta": {"content": text or chunk_text(stream, seq)},
                 "finish_reason": "stop" if last else None,
             }
         ],
@@ -113,3 +114,8 @@
 
 
 DONE = b"data: [DONE]\n\n"
+
+
+def evidence(verdict: Verdict) -> str:
+    assert verdict.kept is False
+    return "; ".join(verdict.evidence)
