--- a/src/springmux/cli/client.py
+++ b/src/springmux/cli/client.py
@@ -9,6 +9,7 @@
 import urllib.request
 import uuid
 from collections.abc import Callable, Sequence
+from email.message import Message
 from typing import Any
 
 import msgspec
@@ -18,23 +19,23 @@
 REQUEST_TIMEOUT_S = 12.0
 """A little over the node's own limit for an order (10 s)."""
 ROUNDS = 3
-"""How often all addresses are tried; an election takes about a second."""
-PAUSE_S = 0.5
+"""Times that all addresses are tried; an election takes about a second."""
+ROUND_PAUSE_S = 0.5
 MAX_RETRY_AFTER_S = 3.0
 RETRY_STATUSES = frozenset({502, 503, 504})
-"""Answers after which another node, or the same one later, may do better (same order id)."""
+"""Statuses after which another node, or the same one later, may succeed (same order id)."""
 
 
 class NoNodeReachableError(SpringmuxError):
-    """None of the addresses answered; ``reasons`` has one line an address."""
+    """None of the addresses responded; ``reasons`` has one line an address."""
 
     def __init__(self, reasons: Sequence[str]) -> None:
         super().__init__("no node could be reached")
         self.reasons = tuple(reasons)
 
 
-class AdminReply(msgspec.Struct, frozen=True):
-    """A node's answer. ``document`` is the parsed JSON, ``None`` for an empty or other body."""
+class AdminResponse(msgspec.Struct, frozen=True):
+    """A node's response. ``document`` is the parsed JSON, ``None`` for an empty or other body."""
 
     status: int
     document: Any
@@ -43,7 +44,7 @@
 
 
 class AdminClient:
-    """Talks to one of ``addresses`` (``IP:port``), going on with the next when one fails."""
+    """Send requests to the first of ``addresses`` (``IP:port``) that responds."""
 
     def __init__(
         self,
@@ -58,12 +59,15 @@
         self._timeout_s = timeout_s
         self._rounds = rounds
         self._pause = pause
-        # A proxy from the environment has no business between an operator and a node's IP number.
+        # Nodes are named by IP address; a proxy from the environment must not stand in between.
         self._opener = urllib.request.build_opener(urllib.request.ProxyHandler({}))
 
-    def get(self, path: str) -> AdminReply:
-        """Read something."""
-        return self._try_all("GET", path, None, {})
+    def get(self, path: str) -> AdminResponse:
+        """Return the response to a GET of ``path``.
+
+        :raises NoNodeReachableError: if no node responded at all.
+        """
+        return self._request("GET", path, None, {})
 
     def order(
         self,
@@ -72,55 +76,55 @@
         document: Any = None,
         order_id: str = "",
         base_version: int | None = None,
-    ) -> AdminReply:
-        """Give an order; every attempt carries the same order id.
+    ) -> AdminResponse:
+        """Send an order; every attempt carries the same order id.
 
         :param document: bytes are sent unchanged, anything else as JSON.
         :param base_version: version that a change of the gateway's configuration builds on (``If-Match``).
-        :raises NoNodeReachableError: if no node answered at all. The order may have been taken all the same.
+        :raises NoNodeReachableError: if no node responded at all; the order may have been executed.
         """
         headers = {"X-Order-Id": order_id or str(uuid.uuid4()), "X-Operator": self._operator}
         if base_version is not None:
             headers["If-Match"] = str(base_version)
-        return self._try_all(method, path, document, headers)
+        return self._request(method, path, document, headers)
 
-    def _try_all(self, method: str, path: str, document: Any, headers: dict[str, str]) -> AdminReply:
+    def _request(self, method: str, path: str, document: Any, headers: dict[str, str]) -> AdminResponse:
         body = document if isinstance(document, bytes) or document is None else json.dumps(document).encode()
-        last: AdminReply | None = None
+        last: AdminResponse | None = None
         reasons: dict[str, str] = {}
         for attempt in range(self._rounds):
             if attempt:
                 wait_s = last.retry_after_s if last is not None else 0.0
-                self._pause(min(max(PAUSE_S, wait_s), MAX_RETRY_AFTER_S))
+                self._pause(min(max(ROUND_PAUSE_S, wait_s), MAX_RETRY_AFTER_S))
             for address in self._addresses:
                 try:
-                    reply = self._once(address, method, path, body, headers)
+                    response = self._attempt(address, method, path, body, headers)
                 except (OSError, http.client.HTTPException) as error:
                     reasons[address] = f"{address}: {_reason(error)}"
                     continue
-                if reply.status not in RETRY_STATUSES:
-                    return reply
-                last = reply
+                if response.status not in RETRY_STATUSES:
+                    return response
+                last = response
         if last is not None:
             return last
         raise NoNodeReachableError(list(reasons.values()))
 
-    def _once(
+    def _attempt(
         self, address: str, method: str, path: str, body: bytes | None, headers: dict[str, str]
-    ) -> AdminReply:
+    ) -> AdminResponse:
         request = urllib.request.Request(f"http://{address}{path}", data=body, method=method)
         request.add_header("Content-Type", "application/json")
         for name, value in headers.items():
             request.add_header(name, value)
         try:
             with self._opener.open(request, timeout=self._timeout_s) as response:
-                return _reply(response.status, response.read(), address, response.headers)
+                return _parse_response(response.status, response.read(), address, response.headers)
         except urllib.error.HTTPError as error:
             with error:
-                return _reply(error.code, error.read(), address, error.headers)
+                return _parse_response(error.code, error.read(), address, error.headers)
 
 
-def _reply(status: int, data: bytes, address: str, headers: Any) -> AdminReply:
+def _parse_response(status: int, data: bytes, address: str, headers: Message) -> AdminResponse:
     try:
         document = json.loads(data) if data else None
     except ValueError:
@@ -129,7 +133,7 @@
         retry_after_s = float(headers.get("Retry-After", "0"))
     except ValueError:
         retry_after_s = 0.0
-    return AdminReply(status=status, document=document, address=address, retry_after_s=retry_after_s)
+    return AdminResponse(status=status, document=document, address=address, retry_after_s=retry_after_s)
 
 
 def _reason(error: Exception) -> str:
--- a/src/springmux/cli/configuration.py
+++ b/src/springmux/cli/configuration.py
@@ -9,28 +9,25 @@
 
 import typer
 
+from springmux.cli.admin_requests import read, run_order
 from springmux.cli.client import AdminClient
 from springmux.cli.exit_codes import EPILOG, ExitCode
-from springmux.cli.output import (
+from springmux.cli.input_files import read_json_file
+from springmux.cli.options import (
     DEFAULT_ADMIN,
     AdminOption,
+    FileArgument,
     JsonOption,
     OperatorOption,
     OrderIdOption,
-    fail,
-    order,
-    print_json,
-    print_table,
-    read,
-    read_json_file,
-    show_accepted,
+    OrderOptions,
 )
+from springmux.cli.output import fail, print_document, print_json, print_table
 from springmux.control.configuration import InvalidConfigurationError, build_configuration
 from springmux.vocabulary.errors import FieldError
 
 application = typer.Typer(no_args_is_help=True, help="The fleet's configuration document.", epilog=EPILOG)
 
-FileArgument = Annotated[Path, typer.Argument(help="JSON file, or - for standard input.")]
 VersionOption = Annotated[
     int | None,
     typer.Option("--version", min=1, help="Number the change must get (present one plus 1)."),
@@ -38,7 +35,7 @@
 
 
 def local_errors(document: Any) -> tuple[FieldError, ...]:
-    """Return every wrong field of a whole document, without asking a node."""
+    """Return every wrong field of a complete document, without a request to a node."""
     try:
         build_configuration(document, 1)
     except InvalidConfigurationError as error:
@@ -63,15 +60,11 @@
         raise typer.Exit(ExitCode.INVALID)
 
 
-def _change(
-    method: str, file: Path, version: int | None, client: AdminClient, as_json: bool, order_id: str
-) -> None:
-    document = read_json_file(file, as_json)
+def _change(method: str, file: Path, version: int | None, options: OrderOptions) -> None:
+    document = read_json_file(file, options.as_json)
     if version is None:
-        version = int(read(client, "/v1/configuration", as_json)["version"]) + 1
-    path = f"/v1/configuration?version={version}"
-    reply = order(client, method, path, document, as_json, order_id)
-    show_accepted(reply, f"configuration {version}", as_json)
+        version = int(read(options.client(), "/v1/configuration", options.as_json)["version"]) + 1
+    run_order(options, method, f"/v1/configuration?version={version}", document, f"configuration {version}")
 
 
 @application.command()
@@ -89,7 +82,7 @@
 
     Example: springmux config apply fleet.json --version 12 --admin 10.0.0.5:7002
     """
-    _change("PUT", file, version, AdminClient(admin, operator), json_output, order_id)
+    _change("PUT", file, version, OrderOptions(admin, operator, order_id, json_output))
 
 
 @application.command()
@@ -105,7 +98,7 @@
 
     Example: echo '{"limits": {"max_in_flight": 256}}' | springmux config patch -
     """
-    _change("PATCH", file, version, AdminClient(admin, operator), json_output, order_id)
+    _change("PATCH", file, version, OrderOptions(admin, operator, order_id, json_output))
 
 
 @application.command()
@@ -146,8 +139,9 @@
     Example: springmux config history
     """
     entries = read(AdminClient(admin), "/v1/configuration/history", json_output)
-    if json_output:
-        print_json(entries)
-        return
-    rows = [(e["version"], e["issued_by"], e["revision"], e["order"]) for e in entries]
+    print_document(entries, json_output, _print_history)
+
+
+def _print_history(entries: list[dict[str, Any]]) -> None:
+    rows = [(entry["version"], entry["issued_by"], entry["revision"], entry["order"]) for entry in entries]
     print_table(("VERSION", "BY", "REVISION", "ORDER"), rows)
--- a/src/springmux/cli/doctor.py
+++ b/src/springmux/cli/doctor.py
@@ -1,4 +1,4 @@
-"""``springmux doctor``: checks a node's settings and surroundings, and says what to do."""
+"""``springmux doctor``: check a node's settings, addresses, seeds, disk and clock; print what to do."""
 
 from __future__ import annotations
 
@@ -15,22 +15,23 @@
 from springmux.cli.client import AdminClient, NoNodeReachableError
 from springmux.cli.exit_codes import ExitCode
 from springmux.cli.node_command import SettingsOption
-from springmux.cli.output import JsonOption, print_json
+from springmux.cli.options import JsonOption
+from springmux.cli.output import print_json
 from springmux.node.addresses import split_address
 from springmux.node.settings import NodeSettings, load_settings
 from springmux.vocabulary.errors import SettingsError
 
 CONNECT_TIMEOUT_S = 2.0
-FREE_BYTES_WANTED = 256 << 20
+MIN_FREE_BYTES = 256 << 20
 """Room for the log's segments, two snapshots and the reserve, with space to grow."""
-SYNC_SLOW_S = 0.1
-"""A leader whose disk needs longer a write hands over often."""
-CLOCK_FLOOR = 1_700_000_000
-"""Wall time (seconds since 1970) before which the clock was surely never set."""
+SLOW_SYNC_S = 0.1
+"""A leader whose disk takes longer for a write often transfers its leadership."""
+MIN_CLOCK_S = 1_700_000_000
+"""Seconds since 1970; an earlier wall time means that the clock was never set."""
 
 
 class Finding(msgspec.Struct, frozen=True):
-    """One check: what was looked at, whether it is well, and what to do if not."""
+    """The result of one check: what was checked, whether it passed (``well``), and what to do if not."""
 
     check: str
     well: bool
@@ -49,7 +50,7 @@
         findings = [Finding(f"settings {e.path}", False, e.message, "correct it") for e in error.errors]
         _show(findings, json_output)
         raise typer.Exit(ExitCode.INVALID) from None
-    findings = [Finding("settings", True, "all fields are valid"), *_examine(loaded)]
+    findings = [Finding("settings", True, "all fields are valid"), *_check_node(loaded)]
     _show(findings, json_output)
     if not all(finding.well for finding in findings):
         raise typer.Exit(ExitCode.FAILED)
@@ -65,42 +66,46 @@
             typer.echo(f"     do: {finding.action}")
 
 
-def _examine(settings: NodeSettings) -> Iterator[Finding]:
-    yield from _addresses(settings)
-    yield from _seeds(settings)
+def _check_node(settings: NodeSettings) -> Iterator[Finding]:
+    yield from _check_addresses(settings)
+    yield from _check_seeds(settings)
     if settings.data_folder is not None:
-        yield from _disk(settings.data_folder)
-    yield _clock()
+        yield from _check_disk(settings.data_folder)
+    yield _check_clock()
 
 
-def _addresses(settings: NodeSettings) -> Iterator[Finding]:
-    running = _running(settings)
+def _check_addresses(settings: NodeSettings) -> Iterator[Finding]:
+    running = _check_running(settings)
     yield running
     for name in ("client_address", "peer_address", "admin_address"):
         address = getattr(settings, name)
-        yield _listening(name, address) if running.detail.startswith("runs") else _free(name, address)
+        yield (
+            _check_listening(name, address)
+            if running.detail.startswith("runs")
+            else _check_free(name, address)
+        )
 
 
-def _running(settings: NodeSettings) -> Finding:
+def _check_running(settings: NodeSettings) -> Finding:
     client = AdminClient([settings.admin_address], timeout_s=CONNECT_TIMEOUT_S, rounds=1)
     try:
-        reply = client.get("/readyz")
+        response = client.get("/readyz")
     except NoNodeReachableError:
         return Finding("node", True, "does not run here now")
-    document = reply.document if isinstance(reply.document, dict) else {}
+    document = response.document if isinstance(response.document, dict) else {}
     if document.get("ready"):
         return Finding("node", True, "runs and is ready")
     reason = document.get("reason", "no reason given")
     return Finding("node", False, f"runs but is not ready: {reason}", "see springmux status and the log")
 
 
-def _listening(name: str, address: str) -> Finding:
-    if _connects(address):
+def _check_listening(name: str, address: str) -> Finding:
+    if _accepts_connections(address):
         return Finding(name, True, f"{address} accepts connections")
     return Finding(name, False, f"{address} accepts none", "look for a firewall, or restart the node")
 
 
-def _connects(address: str) -> bool:
+def _accepts_connections(address: str) -> bool:
     try:
         socket.create_connection(split_address(address), timeout=CONNECT_TIMEOUT_S).close()
     except OSError:
@@ -108,7 +113,7 @@
     return True
 
 
-def _free(name: str, address: str) -> Finding:
+def _check_free(name: str, address: str) -> Finding:
     host, port = split_address(address)
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     with socket.socket(family, socket.SOCK_STREAM) as probe:
@@ -121,14 +126,14 @@
     return Finding(name, True, f"{address} is free")
 
 
-def _seeds(settings: NodeSettings) -> Iterator[Finding]:
+def _check_seeds(settings: NodeSettings) -> Iterator[Finding]:
     others = [seed for seed in settings.seeds if seed != settings.peer_address]
     if not others:
         yield Finding(
             "seeds", False, "none but the own address", "give three peer addresses (or one node alone)"
         )
         return
-    reached = [seed for seed in others if _connects(seed)]
+    reached = [seed for seed in others if _accepts_connections(seed)]
     missing = ", ".join(seed for seed in others if seed not in reached)
     if reached:
         detail = f"{len(reached)} of {len(others)} answer" + (f"; not {missing}" if missing else "")
@@ -137,19 +142,23 @@
         yield Finding("seeds", False, f"none answers: {missing}", "start a seed or correct the addresses")
 
 
-def _disk(folder: Path) -> Iterator[Finding]:
-    place = folder if folder.exists() else folder.parent
+def _check_disk(folder: Path) -> Iterator[Finding]:
+    existing = folder if folder.exists() else folder.parent
     try:
-        free = shutil.disk_usage(place).free
+        free_bytes = shutil.disk_usage(existing).free
     except OSError as error:
-        yield Finding("data folder", False, f"{place}: {error.strerror}", "make it, or correct data_folder")
+        yield Finding(
+            "data folder", False, f"{existing}: {error.strerror}", "make it, or correct data_folder"
+        )
         return
-    well = free >= FREE_BYTES_WANTED
-    yield Finding("disk space", well, f"{free >> 20} MiB free", f"free {FREE_BYTES_WANTED >> 20} MiB or more")
-    yield _sync_time(place)
+    well = free_bytes >= MIN_FREE_BYTES
+    yield Finding(
+        "disk space", well, f"{free_bytes >> 20} MiB free", f"free {MIN_FREE_BYTES >> 20} MiB or more"
+    )
+    yield _check_sync_time(existing)
 
 
-def _sync_time(folder: Path) -> Finding:
+def _check_sync_time(folder: Path) -> Finding:
     probe = folder / f".springmux-doctor-{os.getpid()}"
     try:
         begun = time.monotonic()
@@ -164,11 +173,11 @@
     except OSError as error:
         return Finding("disk sync", False, f"{folder}: {error.strerror}", "make the folder writable")
     detail = f"one synced write took {took_s * 1000:.1f} ms"
-    return Finding("disk sync", took_s < SYNC_SLOW_S, detail, "use a faster disk; a leader here hands over")
+    return Finding("disk sync", took_s < SLOW_SYNC_S, detail, "use a faster disk; a leader here hands over")
 
 
-def _clock() -> Finding:
+def _check_clock() -> Finding:
     now = time.time()
     detail = time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(now))
-    # Only logs and labels use it, so a wrong clock stops nothing.
-    return Finding("clock", now > CLOCK_FLOOR, detail, "set the clock; logs carry wrong times")
+    # Only logs and labels use the wall clock; a wrong one stops nothing.
+    return Finding("clock", now > MIN_CLOCK_S, detail, "set the clock; logs carry wrong times")
--- a/src/springmux/cli/fleet.py
+++ b/src/springmux/cli/fleet.py
@@ -5,6 +5,7 @@
 import json
 import signal
 import threading
+from collections.abc import Callable
 from pathlib import Path
 from typing import Annotated, NoReturn
 
@@ -31,7 +32,7 @@
         _fail(error)
 
 
-def _places(zones: list[str], nodes_per_zone: int, controllers: int) -> list[NodePlace]:
+def _node_places(zones: list[str], nodes_per_zone: int, controllers: int) -> list[NodePlace]:
     """Spread nodes over zones; the first node of each zone in turn is a controller until there are enough."""
     return [
         NodePlace(
@@ -59,7 +60,7 @@
     try:
         layout = lay_out(
             folder.resolve(),  # later commands may come from elsewhere
-            _places(zone_names, nodes, controllers),
+            _node_places(zone_names, nodes, controllers),
             FleetOptions(controllers_expected=expected),
         )
         supervisor = Supervisor(layout)
@@ -117,19 +118,19 @@
 @application.command()
 def kill(node: str, folder: FolderOption = DEFAULT_FOLDER) -> None:
     """End a node without warning."""
-    _act(folder, node, Supervisor.kill)
+    _act_on_node(folder, node, Supervisor.kill)
 
 
 @application.command()
 def freeze(node: str, folder: FolderOption = DEFAULT_FOLDER) -> None:
     """Stop a node's process from running."""
-    _act(folder, node, Supervisor.freeze)
+    _act_on_node(folder, node, Supervisor.freeze)
 
 
 @application.command()
 def thaw(node: str, folder: FolderOption = DEFAULT_FOLDER) -> None:
     """Let a frozen node go on."""
-    _act(folder, node, Supervisor.thaw)
+    _act_on_node(folder, node, Supervisor.thaw)
 
 
 @application.command()
@@ -156,8 +157,7 @@
     _supervisor(folder).stop_all()
 
 
-def _act(folder: Path, node: str, action: object) -> None:
-    assert callable(action)
+def _act_on_node(folder: Path, node: str, action: Callable[[Supervisor, str], None]) -> None:
     try:
         action(_supervisor(folder), node)
     except FleetError as error:
--- a/src/springmux/cli/fleet_orders.py
+++ b/src/springmux/cli/fleet_orders.py
@@ -6,20 +6,18 @@
 
 import typer
 
+from springmux.cli.admin_requests import read, run_order, send_order
 from springmux.cli.client import AdminClient
 from springmux.cli.exit_codes import EPILOG
-from springmux.cli.output import (
+from springmux.cli.options import (
     DEFAULT_ADMIN,
     AdminOption,
     JsonOption,
     OperatorOption,
     OrderIdOption,
-    order,
-    print_json,
-    print_table,
-    read,
-    show_accepted,
+    OrderOptions,
 )
+from springmux.cli.output import print_document, print_json, print_table
 from springmux.cli.status_page import print_status
 
 engine_application = typer.Typer(no_args_is_help=True, help="Back ends.", epilog=EPILOG)
@@ -35,11 +33,15 @@
     Example: springmux engine list
     """
     found = read(AdminClient(admin), "/v1/engines", json_output)
-    if json_output:
-        print_json(found)
-        return
+    print_document(found, json_output, _print_engines)
+
+
+def _print_engines(found: dict[str, Any]) -> None:
     records = [entry["record"] for entry in found["engines"]]
-    rows = [(r["engine"], r["service"], r["version"], r["status"], r["address"]) for r in records]
+    rows = [
+        (record["engine"], record["service"], record["version"], record["status"], record["address"])
+        for record in records
+    ]
     print_table(("ENGINE", "SERVICE", "VERSION", "STATUS", "ADDRESS"), rows)
 
 
@@ -55,8 +57,8 @@
     Example: springmux engine drain text-3
     """
     client = AdminClient(admin, operator)
-    order(client, "POST", "/v1/engines/drain", {"engine": engine}, json_output)
-    # Taken all the same: the engine may have announced itself elsewhere a moment ago.
+    send_order(client, "POST", "/v1/engines/drain", {"engine": engine}, json_output)
+    # A node accepts the order for an unknown engine: it may have registered at another node just now.
     listed = read(client, "/v1/engines", json_output)["engines"]
     known = any(entry["record"]["engine"] == engine for entry in listed)
     if json_output:
@@ -80,9 +82,8 @@
     Example: springmux controller transfer
     """
     document: dict[str, Any] = {"target": target} if target else {}
-    client = AdminClient(admin, operator)
-    reply = order(client, "POST", "/v1/controllers/transfer", document, json_output, order_id)
-    show_accepted(reply, "transfer of leadership", json_output)
+    options = OrderOptions(admin, operator, order_id, json_output)
+    run_order(options, "POST", "/v1/controllers/transfer", document, "transfer of leadership")
 
 
 @controller_application.command("remove")
@@ -97,9 +98,9 @@
 
     Example: springmux controller remove 0f3a9c
     """
-    client = AdminClient(admin, operator)
-    reply = order(client, "POST", "/v1/controllers/remove", {"replica": replica}, json_output, order_id)
-    show_accepted(reply, f"removal of replica {replica}", json_output)
+    document = {"replica": replica}
+    options = OrderOptions(admin, operator, order_id, json_output)
+    run_order(options, "POST", "/v1/controllers/remove", document, f"removal of replica {replica}")
 
 
 def status(admin: AdminOption = DEFAULT_ADMIN, json_output: JsonOption = False) -> None:
@@ -107,8 +108,4 @@
 
     Example: springmux status --admin 10.0.0.5:7002
     """
-    found = read(AdminClient(admin), "/v1/status", json_output)
-    if json_output:
-        print_json(found)
-        return
-    print_status(found)
+    print_document(read(AdminClient(admin), "/v1/status", json_output), json_output, print_status)
--- a/src/springmux/cli/gateway.py
+++ b/src/springmux/cli/gateway.py
@@ -4,24 +4,18 @@
 
 import time
 from collections.abc import Callable
-from pathlib import Path
 from typing import Annotated, Any, NoReturn
 
 import typer
 
-from springmux.cli.client import AdminClient, AdminReply
+from springmux.cli.admin_requests import checked, path_segment, print_accepted
+from springmux.cli.client import AdminClient, AdminResponse
 from springmux.cli.exit_codes import EPILOG, ExitCode
 from springmux.cli.gateway_losses import losses
 from springmux.cli.gateway_status_page import print_gateway_status
-from springmux.cli.output import (
-    JsonOption,
-    checked,
-    fail,
-    path_segment,
-    print_json,
-    read_file,
-    show_accepted,
-)
+from springmux.cli.input_files import read_file
+from springmux.cli.options import FileArgument, JsonOption
+from springmux.cli.output import fail, print_document, print_json
 from springmux.control.commands import ApplyGateway, gateway_order_id
 from springmux.control.gateway_section import GatewaySection
 from springmux.vocabulary.errors import FieldError
@@ -31,6 +25,7 @@
 application.command()(losses)
 
 CONTROL_SOURCES = "--control or SPRINGMUX_CONTROL"
+"""Where the addresses of nodes come from, for messages."""
 STATUS_PATH = "/v1/gateway/status"
 CONFIGURATION_PATH = "/v1/gateway/configuration"
 ROLLOUTS_PATH = "/v1/gateway/rollouts"
@@ -44,7 +39,6 @@
         help="Control address IP:port of a node; repeat it to name several nodes.",
     ),
 ]
-FileArgument = Annotated[Path, typer.Argument(help="JSON file, or - for standard input.")]
 ServiceArgument = Annotated[str, typer.Argument(help="Service of the gateway's configuration.")]
 
 
@@ -55,10 +49,7 @@
     Example: springmux gateway status --control 10.0.0.5:8002
     """
     found = _read(AdminClient(control), STATUS_PATH, "role", json_output)
-    if json_output:
-        print_json(found)
-        return
-    print_gateway_status(found)
+    print_document(found, json_output, print_gateway_status)
 
 
 @application.command()
@@ -82,7 +73,7 @@
         if errors:
             raise typer.Exit(ExitCode.INVALID)
     elif errors:
-        fail(f"{file} is not valid", ExitCode.INVALID, details=[_line(error) for error in errors])
+        fail(f"{file} is not valid", ExitCode.INVALID, details=[_error_line(error) for error in errors])
     else:
         typer.echo(f"{file}: valid")
 
@@ -104,10 +95,10 @@
     """
     document = read_file(file, json_output)
     client = AdminClient(control)
-    reply = _order(
+    response = _send_order(
         lambda: client.order("PUT", CONFIGURATION_PATH, document, base_version=builds_on), json_output
     )
-    show_accepted(reply, f"configuration on top of version {builds_on}", json_output)
+    print_accepted(response, f"configuration on top of version {builds_on}", json_output)
 
 
 @application.command()
@@ -124,8 +115,8 @@
     """
     order = {"service": service, "candidate": candidate, "by_s": by_s}
     client = AdminClient(control)
-    reply = _order(lambda: client.order("POST", ROLLOUTS_PATH, order), json_output)
-    show_accepted(reply, f"rollout of {service} to {candidate}", json_output)
+    response = _send_order(lambda: client.order("POST", ROLLOUTS_PATH, order), json_output)
+    print_accepted(response, f"rollout of {service} to {candidate}", json_output)
 
 
 @application.command()
@@ -155,31 +146,34 @@
 
 
 def local_errors(document: bytes) -> tuple[FieldError, ...]:
-    """Return the first wrong field of each item of a whole document, without asking a node."""
+    """Return the first wrong field of each item of a complete document, without a request to a node."""
     order = gateway_order_id(0, document, False)
     return GatewaySection().apply(ApplyGateway(order=order, base_version=0, document=document)).errors
 
 
 def _read(client: AdminClient, path: str, member: str, as_json: bool) -> dict[str, Any]:
-    """Return the document at ``path``, or exit with what was wrong. ``member``: one that it must have."""
-    reply = checked(lambda: client.get(path), as_json, CONTROL_SOURCES)
-    if not isinstance(reply.document, dict) or member not in reply.document:
-        _foreign(reply.address, as_json)
-    return reply.document
+    """Return the document at ``path``, or exit with what was wrong.
+
+    :param member: a member that the document of a gateway node always has.
+    """
+    response = checked(lambda: client.get(path), as_json, CONTROL_SOURCES)
+    if not isinstance(response.document, dict) or member not in response.document:
+        _fail_foreign(response.address, as_json)
+    return response.document
 
 
-def _order(call: Callable[[], AdminReply], as_json: bool) -> AdminReply:
-    """Give an order and return its accepted answer, or exit with what was wrong."""
-    reply = checked(call, as_json, CONTROL_SOURCES)
-    if not isinstance(reply.document, dict):
-        _foreign(reply.address, as_json)
-    return reply
+def _send_order(request: Callable[[], AdminResponse], as_json: bool) -> AdminResponse:
+    """Send an order and return the response that accepts it, or exit with what was wrong."""
+    response = checked(request, as_json, CONTROL_SOURCES)
+    if not isinstance(response.document, dict):
+        _fail_foreign(response.address, as_json)
+    return response
 
 
-def _foreign(address: str, as_json: bool) -> NoReturn:
+def _fail_foreign(address: str, as_json: bool) -> NoReturn:
     details = ["give the control_address of a node's settings with --control"]
     fail(f"what answers at {address} is no gateway's control listener", ExitCode.FAILED, as_json, details)
 
 
-def _line(error: FieldError) -> str:
+def _error_line(error: FieldError) -> str:
     return f"{error.path}: {error.message}" if error.path else error.message
--- a/src/springmux/cli/gateway_losses.py
+++ b/src/springmux/cli/gateway_losses.py
@@ -1,4 +1,4 @@
-"""``springmux gateway losses``: what a fleet lost, out of its nodes' logs."""
+"""``springmux gateway losses``: what requests lost, computed from the nodes' logs."""
 
 from __future__ import annotations
 
@@ -11,12 +11,13 @@
 import typer
 
 from springmux.cli.exit_codes import ExitCode
-from springmux.cli.output import JsonOption, fail, print_json
+from springmux.cli.options import JsonOption
+from springmux.cli.output import fail, print_json
 from springmux.lab.reporting.request_losses import LATE_WORTH, Dimension, LossRow, losses_by, read_requests
 
 DEFAULT_ROWS = 12
-_HEADINGS = ("requests", "late", "refused", "failed", "left", "lost")
-_GROUP_WIDTH = 44
+HEADINGS = ("requests", "late", "refused", "failed", "left", "lost")
+GROUP_WIDTH = 44
 
 
 def losses(
@@ -37,7 +38,7 @@
 
     Example: springmux gateway losses node-1.log node-2.log --by size --by reason
     """
-    requests = list(read_requests(_lines(files, json_output)))
+    requests = list(read_requests(_read_lines(files, json_output)))
     if not requests:
         details = ["set log_level to debug: nodes then write a line for each request"]
         fail("no request_ended line was found", ExitCode.FAILED, json_output, details)
@@ -51,7 +52,7 @@
         _print_table(dimension, table)
 
 
-def _lines(files: list[Path], json_output: bool) -> Iterator[str]:
+def _read_lines(files: list[Path], as_json: bool) -> Iterator[str]:
     for file in files:
         if str(file) == "-":
             yield from sys.stdin
@@ -60,12 +61,12 @@
             with file.open(encoding="utf-8", errors="replace") as opened:
                 yield from opened
         except OSError as error:
-            fail(f"can't read {file}: {error.strerror}", ExitCode.FAILED, json_output)
+            fail(f"can't read {file}: {error.strerror}", ExitCode.FAILED, as_json)
 
 
 def _print_table(dimension: Dimension, table: list[LossRow]) -> None:
-    typer.echo(f"by {dimension.value:<{_GROUP_WIDTH - 3}}" + "".join(f"{name:>10}" for name in _HEADINGS))
+    typer.echo(f"by {dimension.value:<{GROUP_WIDTH - 3}}" + "".join(f"{name:>10}" for name in HEADINGS))
     for row in table:
         shares = "".join(f"{100 * share:>9.1f}%" for share in (row.late, row.refused, row.failed, row.left))
-        typer.echo(f"{row.group[:_GROUP_WIDTH]:<{_GROUP_WIDTH}}{row.requests:>10}{shares}{row.lost:>10.1f}")
+        typer.echo(f"{row.group[:GROUP_WIDTH]:<{GROUP_WIDTH}}{row.requests:>10}{shares}{row.lost:>10.1f}")
     typer.echo("")
--- a/src/springmux/cli/gateway_status_page.py
+++ b/src/springmux/cli/gateway_status_page.py
@@ -12,7 +12,7 @@
 
 
 def print_gateway_status(document: dict[str, Any]) -> None:
-    """Print the answer of ``GET /v1/gateway/status``."""
+    """Print the response of ``GET /v1/gateway/status``."""
     state = "ready" if document["ready"] else f"not ready: {document['reason']}"
     typer.echo(f"{document['node']} in zone {document['zone']}: {state}")
     version, contact = document["configuration_version"], document["contact"]
@@ -39,10 +39,10 @@
     if not engines:
         typer.echo("no engine is known: are their heartbeats acknowledged?")
         return
-    rows = [(each["service"], each["version"], each["state"], each["engines"]) for each in engines]
+    rows = [(group["service"], group["version"], group["state"], group["engines"]) for group in engines]
     print_table(("SERVICE", "VERSION", "STATE", "ENGINES"), rows)
 
 
 def _print_rollouts(rollouts: list[dict[str, Any]]) -> None:
-    rows = [(each["service"], each["candidate"], each["state"]) for each in rollouts]
+    rows = [(rollout["service"], rollout["candidate"], rollout["state"]) for rollout in rollouts]
     print_table(("SERVICE", "CANDIDATE", "ROLLOUT"), rows)
--- a/src/springmux/cli/lab.py
+++ b/src/springmux/cli/lab.py
@@ -6,7 +6,8 @@
 import shutil
 import tempfile
 import time
-from collections.abc import Callable, Sequence
+from collections.abc import Callable, Iterator, Sequence
+from contextlib import contextmanager
 from pathlib import Path
 from typing import TYPE_CHECKING, Annotated
 
@@ -60,7 +61,7 @@
     from springmux.lab.experiment.demo import DEMO_EXPERIMENT, DEMO_SECONDS, demonstrate
     from springmux.lab.experiment.experiment import RunOptions
 
-    with _folder(keep) as folder:
+    with _work_folder(keep) as folder:
         options = RunOptions(experiment=DEMO_EXPERIMENT, folder=folder, seconds=DEMO_SECONDS, seed=seed)
         _run(options, demonstrate, [], report)
 
@@ -90,7 +91,7 @@
         fail(str(error), ExitCode.INVALID)
     length_s = seconds or script.needed_seconds(slots, plan)
     slots = [slot for slot in slots if slot.at_s + slot.scenario.lasts_s <= length_s]
-    with _folder(keep) as folder:
+    with _work_folder(keep) as folder:
         options = RunOptions(experiment=experiment, folder=folder, seconds=length_s, seed=seed)
         _run(options, script.RunScript(slots, length_s).play, script.surges(slots, plan), report)
 
@@ -133,21 +134,19 @@
     asyncio.run(run_callers(loaded))
 
 
-class _folder:
-    """The folder that a run works in: the one to keep, or a temporary one that is deleted."""
-
-    def __init__(self, keep: Path | None) -> None:
-        self._keep = keep
-
-    def __enter__(self) -> Path:
-        self._path = self._keep or Path(tempfile.mkdtemp(prefix="springmux-lab-"))
-        if self._keep is not None and self._keep.exists() and any(self._keep.iterdir()):
-            fail(f"{self._keep} is not empty; give a new folder", ExitCode.INVALID)
-        return self._path
-
-    def __exit__(self, *_: object) -> None:
-        if self._keep is None:
-            shutil.rmtree(self._path, ignore_errors=True)
+@contextmanager
+def _work_folder(keep: Path | None) -> Iterator[Path]:
+    """Yield the folder that a run works in: the one to keep, or a temporary one that is deleted."""
+    if keep is not None:
+        if keep.exists() and any(keep.iterdir()):
+            fail(f"{keep} is not empty; give a new folder", ExitCode.INVALID)
+        yield keep
+        return
+    temporary = Path(tempfile.mkdtemp(prefix="springmux-lab-"))
+    try:
+        yield temporary
+    finally:
+        shutil.rmtree(temporary, ignore_errors=True)
 
 
 def _run(options: RunOptions, script: Script, surges: list[Surge], report: Path | None) -> None:
--- a/src/springmux/cli/rollout_pages.py
+++ b/src/springmux/cli/rollout_pages.py
@@ -1,4 +1,4 @@
-"""The readable forms of ``springmux rollout template`` and ``springmux rollout plan``."""
+"""The readable forms of ``springmux rollout template``, ``plan`` and ``status``."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def print_templates(templates: list[dict[str, Any]]) -> None:
-    """Print the answer of ``GET /v1/templates``: each template with its parameters."""
+    """Print the response of ``GET /v1/templates``: each template with its parameters."""
     for number, template in enumerate(templates):
         if number:
             typer.echo("")
@@ -19,9 +19,9 @@
             (
                 parameter["name"],
                 parameter["type"],
-                _value(parameter.get("default")),
-                _value(parameter.get("minimum")),
-                _value(parameter.get("maximum")),
+                _cell(parameter.get("default")),
+                _cell(parameter.get("minimum")),
+                _cell(parameter.get("maximum")),
                 parameter.get("description", ""),
             )
             for parameter in template["parameters"]
@@ -29,14 +29,14 @@
         print_table(("PARAMETER", "TYPE", "DEFAULT", "MIN", "MAX", "MEANING"), rows)
 
 
-def _value(value: Any) -> str:
+def _cell(value: Any) -> str:
     if value is None or value == []:
         return "-"
     return f"{value:g}" if isinstance(value, float) else str(value)
 
 
 def print_plan(preview: dict[str, Any]) -> None:
-    """Print the answer of ``POST /v1/rollouts/preview``: the steps and what a bad version could get."""
+    """Print the response of ``POST /v1/rollouts/preview``: the steps and what a bad version could get."""
     plan, schedule = preview["plan"], preview["schedule"]
     typer.echo(
         f"{plan['service']} to {plan['candidate']} by template {plan['template']}:"
@@ -54,3 +54,35 @@
     )
     for warning in preview["warnings"]:
         typer.echo(f"warning: {warning}")
+
+
+def record_of(status_document: dict[str, Any]) -> dict[str, Any]:
+    """Return a rollout's record, which the document either contains or is."""
+    record = status_document.get("record")
+    return record if isinstance(record, dict) else status_document
+
+
+def print_rollouts(status_documents: list[dict[str, Any]]) -> None:
+    """Print the response of ``GET /v1/rollouts``: a line for each service."""
+    rows = [
+        (record["service"], record["stable"], record["candidate"], record["phase"], record["weight"])
+        for record in map(record_of, status_documents)
+    ]
+    print_table(("SERVICE", "STABLE", "CANDIDATE", "PHASE", "WEIGHT"), rows)
+
+
+def print_rollout(status_document: dict[str, Any]) -> None:
+    """Print the response of ``GET /v1/rollouts/SERVICE``: progress and the decision, if one was made."""
+    record = record_of(status_document)
+    # At the end of a good rollout the candidate is the stable version.
+    stable = "" if record["stable"] == record["candidate"] else f"{record['stable']} "
+    status = status_document.get("status") or {}
+    sent = f" sent {status['sent']} of {status['prompts']} prompts" if status else ""
+    typer.echo(
+        f"{record['service']}: {stable}-> {record['candidate']} {record['phase']}"
+        f" weight {record['weight']:.2f} step {record.get('step', 0)}"
+        f" elapsed {record.get('elapsed_s', 0.0):.1f} s{sent}"
+    )
+    decision = record.get("decision")
+    if decision:
+        typer.echo(f"  {decision['decided_by']}: {decision['reason']} {decision.get('figures', '')}".rstrip())
--- a/src/springmux/cli/rollouts.py
+++ b/src/springmux/cli/rollouts.py
@@ -9,30 +9,26 @@
 
 import typer
 
+from springmux.cli.admin_requests import path_segment, read, run_order, send_order
 from springmux.cli.client import AdminClient
 from springmux.cli.exit_codes import EPILOG, ExitCode
-from springmux.cli.output import (
+from springmux.cli.input_files import read_json_file
+from springmux.cli.options import (
     DEFAULT_ADMIN,
     AdminOption,
     JsonOption,
     OperatorOption,
     OrderIdOption,
-    fail,
-    order,
+    OrderOptions,
     parse_settings,
-    path_segment,
-    print_json,
-    print_table,
-    read,
-    read_json_file,
-    show_accepted,
 )
-from springmux.cli.rollout_pages import print_plan, print_templates
+from springmux.cli.output import fail, print_document, print_json
+from springmux.cli.rollout_pages import print_plan, print_rollout, print_rollouts, print_templates, record_of
 
 application = typer.Typer(no_args_is_help=True, help="Rollouts of engine versions.", epilog=EPILOG)
 
 WATCH_PERIOD_S = 1.0
-TERMINAL = ("done", "aborted")
+TERMINAL_PHASES = ("done", "aborted")
 
 ServiceArgument = Annotated[str, typer.Argument(help="Service whose version changes.")]
 TemplateOption = Annotated[str, typer.Option("--template", help="Name of a stored template.")]
@@ -54,20 +50,14 @@
 
     Example: springmux rollout template careful --file careful.json
     """
-    client = AdminClient(admin, operator)
+    options = OrderOptions(admin, operator, order_id, json_output)
     if file is not None and name:
         document = read_json_file(file, json_output)
-        path = f"/v1/templates/{path_segment(name)}"
-        reply = order(client, "PUT", path, document, json_output, order_id)
-        show_accepted(reply, f"template {name}", json_output)
+        run_order(options, "PUT", f"/v1/templates/{path_segment(name)}", document, f"template {name}")
         return
     if file is not None or name:
         fail("give a name and --file to store one, neither to list", ExitCode.INVALID, json_output)
-    found = read(client, "/v1/templates", json_output)
-    if json_output:
-        print_json(found)
-    else:
-        print_templates(found)
+    print_document(read(options.client(), "/v1/templates", json_output), json_output, print_templates)
 
 
 def _plan_body(template_name: str, settings: list[str], service: str, as_json: bool) -> dict[str, Any]:
@@ -93,13 +83,9 @@
     Example: springmux rollout plan text --template careful --set candidate=v2 --set by_s=60
     """
     body = _plan_body(template_name, settings, service, json_output)
-    client = AdminClient(admin)
-    # Nothing is changed, but the preview is a POST; an order id does no harm.
-    reply = order(client, "POST", "/v1/rollouts/preview", body, json_output)
-    if json_output:
-        print_json(reply.document)
-    else:
-        print_plan(reply.document)
+    # A preview changes nothing, but it is a POST; an order id does no harm.
+    response = send_order(AdminClient(admin), "POST", "/v1/rollouts/preview", body, json_output)
+    print_document(response.document, json_output, print_plan)
 
 
 @application.command()
@@ -117,17 +103,14 @@
     Example: springmux rollout promote text --template careful --set candidate=v2
     """
     body = _plan_body(template_name, settings, service, json_output)
+    options = OrderOptions(admin, operator, order_id, json_output)
     path = f"/v1/rollouts/{path_segment(service)}/promote"
-    reply = order(AdminClient(admin, operator), "POST", path, body, json_output, order_id)
-    show_accepted(reply, f"rollout of {service}", json_output)
+    run_order(options, "POST", path, body, f"rollout of {service}")
 
 
-def _simple_order(
-    verb: str, service: str, admin: list[str], operator: str, order_id: str, as_json: bool
-) -> None:
-    path = f"/v1/rollouts/{path_segment(service)}/{verb}"
-    reply = order(AdminClient(admin, operator), "POST", path, None, as_json, order_id)
-    show_accepted(reply, f"{verb} of {service}", as_json)
+def _run_verb(verb: str, service: str, options: OrderOptions) -> None:
+    """Send an order that needs no document: pause, resume or abort."""
+    run_order(options, "POST", f"/v1/rollouts/{path_segment(service)}/{verb}", None, f"{verb} of {service}")
 
 
 @application.command()
@@ -142,7 +125,7 @@
 
     Example: springmux rollout pause text
     """
-    _simple_order("pause", service, admin, operator, order_id, json_output)
+    _run_verb("pause", service, OrderOptions(admin, operator, order_id, json_output))
 
 
 @application.command()
@@ -157,7 +140,7 @@
 
     Example: springmux rollout resume text
     """
-    _simple_order("resume", service, admin, operator, order_id, json_output)
+    _run_verb("resume", service, OrderOptions(admin, operator, order_id, json_output))
 
 
 @application.command()
@@ -172,7 +155,7 @@
 
     Example: springmux rollout abort text
     """
-    _simple_order("abort", service, admin, operator, order_id, json_output)
+    _run_verb("abort", service, OrderOptions(admin, operator, order_id, json_output))
 
 
 application.command("go", help="Alias of promote.")(promote)
@@ -195,53 +178,23 @@
     if not service:
         if watch:
             fail("--watch needs a service", ExitCode.INVALID, json_output)
-        _show_all(read(client, "/v1/rollouts", json_output), json_output)
+        print_document(read(client, "/v1/rollouts", json_output), json_output, print_rollouts)
         return
     path = f"/v1/rollouts/{path_segment(service)}"
     while True:
         found = read(client, path, json_output)
-        _show_one(found, json_output)
-        phase = _record(found).get("phase", "")
+        if json_output:
+            typer.echo(json.dumps(found, sort_keys=True))  # one line a sample, for scripts that watch
+        else:
+            print_rollout(found)
+        phase = record_of(found).get("phase", "")
         if not watch:
             return
-        if phase in TERMINAL:
+        if phase in TERMINAL_PHASES:
             raise typer.Exit(ExitCode.OK if phase == "done" else ExitCode.FAILED)
         time.sleep(WATCH_PERIOD_S)
 
 
-def _record(status_document: dict[str, Any]) -> dict[str, Any]:
-    record = status_document.get("record")
-    return record if isinstance(record, dict) else status_document
-
-
-def _show_all(found: Any, as_json: bool) -> None:
-    if as_json:
-        print_json(found)
-        return
-    records = [_record(entry) for entry in found]
-    rows = [(r["service"], r["stable"], r["candidate"], r["phase"], r["weight"]) for r in records]
-    print_table(("SERVICE", "STABLE", "CANDIDATE", "PHASE", "WEIGHT"), rows)
-
-
-def _show_one(found: dict[str, Any], as_json: bool) -> None:
-    if as_json:
-        typer.echo(json.dumps(found, sort_keys=True))
-        return
-    record = _record(found)
-    # At the end of a good rollout the candidate is the stable version.
-    before = "" if record["stable"] == record["candidate"] else f"{record['stable']} "
-    status = found.get("status") or {}
-    sent = f" sent {status['sent']} of {status['prompts']} prompts" if status else ""
-    typer.echo(
-        f"{record['service']}: {before}-> {record['candidate']} {record['phase']}"
-        f" weight {record['weight']:.2f} step {record.get('step', 0)}"
-        f" elapsed {record.get('elapsed_s', 0.0):.1f} s{sent}"
-    )
-    decision = record.get("decision")
-    if decision:
-        typer.echo(f"  {decision['decided_by']}: {decision['reason']} {decision.get('figures', '')}".rstrip())
-
-
 @application.command()
 def report(
     service: ServiceArgument,
--- a/src/springmux/cli/status_page.py
+++ b/src/springmux/cli/status_page.py
@@ -13,11 +13,11 @@
 
 
 def print_status(document: dict[str, Any]) -> None:
-    """Print the answer of ``GET /v1/status``."""
+    """Print the response of ``GET /v1/status``."""
     node = document["node"]
     state = "ready" if document["ready"] else f"not ready: {document['reason']}"
     typer.echo(f"{node['node']} in zone {node['zone']}: {state}")
-    for name, text in _figures(node):
+    for name, text in _summary(node):
         typer.echo(f"  {name:<{NAME_WIDTH}} {text}")
     if document.get("replica_stopped"):
         typer.echo(f"  replica stopped: {document['replica_stopped']}")
@@ -29,7 +29,7 @@
         _print_controllers(node["replica"])
 
 
-def _figures(node: dict[str, Any]) -> Iterator[tuple[str, str]]:
+def _summary(node: dict[str, Any]) -> Iterator[tuple[str, str]]:
     leader = "this node" if node["leading"] else node["leader"] or "none known"
     yield (
         "control",
@@ -46,10 +46,10 @@
     yield "claims", f"{claims['held_keys']} held, ring of {claims['ring_size']}, {synchronized}"
     counts = node["engines"]["counts"]
     yield "engines", ", ".join(f"{count} {status}" for status, count in sorted(counts.items())) or "none"
-    yield "requests", _requests(node["router"])
+    yield "requests", _request_counts(node["router"])
 
 
-def _requests(router: dict[str, Any]) -> str:
+def _request_counts(router: dict[str, Any]) -> str:
     running, queued, shed = (sum(router[name].values()) for name in ("in_flight", "queued", "sheds"))
     return (
         f"{running} running, {queued} queued; so far {router['requests']} taken,"
@@ -76,7 +76,7 @@
 
 def _print_controllers(replica: dict[str, Any]) -> None:
     """Print the group's members; ``springmux controller`` takes their replica ids."""
-    # Structs of the peers' wire are arrays: (members,), each (replica, node, voter).
+    # As on the wire between peers, the structs are arrays: (members,), each (replica, node, voter).
     members = replica["members"][0] if replica["members"] else []
     rows = [
         (
--- a/src/springmux/cli/tenants.py
+++ b/src/springmux/cli/tenants.py
@@ -4,28 +4,25 @@
 
 import hashlib
 import secrets
-from typing import Annotated
+from typing import Annotated, Any
 
 import typer
 
+from springmux.cli.admin_requests import path_segment, print_accepted, read, run_order, send_order
 from springmux.cli.client import AdminClient
 from springmux.cli.exit_codes import EPILOG
-from springmux.cli.output import (
+from springmux.cli.options import (
     DEFAULT_ADMIN,
     AdminOption,
     JsonOption,
     OperatorOption,
     OrderIdOption,
-    order,
-    path_segment,
-    print_json,
-    print_table,
-    read,
-    show_accepted,
+    OrderOptions,
 )
+from springmux.cli.output import print_document, print_json, print_table
 
 KEY_BYTES = 32
-"""Random bytes of a made key: 256 bits can't be guessed."""
+"""Random bytes of a generated key: 256 bits can't be guessed."""
 
 tenant_application = typer.Typer(no_args_is_help=True, help="Tenants and their quotas.", epilog=EPILOG)
 key_application = typer.Typer(no_args_is_help=True, help="Callers' keys.", epilog=EPILOG)
@@ -48,8 +45,8 @@
     """
     document = {"tokens_per_s": tokens_per_s, "burst_tokens": burst_tokens, "weight": weight}
     path = f"/v1/tenants/{path_segment(tenant)}"
-    reply = order(AdminClient(admin, operator), "PUT", path, document, json_output, order_id)
-    show_accepted(reply, f"tenant {tenant}", json_output)
+    options = OrderOptions(admin, operator, order_id, json_output)
+    run_order(options, "PUT", path, document, f"tenant {tenant}")
 
 
 @tenant_application.command("remove")
@@ -64,9 +61,9 @@
 
     Example: springmux tenant remove school-12
     """
+    options = OrderOptions(admin, operator, order_id, json_output)
     path = f"/v1/tenants/{path_segment(tenant)}"
-    reply = order(AdminClient(admin, operator), "DELETE", path, None, json_output, order_id)
-    show_accepted(reply, f"removal of tenant {tenant}", json_output)
+    run_order(options, "DELETE", path, None, f"removal of tenant {tenant}")
 
 
 @tenant_application.command("list")
@@ -75,11 +72,14 @@
 
     Example: springmux tenant list
     """
-    found = read(AdminClient(admin), "/v1/tenants", json_output)
-    if json_output:
-        print_json(found)
-        return
-    rows = [(t["name"], t["tokens_per_s"], t["burst_tokens"], t.get("weight", 1.0)) for t in found]
+    print_document(read(AdminClient(admin), "/v1/tenants", json_output), json_output, _print_tenants)
+
+
+def _print_tenants(tenants: list[dict[str, Any]]) -> None:
+    rows = [
+        (tenant["name"], tenant["tokens_per_s"], tenant["burst_tokens"], tenant.get("weight", 1.0))
+        for tenant in tenants
+    ]
     print_table(("TENANT", "TOKENS/S", "BURST", "WEIGHT"), rows)
 
 
@@ -103,11 +103,11 @@
     digest = digest or hashlib.sha256(key.encode()).hexdigest()
     path = f"/v1/keys/{path_segment(key_id)}"
     document = {"tenant": tenant, "digest": digest}
-    reply = order(AdminClient(admin, operator), "PUT", path, document, json_output, order_id)
+    response = send_order(AdminClient(admin, operator), "PUT", path, document, json_output, order_id)
     if json_output:
-        print_json({**(reply.document or {}), **({"key": key} if key else {})})
+        print_json({**(response.document or {}), **({"key": key} if key else {})})
         return
-    show_accepted(reply, f"key {key_id}", json_output)
+    print_accepted(response, f"key {key_id}", json_output)
     if key:
         typer.echo(f"the key, shown only now: {key}")
 
@@ -124,9 +124,9 @@
 
     Example: springmux key revoke school-12-a
     """
+    options = OrderOptions(admin, operator, order_id, json_output)
     path = f"/v1/keys/{path_segment(key_id)}/revoke"
-    reply = order(AdminClient(admin, operator), "POST", path, None, json_output, order_id)
-    show_accepted(reply, f"revocation of key {key_id}", json_output)
+    run_order(options, "POST", path, None, f"revocation of key {key_id}")
 
 
 @key_application.command("list")
@@ -135,9 +135,9 @@
 
     Example: springmux key list
     """
-    found = read(AdminClient(admin), "/v1/keys", json_output)
-    if json_output:
-        print_json(found)
-        return
-    rows = [(k["key"], k["tenant"], "revoked" if k.get("revoked") else "valid") for k in found]
+    print_document(read(AdminClient(admin), "/v1/keys", json_output), json_output, _print_keys)
+
+
+def _print_keys(keys: list[dict[str, Any]]) -> None:
+    rows = [(key["key"], key["tenant"], "revoked" if key.get("revoked") else "valid") for key in keys]
     print_table(("KEY", "TENANT", "STATE"), rows)
