--- a/examples/embedding/local_cluster.py
+++ b/examples/embedding/local_cluster.py
@@ -1,7 +1,7 @@
 """The example's driver: members in one process, a queue for a network, virtual time, disks in memory.
 
-A program of its own would put sockets, a monotonic clock and threads for the disk in its place; the
-members stay as they are.
+A real program replaces it with sockets, a monotonic clock and a thread for the disk; ``member.py`` stays as
+it is.
 """
 
 from __future__ import annotations
@@ -11,32 +11,57 @@
 import random
 from collections.abc import Callable
 
-from member import Member, Outside, PutText
+from member import Driver, Member, PutText
 
 from springmux.coordination.identifiers import Address, NodeId
 from springmux.coordination.state_machine import Event, MessageReceived, PeerMessage, Tick
 from springmux.storage.memory_disk import MemoryDisk
 
 LATENCY_S = 0.002
-SYNC_S = 0.003
+SYNC_TIME_S = 0.003
 
 
-class NotReached(Exception):
-    """What was waited for did not happen in time."""
+class ClusterError(Exception):
+    """The cluster did not do what was requested."""
 
 
-class LocalCluster(Outside):
-    """Runs members; everything follows from ``seed``."""
+class NoLeaderError(ClusterError):
+    """No member leads."""
+
+    def __init__(self) -> None:
+        super().__init__("no member leads")
+
+
+class TimeLimitExceededError(ClusterError):
+    """A condition was not met within ``limit_s`` of virtual time."""
+
+    def __init__(self, limit_s: float) -> None:
+        super().__init__(f"not within {limit_s} s of virtual time")
+        self.limit_s = limit_s
+
+
+class CommandDroppedError(ClusterError):
+    """The leader dropped a command, for ``reason``; it may be committed all the same."""
+
+    def __init__(self, reason: str) -> None:
+        super().__init__(reason)
+        self.reason = reason
+
+
+class LocalCluster(Driver):
+    """Run members under a virtual clock; the same ``seed`` gives the same run."""
 
     def __init__(self, seed: int, names: tuple[str, ...]) -> None:
         self.now = 0.0
         self.members: dict[NodeId, Member] = {}
-        self._addresses = {NodeId(name): Address(f"10.0.0.{i}:7000") for i, name in enumerate(names, 1)}
+        self._addresses = {
+            NodeId(name): Address(f"10.0.0.{number}:7000") for number, name in enumerate(names, 1)
+        }
         self._disks = {node: MemoryDisk() for node in self._addresses}
         self._random = random.Random(seed)
-        self._order = itertools.count()
+        self._sequence = itertools.count()
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
-        self._ticks: dict[NodeId, float] = {}
+        self._tick_due: dict[NodeId, float] = {}
         for node in self._addresses:
             self.start(node)
 
@@ -44,88 +69,103 @@
 
     def start(self, node: NodeId) -> None:
         """Start a member on its disk."""
-        seeds = tuple(self._addresses.values())
+        seed_addresses = tuple(self._addresses.values())
         seed = self._random.getrandbits(32)
-        self.members[node] = Member(node, self._addresses[node], seeds, self._disks[node], seed, self)
-        self._give(node, Tick())
+        self.members[node] = Member(
+            node, self._addresses[node], seed_addresses, self._disks[node], seed, self
+        )
+        self._deliver(node, Tick())
 
     def power_cut(self, node: NodeId) -> None:
         """Stop a member at once; its disk keeps what was synced."""
         del self.members[node]
-        self._ticks.pop(node, None)
+        self._tick_due.pop(node, None)
         self._disks[node].power_cut(self._random)
 
-    # What the program around it would do
+    # Clients of the replicated map
 
     def leader(self) -> Member | None:
-        """Return the member that leads."""
+        """Return the member that leads, ``None`` if none does."""
         return next((member for member in self.members.values() if member.leading), None)
 
     def await_leader(self, limit_s: float = 10.0) -> Member:
-        """Run until a member leads."""
+        """Run until a member leads, and return it.
+
+        :raises ClusterError: if none does within ``limit_s`` of virtual time.
+        """
         self.run_until(lambda: self.leader() is not None, limit_s)
         leader = self.leader()
         if leader is None:
-            raise NotReached("no member leads")
+            raise NoLeaderError
         return leader
 
     def put(self, name: str, text: str, limit_s: float = 10.0) -> None:
-        """Have the leader agree on a text with the others; returns once it is acknowledged."""
+        """Store a text through the leader; return once it is committed.
+
+        :raises ClusterError: if it isn't committed within ``limit_s`` of virtual time, or was dropped.
+        """
         leader = self.await_leader(limit_s)
-        correlation_id = f"put-{next(self._order)}"
+        correlation_id = f"put-{next(self._sequence)}"
         leader.propose(correlation_id, PutText(name, text), self.now)
-        self._plan_tick(leader.node)
+        self._schedule_tick(leader.node)
         self.run_until(
             lambda: correlation_id in leader.committed or correlation_id in leader.dropped, limit_s
         )
         if correlation_id in leader.dropped:
-            raise NotReached(leader.dropped[correlation_id].reason)
+            raise CommandDroppedError(leader.dropped[correlation_id].reason)
 
-    def run_until(self, done: Callable[[], bool], limit_s: float) -> None:
-        """Let time pass until ``done``.
+    def run_until(self, condition: Callable[[], bool], limit_s: float) -> None:
+        """Run the queue until ``condition`` holds.
 
-        :raises NotReached: it wasn't within ``limit_s`` of virtual time.
+        :raises TimeLimitExceededError: if it doesn't within ``limit_s`` of virtual time.
         """
         end = self.now + limit_s
-        while not done():
+        while not condition():
             if not self._queue or self._queue[0][0] > end:
-                raise NotReached(f"not within {limit_s} s of virtual time")
+                raise TimeLimitExceededError(limit_s)
             self.now, _, action = heapq.heappop(self._queue)
             action()
 
-    # Network and clock
+    # Network, disk and clock
 
     def send(self, source: NodeId, to: NodeId, message: PeerMessage) -> None:
         """Deliver a message after the latency."""
-        self._later(LATENCY_S, lambda: self._give(to, MessageReceived(source, message)))
+        self._schedule(LATENCY_S, lambda: self._deliver(to, MessageReceived(source, message)))
 
     def send_to_address(self, source: NodeId, address: Address, message: PeerMessage) -> None:
-        """Deliver a message to whoever listens at an address."""
-        for node, own in self._addresses.items():
-            if own == address:
+        """Deliver a message to the node that listens at an address."""
+        for node, own_address in self._addresses.items():
+            if own_address == address:
                 self.send(source, node, message)
 
-    def written(self, node: NodeId, event: Event) -> None:
-        """Report a write after the time of a sync, unless the member was stopped meanwhile."""
+    def deliver_after_write(self, node: NodeId, event: Event) -> None:
+        """Deliver ``event`` after the time of a sync, unless the member was stopped meanwhile."""
         writer = self.members.get(node)
-        self._later(SYNC_S, lambda: self._give(node, event) if self.members.get(node) is writer else None)
 
-    def _later(self, delay_s: float, action: Callable[[], None]) -> None:
-        heapq.heappush(self._queue, (self.now + delay_s, next(self._order), action))
+        def deliver() -> None:
+            if self.members.get(node) is writer:
+                self._deliver(node, event)
+
+        self._schedule(SYNC_TIME_S, deliver)
+
+    def _schedule(self, delay_s: float, action: Callable[[], None]) -> None:
+        heapq.heappush(self._queue, (self.now + delay_s, next(self._sequence), action))
 
-    def _give(self, node: NodeId, event: Event) -> None:
+    def _deliver(self, node: NodeId, event: Event) -> None:
         member = self.members.get(node)
         if member is not None:
             member.handle(event, self.now)
-            self._plan_tick(node)
+            self._schedule_tick(node)
 
-    def _plan_tick(self, node: NodeId) -> None:
+    def _schedule_tick(self, node: NodeId) -> None:
+        """Schedule a tick at the member's next deadline, unless an earlier one is scheduled."""
         due = max(self.members[node].next_deadline(), self.now)
-        if due < self._ticks.get(node, float("inf")):
-            self._ticks[node] = due
-            self._later(due - self.now, lambda: self._tick(node, due))
+        if due < self._tick_due.get(node, float("inf")):
+            self._tick_due[node] = due
+            self._schedule(due - self.now, lambda: self._tick(node, due))
 
     def _tick(self, node: NodeId, due: float) -> None:
-        if self._ticks.get(node) == due:
-            del self._ticks[node]
-            self._give(node, Tick())
+        # An earlier tick, or a restart of the member, has replaced this one if the times differ.
+        if self._tick_due.get(node) == due:
+            del self._tick_due[node]
+            self._deliver(node, Tick())
--- a/examples/embedding/member.py
+++ b/examples/embedding/member.py
@@ -1,14 +1,14 @@
-"""One process of the example: a replicated map of texts over springmux's consensus and membership parts.
+"""One member of the example: a replicated map of texts over springmux's consensus and membership.
 
-It does what every embedding program has to do: hand each event to the part that it is for, and carry out the
-effects that come back. Network and clock belong to the driver (``local_cluster.py``).
+It does what every embedding program has to do: dispatch each event to the component that handles it, and
+execute the effects that are returned. Network and clock belong to the driver (``local_cluster.py``).
 """
 
 from __future__ import annotations
 
 import random
-from collections.abc import Callable
-from typing import Any
+from collections.abc import Sequence
+from typing import Protocol
 
 import msgspec
 
@@ -38,162 +38,177 @@
 from springmux.storage.replica_store import ReplicaStore
 
 FOLDER = "replica"
+"""Folder of the replica on the member's disk."""
 RESERVE_BYTES = 64 * 1024
-"""Enough for the few entries of an example."""
+"""Disk space that the store allocates ahead, to go on when the disk is full; ample for a few entries."""
+
+
+class ReplicaStoppedError(Exception):
+    """The replica of ``node`` can't go on, for ``reason``."""
+
+    def __init__(self, node: NodeId, reason: str) -> None:
+        super().__init__(f"{node}: {reason}")
+        self.node = node
+        self.reason = reason
 
 
 class PutText(msgspec.Struct, frozen=True, array_like=True):
-    """The one command of the map."""
+    """The map's only command: set the text stored under a name."""
 
     name: str
     text: str
 
 
-class Outside:
-    """What a member asks of its driver."""
+class Driver(Protocol):
+    """What a member needs from the program around it: a network and a queue for finished writes."""
 
     def send(self, source: NodeId, to: NodeId, message: PeerMessage) -> None:
-        """Carry a message to a node; it may be lost."""
-        raise NotImplementedError
+        """Send a message to a node; it may be lost."""
 
     def send_to_address(self, source: NodeId, address: Address, message: PeerMessage) -> None:
-        """Carry a message to an address whose node isn't known yet."""
-        raise NotImplementedError
+        """Send a message to an address whose node isn't known yet; it may be lost."""
 
-    def written(self, node: NodeId, event: Event) -> None:
-        """Give ``event`` back to the member when its write is on disk; never from within ``handle``."""
-        raise NotImplementedError
+    def deliver_after_write(self, node: NodeId, event: Event) -> None:
+        """Give ``event`` to the member once its write has ended; never from within its ``handle``."""
 
 
 class Member:
-    """One node.
+    """One node: membership, contact monitor and consensus replica over one disk.
 
-    :raises StorageDamagedError: the disk holds a damaged replica; see ``ReplicaStore.set_aside``.
+    :raises StorageDamagedError: if the disk holds a damaged replica; see ``ReplicaStore.set_aside``.
     """
 
     def __init__(
         self,
         node: NodeId,
         address: Address,
-        seeds: tuple[Address, ...],
+        seed_addresses: tuple[Address, ...],
         disk: Disk,
         seed: int,
-        outside: Outside,
+        driver: Driver,
     ) -> None:
-        source = random.Random(seed)
+        seeds = random.Random(seed)
         self.node = node
         self.texts: dict[str, str] = {}
         self.committed: set[str] = set()
         self.dropped: dict[str, raft.ProposalDropped] = {}
-        self._outside = outside
-        self._store = ReplicaStore(disk, FOLDER, random.Random(source.random()), reserve_bytes=RESERVE_BYTES)
+        self._driver = driver
+        self._store = ReplicaStore(disk, FOLDER, random.Random(seeds.random()), reserve_bytes=RESERVE_BYTES)
         recovered = self._store.open()
         if recovered.snapshot is not None:
             self.texts = msgspec.msgpack.decode(recovered.snapshot_data, type=dict[str, str])
         record = NodeRecord(node, ZoneName("here"), address, address, address, replica=recovered.replica)
-        self._membership = Membership(record, seeds, random.Random(source.random()))
-        self._contact = ContactMonitor(node, True, random.Random(source.random()))
-        self._replica = Replica(recovered, node, random.Random(source.random()))
+        self._membership = Membership(record, seed_addresses, random.Random(seeds.random()))
+        self._contact = ContactMonitor(node, True, random.Random(seeds.random()))
+        self._replica = Replica(recovered, node, random.Random(seeds.random()))
+        self._components: tuple[StateMachine, ...] = (self._membership, self._contact, self._replica)
+        self._component_by_message = self._route_messages()
         self._candidates = FoundingCandidates((), False)
-        self._part_of = self._make_part_of()
-        self._carry = self._make_carry()
 
     @property
     def leading(self) -> bool:
-        """Whether proposals belong here now."""
+        """Whether this member is the leader and accepts proposals."""
         return self._replica.leading
 
     def next_deadline(self) -> float:
-        """Return when a tick is due."""
-        return min(part.next_deadline() for part in self._parts())
+        """Return the monotonic time at which a tick is due."""
+        return min(component.next_deadline() for component in self._components)
 
     def handle(self, event: Event, now: float) -> None:
-        """Take one event at monotonic time ``now``."""
+        """Handle one event at monotonic time ``now`` and execute the effects."""
         if isinstance(event, Tick):
-            for part in self._parts():
-                if part.next_deadline() <= now:
-                    self._give(part, event, now)
+            for component in self._components:
+                if component.next_deadline() <= now:
+                    self._dispatch(component, event, now)
         elif isinstance(event, MessageReceived):
-            self._give(self._part_of[type(event.message)], event, now)
+            self._dispatch(self._component_by_message[type(event.message)], event, now)
         else:
-            self._give(self._replica, event, now)
-        self._tell_candidates(now)
+            self._dispatch(self._replica, event, now)  # what its own writes and proposals lead to
+        self._update_founding_candidates(now)
 
     def propose(self, correlation_id: str, command: PutText, now: float) -> None:
-        """Have ``command`` agreed on; ``committed`` or ``dropped`` will hold ``correlation_id``."""
+        """Propose ``command``; ``correlation_id`` appears in ``committed`` or in ``dropped``."""
         self.handle(raft.Propose(correlation_id, msgspec.msgpack.encode(command)), now)
 
-    def _parts(self) -> tuple[StateMachine, ...]:
-        return (self._membership, self._contact, self._replica)
-
-    def _make_part_of(self) -> dict[type[PeerMessage], StateMachine]:
-        owners: tuple[tuple[Any, StateMachine], ...] = (
-            (membership_messages, self._membership),
-            (contact_messages, self._contact),
-            (consensus_messages, self._replica),
-        )
-        return {message: part for module, part in owners for message in module.MESSAGES}
-
-    def _give(self, part: StateMachine, event: Event, now: float) -> None:
-        for effect in part.handle(event, now):
-            carry = self._carry.get(type(effect))
-            if carry is not None:
-                carry(effect, now)
-
-    def _tell_candidates(self, now: float) -> None:
-        """Tell the replica whom it may found a group with: nobody until most known nodes are heard."""
+    def _route_messages(self) -> dict[type[PeerMessage], StateMachine]:
+        """Return the component that handles each type of message."""
+        components: dict[StateMachine, tuple[type[PeerMessage], ...]] = {
+            self._membership: membership_messages.MESSAGES,
+            self._contact: contact_messages.MESSAGES,
+            self._replica: consensus_messages.MESSAGES,
+        }
+        return {message: component for component, messages in components.items() for message in messages}
+
+    def _dispatch(self, component: StateMachine, event: Event, now: float) -> None:
+        """Have a component handle an event, and execute its effects in their order."""
+        for effect in component.handle(event, now):
+            self._execute(effect, now)
+
+    def _update_founding_candidates(self, now: float) -> None:
+        """Give the replica the members that it may found a group with.
+
+        There are none until this node hears a majority of the known nodes: two sides of a network partition
+        must not found two groups.
+        """
         members: tuple[GroupMember, ...] = ()
         if self._contact.connected(now):
-            controllers = self._membership.view.controllers()
             members = tuple(
-                GroupMember(r.replica, r.node, True) for r in controllers if r.replica is not None
+                GroupMember(record.replica, record.node, True)
+                for record in self._membership.view.controllers()
+                if record.replica is not None
             )
         candidates = FoundingCandidates(members, self._replica.leader_node() is not None)
         if candidates != self._candidates:
             self._candidates = candidates
-            self._give(self._replica, candidates, now)
+            self._dispatch(self._replica, candidates, now)
 
     # Effects
 
-    def _make_carry(self) -> dict[type[Effect], Callable[[Any, float], None]]:
-        return {
-            Send: lambda effect, _: self._outside.send(self.node, effect.to, effect.message),
-            SendToAddress: self._on_send_to_address,
-            MembershipChanged: self._on_membership_changed,
-            raft.Persist: self._on_persist,
-            raft.Apply: self._on_apply,
-            raft.TakeSnapshot: self._on_take_snapshot,
-            raft.CompactLog: lambda effect, _: self._store.compact(effect.first_kept),
-            raft.InstallSnapshot: self._on_install,
-            raft.ProposalCommitted: lambda effect, _: self.committed.add(effect.correlation_id),
-            raft.ProposalDropped: lambda effect, _: self.dropped.update({effect.correlation_id: effect}),
-            raft.ReplicaStopped: self._on_stopped,
-        }
-
-    def _on_send_to_address(self, effect: SendToAddress, now: float) -> None:
-        self._outside.send_to_address(self.node, effect.address, effect.message)
-
-    def _on_membership_changed(self, effect: MembershipChanged, now: float) -> None:
-        self._give(self._contact, MembershipUpdated(effect.view), now)
-
-    def _on_persist(self, effect: raft.Persist, now: float) -> None:
+    def _execute(self, effect: Effect, now: float) -> None:
+        match effect:
+            case Send():
+                self._driver.send(self.node, effect.to, effect.message)
+            case SendToAddress():
+                self._driver.send_to_address(self.node, effect.address, effect.message)
+            case MembershipChanged():
+                self._dispatch(self._contact, MembershipUpdated(effect.view), now)
+            case _:
+                self._execute_for_replica(effect)
+
+    def _execute_for_replica(self, effect: Effect) -> None:
+        match effect:
+            case raft.Persist():
+                self._persist(effect)
+            case raft.Apply():
+                self._apply(effect.entries)
+            case raft.TakeSnapshot():
+                self._take_snapshot(effect)
+            case raft.InstallSnapshot():
+                self._install_snapshot(effect)
+            case raft.CompactLog():
+                self._store.compact(effect.first_kept)
+            case raft.ProposalCommitted():
+                self.committed.add(effect.correlation_id)
+            case raft.ProposalDropped():
+                self.dropped[effect.correlation_id] = effect
+            case raft.ReplicaStopped():
+                raise ReplicaStoppedError(self.node, effect.reason)
+
+    def _persist(self, effect: raft.Persist) -> None:
         outcome: Event = raft.Persisted(effect.batch)
         try:
             self._store.persist(effect)
         except DiskError as error:
             outcome = raft.PersistFailed(effect.batch, isinstance(error, DiskFullError), str(error))
-        self._outside.written(self.node, outcome)
-
-    def _on_apply(self, effect: raft.Apply, now: float) -> None:
-        for entry in effect.entries:
-            self._apply(entry)
+        self._driver.deliver_after_write(self.node, outcome)
 
-    def _apply(self, entry: Entry) -> None:
-        if entry.kind is EntryKind.COMMAND:
-            command = msgspec.msgpack.decode(entry.data, type=PutText)
-            self.texts[command.name] = command.text
+    def _apply(self, entries: Sequence[Entry]) -> None:
+        for entry in entries:
+            if entry.kind is EntryKind.COMMAND:
+                command = msgspec.msgpack.decode(entry.data, type=PutText)
+                self.texts[command.name] = command.text
 
-    def _on_take_snapshot(self, effect: raft.TakeSnapshot, now: float) -> None:
+    def _take_snapshot(self, effect: raft.TakeSnapshot) -> None:
         data = msgspec.msgpack.encode(self.texts)
         meta = SnapshotMeta(effect.index, effect.term, effect.members)
         outcome: Event
@@ -201,16 +216,13 @@
             outcome = raft.SnapshotTaken(self._store.take_snapshot(meta, data), data)
         except DiskError as error:
             outcome = raft.SnapshotFailed(effect.index, str(error))
-        self._outside.written(self.node, outcome)
+        self._driver.deliver_after_write(self.node, outcome)
 
-    def _on_install(self, effect: raft.InstallSnapshot, now: float) -> None:
+    def _install_snapshot(self, effect: raft.InstallSnapshot) -> None:
         outcome: Event = raft.SnapshotInstalled(effect.meta)
         try:
             self._store.install_snapshot(effect.meta, effect.data)
             self.texts = msgspec.msgpack.decode(effect.data, type=dict[str, str])
         except DiskError as error:
             outcome = raft.SnapshotFailed(effect.meta.index, str(error))
-        self._outside.written(self.node, outcome)
-
-    def _on_stopped(self, effect: raft.ReplicaStopped, now: float) -> None:
-        raise RuntimeError(f"{self.node}: {effect.reason}")
+        self._driver.deliver_after_write(self.node, outcome)
--- a/examples/embedding/run.py
+++ b/examples/embedding/run.py
@@ -1,6 +1,6 @@
-"""Three replicas elect a leader, agree on a text, lose the leader, go on, and take it back.
+"""Run the example: three replicas elect a leader, commit a text, lose the leader, elect another and recover.
 
-Run ``python examples/embedding/run.py``; it takes no time but the processor's, as its clock is virtual.
+Start it with ``python examples/embedding/run.py``. Its clock is virtual, so it doesn't wait.
 """
 
 from __future__ import annotations
@@ -10,14 +10,14 @@
 from local_cluster import LocalCluster
 
 SEED = 7
-NAMES = ("anna", "bert", "cleo")
-LIMIT_S = 20.0
+NODE_NAMES = ("anna", "bert", "cleo")
+CATCH_UP_LIMIT_S = 20.0
 
 
-def main() -> list[str]:
-    """Run the story and return its lines."""
+def run_scenario() -> list[str]:
+    """Return the lines that describe the run, each with its virtual time."""
     lines: list[str] = []
-    cluster = LocalCluster(SEED, NAMES)
+    cluster = LocalCluster(SEED, NODE_NAMES)
 
     first = cluster.await_leader()
     lines.append(f"{cluster.now:5.2f} s  {first.node} leads")
@@ -33,10 +33,12 @@
 
     cluster.start(first.node)
     expected = {"colour": "green", "size": "large"}
-    cluster.run_until(lambda: all(m.texts == expected for m in cluster.members.values()), LIMIT_S)
+    cluster.run_until(
+        lambda: all(member.texts == expected for member in cluster.members.values()), CATCH_UP_LIMIT_S
+    )
     lines.append(f"{cluster.now:5.2f} s  {first.node} is back, all {len(cluster.members)} hold {expected}")
     return lines
 
 
 if __name__ == "__main__":
-    sys.stdout.write("\n".join(main()) + "\n")
+    sys.stdout.write("\n".join(run_scenario()) + "\n")
--- a/src/springmux/cli/bench.py
+++ b/src/springmux/cli/bench.py
@@ -1,4 +1,4 @@
-"""``springmux lab bench``: measure what springmux costs."""
+"""``springmux lab bench``: measure the cost of routing, storage, gossip, relaying and control."""
 
 from __future__ import annotations
 
--- a/src/springmux/cli/configuration.py
+++ b/src/springmux/cli/configuration.py
@@ -11,7 +11,7 @@
 
 from springmux.cli.admin_requests import read, run_order
 from springmux.cli.client import AdminClient
-from springmux.cli.exit_codes import EPILOG, ExitCode
+from springmux.cli.exit_codes import EPILOG
 from springmux.cli.input_files import read_json_file
 from springmux.cli.options import (
     DEFAULT_ADMIN,
@@ -22,7 +22,7 @@
     OrderIdOption,
     OrderOptions,
 )
-from springmux.cli.output import fail, print_document, print_json, print_table
+from springmux.cli.output import print_document, print_json, print_table, print_validation
 from springmux.control.configuration import InvalidConfigurationError, build_configuration
 from springmux.vocabulary.errors import FieldError
 
@@ -50,14 +50,7 @@
     Example: springmux config validate fleet.json
     """
     errors = local_errors(read_json_file(file, json_output))
-    if json_output:
-        print_json({"valid": not errors, "errors": [{"path": e.path, "message": e.message} for e in errors]})
-    elif errors:
-        fail(f"{file} is not valid", ExitCode.INVALID, details=[f"{e.path}: {e.message}" for e in errors])
-    else:
-        typer.echo(f"{file}: valid")
-    if errors:
-        raise typer.Exit(ExitCode.INVALID)
+    print_validation(file, errors, [f"{error.path}: {error.message}" for error in errors], json_output)
 
 
 def _change(method: str, file: Path, version: int | None, options: OrderOptions) -> None:
--- a/src/springmux/cli/doctor.py
+++ b/src/springmux/cli/doctor.py
@@ -12,7 +12,7 @@
 import msgspec
 import typer
 
-from springmux.cli.client import AdminClient, NoNodeReachableError
+from springmux.cli.client import AdminClient, AdminResponse, NoNodeReachableError
 from springmux.cli.exit_codes import ExitCode
 from springmux.cli.node_command import SettingsOption
 from springmux.cli.options import JsonOption
@@ -75,22 +75,24 @@
 
 
 def _check_addresses(settings: NodeSettings) -> Iterator[Finding]:
-    running = _check_running(settings)
-    yield running
+    readiness = _request_readiness(settings)
+    yield _check_readiness(readiness)
+    check_address = _check_free if readiness is None else _check_listening
     for name in ("client_address", "peer_address", "admin_address"):
-        address = getattr(settings, name)
-        yield (
-            _check_listening(name, address)
-            if running.detail.startswith("runs")
-            else _check_free(name, address)
-        )
+        yield check_address(name, getattr(settings, name))
 
 
-def _check_running(settings: NodeSettings) -> Finding:
+def _request_readiness(settings: NodeSettings) -> AdminResponse | None:
+    """Return the node's response to the readiness probe, ``None`` if it doesn't run."""
     client = AdminClient([settings.admin_address], timeout_s=CONNECT_TIMEOUT_S, rounds=1)
     try:
-        response = client.get("/readyz")
+        return client.get("/readyz")
     except NoNodeReachableError:
+        return None
+
+
+def _check_readiness(response: AdminResponse | None) -> Finding:
+    if response is None:
         return Finding("node", True, "does not run here now")
     document = response.document if isinstance(response.document, dict) else {}
     if document.get("ready"):
--- a/src/springmux/cli/explore.py
+++ b/src/springmux/cli/explore.py
@@ -1,9 +1,9 @@
-"""``springmux lab explore``: many seeded runs of a hollow fleet in virtual time, with faults and checks."""
+"""``springmux lab explore``: seeded runs of a simulated fleet in virtual time, with faults and checks."""
 
 from __future__ import annotations
 
 from pathlib import Path
-from typing import Annotated, Any
+from typing import Annotated
 
 import msgspec
 import typer
@@ -79,8 +79,7 @@
 
 def _show(result: RunResult, json_output: bool) -> None:
     if json_output:
-        plain: Any = msgspec.to_builtins(result)
-        print_json(plain)
+        print_json(msgspec.to_builtins(result))
         return
     state = "ok" if not result.violations else f"{len(result.violations)} violations"
     typer.echo(
--- a/src/springmux/cli/fleet.py
+++ b/src/springmux/cli/fleet.py
@@ -1,4 +1,4 @@
-"""``springmux fleet``: run a whole fleet as processes on this machine, for trying things out."""
+"""``springmux fleet``: run a complete fleet as processes on this machine, for trials."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def _node_places(zones: list[str], nodes_per_zone: int, controllers: int) -> list[NodePlace]:
-    """Spread nodes over zones; the first node of each zone in turn is a controller until there are enough."""
+    """Distribute nodes over zones; the first of each zone, then the second and so on, are the controllers."""
     return [
         NodePlace(
             node=f"{zone}-{number}", zone=zone, controller=(number - 1) * len(zones) + position < controllers
--- a/src/springmux/cli/gateway.py
+++ b/src/springmux/cli/gateway.py
@@ -15,7 +15,7 @@
 from springmux.cli.gateway_status_page import print_gateway_status
 from springmux.cli.input_files import read_file
 from springmux.cli.options import FileArgument, JsonOption
-from springmux.cli.output import fail, print_document, print_json
+from springmux.cli.output import fail, print_document, print_json, print_validation
 from springmux.control.commands import ApplyGateway, gateway_order_id
 from springmux.control.gateway_section import GatewaySection
 from springmux.vocabulary.errors import FieldError
@@ -68,14 +68,7 @@
     Example: springmux gateway validate gateway.json
     """
     errors = local_errors(read_file(file, json_output))
-    if json_output:
-        print_json({"valid": not errors, "errors": [{"path": e.path, "message": e.message} for e in errors]})
-        if errors:
-            raise typer.Exit(ExitCode.INVALID)
-    elif errors:
-        fail(f"{file} is not valid", ExitCode.INVALID, details=[_error_line(error) for error in errors])
-    else:
-        typer.echo(f"{file}: valid")
+    print_validation(file, errors, [_error_line(error) for error in errors], json_output)
 
 
 @application.command()
--- a/src/springmux/cli/lab.py
+++ b/src/springmux/cli/lab.py
@@ -1,4 +1,4 @@
-"""``springmux lab``: experiments on a whole fleet on loopback, with stand-in back ends and callers."""
+"""``springmux lab``: experiments on a complete fleet on loopback, with stand-in back ends and clients."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterator, Sequence
 from contextlib import contextmanager
 from pathlib import Path
-from typing import TYPE_CHECKING, Annotated
+from typing import TYPE_CHECKING, Annotated, TypeVar
 
 import msgspec
 import typer
@@ -31,6 +31,8 @@
     from springmux.lab.load.traffic import Surge
     from springmux.lab.records import RunRecords
 
+Settings = TypeVar("Settings")
+
 RUN_CODES = "Exit codes: 0 no promise was broken, 1 one was broken or the run failed, 2 wrong usage."
 
 application = typer.Typer(
@@ -115,10 +117,7 @@
     """Run stand-in back ends until SIGTERM (a part of an experiment)."""
     from springmux.lab.stand_ins.host import BackEndHost, load_host_settings
 
-    try:
-        loaded = load_host_settings(settings)
-    except (OSError, msgspec.DecodeError) as error:
-        fail(f"{settings}: {error}", ExitCode.INVALID)
+    loaded = _load_settings(settings, load_host_settings)
     asyncio.run(BackEndHost(loaded).run())
 
 
@@ -127,11 +126,16 @@
     """Send an experiment's traffic and record every answer (a part of an experiment)."""
     from springmux.lab.load.clients import load_callers_settings, run_callers
 
+    loaded = _load_settings(settings, load_callers_settings)
+    asyncio.run(run_callers(loaded))
+
+
+def _load_settings(file: Path, load: Callable[[Path], Settings]) -> Settings:
+    """Return the settings in a file, or exit with what was wrong."""
     try:
-        loaded = load_callers_settings(settings)
+        return load(file)
     except (OSError, msgspec.DecodeError) as error:
-        fail(f"{settings}: {error}", ExitCode.INVALID)
-    asyncio.run(run_callers(loaded))
+        fail(f"{file}: {error}", ExitCode.INVALID)
 
 
 @contextmanager
--- a/src/springmux/cli/output.py
+++ b/src/springmux/cli/output.py
@@ -1,14 +1,16 @@
-"""Print JSON, tables and error messages."""
+"""Print JSON, tables, validation results and error messages."""
 
 from __future__ import annotations
 
 import json
 from collections.abc import Callable, Sequence
+from pathlib import Path
 from typing import Any, NoReturn
 
 import typer
 
 from springmux.cli.exit_codes import ExitCode
+from springmux.vocabulary.errors import FieldError
 
 
 def print_json(document: Any) -> None:
@@ -32,6 +34,22 @@
         typer.echo("  ".join(cell.ljust(width) for cell, width in zip(line, widths, strict=True)).rstrip())
 
 
+def print_validation(file: Path, errors: Sequence[FieldError], details: Sequence[str], as_json: bool) -> None:
+    """Print whether a configuration file is valid; exit with :attr:`ExitCode.INVALID` if not.
+
+    :param details: the errors in their readable form.
+    """
+    if as_json:
+        entries = [{"path": error.path, "message": error.message} for error in errors]
+        print_json({"valid": not errors, "errors": entries})
+        if errors:
+            raise typer.Exit(ExitCode.INVALID)
+    elif errors:
+        fail(f"{file} is not valid", ExitCode.INVALID, details=details)
+    else:
+        typer.echo(f"{file}: valid")
+
+
 def fail(message: str, code: ExitCode, as_json: bool = False, details: Sequence[str] = ()) -> NoReturn:
     """Print an error message with its details and exit with ``code``."""
     if as_json:
--- a/src/springmux/cli/reference.py
+++ b/src/springmux/cli/reference.py
@@ -1,4 +1,4 @@
-"""Writes docs/REFERENCE.md from the code: settings, configuration, metrics, errors, commands, exit codes.
+"""Write docs/REFERENCE.md from the code: settings, configuration, metrics, errors, commands, exit codes.
 
 Run as ``python -m springmux.cli.reference docs/REFERENCE.md``. A test compares the page with the code.
 """
@@ -33,10 +33,11 @@
 What to do about an error is in [OPERATIONS.md](OPERATIONS.md), the HTTP interfaces are in [API.md](API.md).
 """
 ERROR_PACKAGES = ("router", "control", "agent", "node")
-"""Packages that answer typed errors."""
+"""Packages that respond with typed errors."""
 EXCHANGE_MODULES = frozenset({"exchange.py", "progress.py", "reply.py"})
-"""Modules of the router in which an error's fate depends on what was sent to an engine."""
+"""Modules of the router in which an error's fate depends on what an engine was sent."""
 EXCHANGE_CALLS = frozenset({"_end_early", "_attempt_failed"})
+"""Helpers for which the same holds."""
 BY_WHAT_WAS_SENT = "by what was sent"
 STATUS_OF_CALL = {"invalid": 422, "submit": 409, "_unavailable": 503, "_give_up": 503}
 """Helpers that give their code a status of their own."""
@@ -46,13 +47,13 @@
 
 
 def reference_page() -> str:
-    """Return the whole page."""
+    """Return the page."""
     sections = (HEADING, _settings(), _configuration(), _metrics(), _errors(), _exit_codes(), _commands())
     return "\n".join(sections)
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Write the page to the path given. Returns the exit code."""
+    """Write the page to the path given; return the exit code."""
     if len(arguments) != 1:
         typer.echo("usage: python -m springmux.cli.reference FILE", err=True)
         return ExitCode.INVALID
@@ -87,7 +88,7 @@
 
 
 def _configuration() -> str:
-    parts = (
+    sections = (
         ("services.NAME", documents.ServiceDocument),
         ("routes.NAME", documents.RouteDocument),
         ("limits", documents.LimitsDocument),
@@ -95,7 +96,7 @@
     )
     rows = [
         (f"`{path}.{field.alias or name}`", _type(field.annotation), _default(field), _bounds(field))
-        for path, model in parts
+        for path, model in sections
         for name, field in model.model_fields.items()
     ]
     return "## Configuration document\n\n" + _table(("field", "type", "default", "bounds"), rows)
@@ -106,7 +107,9 @@
     if origin is Literal:
         return " or ".join(f"`{value}`" for value in get_args(annotation))
     if origin in (Union, types.UnionType):
-        return " or ".join(_type(each) for each in get_args(annotation) if each is not type(None))
+        return " or ".join(
+            _type(alternative) for alternative in get_args(annotation) if alternative is not type(None)
+        )
     if origin is tuple:
         return "list"
     if origin is not None and hasattr(annotation, "__metadata__"):
@@ -127,13 +130,13 @@
 
 def _bounds(field: FieldInfo) -> str:
     signs = {"gt": "over", "ge": "from", "lt": "under", "le": "to"}
-    found = [
+    bounds = [
         f"{word} {getattr(item, name)}"
         for item in _metadata(field)
         for name, word in signs.items()
         if getattr(item, name, None) is not None
     ]
-    return ", ".join(found)
+    return ", ".join(bounds)
 
 
 def _metadata(field: FieldInfo) -> Iterator[Any]:
@@ -145,7 +148,10 @@
 
 
 def _metrics() -> str:
-    rows = [(f"`{PREFIX}{m.name}`", m.kind.value, ", ".join(m.labels), m.help) for m in METRICS]
+    rows = [
+        (f"`{PREFIX}{metric.name}`", metric.kind.value, ", ".join(metric.labels), metric.help)
+        for metric in METRICS
+    ]
     text = "## Metrics\n\n`GET /metrics` on the admin listener, Prometheus text format.\n\n"
     return text + _table(("metric", "type", "labels", "meaning"), rows)
 
@@ -164,7 +170,7 @@
 
 
 def _scan_errors() -> tuple[Mapping[ErrorCode, set[int]], Mapping[ErrorCode, set[str]]]:
-    """Find with which statuses and fates the code answers each error."""
+    """Return the statuses and the fates that the sources give each error code."""
     statuses: dict[ErrorCode, set[int]] = {code: set() for code in ErrorCode}
     fates: dict[ErrorCode, set[str]] = {code: set() for code in ErrorCode}
     for code, status in STATUS_OF_CODE.items():
@@ -200,7 +206,7 @@
 
 
 def _codes_outside_calls(tree: ast.AST) -> set[ErrorCode]:
-    """Return codes that a module names in tables, conditions and returns."""
+    """Return the codes that a module names in tables, conditions and returns."""
     given = {id(arg) for call in ast.walk(tree) if isinstance(call, ast.Call) for arg in call.args}
     found = (node for node in ast.walk(tree) if id(node) not in given)
     return {code for node in found if (code := _code(node)) is not None}
@@ -212,9 +218,13 @@
 
 def _statuses(call: ast.Call) -> set[int]:
     values = (*call.args, *(keyword.value for keyword in call.keywords if keyword.arg == "status"))
-    found = {v.value for v in values if isinstance(v, ast.Constant) and isinstance(v.value, int)}
-    own = STATUS_OF_CALL.get(_callee(call))
-    return {status for status in found if 400 <= status <= 599} | ({own} if own else set())
+    found = {
+        value.value for value in values if isinstance(value, ast.Constant) and isinstance(value.value, int)
+    }
+    status_of_callee = STATUS_OF_CALL.get(_callee(call))
+    return {status for status in found if 400 <= status <= 599} | (
+        {status_of_callee} if status_of_callee else set()
+    )
 
 
 def _fates(call: ast.Call, module: str) -> set[str]:
@@ -227,8 +237,8 @@
         return set(named)
     if module in EXCHANGE_MODULES or _callee(call) in EXCHANGE_CALLS:
         return {BY_WHAT_WAS_SENT}
-    handed = any(isinstance(argument, ast.Name) and argument.id == "fate" for argument in call.args)
-    if handed or _callee(call) == "_give_up":
+    passes_fate_on = any(isinstance(argument, ast.Name) and argument.id == "fate" for argument in call.args)
+    if passes_fate_on or _callee(call) == "_give_up":
         return {Fate.REFUSED.value, Fate.UNKNOWN.value}
     return {Fate.REFUSED.value}
 
@@ -255,8 +265,8 @@
     for path, command in _walk("springmux", typer.main.get_command(application)):
         lines.append(f"### `{path}`\n\n{_help(command)}\n")
         rows = [
-            (_names(each), getattr(each, "help", None) or "", _parameter_default(each))
-            for each in command.params
+            (_names(parameter), getattr(parameter, "help", None) or "", _parameter_default(parameter))
+            for parameter in command.params
         ]
         if rows:
             lines.append(_table(("parameter", "meaning", "default"), rows))
@@ -291,7 +301,7 @@
     if not value or callable(value):
         return ""
     if isinstance(value, list):
-        return ", ".join(f"`{each}`" for each in value)
+        return ", ".join(f"`{item}`" for item in value)
     return f"`{getattr(value, 'value', value)}`"
 
 
--- a/src/springmux/cli/rollout_report.py
+++ b/src/springmux/cli/rollout_report.py
@@ -22,7 +22,7 @@
     "waiting",
     "decision",
 )
-"""Of :class:`springmux.rollout.status.RolloutStatus`; ``exposure`` is ``sent`` of ``prompts``."""
+"""Fields of :class:`springmux.rollout.status.RolloutStatus`; ``exposure`` is ``sent`` / ``prompts``."""
 PLOT_NAME = "rollout.png"
 TABLE_NAME = "rollout.csv"
 
@@ -30,7 +30,7 @@
 
 
 def write_report(history: dict[str, Any], folder: Path) -> list[Path]:
-    """Write plot and table of a history document into ``folder``; returns the files.
+    """Write plot and table of a history document into ``folder``; return the files.
 
     :raises OSError: if the folder can't be written.
     """
@@ -47,9 +47,9 @@
 
 
 def table_rows(samples: list[dict[str, Any]]) -> list[Row]:
-    """Return one row a sample, times from the first one."""
-    begun = samples[0]["at_s"]
-    return [_row(sample["at_s"] - begun, sample["status"]) for sample in samples]
+    """Return a row for each sample; times count from the first sample."""
+    started_at_s = samples[0]["at_s"]
+    return [_row(sample["at_s"] - started_at_s, sample["status"]) for sample in samples]
 
 
 def _row(at_s: float, status: dict[str, Any]) -> Row:
@@ -75,19 +75,19 @@
 def _draw(service: str, rows: list[Row], file: Path) -> None:
     at_s = [row["at_s"] for row in rows]
     figure = Figure(figsize=(9, 9))
-    weight, exposure, evidence = figure.subplots(3, 1, sharex=True)
-    weight.step(at_s, [row["weight"] for row in rows], where="post")
-    weight.set_ylabel("weight")
-    weight.set_ylim(-0.02, 1.05)
-    weight.set_title(f"rollout of {service}")
-    exposure.plot(at_s, [row["exposure"] for row in rows])
-    exposure.set_ylabel("share of prompts sent to the candidate")
+    weight_axis, exposure_axis, evidence_axis = figure.subplots(3, 1, sharex=True)
+    weight_axis.step(at_s, [row["weight"] for row in rows], where="post")
+    weight_axis.set_ylabel("weight")
+    weight_axis.set_ylim(-0.02, 1.05)
+    weight_axis.set_title(f"rollout of {service}")
+    exposure_axis.plot(at_s, [row["exposure"] for row in rows])
+    exposure_axis.set_ylabel("share of prompts sent to the candidate")
     for version in ("candidate", "stable"):
-        evidence.plot(at_s, [_bad_share(row, version) for row in rows], label=version)
-    evidence.set_ylabel("share of bad answers")
-    evidence.set_xlabel("seconds")
-    evidence.legend()
-    _mark_phases(rows, (weight, exposure, evidence))
+        evidence_axis.plot(at_s, [_bad_share(row, version) for row in rows], label=version)
+    evidence_axis.set_ylabel("share of bad answers")
+    evidence_axis.set_xlabel("seconds")
+    evidence_axis.legend()
+    _draw_phase_changes(rows, (weight_axis, exposure_axis, evidence_axis))
     figure.tight_layout()
     figure.savefig(file, dpi=120)
 
@@ -97,13 +97,13 @@
     return row[f"{version}_bad"] / total if total else 0.0
 
 
-def _mark_phases(rows: list[Row], axes: tuple[Any, ...]) -> None:
+def _draw_phase_changes(rows: list[Row], axes: tuple[Any, ...]) -> None:
     """Draw a line at each change of phase and name it, with the decision's reason."""
-    before = None
+    previous_phase = None
     for row in rows:
-        if row["phase"] == before:
+        if row["phase"] == previous_phase:
             continue
-        before = row["phase"]
+        previous_phase = row["phase"]
         for axis in axes:
             axis.axvline(row["at_s"], color="grey", linestyle=":", linewidth=0.8)
         label = f"{row['phase']}: {row['decision']}" if row["decision"] else row["phase"]
--- a/src/springmux/cli/rollout_scenarios.py
+++ b/src/springmux/cli/rollout_scenarios.py
@@ -1,4 +1,4 @@
-"""``springmux lab rollouts``: named rollouts of whole hollow fleets in virtual time, as a Markdown table."""
+"""``springmux lab rollouts``: named rollouts of simulated fleets in virtual time, as a Markdown table."""
 
 from __future__ import annotations
 
--- a/src/springmux/cli/soak.py
+++ b/src/springmux/cli/soak.py
@@ -1,4 +1,4 @@
-"""``springmux lab soak``: signals, restarts and changes in series upon real processes."""
+"""``springmux lab soak``: signals, restarts and configuration changes on real processes, in seeded runs."""
 
 from __future__ import annotations
 
@@ -7,13 +7,16 @@
 import signal
 import tempfile
 from pathlib import Path
-from typing import Annotated
+from typing import TYPE_CHECKING, Annotated
 
 import typer
 
 from springmux.cli.exit_codes import ExitCode
 from springmux.cli.output import fail
 
+if TYPE_CHECKING:
+    from springmux.lab.soak.run import SoakReport
+
 
 def soak(
     seeds: Annotated[int, typer.Option(help="How many seeds to run, one after another.", min=1)] = 1,
@@ -39,17 +42,14 @@
 
     if controllers > nodes:
         fail("there can't be more controllers than nodes", ExitCode.INVALID)
-    # A run that is stopped ends its processes as one that is interrupted does.
+    # SIGTERM raises KeyboardInterrupt like SIGINT, so that the run ends its processes.
     signal.signal(signal.SIGTERM, signal.default_int_handler)
     size = SoakSize(nodes, controllers, zones, seconds, change_period_s, connections)
     failed: list[int] = []
     for seed in range(first_seed, first_seed + seeds):
         folder = Path(tempfile.mkdtemp(prefix=f"springmux-soak-{seed}-"))
         report = asyncio.run(run_soak(seed, size, folder))
-        counts = ", ".join(f"{name} {count}" for name, count in report.counts.items())
-        typer.echo(f"seed {seed}: {len(report.findings)} findings; {counts}")
-        for finding in report.findings:
-            typer.echo(f"  {finding.at_s:7.2f} s  {finding.rule.value}: {finding.what}")
+        _print_report(seed, report)
         if report.findings:
             failed.append(seed)
             if keep is not None:
@@ -58,3 +58,10 @@
     if failed:
         typer.echo(f"failed seeds: {', '.join(map(str, failed))}")
         raise typer.Exit(ExitCode.FAILED)
+
+
+def _print_report(seed: int, report: SoakReport) -> None:
+    counts = ", ".join(f"{name} {count}" for name, count in report.counts.items())
+    typer.echo(f"seed {seed}: {len(report.findings)} findings; {counts}")
+    for finding in report.findings:
+        typer.echo(f"  {finding.at_s:7.2f} s  {finding.rule.value}: {finding.what}")
--- a/tests/unit/docs/test_embedding.py
+++ b/tests/unit/docs/test_embedding.py
@@ -26,7 +26,7 @@
 
 def test_the_story_is_the_one_of_the_page(example: dict[str, ModuleType]) -> None:
     page = (pages.ROOT / "docs" / "EMBEDDING.md").read_text("utf-8")
-    assert "\n".join(example["run"].main()) in page
+    assert "\n".join(example["run"].run_scenario()) in page
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -52,6 +52,6 @@
     for node in set(cluster.members) - {leader.node}:
         cluster.power_cut(NodeId(node))
 
-    with pytest.raises(example["local_cluster"].NotReached):
+    with pytest.raises(example["local_cluster"].ClusterError):
         cluster.put("two", "2")
     assert "two" not in leader.texts
