--- a/tests/unit/cli/support.py
+++ b/tests/unit/cli/support.py
@@ -20,8 +20,8 @@
 
 
 @dataclass
-class Asked:
-    """One request that the scripted server got."""
+class RecordedRequest:
+    """One request that the scripted server received."""
 
     method: str
     path: str
@@ -33,11 +33,11 @@
 
 @dataclass
 class ScriptedAdmin:
-    """Answers by ``METHOD path``; a list is used up one by one. ``None``: hang up without an answer."""
+    """Responses by ``METHOD path``; a list in turn, its last again. ``None``: close the connection."""
 
     answers: dict[str, Any]
     address: str = ""
-    asked: list[Asked] = field(default_factory=list)
+    requests: list[RecordedRequest] = field(default_factory=list)
 
     def next_answer(self, name: str) -> Any:
         answer = self.answers.get(name, (404, {"error": {"code": "not_found", "message": "none"}}))
@@ -57,7 +57,9 @@
             body = json.loads(data) if data else None
             order_id, operator = self.headers.get("X-Order-Id"), self.headers.get("X-Operator")
             if_match = self.headers.get("If-Match")
-            admin.asked.append(Asked(self.command, self.path, order_id, operator, body, if_match))
+            admin.requests.append(
+                RecordedRequest(self.command, self.path, order_id, operator, body, if_match)
+            )
             answer = admin.next_answer(f"{self.command} {self.path}")
             if answer is None:
                 self.close_connection = True
--- a/tests/unit/cli/test_commands.py
+++ b/tests/unit/cli/test_commands.py
@@ -35,14 +35,14 @@
 
 def test_a_lost_answer_is_asked_again_at_the_next_node_under_the_same_order_id(configuration: str) -> None:
     path = "PUT /v1/configuration?version=3"
-    with scripted_admin({path: None}) as silent, scripted_admin({path: ACCEPTED}) as good:
+    with scripted_admin({path: None}) as unresponsive, scripted_admin({path: ACCEPTED}) as good:
         result = run(
             "config", "apply", configuration, "--version", "3", "--operator", "ada",
-            "--admin", DEAD_ADMIN, "--admin", silent.address, "--admin", good.address,
+            "--admin", DEAD_ADMIN, "--admin", unresponsive.address, "--admin", good.address,
         )  # fmt: skip
         assert result.exit_code == ExitCode.OK, result.output
         assert "accepted (revision 5, version 3)" in result.stdout
-        (first,), (second,) = silent.asked, good.asked
+        (first,), (second,) = unresponsive.requests, good.requests
         assert first.order_id == second.order_id != ""
         assert (second.operator, second.body) == ("ada", CONFIGURATION)
 
@@ -56,7 +56,7 @@
     with scripted_admin(answers) as admin:
         result = run("config", "apply", configuration, "--admin", admin.address)
         assert result.exit_code == ExitCode.OK
-        assert len({asked.order_id for asked in admin.asked if asked.method == "PUT"}) == 1
+        assert len({request.order_id for request in admin.requests if request.method == "PUT"}) == 1
 
 
 def test_no_node_reachable_names_each_address(configuration: str) -> None:
@@ -141,7 +141,7 @@
         result = run("key", "put", "k1", "--tenant", "t1", "--admin", admin.address, "--json")
         key = json.loads(result.stdout)["key"]
         digest = hashlib.sha256(key.encode()).hexdigest()
-        assert admin.asked[0].body == {"tenant": "t1", "digest": digest}
+        assert admin.requests[0].body == {"tenant": "t1", "digest": digest}
         assert len(key) >= 43
 
 
@@ -155,7 +155,7 @@
         at = ("--admin", admin.address)
         put = run("tenant", "put", "a/b", "--tokens-per-s", "10", "--burst-tokens", "20", *at)
         assert put.exit_code == ExitCode.OK
-        assert admin.asked[0].body == {"tokens_per_s": 10.0, "burst_tokens": 20.0, "weight": 1.0}
+        assert admin.requests[0].body == {"tokens_per_s": 10.0, "burst_tokens": 20.0, "weight": 1.0}
         assert run("tenant", "remove", "t1", *at).exit_code == ExitCode.OK
         assert run("key", "revoke", "k1", *at).exit_code == ExitCode.OK
 
@@ -174,7 +174,7 @@
         )  # fmt: skip
         assert result.exit_code == ExitCode.OK
         parameters = {"service": "text", "candidate": "v2", "by_s": 90}
-        assert admin.asked[0].body == {"template": "careful", "parameters": parameters}
+        assert admin.requests[0].body == {"template": "careful", "parameters": parameters}
         assert run("rollout", "go", "text", "--set", "nothing").exit_code == ExitCode.INVALID
 
 
--- a/tests/unit/cli/test_gateway.py
+++ b/tests/unit/cli/test_gateway.py
@@ -89,14 +89,14 @@
 def test_a_put_sends_the_files_bytes_with_the_version_it_builds_on(file: Path) -> None:
     """Given a first node that hangs up, the next one gets the same bytes under the same version."""
     with (
-        scripted_admin({"PUT /v1/gateway/configuration": None}) as silent,
+        scripted_admin({"PUT /v1/gateway/configuration": None}) as unresponsive,
         scripted_admin({"PUT /v1/gateway/configuration": (200, {})}) as good,
     ):
-        at = ("--control", silent.address, "--control", good.address)
+        at = ("--control", unresponsive.address, "--control", good.address)
         result = run("gateway", "put", str(file), "--builds-on", "3", *at)
         assert result.exit_code == ExitCode.OK, result.output
         assert "on top of version 3: accepted" in result.stdout
-        (first,), (second,) = silent.asked, good.asked
+        (first,), (second,) = unresponsive.requests, good.requests
         assert first.if_match == second.if_match == "3"
         assert first.body == second.body == CONFIGURATION
 
@@ -175,7 +175,7 @@
         at = ("--control", node.address)
         begun = run("gateway", "promote", "pages", "--candidate", "p2", "--by-s", "60", *at)
         assert begun.exit_code == ExitCode.OK
-        assert node.asked[0].body == {"service": "pages", "candidate": "p2", "by_s": 60.0}
+        assert node.requests[0].body == {"service": "pages", "candidate": "p2", "by_s": 60.0}
         watched = run("gateway", "rollout", "pages", "--watch", *at)
     assert watched.exit_code == ExitCode.FAILED
     assert watched.stdout.splitlines() == ["pages: running, candidate p2", "pages: aborted, candidate p2"]
@@ -199,9 +199,9 @@
         (("put", str(file), "--builds-on", "0"), "PUT /v1/gateway/configuration"),
         (("promote", "pages", "--candidate", "p2", "--by-s", "9"), "POST /v1/gateway/rollouts"),
     )
-    with scripted_admin({asked: (200, document) for _, asked in commands}) as server:
-        for words, asked in commands:
-            if isinstance(document, dict) and not asked.startswith("GET"):
+    with scripted_admin({request: (200, document) for _, request in commands}) as server:
+        for words, request in commands:
+            if isinstance(document, dict) and not request.startswith("GET"):
                 continue  # the answer of a taken order has no member that it must have
             result = run("gateway", *words, "--control", server.address)
             assert result.exit_code == ExitCode.FAILED, words
