--- a/tests/unit/bad_days/test_bad_versions.py
+++ b/tests/unit/bad_days/test_bad_versions.py
@@ -8,7 +8,7 @@
 from springmux.rollout.judgement.judge import Judge, Verdict
 from springmux.rollout.planning.plan import RolloutPhase
 from springmux.rollout.version_filter import ServiceGate
-from tests.unit.judgement.support import Stream
+from tests.unit.rollout.judgement.support import Stream
 from tests.unit.rollout.short_term_fleet import Fault, ShortTermFleet
 
 TERM_S = 12.0
--- a/tests/unit/rollout/test_load_step.py
+++ b/tests/unit/rollout/test_load_step.py
@@ -16,7 +16,7 @@
 from springmux.rollout.planning.standard_plan import plan_for
 from springmux.rollout.version_filter import EVEN_LAST_WEIGHT, ServiceGate
 from springmux.vocabulary.names import RolloutId, RouteName, VersionName
-from tests.unit.judgement.support import outcome
+from tests.unit.rollout.judgement.support import outcome
 from tests.unit.rollout.short_term_fleet import GOOD, Fault, ShortTermFleet
 from tests.unit.rollout.virtual_fleet import CANDIDATE, SERVICE, STABLE
 
--- a/tests/unit/rollout/test_short_term_parts.py
+++ b/tests/unit/rollout/test_short_term_parts.py
@@ -27,7 +27,7 @@
 from springmux.rollout.rollout_coordinator import RolloutCoordinator
 from springmux.rollout.version_filter import NO_VERSIONS, THIN_ROUTE_WEIGHT, route_weights
 from springmux.vocabulary.names import RouteName, VersionName
-from tests.unit.judgement.support import outcome
+from tests.unit.rollout.judgement.support import outcome
 from tests.unit.rollout.virtual_fleet import CANDIDATE, SERVICE, STABLE, record_of
 
 CAPTION, DOSSIER = RouteName("caption-hint"), RouteName("dossier")
