--- a/src/springmux/cli/lab.py
+++ b/src/springmux/cli/lab.py
@@ -1,4 +1,4 @@
-"""``springmux lab``: experiments on a whole fleet on loopback, with stand-in back ends and callers."""
+"""``springmux lab``: experiments on a complete fleet on loopback, with stand-in back ends and clients."""
 
 from __future__ import annotations
 
@@ -6,9 +6,10 @@
 import shutil
 import tempfile
 import time
-from collections.abc import Callable, Sequence
+from collections.abc import Callable, Iterator, Sequence
+from contextlib import contextmanager
 from pathlib import Path
-from typing import TYPE_CHECKING, Annotated
+from typing import TYPE_CHECKING, Annotated, TypeVar
 
 import msgspec
 import typer
@@ -30,6 +31,8 @@
     from springmux.lab.load.traffic import Surge
     from springmux.lab.records import RunRecords
 
+Settings = TypeVar("Settings")
+
 RUN_CODES = "Exit codes: 0 no promise was broken, 1 one was broken or the run failed, 2 wrong usage."
 
 application = typer.Typer(
@@ -60,7 +63,7 @@
     from springmux.lab.experiment.demo import DEMO_EXPERIMENT, DEMO_SECONDS, demonstrate
     from springmux.lab.experiment.experiment import RunOptions
 
-    with _folder(keep) as folder:
+    with _work_folder(keep) as folder:
         options = RunOptions(experiment=DEMO_EXPERIMENT, folder=folder, seconds=DEMO_SECONDS, seed=seed)
         _run(options, demonstrate, [], report)
 
@@ -90,7 +93,7 @@
         fail(str(error), ExitCode.INVALID)
     length_s = seconds or script.needed_seconds(slots, plan)
     slots = [slot for slot in slots if slot.at_s + slot.scenario.lasts_s <= length_s]
-    with _folder(keep) as folder:
+    with _work_folder(keep) as folder:
         options = RunOptions(experiment=experiment, folder=folder, seconds=length_s, seed=seed)
         _run(options, script.RunScript(slots, length_s).play, script.surges(slots, plan), report)
 
@@ -114,10 +117,7 @@
     """Run stand-in back ends until SIGTERM (a part of an experiment)."""
     from springmux.lab.stand_ins.host import BackEndHost, load_host_settings
 
-    try:
-        loaded = load_host_settings(settings)
-    except (OSError, msgspec.DecodeError) as error:
-        fail(f"{settings}: {error}", ExitCode.INVALID)
+    loaded = _load_settings(settings, load_host_settings)
     asyncio.run(BackEndHost(loaded).run())
 
 
@@ -126,28 +126,31 @@
     """Send an experiment's traffic and record every answer (a part of an experiment)."""
     from springmux.lab.load.clients import load_callers_settings, run_callers
 
-    try:
-        loaded = load_callers_settings(settings)
-    except (OSError, msgspec.DecodeError) as error:
-        fail(f"{settings}: {error}", ExitCode.INVALID)
+    loaded = _load_settings(settings, load_callers_settings)
     asyncio.run(run_callers(loaded))
 
 
-class _folder:
-    """The folder that a run works in: the one to keep, or a temporary one that is deleted."""
-
-    def __init__(self, keep: Path | None) -> None:
-        self._keep = keep
-
-    def __enter__(self) -> Path:
-        self._path = self._keep or Path(tempfile.mkdtemp(prefix="springmux-lab-"))
-        if self._keep is not None and self._keep.exists() and any(self._keep.iterdir()):
-            fail(f"{self._keep} is not empty; give a new folder", ExitCode.INVALID)
-        return self._path
-
-    def __exit__(self, *_: object) -> None:
-        if self._keep is None:
-            shutil.rmtree(self._path, ignore_errors=True)
+def _load_settings(file: Path, load: Callable[[Path], Settings]) -> Settings:
+    """Return the settings in a file, or exit with what was wrong."""
+    try:
+        return load(file)
+    except (OSError, msgspec.DecodeError) as error:
+        fail(f"{file}: {error}", ExitCode.INVALID)
+
+
+@contextmanager
+def _work_folder(keep: Path | None) -> Iterator[Path]:
+    """Yield the folder that a run works in: the one to keep, or a temporary one that is deleted."""
+    if keep is not None:
+        if keep.exists() and any(keep.iterdir()):
+            fail(f"{keep} is not empty; give a new folder", ExitCode.INVALID)
+        yield keep
+        return
+    temporary = Path(tempfile.mkdtemp(prefix="springmux-lab-"))
+    try:
+        yield temporary
+    finally:
+        shutil.rmtree(temporary, ignore_errors=True)
 
 
 def _run(options: RunOptions, script: Script, surges: list[Surge], report: Path | None) -> None:
