--- a/src/springmux/lab/experiment/rollout_driver.py
+++ b/src/springmux/lab/experiment/rollout_driver.py
@@ -11,7 +11,7 @@
 from springmux.lab.faults.fault_injector import DeploymentFaultInjector
 from springmux.lab.plan import BackEndPlan
 from springmux.lab.records import RolloutRun
-from springmux.rollout.planning.plan import RolloutPlan
+from springmux.rollout.plan import RolloutPlan
 from springmux.simulation.engine_model import VersionBehaviour
 from springmux.vocabulary.names import ServiceName, VersionName
 
--- a/tests/unit/rollout/judgement/test_digest.py
+++ b/tests/unit/rollout/judgement/test_digest.py
@@ -8,8 +8,7 @@
 
 from springmux.rollout.judgement.digest import EMPTY_DIGEST, EvidenceDigest, merge, merge_all, subtract
 from springmux.rollout.outcome import Ending
-from tests.unit.judgement.support import CANDIDATE, STABLE, new_table, outcome
-from tests.unit.rollout.judgement.support import CANDIDATE, STABLE, new_book, outcome
+from tests.unit.rollout.judgement.support import CANDIDATE, STABLE, new_table, outcome
 
 step = st.tuples(
     st.sampled_from([STABLE, CANDIDATE]),
--- a/tests/unit/rollout/judgement/test_judge.py
+++ b/tests/unit/rollout/judgement/test_judge.py
@@ -18,8 +18,7 @@
 from springmux.rollout.judgement.judge import Judge
 from springmux.rollout.outcome import Ending
 from springmux.vocabulary.names import ServiceName, VersionName
-from tests.unit.judgement.support import CANDIDATE, PLAN, STABLE, Stream, judge, new_table, outcome
-from tests.unit.rollout.judgement.support import CANDIDATE, PLAN, STABLE, Stream, judge, new_book, outcome
+from tests.unit.rollout.judgement.support import CANDIDATE, PLAN, STABLE, Stream, judge, new_table, outcome
 
 BAD = Ending.ERROR_STATUS
 
