--- a/src/springmux/node/admin/errors.py
+++ b/src/springmux/node/admin/errors.py
@@ -65,7 +65,7 @@
             error = ApiError(code=ErrorCode.NOT_FOUND, message=NOT_FOUND_HINT, status=404)
         except web.HTTPException:
             raise
-        except Exception as fault:  # a fault in one request must not end the node
+        except Exception as fault:  # noqa: BLE001 - a fault in one request must not end the node
             log.crash("admin_request_crashed", fault)
             error = ApiError(code=ErrorCode.INTERNAL, message="the node failed; see its log", status=500)
         return error_response(msgspec.structs.replace(error, node=node))
--- a/src/springmux/node/client/listener.py
+++ b/src/springmux/node/client/listener.py
@@ -219,7 +219,7 @@
         raise ApiResponseError(refusal(code, message, status, self.node, request_id))
 
     def _check_head(self, request: web.BaseRequest, request_id: str) -> None:
-        size = sum(len(name) + len(value) + 4 for name, value in request._message.raw_headers)
+        size = sum(len(name) + len(value) + 4 for name, value in request._message.raw_headers)  # noqa: SLF001 - no public way to the size as sent
         if size > self.max_header_bytes:
             text = f"the headers are larger than {self.max_header_bytes} bytes"
             self._raise(ErrorCode.HEADERS_TOO_LARGE, 431, text, request_id)
--- a/src/springmux/node/client/request_runner.py
+++ b/src/springmux/node/client/request_runner.py
@@ -147,7 +147,7 @@
             deadline = self._flow.next_deadline()
             if deadline < self._timer_at and not self._finished:
                 self._set_timer(deadline)
-        except Exception as error:  # a fault in one flow must not end the node or leak its slot
+        except Exception as error:  # noqa: BLE001 - a fault in one flow must not end the node or leak its slot
             self._crashed(error)
         finally:
             self._handling = False
--- a/src/springmux/node/client/response_writer.py
+++ b/src/springmux/node/client/response_writer.py
@@ -108,7 +108,7 @@
     async def drain(self) -> None:
         """Wait until the socket accepts more."""
         try:
-            await self._connection._drain_helper()
+            await self._connection._drain_helper()  # noqa: SLF001 - aiohttp writes without it
         except ConnectionError:
             return  # the protocol reports ClientDisconnected
 
--- a/src/springmux/node/client/upstream.py
+++ b/src/springmux/node/client/upstream.py
@@ -164,7 +164,7 @@
             if self._response is not None:
                 self._response.close()
             raise
-        except Exception as error:  # whatever the library raises is a failed attempt, not the node's end
+        except Exception as error:  # noqa: BLE001 - whatever the library raises is a failed attempt, not the node's end
             self._unwatch()
             if self._response is not None:
                 self._response.close()
--- a/src/springmux/node/driver.py
+++ b/src/springmux/node/driver.py
@@ -175,7 +175,7 @@
         try:
             for effect in call():
                 self._execute_effect(effect)
-        except Exception as error:  # any fault leaves the agent inconsistent: end the process
+        except Exception as error:  # noqa: BLE001 - any fault leaves the agent inconsistent: end the process
             self._crash(error)
 
     def _crash(self, error: Exception) -> None:
@@ -209,7 +209,7 @@
         """Return the agent's deadline. A fault in it ends the process: without ticks nothing happens."""
         try:
             return self._agent.next_deadline()
-        except Exception as error:  # as in handling an event
+        except Exception as error:  # noqa: BLE001 - as in handling an event
             self._crash(error)
             return NEVER
 
--- a/src/springmux/node/http/client_exchange.py
+++ b/src/springmux/node/http/client_exchange.py
@@ -160,7 +160,7 @@
             self._reusable = False
         try:
             accepted = self._accept(head)
-        except Exception as error:  # a fault of ``accept`` is raised to whoever awaits the head
+        except Exception as error:  # noqa: BLE001 - a fault of ``accept`` is raised to whoever awaits the head
             self._failure = error
             self._wake()
             self._drop_connection()
--- a/src/springmux/node/http/server.py
+++ b/src/springmux/node/http/server.py
@@ -153,7 +153,7 @@
         except asyncio.CancelledError:
             exchange.abort()
             raise
-        except Exception as error:  # whatever a handler raises, its client must not wait for a response
+        except Exception as error:  # noqa: BLE001 - whatever a handler raises, its client must not wait for a response
             _log.error("http_handler_failed error=%s", describe_exception(error))
             self._fail(exchange)
         else:
--- a/src/springmux/node/http/server_exchange.py
+++ b/src/springmux/node/http/server_exchange.py
@@ -260,5 +260,5 @@
 def _call(callback: Callable[[], None]) -> None:
     try:
         callback()
-    except Exception as error:  # one callback's fault must not keep the others from running
+    except Exception as error:  # noqa: BLE001 - one callback's fault must not keep the others from running
         _log.error("http_gone_callback_failed error=%s", describe_exception(error))
--- a/src/springmux/node/storage/worker.py
+++ b/src/springmux/node/storage/worker.py
@@ -115,7 +115,7 @@
             if self._journal is not None:
                 self._journal.close()
             self._store.close()
-        except Exception:  # everything acknowledged is durable already
+        except Exception:  # noqa: BLE001 - everything acknowledged is durable already
             self._metrics.count("storage_failures_total", "close")
 
     def _finished(self, event: Event | None) -> None:
@@ -145,7 +145,7 @@
             self._store.persist(effect)
         except DiskFullError as error:
             return PersistFailed(batch=effect.batch, full=True, reason=str(error))
-        except Exception as error:  # whatever it was, the batch is not known to be durable
+        except Exception as error:  # noqa: BLE001 - whatever it was, the batch is not known to be durable
             return PersistFailed(batch=effect.batch, full=False, reason=_describe(error))
         return Persisted(batch=effect.batch)
 
@@ -156,21 +156,21 @@
             self._journal.append(effect.records)
         except DiskFullError as error:
             return ClaimsPersistFailed(batch=effect.batch, full=True, reason=str(error))
-        except Exception as error:  # whatever it was, the batch is not known to be durable
+        except Exception as error:  # noqa: BLE001 - whatever it was, the batch is not known to be durable
             return ClaimsPersistFailed(batch=effect.batch, full=False, reason=_describe(error))
         return ClaimsPersisted(batch=effect.batch)
 
     def _take_snapshot(self, effect: WriteSnapshot) -> Event:
         try:
             meta = self._store.take_snapshot(effect.meta, effect.data)
-        except Exception as error:  # whatever it was, the snapshot is not known to be durable
+        except Exception as error:  # noqa: BLE001 - whatever it was, the snapshot is not known to be durable
             return SnapshotFailed(index=effect.meta.index, reason=_describe(error))
         return SnapshotTaken(meta=meta, data=effect.data)
 
     def _install_snapshot(self, effect: InstallSnapshot) -> Event:
         try:
             self._store.install_snapshot(effect.meta, effect.data)
-        except Exception as error:  # whatever it was, the snapshot is not known to be durable
+        except Exception as error:  # noqa: BLE001 - whatever it was, the snapshot is not known to be durable
             return SnapshotFailed(index=effect.meta.index, reason=_describe(error))
         return SnapshotInstalled(meta=effect.meta)
 
@@ -178,14 +178,14 @@
         try:
             if self._peer_list is not None:
                 self._peer_list.save(effect.peers)
-        except Exception:
+        except Exception:  # noqa: BLE001
             # Whatever it was, the older list stays; a disk that really fails shows at the next batch.
             self._metrics.count("storage_failures_total", "peer_list")
 
     def _compact(self, effect: CompactLog) -> Event | None:
         try:
             self._store.compact(effect.first_kept)
-        except Exception:
+        except Exception:  # noqa: BLE001
             # Whatever it was, only space is lost, and the next snapshot compacts again; a disk that
             # really fails shows at the next batch.
             self._metrics.count("storage_failures_total", "compaction")
--- a/src/springmux/simulation/rollout_baselines.py
+++ b/src/springmux/simulation/rollout_baselines.py
@@ -62,7 +62,7 @@
         super().record(msgspec.structs.replace(outcome, expected_hit=0.5, prompt_bytes=1024), now, watch)
 
 
-def unlimited_pool(plan: RolloutPlan, phase: RolloutPhase, totals: AccountTotals, allowance: int) -> int:
+def unlimited_pool(_plan: RolloutPlan, _phase: RolloutPhase, _totals: AccountTotals, _allowance: int) -> int:
     """Stand in for the ledger's pool: there is always credit."""
     return UNLIMITED_CREDITS
 
--- a/src/springmux/simulation/world/faults.py
+++ b/src/springmux/simulation/world/faults.py
@@ -193,7 +193,7 @@
             }
         return kinds
 
-    def _disturbance(self, source: random.Random) -> list[AnyFault]:
+    def _disturbance(self, source: random.Random) -> list[AnyFault]:  # noqa: C901 - one case a kind
         knobs = self._knobs
         kinds = self._kinds()
         kind = source.choices(list(kinds), list(kinds.values()))[0]
