--- a/src/springmux/node/gateway/process.py
+++ b/src/springmux/node/gateway/process.py
@@ -46,16 +46,15 @@
         return self._node
 
     def _handle_signals(self) -> None:
+        """Handle signals, not by the loop's handlers: removing one of those restores the default action."""
         loop = asyncio.get_running_loop()
         for number in STOP_SIGNALS:
-            loop.add_signal_handler(number, self._stop_requested.set)
-        loop.add_signal_handler(signal.SIGHUP, self._reload)
+            signal.signal(number, lambda *_: loop.call_soon_threadsafe(self._stop_requested.set))
+        signal.signal(signal.SIGHUP, lambda *_: loop.call_soon_threadsafe(self._reload))
 
     def _ignore_signals(self) -> None:
-        """Ignore signals until the process has ended; closing the loop would restore their default action."""
-        loop = asyncio.get_running_loop()
+        """Ignore signals until the process has ended."""
         for number in HANDLED_SIGNALS:
-            loop.remove_signal_handler(number)
             signal.signal(number, signal.SIG_IGN)
 
     def _reload(self) -> None:
--- a/tests/unit/node_gateway/test_signals.py
+++ b/tests/unit/node_gateway/test_signals.py
@@ -8,10 +8,14 @@
 import sys
 import time
 from pathlib import Path
+from typing import Any
 
 import pytest
 
 from springmux.fleet.layout import free_ports
+from springmux.gateway.dialect import OWN_HEADERS
+from springmux.node.gateway import process as process_module
+from springmux.node.gateway.settings import load_gateway_settings
 
 ROOT = Path(__file__).resolve().parents[3]
 COMMANDS = {
@@ -74,3 +78,30 @@
     finally:
         process.kill()
         process.wait()
+
+
+async def test_no_signal_has_its_default_action_from_the_start_of_handling_to_the_end(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """A hang-up between the removal of a handler and what replaces it ended the process once."""
+    file = settings_in(tmp_path)
+    runner = process_module.GatewayRunner(file, load_gateway_settings(file), OWN_HEADERS)
+    before = {number: signal.getsignal(number) for number in process_module.HANDLED_SIGNALS}
+    actions: list[object] = []
+
+    def record(number: int, action: Any) -> Any:
+        actions.append(action)
+        return real_signal(number, action)
+
+    real_signal = signal.signal
+    monkeypatch.setattr(signal, "signal", record)
+    try:
+        runner._handle_signals()
+        runner._ignore_signals()
+        assert [signal.getsignal(number) for number in before] == [signal.SIG_IGN] * len(before)
+    finally:
+        monkeypatch.undo()
+        for number, action in before.items():
+            signal.signal(number, action)
+    assert len(actions) == 2 * len(before)
+    assert signal.SIG_DFL not in actions
