--- a/tests/unit/bad_days/test_answers_late_lost_crossed.py
+++ b/tests/unit/bad_days/test_answers_late_lost_crossed.py
@@ -56,13 +56,13 @@
 
 
 @pytest.mark.parametrize("behaviour", [LATE, STALLED, SLOW_THEN_LOST], ids=["late", "stalled", "slow, lost"])
-def test_every_caller_has_an_end_half_a_second_after_its_routes_timeout(behaviour: Behaviour) -> None:
+def test_every_client_has_an_end_half_a_second_after_its_routes_timeout(behaviour: Behaviour) -> None:
     fleet = bad_answers(behaviour, SAFE, UNSAFE, STREAM)
     rules.check_safety(fleet)
     assert any(one.caller.status == 504 for one in fleet.asked), "nobody waited in vain"
 
 
-def test_every_caller_has_an_end_in_time_though_no_engine_takes_a_connection() -> None:
+def test_every_client_has_an_end_in_time_though_no_engine_takes_a_connection() -> None:
     fleets: list[GatewayFleet] = []
 
     async def story() -> None:
@@ -109,7 +109,7 @@
     assert rules.run_though_refused(bad_answers(LATE, UNSAFE)) != []
 
 
-def test_the_checker_sees_callers_held_after_their_routes_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_checker_sees_clients_held_after_their_routes_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(forwarder, "DEADLINE_MARGIN_S", 0.6)
     assert rules.held_too_long(bad_answers(LATE, UNSAFE)) != []
 
--- a/tests/unit/bad_days/test_callers_leave.py
+++ b/tests/unit/bad_days/test_callers_leave.py
@@ -45,7 +45,7 @@
     return sum(at - fleet.began > LEAVE_AT for at, _ in fleet.farm.arrivals)
 
 
-def test_engines_stop_working_for_callers_that_left() -> None:
+def test_engines_stop_working_for_clients_that_left() -> None:
     fleet, before, after = all_leave()
     assert before > 20 and after == 0
     assert asked_after_leaving(fleet) == 0
--- a/tests/unit/bad_days/test_engines_lost.py
+++ b/tests/unit/bad_days/test_engines_lost.py
@@ -115,7 +115,7 @@
     assert rules.served_share(fleet, LOST_AT - 0.2, LOST_AT + 0.2) > 0.95
 
 
-def test_without_patience_the_checker_sees_requests_that_stay_at_the_dark_engine(
+def test_without_timeout_the_checker_sees_requests_that_stay_at_the_dark_engine(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(AttemptTimeouts, "is_over", lambda *_: False)
@@ -126,7 +126,7 @@
 MOST_OF_FAILING = 0.1
 
 
-def test_an_engine_that_fails_while_it_reports_itself_ready_is_held_out() -> None:
+def test_an_engine_that_fails_while_it_reports_itself_ready_is_ejected() -> None:
     fleet = one_engine("failing")
     rules.check_safety(fleet)
     assert rules.tried_share(fleet, "e2", LOST_AT + 2.0, END) < MOST_OF_FAILING
--- a/tests/unit/claims/test_store.py
+++ b/tests/unit/claims/test_store.py
@@ -50,7 +50,7 @@
     assert not store.is_withdrawn(ATTEMPT)
 
 
-def test_changes_are_told_once_each_from_a_position_on() -> None:
+def test_changes_are_published_once_each_from_a_position_on() -> None:
     store = ClaimStore(ClaimSettings())
     store.put(running("a"), 0.0)
     store.put(running("b"), 0.0)
--- a/tests/unit/control/delivery/test_arrival.py
+++ b/tests/unit/control/delivery/test_arrival.py
@@ -65,7 +65,7 @@
     assert now < 1.0
 
 
-def test_a_fetched_state_is_told_as_such() -> None:
+def test_a_fetched_state_is_reported_as_such() -> None:
     ahead, behind = part(), StateDelivery(OTHER, random.Random(2))
     ahead.handle(MessageReceived(PEER, PushCommands(Term(1), Revision(3), (delivered(0, 3),))), 1.0)
     behind.handle(PeerRevisionObserved(OWN, Term(1), Revision(3)), 2.0)
--- a/tests/unit/gateway/test_engine_health.py
+++ b/tests/unit/gateway/test_engine_health.py
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize("outcome", [O.CONNECT_FAILED, O.SILENT])
-def test_a_dark_engine_is_avoided_then_tried_once_then_trusted(outcome: ExchangeOutcome) -> None:
+def test_an_unresponsive_engine_is_avoided_then_tried_once_then_trusted(outcome: ExchangeOutcome) -> None:
     records = engines(3)
     placement = node(records)
     exchange(placement, records[0], outcome, 10.0)
@@ -218,7 +218,7 @@
             exchange(placement, record, O.ERROR_STATUS if bad else O.OK, 10.0 + number * 0.1)
 
 
-def test_an_engine_that_fails_a_third_is_held_out_with_trials_of_repeatable_requests() -> None:
+def test_an_engine_that_fails_a_third_is_ejected_with_trials_of_repeatable_requests() -> None:
     records = engines(6)
     placement = node(records)
     traffic(placement, records, {"e2": 3}, 20)
@@ -231,7 +231,7 @@
     assert chosen(placement, ANY, 12.8, trial_allowed=True) == "e2"
 
 
-def test_a_held_out_engine_returns_after_good_trials() -> None:
+def test_a_ejected_engine_returns_after_good_trials() -> None:
     records = engines(6)
     placement = node(records)
     traffic(placement, records, {"e2": 3}, 20)
@@ -255,7 +255,7 @@
     assert "e2" not in used(placement, 10.9)
 
 
-def test_a_version_of_which_most_fail_is_not_held_out() -> None:
+def test_a_version_of_which_most_fail_is_not_ejected() -> None:
     records = [*engines(4, V1), *(engine(number, V2) for number in range(10, 14))]
     placement = node(records)
     traffic(placement, records, {f"e{number}": 2 for number in range(10, 13)}, 20)
@@ -266,7 +266,7 @@
     assert all(36 <= count <= 44 for count in counts.values())
 
 
-def test_at_most_half_of_a_service_is_held_out() -> None:
+def test_at_most_half_of_a_service_is_ejected() -> None:
     # Within each version one of two fails: half in all, and never more.
     records = [engine(0), engine(1), engine(2, V2), engine(3, V2), engine(4, V2)]
     placement = node(records)
--- a/tests/unit/lab/test_data_plane_checks.py
+++ b/tests/unit/lab/test_data_plane_checks.py
@@ -38,7 +38,7 @@
     assert "ran at 3.00 s" in evidence(data_plane_checks.refused_never_ran(after))
 
 
-def test_a_connection_that_the_caller_lost_is_no_refusal() -> None:
+def test_a_connection_that_the_client_lost_is_no_refusal() -> None:
     lost = call("a", fate="refused", code="caller_no_connection")
     assert data_plane_checks.refused_never_ran(records(calls=[lost], executions=[ran("a", 101)])).kept
 
--- a/tests/unit/node/client/test_bad_requests.py
+++ b/tests/unit/node/client/test_bad_requests.py
@@ -21,7 +21,7 @@
 @pytest.mark.parametrize(
     ("reason", "status"), [("", 200), ("cut off", 503), ("stopping", 503)], ids=["ready", "cut off", "stop"]
 )
-async def test_the_platform_checks_readiness_where_it_sends_callers(reason: str, status: int) -> None:
+async def test_the_platform_checks_readiness_where_it_sends_clients(reason: str, status: int) -> None:
     async with running_node() as bench:
         bench.agent.ready, bench.agent.not_ready_reason = not reason, reason
         bench.health.stopping = reason == "stopping"
@@ -174,7 +174,7 @@
         check(await ask(bench, b"GET /x HTTP/1.1\r\nHost: n\r\n\r\n"), 404, "not_found")
 
 
-async def test_a_caller_that_leaves_while_sending_costs_nothing() -> None:
+async def test_a_client_that_leaves_while_sending_costs_nothing() -> None:
     async with running_node() as bench:
         async with caller_at(bench.settings.client_address) as caller:
             caller.writer.write(call_request()[:-1])
--- a/tests/unit/node/client/test_request_runner.py
+++ b/tests/unit/node/client/test_request_runner.py
@@ -39,7 +39,7 @@
     async def _drain_helper(self) -> None: ...
 
 
-async def test_a_caller_who_left_before_its_flow_began_leaves_nothing_behind() -> None:
+async def test_a_client_who_left_before_its_flow_began_leaves_nothing_behind() -> None:
     async with running_node() as bench:
         request = ClientRequest(RequestId("r1"), "POST", "/v1/chat/completions", {}, b"{}")
         writer = ResponseWriter(GoneConnection(), keep_alive=True, http_1_1=True, head_only=False)
@@ -97,7 +97,7 @@
             assert bench.agent.looks - looks < 10
 
 
-async def test_while_the_caller_does_not_read_only_the_deadline_counts() -> None:
+async def test_while_the_client_does_not_read_only_the_deadline_counts() -> None:
     async def long_stream(request: EngineRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(engine_head(request.request_id, STREAM))
         for event in stream_events(request.request_id, 2000, "a" * 8000):
--- a/tests/unit/node/client/test_upstream.py
+++ b/tests/unit/node/client/test_upstream.py
@@ -47,7 +47,7 @@
     return None
 
 
-async def test_a_whole_stream_reaches_the_caller_unchanged() -> None:
+async def test_a_whole_stream_reaches_the_client_unchanged() -> None:
     async with running_node() as bench, scripted_engine(whole_stream) as engine:
         bench.agent.add_engine(engine.address)
         answer = await ask(bench, chat_request())
@@ -243,7 +243,7 @@
         assert len(engine.requests) == 1
 
 
-async def test_a_caller_that_does_not_read_holds_up_its_engine_not_the_nodes_memory() -> None:
+async def test_a_client_that_does_not_read_holds_up_its_engine_not_the_nodes_memory() -> None:
     pieces, sent = 2000, 0
 
     async def long_stream(request: EngineRequest, writer: asyncio.StreamWriter) -> None:
@@ -274,7 +274,7 @@
             assert size > pieces * 8000
 
 
-async def test_a_caller_that_leaves_ends_the_exchange() -> None:
+async def test_a_client_that_leaves_ends_the_exchange() -> None:
     patient = make_view(first_piece_timeout_s=300.0, deadline_s=300.0)
     async with running_node(patient) as bench, scripted_engine(never_answers) as engine:
         bench.agent.add_engine(engine.address)
--- a/tests/unit/node/gateway/test_forwarder.py
+++ b/tests/unit/node/gateway/test_forwarder.py
@@ -27,7 +27,7 @@
 KEYED = tenant("acme", "k1", priority=1)
 
 
-def test_without_a_configuration_the_caller_is_told_to_come_back() -> None:
+def test_without_a_configuration_the_client_is_told_to_come_back() -> None:
     """Given a node that knows no configuration, 503 with a time."""
 
     async def story() -> None:
@@ -62,7 +62,7 @@
     play(story())
 
 
-def test_a_public_route_needs_no_key_and_passes_no_tenant_of_the_callers_own() -> None:
+def test_a_public_route_needs_no_key_and_passes_no_tenant_of_the_clients_own() -> None:
     """Given a public route, an unknown key serves, and neither it nor a claimed tenant goes on."""
 
     async def story() -> None:
--- a/tests/unit/node/gateway/test_forwarder_attempts.py
+++ b/tests/unit/node/gateway/test_forwarder_attempts.py
@@ -106,7 +106,7 @@
     play(story())
 
 
-def test_without_any_connection_the_caller_may_come_back() -> None:
+def test_without_any_connection_the_client_may_come_back() -> None:
     """Given four engines that can't be reached, 503 with a time, and each was tried once."""
 
     async def story() -> None:
@@ -208,7 +208,7 @@
     play(story())
 
 
-def test_a_caller_that_leaves_ends_the_engines_work_at_once() -> None:
+def test_a_client_that_leaves_ends_the_engines_work_at_once() -> None:
     """Given a client that leaves while its engine works, the exchange ends then, and nobody is asked anew."""
 
     async def story() -> None:
@@ -226,7 +226,7 @@
     play(story())
 
 
-def test_a_caller_that_leaves_as_the_patience_ends_is_not_served_anew() -> None:
+def test_a_client_that_leaves_as_the_timeout_ends_is_not_served_anew() -> None:
     """Given both in one round of the loop (the watch's second look), no second engine gets the request."""
 
     async def story() -> None:
@@ -266,7 +266,7 @@
     play(story())
 
 
-def test_a_credit_returns_when_the_caller_leaves_before_anything_was_sent() -> None:
+def test_a_credit_returns_when_the_client_leaves_before_anything_was_sent() -> None:
     """Given a client that leaves while the candidate's connection comes up, the credit returns."""
 
     async def story() -> None:
--- a/tests/unit/node/gateway/test_forwarder_streams.py
+++ b/tests/unit/node/gateway/test_forwarder_streams.py
@@ -79,7 +79,7 @@
     play(story())
 
 
-def test_the_callers_own_last_event_id_goes_on() -> None:
+def test_the_clients_own_last_event_id_goes_on() -> None:
     """Given a client that continues after event 2, the engine is told so, and after a cut what came since."""
 
     async def story() -> None:
@@ -91,7 +91,7 @@
     play(story())
 
 
-def test_a_second_engine_that_begins_anew_repeats_nothing_to_the_caller() -> None:
+def test_a_second_engine_that_begins_anew_repeats_nothing_to_the_client() -> None:
     """Given an engine that does not heed the id, the events that the client has are left out."""
 
     async def story() -> None:
@@ -175,7 +175,7 @@
     play(story())
 
 
-def test_a_caller_that_leaves_its_stream_ends_the_engines_work() -> None:
+def test_a_client_that_leaves_its_stream_ends_the_engines_work() -> None:
     """Given a client that leaves inside its stream, the engine's exchange ends at once."""
 
     async def story() -> None:
@@ -188,7 +188,7 @@
     play(story())
 
 
-def test_a_dark_engine_is_given_up_after_the_patience() -> None:
+def test_an_unresponsive_engine_is_given_up_after_the_timeout() -> None:
     """Given a resumable stream whose engine falls silent, another engine goes on after two pauses."""
 
     async def story() -> None:
@@ -242,7 +242,7 @@
     play(story())
 
 
-def test_a_slow_caller_is_not_its_engines_silence() -> None:
+def test_a_slow_client_is_not_its_engines_silence() -> None:
     """Given a client whose socket is full for longer than the patience, its engine is not given up."""
 
     async def story() -> None:
--- a/tests/unit/node/gateway/test_forwarder_wire.py
+++ b/tests/unit/node/gateway/test_forwarder_wire.py
@@ -166,7 +166,7 @@
         await client.expect_gone()
 
 
-async def test_a_caller_that_resets_ends_the_engines_work() -> None:
+async def test_a_client_that_resets_ends_the_engines_work() -> None:
     """Given a client that resets, the engine sees its connection end."""
     asked, ended = asyncio.Event(), asyncio.Event()
 
--- a/tests/unit/node/gateway/test_startup_gate.py
+++ b/tests/unit/node/gateway/test_startup_gate.py
@@ -61,7 +61,7 @@
     play(story())
 
 
-def test_a_held_request_whose_caller_leaves_is_dropped_and_frees_its_place(monkeypatch) -> None:
+def test_a_held_request_whose_client_leaves_is_dropped_and_frees_its_place(monkeypatch) -> None:
     """Given room for one, a second is refused at once; after the first has left, a third is held."""
     monkeypatch.setattr(startup_gate, "MAX_WAITING", 1)
 
--- a/tests/unit/node/http/test_server.py
+++ b/tests/unit/node/http/test_server.py
@@ -137,7 +137,7 @@
 
 
 @pytest.mark.parametrize("request_bytes", [LENGTH_HEAD, CHUNKED_HEAD + CHUNKED_BODY])
-async def test_a_body_over_the_limit_is_told_to_the_handler(request_bytes: bytes) -> None:
+async def test_a_body_over_the_limit_is_reported_to_the_handler(request_bytes: bytes) -> None:
     async def handler(exchange: ServerExchange) -> None:
         with pytest.raises(BodyTooLargeError):
             await exchange.body()
--- a/tests/unit/node/http/test_server_ends.py
+++ b/tests/unit/node/http/test_server_ends.py
@@ -15,7 +15,7 @@
 
 @pytest.mark.parametrize("way", ["end", "reset"])
 @pytest.mark.parametrize("begun", [False, True])
-async def test_a_client_that_leaves_is_told_once_to_the_handler(way: str, begun: bool) -> None:
+async def test_a_client_that_leaves_is_reported_once_to_the_handler(way: str, begun: bool) -> None:
     calls: list[str] = []
     ready, gone, seen = asyncio.Event(), asyncio.Event(), asyncio.Event()
 
--- a/tests/unit/node/test_driver.py
+++ b/tests/unit/node/test_driver.py
@@ -143,7 +143,7 @@
     driver.stop()
 
 
-async def test_answers_reach_their_ticket_once_and_late_ones_nobody() -> None:
+async def test_answers_reach_their_correlation_id_once_and_late_ones_nobody() -> None:
     agent = RecordingAgent()
     driver, _ = make_driver(agent)
     got: list[object] = []
@@ -266,7 +266,7 @@
     await asyncio.to_thread(worker.stop, 30)
 
 
-async def test_a_stalled_disk_is_told_while_the_write_waits_and_the_loop_goes_on() -> None:
+async def test_a_stalled_disk_is_reported_while_the_write_waits_and_the_loop_goes_on() -> None:
     agent = RecordingAgent()
     driver, _ = make_driver(agent)
     store = Store()
--- a/tests/unit/node/test_lifecycle.py
+++ b/tests/unit/node/test_lifecycle.py
@@ -119,7 +119,7 @@
     return AgentDriver(FakeAgent(make_view()), EventLog("n1", output=io.StringIO()), NodeMetrics())
 
 
-async def test_an_order_is_answered_once_and_its_ticket_is_forgotten() -> None:
+async def test_an_order_is_answered_once_and_its_correlation_id_is_forgotten() -> None:
     driver, forgotten = make_driver(), []
     driver.forget_order = forgotten.append  # type: ignore[method-assign, assignment]
     answered = OrderAnswered("t", None)
--- a/tests/unit/rollout/judgement/test_judge.py
+++ b/tests/unit/rollout/judgement/test_judge.py
@@ -145,7 +145,7 @@
     assert not stream.verdict().abort
 
 
-def test_a_dark_engine_beside_engines_with_ordinary_errors_is_not_the_version() -> None:
+def test_an_unresponsive_engine_beside_engines_with_ordinary_errors_is_not_the_version() -> None:
     stream = Stream()
     for index in range(300):
         stream.stable(12, error_rate=0.01)
--- a/tests/unit/rollout/test_load_step.py
+++ b/tests/unit/rollout/test_load_step.py
@@ -137,7 +137,7 @@
 
 @pytest.mark.parametrize("by_s", [12.0, 16.0])
 @pytest.mark.parametrize("calls_per_s", [10.0, 36.0])
-def test_a_good_service_of_calls_is_told_done(calls_per_s: float, by_s: float) -> None:
+def test_a_good_service_of_calls_is_reported_done(calls_per_s: float, by_s: float) -> None:
     for seed in (1, 2):
         fleet = calls_fleet(seed, by_s, calls_per_s, GOOD)
         fleet.run(by_s + AFTER_S)
--- a/tests/unit/rollout/test_rollout_coordinator.py
+++ b/tests/unit/rollout/test_rollout_coordinator.py
@@ -61,7 +61,7 @@
     assert tokens(made.handle(Tick(), 5.0)) == []
 
 
-def test_a_lap_goes_round_the_ring_and_home() -> None:
+def test_a_round_goes_round_the_ring_and_home() -> None:
     token = lead(part(A))
     assert token.itinerary == (C, D)
     effects = part(B).handle(MessageReceived(A, token), 0.0)
@@ -71,7 +71,7 @@
     assert tokens(part(D).handle(MessageReceived(C, last), 0.0))[0][0] == A
 
 
-def test_each_lap_is_taken_once_and_older_ones_are_fenced() -> None:
+def test_each_round_is_taken_once_and_older_ones_are_fenced() -> None:
     node, token = part(B), lead(part(A), term=3)
     assert tokens(node.handle(MessageReceived(A, token), 0.0))
     older = (
@@ -113,7 +113,7 @@
     assert node.next_deadline() == NEVER
 
 
-def test_a_lost_lap_is_reissued_with_a_higher_sequence() -> None:
+def test_a_lost_round_is_reissued_with_a_higher_sequence() -> None:
     made = part(A)
     token = lead(made)
     made.handle(MessageReceived(B, RolloutTokenAck(token.term, token.sequence, WHOLE_FLEET)), 0.01)
--- a/tests/unit/rollout/test_short_term_components.py
+++ b/tests/unit/rollout/test_short_term_components.py
@@ -60,7 +60,7 @@
     assert plan.pacing.needs_evidence
 
 
-def test_done_is_told_a_moment_after_it_is_in_force_and_an_abort_at_once() -> None:
+def test_done_is_reported_a_moment_after_it_is_in_force_and_an_abort_at_once() -> None:
     done = record_of(phase=RolloutPhase.DONE, stable=CANDIDATE, weight=1.0)
     assert not may_report_done(done, since=10.0, now=10.0 + 0.9 * DONE_SETTLE_S)
     assert may_report_done(done, since=10.0, now=10.0 + DONE_SETTLE_S)
--- a/tests/unit/rollout/test_short_terms.py
+++ b/tests/unit/rollout/test_short_terms.py
@@ -82,7 +82,7 @@
 @pytest.mark.parametrize("by_s", TERMS)
 @pytest.mark.parametrize("prompts_per_s", [60.0, 250.0])
 @pytest.mark.parametrize("candidates", [2, 6])
-def test_a_good_version_on_cold_engines_is_told_done(
+def test_a_good_version_on_cold_engines_is_reported_done(
     prompts_per_s: float, by_s: float, candidates: int
 ) -> None:
     for seed in (1, 2):
@@ -93,7 +93,7 @@
 
 @pytest.mark.parametrize("by_s", TERMS)
 @pytest.mark.parametrize("version", [CANDIDATE, STABLE])
-def test_a_good_version_is_told_done_though_an_engine_crashes(version: str, by_s: float) -> None:
+def test_a_good_version_is_reported_done_though_an_engine_crashes(version: str, by_s: float) -> None:
     for seed in (1, 2):
         fleet = ShortTermFleet(seed, by_s, 100.0)
         fleet.at(5.0, lambda fleet=fleet: fleet.crash(EngineId(f"{version}-0"), back_after_s=4.0))
--- a/tests/unit/router/test_admission.py
+++ b/tests/unit/router/test_admission.py
@@ -64,7 +64,7 @@
     return waiting, running
 
 
-def test_a_waiting_request_gets_a_freed_slot_and_the_driver_is_told() -> None:
+def test_a_waiting_request_gets_a_freed_slot_and_the_driver_is_notified() -> None:
     playbook = Playbook(limits=SMALL)
     woken: list[str] = []
     playbook.router.set_wake_listener(woken.append)
--- a/tests/unit/router/test_fates.py
+++ b/tests/unit/router/test_fates.py
@@ -302,7 +302,7 @@
     assert (scene.error.status, scene.error.code, scene.error.fate) == (504, "deadline_exceeded", fate)
 
 
-def test_a_caller_who_leaves_frees_everything() -> None:
+def test_a_client_who_leaves_frees_everything() -> None:
     playbook = Playbook()
     prompt = playbook.open()
     sale = granted(playbook)
--- a/tests/unit/router/test_streams.py
+++ b/tests/unit/router/test_streams.py
@@ -46,7 +46,7 @@
 
 @PROPERTY
 @given(st.lists(st.integers(0, 4000), max_size=40), st.booleans())
-def test_splits_never_change_what_the_caller_gets(cuts: list[int], crlf: bool) -> None:
+def test_splits_never_change_what_the_client_gets(cuts: list[int], crlf: bool) -> None:
     stream = RIGHT.replace(b"\n\n", b"\r\n\r\n") if crlf else RIGHT
     scene = played(stream, cuts)
 
@@ -198,7 +198,7 @@
     assert not scene.all(out.ResponseEnd)
 
 
-def test_a_caller_who_reads_slowly_is_no_silence_of_the_engine() -> None:
+def test_a_client_who_reads_slowly_is_no_silence_of_the_engine() -> None:
     scene = begun()
     scene.data(piece("r1", 0))
     scene.give(ev.ClientBlocked(), after=1.0)
@@ -214,7 +214,7 @@
 
 
 @pytest.mark.parametrize("ready_again", [False, True])
-def test_a_deadline_that_a_slow_caller_used_up_is_not_the_engines(ready_again: bool) -> None:
+def test_a_deadline_that_a_slow_client_used_up_is_not_the_engines(ready_again: bool) -> None:
     scene = begun()
     scene.data(piece("r1", 0))
     scene.give(ev.ClientBlocked())
@@ -226,7 +226,7 @@
     assert scene.playbook.chooser.endings() == ["caller_gone"]
 
 
-def test_an_engine_silent_after_its_caller_reads_again_is_to_blame() -> None:
+def test_an_engine_silent_after_its_client_reads_again_is_to_blame() -> None:
     scene = begun()
     scene.data(piece("r1", 0))
     scene.give(ev.ClientBlocked())
--- a/tests/unit/storage/test_replica_store.py
+++ b/tests/unit/storage/test_replica_store.py
@@ -100,7 +100,7 @@
     assert disk.sync_count == before + 1
 
 
-def test_a_stall_is_told_to_the_driver() -> None:
+def test_a_stall_is_reported_to_the_driver() -> None:
     disk = MemoryDisk()
     store = opened(disk)
     disk.stall_s = 2.5
--- a/tests/unit/usage/test_usage_exchange.py
+++ b/tests/unit/usage/test_usage_exchange.py
@@ -91,7 +91,7 @@
     return wait
 
 
-def test_while_far_more_is_asked_for_callers_are_sent_away_until_the_excess_is_worked_off() -> None:
+def test_while_far_more_is_asked_for_clients_are_sent_away_until_the_excess_is_worked_off() -> None:
     """At six times the rate the last excess takes 2.5 s, the most; slightly above it only debt counts."""
     assert retry_delay_with_demand_elsewhere(6000) == pytest.approx(2.5, abs=0.02)
     assert retry_delay_with_demand_elsewhere(8000) == pytest.approx(2.5, abs=0.02)
@@ -99,7 +99,7 @@
     assert retry_delay_with_demand_elsewhere(1100) <= 0.5
 
 
-def test_callers_that_are_sent_away_come_back_spread_over_time() -> None:
+def test_clients_that_are_sent_away_come_back_spread_over_time() -> None:
     node = UsageExchange(A, random.Random(1))
     node.handle(UsageMembersChanged(view(A, B)), 0.0)
     node.handle(AccountLimitsChanged({"t": AccountLimit(1000.0, 1200.0)}), 0.0)
@@ -200,7 +200,7 @@
     assert node.admit("t", 120.0, WARM) is not None
 
 
-def test_engine_loads_are_told_and_summed_until_they_are_old() -> None:
+def test_engine_loads_are_reported_and_summed_until_they_are_old() -> None:
     node = make_exchange(A, B, C)
     node.note_engine_load("e1", 2.0, 300.0)
     assert node.next_deadline() <= WARM
@@ -213,7 +213,7 @@
     assert node.other_engine_loads() == {"e1": (3.0, 5.0)}
 
 
-def test_an_unchanged_engine_load_is_told_again_before_it_is_forgotten() -> None:
+def test_an_unchanged_engine_load_is_reported_again_before_it_is_forgotten() -> None:
     node = make_exchange(A, B)
     node.note_engine_load("e1", 2.0, 300.0)
     node.handle(Tick(), WARM)
