--- a/tests/support/playbook.py
+++ b/tests/support/playbook.py
@@ -1,4 +1,4 @@
-"""Plays the data plane: a router with fakes around it, flows fed with events, effects as callers see them."""
+"""Plays the data plane: a router with fakes around it, flows fed with events, effects as clients see them."""
 
 from __future__ import annotations
 
@@ -215,7 +215,7 @@
 
     @property
     def whole(self) -> bool:
-        """Whether the caller takes its answer as complete."""
+        """Whether the client takes its answer as complete."""
         return bool(self.all(out.ResponseEnd)) and not self.all(out.ResponseAborted)
 
 
@@ -288,7 +288,7 @@
         self.router.update_engines(view, self.now)
 
     def open(self, body: bytes = b"", key: str = "ann", call: str = "", **changes: Any) -> Scene:
-        """A caller's request arrives and is begun."""
+        """A client's request arrives and is begun."""
         self.requests += 1
         path = f"/v1/calls/{call}" if call else "/v1/chat/completions"
         headers = {"authorization": f"Bearer {key}"} | changes.pop("headers", {})
--- a/tests/unit/bad_days/gateway_fleet.py
+++ b/tests/unit/bad_days/gateway_fleet.py
@@ -1,4 +1,4 @@
-"""Several nodes' real forwarders and cores over model engines, with callers, in virtual time."""
+"""Several nodes' real forwarders and cores over model engines, with clients, in virtual time."""
 
 from __future__ import annotations
 
@@ -74,7 +74,7 @@
 
 @dataclass
 class Asked:
-    """One caller's request and what became of it."""
+    """One client's request and what became of it."""
 
     number: int
     kind: GatewayRouteKind
@@ -90,7 +90,7 @@
 
     @property
     def served(self) -> bool:
-        """Whether the caller got a whole success."""
+        """Whether the client got a whole success."""
         return self.caller.status == 200 and self.caller.ended
 
 
@@ -228,7 +228,7 @@
             task.cancel()
 
     def ask(self, node: FleetNode, kind: GatewayRouteKind, key: str = "", tokens: int = 0) -> Asked:
-        """Have a caller ask one node now."""
+        """Have a client ask one node now."""
         number = next(self._numbers)
         caller = RecordingClient()
         headers = [(b"host", b"api"), (OWN_HEADERS.request_id, b"r%d" % number)]
--- a/tests/unit/bad_days/gateway_rules.py
+++ b/tests/unit/bad_days/gateway_rules.py
@@ -1,4 +1,4 @@
-"""Checkers over what callers and engines of a gateway fleet saw. Each returns the violations it found."""
+"""Checkers over what clients and engines of a gateway fleet saw. Each returns the violations it found."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def foreign_or_damaged(fleet: GatewayFleet) -> list[bytes]:
-    """Return callers that got a success that isn't the whole answer of their own request."""
+    """Return clients that got a success that isn't the whole answer of their own request."""
     return [one.request_id for one in fleet.asked if not _sound(one)]
 
 
@@ -44,7 +44,7 @@
 
 
 def held_too_long(fleet: GatewayFleet) -> list[bytes]:
-    """Return callers that had no end of an answer half a second after their route's timeout."""
+    """Return clients that had no end of an answer half a second after their route's timeout."""
     longest = TIMEOUT_S + ANSWER_SLACK_S
     return [
         one.request_id
--- a/tests/unit/bad_days/test_callers_leave.py
+++ b/tests/unit/bad_days/test_callers_leave.py
@@ -1,4 +1,4 @@
-"""Callers that all leave at once: engines stop working for them, and nobody else is asked."""
+"""Clients that all leave at once: engines stop working for them, and nobody else is asked."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def all_leave() -> tuple[GatewayFleet, int, int]:
-    """Return the fleet, the requests at work as their callers leave, and half a second later."""
+    """Return the fleet, the requests at work as their clients leave, and half a second later."""
     fleets: list[GatewayFleet] = []
     working: list[int] = []
 
--- a/tests/unit/bad_days/test_slow_body.py
+++ b/tests/unit/bad_days/test_slow_body.py
@@ -1,4 +1,4 @@
-"""A caller whose body comes too slowly has an end half a second after its route's timeout."""
+"""A client whose body comes too slowly has an end half a second after its route's timeout."""
 
 from __future__ import annotations
 
--- a/tests/unit/bad_days/test_traffic_swells.py
+++ b/tests/unit/bad_days/test_traffic_swells.py
@@ -110,7 +110,7 @@
 
 
 def engines_full_for_a_while() -> GatewayFleet:
-    """Engines decline all while the tenant's callers come back at once; then they take everything again."""
+    """Engines decline all while the tenant's clients come back at once; then they take everything again."""
     fleets: list[GatewayFleet] = []
 
     async def story() -> None:
--- a/tests/unit/bad_days/test_unconfigured_node.py
+++ b/tests/unit/bad_days/test_unconfigured_node.py
@@ -1,4 +1,4 @@
-"""A node that has just started and knows no configuration tells callers to come back, and denies nothing."""
+"""A node that has just started and knows no configuration tells clients to come back, and denies nothing."""
 
 from __future__ import annotations
 
--- a/tests/unit/gateway/test_attempts.py
+++ b/tests/unit/gateway/test_attempts.py
@@ -48,7 +48,7 @@
 
 
 def test_a_refusal_is_not_promised_once_it_may_have_run() -> None:
-    """Given a lost answer after a decline, the caller may not be told that it has not run."""
+    """Given a lost answer after a decline, the client may not be told that it has not run."""
     rules = _rules(GatewayRouteKind.SAFE)
     rules.may_try_again(AttemptEnd.DECLINED, 0.0)
     rules.may_try_again(AttemptEnd.MAY_HAVE_RUN, 0.0)
--- a/tests/unit/gateway/test_event_stream.py
+++ b/tests/unit/gateway/test_event_stream.py
@@ -52,7 +52,7 @@
 
 
 def test_a_clients_own_last_event_id_is_where_the_stream_begins() -> None:
-    """Given a caller that has events already, an engine's repetition of them is left out."""
+    """Given a client that has events already, an engine's repetition of them is left out."""
     stream = EventStream(b"2")
     assert stream.feed(_event(2) + _event(3)) == _event(3)
 
--- a/tests/unit/node/client/test_request_runner.py
+++ b/tests/unit/node/client/test_request_runner.py
@@ -1,4 +1,4 @@
-"""The runner tells the flow what its caller does; what a request holds is given back, also out of turn."""
+"""The runner tells the flow what its client does; what a request holds is given back, also out of turn."""
 
 from __future__ import annotations
 
--- a/tests/unit/node/client/test_upstream.py
+++ b/tests/unit/node/client/test_upstream.py
@@ -166,7 +166,7 @@
 
 
 def breaking_stream(kind: str, go_on: asyncio.Event) -> Script:
-    """Return a prompt engine whose stream breaks after its first piece has reached the caller."""
+    """Return a prompt engine whose stream breaks after its first piece has reached the client."""
 
     async def script(request: EngineRequest, writer: asyncio.StreamWriter) -> None:
         events = stream_events(request.request_id, pieces=4)
--- a/tests/unit/node/support.py
+++ b/tests/unit/node/support.py
@@ -1,4 +1,4 @@
-"""A node's listeners around the real router, a scripted engine, and a raw caller, all on loopback."""
+"""A node's listeners around the real router, a scripted engine, and a raw client, all on loopback."""
 
 from __future__ import annotations
 
@@ -353,7 +353,7 @@
 
 @dataclass
 class RawAnswer:
-    """What a raw caller read; ``whole`` if the framing proved the end."""
+    """What a raw client read; ``whole`` if the framing proved the end."""
 
     status: int
     headers: dict[str, str]
@@ -366,7 +366,7 @@
 
 
 class RawCaller:
-    """A caller that writes bytes and reads answers."""
+    """A client that writes bytes and reads answers."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -401,7 +401,7 @@
 
 @asynccontextmanager
 async def caller_at(address: str) -> AsyncIterator[RawCaller]:
-    """Connect a raw caller."""
+    """Connect a raw client."""
     host, port = address.rsplit(":", 1)
     reader, writer = await asyncio.open_connection(host, int(port))
     try:
--- a/tests/unit/rollout/short_term_fleet.py
+++ b/tests/unit/rollout/short_term_fleet.py
@@ -47,7 +47,7 @@
 class ShortTermFleet(VirtualFleet):
     """One order of a short term. ``thin_share``: of the prompts on the route ``dossier``.
 
-    ``answer_s``: a good answer's mean time. A caller waits for ``patience_s``. ``capacity``: requests that
+    ``answer_s``: a good answer's mean time. A client waits for ``patience_s``. ``capacity``: requests that
     an engine runs at once. ``calls``: requests are calls without a prompt, answered in one piece.
     """
 
--- a/tests/unit/router/test_fates.py
+++ b/tests/unit/router/test_fates.py
@@ -1,4 +1,4 @@
-"""What becomes of a request when engines, nodes, claims or callers fail: one fate each, told truthfully."""
+"""What becomes of a request when engines, nodes, claims or clients fail: one fate each, told truthfully."""
 
 from __future__ import annotations
 
--- a/tests/unit/router/test_streams.py
+++ b/tests/unit/router/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams: whatever an engine or the network does, the caller gets its own pieces in order, or an error."""
+"""Streams: whatever an engine or the network does, the client gets its own pieces in order, or an error."""
 
 from __future__ import annotations
 
--- a/tests/unit/simulation/test_mutations.py
+++ b/tests/unit/simulation/test_mutations.py
@@ -83,7 +83,7 @@
 def test_retry_after_bytes_were_passed_on(patch: pytest.MonkeyPatch) -> None:
     after_sent = RetryPolicy.after_sent
     patch.setattr(RetryPolicy, "after_sent", lambda policy, answered, now: after_sent(policy, False, now))
-    # In this seed an engine breaks off after its first piece went to the caller.
+    # In this seed an engine breaks off after its first piece went to the client.
     assert "stream" in broken_rules(small_run("cuts", seed=4))
 
 
