--- a/src/springmux/coordination/usage/peer_tracker.py
+++ b/src/springmux/coordination/usage/peer_tracker.py
@@ -70,7 +70,7 @@
     def change_members(self, view: MembershipView, now: float) -> None:
         """Apply a membership view: present nodes, reference size and collectors."""
         self.present = tuple(record.node for record in view.present()) or (self._own,)
-        self.zones = _by_zone(view)
+        self.zones = view.present_by_zone()
         size = len(self.present)
         if size >= self._reference_size or (
             now > self._reference_size_until and size * 2 > self._reference_size
@@ -221,10 +221,3 @@
             if (peer := self.peers.get(node)) is not None
             and OVERDUE_S < now - peer.report_due_since < LONGEST_OVERDUE_S
         }
-
-
-def _by_zone(view: MembershipView) -> dict[ZoneName, tuple[NodeId, ...]]:
-    zones: dict[ZoneName, list[NodeId]] = {}
-    for record in view.present():
-        zones.setdefault(record.zone, []).append(record.node)
-    return {zone: tuple(nodes) for zone, nodes in zones.items()}
