--- a/src/springmux/coordination/membership/dissemination.py
+++ b/src/springmux/coordination/membership/dissemination.py
@@ -81,11 +81,11 @@
         fewer connections and bytes between zones.
         """
         fanout = self._settings.gossip_fanout
-        zones = self._table.present_by_zone()
+        peers = self._table.present_peers()
         large = len(present) > self._settings.small_fleet_max
-        if not large or len(zones.own) < fanout or not zones.others:
+        if not large or len(peers.own_zone) < fanout or not peers.other_zones:
             return self._random.sample(present, min(fanout, len(present)))
-        return [*self._random.sample(zones.own, fanout - 1), self._random.choice(zones.others)]
+        return [*self._random.sample(peers.own_zone, fanout - 1), self._random.choice(peers.other_zones)]
 
     def _with_own_record(self, updates: Piggyback) -> Piggyback:
         """Return ``updates`` with the own record first.
--- a/src/springmux/coordination/membership/table.py
+++ b/src/springmux/coordination/membership/table.py
@@ -24,11 +24,11 @@
     return xxhash.xxh32_intdigest(node.encode()) % BUCKETS
 
 
-class PresentByZone(msgspec.Struct, frozen=True):
+class PresentPeers(msgspec.Struct, frozen=True):
     """The present nodes beside the own one: those of its zone, and those of all other zones."""
 
-    own: tuple[NodeId, ...]
-    others: tuple[NodeId, ...]
+    own_zone: tuple[NodeId, ...]
+    other_zones: tuple[NodeId, ...]
 
 
 class MemberTable:
@@ -43,7 +43,7 @@
         self._view: MembershipView | None = None
         self._zone = own.zone
         self._others: dict[tuple[NodeStatus, ...], tuple[NodeId, ...]] = {}
-        self._by_zone: PresentByZone | None = None
+        self._present_peers: PresentPeers | None = None
         self._digest: bytes | None = None
         self.changed = True
 
@@ -70,19 +70,19 @@
             self._others[statuses] = found
         return found
 
-    def present_by_zone(self) -> PresentByZone:
+    def present_peers(self) -> PresentPeers:
         """Return the other present nodes; computed once for each change of a record."""
-        if self._by_zone is None:
+        if self._present_peers is None:
             present = self.others(PRESENT)
-            self._by_zone = PresentByZone(
-                own=tuple(node for node in present if self._records[node].zone == self._zone),
-                others=tuple(node for node in present if self._records[node].zone != self._zone),
+            self._present_peers = PresentPeers(
+                own_zone=tuple(node for node in present if self._records[node].zone == self._zone),
+                other_zones=tuple(node for node in present if self._records[node].zone != self._zone),
             )
-        return self._by_zone
+        return self._present_peers
 
     def _invalidate(self) -> None:
         self._others.clear()
-        self._by_zone = None
+        self._present_peers = None
         self._digest = None
         self.changed = True
 
--- a/src/springmux/coordination/state_machine.py
+++ b/src/springmux/coordination/state_machine.py
@@ -9,6 +9,7 @@
 from __future__ import annotations
 
 import enum
+import functools
 from typing import Any, Protocol
 
 import msgspec
@@ -38,6 +39,7 @@
 _NAMES_OF_SHORT_TAGS = {"use": "UsageReport", "sum": "UsageTotals", "zone-sum": "ZoneTotals"}
 
 
+@functools.cache
 def message_name(message: type[PeerMessage]) -> str:
     """Return the name of a message type in metrics and logs: its tag, spelled out where that is short."""
     tag = str(message.__struct_config__.tag)
--- a/src/springmux/lab/admin/orders.py
+++ b/src/springmux/lab/admin/orders.py
@@ -26,30 +26,12 @@
 
 def put_configuration(version: int, document: bytes, race: str = "", expected: int = 0) -> Order:
     """Return the order that replaces the configuration."""
-    path = f"/v1/configuration?version={version}"
-    return Order(
-        order=new_order_id(),
-        kind="put_configuration",
-        method="PUT",
-        path=path,
-        body=document,
-        race=race,
-        expected=expected,
-    )
+    return _configuration_order("put_configuration", "PUT", version, document, race, expected)
 
 
 def patch_configuration(version: int, patch: bytes, race: str = "", expected: int = 0) -> Order:
     """Return the order that merges a partial configuration (RFC 7396)."""
-    path = f"/v1/configuration?version={version}"
-    return Order(
-        order=new_order_id(),
-        kind="patch_configuration",
-        method="PATCH",
-        path=path,
-        body=patch,
-        race=race,
-        expected=expected,
-    )
+    return _configuration_order("patch_configuration", "PATCH", version, patch, race, expected)
 
 
 def put_tenant(tenant: str, tokens_per_s: float, burst_tokens: float) -> Order:
@@ -94,3 +76,12 @@
 def steer_rollout(service: str, action: str) -> Order:
     """Return the order that applies ``pause``, ``resume`` or ``abort`` to a rollout."""
     return Order(order=new_order_id(), kind=action, method="POST", path=f"/v1/rollouts/{service}/{action}")
+
+
+def _configuration_order(
+    kind: str, method: str, version: int, body: bytes, race: str, expected: int
+) -> Order:
+    path = f"/v1/configuration?version={version}"
+    return Order(
+        order=new_order_id(), kind=kind, method=method, path=path, body=body, race=race, expected=expected
+    )
--- a/src/springmux/simulation/world/network.py
+++ b/src/springmux/simulation/world/network.py
@@ -64,10 +64,6 @@
         """Return all bytes that a node sent (0 unless bytes are counted)."""
         return sum(count for (sender, _), count in self.bytes.items() if sender == node)
 
-    def messages_by_type(self) -> dict[str, int]:
-        """Return the messages of all nodes by type."""
-        return _by_type(self.messages)
-
     def bytes_by_type(self) -> dict[str, int]:
         """Return the bytes of all nodes by type."""
         return _by_type(self.bytes)
--- a/src/springmux/simulation/world/world.py
+++ b/src/springmux/simulation/world/world.py
@@ -25,7 +25,6 @@
     CutPair,
     CutZone,
     Fault,
-    FaultSchedule,
     Freeze,
     Heal,
     Kill,
@@ -158,11 +157,6 @@
         self._plan_tick(host)
         return True
 
-    def apply_schedule(self, schedule: FaultSchedule) -> None:
-        """Plan every fault of a schedule."""
-        for fault in schedule.faults:
-            self.scheduler.at(fault.at, lambda fault=fault: self.apply(fault))  # type: ignore[misc]
-
     def run_until(self, end: float) -> None:
         """Let the world go on to virtual time ``end``."""
         self.scheduler.run_until(end)
