--- a/tests/unit/docs/test_architecture.py
+++ b/tests/unit/docs/test_architecture.py
@@ -7,7 +7,7 @@
 
 from tests.unit.docs import pages
 
-QUESTIONS = "Questions of a night on call"
+QUESTIONS = "On-call questions"
 LEAST_QUESTIONS = 12
 _PLACE = re.compile(r"`([\w/]+\.py)`: ((?:`[\w.]+`(?:, )?)+)")
 
