--- a/src/springmux/coordination/consensus/abandonment.py
+++ b/src/springmux/coordination/consensus/abandonment.py
@@ -24,18 +24,18 @@
 
     def __init__(self, core: ReplicaCore) -> None:
         self._core = core
-        self._gone: set[ReplicaId] = set()
+        self._lost_members: set[ReplicaId] = set()
         """Members that are gone for good."""
-        self._empty_logs: set[ReplicaId] = set()
-        """Members that reported an empty log after the newest of ``_gone`` was known."""
+        self._members_with_empty_logs: set[ReplicaId] = set()
+        """Members that reported an empty log after the newest of ``_lost_members`` was known."""
         self._abandon_at = NEVER
 
     @property
-    def gone_count(self) -> int:
+    def lost_member_count(self) -> int:
         """Return how many members are known to be gone for good."""
-        return len(self._gone)
+        return len(self._lost_members)
 
-    def is_leaderless(self) -> bool:
+    def awaits_first_leader(self) -> bool:
         """Return whether the group had no leader yet as far as this replica knows."""
         return self._core.log.last_index == 0 and self._core.leader is None
 
@@ -51,13 +51,13 @@
     def on_refusal(self, message: RaftFoundingRefusal) -> None:
         """Give the group up if the loss of the refusing member shows that it can't have a leader."""
         core = self._core
-        gone = message.replica != message.addressed or message.own_group not in ("", core.group)
+        lost = message.replica != message.addressed or message.own_group not in ("", core.group)
         listed = core.log.members.find(message.addressed) is not None
-        if message.group != core.group or not gone or not listed or not self.is_leaderless():
+        if message.group != core.group or not lost or not listed or not self.awaits_first_leader():
             return
-        if message.addressed not in self._gone:
-            self._gone.add(message.addressed)
-            self._empty_logs.clear()
+        if message.addressed not in self._lost_members:
+            self._lost_members.add(message.addressed)
+            self._members_with_empty_logs.clear()
         if self._never_voted() or self._no_member_has_entries():
             core.stop_to_restart_as_new(f"replica {message.addressed} is no longer part of {core.group}")
 
@@ -65,16 +65,18 @@
         """Reply to a member that still waits for the first leader if the own log is empty as well."""
         core = self._core
         if core.log.last_index == 0:
-            reply = RaftFoundingUnborn(message.group, core.replica, message.source, Term(0), message.gone)
+            reply = RaftFoundingUnborn(
+                message.group, core.replica, message.source, Term(0), message.lost_members
+            )
             core.send(sender, reply)
 
     def on_unborn(self, message: RaftFoundingUnborn) -> None:
         """Give the group up if nothing can ever have been committed in it."""
         core = self._core
-        if message.gone != len(self._gone) or not self.is_leaderless():
+        if message.lost_members != len(self._lost_members) or not self.awaits_first_leader():
             return
-        self._empty_logs.add(message.source)
-        if self._gone and self._no_member_has_entries():
+        self._members_with_empty_logs.add(message.source)
+        if self._lost_members and self._no_member_has_entries():
             core.stop_to_restart_as_new(f"group {core.group} lost members before it came to life")
 
     def on_foreign_group(self, message: RaftForeignGroup) -> None:
@@ -85,14 +87,14 @@
         """
         core = self._core
         foreign = message.target == core.replica and message.group != core.group
-        never_lived = core.log.holds_only_barriers() and core.commit_index == 0 and core.leader is None
-        if core.group is not None and foreign and never_lived and message.commit > 0:
+        never_committed = core.log.holds_only_barriers() and core.commit_index == 0 and core.leader is None
+        if core.group is not None and foreign and never_committed and message.commit > 0:
             core.stop_to_restart_as_new(f"group {message.group} is established, {core.group} is not")
 
     def _never_voted(self) -> bool:
         """Return whether the group is leaderless and this replica never helped to elect a leader."""
-        return self.is_leaderless() and self._core.term == 0
+        return self.awaits_first_leader() and self._core.term == 0
 
     def _no_member_has_entries(self) -> bool:
         others = {member.replica for member in self._core.log.members.members} - {self._core.replica}
-        return others <= self._gone | self._empty_logs
+        return others <= self._lost_members | self._members_with_empty_logs
--- a/src/springmux/coordination/consensus/core.py
+++ b/src/springmux/coordination/consensus/core.py
@@ -56,7 +56,7 @@
     offset: int = 0
 
 
-class InFlightFrame(msgspec.Struct, frozen=True):
+class InFlightAppend(msgspec.Struct, frozen=True):
     """Entries up to ``last_index`` that were sent together and aren't acknowledged yet."""
 
     last_index: LogIndex
@@ -69,13 +69,13 @@
     replica: ReplicaId
     node: NodeId
     next_index: LogIndex
-    last_heard: float
+    last_contact: float
     resend_wait_s: float
     match_index: LogIndex = LogIndex(0)
     state: ProgressState = ProgressState.PROBE
-    in_flight: deque[InFlightFrame] = msgspec.field(default_factory=deque)
+    in_flight: deque[InFlightAppend] = msgspec.field(default_factory=deque)
     in_flight_bytes: int = 0
-    waiting: bool = False
+    awaiting_reply: bool = False
     """Something was sent that isn't acknowledged yet."""
     resend_at: float = NEVER
     acknowledged_round: int = 0
@@ -117,7 +117,7 @@
     transfer_target: ReplicaId | None = None
     transfer_deadline: float = NEVER
     transfer_sent: bool = False
-    transfer_for_disk: bool = False
+    transfer_caused_by_disk: bool = False
     """The transfer was caused by the own disk: pointless once that accepts writes again."""
 
 
@@ -146,13 +146,13 @@
         self.role = Role.FOLLOWER
         self.leader: ReplicaId | None = None
         self.leader_node: NodeId | None = None
-        self.leader_contact = -NEVER
+        self.last_leader_contact = -NEVER
         self.election_deadline = NEVER
         self.leadership: Leadership | None = None
         self.stopped = ""
         self.leaving = False
         """The process is about to stop."""
-        self._announced: tuple[Term, ReplicaId | None, bool] = (self.term, None, False)
+        self._announced_leadership: tuple[Term, ReplicaId | None, bool] = (self.term, None, False)
         self._effects: list[Effect] = []
 
     @property
@@ -190,7 +190,7 @@
             if self.term == term:
                 self.send(node, message)
 
-        self.durability.after(deliver)
+        self.durability.run_when_durable(deliver)
 
     def take_effects(self) -> list[Effect]:
         """Return the effects gathered and begin a new list."""
@@ -202,21 +202,21 @@
         low, high = self.settings.election_timeout_min_s, self.settings.election_timeout_max_s
         self.election_deadline = self.now + self.random.uniform(low, high)
 
-    def hasten_election(self) -> None:
+    def shorten_election_deadline(self) -> None:
         """Request pre-votes soon, since no leader is known; a pre-vote changes nothing at the voters."""
         low, high = self.settings.first_election_min_s, self.settings.first_election_max_s
         self.election_deadline = self.now + self.random.uniform(low, high)
 
-    def hears_leader(self) -> bool:
+    def has_live_leader(self) -> bool:
         """Return whether a leader is alive as far as this replica knows (Ongaro 2014, section 4.2.3)."""
-        recent = self.now - self.leader_contact < self.settings.election_timeout_min_s
+        recent = self.now - self.last_leader_contact < self.settings.election_timeout_min_s
         return self.leadership is not None or (self.leader is not None and recent)
 
     def become_follower(self, term: Term, leader: ReplicaId | None = None) -> None:
         """Follow ``leader`` (or nobody yet) in ``term``."""
         if term > self.term:
             self.durability.hard_state = HardState(term, None)
-        self._give_up_leadership()
+        self._end_leadership()
         self.role = Role.FOLLOWER
         self.leader = leader
         self.leader_node = None
@@ -228,14 +228,14 @@
             self.become_follower(term, leader)
         self.leader = leader
         self.leader_node = node
-        self.leader_contact = self.now
+        self.last_leader_contact = self.now
         self.reset_election_deadline()
 
     def stop(self, reason: str, restart_as_new: bool = False) -> None:
         """Stop for good; requests are rejected from now on."""
         if self.stopped:
             return
-        self._give_up_leadership()
+        self._end_leadership()
         self.leader = None
         self.leader_node = None
         self.stopped = reason
@@ -251,11 +251,11 @@
     def announce_leader(self) -> None:
         """Notify the driver of the leader if that changed."""
         present = (self.term, self.leader, self.leading)
-        if present != self._announced:
-            self._announced = present
+        if present != self._announced_leadership:
+            self._announced_leadership = present
             self.emit(LeadershipChanged(*present))
 
-    def _give_up_leadership(self) -> None:
+    def _end_leadership(self) -> None:
         leadership = self.leadership
         self.leadership = None
         if leadership is None:
--- a/src/springmux/coordination/consensus/durability.py
+++ b/src/springmux/coordination/consensus/durability.py
@@ -17,7 +17,7 @@
 from springmux.coordination.state_machine import NEVER
 
 Action = Callable[[], None]
-Founding = tuple[GroupId, GroupMembers]
+FoundingRecord = tuple[GroupId, GroupMembers]
 
 
 class _Batch(msgspec.Struct):
@@ -26,9 +26,9 @@
     number: int
     last_index: LogIndex
     previous_hard_state: HardState
-    previous_last: LogIndex
+    previous_last_index: LogIndex
     truncate_from: LogIndex | None
-    founding: Founding | None
+    founding: FoundingRecord | None
     actions: list[Action]
 
 
@@ -48,11 +48,11 @@
         self._retry_s = retry_s
         self._retry_at = NEVER
         self._written_hard_state = recovered.hard_state
-        self._written_last = log.last_index
+        self._written_last_index = log.last_index
         self._truncate_from: LogIndex | None = None
-        self._founding: Founding | None = None
+        self._founding: FoundingRecord | None = None
         self._in_flight: _Batch | None = None
-        self._waiting: list[Action] = []
+        self._pending_actions: list[Action] = []
         self._next_batch = 1
 
     @property
@@ -70,24 +70,24 @@
         # While a snapshot is being installed nothing is written; its end is an event.
         return NEVER if self.blocked else self._retry_at
 
-    def found(self, group: GroupId, members: GroupMembers) -> None:
+    def set_founding(self, group: GroupId, members: GroupMembers) -> None:
         """Record that the data folder belongs to ``group``."""
         self._founding = (group, members)
 
     def truncate(self, index: LogIndex) -> None:
         """Drop the log from ``index`` on, also on disk."""
         self.log.truncate_from(index)
-        if index <= self._written_last:
+        if index <= self._written_last_index:
             self._truncate_from = min(index, self._truncate_from or index)
-            self._written_last = LogIndex(index - 1)
+            self._written_last_index = LogIndex(index - 1)
         self.stable_index = min(self.stable_index, LogIndex(index - 1))
         if self._in_flight is not None:
             self._in_flight.last_index = min(self._in_flight.last_index, LogIndex(index - 1))
 
-    def after(self, action: Action) -> None:
+    def run_when_durable(self, action: Action) -> None:
         """Run ``action`` once everything up to now is on disk (at once if it already is)."""
-        if self._dirty():
-            self._waiting.append(action)
+        if self._has_unwritten_changes():
+            self._pending_actions.append(action)
         elif self._in_flight is not None:
             self._in_flight.actions.append(action)
         else:
@@ -100,7 +100,7 @@
         """
         if self._in_flight is not None or self.blocked:
             return None
-        if not self._dirty():
+        if not self._has_unwritten_changes():
             if now >= self._retry_at:
                 # What found no space was truncated by a leader meanwhile: the next write will show.
                 self.full = False
@@ -113,7 +113,7 @@
             batch=self._next_batch,
             hard_state=self.hard_state if changed else None,
             truncate_from=self._truncate_from,
-            entries=self.log.between(LogIndex(self._written_last + 1), self.log.last_index),
+            entries=self.log.entries_between(LogIndex(self._written_last_index + 1), self.log.last_index),
             founding=self._founding,
             committed=committed,
         )
@@ -121,21 +121,21 @@
             batch.batch,
             self.log.last_index,
             self._written_hard_state,
-            self._written_last,
+            self._written_last_index,
             self._truncate_from,
             self._founding,
-            self._waiting,
+            self._pending_actions,
         )
         self._next_batch += 1
-        self._waiting = []
+        self._pending_actions = []
         self._written_hard_state = self.hard_state
-        self._written_last = self.log.last_index
+        self._written_last_index = self.log.last_index
         self._truncate_from = None
         self._founding = None
         self._retry_at = NEVER
         return batch
 
-    def persisted(self, number: int) -> None:
+    def on_persisted(self, number: int) -> None:
         """Record that a batch is on disk, and run the actions that waited for it."""
         batch = self._in_flight
         if batch is None or batch.number != number:
@@ -146,7 +146,7 @@
         for action in batch.actions:
             action()
 
-    def failed_full(self, number: int, now: float) -> None:
+    def on_disk_full(self, number: int, now: float) -> None:
         """Put a batch that found no space back, to be written again later."""
         batch = self._in_flight
         if batch is None or batch.number != number:
@@ -155,23 +155,23 @@
         self.full = True
         self._retry_at = now + self._retry_s
         self._written_hard_state = batch.previous_hard_state
-        self._written_last = min(batch.previous_last, self._written_last)
+        self._written_last_index = min(batch.previous_last_index, self._written_last_index)
         if batch.truncate_from is not None:
             self._truncate_from = min(batch.truncate_from, self._truncate_from or batch.truncate_from)
         self._founding = self._founding or batch.founding
-        self._waiting = batch.actions + self._waiting
+        self._pending_actions = batch.actions + self._pending_actions
 
-    def replaced(self, log: ReplicatedLog) -> None:
+    def replace_log(self, log: ReplicatedLog) -> None:
         """Use ``log``, with which storage replaced the former one: all of it is on disk."""
         self.log = log
         self.blocked = False
-        self.stable_index = self._written_last = log.last_index
+        self.stable_index = self._written_last_index = log.last_index
         self._truncate_from = None
 
-    def _dirty(self) -> bool:
+    def _has_unwritten_changes(self) -> bool:
         return (
             self.hard_state != self._written_hard_state
-            or self.log.last_index > self._written_last
+            or self.log.last_index > self._written_last_index
             or self._truncate_from is not None
             or self._founding is not None
         )
--- a/src/springmux/coordination/consensus/election.py
+++ b/src/springmux/coordination/consensus/election.py
@@ -40,7 +40,7 @@
         core.leader = None
         core.leader_node = None
         if self._may_start():
-            core.hasten_election()
+            core.shorten_election_deadline()
             self._start_pre_vote()
 
     def on_pre_vote(self, message: RaftPreVote, sender: NodeId) -> None:
@@ -48,8 +48,8 @@
         core = self._core
         granted = (
             message.term > core.term
-            and not core.hears_leader()
-            and self._up_to_date(message.last_term, message.last_index)
+            and not core.has_live_leader()
+            and self._is_up_to_date(message.last_term, message.last_index)
         )
         term = message.term if granted else core.term
         assert core.group is not None
@@ -66,7 +66,7 @@
             return
         if core.role is Role.PRE_CANDIDATE and message.term == core.term + 1:
             self._votes.add(message.source)
-            if self._enough_votes():
+            if self._has_enough_votes():
                 self._start_election(transfer=False)
 
     def on_vote(self, message: RaftVote, sender: NodeId) -> None:
@@ -74,7 +74,7 @@
         core = self._core
         assert core.group is not None
         if message.term > core.term:
-            if core.hears_leader() and not message.transfer:
+            if core.has_live_leader() and not message.transfer:
                 return
             core.become_follower(message.term)
         if message.term < core.term or not self._may_vote_for(message):
@@ -108,7 +108,7 @@
         core = self._core
         core.role = Role.PRE_CANDIDATE
         self._votes = {core.replica}
-        if self._enough_votes():
+        if self._has_enough_votes():
             self._start_election(transfer=False)
             return
         self._request_votes(Term(core.term + 1), RaftPreVote)
@@ -123,9 +123,9 @@
         self._votes = set()
         term = core.term
         # The own vote counts, and those of others are requested, only when it is on disk.
-        core.durability.after(lambda: self._own_vote_durable(term, transfer))
+        core.durability.run_when_durable(lambda: self._on_own_vote_durable(term, transfer))
 
-    def _own_vote_durable(self, term: Term, transfer: bool) -> None:
+    def _on_own_vote_durable(self, term: Term, transfer: bool) -> None:
         core = self._core
         if core.term != term or core.role is not Role.CANDIDATE:
             return
@@ -149,13 +149,13 @@
                 core.send(voter.node, RaftPreVote(core.group, core.replica, voter.replica, term, *last))
 
     def _lead_if_elected(self) -> bool:
-        if not self._enough_votes():
+        if not self._has_enough_votes():
             return False
         self._core.role = Role.LEADER
         self._on_elected()
         return True
 
-    def _enough_votes(self) -> bool:
+    def _has_enough_votes(self) -> bool:
         """Return whether a majority voted, or all voters for the group's first leader (see founding.py)."""
         members = self._core.log.members
         voters = {voter.replica for voter in members.voters()}
@@ -166,9 +166,9 @@
         voted_for = self._core.durability.hard_state.voted_for
         if voted_for not in (None, message.source):
             return False
-        return self._up_to_date(message.last_term, message.last_index)
+        return self._is_up_to_date(message.last_term, message.last_index)
 
-    def _up_to_date(self, last_term: Term, last_index: LogIndex) -> bool:
+    def _is_up_to_date(self, last_term: Term, last_index: LogIndex) -> bool:
         """Return whether a candidate's log is at least as new as the own one (Raft, section 5.4.1)."""
         log = self._core.log
         return (last_term, last_index) >= (log.last_term, log.last_index)
--- a/src/springmux/coordination/consensus/following.py
+++ b/src/springmux/coordination/consensus/follower.py
@@ -17,7 +17,7 @@
 from springmux.coordination.identifiers import LogIndex, NodeId, Term
 
 
-class Following:
+class Follower:
     """Receives entries and heartbeats from the leader."""
 
     def __init__(self, core: ReplicaCore) -> None:
--- a/src/springmux/coordination/consensus/founding.py
+++ b/src/springmux/coordination/consensus/founding.py
@@ -56,44 +56,46 @@
         self.established = False
         """A group exists already: join it, never found another."""
         self._attempt: _Attempt | None = None
-        self._initialised: set[ReplicaId] = set()
+        self._ineligible: set[ReplicaId] = set()
         """Candidates that belong to a group already, or may not found: neither ever changes."""
         self._promised_group: GroupId | None = None
         self._promised_until = -NEVER
-        self._next_try = NEVER
+        self._next_attempt_at = NEVER
 
     def deadline(self) -> float:
         """Return when to try to found again, or to push on a founding that isn't complete."""
         if self._core.group is None:
-            return self._next_try if self._may_found() else NEVER
-        if not self._abandonment.is_leaderless():
+            return self._next_attempt_at if self._may_found() else NEVER
+        if not self._abandonment.awaits_first_leader():
             return NEVER
-        return min(self._next_try, self._abandonment.deadline())
+        return min(self._next_attempt_at, self._abandonment.deadline())
 
     def start(self) -> None:
         """Arm the timers at the first event."""
-        self._next_try = self._core.now if self._core.group else NEVER
+        self._next_attempt_at = self._core.now if self._core.group else NEVER
         self._abandonment.postpone()
 
     def on_candidates(self, event: FoundingCandidates) -> None:
         """Record the controllers that membership sees."""
         self.candidates = event.members
         self.established = event.established
-        self._next_try = min(self._next_try, self._core.now + self._core.settings.founding_retry_s)
+        self._next_attempt_at = min(
+            self._next_attempt_at, self._core.now + self._core.settings.founding_retry_s
+        )
 
     def on_tick(self) -> None:
         """Try to found, complete what is founded, or give it up."""
         core = self._core
         if core.group is None:
-            if self._may_found() and core.now >= self._next_try:
+            if self._may_found() and core.now >= self._next_attempt_at:
                 self._try_to_found()
             return
-        if not self._abandonment.is_leaderless():
+        if not self._abandonment.awaits_first_leader():
             return
         if core.now >= self._abandonment.deadline():
             core.stop_to_restart_as_new(f"group {core.group} never came to life")
-        elif core.now >= self._next_try:
-            self._push_back_next_try()
+        elif core.now >= self._next_attempt_at:
+            self._postpone_next_attempt()
             self._send_commits()
 
     def on_request(self, message: RaftFoundingRequest, sender: NodeId) -> None:
@@ -108,7 +110,7 @@
             return
         if self._attempt is not None and self._attempt.group != message.group and sender < core.node:
             self._release(self._attempt)
-        if self.established or self._holds_other_promise(message.group):
+        if self.established or self._has_promised_other_group(message.group):
             return
         self._promise(message.group)
         core.send(sender, RaftFoundingPromise(message.group, core.replica, message.source, Term(0)))
@@ -120,10 +122,10 @@
             return
         attempt.promised.add(message.source)
         if len(attempt.promised) == len(attempt.members.members):
-            self._adopt(attempt.group, attempt.members)
+            self._join_group(attempt.group, attempt.members)
             # The founder is the first candidate, so that the votes of all aren't split.
-            self._core.hasten_election()
-            self._core.durability.after(self._send_commits)
+            self._core.shorten_election_deadline()
+            self._core.durability.run_when_durable(self._send_commits)
 
     def on_release(self, message: RaftFoundingRelease) -> None:
         """Take the promise back, since the founder gave up: another attempt may have it."""
@@ -135,13 +137,13 @@
         if not self._may_found():
             return
         listed = message.members.find(self._core.replica) is not None
-        if listed and not self._holds_other_promise(message.group):
-            self._adopt(message.group, message.members)
+        if listed and not self._has_promised_other_group(message.group):
+            self._join_group(message.group, message.members)
 
     def on_welcome(self, message: RaftWelcome) -> None:
         """Join an established group that added this replica."""
         if message.members.find(self._core.replica) is not None:
-            self._adopt(message.group, message.members)
+            self._join_group(message.group, message.members)
 
     def refuse(self, message: ReplicaMessage, sender: NodeId) -> None:
         """Notify a founder that the addressed replica can't be part of its group."""
@@ -165,7 +167,7 @@
         if self._attempt is not None and self._attempt.group == message.group:
             self._release(self._attempt)
         if message.own_group or message.joins_only:
-            self._initialised.add(message.replica)
+            self._ineligible.add(message.replica)
         self.established = self.established or message.commit > 0
 
     def on_join_request(self, message: RaftJoinRequest) -> None:
@@ -175,18 +177,18 @@
         may never elect anyone.
         """
         if message.group or message.joins_only:
-            self._initialised.add(message.replica)
+            self._ineligible.add(message.replica)
 
     def _may_found(self) -> bool:
         return self._core.settings.may_found and not self.established
 
     def _try_to_found(self) -> None:
         core = self._core
-        self._push_back_next_try()
+        self._postpone_next_attempt()
         expected = core.settings.controllers_expected
         own = GroupMember(core.replica, core.node, voter=True)
         seen = {candidate.node: candidate for candidate in (*self.candidates, own)}
-        empty = [seen[node] for node in sorted(seen) if seen[node].replica not in self._initialised]
+        empty = [seen[node] for node in sorted(seen) if seen[node].replica not in self._ineligible]
         chosen = empty[:expected]
         if len(chosen) < expected or chosen[0].replica != core.replica:
             if self._attempt is not None:
@@ -200,14 +202,14 @@
                 return
             # Under the same identity the promises that were given go on; it was never founded.
             group = self._attempt.group
-        if self._holds_other_promise(group):
+        if self._has_promised_other_group(group):
             return
         self._promise(group)
         expires_at = core.now + core.settings.founding_promise_s
         self._attempt = _Attempt(group, members, expires_at, {core.replica})
         self._request_promises(self._attempt)
         if expected == 1:
-            self._adopt(group, members)
+            self._join_group(group, members)
 
     def _request_promises(self, attempt: _Attempt) -> None:
         core = self._core
@@ -235,19 +237,24 @@
             if member.replica != core.replica:
                 members = core.log.members
                 commit = RaftFoundingCommit(
-                    core.group, core.replica, member.replica, Term(0), members, self._abandonment.gone_count
+                    core.group,
+                    core.replica,
+                    member.replica,
+                    Term(0),
+                    members,
+                    self._abandonment.lost_member_count,
                 )
                 core.send(member.node, commit)
 
-    def _adopt(self, group: GroupId, members: GroupMembers) -> None:
+    def _join_group(self, group: GroupId, members: GroupMembers) -> None:
         core = self._core
         core.group = group
         core.log = log_after(None, members, ())
         core.durability.log = core.log
-        core.durability.found(group, members)
+        core.durability.set_founding(group, members)
         core.reset_election_deadline()
         self._attempt = None
-        self._push_back_next_try()
+        self._postpone_next_attempt()
         self._abandonment.postpone()
         core.emit_log_line("group_joined", group=group, members=len(members.members))
 
@@ -255,9 +262,9 @@
         self._promised_group = group
         self._promised_until = self._core.now + self._core.settings.founding_promise_s
 
-    def _holds_other_promise(self, group: GroupId) -> bool:
+    def _has_promised_other_group(self, group: GroupId) -> bool:
         return self._promised_group != group and self._core.now < self._promised_until
 
-    def _push_back_next_try(self) -> None:
+    def _postpone_next_attempt(self) -> None:
         factor = self._core.random.uniform(1.0, 1.5)
-        self._next_try = self._core.now + factor * self._core.settings.founding_retry_s
+        self._next_attempt_at = self._core.now + factor * self._core.settings.founding_retry_s
--- a/src/springmux/coordination/consensus/joining.py
+++ b/src/springmux/coordination/consensus/joining.py
@@ -23,7 +23,7 @@
         self._core = core
         self._founding = founding
         self._next_request = 0.0
-        self._turn = 0
+        self._round_robin_index = 0
         self.leader_node: NodeId | None = None
         """The leader's node according to membership."""
 
@@ -59,8 +59,8 @@
         targets = self._controllers()
         if not targets:
             return []
-        self._turn += 1
-        node = targets[self._turn % len(targets)]
+        self._round_robin_index += 1
+        node = targets[self._round_robin_index % len(targets)]
         leader = self.leader_node
         return [node] if leader in (None, node) or leader not in targets else [leader, node]
 
--- a/src/springmux/coordination/consensus/transfer.py
+++ b/src/springmux/coordination/consensus/leadership_transfer.py
@@ -9,7 +9,7 @@
 from springmux.coordination.state_machine import NEVER
 
 
-class Transfer:
+class LeadershipTransfer:
     """Waits until the target is up to date, then has it start an election at once."""
 
     def __init__(self, core: ReplicaCore, replication: Replication) -> None:
@@ -21,13 +21,13 @@
         leadership = self._core.leadership
         if leadership is None or leadership.transfer_target is not None:
             return
-        chosen = self._choose(leadership, target)
+        chosen = self._choose_target(leadership, target)
         if chosen is None:
             self._core.emit_log_line("transfer_without_target", target=target or "")
             return
         leadership.transfer_target = chosen.replica
         leadership.transfer_sent = False
-        leadership.transfer_for_disk = not self._core.durability.ready
+        leadership.transfer_caused_by_disk = not self._core.durability.ready
         leadership.transfer_deadline = self._core.now + self._core.settings.election_timeout_max_s
 
     def deadline(self) -> float:
@@ -46,7 +46,9 @@
                 self._begin_if_possible(leadership)
             return
         progress = leadership.progress.get(leadership.transfer_target)
-        recovered = leadership.transfer_for_disk and core.durability.ready and not leadership.transfer_sent
+        recovered = (
+            leadership.transfer_caused_by_disk and core.durability.ready and not leadership.transfer_sent
+        )
         if progress is None or recovered or core.now >= leadership.transfer_deadline:
             leadership.transfer_target = None
             leadership.transfer_deadline = NEVER
@@ -58,10 +60,10 @@
             core.send(progress.node, message)
 
     def _begin_if_possible(self, leadership: Leadership) -> None:
-        if self._choose(leadership, None) is not None:
+        if self._choose_target(leadership, None) is not None:
             self.begin()
 
-    def _choose(self, leadership: Leadership, target: ReplicaId | None) -> Progress | None:
+    def _choose_target(self, leadership: Leadership, target: ReplicaId | None) -> Progress | None:
         voters = {voter.replica for voter in self._core.log.members.voters()}
         candidates = [
             progress
@@ -69,7 +71,7 @@
             if progress.replica in voters
             and progress.storage_ready
             and not progress.leaving
-            and self._replication.reachable(progress)
+            and self._replication.is_reachable(progress)
             and target in (None, progress.replica)
         ]
         return max(candidates, key=lambda progress: (progress.match_index, progress.replica), default=None)
--- a/src/springmux/coordination/consensus/log.py
+++ b/src/springmux/coordination/consensus/log.py
@@ -93,11 +93,11 @@
         while self._members[-1][0] >= index and len(self._members) > 1:
             self._members.pop()
 
-    def between(self, first: LogIndex, last: LogIndex) -> tuple[Entry, ...]:
+    def entries_between(self, first: LogIndex, last: LogIndex) -> tuple[Entry, ...]:
         """Return the entries from ``first`` to ``last``, both included."""
         return tuple(self._entries[first - self.base_index - 1 : last - self.base_index])
 
-    def frame(self, first: LogIndex, limit_bytes: int) -> tuple[Entry, ...]:
+    def entries_from(self, first: LogIndex, limit_bytes: int) -> tuple[Entry, ...]:
         """Return entries from ``first`` on within ``limit_bytes``, but at least one if there is one."""
         chosen: list[Entry] = []
         total = 0
--- a/src/springmux/coordination/consensus/membership_change.py
+++ b/src/springmux/coordination/consensus/membership_change.py
@@ -45,7 +45,7 @@
         self._core = core
         self._replication = replication
         self._proposals = proposals
-        self._joins: dict[ReplicaId, GroupMember] = {}
+        self._pending_joins: dict[ReplicaId, GroupMember] = {}
 
     def on_change_request(self, event: ChangeMember) -> None:
         """Append an operator's change, or reject it with a reason."""
@@ -66,12 +66,12 @@
             return
         assert core.group is not None
         if message.group not in ("", core.group):
-            self._reply_to_foreign(message)
+            self._reply_to_foreign_group(message)
             return
         member = core.log.members.find(message.replica)
         if member is None or member.node != message.node:
             voter = member.voter if member else False
-            self._joins[message.replica] = GroupMember(message.replica, message.node, voter)
+            self._pending_joins[message.replica] = GroupMember(message.replica, message.node, voter)
         elif not message.group:
             self._welcome(member)
 
@@ -80,7 +80,7 @@
         core = self._core
         leadership = core.leadership
         if leadership is None:
-            self._joins.clear()
+            self._pending_joins.clear()
             return
         if not self._may_change() or core.durability.full:
             return
@@ -108,12 +108,16 @@
         )
 
     def _next_members(self, leadership: Leadership) -> GroupMembers | None:
-        return self._joined() or self._promoted(leadership) or self._reduced(leadership)
+        return (
+            self._members_after_join()
+            or self._members_after_promotion(leadership)
+            or self._members_after_reduction(leadership)
+        )
 
-    def _joined(self) -> GroupMembers | None:
+    def _members_after_join(self) -> GroupMembers | None:
         members = self._core.log.members
-        while self._joins:
-            replica, joining = self._joins.popitem()
+        while self._pending_joins:
+            replica, joining = self._pending_joins.popitem()
             present = members.find(replica)
             if present == joining:
                 continue
@@ -124,10 +128,10 @@
             return changed
         return None
 
-    def _promoted(self, leadership: Leadership) -> GroupMembers | None:
+    def _members_after_promotion(self, leadership: Leadership) -> GroupMembers | None:
         members = self._core.log.members
         voters = members.voters()
-        healthy = [voter for voter in voters if not self._lost(voter)]
+        healthy = [voter for voter in voters if not self._is_lost(voter)]
         desired = self._core.settings.voters_desired
         if len(healthy) >= desired or len(voters) > desired:
             return None
@@ -143,14 +147,14 @@
         changed = with_member(members, GroupMember(best.replica, best.node, voter=True))
         return changed if self._keeps_quorum(changed) else None
 
-    def _reduced(self, leadership: Leadership) -> GroupMembers | None:
+    def _members_after_reduction(self, leadership: Leadership) -> GroupMembers | None:
         members = self._core.log.members
         for member in members.members:
-            if not member.voter and self._expired(member):
+            if not member.voter and self._is_expired(member):
                 return without_member(members, member.replica)
         if len(members.voters()) <= self._core.settings.voters_desired:
             return None
-        lost = [voter for voter in members.voters() if self._lost(voter)]
+        lost = [voter for voter in members.voters() if self._is_lost(voter)]
         others = lost or [v for v in members.voters() if v.replica != self._core.replica]
         slowest = min(others, key=lambda v: (leadership.progress[v.replica].match_index, v.replica))
         if is_superseded(members, slowest):
@@ -162,29 +166,29 @@
     def _caught_up(self, progress: Progress) -> bool:
         core = self._core
         lag = core.log.last_index - progress.match_index
-        near = progress.match_index > 0 and lag <= core.settings.promotion_lag_entries
-        return near and progress.storage_ready and self._replication.reachable(progress)
+        within_lag = progress.match_index > 0 and lag <= core.settings.promotion_lag_entries
+        return within_lag and progress.storage_ready and self._replication.is_reachable(progress)
 
-    def _lost(self, voter: GroupMember) -> bool:
+    def _is_lost(self, voter: GroupMember) -> bool:
         """Return whether a voter is to be replaced if there is a learner to take its place."""
         core = self._core
         if core.leadership is None or voter.replica == core.replica:
             return False
-        return core.leadership.progress[voter.replica].leaving or self._timed_out(
+        return core.leadership.progress[voter.replica].leaving or self._has_timed_out(
             core.leadership, voter, core.settings.lost_after_s
         )
 
-    def _expired(self, learner: GroupMember) -> bool:
+    def _is_expired(self, learner: GroupMember) -> bool:
         core = self._core
         if core.leadership is None or learner.replica == core.replica:
             return False
-        return self._timed_out(core.leadership, learner, core.settings.learner_forgotten_after_s)
+        return self._has_timed_out(core.leadership, learner, core.settings.learner_removed_after_s)
 
-    def _timed_out(self, leadership: Leadership, member: GroupMember, limit_s: float) -> bool:
+    def _has_timed_out(self, leadership: Leadership, member: GroupMember, limit_s: float) -> bool:
         core = self._core
         if is_superseded(core.log.members, member):
             limit_s = core.settings.superseded_after_s
-        return core.now - leadership.progress[member.replica].last_heard >= limit_s
+        return core.now - leadership.progress[member.replica].last_contact >= limit_s
 
     def _keeps_quorum(self, changed: GroupMembers) -> bool:
         """Return whether the reachable voters are a majority before and after the change.
@@ -194,9 +198,9 @@
         """
         before = self._core.log.members
         grows = len(changed.voters()) > len(before.voters())
-        return all(self._reachable_voters(m, staying=grows) >= m.quorum() for m in (before, changed))
+        return all(self._reachable_voters(m, only_stable=grows) >= m.quorum() for m in (before, changed))
 
-    def _reachable_voters(self, members: GroupMembers, staying: bool) -> int:
+    def _reachable_voters(self, members: GroupMembers, only_stable: bool) -> int:
         core = self._core
         assert core.leadership is not None
         count = 0
@@ -206,12 +210,14 @@
             if own:
                 count += 1
             elif progress is not None:
-                count += self._stays(progress) if staying else self._replication.reachable(progress)
+                count += (
+                    self._is_stable(progress) if only_stable else self._replication.is_reachable(progress)
+                )
         return count
 
-    def _stays(self, progress: Progress) -> bool:
+    def _is_stable(self, progress: Progress) -> bool:
         """Return whether a voter replied so recently that it is unlikely to be gone."""
-        since_contact_s = self._core.now - progress.last_heard
+        since_contact_s = self._core.now - progress.last_contact
         return not progress.leaving and since_contact_s < self._core.settings.election_timeout_min_s
 
     def _requested_members(self, event: ChangeMember) -> GroupMembers | str:
@@ -234,9 +240,9 @@
         else:
             voter = event.kind is MemberChangeKind.PROMOTE
             changed = with_member(members, GroupMember(present.replica, present.node, voter))
-        return self._checked(event, changed)
+        return self._validated_change(event, changed)
 
-    def _checked(self, event: ChangeMember, changed: GroupMembers) -> GroupMembers | str:
+    def _validated_change(self, event: ChangeMember, changed: GroupMembers) -> GroupMembers | str:
         core = self._core
         if event.kind is MemberChangeKind.PROMOTE and core.leadership is not None:
             progress = core.leadership.progress.get(event.member.replica)
@@ -249,11 +255,11 @@
     def _welcome(self, member: GroupMember, members: GroupMembers | None = None) -> None:
         core = self._core
         assert core.group is not None
-        shown = members or core.log.members
-        message = RaftWelcome(core.group, core.replica, member.replica, core.term, shown)
+        listed_members = members or core.log.members
+        message = RaftWelcome(core.group, core.replica, member.replica, core.term, listed_members)
         core.send(member.node, message)
 
-    def _reply_to_foreign(self, message: RaftJoinRequest) -> None:
+    def _reply_to_foreign_group(self, message: RaftJoinRequest) -> None:
         core = self._core
         assert core.group is not None
         commit: LogIndex = core.commit_index
--- a/src/springmux/coordination/consensus/messages.py
+++ b/src/springmux/coordination/consensus/messages.py
@@ -99,7 +99,7 @@
     """Reply to a chunk: ``wanted`` is the next offset; -1 once the snapshot is installed."""
 
     index: LogIndex
-    wanted: int
+    next_offset: int
 
 
 class RaftTimeoutNow(ReplicaMessage, frozen=True, tag="RaftTimeoutNow"):
@@ -128,14 +128,14 @@
     """Everyone promised: the group exists with these members."""
 
     members: GroupMembers
-    gone: int = 0
+    lost_members: int = 0
     """How many of the members the sender knows to be gone for good."""
 
 
 class RaftFoundingUnborn(ReplicaMessage, frozen=True, tag="RaftFoundingUnborn"):
     """Reply of a member whose log is still empty. ``gone`` echoes the commit."""
 
-    gone: int = 0
+    lost_members: int = 0
 
 
 class RaftFoundingRefusal(PeerMessage, frozen=True, tag="RaftFoundingRefusal"):
--- a/src/springmux/coordination/consensus/proposals.py
+++ b/src/springmux/coordination/consensus/proposals.py
@@ -22,7 +22,7 @@
 
     def on_propose(self, event: Propose) -> None:
         """Append the command, or reject it with a reason."""
-        reason = self._rejection(event)
+        reason = self._rejection_reason(event)
         if reason:
             self._core.emit(ProposalDropped(event.correlation_id, unknown=False, reason=reason))
             return
@@ -45,7 +45,7 @@
         last = min(core.commit_index, core.durability.stable_index)
         if last <= core.applied_index:
             return
-        entries = core.log.between(LogIndex(core.applied_index + 1), last)
+        entries = core.log.entries_between(LogIndex(core.applied_index + 1), last)
         core.applied_index = last
         core.applied_bytes += sum(map(entry_bytes, entries))
         core.emit(Apply(entries))
@@ -59,7 +59,7 @@
             proposal = leadership.proposals.popleft()
             core.emit(ProposalCommitted(proposal.correlation_id, proposal.index))
 
-    def _rejection(self, event: Propose) -> str:
+    def _rejection_reason(self, event: Propose) -> str:
         core = self._core
         leadership = core.leadership
         if leadership is None:
--- a/src/springmux/coordination/consensus/reads.py
+++ b/src/springmux/coordination/consensus/reads.py
@@ -22,7 +22,7 @@
             return
         leadership.waiting_reads.append(correlation_id)
 
-    def release(self) -> None:
+    def advance(self) -> None:
         """Confirm the reads that a finished round covers, then begin a round for the waiting ones."""
         core = self._core
         leadership = core.leadership
@@ -37,7 +37,7 @@
         if leadership.waiting_reads and not batches:
             self._begin_round(leadership)
             if self._confirmed_round(leadership) >= leadership.round:
-                self.release()
+                self.advance()
 
     def _begin_round(self, leadership: Leadership) -> None:
         self._replication.broadcast_heartbeat()
--- a/src/springmux/coordination/consensus/replica.py
+++ b/src/springmux/coordination/consensus/replica.py
@@ -27,9 +27,10 @@
 )
 from springmux.coordination.consensus.election import Election
 from springmux.coordination.consensus.events import ChangeMember, FoundingCandidates, StopAnnounced
-from springmux.coordination.consensus.following import Following
+from springmux.coordination.consensus.follower import Follower
 from springmux.coordination.consensus.founding import Founding
 from springmux.coordination.consensus.joining import Joining
+from springmux.coordination.consensus.leadership_transfer import LeadershipTransfer
 from springmux.coordination.consensus.membership_change import MembershipChange
 from springmux.coordination.consensus.messages import (
     RaftAppend,
@@ -60,7 +61,6 @@
 from springmux.coordination.consensus.settings import ConsensusSettings
 from springmux.coordination.consensus.snapshot_transfer import SnapshotReceiver, SnapshotSender
 from springmux.coordination.consensus.snapshots import Snapshots
-from springmux.coordination.consensus.transfer import Transfer
 from springmux.coordination.consensus.types import RecoveredState
 from springmux.coordination.identifiers import NodeId
 from springmux.coordination.state_machine import NEVER, Effect, Event, MessageReceived, PeerMessage
@@ -82,15 +82,15 @@
         settings: ConsensusSettings = ConsensusSettings(),
     ) -> None:
         core = self._core = ReplicaCore(recovered, node, random, settings)
-        self._sender = SnapshotSender(core)
-        self._replication = Replication(core, self._sender)
+        self._snapshot_sender = SnapshotSender(core)
+        self._replication = Replication(core, self._snapshot_sender)
         self._election = Election(core, self._replication.become_leader)
-        self._following = Following(core)
-        self._receiver = SnapshotReceiver(core, self._following)
+        self._follower = Follower(core)
+        self._snapshot_receiver = SnapshotReceiver(core, self._follower)
         self._snapshots = Snapshots(core)
         self._proposals = Proposals(core, self._replication)
         self._reads = Reads(core, self._replication)
-        self._transfer = Transfer(core, self._replication)
+        self._transfer = LeadershipTransfer(core, self._replication)
         self._membership = MembershipChange(core, self._replication, self._proposals)
         self._abandonment = Abandonment(core)
         self._founding = Founding(core, self._abandonment)
@@ -129,8 +129,10 @@
             return NEVER
         if not core.started:
             return 0.0
-        own = core.leadership.heartbeat_at if core.leadership else self._waiting_deadline()
-        return min(own, core.durability.deadline(), self._snapshots.deadline(), self._transfer.deadline())
+        role_deadline = core.leadership.heartbeat_at if core.leadership else self._non_leader_deadline()
+        return min(
+            role_deadline, core.durability.deadline(), self._snapshots.deadline(), self._transfer.deadline()
+        )
 
     def handle(self, event: Event, now: float) -> list[Effect]:
         """Handle one event at monotonic time ``now`` (seconds); return the effects to execute."""
@@ -143,7 +145,7 @@
             core.started = True
             core.reset_election_deadline()
             if core.group is not None:
-                core.hasten_election()
+                core.shorten_election_deadline()
             self._founding.start()
             self._joining.start()
         self._dispatch(event)
@@ -151,7 +153,7 @@
         core.announce_leader()
         return core.take_effects()
 
-    def _waiting_deadline(self) -> float:
+    def _non_leader_deadline(self) -> float:
         if self._core.group is None:
             return min(self._founding.deadline(), self._joining.deadline())
         return min(self._election.deadline(), self._founding.deadline(), self._joining.deadline())
@@ -161,7 +163,7 @@
             case MessageReceived():
                 self._receive(event.message, event.sender)
             case Persisted():
-                self._core.durability.persisted(event.batch)
+                self._core.durability.on_persisted(event.batch)
             case Propose():
                 self._proposals.on_propose(event)
             case ConfirmRead():
@@ -174,7 +176,7 @@
                 self._founding.on_candidates(event)
                 self._joining.leader_node = event.leader
             case StopAnnounced():
-                self._following.on_stop_announced()
+                self._follower.on_stop_announced()
             case _:
                 self._dispatch_storage(event)
 
@@ -182,7 +184,7 @@
         core = self._core
         match event:
             case PersistFailed(full=True):
-                core.durability.failed_full(event.batch, core.now)
+                core.durability.on_disk_full(event.batch, core.now)
             case PersistFailed():
                 core.stop(f"the disk failed: {event.reason}")
             case DiskStalled():
@@ -190,10 +192,10 @@
             case SnapshotTaken():
                 self._snapshots.on_taken(event)
             case SnapshotFailed():
-                if not self._receiver.on_failed(event.index, event.reason):
+                if not self._snapshot_receiver.on_failed(event.index, event.reason):
                     self._snapshots.on_failed(event)
             case SnapshotInstalled():
-                self._receiver.on_installed(event)
+                self._snapshot_receiver.on_installed(event)
 
     def _receive(self, message: PeerMessage, sender: NodeId) -> None:
         core = self._core
@@ -240,15 +242,15 @@
     def _receive_from_member(self, message: ReplicaMessage, sender: NodeId) -> None:
         match message:
             case RaftHeartbeat():
-                self._following.on_heartbeat(message, sender)
+                self._follower.on_heartbeat(message, sender)
             case RaftHeartbeatReply():
                 self._replication.on_heartbeat_reply(message)
             case RaftAppend():
-                self._following.on_append(message, sender)
+                self._follower.on_append(message, sender)
             case RaftAppendReply():
                 self._replication.on_append_reply(message)
             case RaftSnapshotChunk():
-                self._receiver.on_chunk(message, sender)
+                self._snapshot_receiver.on_chunk(message, sender)
             case RaftSnapshotReply():
                 self._on_snapshot_reply(message)
             case RaftFoundingCommit():
@@ -273,9 +275,9 @@
         progress = self._replication.record_contact(message.term, message.source)
         if progress is None:
             return
-        installed = self._sender.on_reply(progress, message)
+        installed = self._snapshot_sender.on_reply(progress, message)
         if installed is not None:
-            self._replication.acknowledged(progress, installed)
+            self._replication.on_acknowledged(progress, installed)
 
     def _advance(self) -> None:
         """Run timers, then commit, apply and report, and last what goes to peers and to disk."""
@@ -294,9 +296,9 @@
         self._membership.step_down_if_removed()
         self._transfer.step()
         self._membership.step()
-        self._reads.release()
+        self._reads.advance()
         self._replication.send_entries()
-        self._receiver.install_when_idle()
+        self._snapshot_receiver.install_when_idle()
         self._snapshots.request_when_due()
         batch = core.durability.flush(core.now, core.commit_index)
         if batch is not None:
--- a/src/springmux/coordination/consensus/replication.py
+++ b/src/springmux/coordination/consensus/replication.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from springmux.coordination.consensus.core import (
-    InFlightFrame,
+    InFlightAppend,
     Leadership,
     Progress,
     ProgressState,
@@ -110,9 +110,9 @@
         if progress is None:
             return
         if message.accepted:
-            self.acknowledged(progress, message.index)
+            self.on_acknowledged(progress, message.index)
         elif message.index > progress.match_index:
-            self._rejected(progress, message)
+            self._on_rejected(progress, message)
 
     def advance_commit(self) -> None:
         """Commit what a majority has on disk, if it is of the current term (Raft, section 5.4.2)."""
@@ -121,7 +121,7 @@
         if leadership is None:
             return
         voters = core.log.members.voters()
-        matches = sorted((self._match_of(voter.replica) for voter in voters), reverse=True)
+        matches = sorted((self._match_index_of(voter.replica) for voter in voters), reverse=True)
         if not matches:
             return
         index = matches[core.log.members.quorum() - 1]
@@ -135,11 +135,11 @@
             for progress in leadership.progress.values():
                 self._send_to(progress)
 
-    def reachable(self, progress: Progress) -> bool:
+    def is_reachable(self, progress: Progress) -> bool:
         """Return whether the follower replied within an election timeout."""
-        return self._core.now - progress.last_heard < self._core.settings.election_timeout_max_s
+        return self._core.now - progress.last_contact < self._core.settings.election_timeout_max_s
 
-    def _match_of(self, replica: ReplicaId) -> LogIndex:
+    def _match_index_of(self, replica: ReplicaId) -> LogIndex:
         core = self._core
         if replica == core.replica:
             return core.durability.stable_index
@@ -148,8 +148,8 @@
 
     def _new_progress(self, member: GroupMember) -> Progress:
         core = self._core
-        following = LogIndex(core.log.last_index + 1)
-        return Progress(member.replica, member.node, following, core.now, core.settings.resend_after_s)
+        next_index = LogIndex(core.log.last_index + 1)
+        return Progress(member.replica, member.node, next_index, core.now, core.settings.resend_after_s)
 
     def record_contact(self, term: Term, replica: ReplicaId) -> Progress | None:
         """Record that a follower replied; return its progress, ``None`` if it is none of this leader's."""
@@ -161,10 +161,10 @@
             return None
         progress = core.leadership.progress.get(replica)
         if progress is not None:
-            if not self.reachable(progress):
+            if not self.is_reachable(progress):
                 self._begin_probe(progress)
                 progress.resend_wait_s = core.settings.resend_after_s
-            progress.last_heard = core.now
+            progress.last_contact = core.now
         return progress
 
     def _nominate_successor(self, leadership: Leadership) -> None:
@@ -177,7 +177,9 @@
         assert core.group is not None
         others = {voter.replica for voter in core.log.members.voters()} - {core.replica}
         candidates = [progress for replica, progress in leadership.progress.items() if replica in others]
-        best = max(candidates, key=lambda progress: (progress.match_index, progress.last_heard), default=None)
+        best = max(
+            candidates, key=lambda progress: (progress.match_index, progress.last_contact), default=None
+        )
         if best is not None:
             core.send(best.node, RaftTimeoutNow(core.group, core.replica, best.replica, core.term))
 
@@ -187,10 +189,10 @@
         reached = 0
         for voter in core.log.members.voters():
             progress = core.leadership.progress.get(voter.replica)
-            reached += voter.replica == core.replica or (progress is not None and self.reachable(progress))
+            reached += voter.replica == core.replica or (progress is not None and self.is_reachable(progress))
         return reached >= core.log.members.quorum()
 
-    def acknowledged(self, progress: Progress, index: LogIndex) -> None:
+    def on_acknowledged(self, progress: Progress, index: LogIndex) -> None:
         """Advance the window of a follower that has all entries up to ``index`` on disk."""
         if index > progress.match_index or progress.state is ProgressState.PROBE:
             progress.resend_wait_s = self._core.settings.resend_after_s
@@ -204,10 +206,10 @@
             progress.next_index = LogIndex(progress.match_index + 1)
         while progress.in_flight and progress.in_flight[0].last_index <= progress.match_index:
             progress.in_flight_bytes -= progress.in_flight.popleft().size_bytes
-        progress.waiting = bool(progress.in_flight)
-        self._arm_resend(progress)
+        progress.awaiting_reply = bool(progress.in_flight)
+        self._schedule_resend(progress)
 
-    def _rejected(self, progress: Progress, message: RaftAppendReply) -> None:
+    def _on_rejected(self, progress: Progress, message: RaftAppendReply) -> None:
         stale = message.index != progress.next_index - 1
         if progress.state is ProgressState.SNAPSHOT or (progress.state is ProgressState.PROBE and stale):
             return
@@ -222,8 +224,8 @@
             match = message.hint_index
         self._begin_probe(progress)
         # Always before the rejected index, else two logs that differ at the base would probe for ever.
-        following = min(match + 1, message.index)
-        progress.next_index = LogIndex(max(progress.match_index + 1, following))
+        next_index = min(match + 1, message.index)
+        progress.next_index = LogIndex(max(progress.match_index + 1, next_index))
 
     def _begin_probe(self, progress: Progress) -> None:
         if progress.state is not ProgressState.SNAPSHOT:
@@ -232,16 +234,16 @@
                 progress.next_index = LogIndex(progress.match_index + 1)
         progress.in_flight.clear()
         progress.in_flight_bytes = 0
-        progress.waiting = False
+        progress.awaiting_reply = False
 
     def _check_resend(self, progress: Progress) -> None:
-        if not progress.waiting or self._core.now < progress.resend_at:
+        if not progress.awaiting_reply or self._core.now < progress.resend_at:
             return
         wait = min(progress.resend_wait_s * 2, self._core.settings.resend_max_s)
         progress.resend_wait_s = wait
         self._begin_probe(progress)
 
-    def _arm_resend(self, progress: Progress) -> None:
+    def _schedule_resend(self, progress: Progress) -> None:
         settings = self._core.settings
         transfer_s = progress.in_flight_bytes / settings.slowest_link_bytes_s
         progress.resend_at = self._core.now + progress.resend_wait_s + transfer_s
@@ -249,30 +251,30 @@
     def _send_to(self, progress: Progress) -> None:
         core = self._core
         settings = core.settings
-        if not self.reachable(progress):
+        if not self.is_reachable(progress):
             return
         while True:
             if progress.next_index <= core.log.base_index and progress.state is not ProgressState.SNAPSHOT:
                 progress.state = ProgressState.SNAPSHOT
-                progress.waiting = False
+                progress.awaiting_reply = False
             if progress.state is ProgressState.SNAPSHOT:
                 self._snapshots.send(progress)
                 return
-            if progress.state is ProgressState.PROBE and progress.waiting:
+            if progress.state is ProgressState.PROBE and progress.awaiting_reply:
                 return
             full = len(progress.in_flight) >= settings.max_inflight_messages
             if full or progress.in_flight_bytes >= settings.max_inflight_bytes:
                 return
             if progress.state is ProgressState.REPLICATE and progress.next_index > core.log.last_index:
                 return
-            self._send_frame(progress)
+            self._send_append(progress)
 
-    def _send_frame(self, progress: Progress) -> None:
+    def _send_append(self, progress: Progress) -> None:
         core = self._core
         previous = LogIndex(progress.next_index - 1)
         previous_term = core.log.term_at(previous)
         assert previous_term is not None and core.group is not None
-        entries = core.log.frame(progress.next_index, core.settings.max_frame_bytes)
+        entries = core.log.entries_from(progress.next_index, core.settings.max_append_bytes)
         message = RaftAppend(
             core.group,
             core.replica,
@@ -286,8 +288,8 @@
         core.send(progress.node, message)
         size = sum(map(entry_bytes, entries))
         progress.in_flight_bytes += size
-        progress.in_flight.append(InFlightFrame(LogIndex(previous + len(entries)), size))
+        progress.in_flight.append(InFlightAppend(LogIndex(previous + len(entries)), size))
         if progress.state is ProgressState.REPLICATE:
             progress.next_index = LogIndex(progress.next_index + len(entries))
-        progress.waiting = True
-        self._arm_resend(progress)
+        progress.awaiting_reply = True
+        self._schedule_resend(progress)
--- a/src/springmux/coordination/consensus/settings.py
+++ b/src/springmux/coordination/consensus/settings.py
@@ -30,9 +30,9 @@
     """A voter that the leader hasn't heard for so long may be replaced by a learner, and becomes one."""
     superseded_after_s: float = 0.5
     """The same for a voter whose node came back under a new identity: it is gone for good."""
-    learner_forgotten_after_s: float = 30.0
+    learner_removed_after_s: float = 30.0
     """A learner that the leader hasn't heard for so long is no member any more."""
-    max_frame_bytes: int = 512 * _KIB
+    max_append_bytes: int = 512 * _KIB
     """Entries in one message, except for a single larger entry."""
     max_entry_bytes: int = 12 * _MIB
     """Largest command: a configuration of 8 MiB in its encoded form, with room."""
--- a/src/springmux/storage/appended_file.py
+++ b/src/springmux/storage/appended_file.py
@@ -6,11 +6,11 @@
 
 
 class AppendedFile:
-    """Append to ``file``, whose first ``sound_bytes`` are known to be complete records."""
+    """Append to ``file``, whose first ``valid_bytes`` are known to be complete records."""
 
-    def __init__(self, file: DiskFile, sound_bytes: int) -> None:
+    def __init__(self, file: DiskFile, valid_bytes: int) -> None:
         self._file = file
-        self.sound_bytes = sound_bytes
+        self.valid_bytes = valid_bytes
 
     def append(self, data: bytes) -> None:
         """Write and sync ``data``; on return it is durable.
@@ -22,17 +22,17 @@
             self._file.append(data)
         except DiskFullError:
             # A partly written record is removed, so that nothing ever follows it.
-            self._file.truncate(self.sound_bytes)
+            self._file.truncate(self.valid_bytes)
             raise
         self.sync()
-        self.sound_bytes += len(data)
+        self.valid_bytes += len(data)
 
     def truncate_tail(self) -> None:
         """Remove what a torn write left after the complete records.
 
         :raises DiskFailedError: the file can't be written any more.
         """
-        self._file.truncate(self.sound_bytes)
+        self._file.truncate(self.valid_bytes)
         self.sync()
 
     def sync(self) -> None:
--- a/src/springmux/storage/claim_journal.py
+++ b/src/springmux/storage/claim_journal.py
@@ -49,7 +49,7 @@
         self._founded = False
         self._fold = JournalFold()
         self._file: AppendedFile | None = None
-        self._broken = ""
+        self._failure_reason = ""
         self.truncated_bytes = 0
         """Bytes of a torn write that :meth:`open` cut off."""
 
@@ -81,21 +81,21 @@
         :raises DiskFullError: none of them is kept; the journal stays usable.
         :raises DiskFailedError: the journal can't be written any more.
         """
-        if self._broken or self._file is None:
-            raise DiskFailedError(self._path, self._broken or "the journal is not open")
+        if self._failure_reason or self._file is None:
+            raise DiskFailedError(self._path, self._failure_reason or "the journal is not open")
         data = entries_record(entries)
-        if self._file.sound_bytes + len(data) > MAX_BYTES:
+        if self._file.valid_bytes + len(data) > MAX_BYTES:
             raise DiskFullError(self._path, f"the journal would exceed {MAX_BYTES} bytes")
         try:
             self._file.append(data)
         except DiskFailedError as error:
-            self._broken = error.reason
+            self._failure_reason = error.reason
             raise
         self._fold.take(entries)
         if self._rewrite is not None:
             self._rewrite.concurrent_entries.extend(entries)
-        if self._rewrite is not None or self._file.sound_bytes > self._rewrite_at_bytes:
-            self._go_on_rewriting()
+        if self._rewrite is not None or self._file.valid_bytes > self._rewrite_at_bytes:
+            self._continue_rewrite()
 
     def close(self) -> None:
         """Release the files."""
@@ -111,8 +111,8 @@
         parsed = parse_journal(self._path, data, self._replica)
         self._founded = parsed.start.founded
         self._fold = parsed.fold
-        self._file = AppendedFile(self._disk.open(self._path), parsed.sound_bytes)
-        self.truncated_bytes = len(data) - parsed.sound_bytes
+        self._file = AppendedFile(self._disk.open(self._path), parsed.valid_bytes)
+        self.truncated_bytes = len(data) - parsed.valid_bytes
         if self.truncated_bytes:
             self._file.truncate_tail()
         return RecoveredClaims(self._replica, self._founded, self._fold.claims(), self._fold.state)
@@ -122,7 +122,7 @@
         self._rewrite = JournalRewrite(self._disk, self._folder, start, self._fold.entries())
         return self._rewrite
 
-    def _go_on_rewriting(self) -> None:
+    def _continue_rewrite(self) -> None:
         """Rewrite one slice. On a failure the old file stays in use; its own failure shows at an append."""
         try:
             rewrite = self._rewrite or self._begin_rewrite()
@@ -142,7 +142,7 @@
             size_bytes = self._rewrite.replace_journal()
             file = AppendedFile(self._disk.open(self._path), size_bytes)
         except DiskFailedError as error:
-            self._broken = error.reason
+            self._failure_reason = error.reason
             raise
         self.close()
         self._file = file
@@ -152,5 +152,5 @@
         if self._rewrite is not None:
             self._rewrite.discard()
             self._rewrite = None
-        size_bytes = self._file.sound_bytes if self._file is not None else 0
+        size_bytes = self._file.valid_bytes if self._file is not None else 0
         self._rewrite_at_bytes = REWRITE_GROWTH * size_bytes
--- a/src/springmux/storage/claim_journal_file.py
+++ b/src/springmux/storage/claim_journal_file.py
@@ -31,11 +31,11 @@
 
 
 class ParsedJournal(msgspec.Struct, frozen=True):
-    """A journal read back; whole records end at ``sound_bytes``, a torn write may follow."""
+    """A journal read back; whole records end at ``valid_bytes``, a torn write may follow."""
 
     start: JournalStart
     fold: JournalFold
-    sound_bytes: int
+    valid_bytes: int
 
 
 _encoder = msgspec.msgpack.Encoder()
@@ -54,7 +54,7 @@
     :raises LogCorruptError: if what was durable is damaged, or belongs to another replica.
     """
     start: JournalStart | None = None
-    fold, sealed, sound_bytes = JournalFold(), False, 0
+    fold, sealed, valid_bytes = JournalFold(), False, 0
     try:
         for record in read_records(data):
             if record.type is RecordType.CLAIMS_START:
@@ -62,15 +62,15 @@
             elif record.type is RecordType.CLAIM_ENTRIES:
                 fold.take(_entries_decoder.decode(record.payload))
             sealed = sealed or record.type is RecordType.CLAIMS_SEAL
-            sound_bytes = record.end
+            valid_bytes = record.end
     except msgspec.DecodeError as error:
-        raise LogCorruptError(path, sound_bytes, f"record can't be read: {error}") from error
-    torn = sound_bytes < len(data)
-    if start is None or not sealed or (torn and has_record_after(data, sound_bytes)):
-        raise LogCorruptError(path, sound_bytes, "checksum or framing is wrong, and it is no torn tail")
+        raise LogCorruptError(path, valid_bytes, f"record can't be read: {error}") from error
+    torn = valid_bytes < len(data)
+    if start is None or not sealed or (torn and has_record_after(data, valid_bytes)):
+        raise LogCorruptError(path, valid_bytes, "checksum or framing is wrong, and it is no torn tail")
     if start.replica != replica:
         raise LogCorruptError(path, 0, "journal belongs to another replica")
-    return ParsedJournal(start, fold, sound_bytes)
+    return ParsedJournal(start, fold, valid_bytes)
 
 
 class JournalRewrite:
--- a/src/springmux/storage/log_recovery.py
+++ b/src/springmux/storage/log_recovery.py
@@ -50,13 +50,13 @@
 class Segment(msgspec.Struct):
     """One file of the log. ``last_index`` is the highest index ever written in it, 0 without entries.
 
-    ``sound_bytes``: where its complete records end. ``torn_bytes``: size of a torn write after them.
+    ``valid_bytes``: where its complete records end. ``torn_bytes``: size of a torn write after them.
     """
 
     number: int
     last_index: int = 0
     batches: int = 0
-    sound_bytes: int = 0
+    valid_bytes: int = 0
     torn_bytes: int = 0
 
     @property
@@ -125,13 +125,13 @@
         segment = Segment(int(name[4:14]))
         for record in read_records(data):
             self._read_record(record, segment)
-            segment.sound_bytes = record.end
-        segment.torn_bytes = len(data) - segment.sound_bytes
-        if segment.torn_bytes and (not is_last or has_record_after(data, segment.sound_bytes)):
+            segment.valid_bytes = record.end
+        segment.torn_bytes = len(data) - segment.valid_bytes
+        if segment.torn_bytes and (not is_last or has_record_after(data, segment.valid_bytes)):
             raise LogCorruptError(
-                name, segment.sound_bytes, "checksum or framing is wrong, and it is no torn tail"
+                name, segment.valid_bytes, "checksum or framing is wrong, and it is no torn tail"
             )
-        if segment.sound_bytes:
+        if segment.valid_bytes:
             self.log.segments.append(segment)
         elif is_last and self.log.segments:
             self.log.empty_segment = name
@@ -143,13 +143,13 @@
             raise LogCorruptError(segment.name, record.offset, "start record is missing or misplaced")
         try:
             if record.type is RecordType.SEGMENT_START:
-                self._take_start(decode_start(record.payload), segment)
+                self._apply_start(decode_start(record.payload), segment)
             else:
-                self._take_batch(decode_batch(record.payload), record.offset, segment)
+                self._apply_batch(decode_batch(record.payload), record.offset, segment)
         except msgspec.DecodeError as error:
             raise LogCorruptError(segment.name, record.offset, f"record can't be read: {error}") from error
 
-    def _take_start(self, start: SegmentStart, segment: Segment) -> None:
+    def _apply_start(self, start: SegmentStart, segment: Segment) -> None:
         content = self.log.content
         if start.replica != self._replica or start.number != segment.number:
             raise LogCorruptError(segment.name, 0, "segment belongs to another replica or place")
@@ -163,7 +163,7 @@
         content.group = start.group
         content.founding_members = start.founding_members
 
-    def _take_batch(self, batch: BatchRecord, offset: int, segment: Segment) -> None:
+    def _apply_batch(self, batch: BatchRecord, offset: int, segment: Segment) -> None:
         content = self.log.content
         segment.batches += 1
         if batch.hard_state is not None:
--- a/src/springmux/storage/memory_disk.py
+++ b/src/springmux/storage/memory_disk.py
@@ -24,7 +24,7 @@
     """A file's bytes. ``before_truncation`` is what a power cut brings back after an unsynced truncation."""
 
     def __init__(self) -> None:
-        self.live = bytearray()
+        self.current = bytearray()
         self.synced_size = 0
         self.before_truncation: bytes | None = None
         self.reserved_bytes = 0
@@ -32,21 +32,21 @@
     def truncate(self, size_bytes: int) -> None:
         if size_bytes < self.synced_size:
             if self.before_truncation is None:
-                self.before_truncation = bytes(self.live[: self.synced_size])
+                self.before_truncation = bytes(self.current[: self.synced_size])
             self.synced_size = size_bytes
-        del self.live[size_bytes:]
+        del self.current[size_bytes:]
 
     def fsync(self) -> None:
-        self.synced_size = len(self.live)
+        self.synced_size = len(self.current)
         self.before_truncation = None
 
     def lose_unsynced(self, rng: random.Random | None) -> None:
         if self.before_truncation is not None:
-            self.live = bytearray(self.before_truncation)
+            self.current = bytearray(self.before_truncation)
         else:
-            unsynced = len(self.live) - self.synced_size
+            unsynced = len(self.current) - self.synced_size
             kept = rng.randint(0, unsynced) if rng else 0
-            del self.live[self.synced_size + kept :]
+            del self.current[self.synced_size + kept :]
         self.fsync()
 
 
@@ -60,13 +60,13 @@
         self._disk = disk
         self._path = path
         self._content = content
-        self._boot = disk.boot
+        self._boot_count = disk.boot_count
 
     def append(self, data: bytes) -> None:
         """Write as much as fits; see :meth:`Disk.open`."""
         self._check()
         room = self._disk.free_bytes("")
-        self._content.live += data[: max(0, room)]
+        self._content.current += data[: max(0, room)]
         if len(data) > room:
             raise DiskFullError(self._path, "no space left on device")
 
@@ -85,7 +85,7 @@
         """Do nothing: there is nothing to release."""
 
     def _check(self) -> None:
-        if self._boot != self._disk.boot:
+        if self._boot_count != self._disk.boot_count:
             raise DiskFailedError(self._path, "file was open when the power went")
         self._disk.check(self._path)
 
@@ -114,9 +114,9 @@
         self.calls_until_failure: int | None = None
         self.stall_s = 0.0
         self.sync_count = 0
-        self.boot = 0
-        self._waited_s = 0.0
-        self._live: dict[str, _Content] = {}
+        self.boot_count = 0
+        self._stalled_s = 0.0
+        self._current: dict[str, _Content] = {}
         self._durable: dict[str, _Content] = {}
         self._journals: dict[str, list[_NameChange]] = {}
         self._locked: set[str] = set()
@@ -135,12 +135,12 @@
     def record_sync(self) -> None:
         """Count one sync and the time it would take."""
         self.sync_count += 1
-        self._waited_s += self.stall_s
+        self._stalled_s += self.stall_s
 
-    def take_waited_s(self) -> float:
+    def take_stalled_s(self) -> float:
         """Return the time that syncs since the last call would have taken, for the driver to spend."""
-        waited_s, self._waited_s = self._waited_s, 0.0
-        return waited_s
+        stalled_s, self._stalled_s = self._stalled_s, 0.0
+        return stalled_s
 
     def power_cut(self, rng: random.Random | None = None) -> None:
         """Drop what isn't durable. With ``rng``, a random prefix of it survives (torn writes)."""
@@ -148,26 +148,26 @@
             kept = rng.randint(0, len(changes)) if rng else 0
             self._apply_journal(changes[:kept])
             self._journals[folder] = []
-        self._live = dict(self._durable)
-        for content in self._live.values():
+        self._current = dict(self._durable)
+        for content in self._current.values():
             content.lose_unsynced(rng)
-        self.boot += 1
+        self.boot_count += 1
         self._locked = set()
 
     def process_killed(self) -> None:
         """End the process only: written bytes and names stay, open files and locks go."""
-        self.boot += 1
+        self.boot_count += 1
         self._locked = set()
 
     def corrupt(self, path: str, offset: int) -> None:
         """Flip the bits of one byte."""
-        self._content(path).live[offset] ^= 0xFF
+        self._content(path).current[offset] ^= 0xFF
 
     def wipe(self) -> None:
         """Lose everything, as a swapped disk does."""
-        self._live, self._durable, self._journals = {}, {}, {}
+        self._current, self._durable, self._journals = {}, {}, {}
         self._locked = set()
-        self.boot += 1
+        self.boot_count += 1
 
     def make_folder(self, path: str) -> None:
         """Do nothing: folders need no creation here."""
@@ -176,17 +176,17 @@
     def list_folder(self, path: str) -> list[str]:
         """Return names in the folder."""
         self.check(path)
-        return sorted(posixpath.basename(name) for name in self._live if posixpath.dirname(name) == path)
+        return sorted(posixpath.basename(name) for name in self._current if posixpath.dirname(name) == path)
 
     def exists(self, path: str) -> bool:
         """Return whether the file is there."""
         self.check(path)
-        return path in self._live
+        return path in self._current
 
     def open(self, path: str) -> MemoryFile:
         """Open for appending; a new name is durable after the folder's sync."""
         self.check(path)
-        content = self._live.get(path)
+        content = self._current.get(path)
         if content is None:
             content = _Content()
             self._change(((path, content),))
@@ -195,7 +195,7 @@
     def read(self, path: str) -> bytes:
         """Return live bytes."""
         self.check(path)
-        return bytes(self._content(path).live)
+        return bytes(self._content(path).current)
 
     def rename(self, source: str, target: str) -> None:
         """Move the name; both halves last or are lost together."""
@@ -205,7 +205,7 @@
     def remove(self, path: str) -> None:
         """Remove the name."""
         self.check(path)
-        if path in self._live:
+        if path in self._current:
             self._change(((path, None),))
 
     def fsync_folder(self, path: str) -> None:
@@ -224,7 +224,7 @@
 
     def free_bytes(self, path: str) -> int:
         """Return what is left of the capacity."""
-        used = sum(len(content.live) + content.reserved_bytes for content in self._live.values())
+        used = sum(len(content.current) + content.reserved_bytes for content in self._current.values())
         return max(0, self.capacity_bytes - used)
 
     def lock(self, path: str) -> MemoryLock:
@@ -236,14 +236,14 @@
         return MemoryLock(self._locked, path)
 
     def _content(self, path: str) -> _Content:
-        if path not in self._live:
+        if path not in self._current:
             raise DiskFailedError(path, "no such file")
-        return self._live[path]
+        return self._current[path]
 
     def _change(self, change: _NameChange) -> None:
         folder = posixpath.dirname(change[0][0])
         self._journals.setdefault(folder, []).append(change)
-        self._set_names(self._live, change)
+        self._set_names(self._current, change)
 
     def _apply_journal(self, changes: list[_NameChange]) -> None:
         for change in changes:
--- a/src/springmux/storage/real_disk.py
+++ b/src/springmux/storage/real_disk.py
@@ -24,7 +24,7 @@
 
 
 @contextmanager
-def _typed_errors(path: str) -> Iterator[None]:
+def _translated_errors(path: str) -> Iterator[None]:
     """Turn the operating system's errors into the disk's."""
     try:
         yield
@@ -44,20 +44,20 @@
 
     def append(self, data: bytes) -> None:
         """Write all of ``data``; the system call may take it in parts."""
-        rest = memoryview(data)
-        with _typed_errors(self._path):
-            while rest:
-                written = os.write(self._descriptor, rest)
-                rest = rest[written:]
+        remaining = memoryview(data)
+        with _translated_errors(self._path):
+            while remaining:
+                written = os.write(self._descriptor, remaining)
+                remaining = remaining[written:]
 
     def truncate(self, size_bytes: int) -> None:
         """Cut the file (``ftruncate``)."""
-        with _typed_errors(self._path):
+        with _translated_errors(self._path):
             os.ftruncate(self._descriptor, size_bytes)
 
     def fsync(self) -> None:
         """Flush content and size (``fdatasync`` covers both; times of change don't matter here)."""
-        with _typed_errors(self._path):
+        with _translated_errors(self._path):
             os.fdatasync(self._descriptor)
 
     def close(self) -> None:
@@ -86,56 +86,56 @@
     def __init__(self, root: Path) -> None:
         self._root = root
 
-    def _full(self, path: str) -> Path:
+    def _absolute(self, path: str) -> Path:
         return self._root / path
 
     def make_folder(self, path: str) -> None:
         """Make the folder and sync the one above, so that the name lasts."""
-        target = self._full(path)
-        with _typed_errors(path):
+        target = self._absolute(path)
+        with _translated_errors(path):
             target.mkdir(mode=FOLDER_MODE, parents=True, exist_ok=True)
             self._fsync_descriptor(target.parent)
 
     def list_folder(self, path: str) -> list[str]:
         """Return names of files only."""
-        with _typed_errors(path):
-            return sorted(entry.name for entry in os.scandir(self._full(path)) if entry.is_file())
+        with _translated_errors(path):
+            return sorted(entry.name for entry in os.scandir(self._absolute(path)) if entry.is_file())
 
     def exists(self, path: str) -> bool:
         """Return whether the path names a file."""
-        return self._full(path).is_file()
+        return self._absolute(path).is_file()
 
     def open(self, path: str) -> RealFile:
         """Open with ``O_APPEND``."""
-        with _typed_errors(path):
+        with _translated_errors(path):
             flags = os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_CLOEXEC
-            return RealFile(path, os.open(self._full(path), flags, FILE_MODE))
+            return RealFile(path, os.open(self._absolute(path), flags, FILE_MODE))
 
     def read(self, path: str) -> bytes:
         """Return the whole file."""
-        with _typed_errors(path):
-            return self._full(path).read_bytes()
+        with _translated_errors(path):
+            return self._absolute(path).read_bytes()
 
     def rename(self, source: str, target: str) -> None:
         """Replace (``rename``)."""
-        with _typed_errors(source):
-            os.replace(self._full(source), self._full(target))
+        with _translated_errors(source):
+            os.replace(self._absolute(source), self._absolute(target))
 
     def remove(self, path: str) -> None:
         """Unlink."""
-        with _typed_errors(path):
-            self._full(path).unlink(missing_ok=True)
+        with _translated_errors(path):
+            self._absolute(path).unlink(missing_ok=True)
 
     def fsync_folder(self, path: str) -> None:
         """Sync the folder's own descriptor."""
-        with _typed_errors(path):
-            self._fsync_descriptor(self._full(path))
+        with _translated_errors(path):
+            self._fsync_descriptor(self._absolute(path))
 
     def preallocate(self, path: str, size_bytes: int) -> None:
         """Take the blocks with ``posix_fallocate``, so that they are ours whoever fills the disk."""
         try:
-            with _typed_errors(path):
-                descriptor = os.open(self._full(path), os.O_WRONLY | os.O_CREAT | os.O_CLOEXEC, FILE_MODE)
+            with _translated_errors(path):
+                descriptor = os.open(self._absolute(path), os.O_WRONLY | os.O_CREAT | os.O_CLOEXEC, FILE_MODE)
                 try:
                     os.posix_fallocate(descriptor, 0, size_bytes)
                 finally:
@@ -146,14 +146,14 @@
 
     def free_bytes(self, path: str) -> int:
         """Return what an ordinary user may still take."""
-        with _typed_errors(path):
-            figures = os.statvfs(self._full(path))
-        return figures.f_bavail * figures.f_frsize
+        with _translated_errors(path):
+            stats = os.statvfs(self._absolute(path))
+        return stats.f_bavail * stats.f_frsize
 
     def lock(self, path: str) -> RealLock:
         """Take an exclusive ``flock`` without waiting."""
-        with _typed_errors(path):
-            descriptor = os.open(self._full(path), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, FILE_MODE)
+        with _translated_errors(path):
+            descriptor = os.open(self._absolute(path), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, FILE_MODE)
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError as error:
--- a/src/springmux/storage/replica_store.py
+++ b/src/springmux/storage/replica_store.py
@@ -256,15 +256,15 @@
 
 def _must_reset_log(content: LogContent, meta: SnapshotMeta) -> bool:
     """Return whether the log doesn't continue from the snapshot: the machine stopped while installing it."""
-    return content.last_index() < meta.index or _disagrees(content.entries, meta)
+    return content.last_index() < meta.index or _conflicts(content.entries, meta)
 
 
-def _disagrees(entries: list[Entry], meta: SnapshotMeta) -> bool:
+def _conflicts(entries: list[Entry], meta: SnapshotMeta) -> bool:
     return any(entry.index == meta.index and entry.term != meta.term for entry in entries)
 
 
 def _entries_after(entries: list[Entry], meta: SnapshotMeta) -> tuple[Entry, ...]:
     """Return the entries after the snapshot: none if the log conflicts with it (Raft, figure 13)."""
-    if _disagrees(entries, meta):
+    if _conflicts(entries, meta):
         return ()
     return tuple(entry for entry in entries if entry.index > meta.index)
--- a/src/springmux/storage/snapshots.py
+++ b/src/springmux/storage/snapshots.py
@@ -51,14 +51,14 @@
 
     def load(self) -> list[StoredSnapshot]:
         """Return the sound snapshots, newest first; damaged ones are set aside and named."""
-        sound = []
+        valid = []
         for name in reversed(self._names()):
             snapshot = self._read(name)
             if snapshot is None:
                 self._set_aside(name)
             else:
-                sound.append(snapshot)
-        return sound
+                valid.append(snapshot)
+        return valid
 
     def oldest_index(self) -> int | None:
         """Return the index of the oldest kept snapshot."""
--- a/src/springmux/storage/write_ahead_log.py
+++ b/src/springmux/storage/write_ahead_log.py
@@ -36,8 +36,8 @@
         self._segment_bytes = segment_bytes
         self._segments: list[Segment] = []
         self._file: AppendedFile | None = None
-        self._broken = ""
-        self._latest = LogContent()
+        self._failure_reason = ""
+        self._latest_state = LogContent()
         self._last_index = LogIndex(0)
         self.truncated_bytes = 0
         """Bytes of a torn write that :meth:`open` removed."""
@@ -55,10 +55,10 @@
         """
         replayed = replay_log(self._disk, self._folder, self._replica)
         self._segments = replayed.segments
-        self._latest = msgspec.structs.replace(replayed.content, entries=[])
+        self._latest_state = msgspec.structs.replace(replayed.content, entries=[])
         self._last_index = replayed.content.last_index()
         last = self._segments[-1]
-        self._file = AppendedFile(self._disk.open(self._path(last.name)), last.sound_bytes)
+        self._file = AppendedFile(self._disk.open(self._path(last.name)), last.valid_bytes)
         self._truncate_torn_tail(replayed)
         return replayed.content
 
@@ -73,11 +73,11 @@
         self._check_sequence(batch)
         data = encode_batch(batch)
         active = self._segments[-1]
-        if active.batches and active.sound_bytes + len(data) > self._segment_bytes:
+        if active.batches and active.valid_bytes + len(data) > self._segment_bytes:
             self._sync()
             self._begin_segment(active.number + 1, replaces_log=False)
         self._write(data)
-        self._remember(batch)
+        self._record_batch(batch)
 
     def reset(self, base_index: LogIndex) -> None:
         """Drop every entry and continue after ``base_index`` (a snapshot was installed).
@@ -109,8 +109,8 @@
             self._file = None
 
     def _check_usable(self) -> None:
-        if self._broken or self._file is None:
-            raise DiskFailedError(self._folder, self._broken or "the log is not open")
+        if self._failure_reason or self._file is None:
+            raise DiskFailedError(self._folder, self._failure_reason or "the log is not open")
 
     def _check_sequence(self, batch: BatchRecord) -> None:
         """Reject a batch that would leave a gap, which would look like corruption when read back."""
@@ -126,9 +126,9 @@
         try:
             self._file.append(data)
         except DiskFailedError as error:
-            self._broken = error.reason
+            self._failure_reason = error.reason
             raise
-        self._segments[-1].sound_bytes = self._file.sound_bytes
+        self._segments[-1].valid_bytes = self._file.valid_bytes
         self._segments[-1].batches += 1
 
     def _sync(self) -> None:
@@ -136,15 +136,15 @@
         try:
             self._file.sync()
         except DiskFailedError as error:
-            self._broken = error.reason
+            self._failure_reason = error.reason
             raise
 
-    def _remember(self, batch: BatchRecord) -> None:
+    def _record_batch(self, batch: BatchRecord) -> None:
         if batch.hard_state is not None:
-            self._latest.hard_state = batch.hard_state
+            self._latest_state.hard_state = batch.hard_state
         if batch.group is not None:
-            self._latest.group = batch.group
-            self._latest.founding_members = batch.founding_members
+            self._latest_state.group = batch.group
+            self._latest_state.founding_members = batch.founding_members
         if batch.truncate_from is not None:
             self._last_index = min(self._last_index, LogIndex(batch.truncate_from - 1))
         if batch.entries:
@@ -156,18 +156,18 @@
         """Create a durable segment, name and start record, and make it the active one."""
         data = encode_start(self._start_record(number, replaces_log=replaces_log))
         try:
-            file = self._open_with(self._path(segment_name(number)), data)
+            file = self._create_file(self._path(segment_name(number)), data)
         except DiskFailedError as error:
-            self._broken = error.reason
+            self._failure_reason = error.reason
             raise
         self.close()
         self._file = AppendedFile(file, len(data))
         self._sync()
         self._disk.fsync_folder(self._folder)
-        self._segments.append(Segment(number, sound_bytes=len(data)))
+        self._segments.append(Segment(number, valid_bytes=len(data)))
 
     def _start_record(self, number: int, *, replaces_log: bool) -> SegmentStart:
-        latest = self._latest
+        latest = self._latest_state
         return SegmentStart(
             number=number,
             replica=self._replica,
@@ -178,7 +178,7 @@
             replaces_log=replaces_log,
         )
 
-    def _open_with(self, path: str, data: bytes) -> DiskFile:
+    def _create_file(self, path: str, data: bytes) -> DiskFile:
         file = self._disk.open(path)
         try:
             file.append(data)
--- a/tests/support/consensus_cluster.py
+++ b/tests/support/consensus_cluster.py
@@ -32,7 +32,7 @@
 _ENCODER = msgspec.msgpack.Encoder()
 _DECODER = msgspec.msgpack.Decoder(functools.reduce(operator.or_, MESSAGES))
 _STATE_DECODER = msgspec.msgpack.Decoder(State)
-TICKS_AT_ONE_TIME = 20
+MAX_TICKS_WITHOUT_PROGRESS = 20
 """More ticks than this without time passing mean that a deadline isn't exact."""
 
 
@@ -91,7 +91,7 @@
         self.tick_at = float("inf")
         self.ticks = 0
         self.full = self.stalled = False
-        self.held: list[Callable[[], None]] = []
+        self.held_writes: list[Callable[[], None]] = []
         self.stops: list[str] = []
 
     @property
@@ -112,11 +112,11 @@
         self.loss = self.duplication = 0.0
         self.delay = (0.001, 0.01)
         self.fsync = (0.001, 0.004)
-        self.cut: set[frozenset[str]] = set()
+        self.cut_links: set[frozenset[str]] = set()
         self.machines: dict[str, Machine] = {}
         self.sent: list[tuple[float, str, str, PeerMessage]] = []
         self.keep_sent = False
-        self.largest_frame = 0
+        self.largest_message_bytes = 0
         self.committed: dict[int, Entry] = {}
         self.leaders: dict[tuple[str, int], str] = {}
         self.groups_with_commits: set[str] = set()
@@ -157,7 +157,7 @@
         machine = self.machines[node]
         machine.alive = False
         machine.boot += 1
-        machine.held.clear()
+        machine.held_writes.clear()
         machine.disk.free_at = 0.0
 
     def restart(self, node: str) -> None:
@@ -174,10 +174,10 @@
         self._schedule_tick(machine)
 
     def isolate(self, node: str) -> None:
-        self.cut |= {frozenset((node, other)) for other in self.machines if other != node}
+        self.cut_links |= {frozenset((node, other)) for other in self.machines if other != node}
 
     def heal(self) -> None:
-        self.cut.clear()
+        self.cut_links.clear()
         for machine in self.machines.values():
             machine.full = False
             self.unstall(machine.node)
@@ -187,8 +187,8 @@
     def unstall(self, node: str) -> None:
         machine = self.machines[node]
         machine.stalled = False
-        held, machine.held = machine.held, []
-        for action in held:
+        held_writes, machine.held_writes = machine.held_writes, []
+        for action in held_writes:
             action()
 
     # Driving
@@ -226,18 +226,18 @@
         leader = self.leader()
         return {v.node for v in leader.status.members.voters()} if leader else set()
 
-    def give(self, node: str, event: Event) -> None:
+    def handle_event(self, node: str, event: Event) -> None:
         machine = self.machines[node]
         if machine.alive and machine.replica is not None:
             for effect in machine.replica.handle(event, self.now):
-                self._carry_out(machine, effect)
+                self._execute(machine, effect)
             self._check_leader(machine)
             self._schedule_tick(machine)
 
     def propose(self, node: str, data: bytes) -> str:
         self._correlation_ids += 1
         correlation_id = f"p{self._correlation_ids}"
-        self.give(node, fx.Propose(correlation_id, data))
+        self.handle_event(node, fx.Propose(correlation_id, data))
         return correlation_id
 
     def commit(self, data: bytes = b"x") -> str:
@@ -251,7 +251,7 @@
         self._correlation_ids += 1
         correlation_id = f"q{self._correlation_ids}"
         self._read_floor[correlation_id] = max(self.acknowledged.values(), default=0)
-        self.give(node, fx.ConfirmRead(correlation_id))
+        self.handle_event(node, fx.ConfirmRead(correlation_id))
         return correlation_id
 
     def settle(self) -> None:
@@ -302,29 +302,31 @@
         deadline = max(machine.replica.next_deadline(), self.now)
         if deadline < machine.tick_at:
             machine.ticks = machine.ticks + 1 if deadline == self.now else 0
-            assert machine.ticks < TICKS_AT_ONE_TIME, "next_deadline stays in the past"
+            assert machine.ticks < MAX_TICKS_WITHOUT_PROGRESS, "next_deadline stays in the past"
             machine.tick_at = deadline
             self._later(machine, deadline, lambda: self._tick(machine, deadline))
 
     def _tick(self, machine: Machine, deadline: float) -> None:
         if machine.tick_at == deadline:
             machine.tick_at = float("inf")
-            self.give(machine.node, Tick())
+            self.handle_event(machine.node, Tick())
 
     def _gossip(self) -> None:
         """Membership: every machine learns of the controllers that it reaches."""
         self._at(self.now + 0.5, self._gossip)
         alive = [m for m in self.machines.values() if m.alive]
         for machine in alive:
-            near = [m for m in alive if frozenset((m.node, machine.node)) not in self.cut]
-            members = tuple(GroupMember(m.disk.replica, m.node, True) for m in near)
-            established = any(m.status.commit_index > 0 for m in near)
-            self._later(machine, self.now, self._giver(machine, FoundingCandidates(members, established)))
+            reachable = [m for m in alive if frozenset((m.node, machine.node)) not in self.cut_links]
+            members = tuple(GroupMember(m.disk.replica, m.node, True) for m in reachable)
+            established = any(m.status.commit_index > 0 for m in reachable)
+            self._later(
+                machine, self.now, self._event_action(machine, FoundingCandidates(members, established))
+            )
 
-    def _giver(self, machine: Machine, event: Event) -> Callable[[], None]:
-        return lambda: self.give(machine.node, event)
+    def _event_action(self, machine: Machine, event: Event) -> Callable[[], None]:
+        return lambda: self.handle_event(machine.node, event)
 
-    def _carry_out(self, machine: Machine, effect: Effect) -> None:
+    def _execute(self, machine: Machine, effect: Effect) -> None:
         match effect:
             case Send():
                 self._transmit(machine, effect)
@@ -355,9 +357,9 @@
                 assert effect.restart_as_new or "disk" in effect.reason, effect.reason
                 if effect.restart_as_new:
                     assert not machine.state, "an acknowledged state was given up"
-                    self._later(machine, self.now + 0.3, lambda: self._renew(machine))
+                    self._later(machine, self.now + 0.3, lambda: self._restart_as_new(machine))
 
-    def _renew(self, machine: Machine) -> None:
+    def _restart_as_new(self, machine: Machine) -> None:
         self.wipe(machine.node).stops = machine.stops
 
     def _transmit(self, machine: Machine, send: Send) -> None:
@@ -366,22 +368,22 @@
         if send.to not in self.machines or self.random.random() < self.loss:
             return
         encoded = _ENCODER.encode(send.message)
-        self.largest_frame = max(self.largest_frame, len(encoded))
+        self.largest_message_bytes = max(self.largest_message_bytes, len(encoded))
         for _ in range(1 + (self.random.random() < self.duplication)):
             arrival = self.now + self.random.uniform(*self.delay)
             self._at(arrival, lambda: self._arrive(machine.node, send.to, encoded))
 
     def _arrive(self, sender: NodeId, to: NodeId, encoded: bytes) -> None:
         # A machine that moved meanwhile isn't there any more to get it.
-        if to in self.machines and frozenset((sender, to)) not in self.cut:
-            self.give(to, MessageReceived(sender, _DECODER.decode(encoded)))
+        if to in self.machines and frozenset((sender, to)) not in self.cut_links:
+            self.handle_event(to, MessageReceived(sender, _DECODER.decode(encoded)))
 
     def _write(self, machine: Machine, end: Callable[[], None]) -> None:
         machine.disk.free_at = max(machine.disk.free_at, self.now) + self.random.uniform(*self.fsync)
 
         def finish() -> None:
             if machine.stalled:
-                machine.held.append(end)
+                machine.held_writes.append(end)
                 self._later(machine, self.now + 1.0, lambda: self._report_stall(machine))
             else:
                 end()
@@ -390,28 +392,28 @@
 
     def _report_stall(self, machine: Machine) -> None:
         if machine.stalled:
-            self.give(machine.node, fx.DiskStalled(1.0))
+            self.handle_event(machine.node, fx.DiskStalled(1.0))
 
     def _persist(self, machine: Machine, batch: fx.Persist) -> None:
         if machine.full:
-            self.give(machine.node, fx.PersistFailed(batch.batch, True, "no space"))
+            self.handle_event(machine.node, fx.PersistFailed(batch.batch, True, "no space"))
             return
         machine.disk.write(batch)
-        self.give(machine.node, fx.Persisted(batch.batch))
+        self.handle_event(machine.node, fx.Persisted(batch.batch))
 
     def _snapshot(self, machine: Machine, meta: SnapshotMeta, data: bytes) -> None:
         if machine.full:
-            self.give(machine.node, fx.SnapshotFailed(meta.index, "no space"))
+            self.handle_event(machine.node, fx.SnapshotFailed(meta.index, "no space"))
             return
         if machine.disk.snapshot is None or meta.index > machine.disk.snapshot.index:
             machine.disk.snapshot, machine.disk.data = meta, data
-        self.give(machine.node, fx.SnapshotTaken(meta, data))
+        self.handle_event(machine.node, fx.SnapshotTaken(meta, data))
 
     def _install(self, machine: Machine, meta: SnapshotMeta, data: bytes) -> None:
         machine.disk.snapshot, machine.disk.data, machine.disk.entries = meta, data, []
         machine.state = _STATE_DECODER.decode(data)
         machine.applied = meta.index
-        self.give(machine.node, fx.SnapshotInstalled(meta))
+        self.handle_event(machine.node, fx.SnapshotInstalled(meta))
 
     # Invariants
 
--- a/tests/unit/consensus/test_cluster.py
+++ b/tests/unit/consensus/test_cluster.py
@@ -17,7 +17,9 @@
 MIB = 1024 * 1024
 
 
-def founded(nodes: tuple[str, ...] = THREE, settings: ConsensusSettings = ConsensusSettings()) -> Cluster:
+def founded_cluster(
+    nodes: tuple[str, ...] = THREE, settings: ConsensusSettings = ConsensusSettings()
+) -> Cluster:
     cluster = Cluster(7, nodes, settings)
     cluster.commit(b"first")
     return cluster
@@ -28,7 +30,7 @@
 
 
 def test_killed_leader_is_replaced_within_two_election_timeouts() -> None:
-    cluster = founded()
+    cluster = founded_cluster()
     old = cluster.await_leader().node
 
     cluster.crash(old)
@@ -41,7 +43,7 @@
 
 
 def test_leader_cut_off_steps_down_and_what_it_took_is_never_acknowledged() -> None:
-    cluster = founded()
+    cluster = founded_cluster()
     old = cluster.await_leader().node
     cluster.isolate(old)
 
@@ -60,10 +62,10 @@
 
 
 def test_a_replica_that_hears_its_leader_votes_for_nobody_else() -> None:
-    cluster = founded()
+    cluster = founded_cluster()
     leader = cluster.await_leader()
     first, second = others(cluster, leader.node)
-    cluster.cut.add(frozenset((leader.node, first)))
+    cluster.cut_links.add(frozenset((leader.node, first)))
 
     cluster.run(10.0)
 
@@ -72,7 +74,7 @@
 
 
 def test_acknowledged_only_when_a_majority_has_it_on_disk() -> None:
-    cluster = founded()
+    cluster = founded_cluster()
     leader = cluster.await_leader().node
     for node in others(cluster, leader):
         cluster.machines[node].stalled = True
@@ -87,7 +89,7 @@
 
 
 def test_power_loss_of_all_after_an_acknowledgement_loses_nothing() -> None:
-    cluster = founded()
+    cluster = founded_cluster()
     correlation_ids = [cluster.commit(b"%d" % number) for number in range(50)]
     for node in THREE:
         cluster.crash(node)
@@ -102,7 +104,7 @@
 
 
 def test_after_a_power_loss_of_all_each_replica_has_its_state_before_there_is_a_leader() -> None:
-    cluster = founded()
+    cluster = founded_cluster()
     for number in range(5):
         cluster.commit(b"%d" % number)
     cluster.settle()
@@ -111,14 +113,14 @@
         cluster.crash(node)
     for node in THREE:
         cluster.restart(node)
-        cluster.give(node, Tick())
+        cluster.handle_event(node, Tick())
         # The last commit is not on disk: no write came after it.
         assert cluster.machines[node].state == whole[node][:-1] != []
         assert not cluster.machines[node].status.leading
 
 
 def test_wiped_voters_are_replaced_in_turn_without_losing_a_command() -> None:
-    cluster = founded()
+    cluster = founded_cluster()
     for node in THREE:
         old = cluster.machines[node].disk.replica
         cluster.wipe(node)
@@ -139,14 +141,14 @@
 
 
 def test_wiped_machine_never_votes_under_its_old_identity() -> None:
-    cluster = founded()
+    cluster = founded_cluster()
     leader = cluster.await_leader().node
     wiped, other = others(cluster, leader)
     cluster.isolate(other)
     correlation_id = cluster.commit(b"on the leader and the machine that is wiped next")
     cluster.wipe(wiped)
     cluster.crash(leader)
-    cluster.cut.clear()
+    cluster.cut_links.clear()
 
     cluster.run(20.0)
     assert cluster.leader() is None, "the empty machine must not help the one that missed the command"
@@ -157,7 +159,7 @@
 
 
 def test_lost_voter_is_replaced_by_a_learner_at_another_node() -> None:
-    cluster = founded(("a", "b", "c", "d"), FAST_REPLACEMENT)
+    cluster = founded_cluster(("a", "b", "c", "d"), FAST_REPLACEMENT)
     leader = cluster.await_leader().node
     cluster.run_until(lambda: len(cluster.machines[leader].status.members.members) == 4)
     lost = next(node for node in sorted(cluster.voters()) if node != leader)
@@ -172,7 +174,7 @@
 
 
 def test_absent_voter_becomes_a_learner_that_is_caught_up_as_soon_as_it_is_back() -> None:
-    cluster = founded(("a", "b", "c", "d"), FAST_REPLACEMENT)
+    cluster = founded_cluster(("a", "b", "c", "d"), FAST_REPLACEMENT)
     leader = cluster.await_leader()
     cluster.run_until(lambda: len(leader.status.members.members) == 4)
     lost = next(node for node in sorted(cluster.voters()) if node != leader.node)
@@ -189,12 +191,12 @@
 
 
 def test_voter_whose_process_is_about_to_stop_gives_its_place_to_a_learner_before_it_is_gone() -> None:
-    cluster = founded(("a", "b", "c", "d"))
+    cluster = founded_cluster(("a", "b", "c", "d"))
     leader = cluster.await_leader()
     cluster.run_until(lambda: len(leader.status.members.members) == 4)
     stopping = next(node for node in sorted(cluster.voters()) if node != leader.node)
 
-    cluster.give(stopping, StopAnnounced())
+    cluster.handle_event(stopping, StopAnnounced())
     cluster.run_until(lambda: cluster.voters() == {"a", "b", "c", "d"} - {stopping}, 0.3)
 
     cluster.crash(stopping)
@@ -203,18 +205,18 @@
 
 
 def test_voter_about_to_stop_stays_where_no_learner_can_take_its_place() -> None:
-    cluster = founded()
+    cluster = founded_cluster()
     leader = cluster.await_leader()
     stopping = others(cluster, leader.node)[0]
 
-    cluster.give(stopping, StopAnnounced())
+    cluster.handle_event(stopping, StopAnnounced())
     cluster.run(1.0)
 
     assert cluster.voters() == set(THREE)
 
 
 def test_leader_that_hears_nothing_calls_a_successor_to_stand_as_it_steps_down() -> None:
-    cluster = founded()
+    cluster = founded_cluster()
     old = cluster.await_leader()
     cluster.keep_sent = True
     cluster.isolate(old.node)
@@ -226,7 +228,7 @@
 
 
 def test_folder_under_another_node_name_keeps_its_identity_and_vote() -> None:
-    cluster = founded()
+    cluster = founded_cluster()
     moved = others(cluster, cluster.await_leader().node)[0]
     replica = cluster.machines[moved].disk.replica
 
@@ -240,7 +242,7 @@
 
 
 def test_second_disk_lost_before_the_first_is_replaced_stops_the_group_but_harms_nothing() -> None:
-    cluster = founded(("a", "b", "c", "d"), ConsensusSettings(superseded_after_s=2.0))
+    cluster = founded_cluster(("a", "b", "c", "d"), ConsensusSettings(superseded_after_s=2.0))
     leader = cluster.await_leader()
     first, second = sorted(cluster.voters() - {leader.node})
     members = leader.status.members
@@ -256,7 +258,7 @@
 
 
 def test_no_voter_is_removed_while_the_reachable_ones_are_no_majority() -> None:
-    cluster = founded(("a", "b", "c", "d"), FAST_REPLACEMENT)
+    cluster = founded_cluster(("a", "b", "c", "d"), FAST_REPLACEMENT)
     cluster.run(2.0)
     leader = cluster.await_leader().node
     members = cluster.machines[leader].status.members
@@ -271,16 +273,16 @@
 
 
 def test_operator_changes_members_one_at_a_time() -> None:
-    cluster = founded()
+    cluster = founded_cluster()
     leader = cluster.await_leader()
     node = others(cluster, leader.node)[0]
     voter = leader.status.members.find(cluster.machines[node].disk.replica)
     ghost = GroupMember(voter.replica.__class__("ghost"), voter.node, voter=False)
 
-    cluster.give(leader.node, ChangeMember("one", MemberChangeKind.ADD_LEARNER, ghost))
-    cluster.give(leader.node, ChangeMember("two", MemberChangeKind.REMOVE, voter))
+    cluster.handle_event(leader.node, ChangeMember("one", MemberChangeKind.ADD_LEARNER, ghost))
+    cluster.handle_event(leader.node, ChangeMember("two", MemberChangeKind.REMOVE, voter))
     cluster.run(0.2)
-    cluster.give(leader.node, ChangeMember("three", MemberChangeKind.PROMOTE, ghost))
+    cluster.handle_event(leader.node, ChangeMember("three", MemberChangeKind.PROMOTE, ghost))
 
     assert "one" in cluster.acknowledged
     assert cluster.dropped["two"].reason == "another change is under way; try again"
@@ -288,19 +290,19 @@
 
 
 def test_leadership_is_handed_over_on_request_without_a_gap_of_an_election_timeout() -> None:
-    cluster = founded()
+    cluster = founded_cluster()
     old = cluster.await_leader().node
     target = others(cluster, old)[1]
     begin = cluster.now
 
-    cluster.give(old, TransferLeadership(cluster.machines[target].disk.replica))
+    cluster.handle_event(old, TransferLeadership(cluster.machines[target].disk.replica))
     cluster.await_leader([target])
 
     assert cluster.now - begin < cluster.settings.election_timeout_min_s / 2
 
 
 def test_leader_with_a_stalled_disk_hands_over() -> None:
-    cluster = founded()
+    cluster = founded_cluster()
     old = cluster.await_leader()
     old.stalled = True
 
@@ -311,7 +313,7 @@
 
 
 def test_full_disks_refuse_commands_clearly_and_recover() -> None:
-    cluster = founded()
+    cluster = founded_cluster()
     for machine in cluster.machines.values():
         machine.full = True
     leader = cluster.await_leader().node
@@ -332,7 +334,7 @@
 
 def test_slow_follower_gets_the_snapshot_in_chunks_and_resumes_after_a_cut() -> None:
     settings = ConsensusSettings(snapshot_entries=30, kept_entries=5, chunk_bytes=500)
-    cluster = founded(settings=settings)
+    cluster = founded_cluster(settings=settings)
     slow = others(cluster, cluster.await_leader().node)[0]
     cluster.crash(slow)
     for _ in range(60):
@@ -343,7 +345,7 @@
     cluster.isolate(slow)
     cluster.run(3.0)
     before_heal = len(cluster.sent)
-    cluster.cut.clear()
+    cluster.cut_links.clear()
     cluster.settle()
 
     chunks = [m for *_, m in cluster.sent if isinstance(m, wire.RaftSnapshotChunk)]
@@ -358,26 +360,26 @@
 
 
 def test_entry_of_eight_mib_passes_while_heartbeats_stay_small() -> None:
-    cluster = founded()
+    cluster = founded_cluster()
     term = cluster.await_leader().status.term
     cluster.keep_sent = True
 
     cluster.commit(bytes(8 * MIB))
     cluster.settle()
-    assert 8 * MIB < cluster.largest_frame < 8 * MIB + 1024
-    cluster.largest_frame = 0
+    assert 8 * MIB < cluster.largest_message_bytes < 8 * MIB + 1024
+    cluster.largest_message_bytes = 0
     for _ in range(30):
         cluster.propose(cluster.await_leader().node, bytes(100_000))
     cluster.settle()
 
-    assert cluster.largest_frame <= 512 * 1024 + 1024
+    assert cluster.largest_message_bytes <= 512 * 1024 + 1024
     assert cluster.await_leader().status.term == term
     heartbeats = [at for at, _, _, message in cluster.sent if isinstance(message, wire.RaftHeartbeat)]
     assert max(b - a for a, b in itertools.pairwise(heartbeats)) < 0.11
 
 
 def test_too_large_a_command_is_refused() -> None:
-    cluster = founded()
+    cluster = founded_cluster()
 
     correlation_id = cluster.propose(cluster.await_leader().node, bytes(12 * MIB + 1))
 
@@ -385,7 +387,7 @@
 
 
 def test_reads_share_one_heartbeat_round_and_only_the_leader_confirms() -> None:
-    cluster = founded()
+    cluster = founded_cluster()
     leader = cluster.await_leader().node
     cluster.run(0.01)
     cluster.keep_sent = True
@@ -402,13 +404,13 @@
 
 
 def test_disk_failure_stops_the_replica_loudly_and_the_rest_goes_on() -> None:
-    cluster = founded()
+    cluster = founded_cluster()
     broken = cluster.await_leader()
     broken.stalled = True
     correlation_id = cluster.propose(broken.node, b"x")
     batch = broken.replica._core.durability._in_flight.number
 
-    cluster.give(broken.node, PersistFailed(batch, False, "input/output error"))
+    cluster.handle_event(broken.node, PersistFailed(batch, False, "input/output error"))
     assert broken.stops == ["the disk failed: input/output error"]
     assert cluster.dropped[correlation_id].unknown
     refused = cluster.propose(broken.node, b"y")
@@ -418,7 +420,7 @@
 
 @pytest.mark.parametrize("lost", [1, 2])
 def test_quiet_group_sends_heartbeats_and_nothing_else(lost: int) -> None:
-    cluster = founded()
+    cluster = founded_cluster()
     cluster.run(3.0)
     cluster.keep_sent = True
     for node in others(cluster, cluster.await_leader().node)[: lost - 1]:
--- a/tests/unit/consensus/test_founding.py
+++ b/tests/unit/consensus/test_founding.py
@@ -16,7 +16,7 @@
 FIVE = ("a", "b", "c", "d", "e")
 BARRIER_LEFT_BEHIND = (1349, 1642, 1691)
 """Seeds of runs that wipe two founding members after the first election and before the first commit."""
-IMPATIENT = ConsensusSettings(founding_abandon_s=5.0)
+SHORT_ABANDON_TIME = ConsensusSettings(founding_abandon_s=5.0)
 
 
 def test_three_found_and_further_ones_join_as_learners() -> None:
@@ -54,7 +54,7 @@
     cluster.run(10.0)
     assert cluster.leader() is None
 
-    cluster.cut.clear()
+    cluster.cut_links.clear()
     cluster.settle()
 
 
@@ -100,7 +100,7 @@
     machine = cluster.await_leader()
     notice = wire.RaftForeignGroup(machine.disk.replica, "other", 1000)
 
-    cluster.give(machine.node, MessageReceived("x", notice))
+    cluster.handle_event(machine.node, MessageReceived("x", notice))
 
     assert not machine.stops
     cluster.commit()
@@ -123,21 +123,21 @@
 @pytest.mark.parametrize("seed", [*range(40), *BARRIER_LEFT_BEHIND])
 def test_at_most_one_group_comes_to_life_among_five(seed: int) -> None:
     """``Cluster`` fails the run as soon as a second group applies an entry."""
-    chance = random.Random(seed)
-    cluster = Cluster(seed, FIVE, IMPATIENT)
-    cluster.loss = chance.choice((0.0, 0.2, 0.4))
-    cluster.delay = (0.001, chance.choice((0.01, 0.5, 2.0)))
+    rng = random.Random(seed)
+    cluster = Cluster(seed, FIVE, SHORT_ABANDON_TIME)
+    cluster.loss = rng.choice((0.0, 0.2, 0.4))
+    cluster.delay = (0.001, rng.choice((0.01, 0.5, 2.0)))
     for _ in range(20):
-        cluster.cut = {
-            frozenset((one, other)) for one in FIVE for other in FIVE if one < other and chance.random() < 0.4
+        cluster.cut_links = {
+            frozenset((one, other)) for one in FIVE for other in FIVE if one < other and rng.random() < 0.4
         }
-        node = chance.choice(FIVE)
-        if chance.random() < 0.3:
+        node = rng.choice(FIVE)
+        if rng.random() < 0.3:
             cluster.crash(node)
             cluster.restart(node)
-        elif chance.random() < 0.3 and not cluster.committed:
+        elif rng.random() < 0.3 and not cluster.committed:
             cluster.wipe(node)
-        cluster.run(chance.uniform(0.2, 3.0))
+        cluster.run(rng.uniform(0.2, 3.0))
     cluster.delay = (0.001, 0.01)
     cluster.settle()
     assert len(cluster.groups_with_commits) == 1
--- a/tests/unit/consensus/test_random_faults.py
+++ b/tests/unit/consensus/test_random_faults.py
@@ -11,40 +11,40 @@
 from tests.support.consensus_cluster import Cluster, Machine
 
 NODES = ("a", "b", "c", "d")
-SMALL = ConsensusSettings(
+SMALL_LIMITS = ConsensusSettings(
     snapshot_entries=20,
     kept_entries=5,
     chunk_bytes=300,
-    max_frame_bytes=1500,
+    max_append_bytes=1500,
     max_inflight_messages=4,
     max_inflight_bytes=4000,
     promotion_lag_entries=4,
     lost_after_s=5.0,
     snapshot_retry_s=1.0,
 )
-HASTY = msgspec.structs.replace(
-    SMALL,
+RAPID_REPLACEMENT = msgspec.structs.replace(
+    SMALL_LIMITS,
     heartbeat_s=0.15,
     election_timeout_min_s=0.5,
     election_timeout_max_s=0.9,
     lost_after_s=1.0,
     superseded_after_s=0.3,
-    learner_forgotten_after_s=4.0,
+    learner_removed_after_s=4.0,
 )
 STOP_SHARE = 0.2
 FAULT_STEPS = 40
 LOADS_PER_STEP = 8
-CALM_SHARE = 0.2
+HEAL_SHARE = 0.2
 """Steps that heal everything, so that the next faults meet a working group."""
 SEEDS_IN_CI = range(16)
 
 
-class Chaos:
+class RandomFaultRun:
     """One seeded run: founding under loss, then faults under load, then healing."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
-        self.cluster = Cluster(seed, NODES, SMALL)
+        self.cluster = Cluster(seed, NODES, SMALL_LIMITS)
         self.cluster.loss = self.random.choice((0.0, 0.02, 0.1, 0.2))
         self.cluster.duplication = self.random.choice((0.0, 0.05))
         self.cluster.delay = (0.001, self.random.choice((0.01, 0.05, 0.15)))
@@ -70,7 +70,7 @@
         cluster = self.cluster
         node = self.random.choice(NODES)
         machine = cluster.machines[node]
-        if self.random.random() < CALM_SHARE:
+        if self.random.random() < HEAL_SHARE:
             cluster.heal()
             cluster.run(self.random.uniform(0.0, 8.0))
             return
@@ -82,9 +82,9 @@
             case 4:
                 cluster.isolate(node)
             case 5:
-                cluster.cut.add(frozenset(self.random.sample(NODES, 2)))
+                cluster.cut_links.add(frozenset(self.random.sample(NODES, 2)))
             case 6 | 7:
-                cluster.cut.clear()
+                cluster.cut_links.clear()
             case 8:
                 machine.stalled = True
             case 9:
@@ -93,7 +93,7 @@
             case 10 if self._may_wipe():
                 cluster.wipe(node)
             case 11:
-                self._hand_over()
+                self._transfer_leadership()
 
     def _may_wipe(self) -> bool:
         """One disk at a time: the group must have replaced the last one, else a majority is gone."""
@@ -102,15 +102,15 @@
             return False
         present = {m.disk.replica for m in self.cluster.machines.values()}
         voters = {v.replica for v in leader.status.members.voters()}
-        return len(voters) == 3 and voters <= present and self._followed(leader)
+        return len(voters) == 3 and voters <= present and self._has_newest_term(leader)
 
-    def _followed(self, leader: Machine) -> bool:
+    def _has_newest_term(self, leader: Machine) -> bool:
         return not any(m.alive and m.status.term > leader.status.term for m in self.cluster.machines.values())
 
-    def _hand_over(self) -> None:
+    def _transfer_leadership(self) -> None:
         leader = self.cluster.leader()
         if leader is not None:
-            self.cluster.give(leader.node, TransferLeadership())
+            self.cluster.handle_event(leader.node, TransferLeadership())
 
     def _load(self) -> None:
         node = self.random.choice(NODES)
@@ -123,12 +123,12 @@
             self.cluster.read(leader.node)
 
 
-class HastyChaos(Chaos):
+class RapidReplacementRun(RandomFaultRun):
     """Replaces voters within moments, and processes say that they stop, some steps before they do."""
 
     def __init__(self, seed: int) -> None:
         super().__init__(seed)
-        self.cluster = Cluster(seed, NODES, HASTY)
+        self.cluster = Cluster(seed, NODES, RAPID_REPLACEMENT)
         self.cluster.loss = self.random.choice((0.0, 0.02, 0.1))
         self.stopping: set[str] = set()
 
@@ -136,7 +136,7 @@
         if self.random.random() < STOP_SHARE:
             node = self.random.choice(NODES)
             self.stopping.add(node)
-            self.cluster.give(node, StopAnnounced())
+            self.cluster.handle_event(node, StopAnnounced())
         elif self.random.random() < STOP_SHARE:
             self._end()
         super()._fault()
@@ -149,7 +149,7 @@
 
 @pytest.mark.parametrize("seed", SEEDS_IN_CI)
 def test_invariants_hold_while_voters_are_replaced_hastily(seed: int) -> None:
-    cluster = HastyChaos(seed).run()
+    cluster = RapidReplacementRun(seed).run()
 
     assert cluster.acknowledged
     assert len(cluster.groups_with_commits) == 1
@@ -157,7 +157,7 @@
 
 @pytest.mark.parametrize("seed", SEEDS_IN_CI)
 def test_invariants_hold_under_random_faults(seed: int) -> None:
-    cluster = Chaos(seed).run()
+    cluster = RandomFaultRun(seed).run()
 
     assert cluster.acknowledged
     assert len(cluster.groups_with_commits) == 1
--- a/tests/unit/storage/test_replica_store.py
+++ b/tests/unit/storage/test_replica_store.py
@@ -105,7 +105,7 @@
     store = opened(disk)
     disk.stall_s = 2.5
     store.persist(appending(entry(1)))
-    assert disk.take_waited_s() == 2.5
+    assert disk.take_stalled_s() == 2.5
 
 
 def test_an_overwritten_suffix_stays_overwritten() -> None:
