--- a/src/springmux/coordination/consensus/abandonment.py
+++ b/src/springmux/coordination/consensus/abandonment.py
@@ -1,9 +1,10 @@
 """Giving up a founded group that can't elect its first leader.
 
-A replica of a group that never elected anyone, and which never gave a vote, may give the group up: it
-restarts under a new identity, and the old group can then never have a leader. One that did give a vote
-gives up only if some members are gone for good and all others say, after that was known, that their logs
-are empty: then nothing was ever committed, since whoever led is gone and nobody else can be elected.
+A replica of a group that never elected a leader may give the group up if it never cast a vote. It restarts
+under a new identity, and the old group can then never have a leader. A replica that did vote gives the
+group up only if some members are permanently lost and all others have reported since that became known
+that their logs are empty. Then nothing was ever committed, because any former leader is lost and nobody
+else can be elected.
 """
 
 from __future__ import annotations
@@ -20,36 +21,36 @@
 
 
 class Abandonment:
-    """Decides when this replica gives its group up, which is safe before the first leader's commit only."""
+    """Decides when this replica gives its group up, which is safe only before the first leader's commit."""
 
     def __init__(self, core: ReplicaCore) -> None:
         self._core = core
         self._lost_members: set[ReplicaId] = set()
-        """Members that are gone for good."""
+        """Members that are permanently lost."""
         self._members_with_empty_logs: set[ReplicaId] = set()
         """Members that reported an empty log after the newest of ``_lost_members`` was known."""
         self._abandon_at = NEVER
 
     @property
     def lost_member_count(self) -> int:
-        """Return how many members are known to be gone for good."""
+        """How many members are known to be permanently lost."""
         return len(self._lost_members)
 
     def awaits_first_leader(self) -> bool:
-        """Return whether the group had no leader yet as far as this replica knows."""
+        """Return whether, as far as this replica knows, the group never had a leader."""
         return self._core.log.last_index == 0 and self._core.leader is None
 
     def deadline(self) -> float:
-        """Return when to give the group up, never once this replica voted or knew a leader."""
+        """Return when to give the group up; never once this replica voted or knew a leader."""
         return self._abandon_at if self._never_voted() else NEVER
 
     def postpone(self) -> None:
-        """Wait for a full time again, since the group may be about to elect its first leader."""
+        """Restart the whole waiting time, because the group may be about to elect its first leader."""
         delay_s = self._core.random.uniform(1.0, 2.0) * self._core.settings.founding_abandon_s
         self._abandon_at = self._core.now + delay_s
 
     def on_refusal(self, message: RaftFoundingRefusal) -> None:
-        """Give the group up if the loss of the refusing member shows that it can't have a leader."""
+        """Give the group up if it can't have a leader without the refusing member."""
         core = self._core
         lost = message.replica != message.addressed or message.own_group not in ("", core.group)
         listed = core.log.members.find(message.addressed) is not None
@@ -62,7 +63,7 @@
             core.stop_to_restart_as_new(f"replica {message.addressed} is no longer part of {core.group}")
 
     def on_repeated_commit(self, message: RaftFoundingCommit, sender: NodeId) -> None:
-        """Reply to a member that still waits for the first leader if the own log is empty as well."""
+        """Reply to a member that still waits for the first leader, if this replica's log is empty too."""
         core = self._core
         if core.log.last_index == 0:
             reply = RaftFoundingUnborn(
@@ -77,13 +78,13 @@
             return
         self._members_with_empty_logs.add(message.source)
         if self._lost_members and self._no_member_has_entries():
-            core.stop_to_restart_as_new(f"group {core.group} lost members before it came to life")
+            core.stop_to_restart_as_new(f"group {core.group} lost members before it committed anything")
 
     def on_foreign_group(self, message: RaftForeignGroup) -> None:
-        """Yield to a group with commits if this folder holds nothing that the own may have acknowledged.
+        """Give the group up for one with commits if this folder holds nothing that may be acknowledged.
 
-        A first leader may have left its barrier in the log. Giving the folder up is then as safe as losing
-        the disk: its identity never votes again, and no command was ever acknowledged by it.
+        A first leader may have left its barrier in the log. Giving up the folder is then as safe as losing
+        the disk: its identity never votes again, and it never acknowledged a command.
         """
         core = self._core
         foreign = message.target == core.replica and message.group != core.group
@@ -92,7 +93,7 @@
             core.stop_to_restart_as_new(f"group {message.group} is established, {core.group} is not")
 
     def _never_voted(self) -> bool:
-        """Return whether the group is leaderless and this replica never helped to elect a leader."""
+        """Return whether the group never had a leader and this replica never helped to elect one."""
         return self.awaits_first_leader() and self._core.term == 0
 
     def _no_member_has_entries(self) -> bool:
--- a/src/springmux/coordination/consensus/core.py
+++ b/src/springmux/coordination/consensus/core.py
@@ -1,6 +1,6 @@
-"""State that the modules of a replica share: identity, term, role, log, timers and the effects so far.
+"""State that the modules of a replica share: identity, term, role, log, timers and collected effects.
 
-Roles and terms change only through the methods here, so that their consequences are in one place.
+Roles and terms change only through the methods here, so that what follows from a change is in one place.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 from springmux.coordination.state_machine import NEVER, Effect, LogLevel, LogLine, PeerMessage, Send
 
 RESTART_AS_NEW = "restart as a new replica: "
-"""Beginning of the reasons, as operators read them, of stops with ``restart_as_new``."""
+"""Prefix of the stop reasons that operators see when ``restart_as_new`` is set."""
 
 
 class Role(enum.Enum):
-    """What a replica is in its term."""
+    """Role of a replica in its current term."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre_candidate"
@@ -41,11 +41,11 @@
     """How a leader sends entries to a follower."""
 
     PROBE = "probe"
-    """One message at a time, until the follower's log is known to match."""
+    """One message at a time, until the leader knows where the follower's log matches its own."""
     REPLICATE = "replicate"
-    """Many messages in flight."""
+    """Pipelining: many messages are in flight."""
     SNAPSHOT = "snapshot"
-    """The follower needs what is compacted: chunks of a snapshot."""
+    """The follower needs entries that were compacted, so the leader sends chunks of a snapshot."""
 
 
 class SnapshotTransfer(msgspec.Struct):
@@ -57,7 +57,7 @@
 
 
 class InFlightAppend(msgspec.Struct, frozen=True):
-    """Entries up to ``last_index`` that were sent together and aren't acknowledged yet."""
+    """Entries that were sent in one message and aren't acknowledged yet; the last is at ``last_index``."""
 
     last_index: LogIndex
     size_bytes: int
@@ -76,26 +76,26 @@
     in_flight: deque[InFlightAppend] = msgspec.field(default_factory=deque)
     in_flight_bytes: int = 0
     awaiting_reply: bool = False
-    """Something was sent that isn't acknowledged yet."""
+    """Whether entries or a snapshot chunk were sent and aren't acknowledged yet."""
     resend_at: float = NEVER
     acknowledged_round: int = 0
     storage_ready: bool = True
     leaving: bool = False
-    """Its process announced that it stops."""
+    """Whether the follower's process announced that it is about to stop."""
     backed_off_at: float = -NEVER
-    """When a rejection last ended pipelining."""
+    """Monotonic time in seconds at which a rejection last ended pipelining."""
     transfer: SnapshotTransfer | None = None
 
 
 class PendingProposal(msgspec.Struct, frozen=True):
-    """A command whose commit is awaited."""
+    """An appended entry whose commit is to be reported to its proposer."""
 
     index: LogIndex
     correlation_id: str
 
 
 class ReadBatch(msgspec.Struct, frozen=True):
-    """Reads that heartbeat ``round`` will confirm, current as of ``index``."""
+    """Reads that heartbeat round ``round`` confirms; state applied up to ``index`` is current for them."""
 
     round: int
     index: LogIndex
@@ -118,7 +118,10 @@
     transfer_deadline: float = NEVER
     transfer_sent: bool = False
     transfer_caused_by_disk: bool = False
-    """The transfer was caused by the own disk: pointless once that accepts writes again."""
+    """Whether the transfer began because the leader's own disk is full or stalled.
+
+    Such a transfer is cancelled once the disk accepts writes again.
+    """
 
 
 class ReplicaCore:
@@ -138,11 +141,12 @@
         self.durability = Durability(recovered, self.log, settings.disk_retry_s)
         self.snapshot = recovered.snapshot
         self.snapshot_data = recovered.snapshot_data
-        # What was committed stays so: after a power loss of all it is applied before there is a leader.
+        # Committed entries stay committed: after a power loss of all replicas they are applied before a
+        # leader is elected.
         self.commit_index = max(self.log.base_index, min(recovered.committed, self.log.last_index))
         self.applied_index = self.log.base_index
         self.applied_bytes = 0
-        """Size of what was applied since the last snapshot was requested."""
+        """Size of the entries applied since the last snapshot was requested."""
         self.role = Role.FOLLOWER
         self.leader: ReplicaId | None = None
         self.leader_node: NodeId | None = None
@@ -151,7 +155,7 @@
         self.leadership: Leadership | None = None
         self.stopped = ""
         self.leaving = False
-        """The process is about to stop."""
+        """Whether the process is about to stop."""
         self._announced_leadership: tuple[Term, ReplicaId | None, bool] = (self.term, None, False)
         self._effects: list[Effect] = []
 
@@ -162,28 +166,28 @@
 
     @property
     def leading(self) -> bool:
-        """Whether this replica leads and has committed (and applied) its barrier."""
+        """Whether this replica leads and has committed and applied its barrier entry."""
         return self.leadership is not None and self.applied_index >= self.leadership.barrier_index
 
     @property
     def member(self) -> GroupMember | None:
-        """This replica in the newest members."""
+        """This replica's entry in the newest membership, or ``None`` if it isn't a member."""
         return self.log.members.find(self.replica)
 
     def emit(self, effect: Effect) -> None:
-        """Add an effect to those of the present event."""
+        """Add an effect to those of the event being handled."""
         self._effects.append(effect)
 
     def emit_log_line(self, name: str, level: LogLevel = LogLevel.INFO, **fields: object) -> None:
-        """Add a structured log line to the effects of the present event."""
+        """Add a structured log line to the effects of the event being handled."""
         self.emit(LogLine(name, level, dict(fields)))
 
     def send(self, node: NodeId, message: PeerMessage) -> None:
-        """Send a message now."""
+        """Send a message without waiting for the disk."""
         self.emit(Send(node, message))
 
     def send_durably(self, node: NodeId, message: PeerMessage) -> None:
-        """Send a message once all changes up to now are on disk, unless the term has changed by then."""
+        """Send a message once all changes made so far are on disk, unless the term has changed by then."""
         term = self.term
 
         def deliver() -> None:
@@ -193,27 +197,30 @@
         self.durability.run_when_durable(deliver)
 
     def take_effects(self) -> list[Effect]:
-        """Return the effects gathered and begin a new list."""
+        """Return the collected effects and start a new list."""
         effects, self._effects = self._effects, []
         return effects
 
     def reset_election_deadline(self) -> None:
-        """Wait for a random election timeout from now on (Raft, section 5.2)."""
+        """Set the election deadline to a random election timeout from now (Raft, section 5.2)."""
         low, high = self.settings.election_timeout_min_s, self.settings.election_timeout_max_s
         self.election_deadline = self.now + self.random.uniform(low, high)
 
     def shorten_election_deadline(self) -> None:
-        """Request pre-votes soon, since no leader is known; a pre-vote changes nothing at the voters."""
+        """Request pre-votes soon, because no leader is known; a pre-vote changes no state at the voters."""
         low, high = self.settings.first_election_min_s, self.settings.first_election_max_s
         self.election_deadline = self.now + self.random.uniform(low, high)
 
     def has_live_leader(self) -> bool:
-        """Return whether a leader is alive as far as this replica knows (Ongaro 2014, section 4.2.3)."""
+        """Return whether this replica leads or recently had contact with a leader.
+
+        Source: Ongaro 2014, section 4.2.3.
+        """
         recent = self.now - self.last_leader_contact < self.settings.election_timeout_min_s
         return self.leadership is not None or (self.leader is not None and recent)
 
     def become_follower(self, term: Term, leader: ReplicaId | None = None) -> None:
-        """Follow ``leader`` (or nobody yet) in ``term``."""
+        """Follow ``leader`` in ``term``; ``None`` if the leader of the term isn't known yet."""
         if term > self.term:
             self.durability.hard_state = HardState(term, None)
         self._end_leadership()
@@ -223,7 +230,7 @@
         self.reset_election_deadline()
 
     def follow(self, term: Term, leader: ReplicaId, node: NodeId) -> None:
-        """Follow the leader of ``term``, of which a message arrived."""
+        """Follow the leader of ``term``, from which a message arrived."""
         if term > self.term or self.role is not Role.FOLLOWER:
             self.become_follower(term, leader)
         self.leader = leader
@@ -232,7 +239,7 @@
         self.reset_election_deadline()
 
     def stop(self, reason: str, restart_as_new: bool = False) -> None:
-        """Stop for good; requests are rejected from now on."""
+        """Stop permanently; later requests are rejected."""
         if self.stopped:
             return
         self._end_leadership()
@@ -242,14 +249,14 @@
         self.emit(ReplicaStopped(reason, restart_as_new))
 
     def stop_to_restart_as_new(self, reason: str) -> None:
-        """Stop for good, so that the driver restarts with an emptied folder as a new replica.
+        """Stop permanently, so that the driver restarts with an emptied folder as a new replica.
 
-        Only for a replica whose folder holds nothing acknowledged.
+        Only for a replica whose folder holds nothing that was acknowledged.
         """
         self.stop(RESTART_AS_NEW + reason, restart_as_new=True)
 
     def announce_leader(self) -> None:
-        """Notify the driver of the leader if that changed."""
+        """Notify the driver if the known leader, the term or this replica's leadership changed."""
         present = (self.term, self.leader, self.leading)
         if present != self._announced_leadership:
             self._announced_leadership = present
--- a/src/springmux/coordination/consensus/durability.py
+++ b/src/springmux/coordination/consensus/durability.py
@@ -1,7 +1,7 @@
-"""Durability of hard state and log: one batch in flight, later changes gather for the next.
+"""Durability of hard state and log: one batch is in flight while later changes collect for the next.
 
-One batch at a time gives group commit for free and makes a full disk simple: the failed batch is
-merged with what gathered since, and written again.
+Writing one batch at a time gives group commit without further logic and makes a full disk simple to
+handle: the failed batch is merged with the changes made since, and written again.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class _Batch(msgspec.Struct):
-    """The batch that storage is writing, and what the disk held before it."""
+    """The batch that storage is writing, and the state that the disk held before it."""
 
     number: int
     last_index: LogIndex
@@ -33,18 +33,18 @@
 
 
 class Durability:
-    """Knows which part of the hard state and of the log is durable."""
+    """Tracks which parts of the hard state and the log are durable."""
 
     def __init__(self, recovered: RecoveredState, log: ReplicatedLog, retry_s: float) -> None:
         self.hard_state = recovered.hard_state
-        """The newest hard state, on disk or not."""
+        """The newest hard state, whether on disk yet or not."""
         self.log = log
         self.stable_index = log.last_index
-        """Entries up to here are on disk as they are in memory."""
+        """Entries up to this index are on disk as they are in memory."""
         self.full = False
         self.stalled = False
         self.blocked = False
-        """A snapshot is being installed: storage replaces the log, so nothing is written meanwhile."""
+        """Whether a snapshot is being installed: storage replaces the log, so no batch is written then."""
         self._retry_s = retry_s
         self._retry_at = NEVER
         self._written_hard_state = recovered.hard_state
@@ -57,7 +57,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the disk accepts writes at present."""
+        """Whether the disk currently accepts writes."""
         return not (self.full or self.stalled or self.blocked)
 
     @property
@@ -67,15 +67,15 @@
 
     def deadline(self) -> float:
         """Return when a failed batch is to be written again."""
-        # While a snapshot is being installed nothing is written; its end is an event.
+        # Nothing is written while a snapshot is being installed, and an event reports the end of that.
         return NEVER if self.blocked else self._retry_at
 
     def set_founding(self, group: GroupId, members: GroupMembers) -> None:
-        """Record that the data folder belongs to ``group``."""
+        """Record that the data folder belongs to ``group``, whose first members are ``members``."""
         self._founding = (group, members)
 
     def truncate(self, index: LogIndex) -> None:
-        """Drop the log from ``index`` on, also on disk."""
+        """Drop the entries at and after ``index``, in memory and on disk."""
         self.log.truncate_from(index)
         if index <= self._written_last_index:
             self._truncate_from = min(index, self._truncate_from or index)
@@ -85,7 +85,7 @@
             self._in_flight.last_index = min(self._in_flight.last_index, LogIndex(index - 1))
 
     def run_when_durable(self, action: Action) -> None:
-        """Run ``action`` once everything up to now is on disk (at once if it already is)."""
+        """Run ``action`` once all changes made so far are on disk; immediately if they already are."""
         if self._has_unwritten_changes():
             self._pending_actions.append(action)
         elif self._in_flight is not None:
@@ -94,15 +94,16 @@
             action()
 
     def flush(self, now: float, committed: LogIndex) -> Persist | None:
-        """Return the next batch to write, if there is one and storage is free.
+        """Return the next batch to write, or ``None`` if nothing changed or storage can't take one now.
 
-        :param committed: the commit index. It goes along with a batch, and is no reason for one.
+        :param committed: the commit index. It is written with a batch, but a change of it causes none.
         """
         if self._in_flight is not None or self.blocked:
             return None
         if not self._has_unwritten_changes():
             if now >= self._retry_at:
-                # What found no space was truncated by a leader meanwhile: the next write will show.
+                # The entries that found no space were truncated by a leader meanwhile. The next write shows
+                # whether the disk is still full.
                 self.full = False
                 self._retry_at = NEVER
             return None
@@ -147,7 +148,7 @@
             action()
 
     def on_disk_full(self, number: int, now: float) -> None:
-        """Put a batch that found no space back, to be written again later."""
+        """Merge a batch that found no space into the unwritten changes, to be written again later."""
         batch = self._in_flight
         if batch is None or batch.number != number:
             return
@@ -162,7 +163,7 @@
         self._pending_actions = batch.actions + self._pending_actions
 
     def replace_log(self, log: ReplicatedLog) -> None:
-        """Use ``log``, with which storage replaced the former one: all of it is on disk."""
+        """Switch to ``log``, with which storage replaced the former log; all of it is on disk."""
         self.log = log
         self.blocked = False
         self.stable_index = self._written_last_index = log.last_index
--- a/src/springmux/coordination/consensus/effects.py
+++ b/src/springmux/coordination/consensus/effects.py
@@ -1,4 +1,4 @@
-"""Effects of a replica, and the events by which its driver reports on them or gives it requests."""
+"""Effects of a replica, and the events by which its driver reports their results or makes requests."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class Persist(Effect, frozen=True):
-    """Write and fsync, then give back :class:`Persisted` with the same ``batch``. Batches are in order.
+    """Write and fsync, then report :class:`Persisted` with the same ``batch``. Batches are in order.
 
-    ``truncate_from``: first drop every entry at or after this index. ``founding``: the group this
-    folder now belongs to, with its first members. ``committed``: the commit index known now; it says what may
-    be applied at the next start before a leader is known.
+    ``truncate_from``: first drop every entry at or after this index. ``founding``: the group to which this
+    folder now belongs, with its first members. ``committed``: the commit index known now; entries up to it
+    may be applied at the next start before a leader is known.
     """
 
     batch: int
@@ -34,7 +34,7 @@
 class PersistFailed(Event, frozen=True):
     """The batch could not be written; nothing of it counts. ``full``: the disk has no space left.
 
-    After a failure that is not ``full`` the replica stops loudly (fsync errors can't be retried).
+    After any other failure the replica stops with a reason for the operator (fsync errors can't be retried).
     """
 
     batch: int
@@ -43,7 +43,7 @@
 
 
 class DiskStalled(Event, frozen=True):
-    """A write has been waiting for ``waited_s``; a leader hands over."""
+    """A write has been pending for ``waited_s`` seconds; a leader transfers its leadership."""
 
     waited_s: float
 
@@ -55,7 +55,7 @@
 
 
 class TakeSnapshot(Effect, frozen=True):
-    """Serialize the state machine at ``index``, store it, then give back :class:`SnapshotTaken`."""
+    """Serialize the state machine at ``index``, store it, then report :class:`SnapshotTaken`."""
 
     index: LogIndex
     term: Term
@@ -63,7 +63,7 @@
 
 
 class SnapshotTaken(Event, frozen=True):
-    """A snapshot is durable; the log before it (less a margin) may be compacted."""
+    """A snapshot is durable; the log before it, except for a margin, may be compacted."""
 
     meta: SnapshotMeta
     data: bytes
@@ -83,7 +83,7 @@
 
 
 class InstallSnapshot(Effect, frozen=True):
-    """A leader's snapshot is complete: store it, replace log and state, then give ``SnapshotInstalled``."""
+    """Store a leader's complete snapshot, replace log and state by it, then report ``SnapshotInstalled``."""
 
     meta: SnapshotMeta
     data: bytes
@@ -96,7 +96,7 @@
 
 
 class Propose(Event, frozen=True):
-    """Append a command (leader only). ``correlation_id`` names it in the reply."""
+    """Append a command (leader only). ``correlation_id`` identifies the command in the reply."""
 
     correlation_id: str
     data: bytes
@@ -110,7 +110,7 @@
 
 
 class ProposalDropped(Effect, frozen=True):
-    """The command was rejected (``unknown=False``) or its fate is not known (``unknown=True``)."""
+    """The command was rejected (``unknown=False``) or its outcome is unknown (``unknown=True``)."""
 
     correlation_id: str
     unknown: bool
@@ -124,20 +124,20 @@
 
 
 class ReadConfirmed(Effect, frozen=True):
-    """State applied up to ``index`` is current as of the request; ``index`` is ``None`` if rejected."""
+    """State applied up to ``index`` is current as of the request; ``None``: the read was rejected."""
 
     correlation_id: str
     index: LogIndex | None
 
 
 class TransferLeadership(Event, frozen=True):
-    """Hand leadership to ``target``, or to the most advanced voter."""
+    """Transfer leadership to ``target``, or to the most advanced voter."""
 
     target: ReplicaId | None = None
 
 
 class LeadershipChanged(Effect, frozen=True):
-    """This replica's view of the leader changed. ``leading``: it is this one, confirmed by its barrier."""
+    """The leader known to this replica changed. ``leading``: this replica leads and committed its barrier."""
 
     term: Term
     leader: ReplicaId | None
@@ -145,10 +145,10 @@
 
 
 class ReplicaStopped(Effect, frozen=True):
-    """The replica can't go on (corrupt or failing disk, foreign group); the reason is for the operator.
+    """The replica can't continue (corrupt or failing disk, foreign group); operators read the reason.
 
-    ``restart_as_new``: the data folder may be emptied and the replica restarted under a new identity, since
-    nothing acknowledged is in it.
+    ``restart_as_new``: the data folder may be emptied and the replica restarted under a new identity,
+    because the folder holds nothing that was acknowledged.
     """
 
     reason: str
@@ -156,7 +156,7 @@
 
 
 class ReplicaStatus(msgspec.Struct, frozen=True):
-    """Figures for status pages."""
+    """Summary of a replica for status pages."""
 
     replica: ReplicaId
     group: GroupId | None
--- a/src/springmux/coordination/consensus/election.py
+++ b/src/springmux/coordination/consensus/election.py
@@ -1,4 +1,4 @@
-"""Elections with pre-vote, stickiness to a live leader, and hand-over on request.
+"""Elections with pre-vote, rejection of candidates while a leader is live, and leadership transfer.
 
 Sources: Raft, section 5.2 and 5.4; Ongaro 2014, sections 3.10, 4.2.3 and 9.6.
 """
@@ -32,7 +32,7 @@
         return self._core.election_deadline
 
     def on_tick(self) -> None:
-        """Begin a pre-vote when no leader was heard for an election timeout."""
+        """Start a pre-vote after an election timeout without a message from a leader."""
         core = self._core
         if core.leadership is not None or core.now < core.election_deadline:
             return
@@ -44,7 +44,7 @@
             self._start_pre_vote()
 
     def on_pre_vote(self, message: RaftPreVote, sender: NodeId) -> None:
-        """Reply whether the sender would get this replica's vote; no state changes."""
+        """Reply whether this replica would vote for the sender; no state changes."""
         core = self._core
         granted = (
             message.term > core.term
@@ -54,11 +54,12 @@
         term = message.term if granted else core.term
         assert core.group is not None
         reply = RaftPreVoteReply(core.group, core.replica, message.source, term, granted)
-        # A founding member that isn't on disk yet must not let a candidate spend its vote.
+        # The reply waits for the disk: a candidate must not use its vote on the strength of a founding member
+        # whose founding record isn't durable yet.
         core.send_durably(sender, reply)
 
     def on_pre_vote_reply(self, message: RaftPreVoteReply) -> None:
-        """Count a pre-vote; start the election with enough of them."""
+        """Count a granted pre-vote; start the election once there are enough."""
         core = self._core
         if not message.granted:
             if message.term > core.term:
@@ -70,7 +71,7 @@
                 self._start_election(transfer=False)
 
     def on_vote(self, message: RaftVote, sender: NodeId) -> None:
-        """Vote at most once a term, for a log at least as new; the reply waits for the disk."""
+        """Vote at most once per term, for a log at least as up to date; the reply waits for the disk."""
         core = self._core
         assert core.group is not None
         if message.term > core.term:
@@ -86,7 +87,7 @@
         core.send_durably(sender, reply)
 
     def on_vote_reply(self, message: RaftVoteReply) -> None:
-        """Count a vote; lead with enough of them."""
+        """Count a granted vote; become leader once there are enough."""
         core = self._core
         if message.term > core.term:
             core.become_follower(message.term)
@@ -95,7 +96,7 @@
             self._lead_if_elected()
 
     def on_timeout_now(self, message: RaftTimeoutNow) -> None:
-        """Start an election at once: the leader transfers its leadership to this replica."""
+        """Start an election immediately: the leader transfers its leadership to this replica."""
         if message.term == self._core.term and self._core.leadership is None and self._may_start():
             self._start_election(transfer=True)
 
@@ -122,7 +123,7 @@
         core.reset_election_deadline()
         self._votes = set()
         term = core.term
-        # The own vote counts, and those of others are requested, only when it is on disk.
+        # This replica's own vote counts, and other votes are requested, only once it is on disk.
         core.durability.run_when_durable(lambda: self._on_own_vote_durable(term, transfer))
 
     def _on_own_vote_durable(self, term: Term, transfer: bool) -> None:
@@ -156,7 +157,7 @@
         return True
 
     def _has_enough_votes(self) -> bool:
-        """Return whether a majority voted, or all voters for the group's first leader (see founding.py)."""
+        """Return whether a majority voted; the group's first leader needs all voters (see founding.py)."""
         members = self._core.log.members
         voters = {voter.replica for voter in members.voters()}
         needed = len(voters) if self._core.log.last_index == 0 else members.quorum()
@@ -169,6 +170,6 @@
         return self._is_up_to_date(message.last_term, message.last_index)
 
     def _is_up_to_date(self, last_term: Term, last_index: LogIndex) -> bool:
-        """Return whether a candidate's log is at least as new as the own one (Raft, section 5.4.1)."""
+        """Return whether a candidate's log is at least as up to date as this one (Raft, section 5.4.1)."""
         log = self._core.log
         return (last_term, last_index) >= (log.last_term, log.last_index)
--- a/src/springmux/coordination/consensus/events.py
+++ b/src/springmux/coordination/consensus/events.py
@@ -1,4 +1,4 @@
-"""Events that the embedding node gives a replica beside those of its storage."""
+"""Events that the embedding node passes to a replica, in addition to those of the replica's storage."""
 
 from __future__ import annotations
 
@@ -10,9 +10,10 @@
 
 
 class FoundingCandidates(Event, frozen=True):
-    """The controllers that membership sees now. ``established``: one of them is known to have a group.
+    """The controllers that the membership protocol reports now.
 
-    ``leader``: the node that is said to lead the group, if one is named.
+    ``established``: one of them is known to have a group. ``leader``: the node that is reported as the
+    group's leader, if any.
     """
 
     members: tuple[GroupMember, ...]
@@ -21,7 +22,7 @@
 
 
 class StopAnnounced(Event, frozen=True):
-    """The process is about to stop: the leader may give this replica's vote to a learner meanwhile."""
+    """The process is about to stop; the leader may already replace this voter by a learner."""
 
 
 class MemberChangeKind(enum.StrEnum):
--- a/src/springmux/coordination/consensus/follower.py
+++ b/src/springmux/coordination/consensus/follower.py
@@ -1,4 +1,4 @@
-"""A follower's side of replication: accept, reject with a hint, acknowledge what is on disk.
+"""Follower side of replication: accept entries, reject with a hint, acknowledge what is on disk.
 
 Source: Raft, section 5.3.
 """
@@ -24,7 +24,7 @@
         self._core = core
 
     def accepts_leader(self, message: ReplicaMessage, sender: NodeId) -> bool:
-        """Follow the sender, or reject a former leader whose term is over; return whether it is followed."""
+        """Follow the sender unless its term is over; return whether it is followed."""
         core = self._core
         if message.term < core.term:
             self._reject(message, sender, LogIndex(0), LogIndex(0), Term(0))
@@ -33,7 +33,7 @@
         return True
 
     def on_heartbeat(self, message: RaftHeartbeat, sender: NodeId) -> None:
-        """Reply at once, also while the disk is busy: the reply confirms the term only."""
+        """Reply without waiting for the disk, because the reply confirms only the term."""
         core = self._core
         if not self.accepts_leader(message, sender):
             return
@@ -51,7 +51,7 @@
         core.send(sender, reply)
 
     def on_stop_announced(self) -> None:
-        """Notify the leader, at once and with each heartbeat, that the process is about to stop."""
+        """Notify the leader, now and in each heartbeat reply, that the process is about to stop."""
         core = self._core
         core.leaving = True
         if core.group is not None and core.leader is not None and core.leader_node not in (None, core.node):
@@ -61,7 +61,7 @@
             core.send(core.leader_node, reply)
 
     def on_append(self, message: RaftAppend, sender: NodeId) -> None:
-        """Append entries that follow the own log; the acknowledgement waits for the disk."""
+        """Append entries that continue this replica's log; the acknowledgement waits for the disk."""
         core = self._core
         if not self.accepts_leader(message, sender) or core.durability.blocked:
             return
@@ -87,7 +87,7 @@
         if entry.index <= log.base_index or log.term_at(entry.index) == entry.term:
             return True
         if entry.index <= core.commit_index:
-            core.stop(f"entry {entry.index} of the leader contradicts a committed one")
+            core.stop(f"entry {entry.index} of the leader conflicts with a committed entry")
             return False
         if entry.index <= log.last_index:
             core.durability.truncate(entry.index)
--- a/src/springmux/coordination/consensus/founding.py
+++ b/src/springmux/coordination/consensus/founding.py
@@ -1,14 +1,14 @@
-"""Founding a group among empty replicas, so that never two groups get a leader.
+"""Founding (bootstrapping) a group of empty replicas, so that two groups can never both have a leader.
 
-Why not two: a group's first leader needs the votes of *all* founding members (``election.py``: an
-empty log asks for all), and a replica belongs to one group at most, on disk, under an identity that a
-wiped folder never takes up again. With ``controllers_expected`` = 3 any two sets of three among five
-replicas or fewer share one, so at most one of two founded groups can ever elect a leader. The short
-exclusive promise only keeps races from leaving half-founded groups; safety doesn't rest on it. Nor does
-it rest on a founder that gives its attempt up for a lower-named one's: nobody but the founder could
-have completed it.
+A group's first leader needs the votes of *all* founding members (``election.py``: a candidate with an
+empty log needs every voter). A replica belongs to at most one group, which is stored on disk under an
+identity that a wiped folder never uses again. With ``controllers_expected`` = 3 any two sets of three
+among at most five replicas share a member, so at most one of two founded groups can ever elect a leader.
+The short exclusive promise only prevents races from leaving half-founded groups; safety doesn't depend
+on it. Nor does safety depend on a founder that gives up its attempt for that of a founder with a lower
+name: only the founder itself could have completed the attempt.
 
-A replica that isn't of the system's first start (``may_found`` unset) is never one of those counted here.
+A replica that wasn't created at the system's first start (``may_found`` unset) is never counted here.
 """
 
 from __future__ import annotations
@@ -34,11 +34,11 @@
 from springmux.coordination.state_machine import NEVER
 
 GROUP_ID_BITS = 64
-"""Random part of a group's identity; the founder's replica identity is the other part."""
+"""Size of the random part of a group's identity; the other part is the founder's replica identity."""
 
 
 class _Attempt(msgspec.Struct):
-    """A founding that this replica has started."""
+    """A founding attempt that this replica started."""
 
     group: GroupId
     members: GroupMembers
@@ -47,23 +47,23 @@
 
 
 class Founding:
-    """Founds a group, or lets this replica be part of one."""
+    """Founds a group, or takes part in one that another replica founds."""
 
     def __init__(self, core: ReplicaCore, abandonment: Abandonment) -> None:
         self._core = core
         self._abandonment = abandonment
         self.candidates: tuple[GroupMember, ...] = ()
         self.established = False
-        """A group exists already: join it, never found another."""
+        """Whether a group exists already: this replica then joins it and never founds another."""
         self._attempt: _Attempt | None = None
         self._ineligible: set[ReplicaId] = set()
-        """Candidates that belong to a group already, or may not found: neither ever changes."""
+        """Candidates that already belong to a group or may not found one; neither ever changes."""
         self._promised_group: GroupId | None = None
         self._promised_until = -NEVER
         self._next_attempt_at = NEVER
 
     def deadline(self) -> float:
-        """Return when to try to found again, or to push on a founding that isn't complete."""
+        """Return when to try again to found a group, or to continue or give up an incomplete founding."""
         if self._core.group is None:
             return self._next_attempt_at if self._may_found() else NEVER
         if not self._abandonment.awaits_first_leader():
@@ -71,12 +71,12 @@
         return min(self._next_attempt_at, self._abandonment.deadline())
 
     def start(self) -> None:
-        """Arm the timers at the first event."""
+        """Set the timers at the first event."""
         self._next_attempt_at = self._core.now if self._core.group else NEVER
         self._abandonment.postpone()
 
     def on_candidates(self, event: FoundingCandidates) -> None:
-        """Record the controllers that membership sees."""
+        """Record the controllers that the membership protocol reports."""
         self.candidates = event.members
         self.established = event.established
         self._next_attempt_at = min(
@@ -84,7 +84,7 @@
         )
 
     def on_tick(self) -> None:
-        """Try to found, complete what is founded, or give it up."""
+        """Try to found a group, complete the founding of the group that was joined, or give that group up."""
         core = self._core
         if core.group is None:
             if self._may_found() and core.now >= self._next_attempt_at:
@@ -93,16 +93,16 @@
         if not self._abandonment.awaits_first_leader():
             return
         if core.now >= self._abandonment.deadline():
-            core.stop_to_restart_as_new(f"group {core.group} never came to life")
+            core.stop_to_restart_as_new(f"group {core.group} never elected a leader")
         elif core.now >= self._next_attempt_at:
             self._postpone_next_attempt()
             self._send_commits()
 
     def on_request(self, message: RaftFoundingRequest, sender: NodeId) -> None:
-        """Promise to take part in one attempt at a time, and in none beside an established group.
+        """Promise to take part in one attempt at a time, and in none if a group is established.
 
-        An own attempt yields to that of a founder with a lower name: two that wait for each other's members
-        would otherwise wait until the promises expire.
+        This replica's attempt yields to that of a founder with a lower name: two founders that wait for each
+        other's members would otherwise wait until the promises expire.
         """
         core = self._core
         if not core.settings.may_found:
@@ -123,17 +123,17 @@
         attempt.promised.add(message.source)
         if len(attempt.promised) == len(attempt.members.members):
             self._join_group(attempt.group, attempt.members)
-            # The founder is the first candidate, so that the votes of all aren't split.
+            # The founder becomes a candidate first, so that the votes, all of which are needed, aren't split.
             self._core.shorten_election_deadline()
             self._core.durability.run_when_durable(self._send_commits)
 
     def on_release(self, message: RaftFoundingRelease) -> None:
-        """Take the promise back, since the founder gave up: another attempt may have it."""
+        """Withdraw the promise, because the founder gave up; another attempt may get it."""
         if self._promised_group == message.group:
             self._promised_until = -NEVER
 
     def on_commit(self, message: RaftFoundingCommit) -> None:
-        """Join a group that all members promised to found, unless one is established by now."""
+        """Join a group that all members promised to found, unless another is established by now."""
         if not self._may_found():
             return
         listed = message.members.find(self._core.replica) is not None
@@ -159,7 +159,7 @@
         core.send(sender, refusal)
 
     def on_refusal(self, message: RaftFoundingRefusal) -> None:
-        """Learn that a member can't found a group with this replica, or that the own group lost a member."""
+        """Record that a replica can't take part in a founding, or that this replica's group lost a member."""
         core = self._core
         if core.group is not None:
             self._abandonment.on_refusal(message)
@@ -171,10 +171,10 @@
         self.established = self.established or message.commit > 0
 
     def on_join_request(self, message: RaftJoinRequest) -> None:
-        """Exclude a replica that found no leader by its requests from the candidates.
+        """Exclude the sender from the candidates if it may not found a group or belongs to one already.
 
-        It may be the lowest-named one here. It may found nothing, or it has a group already, whose remains
-        may never elect anyone.
+        The remaining members of its group may never elect a leader. If the sender has the lowest name here,
+        the other candidates would otherwise wait for it to found a group.
         """
         if message.group or message.joins_only:
             self._ineligible.add(message.replica)
@@ -187,20 +187,24 @@
         self._postpone_next_attempt()
         expected = core.settings.controllers_expected
         own = GroupMember(core.replica, core.node, voter=True)
-        seen = {candidate.node: candidate for candidate in (*self.candidates, own)}
-        empty = [seen[node] for node in sorted(seen) if seen[node].replica not in self._ineligible]
-        chosen = empty[:expected]
-        if len(chosen) < expected or chosen[0].replica != core.replica:
+        controllers_by_node = {candidate.node: candidate for candidate in (*self.candidates, own)}
+        eligible = [
+            controllers_by_node[node]
+            for node in sorted(controllers_by_node)
+            if controllers_by_node[node].replica not in self._ineligible
+        ]
+        founding_members = eligible[:expected]
+        if len(founding_members) < expected or founding_members[0].replica != core.replica:
             if self._attempt is not None:
                 self._release(self._attempt)
             return
-        members = GroupMembers(tuple(GroupMember(m.replica, m.node, voter=True) for m in chosen))
+        members = GroupMembers(tuple(GroupMember(m.replica, m.node, voter=True) for m in founding_members))
         group = GroupId(f"{core.replica}-{core.random.getrandbits(GROUP_ID_BITS):016x}")
         if self._attempt is not None:
             if self._attempt.members == members and core.now < self._attempt.expires_at:
                 self._request_promises(self._attempt)
                 return
-            # Under the same identity the promises that were given go on; it was never founded.
+            # The group was never founded, so the new attempt reuses its identity and promises stay valid.
             group = self._attempt.group
         if self._has_promised_other_group(group):
             return
@@ -219,7 +223,7 @@
                 core.send(member.node, request)
 
     def _release(self, attempt: _Attempt) -> None:
-        """Give an own attempt up: nothing can complete it afterwards."""
+        """Give up this replica's attempt; nothing can complete it afterwards."""
         core = self._core
         self._attempt = None
         if self._promised_group == attempt.group:
--- a/src/springmux/coordination/consensus/joining.py
+++ b/src/springmux/coordination/consensus/joining.py
@@ -1,6 +1,6 @@
-"""Requests to be a member, of an empty replica beside a group and of a member without a leader.
+"""Join requests of a replica without a group, if a group exists, and of a member without a leader.
 
-The latter was removed while it was away, or its node changed its name; the leader, if there is one,
+Such a member was removed while it was absent, or its node was renamed. The leader, if there is one,
 adds it again as a learner or records its new node.
 """
 
@@ -13,11 +13,14 @@
 from springmux.coordination.state_machine import NEVER
 
 LEADERLESS_TIMEOUTS = 3
-"""Election timeouts without a leader after which a member sends requests; an election takes one or two."""
+"""Number of election timeouts without a leader after which a member sends join requests.
+
+An election takes one or two.
+"""
 
 
 class Joining:
-    """Sends join requests to the known controllers in turn."""
+    """Sends join requests to the known controllers in round-robin order."""
 
     def __init__(self, core: ReplicaCore, founding: Founding) -> None:
         self._core = core
@@ -25,10 +28,10 @@
         self._next_request = 0.0
         self._round_robin_index = 0
         self.leader_node: NodeId | None = None
-        """The leader's node according to membership."""
+        """The leader's node as reported by the membership protocol."""
 
     def start(self) -> None:
-        """Give the own group time to elect a leader before the first request."""
+        """Delay a member's first request, so that its group has time to elect a leader."""
         if self._core.group is not None:
             self._wait_for_leader()
 
@@ -55,7 +58,7 @@
         core.send(node, RaftJoinRequest(core.replica, core.node, core.group or "", joins_only=joins_only))
 
     def _next_targets(self) -> list[NodeId]:
-        """Return one controller in turn, which forwards the request, and the leader if it is known."""
+        """Return the next controller, which forwards the request, and the leader's node if it is known."""
         targets = self._controllers()
         if not targets:
             return []
--- a/src/springmux/coordination/consensus/leadership_transfer.py
+++ b/src/springmux/coordination/consensus/leadership_transfer.py
@@ -1,4 +1,4 @@
-"""Leadership transfer (Ongaro 2014, section 3.10): on request, and when the own disk fails."""
+"""Leadership transfer (Ongaro 2014, section 3.10), on request and when the leader's disk is unusable."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class LeadershipTransfer:
-    """Waits until the target is up to date, then has it start an election at once."""
+    """Waits until the target has all entries, then requests that it starts an election immediately."""
 
     def __init__(self, core: ReplicaCore, replication: Replication) -> None:
         self._core = core
         self._replication = replication
 
     def begin(self, target: ReplicaId | None = None) -> None:
-        """Hand over to ``target``, or to the most advanced voter with a sound disk."""
+        """Start a transfer to ``target``, or to the most advanced voter whose disk accepts writes."""
         leadership = self._core.leadership
         if leadership is None or leadership.transfer_target is not None:
             return
@@ -31,12 +31,12 @@
         leadership.transfer_deadline = self._core.now + self._core.settings.election_timeout_max_s
 
     def deadline(self) -> float:
-        """Return when the present transfer is given up."""
+        """Return when the current transfer is cancelled."""
         leadership = self._core.leadership
         return leadership.transfer_deadline if leadership else NEVER
 
     def step(self) -> None:
-        """Give up an overdue transfer, or order the election once the target has all entries."""
+        """Cancel an overdue transfer, or request the election once the target has all entries."""
         core = self._core
         leadership = core.leadership
         if leadership is None:
--- a/src/springmux/coordination/consensus/log.py
+++ b/src/springmux/coordination/consensus/log.py
@@ -1,4 +1,4 @@
-"""The log in memory: entries after a base, and the group's members as the entries change them."""
+"""The log in memory: the entries after a base index, and the group's members as of each index."""
 
 from __future__ import annotations
 
@@ -10,7 +10,10 @@
 from springmux.coordination.identifiers import LogIndex, Term
 
 ENTRY_OVERHEAD_BYTES = 32
-"""Index and term (9 bytes each at most), kind (8), array and data headers (6) in MessagePack."""
+"""Size of an entry in MessagePack without its data.
+
+Index and term take at most 9 bytes each, the kind 8, the array and data headers 6.
+"""
 
 
 def encode_members(members: GroupMembers) -> bytes:
@@ -19,17 +22,17 @@
 
 
 def decode_members(data: bytes) -> GroupMembers:
-    """Read the data of a ``MEMBERS`` entry."""
+    """Return the members in the data of a ``MEMBERS`` entry."""
     return msgspec.msgpack.decode(data, type=GroupMembers)
 
 
 def entry_bytes(entry: Entry) -> int:
-    """Return about how many bytes an entry takes in a message."""
+    """Return the approximate size of an entry in a message."""
     return len(entry.data) + ENTRY_OVERHEAD_BYTES
 
 
 class ReplicatedLog:
-    """Entries from ``base_index + 1`` on; what is before is in a snapshot (Ongaro 2014, section 5.1)."""
+    """Entries from ``base_index + 1`` on; a snapshot has the earlier ones (Ongaro 2014, section 5.1)."""
 
     def __init__(self, base_index: LogIndex, base_term: Term, base_members: GroupMembers) -> None:
         self.base_index = base_index
@@ -62,7 +65,7 @@
         return next((m for at, m in reversed(self._members) if at <= index), self._members[0][1])
 
     def term_at(self, index: LogIndex) -> Term | None:
-        """Return the term of the entry at ``index``, or ``None`` if the log doesn't know it."""
+        """Return the term of the entry at ``index``, or ``None`` if the log doesn't hold it."""
         if index == self.base_index:
             return self.base_term
         if self.base_index < index <= self.last_index:
@@ -84,7 +87,7 @@
             self._members.append((entry.index, decode_members(entry.data)))
 
     def holds_only_barriers(self) -> bool:
-        """Return whether no command and no change of members is in the log or in a snapshot before it."""
+        """Return whether neither the log nor a snapshot before it holds a command or membership change."""
         return self.base_index == 0 and all(entry.kind is EntryKind.BARRIER for entry in self._entries)
 
     def truncate_from(self, index: LogIndex) -> None:
@@ -98,7 +101,7 @@
         return tuple(self._entries[first - self.base_index - 1 : last - self.base_index])
 
     def entries_from(self, first: LogIndex, limit_bytes: int) -> tuple[Entry, ...]:
-        """Return entries from ``first`` on within ``limit_bytes``, but at least one if there is one."""
+        """Return the entries from ``first`` on that fit in ``limit_bytes``, and at least one if any exist."""
         chosen: list[Entry] = []
         total = 0
         for position in range(first - self.base_index - 1, len(self._entries)):
@@ -110,7 +113,7 @@
         return tuple(chosen)
 
     def first_kept(self, snapshot_index: LogIndex, kept_entries: int, kept_bytes: int) -> LogIndex:
-        """Return where compaction may begin so that a margin before the snapshot stays."""
+        """Return the first index that compaction keeps, so that a margin before the snapshot stays."""
         first = int(snapshot_index) + 1
         total = 0
         while first > self.base_index + 1 and snapshot_index + 1 - first < kept_entries:
@@ -121,7 +124,7 @@
         return LogIndex(first)
 
     def compact(self, first_kept: LogIndex) -> None:
-        """Forget the entries before ``first_kept``."""
+        """Drop the entries before ``first_kept``."""
         new_base = LogIndex(first_kept - 1)
         term = self.term_at(new_base)
         assert term is not None, "compaction stays within the log"
--- a/src/springmux/coordination/consensus/membership_change.py
+++ b/src/springmux/coordination/consensus/membership_change.py
@@ -1,10 +1,10 @@
-"""Changes of the group by one member at a time, on request and automatic (Ongaro 2014, chapter 4).
+"""Membership changes, one member at a time, on request and automatic (Ongaro 2014, chapter 4).
 
-A change waits until the leader has committed an entry of its own term and the change before it (the
-flaw in the original single-server change, raft-dev 2015). A lost voter is replaced by a learner that
-is caught up: first add the new voter, then make the lost one a learner, each only if the voters that
-are reachable now are a majority both before and after. A voter whose process is stopping counts as lost
-before it is gone, so that it is replaced while it can still vote for that.
+A change waits until the leader has committed an entry of its own term and the previous change; this
+avoids the flaw in the original single-server change (raft-dev 2015). A lost voter is replaced by a
+caught-up learner: first the learner becomes a voter, then the lost voter becomes a learner. Either step
+is taken only if the voters that are reachable now are a majority both before and after it. A voter whose
+process is stopping counts as lost before it has stopped, so that it can still vote for its replacement.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 def with_member(members: GroupMembers, changed: GroupMember) -> GroupMembers:
-    """Return ``members`` with ``changed`` in its place, or at the end if it is new."""
+    """Return ``members`` with ``changed`` in place of the same replica, or at the end if it is new."""
     if members.find(changed.replica) is None:
         return GroupMembers((*members.members, changed))
     return GroupMembers(tuple(changed if m.replica == changed.replica else m for m in members.members))
@@ -33,13 +33,13 @@
 
 
 def is_superseded(members: GroupMembers, member: GroupMember) -> bool:
-    """Return whether a newer identity came up on the member's node (newer members stand later)."""
+    """Return whether the member's node has a newer replica identity; newer members come later in the list."""
     position = members.members.index(member)
     return any(later.node == member.node for later in members.members[position + 1 :])
 
 
 class MembershipChange:
-    """Decides on the leader which member changes next."""
+    """Decides, on the leader, which member changes next."""
 
     def __init__(self, core: ReplicaCore, replication: Replication, proposals: Proposals) -> None:
         self._core = core
@@ -76,7 +76,7 @@
             self._welcome(member)
 
     def step(self) -> None:
-        """Begin the next change if one is due and allowed."""
+        """Start the next change if one is due and allowed."""
         core = self._core
         leadership = core.leadership
         if leadership is None:
@@ -89,7 +89,7 @@
             self._replication.append(EntryKind.MEMBERS, encode_members(members))
 
     def step_down_if_removed(self) -> None:
-        """Step down as leader once the change by which this replica is no voter any more is committed."""
+        """Step down as leader once the change that ends this replica's role as a voter is committed."""
         core = self._core
         if core.leadership is None or core.log.members_index > core.commit_index:
             return
@@ -170,7 +170,7 @@
         return within_lag and progress.storage_ready and self._replication.is_reachable(progress)
 
     def _is_lost(self, voter: GroupMember) -> bool:
-        """Return whether a voter is to be replaced if there is a learner to take its place."""
+        """Return whether a voter is to be replaced as soon as there is a caught-up learner."""
         core = self._core
         if core.leadership is None or voter.replica == core.replica:
             return False
@@ -193,8 +193,8 @@
     def _keeps_quorum(self, changed: GroupMembers) -> bool:
         """Return whether the reachable voters are a majority before and after the change.
 
-        For a larger group those that are about to stop or were unresponsive lately don't count. A smaller one
-        needs fewer, so there they do: to wait for them would only keep the group large.
+        If the change adds a voter, voters that are about to stop or were recently unresponsive don't count.
+        Otherwise they count: a smaller group needs fewer voters, and waiting would only keep the group large.
         """
         before = self._core.log.members
         grows = len(changed.voters()) > len(before.voters())
@@ -216,7 +216,7 @@
         return count
 
     def _is_stable(self, progress: Progress) -> bool:
-        """Return whether a voter replied so recently that it is unlikely to be gone."""
+        """Return whether a voter isn't stopping and replied so recently that it is unlikely to be lost."""
         since_contact_s = self._core.now - progress.last_contact
         return not progress.leaving and since_contact_s < self._core.settings.election_timeout_min_s
 
@@ -250,7 +250,7 @@
                 return "the learner is not caught up"
         if not changed.voters():
             return "the last voter can't be removed"
-        return changed if self._keeps_quorum(changed) else "the reachable voters would be no majority"
+        return changed if self._keeps_quorum(changed) else "the reachable voters would not be a majority"
 
     def _welcome(self, member: GroupMember, members: GroupMembers | None = None) -> None:
         core = self._core
--- a/src/springmux/coordination/consensus/messages.py
+++ b/src/springmux/coordination/consensus/messages.py
@@ -1,7 +1,7 @@
 """Messages between replicas.
 
-Every message inside a group names the group, the sending and the addressed replica: one that is
-addressed to another identity is dropped, so a wiped machine never answers for its former self.
+Every message inside a group names the group, the sending replica and the addressed replica. A message
+to another identity is dropped, so a wiped machine never replies under its former identity.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class ReplicaMessage(PeerMessage, frozen=True):
-    """Base of the messages inside a group. ``term`` is the sender's, unless said otherwise."""
+    """Base of the messages inside a group. ``term`` is the sender's unless stated otherwise."""
 
     group: GroupId
     source: ReplicaId
@@ -21,20 +21,20 @@
 
 
 class RaftPreVote(ReplicaMessage, frozen=True, tag="RaftPreVote"):
-    """Request for a pre-vote in ``term``, the sender's next (Ongaro 2014, section 9.6)."""
+    """Request for a pre-vote in ``term``, the sender's next term (Ongaro 2014, section 9.6)."""
 
     last_index: LogIndex
     last_term: Term
 
 
 class RaftPreVoteReply(ReplicaMessage, frozen=True, tag="RaftPreVoteReply"):
-    """Reply to a pre-vote: ``term`` as requested if granted, else the voter's own."""
+    """Reply to a pre-vote: ``term`` is the requested one if granted, otherwise the voter's own."""
 
     granted: bool
 
 
 class RaftVote(ReplicaMessage, frozen=True, tag="RaftVote"):
-    """RequestVote (Raft, figure 2). ``transfer``: the former leader ordered this election."""
+    """RequestVote (Raft, figure 2). ``transfer``: the former leader requested this election."""
 
     last_index: LogIndex
     last_term: Term
@@ -42,7 +42,7 @@
 
 
 class RaftVoteReply(ReplicaMessage, frozen=True, tag="RaftVoteReply"):
-    """Reply to a vote request; a granted vote is on disk."""
+    """Reply to a vote request; a vote is on disk before the reply that grants it is sent."""
 
     granted: bool
 
@@ -59,8 +59,8 @@
 class RaftAppendReply(ReplicaMessage, frozen=True, tag="RaftAppendReply"):
     """Reply to an append. Accepted: entries up to ``index`` match and are on disk.
 
-    Rejected: ``index`` echoes ``previous_index``; ``hint_index`` and ``hint_term`` name the newest
-    entry of the follower that may match (Raft, section 5.3).
+    Rejected: ``index`` echoes ``previous_index``; ``hint_index`` and ``hint_term`` identify the
+    follower's newest entry that may match (Raft, section 5.3).
     """
 
     accepted: bool
@@ -70,7 +70,7 @@
 
 
 class RaftHeartbeat(ReplicaMessage, frozen=True, tag="RaftHeartbeat"):
-    """Heartbeat, never queued behind entries. ``round`` also confirms reads (Ongaro 2014, section 6.4)."""
+    """Heartbeat, never queued behind entries; replies to its ``round`` confirm reads (Ongaro 2014, 6.4)."""
 
     commit: LogIndex
     round: int
@@ -96,14 +96,14 @@
 
 
 class RaftSnapshotReply(ReplicaMessage, frozen=True, tag="RaftSnapshotReply"):
-    """Reply to a chunk: ``wanted`` is the next offset; -1 once the snapshot is installed."""
+    """Reply to a chunk: ``next_offset`` is the offset in bytes to send next, or -1 after installation."""
 
     index: LogIndex
     next_offset: int
 
 
 class RaftTimeoutNow(ReplicaMessage, frozen=True, tag="RaftTimeoutNow"):
-    """Start an election at once (Ongaro 2014, section 3.10)."""
+    """Request to start an election immediately (Ongaro 2014, section 3.10)."""
 
 
 class RaftWelcome(ReplicaMessage, frozen=True, tag="RaftWelcome"):
@@ -113,35 +113,35 @@
 
 
 class RaftFoundingRequest(ReplicaMessage, frozen=True, tag="RaftFoundingRequest"):
-    """Request to promise, for a short time, to found no other group than ``group``, the proposed one."""
+    """Request to promise, for a short time, to help found only the proposed group ``group``."""
 
 
 class RaftFoundingPromise(ReplicaMessage, frozen=True, tag="RaftFoundingPromise"):
-    """The promise is given."""
+    """Reply that promises to help found ``group`` and no other."""
 
 
 class RaftFoundingRelease(ReplicaMessage, frozen=True, tag="RaftFoundingRelease"):
-    """The founder gave this attempt up before it was complete: the promise is void."""
+    """Notification that the founder gave up the attempt before it was complete: the promise is void."""
 
 
 class RaftFoundingCommit(ReplicaMessage, frozen=True, tag="RaftFoundingCommit"):
-    """Everyone promised: the group exists with these members."""
+    """Notification that all members promised: the group exists with these members."""
 
     members: GroupMembers
     lost_members: int = 0
-    """How many of the members the sender knows to be gone for good."""
+    """How many of the members the sender knows to be permanently lost."""
 
 
 class RaftFoundingUnborn(ReplicaMessage, frozen=True, tag="RaftFoundingUnborn"):
-    """Reply of a member whose log is still empty. ``gone`` echoes the commit."""
+    """Reply to a founding commit by a member whose log is empty; ``lost_members`` echoes the commit's."""
 
     lost_members: int = 0
 
 
 class RaftFoundingRefusal(PeerMessage, frozen=True, tag="RaftFoundingRefusal"):
-    """The addressed replica can't be part of ``group``: it has another identity or another group.
+    """Reply that the addressed replica can't be part of ``group``: it has another identity or group.
 
-    ``own_group`` is empty for a replica without a group; ``commit`` tells how far its group is.
+    ``own_group`` is empty for a replica without a group; ``commit`` is the sender's commit index.
     ``joins_only``: the replica may not found any group.
     """
 
@@ -154,7 +154,7 @@
 
 
 class RaftJoinRequest(PeerMessage, frozen=True, tag="RaftJoinRequest"):
-    """Request of a replica to be a member; any controller forwards it once to its leader.
+    """Request of a replica to become a member; any controller forwards it once to its leader.
 
     ``joins_only``: the replica may not found any group.
     """
@@ -167,7 +167,7 @@
 
 
 class RaftForeignGroup(PeerMessage, frozen=True, tag="RaftForeignGroup"):
-    """Notification from an established group to a replica of another one, which never committed."""
+    """Notification from an established group to a replica of another group, which never committed."""
 
     target: ReplicaId
     group: GroupId
--- a/src/springmux/coordination/consensus/proposals.py
+++ b/src/springmux/coordination/consensus/proposals.py
@@ -1,4 +1,4 @@
-"""Proposals: admission of commands, applying of committed ones, and the replies."""
+"""Proposals: admission of commands, application of committed entries, and replies."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Proposals:
-    """Accepts commands at the leader; applies committed entries at every replica."""
+    """Admits commands on the leader; applies committed entries on every replica."""
 
     def __init__(self, core: ReplicaCore, replication: Replication) -> None:
         self._core = core
@@ -37,9 +37,9 @@
         leadership.uncommitted_bytes += len(data)
 
     def apply_committed(self) -> None:
-        """Apply what is committed and on the own disk, then report the proposals among it.
+        """Apply the entries that are committed and on this replica's disk, then report their proposals.
 
-        Waiting for the own disk keeps a snapshot from ever being ahead of the log beside it.
+        Waiting for the disk ensures that a snapshot is never ahead of the log on the same disk.
         """
         core = self._core
         last = min(core.commit_index, core.durability.stable_index)
@@ -67,9 +67,9 @@
         if core.durability.full:
             return STORAGE_FULL
         if leadership.transfer_target is not None:
-            return "leadership is being handed over"
+            return "leadership is being transferred"
         if len(event.data) > core.settings.max_entry_bytes:
             return f"command of {len(event.data)} bytes exceeds {core.settings.max_entry_bytes}"
         if leadership.uncommitted_bytes + len(event.data) > core.settings.max_uncommitted_bytes:
-            return "too much is waiting for commit"
+            return "too many bytes are waiting for commit"
         return ""
--- a/src/springmux/coordination/consensus/reads.py
+++ b/src/springmux/coordination/consensus/reads.py
@@ -1,4 +1,4 @@
-"""Linearizable reads by ReadIndex (Ongaro 2014, section 6.4), several to a heartbeat round."""
+"""Linearizable reads by ReadIndex (Ongaro 2014, section 6.4), several per heartbeat round."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class Reads:
-    """Confirms reads once a majority replied to a heartbeat that was sent after they came in."""
+    """Confirms reads once a majority replied to a heartbeat that was sent after the reads arrived."""
 
     def __init__(self, core: ReplicaCore, replication: Replication) -> None:
         self._core = core
         self._replication = replication
 
     def on_request(self, correlation_id: str) -> None:
-        """Queue a read; a replica that doesn't lead rejects it at once."""
+        """Queue a read; a replica that isn't the leader rejects it immediately."""
         leadership = self._core.leadership
         if leadership is None:
             self._core.emit(ReadConfirmed(correlation_id, None))
@@ -23,7 +23,7 @@
         leadership.waiting_reads.append(correlation_id)
 
     def advance(self) -> None:
-        """Confirm the reads that a finished round covers, then begin a round for the waiting ones."""
+        """Confirm the reads of rounds that a majority answered, then start a round for the waiting reads."""
         core = self._core
         leadership = core.leadership
         if leadership is None or not core.leading:
@@ -46,7 +46,7 @@
         leadership.read_batches.append(ReadBatch(leadership.round, self._core.commit_index, correlation_ids))
 
     def _confirmed_round(self, leadership: Leadership) -> int:
-        """Return the newest round to which a majority of voters, this one among them, replied."""
+        """Return the newest round to which a majority of voters, including this replica, replied."""
         members = self._core.log.members
         rounds = [
             leadership.round
--- a/src/springmux/coordination/consensus/replica.py
+++ b/src/springmux/coordination/consensus/replica.py
@@ -1,8 +1,8 @@
-"""One replica of a replicated log after Raft: takes events, gives effects; pure.
+"""One replica of a log replicated by Raft: a pure state machine that maps events to effects.
 
-This module only hands each event to the module in charge and then lets the modules draw the
-consequences in a fixed order. Sources: Ongaro and Ousterhout, "In search of an understandable
-consensus algorithm", 2014 (called Raft here); Ongaro, "Consensus: bridging theory and practice", 2014.
+This module dispatches each event to the module in charge and then advances all modules in a fixed
+order. Sources: Ongaro and Ousterhout, "In search of an understandable consensus algorithm", 2014
+(called Raft here); Ongaro, "Consensus: bridging theory and practice", 2014.
 """
 
 from __future__ import annotations
@@ -69,9 +69,9 @@
 class Replica:
     """A replica of the control log.
 
-    :param recovered: what storage found in the data folder.
-    :param node: the name of the own node.
-    :param random: seeded; spreads timeouts and makes group identities.
+    :param recovered: state that storage recovered from the data folder.
+    :param node: name of the node on which the replica runs.
+    :param random: seeded generator for randomized timeouts and for group identities.
     """
 
     def __init__(
@@ -98,7 +98,7 @@
 
     @property
     def leading(self) -> bool:
-        """Whether this replica leads and its state holds every acknowledged command."""
+        """Whether this replica leads and its state contains every acknowledged command."""
         return self._core.leading
 
     def leader_node(self) -> NodeId | None:
@@ -106,7 +106,7 @@
         return self._core.leader_node
 
     def status(self) -> ReplicaStatus:
-        """Return figures for status pages."""
+        """Return a summary for status pages."""
         core = self._core
         return ReplicaStatus(
             replica=core.replica,
@@ -123,7 +123,7 @@
         )
 
     def next_deadline(self) -> float:
-        """Return when the next :class:`Tick` is wanted."""
+        """Return the monotonic time in seconds at which the next :class:`Tick` is due."""
         core = self._core
         if core.stopped:
             return NEVER
@@ -218,7 +218,10 @@
                 self._receive_from_member(message, sender)
 
     def _receive_from_outside(self, message: ReplicaMessage, sender: NodeId) -> None:
-        """Handle a message of another group, or one for another identity, which gets no reply."""
+        """Handle a message that names another group or another replica identity.
+
+        If the identity differs or this replica has a group, founding messages are refused and others dropped.
+        """
         core = self._core
         founding = isinstance(message, RaftFoundingRequest | RaftFoundingCommit)
         if message.target != core.replica or core.group is not None:
@@ -280,7 +283,7 @@
             self._replication.on_acknowledged(progress, installed)
 
     def _advance(self) -> None:
-        """Run timers, then commit, apply and report, and last what goes to peers and to disk."""
+        """Run timers, commit and apply entries, report results, then send to peers and write to disk."""
         core = self._core
         if core.stopped:
             return
--- a/src/springmux/coordination/consensus/replication.py
+++ b/src/springmux/coordination/consensus/replication.py
@@ -1,7 +1,7 @@
-"""A leader's side of replication: probing, pipelining within bounds, commit, heartbeats, check-quorum.
+"""Leader side of replication: probing, bounded pipelining, commit, heartbeats, check-quorum.
 
 Sources: Raft, sections 5.3 and 5.4.2; Ongaro 2014, sections 6.2 (check-quorum) and 10.2 (pipelining,
-batching). The three states of a follower are those of the etcd implementation's design.
+batching). The three states of a follower's progress are those of the etcd implementation.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class Replication:
-    """Brings the followers' logs up to the leader's and commits."""
+    """Brings the followers' logs up to date with the leader's and advances the commit index."""
 
     def __init__(self, core: ReplicaCore, snapshots: SnapshotSender) -> None:
         self._core = core
@@ -45,7 +45,7 @@
         self.broadcast_heartbeat()
 
     def append(self, kind: EntryKind, data: bytes) -> LogIndex:
-        """Append an entry of the current term to the own log."""
+        """Append an entry of the current term to the leader's log and return its index."""
         core = self._core
         index = LogIndex(core.log.last_index + 1)
         core.log.append(Entry(index, core.term, kind, data))
@@ -54,7 +54,7 @@
         return index
 
     def track_members(self) -> None:
-        """Keep one progress for each other member."""
+        """Keep one :class:`Progress` for each other member."""
         core = self._core
         leadership = core.leadership
         assert leadership is not None
@@ -67,7 +67,7 @@
             leadership.progress[member.replica].node = member.node
 
     def on_tick(self) -> None:
-        """Send heartbeats, resend what got lost, and step down without a majority."""
+        """Send heartbeats, resend lost messages, and step down if no majority is reachable."""
         core = self._core
         leadership = core.leadership
         if leadership is None or core.now < leadership.heartbeat_at:
@@ -82,7 +82,7 @@
         self.broadcast_heartbeat()
 
     def broadcast_heartbeat(self) -> None:
-        """Begin a new heartbeat round."""
+        """Start a new heartbeat round."""
         core = self._core
         leadership = core.leadership
         assert leadership is not None and core.group is not None
@@ -105,7 +105,7 @@
         progress.leaving = message.leaving
 
     def on_append_reply(self, message: RaftAppendReply) -> None:
-        """Advance a follower's window, or go back to where its log matches."""
+        """Advance a follower's window, or move it back to where the follower's log may match."""
         progress = self.record_contact(message.term, message.source)
         if progress is None:
             return
@@ -129,7 +129,7 @@
             core.commit_index = index
 
     def send_entries(self) -> None:
-        """Send each follower what its window allows."""
+        """Send each follower the entries that its window allows."""
         leadership = self._core.leadership
         if leadership is not None:
             for progress in leadership.progress.values():
@@ -152,7 +152,7 @@
         return Progress(member.replica, member.node, next_index, core.now, core.settings.resend_after_s)
 
     def record_contact(self, term: Term, replica: ReplicaId) -> Progress | None:
-        """Record that a follower replied; return its progress, ``None`` if it is none of this leader's."""
+        """Record that a follower replied; return its progress, or ``None`` if it isn't this leader's."""
         core = self._core
         if term > core.term:
             core.become_follower(term)
@@ -168,10 +168,10 @@
         return progress
 
     def _nominate_successor(self, leadership: Leadership) -> None:
-        """Have the most advanced voter start an election at once.
+        """Request that the most advanced voter starts an election immediately.
 
         A leader whose messages arrive but that gets no replies would otherwise keep its followers for another
-        timeout. The order counts only in this term, so one that arrives late changes nothing.
+        timeout. The request is valid only in this term, so a late one has no effect.
         """
         core = self._core
         assert core.group is not None
@@ -214,8 +214,8 @@
         if progress.state is ProgressState.SNAPSHOT or (progress.state is ProgressState.PROBE and stale):
             return
         if progress.state is ProgressState.REPLICATE:
-            # Messages that overtake each other are rejected one by one. Backing off for each would send
-            # the window again each time and never end.
+            # Reordered messages are rejected one by one. Backing off for each of them would send the
+            # window again each time and never end.
             if self._core.now - progress.backed_off_at < self._core.settings.heartbeat_s:
                 return
             progress.backed_off_at = self._core.now
@@ -223,7 +223,8 @@
         if message.hint_index < self._core.log.base_index:
             match = message.hint_index
         self._begin_probe(progress)
-        # Always before the rejected index, else two logs that differ at the base would probe for ever.
+        # The next probe is always before the rejected index; otherwise two logs that differ at the base
+        # would be probed forever.
         next_index = min(match + 1, message.index)
         progress.next_index = LogIndex(max(progress.match_index + 1, next_index))
 
--- a/src/springmux/coordination/consensus/snapshot_transfer.py
+++ b/src/springmux/coordination/consensus/snapshot_transfer.py
@@ -1,7 +1,7 @@
 """Sending a snapshot in chunks, and receiving one (Ongaro 2014, section 5.3).
 
-One chunk is in flight for each follower. The follower says which offset it wants next, so a lost
-chunk or a pause resumes where it stopped; another snapshot begins anew.
+One chunk is in flight for each follower. The follower's reply names the next offset, so after a lost
+chunk or a pause the transfer resumes where it stopped; another snapshot starts from the beginning.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 from springmux.coordination.state_machine import LogLevel
 
 SNAPSHOT_INSTALLED = -1
-"""``wanted`` of the reply after the snapshot was installed."""
+"""Value of ``next_offset`` in the reply after the snapshot was installed."""
 
 
 class SnapshotSender:
-    """The leader's side."""
+    """Sends snapshots to followers, on the leader."""
 
     def __init__(self, core: ReplicaCore) -> None:
         self._core = core
@@ -37,7 +37,7 @@
         if progress.awaiting_reply or core.snapshot is None:
             return
         transfer = progress.transfer
-        # An older snapshot is still good as long as the log follows on it.
+        # An older snapshot is still usable as long as the log continues from it.
         if transfer is None or transfer.meta.index < core.log.base_index:
             transfer = progress.transfer = SnapshotTransfer(
                 msgspec.structs.replace(core.snapshot, size_bytes=len(core.snapshot_data)), core.snapshot_data
@@ -58,7 +58,7 @@
         progress.resend_at = core.now + progress.resend_wait_s
 
     def on_reply(self, progress: Progress, message: RaftSnapshotReply) -> LogIndex | None:
-        """Continue at the wanted offset; return the follower's index once the snapshot is installed."""
+        """Continue at the requested offset; return the snapshot's index once the follower installed it."""
         transfer = progress.transfer
         if transfer is None or transfer.meta.index != message.index:
             return None
@@ -66,7 +66,7 @@
             progress.transfer = None
             progress.awaiting_reply = False
             return message.index
-        # The chunk that is in flight is wanted: a repeated reply, which must not multiply chunks.
+        # A repeated reply requests the chunk that is already in flight; it must not multiply chunks.
         repeated = progress.awaiting_reply and message.next_offset == transfer.offset
         if 0 <= message.next_offset <= len(transfer.data) and not repeated:
             transfer.offset = message.next_offset
@@ -76,7 +76,7 @@
 
 
 class _IncomingSnapshot(msgspec.Struct):
-    """Chunks received so far."""
+    """The chunks of a snapshot received so far."""
 
     source: ReplicaId
     term: Term
@@ -85,7 +85,7 @@
 
 
 class SnapshotReceiver:
-    """The follower's side."""
+    """Receives a snapshot from the leader, on a follower."""
 
     def __init__(self, core: ReplicaCore, follower: Follower) -> None:
         self._core = core
@@ -95,7 +95,7 @@
         self._installing = False
 
     def on_chunk(self, message: RaftSnapshotChunk, sender: NodeId) -> None:
-        """Append a chunk if it is the next one, and reply with the offset that is wanted next."""
+        """Append a chunk if it is the next one, and reply with the next offset."""
         core = self._core
         if not self._follower.accepts_leader(message, sender) or self._received is not None:
             return
@@ -116,7 +116,7 @@
         self._reply(incoming, sender, len(incoming.data))
 
     def install_when_idle(self) -> None:
-        """Hand a complete snapshot to storage once no batch is being written."""
+        """Pass a complete snapshot to storage once no batch is being written."""
         core = self._core
         if self._received is None or self._installing or not core.durability.idle:
             return
@@ -151,7 +151,7 @@
         return True
 
     def _acknowledge_committed(self, message: RaftSnapshotChunk, sender: NodeId) -> None:
-        """Acknowledge up to where the log on disk matches, since all of the snapshot is committed already."""
+        """Acknowledge the committed entries on disk, because the whole snapshot is committed already."""
         core = self._core
         assert core.group is not None
         match = min(core.commit_index, core.durability.stable_index)
--- a/src/springmux/coordination/consensus/snapshots.py
+++ b/src/springmux/coordination/consensus/snapshots.py
@@ -1,4 +1,4 @@
-"""When to take a snapshot of the own state, and how much of the log to keep behind it."""
+"""When to take a snapshot of this replica's state, and how much of the log before it to keep."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
         self._retry_at = -NEVER
 
     def deadline(self) -> float:
-        """Return when a failed snapshot is to be tried again."""
+        """Return when to retry a failed snapshot."""
         return self._retry_at if self._requested is None and self._retry_at > self._core.now else NEVER
 
     def request_when_due(self) -> None:
-        """Request a snapshot when entries or bytes since the last one exceed their bound."""
+        """Request a snapshot when the entries or bytes since the last one reach their limit."""
         core = self._core
         if self._requested is not None or core.now < self._retry_at:
             return
@@ -40,7 +40,7 @@
             core.emit(TakeSnapshot(core.applied_index, term, core.log.members_at(core.applied_index)))
 
     def on_taken(self, event: SnapshotTaken) -> None:
-        """Use the snapshot for slow followers and compact the log behind it."""
+        """Use the snapshot for slow followers and compact the log before it."""
         core = self._core
         self._requested = None
         if core.snapshot is not None and event.meta.index <= core.snapshot.index:
--- a/src/springmux/coordination/consensus/types.py
+++ b/src/springmux/coordination/consensus/types.py
@@ -30,7 +30,7 @@
 
 
 class GroupMember(msgspec.Struct, frozen=True, array_like=True):
-    """One replica of a group. ``node`` says where messages for it go."""
+    """One replica of a group. Messages to it are sent to ``node``."""
 
     replica: ReplicaId
     node: NodeId
@@ -56,14 +56,14 @@
 
 
 class HardState(msgspec.Struct, frozen=True, array_like=True):
-    """What a replica must have on disk before it answers (Raft, figure 2)."""
+    """State that a replica must have on disk before it replies (Raft, figure 2)."""
 
     term: Term
     voted_for: ReplicaId | None
 
 
 class SnapshotMeta(msgspec.Struct, frozen=True, array_like=True):
-    """Identity of a snapshot: everything up to ``index`` is in it."""
+    """Identity of a snapshot, which contains the state up to ``index``."""
 
     index: LogIndex
     term: Term
@@ -72,11 +72,11 @@
 
 
 class RecoveredState(msgspec.Struct, frozen=True):
-    """What storage found in a data folder at start.
+    """State that storage recovered from a data folder at start.
 
     ``group`` is ``None`` in a folder that was never part of a group. ``entries`` follow the snapshot
     without a gap. Those up to ``committed`` were known to be committed at the newest write.
-    ``first_start``: the replica was made at the first start of the whole system.
+    ``first_start``: the replica was created at the first start of the whole system.
     """
 
     replica: ReplicaId
--- a/src/springmux/storage/appended_file.py
+++ b/src/springmux/storage/appended_file.py
@@ -6,7 +6,7 @@
 
 
 class AppendedFile:
-    """Append to ``file``, whose first ``valid_bytes`` are known to be complete records."""
+    """A file that is appended to; its first ``valid_bytes`` are known to be complete records."""
 
     def __init__(self, file: DiskFile, valid_bytes: int) -> None:
         self._file = file
@@ -21,14 +21,14 @@
         try:
             self._file.append(data)
         except DiskFullError:
-            # A partly written record is removed, so that nothing ever follows it.
+            # A partly written record is removed, so that no record is ever written after it.
             self._file.truncate(self.valid_bytes)
             raise
         self.sync()
         self.valid_bytes += len(data)
 
     def truncate_tail(self) -> None:
-        """Remove what a torn write left after the complete records.
+        """Remove the rest of a torn write after the complete records.
 
         :raises DiskFailedError: the file can't be written any more.
         """
@@ -46,5 +46,5 @@
             raise DiskFailedError(error.path, error.reason) from error
 
     def close(self) -> None:
-        """Release the file."""
+        """Close the file."""
         self._file.close()
--- a/src/springmux/storage/claim_journal.py
+++ b/src/springmux/storage/claim_journal.py
@@ -1,9 +1,9 @@
-"""The journal of a claim holder on disk: entries appended and synced, rewritten when it has grown.
+"""The journal of a claim holder on disk: entries are appended and synced, and a grown journal is rewritten.
 
-One file in the replica's folder, under the replica's lock, so that it is wiped, moved and set aside
+It is one file in the replica's folder, under the replica's lock, so that it is wiped, moved and set aside
 together with the replica's identity. A torn tail is truncated. Corruption before the tail can't be
 repaired: the file is set aside and the holder counts as wiped (it pulls from the other holders before it
-grants). Blocking; run it in the storage thread. No call takes long, since that thread also serves the
+grants). Blocking; run it in the storage thread. No call takes long, because that thread also serves the
 replicated log: a rewrite advances by one slice with each append.
 """
 
@@ -26,15 +26,21 @@
 
 DAMAGED_NAME = "claims.journal.damaged"
 REWRITE_MIN_BYTES = 4 << 20
-"""A smaller journal isn't rewritten: it's read in a tenth of a second."""
+"""A smaller journal isn't rewritten, because it can be read in a tenth of a second."""
 REWRITE_GROWTH = 2
-"""Rewritten at this multiple of its size after the last time, so that each byte is copied about once."""
+"""The journal is rewritten at this multiple of its size after the last rewrite.
+
+Each byte is thus copied about once.
+"""
 MAX_BYTES = 1 << 30
-"""Beyond it appends are refused. 200,000 keys and 64 MiB of answers take about a tenth."""
+"""Maximum size of the journal; appends beyond it are rejected.
+
+200,000 keys and 64 MiB of answers take about a tenth of this size.
+"""
 
 
 class ClaimJournal:
-    """The journal of ``replica`` in ``folder``. Not safe for use from two threads at once."""
+    """The journal of ``replica`` in ``folder``. Not safe for concurrent use by several threads."""
 
     def __init__(
         self, disk: Disk, folder: str, replica: ReplicaId, rewrite_min_bytes: int = REWRITE_MIN_BYTES
@@ -51,7 +57,7 @@
         self._file: AppendedFile | None = None
         self._failure_reason = ""
         self.truncated_bytes = 0
-        """Bytes of a torn write that :meth:`open` cut off."""
+        """Bytes of a torn write that :meth:`open` removed."""
 
     def open(self, new_replica: bool) -> RecoveredClaims:
         """Read or create the journal, and prepare it for appends.
@@ -98,7 +104,7 @@
             self._continue_rewrite()
 
     def close(self) -> None:
-        """Release the files."""
+        """Close the journal's file and that of an unfinished rewrite."""
         if self._rewrite is not None:
             self._rewrite.close()
             self._rewrite = None
@@ -123,7 +129,7 @@
         return self._rewrite
 
     def _continue_rewrite(self) -> None:
-        """Rewrite one slice. On a failure the old file stays in use; its own failure shows at an append."""
+        """Rewrite one slice. On a failure the old file stays in use; if it failed too, an append shows it."""
         try:
             rewrite = self._rewrite or self._begin_rewrite()
             if rewrite.step():
--- a/src/springmux/storage/claim_journal_file.py
+++ b/src/springmux/storage/claim_journal_file.py
@@ -1,7 +1,7 @@
-"""The claim journal's file: how it is read back, and how a shorter one is written beside it.
+"""The claim journal's file: reading it back, and rewriting it as a shorter file.
 
-A file is a start record, entries, a seal, and more entries. Everything up to the seal was synced
-before the file had its name, so damage there is never a torn write.
+A file consists of a start record, entries, a seal, and more entries. Everything up to the seal was synced
+before the file got its name, so corruption there is never a torn write.
 """
 
 from __future__ import annotations
@@ -20,18 +20,18 @@
 JOURNAL_NAME = "claims.journal"
 TEMPORARY_NAME = "claims.journal.tmp"
 SLICE_ENTRIES = 2000
-"""Entries written with each step of a rewrite: a few milliseconds beside the sync."""
+"""Number of entries written in each step of a rewrite: a few milliseconds besides the sync."""
 
 
 class JournalStart(msgspec.Struct, frozen=True, array_like=True):
-    """First record: whose journal it is, and whether nothing of it was ever lost."""
+    """First record of a journal: its replica, and whether (``founded``) none of its entries was ever lost."""
 
     replica: ReplicaId
     founded: bool
 
 
 class ParsedJournal(msgspec.Struct, frozen=True):
-    """A journal read back; whole records end at ``valid_bytes``, a torn write may follow."""
+    """A journal read back; complete records end at ``valid_bytes``, a torn write may follow."""
 
     start: JournalStart
     fold: JournalFold
@@ -44,14 +44,14 @@
 
 
 def entries_record(entries: Sequence[ClaimEntry]) -> bytes:
-    """Return the record of some entries."""
+    """Return the encoded record of ``entries``."""
     return encode_record(RecordType.CLAIM_ENTRIES, _encoder.encode(entries))
 
 
 def parse_journal(path: str, data: bytes, replica: ReplicaId) -> ParsedJournal:
-    """Return what ``data`` holds.
+    """Return the journal in ``data``.
 
-    :raises LogCorruptError: if what was durable is damaged, or belongs to another replica.
+    :raises LogCorruptError: if durable records are corrupt or belong to another replica.
     """
     start: JournalStart | None = None
     fold, sealed, valid_bytes = JournalFold(), False, 0
@@ -67,16 +67,16 @@
         raise LogCorruptError(path, valid_bytes, f"record can't be read: {error}") from error
     torn = valid_bytes < len(data)
     if start is None or not sealed or (torn and has_record_after(data, valid_bytes)):
-        raise LogCorruptError(path, valid_bytes, "checksum or framing is wrong, and it is no torn tail")
+        raise LogCorruptError(path, valid_bytes, "checksum or framing is wrong, and it isn't a torn tail")
     if start.replica != replica:
         raise LogCorruptError(path, 0, "journal belongs to another replica")
     return ParsedJournal(start, fold, valid_bytes)
 
 
 class JournalRewrite:
-    """A journal being rewritten slice by slice, while the old one still accepts entries.
+    """A journal being rewritten slice by slice, while the old file still accepts entries.
 
-    :param entries: the entries of the old one at this moment. Later ones are added to ``concurrent_entries``.
+    :param entries: the current entries of the old file; later ones are added to ``concurrent_entries``.
     """
 
     def __init__(self, disk: Disk, folder: str, start: JournalStart, entries: list[ClaimEntry]) -> None:
@@ -93,7 +93,7 @@
     def step(self) -> bool:
         """Write and sync the next slice; return whether all of ``entries`` are written.
 
-        :raises DiskError: the rewrite is to be given up.
+        :raises DiskError: the rewrite must be abandoned.
         """
         following = self._entries[self._written : self._written + SLICE_ENTRIES]
         self._written += len(following)
@@ -103,9 +103,9 @@
         return self._written >= len(self._entries)
 
     def seal(self) -> None:
-        """Add the concurrent entries and the seal; on return all of it is durable.
+        """Append the concurrent entries and the seal; on return the whole file is durable.
 
-        :raises DiskError: the rewrite is to be given up.
+        :raises DiskError: the rewrite must be abandoned.
         """
         if self.concurrent_entries:
             self._append(entries_record(self.concurrent_entries))
@@ -113,20 +113,20 @@
         self._file.fsync()
 
     def replace_journal(self) -> int:
-        """Give the sealed file the journal's name; return its size.
+        """Rename the sealed file to the journal's name; return its size in bytes.
 
-        :raises DiskFailedError: which of the two files has the name isn't known.
+        :raises DiskFailedError: it is unknown which of the two files has the name.
         """
         self._disk.rename(f"{self._folder}/{TEMPORARY_NAME}", f"{self._folder}/{JOURNAL_NAME}")
         self._disk.fsync_folder(self._folder)
         return self._size_bytes
 
     def close(self) -> None:
-        """Release the file."""
+        """Close the file."""
         self._file.close()
 
     def discard(self) -> None:
-        """Remove the unfinished file; a leftover is removed by the next rewrite."""
+        """Remove the unfinished file; if that fails, the next rewrite removes it."""
         self.close()
         with suppress(DiskError):
             self._disk.remove(f"{self._folder}/{TEMPORARY_NAME}")
--- a/src/springmux/storage/disk.py
+++ b/src/springmux/storage/disk.py
@@ -1,9 +1,9 @@
-"""What storage needs of a disk: append, fsync, atomic rename, free space. Blocking calls.
+"""The disk interface that storage uses: append, fsync, atomic rename, free space. Calls block.
 
-:class:`springmux.storage.real_disk.RealDisk` is the operating system's;
-:class:`springmux.storage.memory_disk.MemoryDisk` is for simulation and tests. Paths are relative,
-with ``/`` between parts. A file's bytes survive a power cut once ``fsync`` returned; its name, once
-``fsync_folder`` of its folder returned.
+:class:`springmux.storage.real_disk.RealDisk` implements it with the operating system's files,
+:class:`springmux.storage.memory_disk.MemoryDisk` in memory for simulation and tests. Paths are relative,
+with ``/`` between parts. A file's bytes survive a power cut once ``fsync`` returned; its name survives
+once ``fsync_folder`` of its folder returned.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class DiskError(SpringmuxError):
-    """Root of the disk's errors. ``path`` names the file or folder."""
+    """Base of the disk's errors. ``path`` is the file or folder concerned."""
 
     def __init__(self, path: str, reason: str) -> None:
         super().__init__(f"{path}: {reason}")
@@ -27,14 +27,14 @@
 
 
 class DiskFailedError(DiskError):
-    """The disk failed. After a failed fsync it's unknown what was kept, so the call can't be tried again.
+    """The disk failed. After a failed fsync it is unknown what was stored, so the call can't be retried.
 
     Source: Rebello et al., "Can Applications Recover from fsync Failures?", USENIX ATC 2020.
     """
 
 
 class FolderLockedError(DiskError):
-    """Another process works in the folder."""
+    """Another process holds the folder's lock."""
 
 
 class DiskFile(abc.ABC):
@@ -44,41 +44,41 @@
     def append(self, data: bytes) -> None:
         """Write ``data`` at the end.
 
-        :raises DiskFullError: part of ``data`` may have been written; cut it off with ``truncate``.
+        :raises DiskFullError: part of ``data`` may have been written; remove it with ``truncate``.
         :raises DiskFailedError: the disk failed.
         """
 
     @abc.abstractmethod
     def truncate(self, size_bytes: int) -> None:
-        """Cut the file down to ``size_bytes``."""
+        """Truncate the file to ``size_bytes``."""
 
     @abc.abstractmethod
     def fsync(self) -> None:
         """Return once everything written is durable.
 
-        :raises DiskFullError: the file system found no space only now (delayed allocation).
+        :raises DiskFullError: the file system allocated space only now and found none (delayed allocation).
         :raises DiskFailedError: the disk failed.
         """
 
     @abc.abstractmethod
     def close(self) -> None:
-        """Release the file; syncs nothing."""
+        """Close the file without syncing it."""
 
 
 class FolderLock(abc.ABC):
-    """An exclusive hold on a folder, until released or the process ends."""
+    """An exclusive lock on a folder, held until it is released or the process ends."""
 
     @abc.abstractmethod
     def release(self) -> None:
-        """Let another process in."""
+        """Allow another process to lock the folder."""
 
 
 class Disk(abc.ABC):
-    """A place for files. Every call may raise :class:`DiskFailedError`."""
+    """Storage for files. Every call may raise :class:`DiskFailedError`."""
 
     @abc.abstractmethod
     def make_folder(self, path: str) -> None:
-        """Make a folder, and those above it; an existing one is no error."""
+        """Create a folder and its parents; an existing folder isn't an error."""
 
     @abc.abstractmethod
     def list_folder(self, path: str) -> list[str]:
@@ -86,11 +86,11 @@
 
     @abc.abstractmethod
     def exists(self, path: str) -> bool:
-        """Return whether there is a file of that name."""
+        """Return whether the path names an existing file."""
 
     @abc.abstractmethod
     def open(self, path: str) -> DiskFile:
-        """Open a file for appending; make it if it isn't there."""
+        """Open a file for appending; create it if it doesn't exist."""
 
     @abc.abstractmethod
     def read(self, path: str) -> bytes:
@@ -98,39 +98,39 @@
 
     @abc.abstractmethod
     def rename(self, source: str, target: str) -> None:
-        """Give a file another name, replacing what had that name; atomic."""
+        """Rename a file atomically, replacing an existing ``target``."""
 
     @abc.abstractmethod
     def remove(self, path: str) -> None:
-        """Remove a file; a missing one is no error."""
+        """Remove a file; a missing file isn't an error."""
 
     @abc.abstractmethod
     def fsync_folder(self, path: str) -> None:
-        """Return once names made, changed and removed in the folder are durable."""
+        """Return once the names created, changed and removed in the folder are durable."""
 
     @abc.abstractmethod
     def preallocate(self, path: str, size_bytes: int) -> None:
-        """Make a file that occupies ``size_bytes``.
+        """Create a file that occupies ``size_bytes``.
 
-        :raises DiskFullError: there is no room; the file isn't left behind.
+        :raises DiskFullError: there is not enough space; no file is left behind.
         """
 
     @abc.abstractmethod
     def free_bytes(self, path: str) -> int:
-        """Return the space left for files in the folder."""
+        """Return the free space in bytes for files in the folder."""
 
     @abc.abstractmethod
     def lock(self, path: str) -> FolderLock:
-        """Take the lock file at ``path``.
+        """Acquire the lock file at ``path`` without waiting.
 
-        :raises FolderLockedError: another process has it.
+        :raises FolderLockedError: another process holds it.
         """
 
 
 def write_atomically(disk: Disk, folder: str, name: str, data: bytes) -> None:
-    """Make or replace ``folder/name`` so that after a crash either the old or the whole new is there.
+    """Create or replace ``folder/name``; after a crash either the old or the complete new file exists.
 
-    :raises DiskFullError: there is no room; the old content stays.
+    :raises DiskFullError: there is not enough space; the old content stays.
     """
     temporary = f"{folder}/{name}.tmp"
     disk.remove(temporary)
--- a/src/springmux/storage/log_recovery.py
+++ b/src/springmux/storage/log_recovery.py
@@ -1,9 +1,9 @@
-"""Read a write-ahead log back, segment by segment, and tell corruption from a torn tail.
+"""Read a write-ahead log back, segment by segment, and distinguish corruption from a torn tail.
 
-A tail without a complete record is what a power failure leaves of an unacknowledged write; it is to be
-truncated. Corruption before a complete record is reported (:class:`LogCorruptError`): truncation would lose
-acknowledged entries. Corruption of the very last batch can't be told from a torn write. See Alagappan et al.,
-"Protocol-Aware Recovery for Consensus-Based Storage", FAST 2018, section 3.
+A tail without a complete record is the rest of an unacknowledged write after a power failure, and is to be
+truncated. Corruption before a complete record is reported (:class:`LogCorruptError`), because truncation
+would lose acknowledged entries. Corruption of the very last batch can't be distinguished from a torn write.
+See Alagappan et al., "Protocol-Aware Recovery for Consensus-Based Storage", FAST 2018, section 3.
 """
 
 from __future__ import annotations
@@ -66,7 +66,7 @@
 
 
 class ReplayedLog(msgspec.Struct):
-    """A log read back. ``empty_segment``: name of a last file without a start record, to be removed."""
+    """A log read back. ``empty_segment``: name of a last file without a start record; it is to be removed."""
 
     content: LogContent
     segments: list[Segment]
@@ -84,7 +84,7 @@
 
 
 def holds_batches(disk: Disk, folder: str) -> bool:
-    """Return whether the folder's segments hold anything beside their start records."""
+    """Return whether the folder's segments hold any batches besides their start records."""
     return any(
         record.type is RecordType.BATCH
         for name in segment_names(disk, folder)
@@ -129,7 +129,7 @@
         segment.torn_bytes = len(data) - segment.valid_bytes
         if segment.torn_bytes and (not is_last or has_record_after(data, segment.valid_bytes)):
             raise LogCorruptError(
-                name, segment.valid_bytes, "checksum or framing is wrong, and it is no torn tail"
+                name, segment.valid_bytes, "checksum or framing is wrong, and it isn't a torn tail"
             )
         if segment.valid_bytes:
             self.log.segments.append(segment)
@@ -152,7 +152,7 @@
     def _apply_start(self, start: SegmentStart, segment: Segment) -> None:
         content = self.log.content
         if start.replica != self._replica or start.number != segment.number:
-            raise LogCorruptError(segment.name, 0, "segment belongs to another replica or place")
+            raise LogCorruptError(segment.name, 0, "segment belongs to another replica or has another number")
         if start.replaces_log or not self.log.segments:
             content.entries.clear()
             content.base_index = start.base_index
@@ -183,7 +183,7 @@
 
 
 def _truncate(content: LogContent, first_dropped: LogIndex) -> None:
-    """Drop entries at and after ``first_dropped``; it may lie before the first segment that is kept."""
+    """Drop entries at and after ``first_dropped``, which may be before the first segment that is kept."""
     content.base_index = min(content.base_index, LogIndex(first_dropped - 1))
     while content.entries and content.entries[-1].index >= first_dropped:
         content.entries.pop()
--- a/src/springmux/storage/memory_disk.py
+++ b/src/springmux/storage/memory_disk.py
@@ -1,8 +1,8 @@
-"""A disk in memory that forgets what was not synced, for simulation and tests.
+"""A disk in memory that loses unsynced data at a power cut, for simulation and tests.
 
-It keeps synced and unsynced bytes apart, and names made or changed since their folder's last sync,
-as a journalling file system does. Faults are set on the object: ``capacity_bytes``, ``failing``,
-``calls_until_failure``, ``stall_s``; and done by calls: ``power_cut``, ``corrupt``, ``wipe``.
+It tracks synced and unsynced bytes separately, and so names created or changed since their folder's last
+sync, as a journaling file system does. Faults are set by attributes (``capacity_bytes``, ``failing``,
+``calls_until_failure``, ``stall_s``) or injected by calls (``power_cut``, ``corrupt``, ``wipe``).
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class _Content:
-    """A file's bytes. ``before_truncation`` is what a power cut brings back after an unsynced truncation."""
+    """A file's bytes. ``before_truncation``: bytes that a power cut restores after an unsynced truncation."""
 
     def __init__(self) -> None:
         self.current = bytearray()
@@ -54,7 +54,7 @@
 
 
 class MemoryFile(DiskFile):
-    """An open file of a :class:`MemoryDisk`; dead after a power cut."""
+    """An open file of a :class:`MemoryDisk`; unusable after a power cut or the end of the process."""
 
     def __init__(self, disk: MemoryDisk, path: str, content: _Content) -> None:
         self._disk = disk
@@ -63,7 +63,7 @@
         self._boot_count = disk.boot_count
 
     def append(self, data: bytes) -> None:
-        """Write as much as fits; see :meth:`Disk.open`."""
+        """Write as much as fits; the rest raises :class:`DiskFullError`, see :meth:`DiskFile.append`."""
         self._check()
         room = self._disk.free_bytes("")
         self._content.current += data[: max(0, room)]
@@ -71,22 +71,22 @@
             raise DiskFullError(self._path, "no space left on device")
 
     def truncate(self, size_bytes: int) -> None:
-        """Cut the live bytes; durable after the next fsync."""
+        """Truncate the current bytes; durable after the next fsync."""
         self._check()
         self._content.truncate(size_bytes)
 
     def fsync(self) -> None:
-        """Make the live bytes durable; a stall is added to the disk's waiting time."""
+        """Make the current bytes durable; a stall is added to the disk's stalled time."""
         self._check()
         self._disk.record_sync()
         self._content.fsync()
 
     def close(self) -> None:
-        """Do nothing: there is nothing to release."""
+        """Do nothing, because there is no resource to release."""
 
     def _check(self) -> None:
         if self._boot_count != self._disk.boot_count:
-            raise DiskFailedError(self._path, "file was open when the power went")
+            raise DiskFailedError(self._path, "file was open at a power cut or when the process ended")
         self._disk.check(self._path)
 
 
@@ -98,14 +98,14 @@
         self._path = path
 
     def release(self) -> None:
-        """Let another store in."""
+        """Allow another store to lock the folder."""
         self._locked.discard(self._path)
 
 
 class MemoryDisk(Disk):
     """Files in memory.
 
-    :param capacity_bytes: space in all; may be changed at any time (full, and roomy again).
+    :param capacity_bytes: total space; may be changed at any time to fill the disk and to free it again.
     """
 
     def __init__(self, capacity_bytes: int = 1 << 40) -> None:
@@ -122,7 +122,7 @@
         self._locked: set[str] = set()
 
     def check(self, path: str) -> None:
-        """Raise the failure that the disk is set to.
+        """Raise the failure that is set on the disk, if any.
 
         :raises DiskFailedError: while ``failing`` is set, or after ``calls_until_failure`` calls.
         """
@@ -133,17 +133,17 @@
             raise DiskFailedError(path, "input/output error")
 
     def record_sync(self) -> None:
-        """Count one sync and the time it would take."""
+        """Count one sync and add the stall set on the disk to the stalled time."""
         self.sync_count += 1
         self._stalled_s += self.stall_s
 
     def take_stalled_s(self) -> float:
-        """Return the time that syncs since the last call would have taken, for the driver to spend."""
+        """Return the stalled time in seconds of the syncs since the last call, for the driver to simulate."""
         stalled_s, self._stalled_s = self._stalled_s, 0.0
         return stalled_s
 
     def power_cut(self, rng: random.Random | None = None) -> None:
-        """Drop what isn't durable. With ``rng``, a random prefix of it survives (torn writes)."""
+        """Drop data and names that aren't durable; with ``rng``, a random prefix survives (torn writes)."""
         for folder, changes in self._journals.items():
             kept = rng.randint(0, len(changes)) if rng else 0
             self._apply_journal(changes[:kept])
@@ -155,7 +155,7 @@
         self._locked = set()
 
     def process_killed(self) -> None:
-        """End the process only: written bytes and names stay, open files and locks go."""
+        """End the process only: written bytes and names stay, but open files and locks are lost."""
         self.boot_count += 1
         self._locked = set()
 
@@ -164,22 +164,22 @@
         self._content(path).current[offset] ^= 0xFF
 
     def wipe(self) -> None:
-        """Lose everything, as a swapped disk does."""
+        """Lose all files, as when the disk is replaced."""
         self._current, self._durable, self._journals = {}, {}, {}
         self._locked = set()
         self.boot_count += 1
 
     def make_folder(self, path: str) -> None:
-        """Do nothing: folders need no creation here."""
+        """Do nothing except for fault injection, because folders need no creation here."""
         self.check(path)
 
     def list_folder(self, path: str) -> list[str]:
-        """Return names in the folder."""
+        """Return the sorted names of the files in the folder."""
         self.check(path)
         return sorted(posixpath.basename(name) for name in self._current if posixpath.dirname(name) == path)
 
     def exists(self, path: str) -> bool:
-        """Return whether the file is there."""
+        """Return whether the file exists."""
         self.check(path)
         return path in self._current
 
@@ -193,29 +193,29 @@
         return MemoryFile(self, path, content)
 
     def read(self, path: str) -> bytes:
-        """Return live bytes."""
+        """Return the file's current bytes, synced or not."""
         self.check(path)
         return bytes(self._content(path).current)
 
     def rename(self, source: str, target: str) -> None:
-        """Move the name; both halves last or are lost together."""
+        """Rename a file; removal of the old name and creation of the new one become durable together."""
         self.check(source)
         self._change(((source, None), (target, self._content(source))))
 
     def remove(self, path: str) -> None:
-        """Remove the name."""
+        """Remove the file's name; durable after the folder's sync."""
         self.check(path)
         if path in self._current:
             self._change(((path, None),))
 
     def fsync_folder(self, path: str) -> None:
-        """Make the folder's names durable."""
+        """Make the names of the folder's files durable."""
         self.check(path)
         self.record_sync()
         self._apply_journal(self._journals.pop(path, []))
 
     def preallocate(self, path: str, size_bytes: int) -> None:
-        """Count ``size_bytes`` as taken."""
+        """Count ``size_bytes`` as used by the file."""
         self.check(path)
         if self.free_bytes("") < size_bytes:
             raise DiskFullError(path, "no space left on device")
@@ -223,12 +223,12 @@
         self._content(path).reserved_bytes = size_bytes
 
     def free_bytes(self, path: str) -> int:
-        """Return what is left of the capacity."""
+        """Return the unused part of the capacity."""
         used = sum(len(content.current) + content.reserved_bytes for content in self._current.values())
         return max(0, self.capacity_bytes - used)
 
     def lock(self, path: str) -> MemoryLock:
-        """Take the lock."""
+        """Acquire the lock without waiting."""
         self.check(path)
         if path in self._locked:
             raise FolderLockedError(path, "another process uses this data folder")
--- a/src/springmux/storage/peer_list.py
+++ b/src/springmux/storage/peer_list.py
@@ -18,7 +18,7 @@
 
 
 class PeerList:
-    """The file ``peers`` of a folder, with a checksum."""
+    """The checksummed file ``peers`` in a folder."""
 
     def __init__(self, disk: Disk, folder: str) -> None:
         self._disk = disk
--- a/src/springmux/storage/real_disk.py
+++ b/src/springmux/storage/real_disk.py
@@ -25,7 +25,7 @@
 
 @contextmanager
 def _translated_errors(path: str) -> Iterator[None]:
-    """Turn the operating system's errors into the disk's."""
+    """Translate the operating system's errors into those of :mod:`springmux.storage.disk`."""
     try:
         yield
     except OSError as error:
@@ -43,7 +43,7 @@
         self._descriptor = descriptor
 
     def append(self, data: bytes) -> None:
-        """Write all of ``data``; the system call may take it in parts."""
+        """Write all of ``data``, with more than one system call if necessary."""
         remaining = memoryview(data)
         with _translated_errors(self._path):
             while remaining:
@@ -51,30 +51,30 @@
                 remaining = remaining[written:]
 
     def truncate(self, size_bytes: int) -> None:
-        """Cut the file (``ftruncate``)."""
+        """Truncate the file (``ftruncate``)."""
         with _translated_errors(self._path):
             os.ftruncate(self._descriptor, size_bytes)
 
     def fsync(self) -> None:
-        """Flush content and size (``fdatasync`` covers both; times of change don't matter here)."""
+        """Flush content and size (``fdatasync`` covers both; modification times aren't needed)."""
         with _translated_errors(self._path):
             os.fdatasync(self._descriptor)
 
     def close(self) -> None:
-        """Close the descriptor once."""
+        """Close the descriptor; further calls have no effect."""
         if self._descriptor >= 0:
             os.close(self._descriptor)
             self._descriptor = -1
 
 
 class RealLock(FolderLock):
-    """An advisory ``flock``; the kernel drops it when the process ends, however it ends."""
+    """An advisory ``flock``; the kernel releases it when the process ends, even after a crash."""
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
 
     def release(self) -> None:
-        """Close the descriptor, and with it the lock."""
+        """Close the descriptor, which releases the lock."""
         if self._descriptor >= 0:
             os.close(self._descriptor)
             self._descriptor = -1
@@ -90,14 +90,14 @@
         return self._root / path
 
     def make_folder(self, path: str) -> None:
-        """Make the folder and sync the one above, so that the name lasts."""
+        """Create the folder and sync its parent, so that the name is durable."""
         target = self._absolute(path)
         with _translated_errors(path):
             target.mkdir(mode=FOLDER_MODE, parents=True, exist_ok=True)
             self._fsync_descriptor(target.parent)
 
     def list_folder(self, path: str) -> list[str]:
-        """Return names of files only."""
+        """Return the names of the files, without subfolders."""
         with _translated_errors(path):
             return sorted(entry.name for entry in os.scandir(self._absolute(path)) if entry.is_file())
 
@@ -117,22 +117,22 @@
             return self._absolute(path).read_bytes()
 
     def rename(self, source: str, target: str) -> None:
-        """Replace (``rename``)."""
+        """Rename a file (``rename``, which replaces ``target``)."""
         with _translated_errors(source):
             os.replace(self._absolute(source), self._absolute(target))
 
     def remove(self, path: str) -> None:
-        """Unlink."""
+        """Remove a file (``unlink``)."""
         with _translated_errors(path):
             self._absolute(path).unlink(missing_ok=True)
 
     def fsync_folder(self, path: str) -> None:
-        """Sync the folder's own descriptor."""
+        """Sync the folder through a descriptor of the folder itself."""
         with _translated_errors(path):
             self._fsync_descriptor(self._absolute(path))
 
     def preallocate(self, path: str, size_bytes: int) -> None:
-        """Take the blocks with ``posix_fallocate``, so that they are ours whoever fills the disk."""
+        """Allocate blocks with ``posix_fallocate``, so that they stay available if others fill the disk."""
         try:
             with _translated_errors(path):
                 descriptor = os.open(self._absolute(path), os.O_WRONLY | os.O_CREAT | os.O_CLOEXEC, FILE_MODE)
@@ -145,13 +145,13 @@
             raise
 
     def free_bytes(self, path: str) -> int:
-        """Return what an ordinary user may still take."""
+        """Return the space available to an unprivileged user."""
         with _translated_errors(path):
             stats = os.statvfs(self._absolute(path))
         return stats.f_bavail * stats.f_frsize
 
     def lock(self, path: str) -> RealLock:
-        """Take an exclusive ``flock`` without waiting."""
+        """Acquire an exclusive ``flock`` without waiting."""
         with _translated_errors(path):
             descriptor = os.open(self._absolute(path), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, FILE_MODE)
         try:
--- a/src/springmux/storage/records.py
+++ b/src/springmux/storage/records.py
@@ -1,4 +1,4 @@
-"""Framing of append-only files: one checksummed record a batch, so that a batch is whole or absent."""
+"""Framing of append-only files: one checksummed record per batch, so that a batch is complete or absent."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from springmux.coordination.identifiers import GroupId, LogIndex, ReplicaId
 
 MAGIC = b"\xc5SM1"
-"""Begins each record; lets a reader find records beyond a damaged place."""
+"""First bytes of each record, by which a reader finds records after a corrupt one."""
 _HEADER = struct.Struct("<4sBII")
 HEADER_BYTES = _HEADER.size
 MAX_PAYLOAD_BYTES = 1 << 30
-"""A greater length is damage, not a batch: commands are bounded at some MiB."""
+"""A greater length is corruption, not a batch: commands are limited to a few MiB."""
 
 
 class RecordType(enum.IntEnum):
@@ -34,7 +34,7 @@
 
 
 class SegmentStart(msgspec.Struct, frozen=True, array_like=True):
-    """First record of a segment: all that later segments need if the earlier ones are removed.
+    """First record of a segment: the state that stays needed after earlier segments are removed.
 
     ``replaces_log``: entries of earlier segments are void; the log begins after ``base_index``.
     """
@@ -49,7 +49,7 @@
 
 
 class BatchRecord(msgspec.Struct, frozen=True, array_like=True):
-    """One batch: hard state, a truncation, and entries, as in ``Persist``."""
+    """One batch: hard state, truncation and entries, as in ``Persist``."""
 
     hard_state: HardState | None
     truncate_from: LogIndex | None
@@ -60,7 +60,7 @@
 
 
 class RawRecord(msgspec.Struct, frozen=True):
-    """A record whose checksum is right. ``end`` is the offset after it."""
+    """A record with a correct checksum. ``end`` is the offset after it."""
 
     type: RecordType
     payload: bytes
@@ -74,17 +74,17 @@
 
 
 def encode_start(start: SegmentStart) -> bytes:
-    """Return the record of a segment's start."""
+    """Return the encoded start record of a segment."""
     return encode_record(RecordType.SEGMENT_START, _encoder.encode(start))
 
 
 def encode_batch(batch: BatchRecord) -> bytes:
-    """Return the record of a batch."""
+    """Return the encoded record of a batch."""
     return encode_record(RecordType.BATCH, _encoder.encode(batch))
 
 
 def decode_start(payload: bytes) -> SegmentStart:
-    """Return the segment's start in ``payload``.
+    """Return the segment start in ``payload``.
 
     :raises msgspec.DecodeError: if it holds something else.
     """
@@ -100,7 +100,7 @@
 
 
 def read_records(data: bytes) -> Iterator[RawRecord]:
-    """Yield records from the file's beginning up to the first place that holds none."""
+    """Yield records from the file's beginning up to the first offset without a complete record."""
     offset = 0
     record = record_at(data, offset)
     while record is not None:
@@ -109,7 +109,7 @@
 
 
 def record_at(data: bytes, offset: int) -> RawRecord | None:
-    """Return the record at ``offset`` if there is a whole one with the right checksum."""
+    """Return the record at ``offset``, or ``None`` if it is incomplete or its checksum is wrong."""
     body = offset + HEADER_BYTES
     if body > len(data):
         return None
@@ -123,10 +123,10 @@
 
 
 def has_record_after(data: bytes, offset: int) -> bool:
-    """Return whether a whole record stands anywhere beyond ``offset``.
+    """Return whether there is a complete record anywhere after ``offset``.
 
-    A batch is written only after the one before it was synced. So a record beyond a damaged place
-    proves that the place had been synced: damage, not a torn write.
+    A batch is written only after the previous one was synced. A record after an unreadable place thus
+    proves that the place had been synced, so that it is corrupt and not a torn write.
     """
     found = data.find(MAGIC, offset + 1)
     while found >= 0:
--- a/src/springmux/storage/replica_store.py
+++ b/src/springmux/storage/replica_store.py
@@ -1,6 +1,6 @@
-"""The durable state of one replica: identity, log, snapshots, reserve. Blocking; run it in one thread.
+"""The durable state of one replica: identity, log, snapshots, space reserve. Blocking; run it in one thread.
 
-A replica's identity lives in its folder. An empty folder becomes a new replica with a new identity,
+A replica's identity is stored in its folder. An empty folder becomes a new replica with a new identity,
 so a wiped machine can't vote under an identity whose votes and log it has lost.
 """
 
@@ -28,13 +28,13 @@
 FIRST_START_NAME = "first-start"
 """Present if the replica was created at the first start of the whole system."""
 IN_USE_NAME = "in-use"
-"""Present once the folder is in use: without its identity or log it was then wiped, not new."""
+"""Present once the folder is in use; a folder with it but without identity or log was wiped and isn't new."""
 LOCK_NAME = "lock"
 DAMAGED_SUFFIX = ".damaged"
 
 
 class RecoveryReport(msgspec.Struct, frozen=True):
-    """What ``open`` created, truncated or set aside, for the log and the operator."""
+    """What ``open`` created, truncated or set aside, for log lines and operators."""
 
     new_replica: bool = False
     truncated_bytes: int = 0
@@ -44,7 +44,7 @@
 class ReplicaStore:
     """The data folder of one replica.
 
-    :param rng: source of the identity in simulation; without it the operating system's randomness is used.
+    :param rng: source of a new identity in simulations; by default the operating system's randomness.
     :param first_start: whether a replica created now belongs to the first start of the whole system.
     """
 
@@ -90,13 +90,13 @@
         truncations and the group's own entries may use its space.
 
         :raises DiskFullError: nothing of the batch counts; later ones may succeed.
-        :raises DiskFailedError: the store can't go on.
+        :raises DiskFailedError: the store can't continue.
         """
         record = _batch_record(batch)
         self._reserve.allocate()
         if _has_commands(batch.entries):
             if not self._reserve.is_allocated:
-                raise DiskFullError(self._folder, "free space is below the reserve; commands are refused")
+                raise DiskFullError(self._folder, "free space is below the reserve; commands are rejected")
             self._opened_log().append(record)
             return
         self._with_reserve(lambda: self._opened_log().append(record))
@@ -107,7 +107,7 @@
         return self._reserve.is_allocated
 
     def take_snapshot(self, meta: SnapshotMeta, data: bytes) -> SnapshotMeta:
-        """Store the state machine's snapshot; the log stays until :meth:`compact`.
+        """Store a snapshot of the state machine; the log stays until :meth:`compact`.
 
         :returns: the metadata with the data's size.
         :raises DiskFullError: nothing changed.
@@ -122,7 +122,7 @@
         self._with_reserve(lambda: self._opened_log().reset(meta.index))
 
     def compact(self, first_kept: LogIndex) -> None:
-        """Remove segments before ``first_kept``, but none that the older snapshot would need."""
+        """Remove segments before ``first_kept``, except those that recovery from the older snapshot needs."""
         oldest_index = self._snapshots.oldest_index()
         if oldest_index is not None:
             self._opened_log().remove_below(LogIndex(min(first_kept, oldest_index + 1)))
@@ -144,7 +144,7 @@
             lock.release()
 
     def close(self) -> None:
-        """Release files and lock."""
+        """Close the log's file and release the folder's lock."""
         if self._log is not None:
             self._log.close()
             self._log = None
@@ -172,7 +172,7 @@
                 self._disk.remove(self._path(name))
 
     def _create_replica(self) -> None:
-        """Create a replica: log, identity, and last the in-use file that makes them valid."""
+        """Create a replica: log, identity and, last, the in-use file that makes them valid."""
         if holds_batches(self._disk, self._folder) or self._snapshots.oldest_index():
             raise FolderWipedError(self._folder, IN_USE_NAME)
         replica = self._new_identity()
@@ -220,7 +220,7 @@
         )
 
     def _with_reserve(self, write: Callable[[], None]) -> None:
-        """Execute a write; if the disk is full, release the reserve and retry once."""
+        """Perform a write; if the disk is full, release the reserve and retry once."""
         try:
             write()
         except DiskFullError:
@@ -250,12 +250,12 @@
 
 
 def _reaches(content: LogContent, meta: SnapshotMeta) -> bool:
-    """Return whether log and snapshot join without a gap."""
+    """Return whether the log continues from the snapshot without a gap."""
     return content.base_index <= meta.index
 
 
 def _must_reset_log(content: LogContent, meta: SnapshotMeta) -> bool:
-    """Return whether the log doesn't continue from the snapshot: the machine stopped while installing it."""
+    """Return whether the log doesn't continue from the snapshot, as after an interrupted installation."""
     return content.last_index() < meta.index or _conflicts(content.entries, meta)
 
 
--- a/src/springmux/storage/reserve.py
+++ b/src/springmux/storage/reserve.py
@@ -10,7 +10,7 @@
 
 
 class SpaceReserve:
-    """A file that occupies space, removed when the log needs it and recreated when there is room."""
+    """A file that occupies space; removed when the log needs that space, recreated when there is room."""
 
     def __init__(self, disk: Disk, folder: str, size_bytes: int) -> None:
         self._disk = disk
@@ -20,7 +20,10 @@
         self.is_allocated = False
 
     def allocate(self) -> None:
-        """Allocate the reserve if the disk has a quarter more than its size free (so it doesn't flap)."""
+        """Allocate the reserve if a quarter more than its size is free.
+
+        The margin prevents the reserve from being allocated and released again and again.
+        """
         if self.is_allocated:
             return
         required_bytes = self._size_bytes + self._size_bytes // 4
@@ -33,7 +36,7 @@
             self.is_allocated = False
 
     def reallocate(self) -> None:
-        """Allocate the reserve at start; one of an earlier run may be of another size."""
+        """Allocate the reserve at start; the one from an earlier run may have another size."""
         self.release()
         self.allocate()
 
--- a/src/springmux/storage/snapshots.py
+++ b/src/springmux/storage/snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots of the state machine on disk: written whole or not at all, checksummed, the newest two kept."""
+"""Snapshots of the state machine on disk: written atomically, checksummed, with the newest two kept."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from springmux.storage.disk import Disk, write_atomically
 
 MAX_SNAPSHOTS = 2
-"""The newest and one to fall back to, should the newest turn out damaged."""
+"""Number of snapshots kept: the newest, and an older one in case the newest is corrupt."""
 _MAGIC = b"SMSNAP01"
 _HEADER = struct.Struct("<8sQI")
 _NAME = re.compile(r"snapshot-(\d{20})\.snapshot")
@@ -21,7 +21,7 @@
 
 
 class StoredSnapshot(msgspec.Struct, frozen=True):
-    """A sound snapshot read back."""
+    """An intact snapshot read back from disk."""
 
     meta: SnapshotMeta
     data: bytes
@@ -34,7 +34,7 @@
         self._disk = disk
         self._folder = folder
         self.damaged: list[str] = []
-        """Names of files that failed their checksum; they were set aside under ``.damaged``."""
+        """Names of corrupt files, which were renamed with the suffix ``.damaged``."""
 
     def save(self, meta: SnapshotMeta, data: bytes) -> SnapshotMeta:
         """Store a snapshot durably, then remove all but the newest two.
@@ -50,18 +50,18 @@
         return stored
 
     def load(self) -> list[StoredSnapshot]:
-        """Return the sound snapshots, newest first; damaged ones are set aside and named."""
-        valid = []
+        """Return the intact snapshots, newest first; corrupt ones are set aside and listed in ``damaged``."""
+        intact = []
         for name in reversed(self._names()):
             snapshot = self._read(name)
             if snapshot is None:
                 self._set_aside(name)
             else:
-                valid.append(snapshot)
-        return valid
+                intact.append(snapshot)
+        return intact
 
     def oldest_index(self) -> int | None:
-        """Return the index of the oldest kept snapshot."""
+        """Return the index of the oldest kept snapshot, or ``None`` if there is no snapshot."""
         names = self._names()
         return int(names[0][9:29]) if names else None
 
--- a/src/springmux/storage/write_ahead_log.py
+++ b/src/springmux/storage/write_ahead_log.py
@@ -1,6 +1,6 @@
 """Segmented write-ahead log of one replica: append and sync, rotation, removal.
 
-Reading it back is in :mod:`springmux.storage.log_recovery`, the records in ``records``.
+:mod:`springmux.storage.log_recovery` reads the log back; :mod:`springmux.storage.records` has the records.
 """
 
 from __future__ import annotations
@@ -21,11 +21,14 @@
 from springmux.storage.records import BatchRecord, SegmentStart, encode_batch, encode_start
 
 DEFAULT_SEGMENT_BYTES = 8 << 20
-"""Bounds what one removal frees and what one recovery read holds in memory."""
+"""Size at which a new segment begins.
+
+It limits how much a removal frees and how much a recovery reads into memory, each at a time.
+"""
 
 
 class WriteAheadLog:
-    """The log below ``folder``. Not safe for use from two threads at once."""
+    """The log in ``folder``. Not safe for concurrent use by several threads."""
 
     def __init__(
         self, disk: Disk, folder: str, replica: ReplicaId, segment_bytes: int = DEFAULT_SEGMENT_BYTES
@@ -43,7 +46,7 @@
         """Bytes of a torn write that :meth:`open` removed."""
 
     def create(self) -> None:
-        """Create an empty log; remove what an unfinished first start left."""
+        """Create an empty log and remove the segments of an interrupted first start."""
         for name in segment_names(self._disk, self._folder):
             self._disk.remove(self._path(name))
         self._begin_segment(1, replaces_log=False)
@@ -67,7 +70,7 @@
 
         :raises DiskFullError: nothing of the batch is kept; the log stays usable.
         :raises DiskFailedError: the log can't be written any more.
-        :raises ValueError: if the entries don't follow what is there.
+        :raises ValueError: if the entries don't continue the log.
         """
         self._check_usable()
         self._check_sequence(batch)
@@ -103,7 +106,7 @@
         self._remove_segments(removable)
 
     def close(self) -> None:
-        """Release the open segment."""
+        """Close the file of the active segment."""
         if self._file is not None:
             self._file.close()
             self._file = None
@@ -153,7 +156,7 @@
             active.last_index = max(active.last_index, self._last_index)
 
     def _begin_segment(self, number: int, *, replaces_log: bool) -> None:
-        """Create a durable segment, name and start record, and make it the active one."""
+        """Create a segment with a durable name and start record, and make it the active one."""
         data = encode_start(self._start_record(number, replaces_log=replaces_log))
         try:
             file = self._create_file(self._path(segment_name(number)), data)
