--- a/tests/support/consensus_cluster.py
+++ b/tests/support/consensus_cluster.py
@@ -1,4 +1,4 @@
-"""Replicas on a virtual clock, network and disks, all from one seed, with Raft's invariants checked."""
+"""Replicas with a virtual clock, network and disks, driven by one seed, with Raft's invariants checked."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
 _DECODER = msgspec.msgpack.Decoder(functools.reduce(operator.or_, MESSAGES))
 _STATE_DECODER = msgspec.msgpack.Decoder(State)
 MAX_TICKS_WITHOUT_PROGRESS = 20
-"""More ticks than this without time passing mean that a deadline isn't exact."""
+"""More successive ticks at one time mean that ``next_deadline`` returns a time that has passed."""
 
 
 class Disk:
-    """What survives a crash: only batches whose write ended."""
+    """State that survives a crash: only batches whose write has ended."""
 
     def __init__(self, replica: str) -> None:
         self.replica = ReplicaId(replica)
@@ -78,7 +78,7 @@
 
 
 class Machine:
-    """One node: a disk that lasts, and a replica and state that don't."""
+    """One node: a disk that survives a crash, and a replica and state that don't."""
 
     def __init__(self, node: str, disk: Disk) -> None:
         self.node = NodeId(node)
@@ -101,7 +101,7 @@
 
 
 class Cluster:
-    """Drives machines; every effect is checked as it comes."""
+    """Drives machines and checks every effect when it is emitted."""
 
     def __init__(
         self, seed: int, nodes: Iterable[str], settings: ConsensusSettings = ConsensusSettings()
@@ -135,7 +135,7 @@
     # Faults
 
     def add(self, node: str) -> Machine:
-        """Start an empty machine at ``node`` (wiping what was there)."""
+        """Start an empty machine at ``node``, in place of a former one and its disk."""
         if node in self.machines and self.machines[node].alive:
             self.crash(node)
         self._identities += 1
@@ -148,7 +148,7 @@
     wipe = add
 
     def move(self, node: str, new_node: str) -> None:
-        """Start the folder of ``node`` under another node name."""
+        """Restart the machine of ``node`` with the same disk under another node name."""
         self.crash(node)
         self.machines[new_node] = Machine(new_node, self.machines.pop(node).disk)
         self.restart(new_node)
@@ -241,7 +241,7 @@
         return correlation_id
 
     def commit(self, data: bytes = b"x") -> str:
-        """Propose at the leader and wait for the acknowledgement."""
+        """Propose a command at the leader and wait for its acknowledgement."""
         correlation_id = self.propose(self.await_leader().node, data)
         self.run_until(lambda: correlation_id in self.acknowledged or correlation_id in self.dropped)
         assert correlation_id in self.acknowledged, self.dropped[correlation_id].reason
@@ -255,7 +255,7 @@
         return correlation_id
 
     def settle(self) -> None:
-        """Heal everything, let it come to rest, and check that nothing acknowledged is missing."""
+        """Remove all faults, run until the group is idle, and check that all acknowledged commands exist."""
         self.loss = self.duplication = 0.0
         self.heal()
         self.run_until(self._settled, 90.0)
@@ -265,7 +265,7 @@
         self.check_logs()
 
     def check_logs(self) -> None:
-        """Log matching (Raft, figure 3) between all disks."""
+        """Check log matching (Raft, figure 3) between all disks."""
         seen: dict[tuple[str | None, int, int], tuple[Entry, Entry | None]] = {}
         for machine in self.machines.values():
             before: Entry | None = None
@@ -287,7 +287,7 @@
             for m in self.machines.values()
         )
 
-    # The world
+    # Virtual clock, network and disks
 
     def _at(self, time: float, action: Callable[[], None]) -> None:
         self._sequence += 1
@@ -312,7 +312,7 @@
             self.handle_event(machine.node, Tick())
 
     def _gossip(self) -> None:
-        """Membership: every machine learns of the controllers that it reaches."""
+        """Report to every machine the controllers that it can reach, as the membership protocol does."""
         self._at(self.now + 0.5, self._gossip)
         alive = [m for m in self.machines.values() if m.alive]
         for machine in alive:
@@ -346,7 +346,7 @@
                 self._write(machine, lambda: self._install(machine, effect.meta, effect.data))
             case fx.ProposalCommitted():
                 self.acknowledged[effect.correlation_id] = effect.index
-                assert effect.index <= machine.applied, "answered before it was applied"
+                assert effect.index <= machine.applied, "reported as committed before it was applied"
             case fx.ProposalDropped():
                 self.dropped[effect.correlation_id] = effect
             case fx.ReadConfirmed():
@@ -356,7 +356,7 @@
                 assert effect.restart_as_new == effect.reason.startswith(RESTART_AS_NEW)
                 assert effect.restart_as_new or "disk" in effect.reason, effect.reason
                 if effect.restart_as_new:
-                    assert not machine.state, "an acknowledged state was given up"
+                    assert not machine.state, "a replica with applied commands gave up its state"
                     self._later(machine, self.now + 0.3, lambda: self._restart_as_new(machine))
 
     def _restart_as_new(self, machine: Machine) -> None:
@@ -374,7 +374,7 @@
             self._at(arrival, lambda: self._arrive(machine.node, send.to, encoded))
 
     def _arrive(self, sender: NodeId, to: NodeId, encoded: bytes) -> None:
-        # A machine that moved meanwhile isn't there any more to get it.
+        # A machine that was renamed since the message was sent no longer exists under the old name.
         if to in self.machines and frozenset((sender, to)) not in self.cut_links:
             self.handle_event(to, MessageReceived(sender, _DECODER.decode(encoded)))
 
@@ -419,7 +419,7 @@
 
     def _apply(self, machine: Machine, entries: tuple[Entry, ...]) -> None:
         self.groups_with_commits.add(str(machine.status.group))
-        assert len(self.groups_with_commits) == 1, "two groups came to life"
+        assert len(self.groups_with_commits) == 1, "two groups committed entries"
         for entry in entries:
             assert entry.index == machine.applied + 1, "applied out of order"
             assert self.committed.setdefault(entry.index, entry) == entry, "state machines differ"
@@ -440,7 +440,7 @@
         log = machine.replica._core.log
         for index, entry in self.committed.items():
             assert index <= log.base_index or log.term_at(entry.index) == entry.term, (
-                "a leader lacks a commit"
+                "a leader lacks a committed entry"
             )
 
     def _check_read(self, machine: Machine, effect: fx.ReadConfirmed) -> None:
--- a/tests/unit/consensus/test_cluster.py
+++ b/tests/unit/consensus/test_cluster.py
@@ -1,4 +1,4 @@
-"""Transcripts of a group of controllers under the faults that it is meant for."""
+"""Scenarios of a group of controllers under crashes, partitions, lost disks and full or stalled disks."""
 
 import itertools
 
@@ -42,7 +42,7 @@
     cluster.settle()
 
 
-def test_leader_cut_off_steps_down_and_what_it_took_is_never_acknowledged() -> None:
+def test_partitioned_leader_steps_down_and_its_uncommitted_command_is_never_acknowledged() -> None:
     cluster = founded_cluster()
     old = cluster.await_leader().node
     cluster.isolate(old)
@@ -50,7 +50,7 @@
     lost = cluster.propose(old, b"lost")
     stale = cluster.read(old)
     cluster.run(2.0)
-    cluster.commit(b"decided by the rest")
+    cluster.commit(b"committed by the majority")
     cluster.run(20.0)
 
     assert not cluster.machines[old].status.leading
@@ -58,10 +58,12 @@
     assert cluster.reads[stale] is None
     term = cluster.await_leader().status.term
     cluster.settle()
-    assert cluster.await_leader().status.term == term, "pre-vote keeps the returning replica from a new term"
+    assert cluster.await_leader().status.term == term, (
+        "pre-vote prevents the returning replica from starting a new term"
+    )
 
 
-def test_a_replica_that_hears_its_leader_votes_for_nobody_else() -> None:
+def test_replica_with_a_live_leader_votes_for_no_other_candidate() -> None:
     cluster = founded_cluster()
     leader = cluster.await_leader()
     first, second = others(cluster, leader.node)
@@ -73,7 +75,7 @@
     assert cluster.machines[second].status.term == leader.status.term
 
 
-def test_acknowledged_only_when_a_majority_has_it_on_disk() -> None:
+def test_command_is_acknowledged_only_when_a_majority_has_it_on_disk() -> None:
     cluster = founded_cluster()
     leader = cluster.await_leader().node
     for node in others(cluster, leader):
@@ -88,7 +90,7 @@
     cluster.run_until(lambda: correlation_id in cluster.acknowledged, 5.0)
 
 
-def test_power_loss_of_all_after_an_acknowledgement_loses_nothing() -> None:
+def test_power_loss_of_all_replicas_loses_no_acknowledged_command() -> None:
     cluster = founded_cluster()
     correlation_ids = [cluster.commit(b"%d" % number) for number in range(50)]
     for node in THREE:
@@ -103,7 +105,7 @@
     assert set(correlation_ids) <= set(cluster.acknowledged)
 
 
-def test_after_a_power_loss_of_all_each_replica_has_its_state_before_there_is_a_leader() -> None:
+def test_replicas_apply_committed_entries_before_an_election_after_a_power_loss_of_all() -> None:
     cluster = founded_cluster()
     for number in range(5):
         cluster.commit(b"%d" % number)
@@ -114,12 +116,12 @@
     for node in THREE:
         cluster.restart(node)
         cluster.handle_event(node, Tick())
-        # The last commit is not on disk: no write came after it.
+        # The last commit index isn't on disk, because no batch was written after it.
         assert cluster.machines[node].state == whole[node][:-1] != []
         assert not cluster.machines[node].status.leading
 
 
-def test_wiped_voters_are_replaced_in_turn_without_losing_a_command() -> None:
+def test_wiped_voters_are_replaced_one_after_another_without_losing_a_command() -> None:
     cluster = founded_cluster()
     for node in THREE:
         old = cluster.machines[node].disk.replica
@@ -145,13 +147,13 @@
     leader = cluster.await_leader().node
     wiped, other = others(cluster, leader)
     cluster.isolate(other)
-    correlation_id = cluster.commit(b"on the leader and the machine that is wiped next")
+    correlation_id = cluster.commit(b"on the leader and on the machine that is wiped next")
     cluster.wipe(wiped)
     cluster.crash(leader)
     cluster.cut_links.clear()
 
     cluster.run(20.0)
-    assert cluster.leader() is None, "the empty machine must not help the one that missed the command"
+    assert cluster.leader() is None, "the wiped machine must not vote for the one that lacks the command"
 
     cluster.restart(leader)
     cluster.settle()
@@ -166,14 +168,14 @@
 
     cluster.crash(lost)
     cluster.run(3.0)
-    assert lost in cluster.voters(), "not before lost_after_s"
+    assert lost in cluster.voters(), "a voter isn't replaced before lost_after_s"
     cluster.run_until(lambda: cluster.voters() == {"a", "b", "c", "d"} - {lost}, 10.0)
     cluster.restart(lost)
     cluster.settle()
     assert len(cluster.voters()) == 3
 
 
-def test_absent_voter_becomes_a_learner_that_is_caught_up_as_soon_as_it_is_back() -> None:
+def test_absent_voter_becomes_a_learner_and_catches_up_after_its_restart() -> None:
     cluster = founded_cluster(("a", "b", "c", "d"), FAST_REPLACEMENT)
     leader = cluster.await_leader()
     cluster.run_until(lambda: len(leader.status.members.members) == 4)
@@ -190,7 +192,7 @@
     cluster.run_until(lambda: cluster.machines[lost].status.applied_index >= index, 0.5)
 
 
-def test_voter_whose_process_is_about_to_stop_gives_its_place_to_a_learner_before_it_is_gone() -> None:
+def test_stopping_voter_is_replaced_by_a_learner_before_it_has_stopped() -> None:
     cluster = founded_cluster(("a", "b", "c", "d"))
     leader = cluster.await_leader()
     cluster.run_until(lambda: len(leader.status.members.members) == 4)
@@ -201,10 +203,10 @@
 
     cluster.crash(stopping)
     cluster.crash(next(node for node in sorted(cluster.voters()) if node != leader.node))
-    cluster.commit(b"with the two that are left")
+    cluster.commit(b"with the two remaining voters")
 
 
-def test_voter_about_to_stop_stays_where_no_learner_can_take_its_place() -> None:
+def test_stopping_voter_remains_a_voter_if_there_is_no_learner() -> None:
     cluster = founded_cluster()
     leader = cluster.await_leader()
     stopping = others(cluster, leader.node)[0]
@@ -215,7 +217,7 @@
     assert cluster.voters() == set(THREE)
 
 
-def test_leader_that_hears_nothing_calls_a_successor_to_stand_as_it_steps_down() -> None:
+def test_leader_without_replies_requests_an_election_by_a_successor_when_it_steps_down() -> None:
     cluster = founded_cluster()
     old = cluster.await_leader()
     cluster.keep_sent = True
@@ -223,8 +225,8 @@
 
     cluster.run_until(lambda: not old.status.leading, 2 * cluster.settings.election_timeout_max_s)
 
-    calls = [message for *_, message in cluster.sent if isinstance(message, wire.RaftTimeoutNow)]
-    assert len(calls) == 1 and calls[0].source == old.disk.replica
+    requests = [message for *_, message in cluster.sent if isinstance(message, wire.RaftTimeoutNow)]
+    assert len(requests) == 1 and requests[0].source == old.disk.replica
 
 
 def test_folder_under_another_node_name_keeps_its_identity_and_vote() -> None:
@@ -241,7 +243,7 @@
     assert len(cluster.voters()) == 3
 
 
-def test_second_disk_lost_before_the_first_is_replaced_stops_the_group_but_harms_nothing() -> None:
+def test_loss_of_a_second_disk_before_the_first_is_replaced_stops_the_group_without_data_loss() -> None:
     cluster = founded_cluster(("a", "b", "c", "d"), ConsensusSettings(superseded_after_s=2.0))
     leader = cluster.await_leader()
     first, second = sorted(cluster.voters() - {leader.node})
@@ -257,7 +259,7 @@
     assert [data for _, data in leader.state] == [b"first"]
 
 
-def test_no_voter_is_removed_while_the_reachable_ones_are_no_majority() -> None:
+def test_no_voter_is_removed_while_the_reachable_voters_are_no_majority() -> None:
     cluster = founded_cluster(("a", "b", "c", "d"), FAST_REPLACEMENT)
     cluster.run(2.0)
     leader = cluster.await_leader().node
@@ -289,7 +291,7 @@
     assert cluster.dropped["three"].reason == "the learner is not caught up"
 
 
-def test_leadership_is_handed_over_on_request_without_a_gap_of_an_election_timeout() -> None:
+def test_leadership_transfer_on_request_takes_less_than_an_election_timeout() -> None:
     cluster = founded_cluster()
     old = cluster.await_leader().node
     target = others(cluster, old)[1]
@@ -301,18 +303,18 @@
     assert cluster.now - begin < cluster.settings.election_timeout_min_s / 2
 
 
-def test_leader_with_a_stalled_disk_hands_over() -> None:
+def test_leader_with_a_stalled_disk_transfers_leadership() -> None:
     cluster = founded_cluster()
     old = cluster.await_leader()
     old.stalled = True
 
     cluster.propose(old.node, b"waits for the disk")
     cluster.await_leader(others(cluster, old.node), 2.0)
-    cluster.commit(b"goes on")
+    cluster.commit(b"after the transfer")
     cluster.settle()
 
 
-def test_full_disks_refuse_commands_clearly_and_recover() -> None:
+def test_full_disks_reject_commands_with_a_reason_and_recover() -> None:
     cluster = founded_cluster()
     for machine in cluster.machines.values():
         machine.full = True
@@ -332,7 +334,7 @@
     cluster.settle()
 
 
-def test_slow_follower_gets_the_snapshot_in_chunks_and_resumes_after_a_cut() -> None:
+def test_slow_follower_receives_a_snapshot_in_chunks_and_resumes_after_a_partition() -> None:
     settings = ConsensusSettings(snapshot_entries=30, kept_entries=5, chunk_bytes=500)
     cluster = founded_cluster(settings=settings)
     slow = others(cluster, cluster.await_leader().node)[0]
@@ -351,7 +353,7 @@
     chunks = [m for *_, m in cluster.sent if isinstance(m, wire.RaftSnapshotChunk)]
     resumed = [m for *_, m in cluster.sent[before_heal:] if isinstance(m, wire.RaftSnapshotChunk)]
     assert all(len(chunk.data) <= 500 for chunk in chunks)
-    assert resumed[0].offset >= 1000, "what had arrived isn't sent again"
+    assert resumed[0].offset >= 1000, "chunks that had arrived aren't sent again"
     assert cluster.machines[slow].disk.snapshot is not None
 
 
@@ -359,7 +361,7 @@
     return isinstance(item[3], wire.RaftSnapshotChunk) and item[3].offset >= offset
 
 
-def test_entry_of_eight_mib_passes_while_heartbeats_stay_small() -> None:
+def test_entry_of_eight_mib_is_replicated_while_heartbeats_continue() -> None:
     cluster = founded_cluster()
     term = cluster.await_leader().status.term
     cluster.keep_sent = True
@@ -378,7 +380,7 @@
     assert max(b - a for a, b in itertools.pairwise(heartbeats)) < 0.11
 
 
-def test_too_large_a_command_is_refused() -> None:
+def test_command_above_the_size_limit_is_rejected() -> None:
     cluster = founded_cluster()
 
     correlation_id = cluster.propose(cluster.await_leader().node, bytes(12 * MIB + 1))
@@ -386,7 +388,7 @@
     assert "exceeds" in cluster.dropped[correlation_id].reason
 
 
-def test_reads_share_one_heartbeat_round_and_only_the_leader_confirms() -> None:
+def test_reads_share_one_heartbeat_round_and_only_the_leader_confirms_them() -> None:
     cluster = founded_cluster()
     leader = cluster.await_leader().node
     cluster.run(0.01)
@@ -400,10 +402,10 @@
 
     assert cluster.reads[refused] is None
     heartbeats = [message for *_, message in cluster.sent if isinstance(message, wire.RaftHeartbeat)]
-    assert len(heartbeats) <= 3 * 2, "one round for the first read, one for the rest, one by the clock"
+    assert len(heartbeats) <= 3 * 2, "one round for the first read, one for the others, one periodic"
 
 
-def test_disk_failure_stops_the_replica_loudly_and_the_rest_goes_on() -> None:
+def test_disk_failure_stops_the_replica_with_a_reason_and_the_others_continue() -> None:
     cluster = founded_cluster()
     broken = cluster.await_leader()
     broken.stalled = True
@@ -419,7 +421,7 @@
 
 
 @pytest.mark.parametrize("lost", [1, 2])
-def test_quiet_group_sends_heartbeats_and_nothing_else(lost: int) -> None:
+def test_idle_group_sends_only_heartbeats(lost: int) -> None:
     cluster = founded_cluster()
     cluster.run(3.0)
     cluster.keep_sent = True
--- a/tests/unit/consensus/test_founding.py
+++ b/tests/unit/consensus/test_founding.py
@@ -1,4 +1,4 @@
-"""Founding races: however the empty controllers see each other, one group at most comes to life."""
+"""Races between founders: at most one group commits entries, whichever controllers know each other."""
 
 import random
 
@@ -14,12 +14,15 @@
 from tests.support.consensus_cluster import Cluster
 
 FIVE = ("a", "b", "c", "d", "e")
-BARRIER_LEFT_BEHIND = (1349, 1642, 1691)
-"""Seeds of runs that wipe two founding members after the first election and before the first commit."""
+SEEDS_LEAVING_A_BARRIER = (1349, 1642, 1691)
+"""Seeds of runs that wipe two founding members between the first election and the first commit.
+
+Each run leaves the barrier of a first leader behind in a log.
+"""
 SHORT_ABANDON_TIME = ConsensusSettings(founding_abandon_s=5.0)
 
 
-def test_three_found_and_further_ones_join_as_learners() -> None:
+def test_three_replicas_found_a_group_and_further_ones_join_as_learners() -> None:
     cluster = Cluster(1, FIVE)
 
     leader = cluster.await_leader(limit_s=5.0)
@@ -29,7 +32,7 @@
     assert {m.node for m in leader.status.members.members if not m.voter} == {"d", "e"}
 
 
-def test_fewer_than_expected_wait() -> None:
+def test_fewer_replicas_than_expected_found_no_group() -> None:
     cluster = Cluster(1, ("a", "b"))
     cluster.run(60.0)
     assert all(machine.status.group is None for machine in cluster.machines.values())
@@ -38,7 +41,7 @@
     cluster.await_leader(limit_s=5.0)
 
 
-def test_one_may_found_alone_and_the_group_grows() -> None:
+def test_single_replica_founds_a_group_that_grows_to_three_voters() -> None:
     cluster = Cluster(1, ("a",), ConsensusSettings(controllers_expected=1))
     cluster.commit()
     cluster.add("b")
@@ -47,7 +50,7 @@
     assert cluster.voters() == {"a", "b", "c"}
 
 
-def test_founding_commit_that_reached_one_is_completed_later() -> None:
+def test_founding_commit_that_reached_one_member_is_completed_after_a_partition() -> None:
     cluster = Cluster(1, ("a", "b", "c"))
     cluster.run_until(lambda: cluster.machines["a"].status.group is not None, 5.0)
     cluster.isolate("a")
@@ -70,7 +73,7 @@
     cluster.await_leader()
 
 
-def test_group_that_can_not_come_to_life_is_given_up_and_another_founded() -> None:
+def test_group_that_can_not_elect_a_leader_is_given_up_and_another_founded() -> None:
     cluster = Cluster(1, ("a", "b", "c"))
     cluster.run_until(lambda: all(m.status.group for m in cluster.machines.values()), 5.0)
     cluster.wipe("c")
@@ -86,9 +89,9 @@
     cluster = Cluster(1, ("a", "b", "c"))
     cluster.run_until(lambda: cluster.machines["a"].status.group is not None, 5.0)
     machine = cluster.machines["a"]
-    notice = wire.RaftForeignGroup(machine.disk.replica, "other", 5)
+    foreign_group = wire.RaftForeignGroup(machine.disk.replica, "other", 5)
 
-    effects = machine.replica.handle(MessageReceived("x", notice), cluster.now)
+    effects = machine.replica.handle(MessageReceived("x", foreign_group), cluster.now)
 
     stopped = [effect for effect in effects if isinstance(effect, ReplicaStopped)]
     assert stopped[0].restart_as_new and stopped[0].reason.startswith(RESTART_AS_NEW)
@@ -98,9 +101,9 @@
     cluster = Cluster(1, ("a", "b", "c"))
     cluster.commit()
     machine = cluster.await_leader()
-    notice = wire.RaftForeignGroup(machine.disk.replica, "other", 1000)
+    foreign_group = wire.RaftForeignGroup(machine.disk.replica, "other", 1000)
 
-    cluster.handle_event(machine.node, MessageReceived("x", notice))
+    cluster.handle_event(machine.node, MessageReceived("x", foreign_group))
 
     assert not machine.stops
     cluster.commit()
@@ -120,9 +123,9 @@
     assert machine.status.group is None
 
 
-@pytest.mark.parametrize("seed", [*range(40), *BARRIER_LEFT_BEHIND])
-def test_at_most_one_group_comes_to_life_among_five(seed: int) -> None:
-    """``Cluster`` fails the run as soon as a second group applies an entry."""
+@pytest.mark.parametrize("seed", [*range(40), *SEEDS_LEAVING_A_BARRIER])
+def test_at_most_one_group_commits_entries_among_five_replicas(seed: int) -> None:
+    """Guards against two groups with commits; ``Cluster`` fails a run if a second one applies an entry."""
     rng = random.Random(seed)
     cluster = Cluster(seed, FIVE, SHORT_ABANDON_TIME)
     cluster.loss = rng.choice((0.0, 0.2, 0.4))
@@ -146,7 +149,7 @@
 JOINS_ONLY = ConsensusSettings(may_found=False)
 
 
-def test_replicas_that_are_not_of_the_first_start_found_nothing() -> None:
+def test_replicas_not_created_at_the_first_start_found_no_group() -> None:
     cluster = Cluster(1, FIVE, JOINS_ONLY)
 
     cluster.run(60.0)
@@ -154,7 +157,7 @@
     assert all(machine.status.group is None for machine in cluster.machines.values())
 
 
-def test_wiped_replica_that_may_not_found_is_passed_over_and_joins_the_group_of_the_others() -> None:
+def test_wiped_replica_that_may_not_found_is_no_candidate_and_joins_the_group_of_the_others() -> None:
     cluster = Cluster(1, ("a", "b"))
     cluster.settings = JOINS_ONLY
     cluster.wipe("a")
@@ -176,8 +179,8 @@
     own = machine.disk.replica
     others = (GroupMember("rc", "c", True), GroupMember("rd", "d", True))
     machine.replica.handle(FoundingCandidates(others, established=False), 0.0)
-    asked = machine.replica.handle(Tick(), 1.0)
-    requests = [e.message for e in asked if isinstance(e.message, wire.RaftFoundingRequest)]
+    tick_effects = machine.replica.handle(Tick(), 1.0)
+    requests = [e.message for e in tick_effects if isinstance(e.message, wire.RaftFoundingRequest)]
     assert {request.target for request in requests} == {"rc", "rd"}
 
     request = wire.RaftFoundingRequest("g", "ra", own, 0)
@@ -189,8 +192,8 @@
         ("d", wire.RaftFoundingRelease),
         ("a", wire.RaftFoundingPromise),
     }
-    late = [wire.RaftFoundingPromise(requests[0].group, replica, own, 0) for replica in ("rc", "rd")]
-    for promise in late:
+    late_promises = [wire.RaftFoundingPromise(requests[0].group, replica, own, 0) for replica in ("rc", "rd")]
+    for promise in late_promises:
         machine.replica.handle(MessageReceived(promise.source, promise), 1.2)
     assert machine.status.group is None
 
@@ -207,7 +210,7 @@
     assert machine.replica.handle(MessageReceived("c", request), 1.1) == []
 
 
-def test_released_promise_may_be_given_to_another_founder_at_once() -> None:
+def test_released_promise_is_available_to_another_founder_immediately() -> None:
     cluster = Cluster(1, ("c",))
     machine = cluster.machines["c"]
     own = machine.disk.replica
--- a/tests/unit/consensus/test_random_faults.py
+++ b/tests/unit/consensus/test_random_faults.py
@@ -1,4 +1,4 @@
-"""Faults at random, together and twice; the cluster checks Raft's invariants at every step."""
+"""Random faults, combined and repeated; the cluster checks Raft's invariants at every step."""
 
 import random
 
@@ -35,12 +35,12 @@
 FAULT_STEPS = 40
 LOADS_PER_STEP = 8
 HEAL_SHARE = 0.2
-"""Steps that heal everything, so that the next faults meet a working group."""
+"""Share of the steps that remove all faults, so that the next ones occur in a working group."""
 SEEDS_IN_CI = range(16)
 
 
 class RandomFaultRun:
-    """One seeded run: founding under loss, then faults under load, then healing."""
+    """One seeded run: founding under message loss, faults under load, then removal of all faults."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
@@ -64,7 +64,7 @@
         return self.cluster
 
     def _end(self) -> None:
-        """What must be over before everything heals."""
+        """Finish what must be over before all faults are removed."""
 
     def _fault(self) -> None:
         cluster = self.cluster
@@ -96,7 +96,7 @@
                 self._transfer_leadership()
 
     def _may_wipe(self) -> bool:
-        """One disk at a time: the group must have replaced the last one, else a majority is gone."""
+        """Return whether the group has replaced the last wiped disk; otherwise a majority could be lost."""
         leader = self.cluster.leader()
         if leader is None or leader.status.applied_index < leader.status.last_index:
             return False
@@ -124,7 +124,7 @@
 
 
 class RapidReplacementRun(RandomFaultRun):
-    """Replaces voters within moments, and processes say that they stop, some steps before they do."""
+    """A run with short replacement timeouts, in which processes announce their stop some steps ahead."""
 
     def __init__(self, seed: int) -> None:
         super().__init__(seed)
@@ -148,7 +148,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS_IN_CI)
-def test_invariants_hold_while_voters_are_replaced_hastily(seed: int) -> None:
+def test_invariants_hold_while_voters_are_replaced_rapidly(seed: int) -> None:
     cluster = RapidReplacementRun(seed).run()
 
     assert cluster.acknowledged
--- a/tests/unit/consensus/test_replica.py
+++ b/tests/unit/consensus/test_replica.py
@@ -1,4 +1,4 @@
-"""One replica at a time: given a folder, an event, these effects."""
+"""Effects of a single replica in reply to single events, from a given recovered state."""
 
 import random
 
@@ -64,7 +64,7 @@
     assert sent(effects) == [wire.RaftVoteReply("g", "rb", "ra", 3, True)]
 
 
-def test_one_vote_a_term_also_across_a_restart() -> None:
+def test_replica_votes_once_per_term_even_after_a_restart() -> None:
     replica = replica_b(term=3, voted_for="ra")
 
     assert sent(replica.handle(vote("rc"), 0.1)) == [wire.RaftVoteReply("g", "rb", "rc", 3, False)]
@@ -78,7 +78,7 @@
     assert replica.status().term == 2
 
 
-def test_conflicting_entries_are_replaced_and_acknowledged_after_the_disk() -> None:
+def test_conflicting_entries_are_replaced_and_acknowledged_once_durable() -> None:
     replica = replica_b(entries=(entry(1, 1), entry(2, 1), entry(3, 1)))
     append = wire.RaftAppend("g", "ra", "rb", 2, 1, 1, 0, (entry(2, 2),))
 
@@ -91,7 +91,7 @@
     assert sent(effects) == [wire.RaftAppendReply("g", "rb", "ra", 2, True, 2)]
 
 
-def test_gap_is_refused_with_a_hint() -> None:
+def test_append_after_a_gap_is_rejected_with_a_hint() -> None:
     replica = replica_b()
     append = wire.RaftAppend("g", "ra", "rb", 2, 9, 2, 0, ())
 
@@ -100,7 +100,7 @@
     assert sent(effects) == [wire.RaftAppendReply("g", "rb", "ra", 2, False, 9, 1, 1)]
 
 
-def test_full_disk_writes_the_same_again_with_what_came_since() -> None:
+def test_batch_that_found_no_space_is_written_again_with_later_entries() -> None:
     replica = replica_b()
     first = wire.RaftAppend("g", "ra", "rb", 2, 1, 1, 0, (entry(2, 2),))
     second = wire.RaftAppend("g", "ra", "rb", 2, 2, 2, 0, (entry(3, 2),))
@@ -116,7 +116,7 @@
 
 
 def leader_b(entries: tuple[Entry, ...]) -> tuple[Replica, float]:
-    """Let the replica win the election of term 3; its barrier isn't on disk yet."""
+    """Return a replica that won the election of term 3, with its barrier not on disk yet."""
     replica = replica_b(entries=entries)
     now = replica.next_deadline()
     replica.handle(Tick(), now)
@@ -128,8 +128,8 @@
     return replica, now
 
 
-def test_entry_of_an_earlier_term_is_not_committed_by_counting() -> None:
-    """The case of figure 8 of the Raft paper."""
+def test_entry_of_an_earlier_term_is_not_committed_by_counting_replicas() -> None:
+    """Guards against the lost commit of figure 8 in the Raft paper."""
     replica, now = leader_b((entry(1, 1), entry(2, 2)))
 
     replica.handle(MessageReceived("a", wire.RaftAppendReply("g", "ra", "rb", 3, True, 2)), now)
@@ -142,7 +142,7 @@
     assert replica.leading
 
 
-def test_leader_counts_itself_only_for_what_is_on_its_disk() -> None:
+def test_leader_counts_itself_only_for_entries_on_its_disk() -> None:
     replica, now = leader_b((entry(1, 1),))
 
     replica.handle(MessageReceived("a", wire.RaftAppendReply("g", "ra", "rb", 3, True, 2)), now)
@@ -152,7 +152,7 @@
     assert replica.status().commit_index == 2
 
 
-def test_leader_whose_disk_failed_says_that_it_leads_no_more() -> None:
+def test_leader_with_a_failed_disk_reports_the_end_of_its_leadership() -> None:
     replica, now = leader_b((entry(1, 1),))
 
     effects = replica.handle(PersistFailed(2, False, "input/output error"), now)
@@ -160,18 +160,18 @@
     assert effects[-1] == LeadershipChanged(3, None, False)
 
 
-def test_barrier_alone_yields_to_an_established_group_and_a_command_never() -> None:
+def test_log_with_only_a_barrier_yields_to_an_established_group_and_one_with_a_command_does_not() -> None:
     barrier = Entry(1, 2, EntryKind.BARRIER, b"")
-    notice = MessageReceived("x", wire.RaftForeignGroup("rb", "other", 5))
+    foreign_group = MessageReceived("x", wire.RaftForeignGroup("rb", "other", 5))
 
-    (stopped,) = replica_b(entries=(barrier,)).handle(notice, 0.1)
+    (stopped,) = replica_b(entries=(barrier,)).handle(foreign_group, 0.1)
 
     assert isinstance(stopped, ReplicaStopped) and stopped.restart_as_new
     assert stopped.reason.startswith(RESTART_AS_NEW)
-    assert replica_b(entries=(barrier, entry(2, 2))).handle(notice, 0.1) == []
+    assert replica_b(entries=(barrier, entry(2, 2))).handle(foreign_group, 0.1) == []
 
 
-def test_window_bounds_what_is_in_flight() -> None:
+def test_window_limits_the_bytes_in_flight() -> None:
     replica, now = leader_b(tuple(entry(n, 1, bytes(400_000)) for n in range(1, 41)))
 
     effects = replica.handle(
@@ -185,7 +185,7 @@
     assert window <= sum(len(m.entries) * 400_000 for m in frames) < window + 500_000
 
 
-def test_full_disk_that_a_snapshot_overtakes_wants_no_endless_ticks() -> None:
+def test_snapshot_installed_on_a_full_disk_leaves_no_deadline_in_the_past() -> None:
     replica = replica_b(voted_for="ra")
     append = wire.RaftAppend("g", "ra", "rb", 2, 1, 1, 0, (entry(2, 2),))
     batch = persist(replica.handle(MessageReceived("a", append), 0.1))
@@ -196,15 +196,15 @@
     replica.handle(MessageReceived("a", chunk), 0.3)
 
     replica.handle(Tick(), 0.75)
-    assert replica.next_deadline() > 0.75, "while the snapshot is being installed"
+    assert replica.next_deadline() > 0.75, "no deadline in the past while the snapshot is being installed"
 
     replica.handle(SnapshotInstalled(meta), 0.8)
     replica.handle(Tick(), 0.8)
-    assert replica.next_deadline() > 0.8, "when nothing is left to write"
+    assert replica.next_deadline() > 0.8, "no deadline in the past when nothing is left to write"
     assert not replica.status().disk_full
 
 
-def test_the_commit_index_goes_along_with_a_batch_and_is_no_reason_for_one() -> None:
+def test_commit_index_is_written_with_a_batch_but_causes_none() -> None:
     replica = replica_b(entries=(entry(1, 1), entry(2, 2)))
     appended = wire.RaftAppend("g", "ra", "rb", 2, 2, 2, 2, ())
     effects = replica.handle(MessageReceived("a", appended), 0.1)
@@ -213,7 +213,7 @@
     assert persist(replica.handle(vote("rc", last=(2, 2), term=4), 5.0)).committed == 2
 
 
-def test_a_commit_index_beyond_a_torn_log_applies_what_is_there() -> None:
+def test_recovered_commit_index_beyond_a_torn_log_applies_the_remaining_entries() -> None:
     entries = (entry(1, 1), entry(2, 1))
     recovered = RecoveredState("rb", "g", HardState(2, None), None, b"", entries, MEMBERS, committed=9)
     assert Apply(entries) in Replica(recovered, "b", random.Random(1)).handle(Tick(), 0.0)
--- a/tests/unit/storage/support.py
+++ b/tests/unit/storage/support.py
@@ -33,7 +33,7 @@
     return Entry(LogIndex(index), Term(term), kind, data)
 
 
-def appending(*entries: Entry, truncate_from: int | None = None, term: int | None = None) -> Persist:
+def batch_with(*entries: Entry, truncate_from: int | None = None, term: int | None = None) -> Persist:
     hard_state = HardState(Term(term), ReplicaId("r1")) if term is not None else None
     first = LogIndex(truncate_from) if truncate_from is not None else None
     return Persist(1, hard_state=hard_state, truncate_from=first, entries=entries)
--- a/tests/unit/storage/test_claim_journal.py
+++ b/tests/unit/storage/test_claim_journal.py
@@ -1,4 +1,4 @@
-"""The claim journal: what was synced comes back, a torn tail goes, damage makes the holder a wiped one."""
+"""The claim journal: synced entries are recovered, a torn tail is truncated, corruption counts as a wipe."""
 
 from __future__ import annotations
 
@@ -21,21 +21,21 @@
 
 REPLICA = ReplicaId("r1")
 PATH = f"{FOLDER}/{JOURNAL_NAME}"
-TICKET = ClaimAttempt(NodeId("n1"), 7, "claim-1")
+ATTEMPT = ClaimAttempt(NodeId("n1"), 7, "claim-1")
 RING = ClaimRing(3, (RingMember(NodeId("n1"), ZoneName("z"), REPLICA),))
 STATE = HolderState((RING,), ((NodeId("n2"), 3),))
 
 
-def kept(key: str, state: ClaimState = ClaimState.RUNNING, answer: bytes = b"") -> ClaimStored:
-    granted = TICKET if state is ClaimState.RUNNING else None
-    return ClaimStored(ClaimRecord(key, (TICKET,), state, answer), granted)
+def stored_claim(key: str, state: ClaimState = ClaimState.RUNNING, answer: bytes = b"") -> ClaimStored:
+    granted = ATTEMPT if state is ClaimState.RUNNING else None
+    return ClaimStored(ClaimRecord(key, (ATTEMPT,), state, answer), granted)
 
 
 def journal_on(disk: Disk, replica: ReplicaId = REPLICA, rewrite_min_bytes: int = 1 << 20) -> ClaimJournal:
     return ClaimJournal(disk, FOLDER, replica, rewrite_min_bytes)
 
 
-def written(*batches: list[ClaimEntry]) -> MemoryDisk:
+def disk_with_journal(*batches: list[ClaimEntry]) -> MemoryDisk:
     disk = MemoryDisk()
     journal = journal_on(disk)
     journal.open(new_replica=True)
@@ -44,35 +44,37 @@
     return disk
 
 
-def test_the_last_word_on_each_key_comes_back_after_a_power_cut() -> None:
-    disk = written(
-        [kept("a"), kept("b")], [kept("a", ClaimState.FINISHED, b"done"), STATE], [ClaimReleased("b")]
+def test_newest_entry_of_each_key_is_recovered_after_a_power_cut() -> None:
+    disk = disk_with_journal(
+        [stored_claim("a"), stored_claim("b")],
+        [stored_claim("a", ClaimState.FINISHED, b"done"), STATE],
+        [ClaimReleased("b")],
     )
     disk.power_cut()
     recovered = journal_on(disk).open(new_replica=False)
-    assert recovered.claims == (kept("a", ClaimState.FINISHED, b"done"),)
+    assert recovered.claims == (stored_claim("a", ClaimState.FINISHED, b"done"),)
     assert (recovered.state, recovered.founded, recovered.damage) == (STATE, True, "")
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_torn_tail_is_cut_and_the_journal_goes_on(seed: int) -> None:
-    disk = written([kept("a")])
+def test_torn_tail_is_truncated_and_the_journal_accepts_entries(seed: int) -> None:
+    disk = disk_with_journal([stored_claim("a")])
     file = disk.open(PATH)
     file.append(disk.read(PATH)[-60:-3])
     disk.power_cut(random.Random(seed))
     journal = journal_on(disk)
-    assert journal.open(new_replica=False).claims == (kept("a"),)
-    journal.append([kept("b")])
-    assert journal_on(disk).open(new_replica=False).claims == (kept("a"), kept("b"))
+    assert journal.open(new_replica=False).claims == (stored_claim("a"),)
+    journal.append([stored_claim("b")])
+    assert journal_on(disk).open(new_replica=False).claims == (stored_claim("a"), stored_claim("b"))
 
 
 @pytest.mark.parametrize("place", ["start", "middle", "sealed end"])
-def test_damage_makes_the_holder_a_wiped_one_for_good(place: str) -> None:
-    disk = written([kept("a")], [kept("b")], [kept("c")])
+def test_corruption_makes_the_holder_count_as_wiped_permanently(place: str) -> None:
+    disk = disk_with_journal([stored_claim("a")], [stored_claim("b")], [stored_claim("c")])
     if place == "sealed end":
         journal = journal_on(disk, rewrite_min_bytes=10)
         journal.open(new_replica=False)
-        journal.append([kept("d")])
+        journal.append([stored_claim("d")])
     size_bytes = len(disk.read(PATH))
     disk.corrupt(PATH, {"start": 20, "middle": size_bytes // 2, "sealed end": size_bytes - 1}[place])
     recovered = journal_on(disk).open(new_replica=False)
@@ -83,31 +85,33 @@
     assert (again.founded, again.damage) == (False, "")
 
 
-def test_a_missing_journal_and_another_replicas_count_as_lost() -> None:
+def test_missing_journal_and_one_of_another_replica_count_as_lost() -> None:
     assert "missing" in journal_on(MemoryDisk()).open(new_replica=False).damage
-    disk = written([kept("a")])
+    disk = disk_with_journal([stored_claim("a")])
     recovered = journal_on(disk, ReplicaId("r2")).open(new_replica=True)
     assert "another replica" in recovered.damage
     assert (recovered.founded, recovered.claims) == (False, ())
 
 
 @pytest.mark.parametrize("real", [False, True])
-def test_a_grown_journal_is_rewritten_with_the_same_meaning(real: bool, tmp_path: Path) -> None:
+def test_grown_journal_is_rewritten_with_the_same_content(real: bool, tmp_path: Path) -> None:
     disk: Disk = RealDisk(tmp_path) if real else MemoryDisk()
     disk.make_folder(FOLDER)
     journal = journal_on(disk, rewrite_min_bytes=2000)
     journal.open(new_replica=True)
     journal.append([STATE])
     for number in range(500):
-        journal.append([kept(f"key{number}"), ClaimReleased(f"key{number - 10}")])
+        journal.append([stored_claim(f"key{number}"), ClaimReleased(f"key{number - 10}")])
     assert len(disk.read(PATH)) < 5000
     recovered = journal_on(disk).open(new_replica=False)
-    assert recovered.claims == tuple(kept(f"key{number}") for number in range(490, 500))
+    assert recovered.claims == tuple(stored_claim(f"key{number}") for number in range(490, 500))
     assert (recovered.state, recovered.founded) == (STATE, True)
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_a_power_cut_in_a_rewrite_by_slices_loses_nothing(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_power_cut_during_a_sliced_rewrite_loses_no_acknowledged_entry(
+    seed: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(claim_journal_file, "SLICE_ENTRIES", 3)
     rng = random.Random(seed)
     disk = MemoryDisk()
@@ -117,7 +121,7 @@
     disk.calls_until_failure = rng.randint(60, 250)
     try:
         for number in range(100):
-            entry = kept(f"key{number % 13}", ClaimState.FINISHED, b"%d" % number)
+            entry = stored_claim(f"key{number % 13}", ClaimState.FINISHED, b"%d" % number)
             journal.append([entry])
             acknowledged[entry.record.key] = entry
     except DiskFailedError:
@@ -131,39 +135,39 @@
     assert sum(newer[key] > int(claim.record.answer) for key, claim in acknowledged.items()) <= 1
 
 
-def test_a_rewrite_without_room_is_given_up_and_the_journal_goes_on() -> None:
+def test_rewrite_without_space_is_abandoned_and_the_journal_accepts_entries() -> None:
     disk = MemoryDisk()
     journal = journal_on(disk, rewrite_min_bytes=500)
     journal.open(new_replica=True)
     while len(disk.read(PATH)) < 450:
-        journal.append([kept("a")])
+        journal.append([stored_claim("a")])
     disk.capacity_bytes = len(disk.read(PATH)) + 260  # not enough for a second file
-    journal.append([kept("b"), kept("c")])
-    journal.append([kept("d")])
+    journal.append([stored_claim("b"), stored_claim("c")])
+    journal.append([stored_claim("d")])
     assert len(disk.read(PATH)) > 500
     disk.power_cut()
     assert [claim.record.key for claim in journal_on(disk).open(False).claims] == ["a", "b", "c", "d"]
 
 
-def test_a_full_disk_takes_nothing_and_is_usable_again() -> None:
-    disk = written([kept("a")])
+def test_append_to_a_full_disk_keeps_nothing_and_later_appends_succeed() -> None:
+    disk = disk_with_journal([stored_claim("a")])
     journal = journal_on(disk)
     journal.open(new_replica=False)
     disk.capacity_bytes = len(disk.read(PATH)) + 20
     with pytest.raises(DiskFullError):
-        journal.append([kept("b")])
+        journal.append([stored_claim("b")])
     disk.capacity_bytes = 1 << 40
-    journal.append([kept("c")])
-    assert journal_on(disk).open(new_replica=False).claims == (kept("a"), kept("c"))
+    journal.append([stored_claim("c")])
+    assert journal_on(disk).open(new_replica=False).claims == (stored_claim("a"), stored_claim("c"))
 
 
-def test_a_failed_disk_ends_the_journal() -> None:
-    disk = written()
+def test_journal_accepts_no_entries_after_a_disk_failure() -> None:
+    disk = disk_with_journal()
     journal = journal_on(disk)
     journal.open(new_replica=False)
     disk.failing = True
     with pytest.raises(DiskFailedError):
-        journal.append([kept("a")])
+        journal.append([stored_claim("a")])
     disk.failing = False
     with pytest.raises(DiskFailedError):
-        journal.append([kept("b")])
+        journal.append([stored_claim("b")])
--- a/tests/unit/storage/test_peer_list.py
+++ b/tests/unit/storage/test_peer_list.py
@@ -1,4 +1,4 @@
-"""The list of peers on disk: the newest or the one before comes back, a damaged one is passed over."""
+"""The list of peers on disk: a saved list survives power cuts, a corrupt list is ignored and reported."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
     return tuple(RememberedPeer(NodeId(name), Address(f"10.0.0.1:{7000 + len(name)}")) for name in names)
 
 
-def test_the_newest_list_comes_back() -> None:
+def test_newest_list_is_loaded() -> None:
     disk = MemoryDisk()
     PeerList(disk, FOLDER).save(peers("a", "bb"))
     PeerList(disk, FOLDER).save(peers("a"))
     assert PeerList(disk, FOLDER).load() == peers("a")
 
 
-def test_an_empty_disk_has_no_list_and_no_damage() -> None:
+def test_empty_disk_has_no_list_and_no_corruption() -> None:
     found = PeerList(MemoryDisk(), FOLDER)
     assert (found.load(), found.corruption) == ((), "")
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_a_power_cut_leaves_the_old_list_or_the_new_one(seed: int) -> None:
+def test_saved_list_survives_a_power_cut(seed: int) -> None:
     disk = MemoryDisk()
     PeerList(disk, FOLDER).save(peers("a"))
     PeerList(disk, FOLDER).save(peers("a", "bb"))
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize("offset", range(0, 40, 3))
-def test_a_damaged_list_is_passed_over(offset: int) -> None:
+def test_corrupt_list_is_ignored_and_reported(offset: int) -> None:
     disk = MemoryDisk()
     PeerList(disk, FOLDER).save(peers("a", "bb", "ccc"))
     data = bytearray(disk.read(f"{FOLDER}/{PEERS_NAME}"))
@@ -54,7 +54,7 @@
     assert found.corruption
 
 
-def test_a_full_disk_keeps_the_older_list() -> None:
+def test_full_disk_keeps_the_older_list() -> None:
     disk = MemoryDisk()
     PeerList(disk, FOLDER).save(peers("a"))
     disk.capacity_bytes = 0
--- a/tests/unit/storage/test_real_disk.py
+++ b/tests/unit/storage/test_real_disk.py
@@ -1,4 +1,4 @@
-"""The operating system's disk keeps the same contract as the one in memory."""
+"""The disk of the operating system follows the same contract as the disk in memory."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from springmux.storage.disk import DiskFailedError, DiskFullError, FolderLockedError, write_atomically
 from springmux.storage.real_disk import RealDisk, RealFile
 from springmux.storage.replica_store import ReplicaStore
-from tests.unit.storage.support import SMALL_SEGMENT_BYTES, appending, entry, meta
+from tests.unit.storage.support import SMALL_SEGMENT_BYTES, batch_with, entry, meta
 
 
 def store_in(folder: Path) -> ReplicaStore:
     return ReplicaStore(RealDisk(folder), "data", segment_bytes=SMALL_SEGMENT_BYTES, reserve_bytes=1 << 16)
 
 
-def test_a_replica_is_the_same_after_a_restart(tmp_path: Path) -> None:
+def test_replica_is_recovered_after_a_restart(tmp_path: Path) -> None:
     store = store_in(tmp_path)
     replica = store.open().replica
     for index in range(1, 41):
-        store.persist(appending(entry(index), term=2))
+        store.persist(batch_with(entry(index), term=2))
     store.take_snapshot(meta(20), b"state-20")
     store.take_snapshot(meta(30), b"state-30")
     store.compact(LogIndex(31))
@@ -37,11 +37,11 @@
     assert (tmp_path / "data" / "reserve").stat().st_blocks * 512 >= 1 << 16
 
 
-def test_two_replicas_have_two_identities(tmp_path: Path) -> None:
+def test_new_replicas_have_different_identities(tmp_path: Path) -> None:
     assert store_in(tmp_path / "a").open().replica != store_in(tmp_path / "b").open().replica
 
 
-def test_a_folder_is_for_one_store_at_a_time(tmp_path: Path) -> None:
+def test_folder_can_be_opened_by_one_store_at_a_time(tmp_path: Path) -> None:
     store = store_in(tmp_path)
     store.open()
     with pytest.raises(FolderLockedError):
@@ -50,21 +50,19 @@
     store_in(tmp_path).open()
 
 
-def test_a_full_device_is_a_typed_error() -> None:
+def test_full_device_raises_disk_full_error() -> None:
     file = RealFile("full", os.open("/dev/full", os.O_WRONLY))
     with pytest.raises(DiskFullError):
         file.append(b"x")
     file.close()
 
 
-def test_any_other_error_is_a_failure_that_names_the_file(tmp_path: Path) -> None:
+def test_other_errors_raise_disk_failed_error_with_the_path(tmp_path: Path) -> None:
     with pytest.raises(DiskFailedError, match="missing/file"):
         RealDisk(tmp_path).open("missing/file")
 
 
-def test_a_reserve_without_room_leaves_nothing_behind(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_preallocation_without_space_leaves_no_file(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     def no_room(descriptor: int, offset: int, size_bytes: int) -> None:
         raise OSError(errno.ENOSPC, "No space left on device")
 
@@ -75,7 +73,7 @@
     assert disk.list_folder("") == []
 
 
-def test_an_atomic_write_replaces_and_leaves_no_temporary_file(tmp_path: Path) -> None:
+def test_atomic_write_replaces_the_file_and_leaves_no_temporary_file(tmp_path: Path) -> None:
     disk = RealDisk(tmp_path)
     disk.make_folder("d")
     write_atomically(disk, "d", "name", b"old")
--- a/tests/unit/storage/test_replica_store.py
+++ b/tests/unit/storage/test_replica_store.py
@@ -1,4 +1,4 @@
-"""A replica's folder under kills, power cuts, torn writes, damage, a full, stalled and wiped disk."""
+"""A replica's folder under kills, power cuts, torn writes, corruption, and full, stalled or wiped disks."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 from springmux.storage.errors import FolderWipedError, LogCorruptError, SnapshotMissingError
 from springmux.storage.memory_disk import MemoryDisk
 from springmux.storage.replica_store import ReplicaStore
-from tests.unit.storage.support import FOLDER, MEMBERS, RESERVE_BYTES, appending, entry, meta, store_on
+from tests.unit.storage.support import FOLDER, MEMBERS, RESERVE_BYTES, batch_with, entry, meta, store_on
 
 
-def opened(disk: MemoryDisk) -> ReplicaStore:
+def open_store(disk: MemoryDisk) -> ReplicaStore:
     store = store_on(disk)
     store.open()
     return store
 
 
-def filled(disk: MemoryDisk, count: int) -> ReplicaStore:
-    store = opened(disk)
+def store_with_entries(disk: MemoryDisk, count: int) -> ReplicaStore:
+    store = open_store(disk)
     for index in range(1, count + 1):
-        store.persist(appending(entry(index), term=1))
+        store.persist(batch_with(entry(index), term=1))
     return store
 
 
@@ -35,7 +35,7 @@
     return [name for name in disk.list_folder(FOLDER) if name.endswith(".segment")]
 
 
-def test_a_first_start_makes_an_identity_that_later_starts_keep() -> None:
+def test_identity_created_at_the_first_start_is_kept_by_later_starts() -> None:
     disk = MemoryDisk()
     first = store_on(disk, seed=1)
     replica = first.open().replica
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("calls", range(40))
-def test_a_power_cut_at_any_call_of_the_first_start_leaves_a_folder_that_opens(calls: int) -> None:
+def test_folder_opens_after_a_power_cut_at_any_call_of_the_first_start(calls: int) -> None:
     disk = MemoryDisk()
     disk.calls_until_failure = calls
     with contextlib.suppress(DiskFailedError):
@@ -56,12 +56,12 @@
     disk.power_cut(random.Random(calls))
     store = store_on(disk, seed=8)
     assert store.open().entries == ()
-    store.persist(appending(entry(1)))
+    store.persist(batch_with(entry(1)))
     disk.power_cut()
     assert store_on(disk).open().entries == (entry(1),)
 
 
-def test_a_wiped_disk_is_a_new_replica() -> None:
+def test_wiped_disk_becomes_a_new_replica() -> None:
     disk = MemoryDisk()
     before = store_on(disk, seed=1).open().replica
     disk.wipe()
@@ -72,7 +72,7 @@
 
 def test_hard_state_founding_and_entries_survive_a_power_cut() -> None:
     disk = MemoryDisk()
-    store = opened(disk)
+    store = open_store(disk)
     founding = (GroupId("g"), MEMBERS)
     store.persist(Persist(1, HardState(Term(3), ReplicaId("r2")), None, (entry(1, 3),), founding))
     disk.power_cut()
@@ -82,64 +82,64 @@
     assert recovered.entries == (entry(1, 3),)
 
 
-def test_the_newest_commit_index_survives_a_power_cut() -> None:
+def test_newest_commit_index_survives_a_power_cut() -> None:
     disk = MemoryDisk()
-    store = opened(disk)
-    for batch in (appending(entry(1)), appending(entry(2)), appending(entry(3))):
+    store = open_store(disk)
+    for batch in (batch_with(entry(1)), batch_with(entry(2)), batch_with(entry(3))):
         store.persist(msgspec.structs.replace(batch, committed=LogIndex(batch.entries[0].index - 1)))
-    store.persist(appending(term=4))
+    store.persist(batch_with(term=4))
     disk.power_cut()
     assert store_on(disk).open().committed == 2
 
 
 def test_one_batch_costs_one_sync() -> None:
     disk = MemoryDisk()
-    store = opened(disk)
+    store = open_store(disk)
     before = disk.sync_count
-    store.persist(appending(entry(1), entry(2), entry(3), term=2))
+    store.persist(batch_with(entry(1), entry(2), entry(3), term=2))
     assert disk.sync_count == before + 1
 
 
-def test_a_stall_is_reported_to_the_driver() -> None:
+def test_stall_is_reported_to_the_driver() -> None:
     disk = MemoryDisk()
-    store = opened(disk)
+    store = open_store(disk)
     disk.stall_s = 2.5
-    store.persist(appending(entry(1)))
+    store.persist(batch_with(entry(1)))
     assert disk.take_stalled_s() == 2.5
 
 
-def test_an_overwritten_suffix_stays_overwritten() -> None:
+def test_overwritten_suffix_stays_overwritten_after_a_power_cut() -> None:
     disk = MemoryDisk()
-    store = filled(disk, 20)
-    store.persist(appending(entry(11, 2), truncate_from=11, term=2))
+    store = store_with_entries(disk, 20)
+    store.persist(batch_with(entry(11, 2), truncate_from=11, term=2))
     disk.power_cut()
     recovered = store_on(disk).open()
     assert [e.index for e in recovered.entries] == list(range(1, 12))
     assert recovered.entries[-1].term == 2
 
 
-def test_a_batch_with_a_gap_is_refused() -> None:
-    store = filled(MemoryDisk(), 3)
+def test_batch_that_leaves_a_gap_is_rejected() -> None:
+    store = store_with_entries(MemoryDisk(), 3)
     with pytest.raises(ValueError, match="entry 5 does not follow 3"):
-        store.persist(appending(entry(5)))
+        store.persist(batch_with(entry(5)))
 
 
-def test_a_torn_tail_is_cut_and_the_log_goes_on() -> None:
+def test_torn_tail_is_truncated_and_the_log_accepts_entries() -> None:
     disk = MemoryDisk()
-    filled(disk, 3).close()
+    store_with_entries(disk, 3).close()
     disk.open(f"{FOLDER}/{segments(disk)[-1]}").append(b"\xc5SM1\x02\x10\x00")
     store = store_on(disk)
     assert len(store.open().entries) == 3
     assert store.recovery_report.truncated_bytes == 7
-    store.persist(appending(entry(4)))
+    store.persist(batch_with(entry(4)))
     disk.power_cut()
     assert len(store_on(disk).open().entries) == 4
 
 
 @pytest.mark.parametrize("segment", [0, -1])
-def test_damage_in_the_middle_is_reported_with_file_and_offset(segment: int) -> None:
+def test_corruption_before_the_tail_is_reported_with_file_and_offset(segment: int) -> None:
     disk = MemoryDisk()
-    filled(disk, 22).close()
+    store_with_entries(disk, 22).close()
     name = segments(disk)[segment]
     assert len(segments(disk)) > 2
     disk.corrupt(f"{FOLDER}/{name}", 30)
@@ -151,7 +151,7 @@
 @pytest.mark.parametrize("segment", [0, -1])
 def test_one_changed_byte_of_an_entry_is_reported(segment: int) -> None:
     disk = MemoryDisk()
-    filled(disk, 24).close()
+    store_with_entries(disk, 24).close()
     path = f"{FOLDER}/{segments(disk)[segment]}"
     first_entry = disk.read(path).find(b"xxxx")
     record = disk.read(path).rfind(b"\xc5SM1", 0, first_entry)
@@ -162,9 +162,9 @@
     assert caught.value.offset == record
 
 
-def test_damage_to_the_very_last_batch_looks_like_a_torn_write_and_is_found_and_cut() -> None:
+def test_corruption_of_the_last_batch_is_truncated_like_a_torn_write() -> None:
     disk = MemoryDisk()
-    filled(disk, 24).close()
+    store_with_entries(disk, 24).close()
     path = f"{FOLDER}/{segments(disk)[-1]}"
     disk.corrupt(path, len(disk.read(path)) - 1)
     store = store_on(disk)
@@ -172,17 +172,17 @@
     assert store.recovery_report.truncated_bytes > 0
 
 
-def test_a_missing_segment_is_reported() -> None:
+def test_missing_segment_is_reported() -> None:
     disk = MemoryDisk()
-    filled(disk, 22).close()
+    store_with_entries(disk, 22).close()
     disk.remove(f"{FOLDER}/{segments(disk)[1]}")
     with pytest.raises(LogCorruptError, match="segment is missing"):
         store_on(disk).open()
 
 
-def test_a_segment_cut_at_a_record_border_is_reported() -> None:
+def test_segment_truncated_at_a_record_boundary_is_reported() -> None:
     disk = MemoryDisk()
-    filled(disk, 22).close()
+    store_with_entries(disk, 22).close()
     first = f"{FOLDER}/{segments(disk)[0]}"
     record_bytes = len(disk.read(first)) - disk.read(first).rfind(b"\xc5SM1")
     disk.open(first).truncate(len(disk.read(first)) - record_bytes)
@@ -190,11 +190,11 @@
         store_on(disk).open()
 
 
-def test_a_damaged_replica_is_set_aside_and_comes_back_as_a_new_one() -> None:
+def test_corrupt_replica_is_set_aside_and_restarts_as_a_new_one() -> None:
     disk = MemoryDisk()
     before = store_on(disk, 1).open().replica
     disk.process_killed()
-    filled(disk, 22).close()
+    store_with_entries(disk, 22).close()
     disk.corrupt(f"{FOLDER}/{segments(disk)[0]}", 30)
     store = store_on(disk, 2)
     with pytest.raises(LogCorruptError):
@@ -207,9 +207,9 @@
 
 
 @pytest.mark.parametrize("lost", ["replica-id", "log", "in-use"])
-def test_a_folder_that_lost_a_part_is_not_taken_for_a_new_one(lost: str) -> None:
+def test_used_folder_with_a_missing_part_is_not_treated_as_new(lost: str) -> None:
     disk = MemoryDisk()
-    filled(disk, 2).close()
+    store_with_entries(disk, 2).close()
     for name in segments(disk) if lost == "log" else [lost]:
         disk.remove(f"{FOLDER}/{name}")
     with pytest.raises(FolderWipedError):
@@ -218,16 +218,16 @@
 
 def test_two_processes_do_not_share_a_folder() -> None:
     disk = MemoryDisk()
-    store = opened(disk)
+    store = open_store(disk)
     with pytest.raises(FolderLockedError):
         store_on(disk).open()
     store.close()
     store_on(disk).open()
 
 
-def test_snapshot_and_compaction_free_segments_and_recover() -> None:
+def test_snapshot_and_compaction_free_segments_and_are_recovered() -> None:
     disk = MemoryDisk()
-    store = filled(disk, 40)
+    store = store_with_entries(disk, 40)
     before = len(segments(disk))
     store.take_snapshot(meta(20), b"state-20")
     store.take_snapshot(meta(30), b"state-30")
@@ -241,9 +241,9 @@
 
 
 @pytest.mark.parametrize("damaged_byte", [3, 25, -1])
-def test_a_damaged_newest_snapshot_falls_back_to_the_older(damaged_byte: int) -> None:
+def test_recovery_uses_the_older_snapshot_if_the_newest_is_corrupt(damaged_byte: int) -> None:
     disk = MemoryDisk()
-    store = filled(disk, 40)
+    store = store_with_entries(disk, 40)
     store.take_snapshot(meta(20), b"state-20")
     store.take_snapshot(meta(30), b"state-30")
     store.compact(LogIndex(31))
@@ -256,9 +256,9 @@
     assert again.recovery_report.damaged_snapshots == (f"snapshot-{30:020d}.snapshot",)
 
 
-def test_no_snapshot_that_reaches_the_log_is_reported() -> None:
+def test_missing_snapshot_before_the_log_is_reported() -> None:
     disk = MemoryDisk()
-    store = opened(disk)
+    store = open_store(disk)
     store.install_snapshot(meta(50), b"state-50")
     store.close()
     disk.corrupt(f"{FOLDER}/snapshot-{50:020d}.snapshot", 25)
@@ -266,11 +266,11 @@
         store_on(disk).open()
 
 
-def test_an_installed_snapshot_replaces_the_log() -> None:
+def test_installed_snapshot_replaces_the_log() -> None:
     disk = MemoryDisk()
-    store = filled(disk, 10)
+    store = store_with_entries(disk, 10)
     store.install_snapshot(meta(50, 4), b"state-50")
-    store.persist(appending(entry(51, 4)))
+    store.persist(batch_with(entry(51, 4)))
     disk.power_cut()
     recovered = store_on(disk).open()
     assert recovered.snapshot_data == b"state-50"
@@ -279,42 +279,42 @@
 
 
 @pytest.mark.parametrize("index", [50, 8])
-def test_a_cut_between_snapshot_and_log_of_an_installation_is_finished_at_start(index: int) -> None:
+def test_snapshot_installation_interrupted_by_a_power_cut_is_completed_at_start(index: int) -> None:
     disk = MemoryDisk()
-    store = filled(disk, 10)
+    store = store_with_entries(disk, 10)
     store.take_snapshot(meta(index, 4), b"installed")
     disk.power_cut()
     store = store_on(disk)
     recovered = store.open()
     assert (recovered.snapshot_data, recovered.entries) == (b"installed", ())
-    store.persist(appending(entry(index + 1, 4)))
+    store.persist(batch_with(entry(index + 1, 4)))
     disk.power_cut()
     assert store_on(disk).open().entries == (entry(index + 1, 4),)
 
 
-def test_a_full_disk_refuses_commands_keeps_votes_and_comes_back_by_itself() -> None:
+def test_full_disk_rejects_commands_stores_votes_and_recovers_without_a_restart() -> None:
     disk = MemoryDisk()
-    store = filled(disk, 3)
+    store = store_with_entries(disk, 3)
     capacity = disk.capacity_bytes
     disk.capacity_bytes = capacity - disk.free_bytes(FOLDER) + 20
     with pytest.raises(DiskFullError):
-        store.persist(appending(entry(4), term=2))
-    store.persist(appending(entry(4, 5, b"", EntryKind.BARRIER), term=5))
+        store.persist(batch_with(entry(4), term=2))
+    store.persist(batch_with(entry(4, 5, b"", EntryKind.BARRIER), term=5))
     assert not store.accepts_commands()
     with pytest.raises(DiskFullError):
-        store.persist(appending(entry(5, 5)))
+        store.persist(batch_with(entry(5, 5)))
     disk.capacity_bytes += 2 * RESERVE_BYTES
     assert store.accepts_commands()
-    store.persist(appending(entry(5, 5)))
+    store.persist(batch_with(entry(5, 5)))
     disk.power_cut()
     recovered = store_on(disk).open()
     assert [e.index for e in recovered.entries] == [1, 2, 3, 4, 5]
     assert recovered.hard_state.term == 5
 
 
-def test_a_full_disk_still_takes_the_snapshot_that_frees_it() -> None:
+def test_full_disk_stores_the_snapshot_that_frees_space() -> None:
     disk = MemoryDisk()
-    store = filled(disk, 60)
+    store = store_with_entries(disk, 60)
     disk.capacity_bytes -= disk.free_bytes(FOLDER)
     store.take_snapshot(meta(55), b"s" * 200)
     store.compact(LogIndex(56))
@@ -323,14 +323,14 @@
     assert [e.index for e in store_on(disk).open().entries] == [56, 57, 58, 59, 60]
 
 
-def test_after_a_failed_write_nothing_more_is_acknowledged() -> None:
+def test_no_write_succeeds_after_a_disk_failure() -> None:
     disk = MemoryDisk()
-    store = filled(disk, 3)
+    store = store_with_entries(disk, 3)
     disk.failing = True
     with pytest.raises(DiskFailedError):
-        store.persist(appending(entry(4)))
+        store.persist(batch_with(entry(4)))
     disk.failing = False
     with pytest.raises(DiskFailedError):
-        store.persist(appending(entry(4)))
+        store.persist(batch_with(entry(4)))
     disk.power_cut()
     assert len(store_on(disk).open().entries) == 3
--- a/tests/unit/storage/test_store_property.py
+++ b/tests/unit/storage/test_store_property.py
@@ -1,4 +1,4 @@
-"""Whatever happens, a restart finds all that was acknowledged and nothing that was not written."""
+"""After any sequence of faults a restart recovers all acknowledged writes and nothing that wasn't written."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from springmux.coordination.identifiers import LogIndex, ReplicaId, Term
 from springmux.storage.disk import DiskFailedError, DiskFullError
 from springmux.storage.memory_disk import MemoryDisk
-from tests.unit.storage.support import appending, entry, meta, store_on
+from tests.unit.storage.support import batch_with, entry, meta, store_on
 
 seeds = st.integers(0, 2**32 - 1)
 
 
 class StoreMachine(RuleBasedStateMachine):
-    """The model is what was acknowledged: entries, hard state, newest snapshot."""
+    """Compares the store with a model of the acknowledged state: entries, hard state, newest snapshot."""
 
     @initialize()
     def begin(self) -> None:
@@ -29,7 +29,7 @@
         self.hard_state = HardState(Term(0), None)
         self.snapshot: SnapshotMeta | None = None
         self.term = 1
-        self.unknown: tuple[list[Entry], HardState, SnapshotMeta | None] | None = None
+        self.state_if_not_applied: tuple[list[Entry], HardState, SnapshotMeta | None] | None = None
 
     def last_index(self) -> int:
         if self.entries:
@@ -44,7 +44,7 @@
         self.term += 1
         new = [entry(first + i, self.term, b"d" * size_bytes) for i in range(count)]
         try:
-            self.store.persist(appending(*new, truncate_from=truncate_from, term=self.term))
+            self.store.persist(batch_with(*new, truncate_from=truncate_from, term=self.term))
         except DiskFullError:
             return
         self.entries = [e for e in self.entries if e.index < first] + new
@@ -70,7 +70,7 @@
         try:
             self.store.install_snapshot(snapshot, f"state-{snapshot.index}".encode())
         except DiskFullError:
-            self.unknown = (self.entries, self.hard_state, self.snapshot)
+            self.state_if_not_applied = (self.entries, self.hard_state, self.snapshot)
             self.snapshot, self.entries = snapshot, []
             self.restart()
             return
@@ -96,7 +96,7 @@
 
     @rule(calls=st.integers(0, 12), seed=seeds, action=st.sampled_from(["persist", "snapshot", "install"]))
     def power_cut_within(self, calls: int, seed: int, action: str) -> None:
-        """The power goes in the middle of an action: it may have happened or not, nothing between."""
+        """Cut the power during an action, which must then have taken effect completely or not at all."""
         before = (self.entries, self.hard_state, self.snapshot)
         self.disk.calls_until_failure = calls
         try:
@@ -108,14 +108,14 @@
                 self.install(5)
         except DiskFailedError:
             if self.snapshot is before[2]:
-                self.unknown = before
+                self.state_if_not_applied = before
                 self.expect_after(action)
         self.disk.failing, self.disk.calls_until_failure = False, None
         self.disk.power_cut(random.Random(seed))
         self.restart()
 
     def expect_after(self, action: str) -> None:
-        """Set the model to what stands if the interrupted action did happen."""
+        """Set the model to the state in which the interrupted action took effect."""
         floor = self.snapshot.index if self.snapshot else 0
         if action == "persist":
             first = max(floor + 1, self.last_index() - 1)
@@ -135,9 +135,9 @@
         self.store = store_on(self.disk, 99)
         recovered = self.store.open()
         assert recovered.replica == self.replica
-        if self.unknown is not None and not self.matches(recovered):
-            self.entries, self.hard_state, self.snapshot = self.unknown
-        self.unknown = None
+        if self.state_if_not_applied is not None and not self.matches(recovered):
+            self.entries, self.hard_state, self.snapshot = self.state_if_not_applied
+        self.state_if_not_applied = None
         assert self.matches(recovered)
 
     def matches(self, recovered: RecoveredState) -> bool:
