--- a/src/springmux/coordination/consensus/abandonment.py
+++ b/src/springmux/coordination/consensus/abandonment.py
@@ -50,7 +50,7 @@
         self._abandon_at = self._core.now + delay_s
 
     def on_refusal(self, message: RaftFoundingRefusal) -> None:
-        """Give the group up if it can't have a leader without the refusing member."""
+        """Record a permanently lost member, and give the group up if it then can't have a leader."""
         core = self._core
         lost = message.replica != message.addressed or message.own_group not in ("", core.group)
         listed = core.log.members.find(message.addressed) is not None
--- a/src/springmux/coordination/consensus/core.py
+++ b/src/springmux/coordination/consensus/core.py
@@ -1,6 +1,6 @@
 """State that the modules of a replica share: identity, term, role, log, timers and collected effects.
 
-Roles and terms change only through the methods here, so that what follows from a change is in one place.
+Roles and terms change only through the methods here, so that the consequences of a change are in one place.
 """
 
 from __future__ import annotations
@@ -207,7 +207,10 @@
         self.election_deadline = self.now + self.random.uniform(low, high)
 
     def shorten_election_deadline(self) -> None:
-        """Request pre-votes soon, because no leader is known; a pre-vote changes no state at the voters."""
+        """Set the election deadline to a short random time, because no leader is known.
+
+        Early requests for pre-votes do no harm: a pre-vote changes no state at the voters.
+        """
         low, high = self.settings.first_election_min_s, self.settings.first_election_max_s
         self.election_deadline = self.now + self.random.uniform(low, high)
 
--- a/src/springmux/coordination/consensus/durability.py
+++ b/src/springmux/coordination/consensus/durability.py
@@ -94,7 +94,7 @@
             action()
 
     def flush(self, now: float, committed: LogIndex) -> Persist | None:
-        """Return the next batch to write, or ``None`` if nothing changed or storage can't take one now.
+        """Return the next batch to write, or ``None`` if nothing changed or storage isn't ready for one.
 
         :param committed: the commit index. It is written with a batch, but a change of it causes none.
         """
@@ -163,7 +163,7 @@
         self._pending_actions = batch.actions + self._pending_actions
 
     def replace_log(self, log: ReplicatedLog) -> None:
-        """Switch to ``log``, with which storage replaced the former log; all of it is on disk."""
+        """Use ``log`` from now on: storage has replaced the former log by it, so all of it is on disk."""
         self.log = log
         self.blocked = False
         self.stable_index = self._written_last_index = log.last_index
--- a/src/springmux/coordination/consensus/founding.py
+++ b/src/springmux/coordination/consensus/founding.py
@@ -186,8 +186,8 @@
         core = self._core
         self._postpone_next_attempt()
         expected = core.settings.controllers_expected
-        own = GroupMember(core.replica, core.node, voter=True)
-        controllers_by_node = {candidate.node: candidate for candidate in (*self.candidates, own)}
+        own_member = GroupMember(core.replica, core.node, voter=True)
+        controllers_by_node = {candidate.node: candidate for candidate in (*self.candidates, own_member)}
         eligible = [
             controllers_by_node[node]
             for node in sorted(controllers_by_node)
--- a/src/springmux/coordination/consensus/membership_change.py
+++ b/src/springmux/coordination/consensus/membership_change.py
@@ -206,8 +206,8 @@
         count = 0
         for voter in members.voters():
             progress = core.leadership.progress.get(voter.replica)
-            own = voter.replica == core.replica
-            if own:
+            is_self = voter.replica == core.replica
+            if is_self:
                 count += 1
             elif progress is not None:
                 count += (
--- a/src/springmux/coordination/consensus/messages.py
+++ b/src/springmux/coordination/consensus/messages.py
@@ -77,7 +77,7 @@
 
 
 class RaftHeartbeatReply(ReplicaMessage, frozen=True, tag="RaftHeartbeatReply"):
-    """Reply to a heartbeat. ``storage_ready``: the disk neither stalls nor is full.
+    """Reply to a heartbeat. ``storage_ready``: the disk is neither stalled nor full.
 
     ``leaving``: the sender's process is about to stop.
     """
--- a/src/springmux/storage/records.py
+++ b/src/springmux/storage/records.py
@@ -34,7 +34,7 @@
 
 
 class SegmentStart(msgspec.Struct, frozen=True, array_like=True):
-    """First record of a segment: the state that stays needed after earlier segments are removed.
+    """First record of a segment: all state that is needed if the earlier segments are removed.
 
     ``replaces_log``: entries of earlier segments are void; the log begins after ``base_index``.
     """
@@ -125,8 +125,8 @@
 def has_record_after(data: bytes, offset: int) -> bool:
     """Return whether there is a complete record anywhere after ``offset``.
 
-    A batch is written only after the previous one was synced. A record after an unreadable place thus
-    proves that the place had been synced, so that it is corrupt and not a torn write.
+    A batch is written only after the previous one was synced. A record after unreadable bytes thus proves
+    that those bytes had been synced, so they are corrupt and not a torn write.
     """
     found = data.find(MAGIC, offset + 1)
     while found >= 0:
--- a/tests/unit/consensus/test_founding.py
+++ b/tests/unit/consensus/test_founding.py
@@ -176,14 +176,14 @@
 def test_founder_yields_to_one_with_a_lower_name_and_releases_its_promises() -> None:
     cluster = Cluster(1, ("b",))
     machine = cluster.machines["b"]
-    own = machine.disk.replica
+    own_replica = machine.disk.replica
     others = (GroupMember("rc", "c", True), GroupMember("rd", "d", True))
     machine.replica.handle(FoundingCandidates(others, established=False), 0.0)
     tick_effects = machine.replica.handle(Tick(), 1.0)
     requests = [e.message for e in tick_effects if isinstance(e.message, wire.RaftFoundingRequest)]
     assert {request.target for request in requests} == {"rc", "rd"}
 
-    request = wire.RaftFoundingRequest("g", "ra", own, 0)
+    request = wire.RaftFoundingRequest("g", "ra", own_replica, 0)
     effects = machine.replica.handle(MessageReceived("a", request), 1.1)
 
     sent = {(effect.to, type(effect.message)) for effect in effects}
@@ -192,7 +192,9 @@
         ("d", wire.RaftFoundingRelease),
         ("a", wire.RaftFoundingPromise),
     }
-    late_promises = [wire.RaftFoundingPromise(requests[0].group, replica, own, 0) for replica in ("rc", "rd")]
+    late_promises = [
+        wire.RaftFoundingPromise(requests[0].group, replica, own_replica, 0) for replica in ("rc", "rd")
+    ]
     for promise in late_promises:
         machine.replica.handle(MessageReceived(promise.source, promise), 1.2)
     assert machine.status.group is None
@@ -213,12 +215,12 @@
 def test_released_promise_is_available_to_another_founder_immediately() -> None:
     cluster = Cluster(1, ("c",))
     machine = cluster.machines["c"]
-    own = machine.disk.replica
-    first = wire.RaftFoundingRequest("g1", "ra", own, 0)
-    second = wire.RaftFoundingRequest("g2", "rb", own, 0)
+    own_replica = machine.disk.replica
+    first = wire.RaftFoundingRequest("g1", "ra", own_replica, 0)
+    second = wire.RaftFoundingRequest("g2", "rb", own_replica, 0)
     assert machine.replica.handle(MessageReceived("a", first), 0.1)
     assert machine.replica.handle(MessageReceived("b", second), 0.2) == []
 
-    machine.replica.handle(MessageReceived("a", wire.RaftFoundingRelease("g1", "ra", own, 0)), 0.3)
+    machine.replica.handle(MessageReceived("a", wire.RaftFoundingRelease("g1", "ra", own_replica, 0)), 0.3)
 
     assert machine.replica.handle(MessageReceived("b", second), 0.4)
--- a/tests/unit/storage/test_claim_journal.py
+++ b/tests/unit/storage/test_claim_journal.py
@@ -68,15 +68,15 @@
     assert journal_on(disk).open(new_replica=False).claims == (stored_claim("a"), stored_claim("b"))
 
 
-@pytest.mark.parametrize("place", ["start", "middle", "sealed end"])
-def test_corruption_makes_the_holder_count_as_wiped_permanently(place: str) -> None:
+@pytest.mark.parametrize("position", ["start", "middle", "sealed end"])
+def test_corruption_makes_the_holder_count_as_wiped_permanently(position: str) -> None:
     disk = disk_with_journal([stored_claim("a")], [stored_claim("b")], [stored_claim("c")])
-    if place == "sealed end":
+    if position == "sealed end":
         journal = journal_on(disk, rewrite_min_bytes=10)
         journal.open(new_replica=False)
         journal.append([stored_claim("d")])
     size_bytes = len(disk.read(PATH))
-    disk.corrupt(PATH, {"start": 20, "middle": size_bytes // 2, "sealed end": size_bytes - 1}[place])
+    disk.corrupt(PATH, {"start": 20, "middle": size_bytes // 2, "sealed end": size_bytes - 1}[position])
     recovered = journal_on(disk).open(new_replica=False)
     assert recovered.damage
     assert (recovered.founded, recovered.claims, recovered.state) == (False, (), None)
