--- a/src/springmux/coordination/consensus/abandonment.py
+++ b/src/springmux/coordination/consensus/abandonment.py
@@ -59,7 +59,7 @@
         if message.addressed not in self._lost_members:
             self._lost_members.add(message.addressed)
             self._members_with_empty_logs.clear()
-        if self._never_voted() or self._no_member_has_entries():
+        if self._never_voted() or self._no_remaining_member_has_entries():
             core.stop_to_restart_as_new(f"replica {message.addressed} is no longer part of {core.group}")
 
     def on_repeated_commit(self, message: RaftFoundingCommit, sender: NodeId) -> None:
@@ -77,7 +77,7 @@
         if message.lost_members != len(self._lost_members) or not self.awaits_first_leader():
             return
         self._members_with_empty_logs.add(message.source)
-        if self._lost_members and self._no_member_has_entries():
+        if self._lost_members and self._no_remaining_member_has_entries():
             core.stop_to_restart_as_new(f"group {core.group} lost members before it committed anything")
 
     def on_foreign_group(self, message: RaftForeignGroup) -> None:
@@ -96,6 +96,6 @@
         """Return whether the group never had a leader and this replica never helped to elect one."""
         return self.awaits_first_leader() and self._core.term == 0
 
-    def _no_member_has_entries(self) -> bool:
+    def _no_remaining_member_has_entries(self) -> bool:
         others = {member.replica for member in self._core.log.members.members} - {self._core.replica}
         return others <= self._lost_members | self._members_with_empty_logs
--- a/src/springmux/coordination/consensus/core.py
+++ b/src/springmux/coordination/consensus/core.py
@@ -18,7 +18,7 @@
     ReadConfirmed,
     ReplicaStopped,
 )
-from springmux.coordination.consensus.log import ReplicatedLog, log_after
+from springmux.coordination.consensus.log import ReplicatedLog, build_log
 from springmux.coordination.consensus.settings import ConsensusSettings
 from springmux.coordination.consensus.types import GroupMember, HardState, RecoveredState, SnapshotMeta
 from springmux.coordination.identifiers import GroupId, LogIndex, NodeId, ReplicaId, Term
@@ -137,7 +137,7 @@
         self.random = rng
         self.now = 0.0
         self.started = False
-        self.log: ReplicatedLog = log_after(recovered.snapshot, recovered.founding_members, recovered.entries)
+        self.log: ReplicatedLog = build_log(recovered.snapshot, recovered.founding_members, recovered.entries)
         self.durability = Durability(recovered, self.log, settings.disk_retry_s)
         self.snapshot = recovered.snapshot
         self.snapshot_data = recovered.snapshot_data
--- a/src/springmux/coordination/consensus/durability.py
+++ b/src/springmux/coordination/consensus/durability.py
@@ -93,7 +93,7 @@
         else:
             action()
 
-    def flush(self, now: float, committed: LogIndex) -> Persist | None:
+    def start_batch(self, now: float, committed: LogIndex) -> Persist | None:
         """Return the next batch to write, or ``None`` if nothing changed or storage isn't ready for one.
 
         :param committed: the commit index. It is written with a batch, but a change of it causes none.
--- a/src/springmux/coordination/consensus/election.py
+++ b/src/springmux/coordination/consensus/election.py
@@ -39,7 +39,7 @@
         core.reset_election_deadline()
         core.leader = None
         core.leader_node = None
-        if self._may_start():
+        if self._may_start_election():
             core.shorten_election_deadline()
             self._start_pre_vote()
 
@@ -97,10 +97,10 @@
 
     def on_timeout_now(self, message: RaftTimeoutNow) -> None:
         """Start an election immediately: the leader transfers its leadership to this replica."""
-        if message.term == self._core.term and self._core.leadership is None and self._may_start():
+        if message.term == self._core.term and self._core.leadership is None and self._may_start_election():
             self._start_election(transfer=True)
 
-    def _may_start(self) -> bool:
+    def _may_start_election(self) -> bool:
         core = self._core
         member = core.member
         return core.group is not None and member is not None and member.voter and core.durability.ready
--- a/src/springmux/coordination/consensus/follower.py
+++ b/src/springmux/coordination/consensus/follower.py
@@ -69,7 +69,7 @@
         previous = message.previous_index
         beyond_base = previous >= log.base_index
         if beyond_base and log.term_at(previous) != message.previous_term:
-            hint = log.newest_at_most(previous, message.previous_term)
+            hint = log.last_index_with_term_at_most(previous, message.previous_term)
             self._reject(message, sender, previous, hint, log.term_at(hint) or Term(0))
             return
         for entry in message.entries:
--- a/src/springmux/coordination/consensus/founding.py
+++ b/src/springmux/coordination/consensus/founding.py
@@ -18,7 +18,7 @@
 from springmux.coordination.consensus.abandonment import Abandonment
 from springmux.coordination.consensus.core import ReplicaCore
 from springmux.coordination.consensus.events import FoundingCandidates
-from springmux.coordination.consensus.log import log_after
+from springmux.coordination.consensus.log import build_log
 from springmux.coordination.consensus.messages import (
     RaftFoundingCommit,
     RaftFoundingPromise,
@@ -37,7 +37,7 @@
 """Size of the random part of a group's identity; the other part is the founder's replica identity."""
 
 
-class _Attempt(msgspec.Struct):
+class _FoundingAttempt(msgspec.Struct):
     """A founding attempt that this replica started."""
 
     group: GroupId
@@ -55,7 +55,7 @@
         self.candidates: tuple[GroupMember, ...] = ()
         self.established = False
         """Whether a group exists already: this replica then joins it and never founds another."""
-        self._attempt: _Attempt | None = None
+        self._attempt: _FoundingAttempt | None = None
         self._ineligible: set[ReplicaId] = set()
         """Candidates that already belong to a group or may not found one; neither ever changes."""
         self._promised_group: GroupId | None = None
@@ -88,7 +88,7 @@
         core = self._core
         if core.group is None:
             if self._may_found() and core.now >= self._next_attempt_at:
-                self._try_to_found()
+                self._try_to_found_group()
             return
         if not self._abandonment.awaits_first_leader():
             return
@@ -109,7 +109,7 @@
             self.refuse(message, sender)
             return
         if self._attempt is not None and self._attempt.group != message.group and sender < core.node:
-            self._release(self._attempt)
+            self._abandon_attempt(self._attempt)
         if self.established or self._has_promised_other_group(message.group):
             return
         self._promise(message.group)
@@ -165,7 +165,7 @@
             self._abandonment.on_refusal(message)
             return
         if self._attempt is not None and self._attempt.group == message.group:
-            self._release(self._attempt)
+            self._abandon_attempt(self._attempt)
         if message.own_group or message.joins_only:
             self._ineligible.add(message.replica)
         self.established = self.established or message.commit > 0
@@ -182,7 +182,7 @@
     def _may_found(self) -> bool:
         return self._core.settings.may_found and not self.established
 
-    def _try_to_found(self) -> None:
+    def _try_to_found_group(self) -> None:
         core = self._core
         self._postpone_next_attempt()
         expected = core.settings.controllers_expected
@@ -196,7 +196,7 @@
         founding_members = eligible[:expected]
         if len(founding_members) < expected or founding_members[0].replica != core.replica:
             if self._attempt is not None:
-                self._release(self._attempt)
+                self._abandon_attempt(self._attempt)
             return
         members = GroupMembers(tuple(GroupMember(m.replica, m.node, voter=True) for m in founding_members))
         group = GroupId(f"{core.replica}-{core.random.getrandbits(GROUP_ID_BITS):016x}")
@@ -210,19 +210,19 @@
             return
         self._promise(group)
         expires_at = core.now + core.settings.founding_promise_s
-        self._attempt = _Attempt(group, members, expires_at, {core.replica})
+        self._attempt = _FoundingAttempt(group, members, expires_at, {core.replica})
         self._request_promises(self._attempt)
         if expected == 1:
             self._join_group(group, members)
 
-    def _request_promises(self, attempt: _Attempt) -> None:
+    def _request_promises(self, attempt: _FoundingAttempt) -> None:
         core = self._core
         for member in attempt.members.members:
             if member.replica not in attempt.promised:
                 request = RaftFoundingRequest(attempt.group, core.replica, member.replica, Term(0))
                 core.send(member.node, request)
 
-    def _release(self, attempt: _Attempt) -> None:
+    def _abandon_attempt(self, attempt: _FoundingAttempt) -> None:
         """Give up this replica's attempt; nothing can complete it afterwards."""
         core = self._core
         self._attempt = None
@@ -253,7 +253,7 @@
     def _join_group(self, group: GroupId, members: GroupMembers) -> None:
         core = self._core
         core.group = group
-        core.log = log_after(None, members, ())
+        core.log = build_log(None, members, ())
         core.durability.log = core.log
         core.durability.set_founding(group, members)
         core.reset_election_deadline()
--- a/src/springmux/coordination/consensus/joining.py
+++ b/src/springmux/coordination/consensus/joining.py
@@ -27,13 +27,13 @@
         self._founding = founding
         self._next_request = 0.0
         self._round_robin_index = 0
-        self.leader_node: NodeId | None = None
+        self.reported_leader_node: NodeId | None = None
         """The leader's node as reported by the membership protocol."""
 
     def start(self) -> None:
         """Delay a member's first request, so that its group has time to elect a leader."""
         if self._core.group is not None:
-            self._wait_for_leader()
+            self._postpone_next_request()
 
     def deadline(self) -> float:
         """Return when the next request is due."""
@@ -45,7 +45,7 @@
         """Send the next request while no leader is known."""
         core = self._core
         if core.leader is not None:
-            self._wait_for_leader()
+            self._postpone_next_request()
         elif core.now >= self.deadline():
             self._next_request = core.now + core.settings.join_retry_s
             for node in self._next_targets():
@@ -59,18 +59,18 @@
 
     def _next_targets(self) -> list[NodeId]:
         """Return the next controller, which forwards the request, and the leader's node if it is known."""
-        targets = self._controllers()
+        targets = self._known_controller_nodes()
         if not targets:
             return []
         self._round_robin_index += 1
         node = targets[self._round_robin_index % len(targets)]
-        leader = self.leader_node
+        leader = self.reported_leader_node
         return [node] if leader in (None, node) or leader not in targets else [leader, node]
 
-    def _wait_for_leader(self) -> None:
+    def _postpone_next_request(self) -> None:
         timeout_s = LEADERLESS_TIMEOUTS * self._core.settings.election_timeout_max_s
         self._next_request = self._core.now + timeout_s
 
-    def _controllers(self) -> list[NodeId]:
+    def _known_controller_nodes(self) -> list[NodeId]:
         members = (*self._founding.candidates, *self._core.log.members.members)
         return sorted({member.node for member in members} - {self._core.node})
--- a/src/springmux/coordination/consensus/log.py
+++ b/src/springmux/coordination/consensus/log.py
@@ -72,7 +72,7 @@
             return self._entries[index - self.base_index - 1].term
         return None
 
-    def newest_at_most(self, index: LogIndex, term: Term) -> LogIndex:
+    def last_index_with_term_at_most(self, index: LogIndex, term: Term) -> LogIndex:
         """Return the greatest index up to ``index`` whose term is at most ``term`` (not below the base)."""
         position = int(min(index, self.last_index))
         while position > self.base_index and (self.term_at(LogIndex(position)) or 0) > term:
@@ -135,7 +135,7 @@
         self._members = [(new_base, base_members), *later]
 
 
-def log_after(
+def build_log(
     meta: SnapshotMeta | None, founding: GroupMembers | None, entries: Sequence[Entry]
 ) -> ReplicatedLog:
     """Build the log that follows a snapshot (or the founding); earlier entries are skipped."""
--- a/src/springmux/coordination/consensus/replica.py
+++ b/src/springmux/coordination/consensus/replica.py
@@ -174,7 +174,7 @@
                 self._membership.on_change_request(event)
             case FoundingCandidates():
                 self._founding.on_candidates(event)
-                self._joining.leader_node = event.leader
+                self._joining.reported_leader_node = event.leader
             case StopAnnounced():
                 self._follower.on_stop_announced()
             case _:
@@ -303,7 +303,7 @@
         self._replication.send_entries()
         self._snapshot_receiver.install_when_idle()
         self._snapshots.request_when_due()
-        batch = core.durability.flush(core.now, core.commit_index)
+        batch = core.durability.start_batch(core.now, core.commit_index)
         if batch is not None:
             core.emit(batch)
 
--- a/src/springmux/coordination/consensus/replication.py
+++ b/src/springmux/coordination/consensus/replication.py
@@ -219,7 +219,7 @@
             if self._core.now - progress.backed_off_at < self._core.settings.heartbeat_s:
                 return
             progress.backed_off_at = self._core.now
-        match = self._core.log.newest_at_most(message.hint_index, message.hint_term)
+        match = self._core.log.last_index_with_term_at_most(message.hint_index, message.hint_term)
         if message.hint_index < self._core.log.base_index:
             match = message.hint_index
         self._begin_probe(progress)
--- a/src/springmux/coordination/consensus/snapshot_transfer.py
+++ b/src/springmux/coordination/consensus/snapshot_transfer.py
@@ -11,7 +11,7 @@
 from springmux.coordination.consensus.core import Progress, ReplicaCore, SnapshotTransfer
 from springmux.coordination.consensus.effects import InstallSnapshot, SnapshotInstalled
 from springmux.coordination.consensus.follower import Follower
-from springmux.coordination.consensus.log import log_after
+from springmux.coordination.consensus.log import build_log
 from springmux.coordination.consensus.messages import (
     RaftAppendReply,
     RaftSnapshotChunk,
@@ -131,7 +131,7 @@
             return
         core.snapshot = received.meta
         core.snapshot_data = bytes(received.data)
-        core.log = log_after(received.meta, None, ())
+        core.log = build_log(received.meta, None, ())
         core.durability.replace_log(core.log)
         core.commit_index = core.applied_index = received.meta.index
         core.applied_bytes = 0
--- a/src/springmux/coordination/consensus/snapshots.py
+++ b/src/springmux/coordination/consensus/snapshots.py
@@ -30,11 +30,15 @@
         core = self._core
         if self._requested is not None or core.now < self._retry_at:
             return
-        last = core.snapshot.index if core.snapshot else LogIndex(0)
-        many = core.applied_index - last >= core.settings.snapshot_entries
-        large = core.applied_bytes >= core.settings.snapshot_bytes
+        last_snapshot_index = core.snapshot.index if core.snapshot else LogIndex(0)
+        entry_limit_reached = core.applied_index - last_snapshot_index >= core.settings.snapshot_entries
+        byte_limit_reached = core.applied_bytes >= core.settings.snapshot_bytes
         term = core.log.term_at(core.applied_index)
-        if (many or large) and core.applied_index > last and term is not None:
+        if (
+            (entry_limit_reached or byte_limit_reached)
+            and core.applied_index > last_snapshot_index
+            and term is not None
+        ):
             self._requested = core.applied_index
             core.applied_bytes = 0
             core.emit(TakeSnapshot(core.applied_index, term, core.log.members_at(core.applied_index)))
--- a/src/springmux/storage/log_recovery.py
+++ b/src/springmux/storage/log_recovery.py
@@ -55,7 +55,7 @@
 
     number: int
     last_index: int = 0
-    batches: int = 0
+    batch_count: int = 0
     valid_bytes: int = 0
     torn_bytes: int = 0
 
@@ -165,7 +165,7 @@
 
     def _apply_batch(self, batch: BatchRecord, offset: int, segment: Segment) -> None:
         content = self.log.content
-        segment.batches += 1
+        segment.batch_count += 1
         if batch.hard_state is not None:
             content.hard_state = batch.hard_state
         if batch.group is not None:
--- a/src/springmux/storage/memory_disk.py
+++ b/src/springmux/storage/memory_disk.py
@@ -20,7 +20,7 @@
 )
 
 
-class _Content:
+class _FileContent:
     """A file's bytes. ``before_truncation``: bytes that a power cut restores after an unsynced truncation."""
 
     def __init__(self) -> None:
@@ -50,13 +50,13 @@
         self.fsync()
 
 
-_NameChange = tuple[tuple[str, _Content | None], ...]
+_NameChange = tuple[tuple[str, _FileContent | None], ...]
 
 
 class MemoryFile(DiskFile):
     """An open file of a :class:`MemoryDisk`; unusable after a power cut or the end of the process."""
 
-    def __init__(self, disk: MemoryDisk, path: str, content: _Content) -> None:
+    def __init__(self, disk: MemoryDisk, path: str, content: _FileContent) -> None:
         self._disk = disk
         self._path = path
         self._content = content
@@ -87,7 +87,7 @@
     def _check(self) -> None:
         if self._boot_count != self._disk.boot_count:
             raise DiskFailedError(self._path, "file was open at a power cut or when the process ended")
-        self._disk.check(self._path)
+        self._disk.raise_injected_failure(self._path)
 
 
 class MemoryLock(FolderLock):
@@ -116,12 +116,12 @@
         self.sync_count = 0
         self.boot_count = 0
         self._stalled_s = 0.0
-        self._current: dict[str, _Content] = {}
-        self._durable: dict[str, _Content] = {}
+        self._current: dict[str, _FileContent] = {}
+        self._durable: dict[str, _FileContent] = {}
         self._journals: dict[str, list[_NameChange]] = {}
         self._locked: set[str] = set()
 
-    def check(self, path: str) -> None:
+    def raise_injected_failure(self, path: str) -> None:
         """Raise the failure that is set on the disk, if any.
 
         :raises DiskFailedError: while ``failing`` is set, or after ``calls_until_failure`` calls.
@@ -171,52 +171,52 @@
 
     def make_folder(self, path: str) -> None:
         """Do nothing except for fault injection, because folders need no creation here."""
-        self.check(path)
+        self.raise_injected_failure(path)
 
     def list_folder(self, path: str) -> list[str]:
         """Return the sorted names of the files in the folder."""
-        self.check(path)
+        self.raise_injected_failure(path)
         return sorted(posixpath.basename(name) for name in self._current if posixpath.dirname(name) == path)
 
     def exists(self, path: str) -> bool:
         """Return whether the file exists."""
-        self.check(path)
+        self.raise_injected_failure(path)
         return path in self._current
 
     def open(self, path: str) -> MemoryFile:
         """Open for appending; a new name is durable after the folder's sync."""
-        self.check(path)
+        self.raise_injected_failure(path)
         content = self._current.get(path)
         if content is None:
-            content = _Content()
-            self._change(((path, content),))
+            content = _FileContent()
+            self._change_names(((path, content),))
         return MemoryFile(self, path, content)
 
     def read(self, path: str) -> bytes:
         """Return the file's current bytes, synced or not."""
-        self.check(path)
+        self.raise_injected_failure(path)
         return bytes(self._content(path).current)
 
     def rename(self, source: str, target: str) -> None:
         """Rename a file; removal of the old name and creation of the new one become durable together."""
-        self.check(source)
-        self._change(((source, None), (target, self._content(source))))
+        self.raise_injected_failure(source)
+        self._change_names(((source, None), (target, self._content(source))))
 
     def remove(self, path: str) -> None:
         """Remove the file's name; durable after the folder's sync."""
-        self.check(path)
+        self.raise_injected_failure(path)
         if path in self._current:
-            self._change(((path, None),))
+            self._change_names(((path, None),))
 
     def fsync_folder(self, path: str) -> None:
         """Make the names of the folder's files durable."""
-        self.check(path)
+        self.raise_injected_failure(path)
         self.record_sync()
         self._apply_journal(self._journals.pop(path, []))
 
     def preallocate(self, path: str, size_bytes: int) -> None:
         """Count ``size_bytes`` as used by the file."""
-        self.check(path)
+        self.raise_injected_failure(path)
         if self.free_bytes("") < size_bytes:
             raise DiskFullError(path, "no space left on device")
         self.open(path)
@@ -229,18 +229,18 @@
 
     def lock(self, path: str) -> MemoryLock:
         """Acquire the lock without waiting."""
-        self.check(path)
+        self.raise_injected_failure(path)
         if path in self._locked:
             raise FolderLockedError(path, "another process uses this data folder")
         self._locked.add(path)
         return MemoryLock(self._locked, path)
 
-    def _content(self, path: str) -> _Content:
+    def _content(self, path: str) -> _FileContent:
         if path not in self._current:
             raise DiskFailedError(path, "no such file")
         return self._current[path]
 
-    def _change(self, change: _NameChange) -> None:
+    def _change_names(self, change: _NameChange) -> None:
         folder = posixpath.dirname(change[0][0])
         self._journals.setdefault(folder, []).append(change)
         self._set_names(self._current, change)
@@ -250,7 +250,7 @@
             self._set_names(self._durable, change)
 
     @staticmethod
-    def _set_names(names: dict[str, _Content], change: _NameChange) -> None:
+    def _set_names(names: dict[str, _FileContent], change: _NameChange) -> None:
         for path, content in change:
             if content is None:
                 names.pop(path, None)
--- a/src/springmux/storage/replica_store.py
+++ b/src/springmux/storage/replica_store.py
@@ -125,7 +125,7 @@
         """Remove segments before ``first_kept``, except those that recovery from the older snapshot needs."""
         oldest_index = self._snapshots.oldest_index()
         if oldest_index is not None:
-            self._opened_log().remove_below(LogIndex(min(first_kept, oldest_index + 1)))
+            self._opened_log().remove_segments_before(LogIndex(min(first_kept, oldest_index + 1)))
         self._reserve.allocate()
 
     def set_aside(self) -> None:
@@ -194,7 +194,7 @@
     def _recover(
         self, replica: ReplicaId, content: LogContent, snapshots: list[StoredSnapshot]
     ) -> RecoveredState:
-        chosen = next((s for s in snapshots if _reaches(content, s.meta)), None)
+        chosen = next((s for s in snapshots if _continues_snapshot(content, s.meta)), None)
         if chosen is None and (snapshots or self._snapshots.damaged or content.base_index > 0):
             raise SnapshotMissingError(self._folder, content.base_index)
         self.recovery_report = RecoveryReport(
@@ -249,7 +249,7 @@
     return any(entry.kind is EntryKind.COMMAND for entry in entries)
 
 
-def _reaches(content: LogContent, meta: SnapshotMeta) -> bool:
+def _continues_snapshot(content: LogContent, meta: SnapshotMeta) -> bool:
     """Return whether the log continues from the snapshot without a gap."""
     return content.base_index <= meta.index
 
--- a/src/springmux/storage/snapshots.py
+++ b/src/springmux/storage/snapshots.py
@@ -46,7 +46,7 @@
         header = _HEADER.pack(_MAGIC, _checksum(encoded_meta, data), len(encoded_meta))
         name = f"snapshot-{meta.index:020d}.snapshot"
         write_atomically(self._disk, self._folder, name, header + encoded_meta + data)
-        self._remove_old()
+        self._remove_old_snapshots()
         return stored
 
     def load(self) -> list[StoredSnapshot]:
@@ -88,7 +88,7 @@
         self._disk.rename(f"{self._folder}/{name}", f"{self._folder}/{name}.damaged")
         self._disk.fsync_folder(self._folder)
 
-    def _remove_old(self) -> None:
+    def _remove_old_snapshots(self) -> None:
         for name in self._names()[:-MAX_SNAPSHOTS]:
             self._disk.remove(f"{self._folder}/{name}")
         self._disk.fsync_folder(self._folder)
--- a/src/springmux/storage/write_ahead_log.py
+++ b/src/springmux/storage/write_ahead_log.py
@@ -76,7 +76,7 @@
         self._check_sequence(batch)
         data = encode_batch(batch)
         active = self._segments[-1]
-        if active.batches and active.valid_bytes + len(data) > self._segment_bytes:
+        if active.batch_count and active.valid_bytes + len(data) > self._segment_bytes:
             self._sync()
             self._begin_segment(active.number + 1, replaces_log=False)
         self._write(data)
@@ -97,7 +97,7 @@
             raise
         self._remove_segments(len(self._segments) - 1)
 
-    def remove_below(self, first_kept: LogIndex) -> None:
+    def remove_segments_before(self, first_kept: LogIndex) -> None:
         """Remove the oldest segments that hold no entry at or after ``first_kept``."""
         self._check_usable()
         removable = 0
@@ -132,7 +132,7 @@
             self._failure_reason = error.reason
             raise
         self._segments[-1].valid_bytes = self._file.valid_bytes
-        self._segments[-1].batches += 1
+        self._segments[-1].batch_count += 1
 
     def _sync(self) -> None:
         assert self._file is not None
--- a/tests/support/consensus_cluster.py
+++ b/tests/support/consensus_cluster.py
@@ -89,10 +89,10 @@
         self.state: State = []
         self.applied = 0
         self.tick_at = float("inf")
-        self.ticks = 0
+        self.ticks_without_progress = 0
         self.full = self.stalled = False
         self.held_writes: list[Callable[[], None]] = []
-        self.stops: list[str] = []
+        self.stop_reasons: list[str] = []
 
     @property
     def status(self) -> fx.ReplicaStatus:
@@ -130,7 +130,7 @@
         self._correlation_ids = 0
         for node in nodes:
             self.add(node)
-        self._at(0.0, self._gossip)
+        self._schedule(0.0, self._gossip)
 
     # Faults
 
@@ -194,14 +194,14 @@
     # Driving
 
     def run(self, duration_s: float) -> None:
-        self.run_until(lambda: False, duration_s, must=False)
+        self.run_until(lambda: False, duration_s, required=False)
 
-    def run_until(self, done: Callable[[], bool], limit_s: float = 30.0, must: bool = True) -> None:
+    def run_until(self, done: Callable[[], bool], limit_s: float = 30.0, required: bool = True) -> None:
         end = self.now + limit_s
         while not done():
             if not self._queue or self._queue[0][0] > end:
                 self.now = end
-                assert not must, f"not reached within {limit_s} s of virtual time"
+                assert not required, f"not reached within {limit_s} s of virtual time"
                 return
             self.now, _, action = heapq.heappop(self._queue)
             action()
@@ -260,8 +260,10 @@
         self.heal()
         self.run_until(self._settled, 90.0)
         for machine in self.machines.values():
-            have = {index for index, _ in machine.state}
-            assert set(self.acknowledged.values()) <= have, f"{machine.node} lacks acknowledged commands"
+            applied_indexes = {index for index, _ in machine.state}
+            assert set(self.acknowledged.values()) <= applied_indexes, (
+                f"{machine.node} lacks acknowledged commands"
+            )
         self.check_logs()
 
     def check_logs(self) -> None:
@@ -289,22 +291,24 @@
 
     # Virtual clock, network and disks
 
-    def _at(self, time: float, action: Callable[[], None]) -> None:
+    def _schedule(self, time: float, action: Callable[[], None]) -> None:
         self._sequence += 1
         heapq.heappush(self._queue, (time, self._sequence, action))
 
-    def _later(self, machine: Machine, time: float, action: Callable[[], None]) -> None:
+    def _schedule_for_machine(self, machine: Machine, time: float, action: Callable[[], None]) -> None:
         boot = machine.boot
-        self._at(time, lambda: action() if machine.boot == boot and machine.alive else None)
+        self._schedule(time, lambda: action() if machine.boot == boot and machine.alive else None)
 
     def _schedule_tick(self, machine: Machine) -> None:
         assert machine.replica is not None
         deadline = max(machine.replica.next_deadline(), self.now)
         if deadline < machine.tick_at:
-            machine.ticks = machine.ticks + 1 if deadline == self.now else 0
-            assert machine.ticks < MAX_TICKS_WITHOUT_PROGRESS, "next_deadline stays in the past"
+            machine.ticks_without_progress = machine.ticks_without_progress + 1 if deadline == self.now else 0
+            assert machine.ticks_without_progress < MAX_TICKS_WITHOUT_PROGRESS, (
+                "next_deadline stays in the past"
+            )
             machine.tick_at = deadline
-            self._later(machine, deadline, lambda: self._tick(machine, deadline))
+            self._schedule_for_machine(machine, deadline, lambda: self._tick(machine, deadline))
 
     def _tick(self, machine: Machine, deadline: float) -> None:
         if machine.tick_at == deadline:
@@ -313,13 +317,13 @@
 
     def _gossip(self) -> None:
         """Report to every machine the controllers that it can reach, as the membership protocol does."""
-        self._at(self.now + 0.5, self._gossip)
+        self._schedule(self.now + 0.5, self._gossip)
         alive = [m for m in self.machines.values() if m.alive]
         for machine in alive:
             reachable = [m for m in alive if frozenset((m.node, machine.node)) not in self.cut_links]
             members = tuple(GroupMember(m.disk.replica, m.node, True) for m in reachable)
             established = any(m.status.commit_index > 0 for m in reachable)
-            self._later(
+            self._schedule_for_machine(
                 machine, self.now, self._event_action(machine, FoundingCandidates(members, established))
             )
 
@@ -352,15 +356,15 @@
             case fx.ReadConfirmed():
                 self._check_read(machine, effect)
             case fx.ReplicaStopped():
-                machine.stops.append(effect.reason)
+                machine.stop_reasons.append(effect.reason)
                 assert effect.restart_as_new == effect.reason.startswith(RESTART_AS_NEW)
                 assert effect.restart_as_new or "disk" in effect.reason, effect.reason
                 if effect.restart_as_new:
                     assert not machine.state, "a replica with applied commands gave up its state"
-                    self._later(machine, self.now + 0.3, lambda: self._restart_as_new(machine))
+                    self._schedule_for_machine(machine, self.now + 0.3, lambda: self._restart_as_new(machine))
 
     def _restart_as_new(self, machine: Machine) -> None:
-        self.wipe(machine.node).stops = machine.stops
+        self.wipe(machine.node).stop_reasons = machine.stop_reasons
 
     def _transmit(self, machine: Machine, send: Send) -> None:
         if self.keep_sent:
@@ -371,9 +375,9 @@
         self.largest_message_bytes = max(self.largest_message_bytes, len(encoded))
         for _ in range(1 + (self.random.random() < self.duplication)):
             arrival = self.now + self.random.uniform(*self.delay)
-            self._at(arrival, lambda: self._arrive(machine.node, send.to, encoded))
+            self._schedule(arrival, lambda: self._deliver(machine.node, send.to, encoded))
 
-    def _arrive(self, sender: NodeId, to: NodeId, encoded: bytes) -> None:
+    def _deliver(self, sender: NodeId, to: NodeId, encoded: bytes) -> None:
         # A machine that was renamed since the message was sent no longer exists under the old name.
         if to in self.machines and frozenset((sender, to)) not in self.cut_links:
             self.handle_event(to, MessageReceived(sender, _DECODER.decode(encoded)))
@@ -384,11 +388,11 @@
         def finish() -> None:
             if machine.stalled:
                 machine.held_writes.append(end)
-                self._later(machine, self.now + 1.0, lambda: self._report_stall(machine))
+                self._schedule_for_machine(machine, self.now + 1.0, lambda: self._report_stall(machine))
             else:
                 end()
 
-        self._later(machine, machine.disk.free_at, finish)
+        self._schedule_for_machine(machine, machine.disk.free_at, finish)
 
     def _report_stall(self, machine: Machine) -> None:
         if machine.stalled:
--- a/tests/unit/consensus/test_cluster.py
+++ b/tests/unit/consensus/test_cluster.py
@@ -110,14 +110,14 @@
     for number in range(5):
         cluster.commit(b"%d" % number)
     cluster.settle()
-    whole = {node: list(cluster.machines[node].state) for node in THREE}
+    state_before = {node: list(cluster.machines[node].state) for node in THREE}
     for node in THREE:
         cluster.crash(node)
     for node in THREE:
         cluster.restart(node)
         cluster.handle_event(node, Tick())
         # The last commit index isn't on disk, because no batch was written after it.
-        assert cluster.machines[node].state == whole[node][:-1] != []
+        assert cluster.machines[node].state == state_before[node][:-1] != []
         assert not cluster.machines[node].status.leading
 
 
@@ -413,7 +413,7 @@
     batch = broken.replica._core.durability._in_flight.number
 
     cluster.handle_event(broken.node, PersistFailed(batch, False, "input/output error"))
-    assert broken.stops == ["the disk failed: input/output error"]
+    assert broken.stop_reasons == ["the disk failed: input/output error"]
     assert cluster.dropped[correlation_id].unknown
     refused = cluster.propose(broken.node, b"y")
     assert not cluster.dropped[refused].unknown
--- a/tests/unit/consensus/test_founding.py
+++ b/tests/unit/consensus/test_founding.py
@@ -80,7 +80,7 @@
 
     cluster.await_leader()
 
-    reasons = [reason for machine in cluster.machines.values() for reason in machine.stops]
+    reasons = [reason for machine in cluster.machines.values() for reason in machine.stop_reasons]
     assert reasons and all(reason.startswith(RESTART_AS_NEW) for reason in reasons)
     cluster.settle()
 
@@ -105,7 +105,7 @@
 
     cluster.handle_event(machine.node, MessageReceived("x", foreign_group))
 
-    assert not machine.stops
+    assert not machine.stop_reasons
     cluster.commit()
 
 
--- a/tests/unit/consensus/test_random_faults.py
+++ b/tests/unit/consensus/test_random_faults.py
@@ -51,22 +51,22 @@
 
     def run(self) -> Cluster:
         for _ in range(FAULT_STEPS):
-            self._fault()
+            self._inject_fault()
             pause_s = self.random.choice((0.02, 0.1, 0.3))
             for _ in range(LOADS_PER_STEP):
-                self._load()
+                self._propose_and_read()
                 self.cluster.run(pause_s * self.random.random())
             self.cluster.check_logs()
-        self._end()
+        self._finish_faults()
         self.cluster.settle()
         correlation_id = self.cluster.read(self.cluster.await_leader().node)
         self.cluster.run_until(lambda: self.cluster.reads.get(correlation_id) is not None)
         return self.cluster
 
-    def _end(self) -> None:
+    def _finish_faults(self) -> None:
         """Finish what must be over before all faults are removed."""
 
-    def _fault(self) -> None:
+    def _inject_fault(self) -> None:
         cluster = self.cluster
         node = self.random.choice(NODES)
         machine = cluster.machines[node]
@@ -112,7 +112,7 @@
         if leader is not None:
             self.cluster.handle_event(leader.node, TransferLeadership())
 
-    def _load(self) -> None:
+    def _propose_and_read(self) -> None:
         node = self.random.choice(NODES)
         if self.cluster.machines[node].alive:
             self.cluster.propose(node, self.random.randbytes(self.random.randrange(600)))
@@ -132,16 +132,16 @@
         self.cluster.loss = self.random.choice((0.0, 0.02, 0.1))
         self.stopping: set[str] = set()
 
-    def _fault(self) -> None:
+    def _inject_fault(self) -> None:
         if self.random.random() < STOP_SHARE:
             node = self.random.choice(NODES)
             self.stopping.add(node)
             self.cluster.handle_event(node, StopAnnounced())
         elif self.random.random() < STOP_SHARE:
-            self._end()
-        super()._fault()
+            self._finish_faults()
+        super()._inject_fault()
 
-    def _end(self) -> None:
+    def _finish_faults(self) -> None:
         for node in sorted(self.stopping):
             self.cluster.crash(node)
         self.stopping.clear()
