--- a/src/springmux/coordination/consensus/election.py
+++ b/src/springmux/coordination/consensus/election.py
@@ -1,4 +1,4 @@
-"""Elections with pre-vote, stickiness to a live leader, and hand-over on request.
+"""Elections with pre-vote, rejection of candidates while a leader is live, and leadership transfer.
 
 Sources: Raft, section 5.2 and 5.4; Ongaro 2014, sections 3.10, 4.2.3 and 9.6.
 """
@@ -32,33 +32,34 @@
         return self._core.election_deadline
 
     def on_tick(self) -> None:
-        """Begin a pre-vote when no leader was heard for an election timeout."""
+        """Start a pre-vote after an election timeout without a message from a leader."""
         core = self._core
         if core.leadership is not None or core.now < core.election_deadline:
             return
         core.reset_election_deadline()
         core.leader = None
         core.leader_node = None
-        if self._may_start():
-            core.hasten_election()
+        if self._may_start_election():
+            core.shorten_election_deadline()
             self._start_pre_vote()
 
     def on_pre_vote(self, message: RaftPreVote, sender: NodeId) -> None:
-        """Reply whether the sender would get this replica's vote; no state changes."""
+        """Reply whether this replica would vote for the sender; no state changes."""
         core = self._core
         granted = (
             message.term > core.term
-            and not core.hears_leader()
-            and self._up_to_date(message.last_term, message.last_index)
+            and not core.has_live_leader()
+            and self._is_up_to_date(message.last_term, message.last_index)
         )
         term = message.term if granted else core.term
         assert core.group is not None
         reply = RaftPreVoteReply(core.group, core.replica, message.source, term, granted)
-        # A founding member that isn't on disk yet must not let a candidate spend its vote.
+        # The reply waits for the disk: a candidate must not use its vote on the strength of a founding member
+        # whose founding record isn't durable yet.
         core.send_durably(sender, reply)
 
     def on_pre_vote_reply(self, message: RaftPreVoteReply) -> None:
-        """Count a pre-vote; start the election with enough of them."""
+        """Count a granted pre-vote; start the election once there are enough."""
         core = self._core
         if not message.granted:
             if message.term > core.term:
@@ -66,15 +67,15 @@
             return
         if core.role is Role.PRE_CANDIDATE and message.term == core.term + 1:
             self._votes.add(message.source)
-            if self._enough_votes():
+            if self._has_enough_votes():
                 self._start_election(transfer=False)
 
     def on_vote(self, message: RaftVote, sender: NodeId) -> None:
-        """Vote at most once a term, for a log at least as new; the reply waits for the disk."""
+        """Vote at most once per term, for a log at least as up to date; the reply waits for the disk."""
         core = self._core
         assert core.group is not None
         if message.term > core.term:
-            if core.hears_leader() and not message.transfer:
+            if core.has_live_leader() and not message.transfer:
                 return
             core.become_follower(message.term)
         if message.term < core.term or not self._may_vote_for(message):
@@ -86,7 +87,7 @@
         core.send_durably(sender, reply)
 
     def on_vote_reply(self, message: RaftVoteReply) -> None:
-        """Count a vote; lead with enough of them."""
+        """Count a granted vote; become leader once there are enough."""
         core = self._core
         if message.term > core.term:
             core.become_follower(message.term)
@@ -95,11 +96,11 @@
             self._lead_if_elected()
 
     def on_timeout_now(self, message: RaftTimeoutNow) -> None:
-        """Start an election at once: the leader transfers its leadership to this replica."""
-        if message.term == self._core.term and self._core.leadership is None and self._may_start():
+        """Start an election immediately: the leader transfers its leadership to this replica."""
+        if message.term == self._core.term and self._core.leadership is None and self._may_start_election():
             self._start_election(transfer=True)
 
-    def _may_start(self) -> bool:
+    def _may_start_election(self) -> bool:
         core = self._core
         member = core.member
         return core.group is not None and member is not None and member.voter and core.durability.ready
@@ -108,7 +109,7 @@
         core = self._core
         core.role = Role.PRE_CANDIDATE
         self._votes = {core.replica}
-        if self._enough_votes():
+        if self._has_enough_votes():
             self._start_election(transfer=False)
             return
         self._request_votes(Term(core.term + 1), RaftPreVote)
@@ -122,10 +123,10 @@
         core.reset_election_deadline()
         self._votes = set()
         term = core.term
-        # The own vote counts, and those of others are requested, only when it is on disk.
-        core.durability.after(lambda: self._own_vote_durable(term, transfer))
+        # This replica's own vote counts, and other votes are requested, only once it is on disk.
+        core.durability.run_when_durable(lambda: self._on_own_vote_durable(term, transfer))
 
-    def _own_vote_durable(self, term: Term, transfer: bool) -> None:
+    def _on_own_vote_durable(self, term: Term, transfer: bool) -> None:
         core = self._core
         if core.term != term or core.role is not Role.CANDIDATE:
             return
@@ -149,14 +150,14 @@
                 core.send(voter.node, RaftPreVote(core.group, core.replica, voter.replica, term, *last))
 
     def _lead_if_elected(self) -> bool:
-        if not self._enough_votes():
+        if not self._has_enough_votes():
             return False
         self._core.role = Role.LEADER
         self._on_elected()
         return True
 
-    def _enough_votes(self) -> bool:
-        """Return whether a majority voted, or all voters for the group's first leader (see founding.py)."""
+    def _has_enough_votes(self) -> bool:
+        """Return whether a majority voted; the group's first leader needs all voters (see founding.py)."""
         members = self._core.log.members
         voters = {voter.replica for voter in members.voters()}
         needed = len(voters) if self._core.log.last_index == 0 else members.quorum()
@@ -166,9 +167,9 @@
         voted_for = self._core.durability.hard_state.voted_for
         if voted_for not in (None, message.source):
             return False
-        return self._up_to_date(message.last_term, message.last_index)
+        return self._is_up_to_date(message.last_term, message.last_index)
 
-    def _up_to_date(self, last_term: Term, last_index: LogIndex) -> bool:
-        """Return whether a candidate's log is at least as new as the own one (Raft, section 5.4.1)."""
+    def _is_up_to_date(self, last_term: Term, last_index: LogIndex) -> bool:
+        """Return whether a candidate's log is at least as up to date as this one (Raft, section 5.4.1)."""
         log = self._core.log
         return (last_term, last_index) >= (log.last_term, log.last_index)
--- a/src/springmux/coordination/consensus/joining.py
+++ b/src/springmux/coordination/consensus/joining.py
@@ -1,6 +1,6 @@
-"""Requests to be a member, of an empty replica beside a group and of a member without a leader.
+"""Join requests of a replica without a group, if a group exists, and of a member without a leader.
 
-The latter was removed while it was away, or its node changed its name; the leader, if there is one,
+Such a member was removed while it was absent, or its node was renamed. The leader, if there is one,
 adds it again as a learner or records its new node.
 """
 
@@ -13,24 +13,27 @@
 from springmux.coordination.state_machine import NEVER
 
 LEADERLESS_TIMEOUTS = 3
-"""Election timeouts without a leader after which a member sends requests; an election takes one or two."""
+"""Number of election timeouts without a leader after which a member sends join requests.
+
+An election takes one or two.
+"""
 
 
 class Joining:
-    """Sends join requests to the known controllers in turn."""
+    """Sends join requests to the known controllers in round-robin order."""
 
     def __init__(self, core: ReplicaCore, founding: Founding) -> None:
         self._core = core
         self._founding = founding
         self._next_request = 0.0
-        self._turn = 0
-        self.leader_node: NodeId | None = None
-        """The leader's node according to membership."""
+        self._round_robin_index = 0
+        self.reported_leader_node: NodeId | None = None
+        """The leader's node as reported by the membership protocol."""
 
     def start(self) -> None:
-        """Give the own group time to elect a leader before the first request."""
+        """Delay a member's first request, so that its group has time to elect a leader."""
         if self._core.group is not None:
-            self._wait_for_leader()
+            self._postpone_next_request()
 
     def deadline(self) -> float:
         """Return when the next request is due."""
@@ -42,7 +45,7 @@
         """Send the next request while no leader is known."""
         core = self._core
         if core.leader is not None:
-            self._wait_for_leader()
+            self._postpone_next_request()
         elif core.now >= self.deadline():
             self._next_request = core.now + core.settings.join_retry_s
             for node in self._next_targets():
@@ -55,19 +58,19 @@
         core.send(node, RaftJoinRequest(core.replica, core.node, core.group or "", joins_only=joins_only))
 
     def _next_targets(self) -> list[NodeId]:
-        """Return one controller in turn, which forwards the request, and the leader if it is known."""
-        targets = self._controllers()
+        """Return the next controller, which forwards the request, and the leader's node if it is known."""
+        targets = self._known_controller_nodes()
         if not targets:
             return []
-        self._turn += 1
-        node = targets[self._turn % len(targets)]
-        leader = self.leader_node
+        self._round_robin_index += 1
+        node = targets[self._round_robin_index % len(targets)]
+        leader = self.reported_leader_node
         return [node] if leader in (None, node) or leader not in targets else [leader, node]
 
-    def _wait_for_leader(self) -> None:
+    def _postpone_next_request(self) -> None:
         timeout_s = LEADERLESS_TIMEOUTS * self._core.settings.election_timeout_max_s
         self._next_request = self._core.now + timeout_s
 
-    def _controllers(self) -> list[NodeId]:
+    def _known_controller_nodes(self) -> list[NodeId]:
         members = (*self._founding.candidates, *self._core.log.members.members)
         return sorted({member.node for member in members} - {self._core.node})
--- a/src/springmux/coordination/consensus/transfer.py
+++ b/src/springmux/coordination/consensus/leadership_transfer.py
@@ -1,4 +1,4 @@
-"""Leadership transfer (Ongaro 2014, section 3.10): on request, and when the own disk fails."""
+"""Leadership transfer (Ongaro 2014, section 3.10), on request and when the leader's disk is unusable."""
 
 from __future__ import annotations
 
@@ -9,34 +9,34 @@
 from springmux.coordination.state_machine import NEVER
 
 
-class Transfer:
-    """Waits until the target is up to date, then has it start an election at once."""
+class LeadershipTransfer:
+    """Waits until the target has all entries, then requests that it starts an election immediately."""
 
     def __init__(self, core: ReplicaCore, replication: Replication) -> None:
         self._core = core
         self._replication = replication
 
     def begin(self, target: ReplicaId | None = None) -> None:
-        """Hand over to ``target``, or to the most advanced voter with a sound disk."""
+        """Start a transfer to ``target``, or to the most advanced voter whose disk accepts writes."""
         leadership = self._core.leadership
         if leadership is None or leadership.transfer_target is not None:
             return
-        chosen = self._choose(leadership, target)
+        chosen = self._choose_target(leadership, target)
         if chosen is None:
             self._core.emit_log_line("transfer_without_target", target=target or "")
             return
         leadership.transfer_target = chosen.replica
         leadership.transfer_sent = False
-        leadership.transfer_for_disk = not self._core.durability.ready
+        leadership.transfer_caused_by_disk = not self._core.durability.ready
         leadership.transfer_deadline = self._core.now + self._core.settings.election_timeout_max_s
 
     def deadline(self) -> float:
-        """Return when the present transfer is given up."""
+        """Return when the current transfer is cancelled."""
         leadership = self._core.leadership
         return leadership.transfer_deadline if leadership else NEVER
 
     def step(self) -> None:
-        """Give up an overdue transfer, or order the election once the target has all entries."""
+        """Cancel an overdue transfer, or request the election once the target has all entries."""
         core = self._core
         leadership = core.leadership
         if leadership is None:
@@ -46,7 +46,9 @@
                 self._begin_if_possible(leadership)
             return
         progress = leadership.progress.get(leadership.transfer_target)
-        recovered = leadership.transfer_for_disk and core.durability.ready and not leadership.transfer_sent
+        recovered = (
+            leadership.transfer_caused_by_disk and core.durability.ready and not leadership.transfer_sent
+        )
         if progress is None or recovered or core.now >= leadership.transfer_deadline:
             leadership.transfer_target = None
             leadership.transfer_deadline = NEVER
@@ -58,10 +60,10 @@
             core.send(progress.node, message)
 
     def _begin_if_possible(self, leadership: Leadership) -> None:
-        if self._choose(leadership, None) is not None:
+        if self._choose_target(leadership, None) is not None:
             self.begin()
 
-    def _choose(self, leadership: Leadership, target: ReplicaId | None) -> Progress | None:
+    def _choose_target(self, leadership: Leadership, target: ReplicaId | None) -> Progress | None:
         voters = {voter.replica for voter in self._core.log.members.voters()}
         candidates = [
             progress
@@ -69,7 +71,7 @@
             if progress.replica in voters
             and progress.storage_ready
             and not progress.leaving
-            and self._replication.reachable(progress)
+            and self._replication.is_reachable(progress)
             and target in (None, progress.replica)
         ]
         return max(candidates, key=lambda progress: (progress.match_index, progress.replica), default=None)
--- a/src/springmux/storage/claim_journal.py
+++ b/src/springmux/storage/claim_journal.py
@@ -1,9 +1,9 @@
-"""The journal of a claim holder on disk: entries appended and synced, rewritten when it has grown.
+"""The journal of a claim holder on disk: entries are appended and synced, and a grown journal is rewritten.
 
-One file in the replica's folder, under the replica's lock, so that it is wiped, moved and set aside
+It is one file in the replica's folder, under the replica's lock, so that it is wiped, moved and set aside
 together with the replica's identity. A torn tail is truncated. Corruption before the tail can't be
 repaired: the file is set aside and the holder counts as wiped (it pulls from the other holders before it
-grants). Blocking; run it in the storage thread. No call takes long, since that thread also serves the
+grants). Blocking; run it in the storage thread. No call takes long, because that thread also serves the
 replicated log: a rewrite advances by one slice with each append.
 """
 
@@ -26,15 +26,21 @@
 
 DAMAGED_NAME = "claims.journal.damaged"
 REWRITE_MIN_BYTES = 4 << 20
-"""A smaller journal isn't rewritten: it's read in a tenth of a second."""
+"""A smaller journal isn't rewritten, because it can be read in a tenth of a second."""
 REWRITE_GROWTH = 2
-"""Rewritten at this multiple of its size after the last time, so that each byte is copied about once."""
+"""The journal is rewritten at this multiple of its size after the last rewrite.
+
+Each byte is thus copied about once.
+"""
 MAX_BYTES = 1 << 30
-"""Beyond it appends are refused. 200,000 keys and 64 MiB of answers take about a tenth."""
+"""Maximum size of the journal; appends beyond it are rejected.
+
+200,000 keys and 64 MiB of answers take about a tenth of this size.
+"""
 
 
 class ClaimJournal:
-    """The journal of ``replica`` in ``folder``. Not safe for use from two threads at once."""
+    """The journal of ``replica`` in ``folder``. Not safe for concurrent use by several threads."""
 
     def __init__(
         self, disk: Disk, folder: str, replica: ReplicaId, rewrite_min_bytes: int = REWRITE_MIN_BYTES
@@ -49,9 +55,9 @@
         self._founded = False
         self._fold = JournalFold()
         self._file: AppendedFile | None = None
-        self._broken = ""
+        self._failure_reason = ""
         self.truncated_bytes = 0
-        """Bytes of a torn write that :meth:`open` cut off."""
+        """Bytes of a torn write that :meth:`open` removed."""
 
     def open(self, new_replica: bool) -> RecoveredClaims:
         """Read or create the journal, and prepare it for appends.
@@ -81,24 +87,24 @@
         :raises DiskFullError: none of them is kept; the journal stays usable.
         :raises DiskFailedError: the journal can't be written any more.
         """
-        if self._broken or self._file is None:
-            raise DiskFailedError(self._path, self._broken or "the journal is not open")
+        if self._failure_reason or self._file is None:
+            raise DiskFailedError(self._path, self._failure_reason or "the journal is not open")
         data = entries_record(entries)
-        if self._file.sound_bytes + len(data) > MAX_BYTES:
+        if self._file.valid_bytes + len(data) > MAX_BYTES:
             raise DiskFullError(self._path, f"the journal would exceed {MAX_BYTES} bytes")
         try:
             self._file.append(data)
         except DiskFailedError as error:
-            self._broken = error.reason
+            self._failure_reason = error.reason
             raise
         self._fold.take(entries)
         if self._rewrite is not None:
             self._rewrite.concurrent_entries.extend(entries)
-        if self._rewrite is not None or self._file.sound_bytes > self._rewrite_at_bytes:
-            self._go_on_rewriting()
+        if self._rewrite is not None or self._file.valid_bytes > self._rewrite_at_bytes:
+            self._continue_rewrite()
 
     def close(self) -> None:
-        """Release the files."""
+        """Close the journal's file and that of an unfinished rewrite."""
         if self._rewrite is not None:
             self._rewrite.close()
             self._rewrite = None
@@ -111,8 +117,8 @@
         parsed = parse_journal(self._path, data, self._replica)
         self._founded = parsed.start.founded
         self._fold = parsed.fold
-        self._file = AppendedFile(self._disk.open(self._path), parsed.sound_bytes)
-        self.truncated_bytes = len(data) - parsed.sound_bytes
+        self._file = AppendedFile(self._disk.open(self._path), parsed.valid_bytes)
+        self.truncated_bytes = len(data) - parsed.valid_bytes
         if self.truncated_bytes:
             self._file.truncate_tail()
         return RecoveredClaims(self._replica, self._founded, self._fold.claims(), self._fold.state)
@@ -122,8 +128,8 @@
         self._rewrite = JournalRewrite(self._disk, self._folder, start, self._fold.entries())
         return self._rewrite
 
-    def _go_on_rewriting(self) -> None:
-        """Rewrite one slice. On a failure the old file stays in use; its own failure shows at an append."""
+    def _continue_rewrite(self) -> None:
+        """Rewrite one slice. On a failure the old file stays in use; if it failed too, an append shows it."""
         try:
             rewrite = self._rewrite or self._begin_rewrite()
             if rewrite.step():
@@ -142,7 +148,7 @@
             size_bytes = self._rewrite.replace_journal()
             file = AppendedFile(self._disk.open(self._path), size_bytes)
         except DiskFailedError as error:
-            self._broken = error.reason
+            self._failure_reason = error.reason
             raise
         self.close()
         self._file = file
@@ -152,5 +158,5 @@
         if self._rewrite is not None:
             self._rewrite.discard()
             self._rewrite = None
-        size_bytes = self._file.sound_bytes if self._file is not None else 0
+        size_bytes = self._file.valid_bytes if self._file is not None else 0
         self._rewrite_at_bytes = REWRITE_GROWTH * size_bytes
--- a/src/springmux/storage/log_recovery.py
+++ b/src/springmux/storage/log_recovery.py
@@ -1,9 +1,9 @@
-"""Read a write-ahead log back, segment by segment, and tell corruption from a torn tail.
+"""Read a write-ahead log back, segment by segment, and distinguish corruption from a torn tail.
 
-A tail without a complete record is what a power failure leaves of an unacknowledged write; it is to be
-truncated. Corruption before a complete record is reported (:class:`LogCorruptError`): truncation would lose
-acknowledged entries. Corruption of the very last batch can't be told from a torn write. See Alagappan et al.,
-"Protocol-Aware Recovery for Consensus-Based Storage", FAST 2018, section 3.
+A tail without a complete record is the rest of an unacknowledged write after a power failure, and is to be
+truncated. Corruption before a complete record is reported (:class:`LogCorruptError`), because truncation
+would lose acknowledged entries. Corruption of the very last batch can't be distinguished from a torn write.
+See Alagappan et al., "Protocol-Aware Recovery for Consensus-Based Storage", FAST 2018, section 3.
 """
 
 from __future__ import annotations
@@ -50,13 +50,13 @@
 class Segment(msgspec.Struct):
     """One file of the log. ``last_index`` is the highest index ever written in it, 0 without entries.
 
-    ``sound_bytes``: where its complete records end. ``torn_bytes``: size of a torn write after them.
+    ``valid_bytes``: where its complete records end. ``torn_bytes``: size of a torn write after them.
     """
 
     number: int
     last_index: int = 0
-    batches: int = 0
-    sound_bytes: int = 0
+    batch_count: int = 0
+    valid_bytes: int = 0
     torn_bytes: int = 0
 
     @property
@@ -66,7 +66,7 @@
 
 
 class ReplayedLog(msgspec.Struct):
-    """A log read back. ``empty_segment``: name of a last file without a start record, to be removed."""
+    """A log read back. ``empty_segment``: name of a last file without a start record; it is to be removed."""
 
     content: LogContent
     segments: list[Segment]
@@ -84,7 +84,7 @@
 
 
 def holds_batches(disk: Disk, folder: str) -> bool:
-    """Return whether the folder's segments hold anything beside their start records."""
+    """Return whether the folder's segments hold any batches besides their start records."""
     return any(
         record.type is RecordType.BATCH
         for name in segment_names(disk, folder)
@@ -125,13 +125,13 @@
         segment = Segment(int(name[4:14]))
         for record in read_records(data):
             self._read_record(record, segment)
-            segment.sound_bytes = record.end
-        segment.torn_bytes = len(data) - segment.sound_bytes
-        if segment.torn_bytes and (not is_last or has_record_after(data, segment.sound_bytes)):
+            segment.valid_bytes = record.end
+        segment.torn_bytes = len(data) - segment.valid_bytes
+        if segment.torn_bytes and (not is_last or has_record_after(data, segment.valid_bytes)):
             raise LogCorruptError(
-                name, segment.sound_bytes, "checksum or framing is wrong, and it is no torn tail"
+                name, segment.valid_bytes, "checksum or framing is wrong, and it isn't a torn tail"
             )
-        if segment.sound_bytes:
+        if segment.valid_bytes:
             self.log.segments.append(segment)
         elif is_last and self.log.segments:
             self.log.empty_segment = name
@@ -143,16 +143,16 @@
             raise LogCorruptError(segment.name, record.offset, "start record is missing or misplaced")
         try:
             if record.type is RecordType.SEGMENT_START:
-                self._take_start(decode_start(record.payload), segment)
+                self._apply_start(decode_start(record.payload), segment)
             else:
-                self._take_batch(decode_batch(record.payload), record.offset, segment)
+                self._apply_batch(decode_batch(record.payload), record.offset, segment)
         except msgspec.DecodeError as error:
             raise LogCorruptError(segment.name, record.offset, f"record can't be read: {error}") from error
 
-    def _take_start(self, start: SegmentStart, segment: Segment) -> None:
+    def _apply_start(self, start: SegmentStart, segment: Segment) -> None:
         content = self.log.content
         if start.replica != self._replica or start.number != segment.number:
-            raise LogCorruptError(segment.name, 0, "segment belongs to another replica or place")
+            raise LogCorruptError(segment.name, 0, "segment belongs to another replica or has another number")
         if start.replaces_log or not self.log.segments:
             content.entries.clear()
             content.base_index = start.base_index
@@ -163,9 +163,9 @@
         content.group = start.group
         content.founding_members = start.founding_members
 
-    def _take_batch(self, batch: BatchRecord, offset: int, segment: Segment) -> None:
+    def _apply_batch(self, batch: BatchRecord, offset: int, segment: Segment) -> None:
         content = self.log.content
-        segment.batches += 1
+        segment.batch_count += 1
         if batch.hard_state is not None:
             content.hard_state = batch.hard_state
         if batch.group is not None:
@@ -183,7 +183,7 @@
 
 
 def _truncate(content: LogContent, first_dropped: LogIndex) -> None:
-    """Drop entries at and after ``first_dropped``; it may lie before the first segment that is kept."""
+    """Drop entries at and after ``first_dropped``, which may be before the first segment that is kept."""
     content.base_index = min(content.base_index, LogIndex(first_dropped - 1))
     while content.entries and content.entries[-1].index >= first_dropped:
         content.entries.pop()
--- a/src/springmux/storage/write_ahead_log.py
+++ b/src/springmux/storage/write_ahead_log.py
@@ -1,6 +1,6 @@
 """Segmented write-ahead log of one replica: append and sync, rotation, removal.
 
-Reading it back is in :mod:`springmux.storage.log_recovery`, the records in ``records``.
+:mod:`springmux.storage.log_recovery` reads the log back; :mod:`springmux.storage.records` has the records.
 """
 
 from __future__ import annotations
@@ -21,11 +21,14 @@
 from springmux.storage.records import BatchRecord, SegmentStart, encode_batch, encode_start
 
 DEFAULT_SEGMENT_BYTES = 8 << 20
-"""Bounds what one removal frees and what one recovery read holds in memory."""
+"""Size at which a new segment begins.
+
+It limits how much a removal frees and how much a recovery reads into memory, each at a time.
+"""
 
 
 class WriteAheadLog:
-    """The log below ``folder``. Not safe for use from two threads at once."""
+    """The log in ``folder``. Not safe for concurrent use by several threads."""
 
     def __init__(
         self, disk: Disk, folder: str, replica: ReplicaId, segment_bytes: int = DEFAULT_SEGMENT_BYTES
@@ -36,14 +39,14 @@
         self._segment_bytes = segment_bytes
         self._segments: list[Segment] = []
         self._file: AppendedFile | None = None
-        self._broken = ""
-        self._latest = LogContent()
+        self._failure_reason = ""
+        self._latest_state = LogContent()
         self._last_index = LogIndex(0)
         self.truncated_bytes = 0
         """Bytes of a torn write that :meth:`open` removed."""
 
     def create(self) -> None:
-        """Create an empty log; remove what an unfinished first start left."""
+        """Create an empty log and remove the segments of an interrupted first start."""
         for name in segment_names(self._disk, self._folder):
             self._disk.remove(self._path(name))
         self._begin_segment(1, replaces_log=False)
@@ -55,10 +58,10 @@
         """
         replayed = replay_log(self._disk, self._folder, self._replica)
         self._segments = replayed.segments
-        self._latest = msgspec.structs.replace(replayed.content, entries=[])
+        self._latest_state = msgspec.structs.replace(replayed.content, entries=[])
         self._last_index = replayed.content.last_index()
         last = self._segments[-1]
-        self._file = AppendedFile(self._disk.open(self._path(last.name)), last.sound_bytes)
+        self._file = AppendedFile(self._disk.open(self._path(last.name)), last.valid_bytes)
         self._truncate_torn_tail(replayed)
         return replayed.content
 
@@ -67,17 +70,17 @@
 
         :raises DiskFullError: nothing of the batch is kept; the log stays usable.
         :raises DiskFailedError: the log can't be written any more.
-        :raises ValueError: if the entries don't follow what is there.
+        :raises ValueError: if the entries don't continue the log.
         """
         self._check_usable()
         self._check_sequence(batch)
         data = encode_batch(batch)
         active = self._segments[-1]
-        if active.batches and active.sound_bytes + len(data) > self._segment_bytes:
+        if active.batch_count and active.valid_bytes + len(data) > self._segment_bytes:
             self._sync()
             self._begin_segment(active.number + 1, replaces_log=False)
         self._write(data)
-        self._remember(batch)
+        self._record_batch(batch)
 
     def reset(self, base_index: LogIndex) -> None:
         """Drop every entry and continue after ``base_index`` (a snapshot was installed).
@@ -94,7 +97,7 @@
             raise
         self._remove_segments(len(self._segments) - 1)
 
-    def remove_below(self, first_kept: LogIndex) -> None:
+    def remove_segments_before(self, first_kept: LogIndex) -> None:
         """Remove the oldest segments that hold no entry at or after ``first_kept``."""
         self._check_usable()
         removable = 0
@@ -103,14 +106,14 @@
         self._remove_segments(removable)
 
     def close(self) -> None:
-        """Release the open segment."""
+        """Close the file of the active segment."""
         if self._file is not None:
             self._file.close()
             self._file = None
 
     def _check_usable(self) -> None:
-        if self._broken or self._file is None:
-            raise DiskFailedError(self._folder, self._broken or "the log is not open")
+        if self._failure_reason or self._file is None:
+            raise DiskFailedError(self._folder, self._failure_reason or "the log is not open")
 
     def _check_sequence(self, batch: BatchRecord) -> None:
         """Reject a batch that would leave a gap, which would look like corruption when read back."""
@@ -126,25 +129,25 @@
         try:
             self._file.append(data)
         except DiskFailedError as error:
-            self._broken = error.reason
+            self._failure_reason = error.reason
             raise
-        self._segments[-1].sound_bytes = self._file.sound_bytes
-        self._segments[-1].batches += 1
+        self._segments[-1].valid_bytes = self._file.valid_bytes
+        self._segments[-1].batch_count += 1
 
     def _sync(self) -> None:
         assert self._file is not None
         try:
             self._file.sync()
         except DiskFailedError as error:
-            self._broken = error.reason
+            self._failure_reason = error.reason
             raise
 
-    def _remember(self, batch: BatchRecord) -> None:
+    def _record_batch(self, batch: BatchRecord) -> None:
         if batch.hard_state is not None:
-            self._latest.hard_state = batch.hard_state
+            self._latest_state.hard_state = batch.hard_state
         if batch.group is not None:
-            self._latest.group = batch.group
-            self._latest.founding_members = batch.founding_members
+            self._latest_state.group = batch.group
+            self._latest_state.founding_members = batch.founding_members
         if batch.truncate_from is not None:
             self._last_index = min(self._last_index, LogIndex(batch.truncate_from - 1))
         if batch.entries:
@@ -153,21 +156,21 @@
             active.last_index = max(active.last_index, self._last_index)
 
     def _begin_segment(self, number: int, *, replaces_log: bool) -> None:
-        """Create a durable segment, name and start record, and make it the active one."""
+        """Create a segment with a durable name and start record, and make it the active one."""
         data = encode_start(self._start_record(number, replaces_log=replaces_log))
         try:
-            file = self._open_with(self._path(segment_name(number)), data)
+            file = self._create_file(self._path(segment_name(number)), data)
         except DiskFailedError as error:
-            self._broken = error.reason
+            self._failure_reason = error.reason
             raise
         self.close()
         self._file = AppendedFile(file, len(data))
         self._sync()
         self._disk.fsync_folder(self._folder)
-        self._segments.append(Segment(number, sound_bytes=len(data)))
+        self._segments.append(Segment(number, valid_bytes=len(data)))
 
     def _start_record(self, number: int, *, replaces_log: bool) -> SegmentStart:
-        latest = self._latest
+        latest = self._latest_state
         return SegmentStart(
             number=number,
             replica=self._replica,
@@ -178,7 +181,7 @@
             replaces_log=replaces_log,
         )
 
-    def _open_with(self, path: str, data: bytes) -> DiskFile:
+    def _create_file(self, path: str, data: bytes) -> DiskFile:
         file = self._disk.open(path)
         try:
             file.append(data)
--- a/tests/support/consensus_cluster.py
+++ b/tests/support/consensus_cluster.py
@@ -1,4 +1,4 @@
-"""Replicas on a virtual clock, network and disks, all from one seed, with Raft's invariants checked."""
+"""Replicas with a virtual clock, network and disks, driven by one seed, with Raft's invariants checked."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
 _ENCODER = msgspec.msgpack.Encoder()
 _DECODER = msgspec.msgpack.Decoder(functools.reduce(operator.or_, MESSAGES))
 _STATE_DECODER = msgspec.msgpack.Decoder(State)
-TICKS_AT_ONE_TIME = 20
-"""More ticks than this without time passing mean that a deadline isn't exact."""
+MAX_TICKS_WITHOUT_PROGRESS = 20
+"""More successive ticks at one time mean that ``next_deadline`` returns a time that has passed."""
 
 
 class Disk:
-    """What survives a crash: only batches whose write ended."""
+    """State that survives a crash: only batches whose write has ended."""
 
     def __init__(self, replica: str) -> None:
         self.replica = ReplicaId(replica)
@@ -78,7 +78,7 @@
 
 
 class Machine:
-    """One node: a disk that lasts, and a replica and state that don't."""
+    """One node: a disk that survives a crash, and a replica and state that don't."""
 
     def __init__(self, node: str, disk: Disk) -> None:
         self.node = NodeId(node)
@@ -89,10 +89,10 @@
         self.state: State = []
         self.applied = 0
         self.tick_at = float("inf")
-        self.ticks = 0
+        self.ticks_without_progress = 0
         self.full = self.stalled = False
-        self.held: list[Callable[[], None]] = []
-        self.stops: list[str] = []
+        self.held_writes: list[Callable[[], None]] = []
+        self.stop_reasons: list[str] = []
 
     @property
     def status(self) -> fx.ReplicaStatus:
@@ -101,7 +101,7 @@
 
 
 class Cluster:
-    """Drives machines; every effect is checked as it comes."""
+    """Drives machines and checks every effect when it is emitted."""
 
     def __init__(
         self, seed: int, nodes: Iterable[str], settings: ConsensusSettings = ConsensusSettings()
@@ -112,11 +112,11 @@
         self.loss = self.duplication = 0.0
         self.delay = (0.001, 0.01)
         self.fsync = (0.001, 0.004)
-        self.cut: set[frozenset[str]] = set()
+        self.cut_links: set[frozenset[str]] = set()
         self.machines: dict[str, Machine] = {}
         self.sent: list[tuple[float, str, str, PeerMessage]] = []
         self.keep_sent = False
-        self.largest_frame = 0
+        self.largest_message_bytes = 0
         self.committed: dict[int, Entry] = {}
         self.leaders: dict[tuple[str, int], str] = {}
         self.groups_with_commits: set[str] = set()
@@ -130,12 +130,12 @@
         self._correlation_ids = 0
         for node in nodes:
             self.add(node)
-        self._at(0.0, self._gossip)
+        self._schedule(0.0, self._gossip)
 
     # Faults
 
     def add(self, node: str) -> Machine:
-        """Start an empty machine at ``node`` (wiping what was there)."""
+        """Start an empty machine at ``node``, in place of a former one and its disk."""
         if node in self.machines and self.machines[node].alive:
             self.crash(node)
         self._identities += 1
@@ -148,7 +148,7 @@
     wipe = add
 
     def move(self, node: str, new_node: str) -> None:
-        """Start the folder of ``node`` under another node name."""
+        """Restart the machine of ``node`` with the same disk under another node name."""
         self.crash(node)
         self.machines[new_node] = Machine(new_node, self.machines.pop(node).disk)
         self.restart(new_node)
@@ -157,7 +157,7 @@
         machine = self.machines[node]
         machine.alive = False
         machine.boot += 1
-        machine.held.clear()
+        machine.held_writes.clear()
         machine.disk.free_at = 0.0
 
     def restart(self, node: str) -> None:
@@ -174,10 +174,10 @@
         self._schedule_tick(machine)
 
     def isolate(self, node: str) -> None:
-        self.cut |= {frozenset((node, other)) for other in self.machines if other != node}
+        self.cut_links |= {frozenset((node, other)) for other in self.machines if other != node}
 
     def heal(self) -> None:
-        self.cut.clear()
+        self.cut_links.clear()
         for machine in self.machines.values():
             machine.full = False
             self.unstall(machine.node)
@@ -187,21 +187,21 @@
     def unstall(self, node: str) -> None:
         machine = self.machines[node]
         machine.stalled = False
-        held, machine.held = machine.held, []
-        for action in held:
+        held_writes, machine.held_writes = machine.held_writes, []
+        for action in held_writes:
             action()
 
     # Driving
 
     def run(self, duration_s: float) -> None:
-        self.run_until(lambda: False, duration_s, must=False)
+        self.run_until(lambda: False, duration_s, required=False)
 
-    def run_until(self, done: Callable[[], bool], limit_s: float = 30.0, must: bool = True) -> None:
+    def run_until(self, done: Callable[[], bool], limit_s: float = 30.0, required: bool = True) -> None:
         end = self.now + limit_s
         while not done():
             if not self._queue or self._queue[0][0] > end:
                 self.now = end
-                assert not must, f"not reached within {limit_s} s of virtual time"
+                assert not required, f"not reached within {limit_s} s of virtual time"
                 return
             self.now, _, action = heapq.heappop(self._queue)
             action()
@@ -226,22 +226,22 @@
         leader = self.leader()
         return {v.node for v in leader.status.members.voters()} if leader else set()
 
-    def give(self, node: str, event: Event) -> None:
+    def handle_event(self, node: str, event: Event) -> None:
         machine = self.machines[node]
         if machine.alive and machine.replica is not None:
             for effect in machine.replica.handle(event, self.now):
-                self._carry_out(machine, effect)
+                self._execute(machine, effect)
             self._check_leader(machine)
             self._schedule_tick(machine)
 
     def propose(self, node: str, data: bytes) -> str:
         self._correlation_ids += 1
         correlation_id = f"p{self._correlation_ids}"
-        self.give(node, fx.Propose(correlation_id, data))
+        self.handle_event(node, fx.Propose(correlation_id, data))
         return correlation_id
 
     def commit(self, data: bytes = b"x") -> str:
-        """Propose at the leader and wait for the acknowledgement."""
+        """Propose a command at the leader and wait for its acknowledgement."""
         correlation_id = self.propose(self.await_leader().node, data)
         self.run_until(lambda: correlation_id in self.acknowledged or correlation_id in self.dropped)
         assert correlation_id in self.acknowledged, self.dropped[correlation_id].reason
@@ -251,21 +251,23 @@
         self._correlation_ids += 1
         correlation_id = f"q{self._correlation_ids}"
         self._read_floor[correlation_id] = max(self.acknowledged.values(), default=0)
-        self.give(node, fx.ConfirmRead(correlation_id))
+        self.handle_event(node, fx.ConfirmRead(correlation_id))
         return correlation_id
 
     def settle(self) -> None:
-        """Heal everything, let it come to rest, and check that nothing acknowledged is missing."""
+        """Remove all faults, run until the group is idle, and check that all acknowledged commands exist."""
         self.loss = self.duplication = 0.0
         self.heal()
         self.run_until(self._settled, 90.0)
         for machine in self.machines.values():
-            have = {index for index, _ in machine.state}
-            assert set(self.acknowledged.values()) <= have, f"{machine.node} lacks acknowledged commands"
+            applied_indexes = {index for index, _ in machine.state}
+            assert set(self.acknowledged.values()) <= applied_indexes, (
+                f"{machine.node} lacks acknowledged commands"
+            )
         self.check_logs()
 
     def check_logs(self) -> None:
-        """Log matching (Raft, figure 3) between all disks."""
+        """Check log matching (Raft, figure 3) between all disks."""
         seen: dict[tuple[str | None, int, int], tuple[Entry, Entry | None]] = {}
         for machine in self.machines.values():
             before: Entry | None = None
@@ -287,44 +289,48 @@
             for m in self.machines.values()
         )
 
-    # The world
+    # Virtual clock, network and disks
 
-    def _at(self, time: float, action: Callable[[], None]) -> None:
+    def _schedule(self, time: float, action: Callable[[], None]) -> None:
         self._sequence += 1
         heapq.heappush(self._queue, (time, self._sequence, action))
 
-    def _later(self, machine: Machine, time: float, action: Callable[[], None]) -> None:
+    def _schedule_for_machine(self, machine: Machine, time: float, action: Callable[[], None]) -> None:
         boot = machine.boot
-        self._at(time, lambda: action() if machine.boot == boot and machine.alive else None)
+        self._schedule(time, lambda: action() if machine.boot == boot and machine.alive else None)
 
     def _schedule_tick(self, machine: Machine) -> None:
         assert machine.replica is not None
         deadline = max(machine.replica.next_deadline(), self.now)
         if deadline < machine.tick_at:
-            machine.ticks = machine.ticks + 1 if deadline == self.now else 0
-            assert machine.ticks < TICKS_AT_ONE_TIME, "next_deadline stays in the past"
+            machine.ticks_without_progress = machine.ticks_without_progress + 1 if deadline == self.now else 0
+            assert machine.ticks_without_progress < MAX_TICKS_WITHOUT_PROGRESS, (
+                "next_deadline stays in the past"
+            )
             machine.tick_at = deadline
-            self._later(machine, deadline, lambda: self._tick(machine, deadline))
+            self._schedule_for_machine(machine, deadline, lambda: self._tick(machine, deadline))
 
     def _tick(self, machine: Machine, deadline: float) -> None:
         if machine.tick_at == deadline:
             machine.tick_at = float("inf")
-            self.give(machine.node, Tick())
+            self.handle_event(machine.node, Tick())
 
     def _gossip(self) -> None:
-        """Membership: every machine learns of the controllers that it reaches."""
-        self._at(self.now + 0.5, self._gossip)
+        """Report to every machine the controllers that it can reach, as the membership protocol does."""
+        self._schedule(self.now + 0.5, self._gossip)
         alive = [m for m in self.machines.values() if m.alive]
         for machine in alive:
-            near = [m for m in alive if frozenset((m.node, machine.node)) not in self.cut]
-            members = tuple(GroupMember(m.disk.replica, m.node, True) for m in near)
-            established = any(m.status.commit_index > 0 for m in near)
-            self._later(machine, self.now, self._giver(machine, FoundingCandidates(members, established)))
+            reachable = [m for m in alive if frozenset((m.node, machine.node)) not in self.cut_links]
+            members = tuple(GroupMember(m.disk.replica, m.node, True) for m in reachable)
+            established = any(m.status.commit_index > 0 for m in reachable)
+            self._schedule_for_machine(
+                machine, self.now, self._event_action(machine, FoundingCandidates(members, established))
+            )
 
-    def _giver(self, machine: Machine, event: Event) -> Callable[[], None]:
-        return lambda: self.give(machine.node, event)
+    def _event_action(self, machine: Machine, event: Event) -> Callable[[], None]:
+        return lambda: self.handle_event(machine.node, event)
 
-    def _carry_out(self, machine: Machine, effect: Effect) -> None:
+    def _execute(self, machine: Machine, effect: Effect) -> None:
         match effect:
             case Send():
                 self._transmit(machine, effect)
@@ -344,21 +350,21 @@
                 self._write(machine, lambda: self._install(machine, effect.meta, effect.data))
             case fx.ProposalCommitted():
                 self.acknowledged[effect.correlation_id] = effect.index
-                assert effect.index <= machine.applied, "answered before it was applied"
+                assert effect.index <= machine.applied, "reported as committed before it was applied"
             case fx.ProposalDropped():
                 self.dropped[effect.correlation_id] = effect
             case fx.ReadConfirmed():
                 self._check_read(machine, effect)
             case fx.ReplicaStopped():
-                machine.stops.append(effect.reason)
+                machine.stop_reasons.append(effect.reason)
                 assert effect.restart_as_new == effect.reason.startswith(RESTART_AS_NEW)
                 assert effect.restart_as_new or "disk" in effect.reason, effect.reason
                 if effect.restart_as_new:
-                    assert not machine.state, "an acknowledged state was given up"
-                    self._later(machine, self.now + 0.3, lambda: self._renew(machine))
+                    assert not machine.state, "a replica with applied commands gave up its state"
+                    self._schedule_for_machine(machine, self.now + 0.3, lambda: self._restart_as_new(machine))
 
-    def _renew(self, machine: Machine) -> None:
-        self.wipe(machine.node).stops = machine.stops
+    def _restart_as_new(self, machine: Machine) -> None:
+        self.wipe(machine.node).stop_reasons = machine.stop_reasons
 
     def _transmit(self, machine: Machine, send: Send) -> None:
         if self.keep_sent:
@@ -366,58 +372,58 @@
         if send.to not in self.machines or self.random.random() < self.loss:
             return
         encoded = _ENCODER.encode(send.message)
-        self.largest_frame = max(self.largest_frame, len(encoded))
+        self.largest_message_bytes = max(self.largest_message_bytes, len(encoded))
         for _ in range(1 + (self.random.random() < self.duplication)):
             arrival = self.now + self.random.uniform(*self.delay)
-            self._at(arrival, lambda: self._arrive(machine.node, send.to, encoded))
+            self._schedule(arrival, lambda: self._deliver(machine.node, send.to, encoded))
 
-    def _arrive(self, sender: NodeId, to: NodeId, encoded: bytes) -> None:
-        # A machine that moved meanwhile isn't there any more to get it.
-        if to in self.machines and frozenset((sender, to)) not in self.cut:
-            self.give(to, MessageReceived(sender, _DECODER.decode(encoded)))
+    def _deliver(self, sender: NodeId, to: NodeId, encoded: bytes) -> None:
+        # A machine that was renamed since the message was sent no longer exists under the old name.
+        if to in self.machines and frozenset((sender, to)) not in self.cut_links:
+            self.handle_event(to, MessageReceived(sender, _DECODER.decode(encoded)))
 
     def _write(self, machine: Machine, end: Callable[[], None]) -> None:
         machine.disk.free_at = max(machine.disk.free_at, self.now) + self.random.uniform(*self.fsync)
 
         def finish() -> None:
             if machine.stalled:
-                machine.held.append(end)
-                self._later(machine, self.now + 1.0, lambda: self._report_stall(machine))
+                machine.held_writes.append(end)
+                self._schedule_for_machine(machine, self.now + 1.0, lambda: self._report_stall(machine))
             else:
                 end()
 
-        self._later(machine, machine.disk.free_at, finish)
+        self._schedule_for_machine(machine, machine.disk.free_at, finish)
 
     def _report_stall(self, machine: Machine) -> None:
         if machine.stalled:
-            self.give(machine.node, fx.DiskStalled(1.0))
+            self.handle_event(machine.node, fx.DiskStalled(1.0))
 
     def _persist(self, machine: Machine, batch: fx.Persist) -> None:
         if machine.full:
-            self.give(machine.node, fx.PersistFailed(batch.batch, True, "no space"))
+            self.handle_event(machine.node, fx.PersistFailed(batch.batch, True, "no space"))
             return
         machine.disk.write(batch)
-        self.give(machine.node, fx.Persisted(batch.batch))
+        self.handle_event(machine.node, fx.Persisted(batch.batch))
 
     def _snapshot(self, machine: Machine, meta: SnapshotMeta, data: bytes) -> None:
         if machine.full:
-            self.give(machine.node, fx.SnapshotFailed(meta.index, "no space"))
+            self.handle_event(machine.node, fx.SnapshotFailed(meta.index, "no space"))
             return
         if machine.disk.snapshot is None or meta.index > machine.disk.snapshot.index:
             machine.disk.snapshot, machine.disk.data = meta, data
-        self.give(machine.node, fx.SnapshotTaken(meta, data))
+        self.handle_event(machine.node, fx.SnapshotTaken(meta, data))
 
     def _install(self, machine: Machine, meta: SnapshotMeta, data: bytes) -> None:
         machine.disk.snapshot, machine.disk.data, machine.disk.entries = meta, data, []
         machine.state = _STATE_DECODER.decode(data)
         machine.applied = meta.index
-        self.give(machine.node, fx.SnapshotInstalled(meta))
+        self.handle_event(machine.node, fx.SnapshotInstalled(meta))
 
     # Invariants
 
     def _apply(self, machine: Machine, entries: tuple[Entry, ...]) -> None:
         self.groups_with_commits.add(str(machine.status.group))
-        assert len(self.groups_with_commits) == 1, "two groups came to life"
+        assert len(self.groups_with_commits) == 1, "two groups committed entries"
         for entry in entries:
             assert entry.index == machine.applied + 1, "applied out of order"
             assert self.committed.setdefault(entry.index, entry) == entry, "state machines differ"
@@ -438,7 +444,7 @@
         log = machine.replica._core.log
         for index, entry in self.committed.items():
             assert index <= log.base_index or log.term_at(entry.index) == entry.term, (
-                "a leader lacks a commit"
+                "a leader lacks a committed entry"
             )
 
     def _check_read(self, machine: Machine, effect: fx.ReadConfirmed) -> None:
