--- a/src/springmux/coordination/quota/events.py
+++ b/src/springmux/coordination/quota/events.py
@@ -18,41 +18,41 @@
 
 
 class AccountsChanged(Event, frozen=True):
-    """New or changed accounts, and removed ones. All others are unchanged."""
+    """Accounts were added, changed or removed. Accounts that are not mentioned are unchanged."""
 
     changed: Mapping[str, AccountRate]
     removed: tuple[str, ...] = ()
 
 
 class QuotaMembersChanged(Event, frozen=True):
-    """The present nodes changed, and with them the owners by rendezvous hash."""
+    """The present nodes changed, and with them the owners, which are chosen by rendezvous hash."""
 
     view: MembershipView
 
 
 class QuotaSettings(msgspec.Struct, frozen=True):
-    """Times and fractions of the quota."""
+    """Times (s) and fractions of the quota."""
 
     request_period_s: float = 0.2
-    """Interval of requests for active accounts."""
+    """Interval between requests for active accounts."""
     urgent_period_s: float = 0.03
-    """Shortest interval of requests when a share is exhausted."""
+    """Shortest interval between requests while a share is exhausted."""
     horizon_s: float = 0.5
-    """Time of the node's demand that its share should cover: two request periods and a round trip."""
+    """Time for which a share should cover the node's demand: two request periods and a round trip."""
     lease_s: float = 2.0
     """Time after which a share that is not renewed expires at its node."""
     owner_margin_s: float = 1.0
-    """Extra time for which the owner waits beyond the lease, for the age of its reply."""
+    """Time that the owner waits beyond the lease, since its reply took time to arrive."""
     idle_s: float = 1.0
-    """Time without demand after which a node returns its share and stops its requests."""
+    """Time without demand after which a node returns its share and stops requesting."""
     owner_timeout_s: float = 0.45
-    """Time without a reply (two requests) after which a node proceeds without the owner."""
+    """Time without a reply (two requests) after which a node grants tokens to itself."""
     account_expiry_s: float = 30.0
-    """Time for which an idle account's figures are kept, so that changing nodes doesn't clear a debt."""
+    """Time for which an idle account's counts are kept, so that a change of nodes doesn't clear a debt."""
     takeover_s: float = 10.0
-    """Time after a change of nodes in which an account new to its owner starts without its burst."""
+    """Time after a membership change in which an account new to its owner starts without its burst."""
     last_rate_s: float = 10.0
-    """Time for which a node without its owner continues at its last rate."""
+    """Time for which a node without a reachable owner continues at its last rate."""
     advance_share: float = 1.0
     """Fraction of the available tokens (of the burst, at a node without a grant yet) that one request may use
     in advance of the owner's reply."""
--- a/src/springmux/coordination/quota/gate.py
+++ b/src/springmux/coordination/quota/gate.py
@@ -11,19 +11,19 @@
     def reserve(self, account: str, amount: float, now: float, again: bool = False) -> bool:
         """Reserve ``amount`` tokens of this node's share; return whether the share covered them.
 
-        :param again: the call repeats an earlier attempt, whose demand must not be counted twice.
+        :param again: whether the call repeats an earlier reservation, whose demand must not be counted twice.
         """
         ...
 
     def awaits_owner(self, account: str) -> bool:
         """Return, after a failed reservation, whether the account's owner has yet to reply.
 
-        If so, tokens may arrive soon; if not, the request must be rejected at once (429).
+        If so, tokens may arrive soon. If not, the request must be rejected immediately (429).
         """
         ...
 
     def settle(self, account: str, reserved: float, used: float, now: float) -> None:
-        """Correct a reservation by the tokens actually used (fewer or more)."""
+        """Correct a reservation to the tokens that were actually used, fewer or more."""
         ...
 
     def retry_after_s(self, account: str, amount: float, now: float) -> float:
--- a/src/springmux/coordination/quota/messages.py
+++ b/src/springmux/coordination/quota/messages.py
@@ -1,4 +1,4 @@
-"""Peer messages of the fleet-wide quota. Figures are cumulative, so loss and duplication do no harm."""
+"""Peer messages of the fleet-wide quota. Counts are cumulative, so loss and duplication are harmless."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 class AccountDemand(msgspec.Struct, frozen=True, array_like=True):
-    """One account at one node; ``spent`` and ``self_granted`` only grow in an incarnation, refunds aside.
+    """Demand of one node for one account. ``spent`` grows within an incarnation, except for refunds.
 
     ``spent``: total tokens including reservations, less refunds. ``requested``: tokens that the node needs
-    beyond them; fewer than ``minimum`` (the size of a request) are useless to it. ``acknowledged``: the
-    ``spent`` that an owner last replied to; ``self_granted``: tokens that the node granted itself since
-    then; ``unspent``: its remaining tokens. These three matter to an owner that doesn't know the node yet.
+    beyond them; fewer than ``minimum`` (the size of a request) are useless to it. ``acknowledged``: value of
+    ``spent`` to which an owner last replied. ``self_granted``: tokens that the node granted itself since
+    then. ``unspent``: its remaining tokens. An owner that doesn't know the node yet uses these three.
     ``rejected``: size of the largest request that awaits the owner's reply, 0 if there is none.
     """
 
@@ -28,7 +28,7 @@
 
 
 class AccountGrant(msgspec.Struct, frozen=True, array_like=True):
-    """The owner's reply: ``spent`` may grow up to ``limit`` within the lease.
+    """The owner's grant to one node for one account: ``spent`` may grow up to ``limit`` within the lease.
 
     ``rate``: this node's share of the quota in tokens/s. ``available``: tokens that no node has requested.
     ``reclaiming``: tokens for the pending request are being reclaimed from other nodes, so request again.
@@ -42,7 +42,10 @@
 
 
 class QuotaRequest(PeerMessage, frozen=True, tag="QuotaAsk"):
-    """A node's active accounts of one owner; within an ``incarnation`` the highest ``sequence`` counts."""
+    """A node's demand for its active accounts of one owner.
+
+    Within an ``incarnation``, only the request with the highest ``sequence`` is valid.
+    """
 
     incarnation: int
     sequence: int
--- a/src/springmux/coordination/quota/quota_allocator.py
+++ b/src/springmux/coordination/quota/quota_allocator.py
@@ -1,4 +1,4 @@
-"""State machine of the quota: gate of the data plane, and owner of some accounts for the fleet."""
+"""State machine of the quota: the data plane's gate, and the owner of some of the fleet's accounts."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
 )
 
 INCARNATION_BITS = 62
-"""Random incarnations of this size fit a signed 64-bit integer on the wire."""
+"""Size of the random incarnation number, which must fit a signed 64-bit integer on the wire."""
 
 REQUESTS_KEPT = 8
-"""Requests pending for each owner; replies to older ones are ignored."""
+"""Number of pending requests kept for each owner; replies to older ones are ignored."""
 
 
 class QuotaAllocator:
@@ -38,7 +38,7 @@
 
     Handles ``AccountsChanged``, ``QuotaMembersChanged``, ``ContactChanged``, ``MessageReceived`` and
     ``Tick``; returns ``Send``. ``reserve`` and ``settle`` send nothing, but may move ``next_deadline`` to the
-    present, so the driver must read it after them.
+    present, so the driver must read it after each call.
     """
 
     def __init__(self, own: NodeId, random: random.Random, settings: QuotaSettings | None = None) -> None:
@@ -66,9 +66,9 @@
         share = self._share(account, now)
         if share is None:
             return True
-        taken = share.reserve(amount, len(self._staying), now, again)
+        is_reserved = share.reserve(amount, len(self._staying), now, again)
         self._schedule_request(share, now)
-        return taken
+        return is_reserved
 
     def awaits_owner(self, account: str) -> bool:
         """Return whether the owner has yet to reply to the last failed reservation."""
@@ -76,7 +76,7 @@
         return share is not None and share.awaits_owner()
 
     def settle(self, account: str, reserved: float, used: float, now: float) -> None:
-        """Correct a reservation by the tokens actually used (fewer or more)."""
+        """Correct a reservation to the tokens that were actually used, fewer or more."""
         share = self._share(account, now)
         if share is not None:
             share.settle(reserved, used, now)
@@ -103,7 +103,7 @@
         return []
 
     def next_deadline(self) -> float:
-        """Return when the next request or lease expiry is due, ``NEVER`` at an idle node."""
+        """Return the time at which the next request or lease expiry is due, ``NEVER`` if the node is idle."""
         return min(self._next_request, self._next_expiry)
 
     def owned_accounts(self) -> int:
@@ -111,7 +111,7 @@
         return len(self._owner)
 
     def active_accounts(self) -> int:
-        """Return the number of accounts with a share here, for status pages."""
+        """Return the number of accounts of which this node has a share, for status pages."""
         return len(self._shares)
 
     def _share(self, account: str, now: float) -> LocalShare | None:
@@ -160,7 +160,7 @@
                 self._owner.forget(account)
 
     def _reset_ownership(self, now: float) -> None:
-        """Drop the owned accounts after an isolation, in which other nodes have owned them."""
+        """Drop the owned accounts after an isolation, during which other nodes may have owned them."""
         self._owner.forget_all()
         self._takeover_until = now + self._settings.takeover_s
 
@@ -180,7 +180,7 @@
         return effects
 
     def _send_requests(self, now: float) -> list[Effect]:
-        """Request tokens for all active accounts once a period, and in between for exhausted shares."""
+        """Request tokens for all active accounts once per period, and for exhausted shares in between."""
         self._last_request = now
         due = self._urgent
         if now >= self._next_round:
@@ -225,14 +225,17 @@
     def _receive(self, sender: NodeId, message: PeerMessage, now: float) -> list[Effect]:
         match message:
             case QuotaRequest():
-                share = self._reply(sender, message, now)
-                return [Send(sender, share)] if share.grants else []
+                reply = self._reply(sender, message, now)
+                return [Send(sender, reply)] if reply.grants else []
             case QuotaReply():
                 self._apply_reply(sender, message)
         return []
 
     def _reply(self, sender: NodeId, request: QuotaRequest, now: float) -> QuotaReply:
-        """Return grants for the accounts that this node owns in its view; the sender finds others' owners."""
+        """Return grants for the accounts that this node owns in its view.
+
+        The others are left out; their sender will address the owner once the views agree.
+        """
         grants = []
         is_takeover = now < self._takeover_until
         sequence = RequestSequence(request.incarnation, request.sequence)
--- a/src/springmux/coordination/quota/share.py
+++ b/src/springmux/coordination/quota/share.py
@@ -1,4 +1,4 @@
-"""This node's share of one account: its limit, its demand, and its fallback without the owner."""
+"""This node's share of one account: limit, demand, and local grants while the owner is unreachable."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 from springmux.coordination.quota.events import AccountRate, QuotaSettings
 from springmux.coordination.quota.messages import AccountDemand, AccountGrant
 
-LOCAL_SAVINGS_TARGETS = 4.0
-"""Multiple of its target that a node may accumulate while its owner is unreachable."""
+MAX_UNSPENT_TARGETS = 4.0
+"""Largest number of unspent tokens at a node with an unreachable owner, as a multiple of its target."""
 
 ADVANCE_S = 3.0
-"""Seconds of the quota whose equal share a node may use in advance after the first such request, if twice as
-much was available; the failure of an owner is detected after about three seconds."""
+"""Advance allowance of a node after its first use of an advance, as the equal share of this many seconds of
+the quota, if at least twice as much was available. An owner's failure is detected after about 3 s."""
 
-TYPICAL_SIZE_GAIN = 0.2
-"""Weight of the newest request in the exponential mean of sizes."""
+TYPICAL_SIZE_WEIGHT = 0.2
+"""Weight of the newest request in the exponential moving average of request sizes."""
 
 
 class LocalShare:
@@ -29,7 +29,7 @@
         self._used_at = now
         self._unanswered_since: float | None = None
         self._self_granted_at = now
-        self._lapsed = False
+        self._lease_expired = False
         self._has_grant = False
         self._spent = 0.0
         self._limit = 0.0
@@ -49,7 +49,7 @@
         self._record_use(now)
         if not again:
             self._add_demand(amount, now)
-        self._grant_to_self(present, now)
+        self._grant_locally(present, now)
         missing = self._spent + amount - self._limit
         if missing <= 0.0 or missing <= self._advance_allowance(present):
             self._has_used_advance = self._has_used_advance or missing > 0.0
@@ -68,15 +68,16 @@
         return self._rejected > 0.0 and not self._rejection_answered
 
     def settle(self, reserved: float, used: float, now: float) -> None:
-        """Refund unused tokens, or charge additional ones; later shares pay the debt."""
+        """Refund unused tokens, or charge additional ones, which later grants must cover."""
         self._record_use(now)
         self._spent += used - reserved
 
     def demand(self, present: int, now: float) -> AccountDemand:
-        """Return this node's figures for the owner; an idle node returns its share with them."""
+        """Return this node's demand for the owner. An idle node thereby returns its share."""
         self.is_urgent = False
-        # A new owner charges spending that was not granted here, so grant for the owner's absence first.
-        self._grant_to_self(present, now)
+        # A new owner charges spent tokens that were not granted locally, so first grant the tokens for the
+        # time without an owner.
+        self._grant_locally(present, now)
         if self._unanswered_since is None:
             self._unanswered_since = self._self_granted_at = now
         self._decay(now)
@@ -102,7 +103,7 @@
     def apply_grant(self, grant: AccountGrant, request: AccountDemand) -> None:
         """Apply the owner's reply to ``request``."""
         self._unanswered_since = None
-        self._lapsed = False
+        self._lease_expired = False
         self._has_grant = True
         self._acknowledged = request.spent
         self._self_granted = max(0.0, self._self_granted - request.self_granted)
@@ -116,15 +117,15 @@
             self._rejected = 0.0
 
     def is_idle(self, now: float) -> bool:
-        """Return whether the account was not used for a while."""
+        """Return whether the account was not used for ``idle_s``."""
         return now - self._used_at >= self._settings.idle_s
 
     def is_reported(self) -> bool:
-        """Return whether an owner has acknowledged all spending and no tokens remain here."""
+        """Return whether an owner has acknowledged all spent tokens and no granted ones remain."""
         return self._has_grant and self._acknowledged == self._spent and self._limit <= self._spent
 
     def is_expired(self, now: float) -> bool:
-        """Return whether the account was idle for so long that its figures are obsolete."""
+        """Return whether the account was idle for so long that its counts are obsolete."""
         return now - self._used_at >= self._settings.account_expiry_s
 
     def retry_after_s(self, amount: float, present: int) -> float:
@@ -140,28 +141,28 @@
         self._used_at = now
 
     def _advance_allowance(self, present: int) -> float:
-        """Return how many tokens beyond its limit this node may spend until the owner replies."""
+        """Return the number of tokens beyond its limit that this node may spend before the owner replies."""
         available = self._available if self._has_grant else self.rate.burst_tokens
         if not self._has_used_advance:
             return available * self._settings.advance_share
         equal_share = ADVANCE_S * self.rate.tokens_per_s / max(1, present)
         return max(available / max(1, present), min(available / 2, equal_share))
 
-    def _grant_to_self(self, present: int, now: float) -> None:
+    def _grant_locally(self, present: int, now: float) -> None:
         """Grant tokens locally while the owner is unreachable: at the last rate, later at an equal share."""
         if self._unanswered_since is None:
             return
         unreachable_s = now - self._unanswered_since
         if unreachable_s <= self._settings.owner_timeout_s:
             return
-        if unreachable_s > self._settings.lease_s and not self._lapsed:
-            self._lapsed = True
+        if unreachable_s > self._settings.lease_s and not self._lease_expired:
+            self._lease_expired = True
             self._limit = min(self._limit, self._spent + self._self_granted)
         equal_rate = self.rate.tokens_per_s / max(1, present)
         last = self._last_rate or equal_rate
         rate = last if unreachable_s <= self._settings.last_rate_s else equal_rate
-        savings = max(self.rate.burst_tokens / max(1, present), LOCAL_SAVINGS_TARGETS * self._target())
-        headroom = max(0.0, self._spent + savings - self._limit)
+        max_unspent = max(self.rate.burst_tokens / max(1, present), MAX_UNSPENT_TARGETS * self._target())
+        headroom = max(0.0, self._spent + max_unspent - self._limit)
         granted = min(headroom, rate * (now - self._self_granted_at))
         self._self_granted_at = now
         self._limit += granted
@@ -174,7 +175,7 @@
         self._decay(now)
         self._demand_rate += amount / self._settings.demand_window_s
         self._typical_size += (
-            (amount - self._typical_size) * TYPICAL_SIZE_GAIN if self._typical_size else amount
+            (amount - self._typical_size) * TYPICAL_SIZE_WEIGHT if self._typical_size else amount
         )
 
     def _decay(self, now: float) -> None:
--- a/src/springmux/coordination/retry_budget.py
+++ b/src/springmux/coordination/retry_budget.py
@@ -1,8 +1,8 @@
-"""Retry budget: how many second attempts a node may add to its own traffic.
+"""Retry budget: a bound on the retries that a node may add to its own traffic.
 
-A bound on each node bounds the fleet: retries in any window sum up to at most the same share of the
-fleet's first attempts, plus the floors (the idea of a budget: Beyer et al., Site Reliability
-Engineering, 2016, chapter 21).
+A bound on each node bounds the fleet: the retries of all nodes in any window are at most the same share of
+the fleet's first attempts, plus the sum of the floors. Source of the retry budget: Beyer et al., Site
+Reliability Engineering, 2016, chapter 21.
 """
 
 from __future__ import annotations
@@ -12,19 +12,20 @@
 import msgspec
 
 DEFAULT_SHARE = 0.15
-"""Of first attempts; with the floors of all nodes it stays below a fifth of the fleet's traffic."""
+"""Fraction of first attempts. Together with the floors of all nodes, retries stay below a fifth of the
+fleet's traffic."""
 
 DEFAULT_FLOOR = 5
-"""Retries in a window beyond the share, so that a node with little traffic can retry at all."""
+"""Number of retries in a window allowed beyond the share, so that a node with little traffic can retry."""
 
 DEFAULT_WINDOW_S = 10.0
 
 ROUNDING_TOLERANCE = 1e-9
-"""Products of floats may end just below a whole number."""
+"""Added to the bound, since a product of floats may lie just below a whole number."""
 
 
 class GrantedRetry(msgspec.Struct, frozen=True):
-    """A granted retry, with the counts of requests and retries before it."""
+    """A granted retry: its time (monotonic, s), and the counts of requests and retries before it."""
 
     at: float
     requests_before: int
@@ -32,13 +33,13 @@
 
 
 class RetryBudget:
-    """In *any* window of ``window_s``, retries are at most ``share`` × first attempts + ``floor``.
+    """Limits retries in *any* window of ``window_s`` to ``share`` × first attempts + ``floor``.
 
-    Any window: also one that begins after the requests whose failures are retried, as when traffic
-    stops. So a retry must fit into each window that begins at an earlier retry and reaches to now
-    (windows that begin elsewhere hold as many requests and fewer retries); later requests only add
-    room. Comparing with the last ten seconds alone would let a burst's retries through into a window
-    that has none of its requests.
+    The bound also holds for a window that begins after the requests whose failures are retried, as when
+    traffic stops. A retry must therefore fit into each window from an earlier retry until now. Other windows
+    need no check: they contain as many requests and fewer retries, and later requests only raise the bound.
+    A check of the last ten seconds alone would allow the retries of a burst in a window that contains none
+    of the burst's requests.
     """
 
     def __init__(
@@ -57,24 +58,24 @@
         self._granted: deque[GrantedRetry] = deque()
 
     def set_floor(self, floor: int) -> None:
-        """Use another floor from now on: a fleet's floor is divided among a changing number of nodes."""
+        """Change the floor, as when the number of nodes that share the fleet's floor changes."""
         self._floor = floor
 
-    def note_request(self, now: float) -> None:
-        """Count a first attempt; ``now`` is monotonic and kept only by the retries after it."""
+    def record_request(self, now: float) -> None:
+        """Count a first attempt. Its time ``now`` is not needed, since only granted retries store theirs."""
         self._requests += 1
 
-    def may_retry(self, now: float) -> bool:
-        """Take a retry out of the budget at ``now`` (monotonic, s); return whether it is allowed."""
+    def try_acquire(self, now: float) -> bool:
+        """Take a retry out of the budget at ``now`` (monotonic, s) if it fits; return whether it does."""
         while self._granted and self._granted[0].at <= now - self._window_s:
             self._granted.popleft()
-        if self._floor < 1 or not all(self._fits_since(first) for first in self._granted):
+        if self._floor < 1 or not all(self._fits_since(earlier) for earlier in self._granted):
             return False
         self._granted.append(GrantedRetry(now, self._requests, self._retries))
         self._retries += 1
         return True
 
-    def _fits_since(self, first: GrantedRetry) -> bool:
-        requests = self._requests - first.requests_before
-        retries = self._retries - first.retries_before + 1
+    def _fits_since(self, earlier: GrantedRetry) -> bool:
+        requests = self._requests - earlier.requests_before
+        retries = self._retries - earlier.retries_before + 1
         return retries <= self._share * requests + self._floor + ROUNDING_TOLERANCE
--- a/src/springmux/coordination/usage/__init__.py
+++ b/src/springmux/coordination/usage/__init__.py
@@ -1,5 +1,6 @@
-"""Admission against fleet-wide token buckets from exchanged counts, without a round trip per request.
+"""Admission against fleet-wide token buckets, using exchanged counts instead of a round trip per request.
 
-Owns: each node's own admitted tokens, its estimate of the fleet's buckets, and the engine loads reported by
-the other nodes. Pure. May import the state machine types, identifiers, rendezvous hash and membership views.
+Owns the tokens admitted by each node, its estimate of the fleet's buckets, and the engine loads reported by
+the other nodes. Performs no I/O. May import the state machine types, identifiers, the rendezvous hash and
+membership views.
 """
--- a/src/springmux/coordination/usage/collector.py
+++ b/src/springmux/coordination/usage/collector.py
@@ -11,14 +11,14 @@
 from springmux.coordination.usage.messages import AccountTotal, EngineLoad
 
 HEARTBEAT_S = 0.5
-"""Longest interval between totals while any account or engine is in use."""
+"""Longest interval, in seconds, between totals while any account or engine is in use."""
 
 ACCOUNT_EXPIRY_S = 5.0
-"""Time after its last report when an account is no longer published."""
+"""Time, in seconds, since its last report after which an account is no longer published."""
 
 
 class Collector:
-    """Selects the accounts and engines of the next totals."""
+    """Selects the accounts and engines that the next totals include."""
 
     def __init__(self, settings: UsageSettings) -> None:
         self._settings = settings
@@ -38,9 +38,9 @@
     def take_due_accounts(
         self, buckets: Mapping[str, Bucket], fleet: FleetView, now: float
     ) -> tuple[AccountTotal, ...]:
-        """Return the accounts due now: those near their limit each time, the others less often."""
+        """Return the totals due now. Accounts near their limit are due each time, the others less often."""
         due: list[AccountTotal] = []
-        republish_before = now - self._settings.calm_totals_period_s + self._settings.totals_period_s / 2
+        republish_before = now - self._settings.low_usage_totals_period_s + self._settings.totals_period_s / 2
         for account, last_used in list(self._last_used.items()):
             bucket = buckets.get(account)
             if bucket is None or now - last_used > ACCOUNT_EXPIRY_S:
@@ -71,7 +71,7 @@
         return tuple(due)
 
     def should_publish(self, has_entries: bool, now: float) -> bool:
-        """Return whether to send totals now and, if so, record it; empty ones serve as a heartbeat."""
+        """Return whether to send totals now, and if so record the time. Empty totals serve as a heartbeat."""
         if not has_entries and now - self._published_at < HEARTBEAT_S:
             return False
         self._published_at = now
--- a/src/springmux/coordination/usage/engine_loads.py
+++ b/src/springmux/coordination/usage/engine_loads.py
@@ -1,4 +1,4 @@
-"""Engine loads: this node's, to be reported, and those reported by the other nodes."""
+"""Engine loads of this node, to be reported, and those reported by the other nodes."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 from springmux.coordination.usage.messages import EngineLoad
 
 Load = tuple[float, float]
-"""Requests and prompt tokens. A plain tuple, since the sums are built for each request."""
+"""Requests and prompt tokens. A plain tuple for speed, since the sums are computed for each request."""
 
 IDLE: Load = (0.0, 0.0)
 
 
 def rounded(engine: str, load: Load) -> EngineLoad:
-    """Return a load as sent to peers; integers take a third of the bytes of floats."""
+    """Return a load as sent to peers. Rounded, since integers take a third of the bytes of floats."""
     requests, prompt_tokens = load
     return EngineLoad(engine, round(requests), round(prompt_tokens))
 
 
 class EngineLoads:
-    """This node's current loads and the last reported ones of each other node (or collector)."""
+    """This node's current loads, and the loads last reported by each other node or by a collector."""
 
     def __init__(self, settings: UsageSettings) -> None:
         self._settings = settings
@@ -39,11 +39,14 @@
         self._changed[engine] = None
 
     def has_pending(self) -> bool:
-        """Return whether a load is to be reported, now or at its next refresh."""
+        """Return whether any load remains to be reported, now or at its next refresh."""
         return bool(self._changed or self._reported)
 
     def take_due(self, now: float) -> tuple[EngineLoad, ...]:
-        """Return the loads due now and mark them as reported. An idle engine is reported twice, for loss."""
+        """Return the loads due now and mark them as reported.
+
+        An idle engine is reported twice, in case one report is lost.
+        """
         refresh_before = now - self._settings.engine_refresh_s
         due = dict(self._changed)
         due.update((engine, None) for engine, (_, at) in self._reported.items() if at <= refresh_before)
@@ -86,7 +89,7 @@
         return self._own
 
     def others(self, now: float) -> dict[str, Load]:
-        """Return the sums of the other nodes' loads; expired ones are dropped."""
+        """Return the sums of the other nodes' loads by engine, without the expired ones."""
         oldest = now - self._settings.engine_expiry_s
         sums: dict[str, Load] = {}
         for known in self._received.values():
--- a/src/springmux/coordination/usage/fleet_view.py
+++ b/src/springmux/coordination/usage/fleet_view.py
@@ -13,7 +13,7 @@
     """The fleet's size and reachability, and the share of each limit that is available to this node's side.
 
     ``size``: nodes in the fleet. ``share``: fraction of each limit that this side of a partition may spend.
-    ``unresponsive``: peers that may be partitioned away, each with the time since when; each is assumed to
+    ``unresponsive``: peers that may be partitioned away, with the time since when; each of them is assumed to
     spend ``1 / size`` of the rate. ``horizon_s``: time after which all nodes know of a spent token.
     ``report_interval_s``: time between a peer's reports. ``starting``: this node doesn't know yet what the
     others have spent.
--- a/src/springmux/coordination/usage/local_usage.py
+++ b/src/springmux/coordination/usage/local_usage.py
@@ -1,4 +1,4 @@
-"""Admitted tokens and demand of one account at this node, and what was last reported of them."""
+"""Admitted tokens and demand of one account at this node, and their last reported values."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from springmux.coordination.usage.request_sizes import RequestSizes
 
 SENT_REPORTS_KEPT = 8
-"""Reports remembered for matching a collector's ``included`` sequence: two seconds' worth."""
+"""Number of sent reports kept for matching a collector's ``included`` sequence: two seconds' worth."""
 
 CHANGED_DEMAND_SHARE = 0.02
 """Growth of demand, as a fraction of the account's rate, that triggers a report by itself."""
 
 NEWLY_USED_S = 1.5
-"""Time for which an account used again after a pause counts as newly in use."""
+"""Time, in seconds, for which an account that is used again after a pause is newly in use."""
 
 
 class LocalUsage:
@@ -60,7 +60,7 @@
         return self._recent * math.exp((self._recent_at - now) / self._settings.unresponsive_s)
 
     def has_changes(self, rate_per_s: float, hold_s: float, now: float) -> bool:
-        """Return whether the account's figures differ enough from the last report to send another."""
+        """Return whether the counts differ enough from the last report to send another."""
         if round(self.admitted) != round(self._sent_admitted):
             return True
         if not self._final_reported and now >= self._sent_at + self._settings.repeat_s:
@@ -73,13 +73,13 @@
         return self.demand(now) > self._sent_demand * decay + CHANGED_DEMAND_SHARE * rate_per_s
 
     def is_final_reported(self) -> bool:
-        """Return whether the final figures of an idle account were reported, so no report is pending."""
+        """Return whether the final counts of an idle account were reported, so that no report is pending."""
         return self._final_reported and round(self.admitted) == round(self._sent_admitted)
 
     def report(self, account: str, level: float, full: bool, now: float) -> AccountUse:
-        """Return the figures to send.
+        """Return the counts to send.
 
-        :param full: the receiver may have missed earlier reports, so include recent tokens.
+        :param full: whether the receiver may have missed earlier reports and needs the recent tokens as well.
         """
         include_recent = full or now - self._used_since < NEWLY_USED_S
         recent = round(self.recent(now)) if include_recent else 0
@@ -90,7 +90,7 @@
         return now - self.requested_at >= self._settings.repeat_s
 
     def record_sent_report(self, sequence: int, now: float) -> None:
-        """Record that the current figures were sent in report ``sequence``."""
+        """Record that the current counts were sent in report ``sequence``."""
         self._final_reported = self._is_idle(now) and round(self.admitted) == round(self._sent_admitted)
         self._sent_admitted, self._sent_demand, self._sent_at = self.admitted, self.demand(now), now
         self._sent.append((sequence, self.admitted))
--- a/src/springmux/coordination/usage/messages.py
+++ b/src/springmux/coordination/usage/messages.py
@@ -1,7 +1,7 @@
 """Peer messages of the usage exchange.
 
-Figures are cumulative, so the next message corrects a loss. They are the most frequent messages of a busy
-fleet, so their tags on the wire are short.
+Counts are cumulative, so the next message makes up for a lost one. These are the most frequent messages of a
+busy fleet, so their tags on the wire are short.
 """
 
 from __future__ import annotations
@@ -13,10 +13,11 @@
 
 
 class AccountUse(msgspec.Struct, frozen=True, array_like=True, omit_defaults=True):
-    """One account at one node: tokens admitted since its start, and current demand in tokens/s.
+    """Usage of one account at one node.
 
-    ``level``: the sender's estimate of the fleet's bucket. ``recent``: tokens admitted in the last seconds,
-    for receivers without an earlier value of ``admitted``; sent while the account is newly in use.
+    ``admitted``: tokens admitted since the node's start. ``demand``: current demand in tokens/s. ``level``:
+    the sender's estimate of the fleet's bucket. ``recent``: tokens admitted in the last seconds, for
+    receivers without an earlier value of ``admitted``; sent while the account is newly in use.
     """
 
     account: str
@@ -27,7 +28,7 @@
 
 
 class EngineLoad(msgspec.Struct, frozen=True, array_like=True):
-    """The sender's requests and prompt tokens currently at an engine."""
+    """The sender's current load at an engine: requests in flight, and their prompt tokens in prefill."""
 
     engine: str
     requests: float
@@ -35,9 +36,9 @@
 
 
 class UsageReport(PeerMessage, frozen=True, tag="use"):
-    """Accounts and engines that changed at the sender. ``incarnation`` is random at each start.
+    """Accounts and engines that changed at the sender. ``incarnation`` is drawn at random at each start.
 
-    An empty report is a reply: the sender is alive and has no changes.
+    An empty report is a reply, which shows that the sender is alive.
     """
 
     incarnation: int
@@ -55,8 +56,9 @@
 
 
 class UsageTotals(PeerMessage, frozen=True, tag="sum"):
-    """A collector's sums. ``included``: sequence of the receiver's last report in them, 0 if none.
+    """A collector's sums over all nodes.
 
+    ``included``: sequence of the receiver's last report that the sums include, 0 if there is none.
     ``incarnation`` and ``number``: the collector's incarnation, and a counter of its totals within it.
     """
 
@@ -73,7 +75,7 @@
 
 
 ZoneReceiver = tuple[NodeId, int]
-"""A node that gets forwarded totals, and the sequence of its last report in them (``included``)."""
+"""A node that receives forwarded totals, and the sequence of its last report that they include."""
 
 
 class ZoneTotals(PeerMessage, frozen=True, tag="zone-sum"):
--- a/src/springmux/coordination/usage/peer_tracker.py
+++ b/src/springmux/coordination/usage/peer_tracker.py
@@ -13,19 +13,22 @@
 """Rendezvous hash key for the choice of collectors."""
 
 UNANSWERED_LIMIT = 2
-"""Unanswered reports after which a peer is unresponsive; a single one may be lost."""
+"""Number of unanswered reports after which a peer may be unresponsive; a single report may be lost."""
 
 OVERDUE_S = 1.5
-"""Time without reports after which a collector takes a node with open demand for unresponsive."""
+"""Time, in seconds, without reports after which a collector considers a node with demand unresponsive."""
 
 LONGEST_OVERDUE_S = 10.0
-"""Time after which such a node has left membership, or only its last report was lost."""
+"""Time, in seconds, after which such a node has left membership, or merely its last report was lost."""
 
 FLEET_VIEW_MAX_AGE_S = 0.05
 
 
 class PeerState:
-    """Message history of one peer. ``report_due_since``: time of its last report if that had demand."""
+    """Message history of one peer.
+
+    ``report_due_since``: time of its last report if that had demand, else ``NEVER``.
+    """
 
     def __init__(self, now: float) -> None:
         self.incarnation = -1
@@ -91,9 +94,9 @@
         self._fleet_view_until = -NEVER
 
     def start(self, now: float, least_s: float = 0.0) -> None:
-        """Begin the startup phase, also after a stall, when the others' recent usage is unknown.
+        """Begin the startup phase, in which the peers' recent usage is unknown; also called after a stall.
 
-        :param least_s: minimum duration of the phase, whichever peers have reported.
+        :param least_s: minimum duration (s) of the phase, regardless of the reports received.
         """
         self._starting_until = now + self._settings.startup_s
         self._starting_at_least_until = now + least_s
@@ -103,7 +106,7 @@
         self._fleet_view_until = -NEVER
 
     def had_gap(self, node: NodeId, now: float) -> bool:
-        """Return whether a peer was not heard from for so long that it may have been partitioned away."""
+        """Return whether no message of a peer arrived for so long that it may have been partitioned away."""
         peer = self.peers.get(node)
         return peer is None or now - peer.last_received > self._settings.unresponsive_s
 
@@ -117,7 +120,7 @@
         return peer
 
     def record_totals(self, now: float) -> None:
-        """Record totals of a collector; they end the startup phase of a node that isn't one."""
+        """Record totals of a collector, which end the startup phase of a node that is no collector itself."""
         self._totals_received_at, self._totals_awaited_since = now, NEVER
         for node in self.collectors:
             if node in self.peers:
@@ -142,7 +145,7 @@
         return now - self._totals_received_at
 
     def is_unresponsive(self, node: NodeId, now: float) -> bool:
-        """Return whether a peer may have missed reports and needs a full one."""
+        """Return whether a peer may have missed reports and therefore needs a full one."""
         peer = self.peers[node]
         if peer.last_sent == -NEVER:
             return True
@@ -162,7 +165,7 @@
         indirect = self.uses_collectors and not self.is_collector
         horizon = settings.collected_horizon_s if self.uses_collectors else settings.direct_horizon_s
         report_interval_s = settings.totals_period_s if self.uses_collectors else settings.report_period_s
-        share = self._side_share(size)
+        share = self._partition_share(size)
         unresponsive: dict[NodeId, float] = {}
         if starting or (indirect and now - self._totals_awaited_since > settings.totals_timeout_s):
             share = 1.0 / size
@@ -173,14 +176,14 @@
         return FleetView(size, share, unresponsive, horizon, report_interval_s, starting)
 
     def _fleet_size(self) -> int:
-        """Return the present nodes if they are a majority of the reference size, else that size."""
+        """Return the number of present nodes if they are a majority of the reference size, else that size."""
         return len(self.present) if len(self.present) * 2 > self._reference_size else self._reference_size
 
-    def _side_share(self, size: int) -> float:
-        """Return the fraction of each limit for this node's side of a partition.
+    def _partition_share(self, size: int) -> float:
+        """Return the fraction of each limit that this node's side of a partition may spend.
 
-        A majority gets the full limit once the others have left its view; equal halves get half each; a
-        minority gets one node's share, so that both sides spend at most 1.1 limits from 10 nodes on.
+        A majority gets the full limit once the others have left its view, equal halves get half each, and a
+        minority gets one node's share. With 10 or more nodes both sides spend at most 1.1 limits.
         """
         present = len(self.present)
         if present == size:
@@ -191,7 +194,8 @@
         if now >= self._starting_until:
             return False
         if self.uses_collectors or now < self._starting_at_least_until:
-            # Totals end the startup of an ordinary node; the other collector takes over for a starting one.
+            # Totals end the startup phase of an ordinary node. While a collector starts, the other one sends
+            # totals in its place.
             return True
         startup_began = now - self._settings.startup_s
         responsive = sum(
@@ -203,18 +207,18 @@
         return True
 
     def _not_replying(self, now: float) -> dict[NodeId, float]:
-        """Return the peers that left reports unanswered beyond the timeout, with its end."""
-        waiting = {
+        """Return the peers with reports unanswered beyond the timeout, and the time at which it expired."""
+        unanswered = {
             node: peer.unanswered_since
             for node in self.present
             if (peer := self.peers.get(node)) is not None and peer.unanswered >= UNANSWERED_LIMIT
         }
-        is_isolated = len(waiting) == len(self.present) - 1
+        is_isolated = len(unanswered) == len(self.present) - 1
         timeout_s = self._settings.isolated_s if is_isolated else self._settings.unresponsive_s
-        return {node: since + timeout_s for node, since in waiting.items() if now > since + timeout_s}
+        return {node: since + timeout_s for node, since in unanswered.items() if now > since + timeout_s}
 
     def _overdue(self, now: float) -> dict[NodeId, float]:
-        """Return the nodes whose reports stopped while they had demand, with the time of the timeout."""
+        """Return the nodes whose reports stopped while they had demand, and the time of each timeout."""
         return {
             node: peer.report_due_since + OVERDUE_S
             for node in self.present
--- a/src/springmux/coordination/usage/request_sizes.py
+++ b/src/springmux/coordination/usage/request_sizes.py
@@ -1,8 +1,8 @@
 """Admit probability by request size while an account is over its limit.
 
-A single fleet-wide bucket admits small requests far more often than large ones, since its level is seldom
-high enough for a large one. Nodes that only exchange counts approximate this by random draws: each request
-gets about the same number of the available tokens, and no size has a probability of zero.
+A single fleet-wide bucket admits small requests far more often than large ones, since its level is rarely
+high enough for a large one. Nodes that only exchange counts approximate this by random draws: the expected
+number of tokens is about the same for each request, and no size has a probability of zero.
 """
 
 from __future__ import annotations
@@ -10,10 +10,10 @@
 from collections import deque
 
 RECENT_REQUESTS = 64
-"""Requests in the sample of sizes: a second's worth at a busy account."""
+"""Number of requests in the sample of sizes: one second's worth for a busy account."""
 
 EVEN_SHARE = 0.5
-"""Fraction of the tokens that is given out independently of size, so that large requests don't starve."""
+"""Fraction of the tokens that is allocated regardless of size, so that large requests don't starve."""
 
 
 class RequestSizes:
@@ -27,7 +27,7 @@
         self._recent.append(tokens)
 
     def probability(self, tokens: float, fraction: float) -> float:
-        """Return the probability (0..1) to admit a request so that ``fraction`` of all tokens is admitted.
+        """Return the admit probability (0..1) of a request, so that ``fraction`` of all tokens is admitted.
 
         Beyond the even share, probability times size is equal for all requests (max-min fairness by
         progressive filling), except where the probability is capped at 1.
@@ -38,13 +38,16 @@
         level = self._fill_level(fraction * (1.0 - EVEN_SHARE), 1.0 - even)
         return even + min(1.0 - even, level / tokens)
 
-    def _fill_level(self, fraction: float, most: float) -> float:
-        """Return the mean tokens for each request, each capped at the fraction ``most`` of its size."""
+    def _fill_level(self, fraction: float, max_fraction: float) -> float:
+        """Return the tokens per request at which all available tokens are allocated.
+
+        A request is allocated at most the fraction ``max_fraction`` of its size.
+        """
         remaining = fraction * sum(self._recent)
         count = len(self._recent)
         for size in sorted(self._recent):
-            if size * most * count >= remaining:
+            if size * max_fraction * count >= remaining:
                 return remaining / count
-            remaining -= size * most
+            remaining -= size * max_fraction
             count -= 1
         return max(self._recent, default=0.0)
--- a/src/springmux/coordination/usage/usage_exchange.py
+++ b/src/springmux/coordination/usage/usage_exchange.py
@@ -35,18 +35,18 @@
 from springmux.coordination.usage.zone_relay import TotalsFilter, broadcast_totals
 
 INCARNATION_BITS = 32
-"""Random incarnations of this size take five bytes on the wire."""
+"""Size of the random incarnation number, which takes at most five bytes on the wire."""
 
 WHEN_PERIOD_ELAPSED = -NEVER
-"""Deadline of a report requested at an unknown time: due once the last one is a period old."""
+"""Marks a report requested without a known time; it is due one period after the previous report."""
 
 
 class UsageExchange:
-    """Usage exchange of one node.
+    """Usage exchange of one node; see the package docstring.
 
     Handles ``AccountLimitsChanged``, ``UsageMembersChanged``, ``MessageReceived`` and ``Tick``. ``admit``,
-    ``give_back`` and ``note_engine_load`` send nothing, but may move ``next_deadline`` to the present, so
-    the driver must read it after them.
+    ``refund`` and ``note_engine_load`` send nothing, but may move ``next_deadline`` to the present, so the
+    driver must read it after each call.
     """
 
     def __init__(self, own: NodeId, random: random.Random, settings: UsageSettings | None = None) -> None:
@@ -69,7 +69,9 @@
         self._now = 0.0
 
     def admit(self, account: str, tokens: float, now: float) -> float | None:
-        """Admit and count a request of ``tokens``; without a limit it is always admitted and not counted.
+        """Admit and count a request of ``tokens``.
+
+        A request of an account without a limit is always admitted and not counted.
 
         :returns: ``None`` if admitted, else the delay in seconds after which the client should retry.
         """
@@ -81,8 +83,8 @@
         self._plan_report(now)
         return bucket.admit(tokens, self._peer_tracker.fleet_view(now), self._random.random(), now)
 
-    def give_back(self, account: str, tokens: float, now: float) -> None:
-        """Refund the tokens of an admitted request that never ran."""
+    def refund(self, account: str, tokens: float, now: float) -> None:
+        """Refund the tokens of an admitted request that was not executed."""
         bucket = self._buckets.get(account)
         if bucket is not None:
             bucket.spend(-tokens, now)
@@ -96,7 +98,7 @@
             self._next_report = WHEN_PERIOD_ELAPSED
 
     def other_engine_loads(self) -> Mapping[str, tuple[float, float]]:
-        """Return the last reported requests and prompt tokens of all other nodes, by engine."""
+        """Return the requests and prompt tokens that all other nodes last reported, summed by engine."""
         return self._loads.others(self._now)
 
     def handle(self, event: Event, now: float) -> list[Effect]:
@@ -113,7 +115,7 @@
         return []
 
     def next_deadline(self) -> float:
-        """Return when the next report or totals are due, ``NEVER`` at an idle node."""
+        """Return the time at which the next report or totals are due, or ``NEVER`` if the node is idle."""
         report = (
             self._last_report + self._period()
             if self._next_report == WHEN_PERIOD_ELAPSED
@@ -122,7 +124,7 @@
         return max(self._now, min(report, self._next_totals))
 
     def _observe_time(self, now: float) -> None:
-        """Advance the clock; after a stall of the process, restart with an outdated view of the others."""
+        """Advance the clock. After a stall, repeat the startup phase, as the peers' counts are outdated."""
         planned = self._next_totals if self._next_report == WHEN_PERIOD_ELAPSED else self.next_deadline()
         if now > planned + self._settings.stall_s:
             self._peer_tracker.start(now, self._settings.catch_up_s)
@@ -180,7 +182,7 @@
         return []
 
     def _forward_totals(self, message: ZoneTotals, now: float) -> list[Effect]:
-        """Apply this node's totals and forward the others' to them."""
+        """Apply the totals addressed to this node and forward the others to their receivers."""
         effects: list[Effect] = []
         for node, sequence in message.receivers:
             totals = message.totals.with_included(sequence)
@@ -277,7 +279,7 @@
         return effects
 
     def _deactivate_idle(self, now: float) -> None:
-        """Stop reporting accounts that are idle and whose final figures were sent."""
+        """Stop reporting idle accounts whose final counts were sent."""
         idle_since = now - self._settings.repeat_s
         for account in list(self._active):
             local = self._buckets[account].local
@@ -319,7 +321,7 @@
         return self._account_usages(used, True, now)
 
     def _publish_totals(self, now: float) -> list[Effect]:
-        """Send totals to all nodes if this is the first collector, or the first one timed out."""
+        """Send totals to all nodes if this is the first collector, or if the first collector timed out."""
         tracker = self._peer_tracker
         if not tracker.is_collector:
             self._next_totals = NEVER
--- a/src/springmux/coordination/usage/zone_relay.py
+++ b/src/springmux/coordination/usage/zone_relay.py
@@ -1,6 +1,6 @@
 """Distribution of a collector's totals: one message to each other zone, forwarded inside it by a relay node.
 
-The relay changes each round, so that a failed node costs its zone one round only. Totals may therefore
+The relay changes with each round, so that a failed relay costs its zone a single round. Totals may therefore
 arrive out of order; older ones are dropped.
 """
 
@@ -13,7 +13,8 @@
 from springmux.coordination.usage.messages import UsageTotals, ZoneReceiver, ZoneTotals
 
 SMALLEST_RELAYED_ZONE = 4
-"""Nodes of the smallest zone that has a relay; in a smaller one a failed relay would cost too many rounds."""
+"""Smallest number of nodes for which a zone has a relay. In a smaller zone, a failed relay would be chosen
+again so soon that too many rounds would be lost."""
 
 
 def broadcast_totals(
--- a/src/springmux/gateway/attempts.py
+++ b/src/springmux/gateway/attempts.py
@@ -55,7 +55,7 @@
         """Reserve a retry before the running attempt is given up; return whether the budget allows it."""
         if not self.spare_attempt or self._reserved or not self._has_time(now):
             return False
-        self._reserved = self._budget.may_retry(now)
+        self._reserved = self._budget.try_acquire(now)
         return self._reserved
 
     def may_try_again(self, end: AttemptEnd, now: float) -> bool:
@@ -73,7 +73,7 @@
         if not allowed or not self._has_time(now):
             return False
         reserved, self._reserved = self._reserved, False
-        return reserved or self._budget.may_retry(now)
+        return reserved or self._budget.try_acquire(now)
 
     def _has_time(self, now: float) -> bool:
         return now + LEAST_TIME_LEFT_S < self._deadline
--- a/src/springmux/node/gateway/admission.py
+++ b/src/springmux/node/gateway/admission.py
@@ -60,7 +60,7 @@
         if tenant is None or tenant.rate_per_s <= 0:
             return
         tokens = quota_tokens(tenant, head.header(self._names.token_usage))
-        self._core.usage.give_back(tenant.name, tokens, asyncio.get_running_loop().time())
+        self._core.usage.refund(tenant.name, tokens, asyncio.get_running_loop().time())
 
     def _keys_current(self) -> bool:
         return self._core.knows_keys(asyncio.get_running_loop().time())
--- a/src/springmux/node/gateway/attempt_loop.py
+++ b/src/springmux/node/gateway/attempt_loop.py
@@ -20,7 +20,7 @@
     services, route, prompt = request.services, request.route, request.prompt
     core = services.core
     loop = asyncio.get_running_loop()
-    core.retry_budget.note_request(loop.time())
+    core.retry_budget.record_request(loop.time())
     service = choose_service(route, prompt, services.randomness)
     services.rates.dispatched(service)
     await services.startup_gate.wait_for(lambda: core.placement.knows_engines(service))
--- a/src/springmux/router/flow.py
+++ b/src/springmux/router/flow.py
@@ -201,7 +201,7 @@
         except RefusalError as refusal:
             self._refuse(refusal, now)
             return
-        self._core.retry_budget.note_request(now)
+        self._core.retry_budget.record_request(now)
         self._exchange = Exchange(self._core, self.request, parsed, self._deadline, now)
         self._apply(self._exchange.start(now), now)
 
--- a/src/springmux/router/retry_policy.py
+++ b/src/springmux/router/retry_policy.py
@@ -44,7 +44,7 @@
             return False
         if self.sent >= MAX_SENT_ATTEMPTS or not self._may_dispatch(now):
             return False
-        if self._core.retry_budget.may_retry(now):
+        if self._core.retry_budget.try_acquire(now):
             return True
         self._core.counters.retries_refused += 1
         return False
--- a/tests/unit/bad_days/test_quota_faults.py
+++ b/tests/unit/bad_days/test_quota_faults.py
@@ -74,5 +74,5 @@
 
 
 def test_the_checker_sees_two_halves_that_take_the_whole_each(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(PeerTracker, "_side_share", lambda contact, size: 1.0)
+    monkeypatch.setattr(PeerTracker, "_partition_share", lambda contact, size: 1.0)
     assert excess(two_halves_apart) > 0.0
--- a/tests/unit/bad_days/test_traffic_swells.py
+++ b/tests/unit/bad_days/test_traffic_swells.py
@@ -151,7 +151,7 @@
 
 
 def test_the_checker_sees_declined_requests_that_use_quota(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(UsageExchange, "give_back", lambda *_: None)
+    monkeypatch.setattr(UsageExchange, "refund", lambda *_: None)
     assert refused_below_the_rate(engines_full_for_a_while()) >= 0.02
 
 
@@ -182,7 +182,7 @@
 
 
 def test_the_checker_sees_a_storm_of_retries(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(RetryBudget, "may_retry", lambda *_: True)
+    monkeypatch.setattr(RetryBudget, "try_acquire", lambda *_: True)
     assert rules.repeats_beyond_budget(burst_of_failures()) > 0.0
 
 
--- a/tests/unit/node/gateway/test_core.py
+++ b/tests/unit/node/gateway/test_core.py
@@ -45,5 +45,5 @@
     core = _core()
     core.bound_retries(RetryBounds(share=0.0, least=least))
     core.update_fleet(nodes)
-    sent = sum(core.retry_budget.may_retry(1.0) for _ in range(100))
+    sent = sum(core.retry_budget.try_acquire(1.0) for _ in range(100))
     assert sent == floor
--- a/tests/unit/retry_budget/test_retry_budget.py
+++ b/tests/unit/retry_budget/test_retry_budget.py
@@ -25,10 +25,10 @@
     for is_retry, gap_s in steps:
         now += gap_s
         if is_retry:
-            if budget.may_retry(now):
+            if budget.try_acquire(now):
                 retries.append(now)
         else:
-            budget.note_request(now)
+            budget.record_request(now)
             requests.append(now)
     # The tightest windows begin at a retry (with it, without what came before) or at any event.
     for start in sorted({*retries, *requests}):
@@ -40,8 +40,8 @@
 def test_retries_of_a_burst_stay_within_the_floor_once_traffic_stops() -> None:
     budget = RetryBudget(share=0.15, floor=5, window_s=WINDOW_S)
     for _ in range(1000):
-        budget.note_request(0.0)
-    assert sum(budget.may_retry(9.0) for _ in range(100)) == 5
+        budget.record_request(0.0)
+    assert sum(budget.try_acquire(9.0) for _ in range(100)) == 5
 
 
 def test_steady_failing_traffic_uses_the_whole_share() -> None:
@@ -50,14 +50,14 @@
     taken = 0
     for step in range(4000):
         now = step * 0.01
-        budget.note_request(now)
-        taken += budget.may_retry(now)
+        budget.record_request(now)
+        taken += budget.try_acquire(now)
     assert 0.148 * 4000 <= taken <= 0.15 * 4000 + 2 * 5
 
 
 def test_a_quiet_node_may_retry_its_floor_and_no_more() -> None:
     budget = RetryBudget(share=0.15, floor=1, window_s=WINDOW_S)
-    assert [budget.may_retry(0.0), budget.may_retry(5.0), budget.may_retry(10.0)] == [True, False, True]
+    assert [budget.try_acquire(0.0), budget.try_acquire(5.0), budget.try_acquire(10.0)] == [True, False, True]
 
 
 @pytest.mark.parametrize(
--- a/tests/unit/simulation/test_mutations.py
+++ b/tests/unit/simulation/test_mutations.py
@@ -208,7 +208,7 @@
 
 
 def test_retry_budget_is_ignored(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(RetryBudget, "may_retry", lambda budget, now: True)
+    patch.setattr(RetryBudget, "try_acquire", lambda budget, now: True)
     patch.setattr(run_module, "GOOD", VersionBehaviour(error_share=0.5))
     assert "repeats" in broken_rules(small_run())
 
--- a/tests/unit/usage/test_usage_exchange.py
+++ b/tests/unit/usage/test_usage_exchange.py
@@ -115,7 +115,7 @@
 def test_what_never_ran_is_given_back() -> None:
     node = make_exchange(A)
     assert node.admit("t", 1200.0, WARM) is None
-    node.give_back("t", 1200.0, WARM)
+    node.refund("t", 1200.0, WARM)
     assert node.admit("t", 1200.0, WARM) is None
 
 
