--- a/tests/unit/quota/fleet.py
+++ b/tests/unit/quota/fleet.py
@@ -1,4 +1,4 @@
-"""Quota allocators in the virtual world, clients with a chosen demand, and the record of admissions."""
+"""Simulated fleet of quota allocators with a given demand, which records every reservation."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 BURST = 5000.0
 MEAN_AMOUNT = 500.0
 
-Spread = Callable[[float, random.Random], NodeId]
+NodeChooser = Callable[[float, random.Random], NodeId]
 
 
 class QuotaProcess:
-    """One node: its quota allocator, with the accounts and members from its start."""
+    """One node with its quota allocator, which knows the accounts and members from its start."""
 
     def __init__(self, node: NodeId, boot: int, fleet: QuotaFleet) -> None:
         self.allocator = QuotaAllocator(node, random.Random(f"{node} {boot}"))
@@ -44,7 +44,7 @@
 
 
 class Attempt(msgspec.Struct, frozen=True):
-    """One reservation that was tried."""
+    """One attempted reservation."""
 
     at: float
     node: NodeId
@@ -58,7 +58,7 @@
     def __init__(self, count: int = 12, network: NetworkSettings | None = None, seed: int = 1) -> None:
         self.random = random.Random(seed)
         self.nodes = [NodeId(f"n{index:03}") for index in range(count)]
-        self.known = list(self.nodes)
+        self.present = list(self.nodes)
         self.world = World(seed, network)
         self.attempts: list[Attempt] = []
         for index, node in enumerate(self.nodes):
@@ -69,28 +69,30 @@
 
     @property
     def owner(self) -> NodeId:
-        return first_holders(ACCOUNT, self.known, 1)[0]
+        return first_holders(ACCOUNT, self.present, 1)[0]
 
     def view(self) -> MembershipView:
         address = Address("127.0.0.1:1")
         records = {
             node: NodeRecord(node, ZoneName("z"), address, address, address, ready=True)
-            for node in self.known
+            for node in self.present
         }
         return MembershipView(self.nodes[0], records)
 
-    def announce(self, known: list[NodeId]) -> None:
-        """Tell every node who is present, each at another moment within a second."""
-        self.known = known
+    def announce_members(self, present: list[NodeId]) -> None:
+        """Send every node the present members, each at a random time within a second."""
+        self.present = present
         view = self.view()
-        for node in known:
+        for node in present:
             delay_s = self.random.random()
             self.world.scheduler.after(
                 delay_s, lambda node=node: self.world.give(node, QuotaMembersChanged(view))
             )
 
-    def load(self, start: float, end: float, tokens_per_s: float, spread: Spread, error: float = 0.0) -> None:
-        """Plan requests of random sizes; ``error``: the true count is off by up to this part of the size."""
+    def add_load(
+        self, start: float, end: float, tokens_per_s: float, choose_node: NodeChooser, error: float = 0.0
+    ) -> None:
+        """Schedule requests of random sizes; ``error``: largest relative error of the reserved tokens."""
         at = start
         while True:
             at += self.random.expovariate(tokens_per_s / MEAN_AMOUNT)
@@ -98,33 +100,38 @@
                 return
             amount = self.random.uniform(0.2, 1.8) * MEAN_AMOUNT
             used = amount * (1.0 + error * self.random.uniform(-1.0, 1.0))
-            node = spread(at, self.random)
+            node = choose_node(at, self.random)
             self.world.scheduler.at(
                 at, lambda node=node, amount=amount, used=used: self._request(node, amount, used)
             )
 
     def admitted(self, start: float, end: float) -> float:
-        return sum(each.amount for each in self.attempts if each.admitted and start <= each.at < end)
+        return sum(
+            attempt.amount for attempt in self.attempts if attempt.admitted and start <= attempt.at < end
+        )
 
-    def asked(self, start: float, end: float) -> float:
-        return sum(each.amount for each in self.attempts if start <= each.at < end)
+    def requested(self, start: float, end: float) -> float:
+        return sum(attempt.amount for attempt in self.attempts if start <= attempt.at < end)
 
-    def extremes(self, start: float, end: float, window_s: float) -> tuple[float, float]:
-        """Return the least and the most admitted in any window (stepped by a fifth of it), by the quota."""
-        figures = []
+    def window_extremes(self, start: float, end: float, window_s: float) -> tuple[float, float]:
+        """Return the least and the most admitted in any window, as fractions of the quota.
+
+        The windows are spaced by a fifth of their length.
+        """
+        ratios = []
         at = start
         while at + window_s <= end + 1e-9:
-            figures.append(self.admitted(at, at + window_s) / (RATE * window_s))
+            ratios.append(self.admitted(at, at + window_s) / (RATE * window_s))
             at += window_s / 5
-        return min(figures), max(figures)
+        return min(ratios), max(ratios)
 
     def _request(self, node: NodeId, amount: float, used: float) -> None:
         def reserve(process: Process) -> None:
             assert isinstance(process, QuotaProcess)
             now = self.world.now
-            taken = process.allocator.reserve(ACCOUNT, amount, now)
-            self.attempts.append(Attempt(now, node, used if taken else amount, taken))
-            if taken:
+            is_reserved = process.allocator.reserve(ACCOUNT, amount, now)
+            self.attempts.append(Attempt(now, node, used if is_reserved else amount, is_reserved))
+            if is_reserved:
                 self.world.scheduler.after(0.3, lambda: self.world.call(node, settle))
 
         def settle(process: Process) -> None:
@@ -134,19 +141,19 @@
         self.world.call(node, reserve)
 
 
-def on_one(fleet: QuotaFleet) -> Spread:
+def on_one_node(fleet: QuotaFleet) -> NodeChooser:
     chosen = next(node for node in fleet.nodes if node != fleet.owner)
     return lambda at, source: chosen
 
 
-def on_all(fleet: QuotaFleet) -> Spread:
+def on_all_nodes(fleet: QuotaFleet) -> NodeChooser:
     return lambda at, source: source.choice(fleet.nodes)
 
 
-def moving(fleet: QuotaFleet) -> Spread:
+def on_a_moving_node(fleet: QuotaFleet) -> NodeChooser:
     return lambda at, source: fleet.nodes[int(at) * 5 % len(fleet.nodes)]
 
 
-def skewed(fleet: QuotaFleet) -> Spread:
-    """Half of the load on one node, the rest on all."""
+def half_on_one_node(fleet: QuotaFleet) -> NodeChooser:
+    """Send half of the load to one node, and spread the rest over all nodes."""
     return lambda at, source: fleet.nodes[0] if source.random() < 0.5 else source.choice(fleet.nodes)
--- a/tests/unit/usage/world.py
+++ b/tests/unit/usage/world.py
@@ -1,4 +1,4 @@
-"""Usage exchanges in virtual time: a lossy network, loads, faults, and a checker of windows."""
+"""Simulation of usage exchanges in virtual time: lossy network, loads, faults, and a check of all windows."""
 
 from __future__ import annotations
 
@@ -19,27 +19,28 @@
 WINDOW_S = 8.0
 TOLERANCE = 1.1
 SLACK = 190_000.0
-"""The promise: at most (rate x 8 s + burst) x 1.1 + 190,000 tokens in every 8 s, over all nodes (task)."""
+"""The quota bound: all nodes together admit at most (rate x 8 s + burst) x 1.1 + 190,000 tokens in any 8 s
+(requirement)."""
 
 RATE = 94_000.0
 BURST = 112_000.0
-USUAL = RATE / 1.3
-"""A tenant's usual demand (task)."""
+USUAL_DEMAND = RATE / 1.3
+"""Usual demand of a tenant in tokens/s (requirement)."""
 ACCOUNT = "t0"
-LOSS = 0.01
+LOSS_PROBABILITY = 0.01
 DELAY_S = (0.001, 0.003)
-LARGEST_SMALL_FLEET = 24
-"""Up to here nodes report to each other."""
-WARM_S = 2.0
-"""Nodes run for this long before the load begins."""
+MAX_DIRECT_NODES = 24
+"""Largest fleet whose nodes report to each other; in a larger one they report to collectors."""
+WARM_UP_S = 2.0
+"""Time for which nodes run before the load begins."""
 SIZES = ((400, 0.3), (2_000, 0.3), (4_000, 0.25), (12_000, 0.1), (20_000, 0.05))
-"""Tokens a request counts, and how often (task: 400 to 20,000)."""
+"""Request sizes in tokens, and the fraction of requests of each (requirement: 400 to 20,000)."""
 MEAN_SIZE = sum(size * part for size, part in SIZES)
 
 
 @dataclass
 class Request:
-    """One request and what became of it."""
+    """One request and its outcome."""
 
     at: float
     node: int
@@ -50,7 +51,7 @@
 
 @dataclass
 class Load:
-    """Poisson arrivals of ``tokens_per_s`` in all, spread over ``nodes(now)``."""
+    """Poisson arrivals with a total of ``tokens_per_s``, spread over ``nodes(now)``."""
 
     tokens_per_s: Callable[[float], float]
     nodes: Callable[[float], Iterable[int]]
@@ -60,14 +61,14 @@
 
 @dataclass
 class World:
-    """Runs the exchanges until their time is over."""
+    """Runs the usage exchanges of a fleet in virtual time."""
 
     size: int
     seed: int
     limits: dict[str, AccountLimit] = field(default_factory=lambda: {ACCOUNT: AccountLimit(RATE, BURST)})
     controllers: int = 3
     zones: int = 6
-    """Of a fleet that needs collectors; a smaller one is in one zone."""
+    """Number of zones of a fleet that needs collectors; a smaller fleet is in a single zone."""
 
     def __post_init__(self) -> None:
         self.random = random.Random(self.seed)
@@ -78,12 +79,12 @@
         self.inboxes: dict[int, list[Callable[[], None]]] = {}
         self.frozen: set[int] = set()
         self.dead: set[int] = set()
-        self.side: dict[int, int] = {}
+        self.partition_side: dict[int, int] = {}
         self.requests: list[Request] = []
         self.bytes: Counter[str] = Counter()
         self.bytes_between_zones: Counter[str] = Counter()
         self.messages: Counter[str] = Counter()
-        self.lossy = LOSS
+        self.loss_probability = LOSS_PROBABILITY
         for node in range(self.size):
             self.start(node)
 
@@ -91,7 +92,7 @@
         return NodeId(f"node-{node:02}")
 
     def zone(self, node: int) -> ZoneName:
-        return ZoneName(f"z{node % self.zones}" if self.size > LARGEST_SMALL_FLEET else "z")
+        return ZoneName(f"z{node % self.zones}" if self.size > MAX_DIRECT_NODES else "z")
 
     def view(self, own: int, present: Iterable[int]) -> MembershipView:
         nodes = {}
@@ -103,21 +104,21 @@
         return MembershipView(self.name(own), nodes)
 
     def start(self, node: int) -> None:
-        """Start a node, for the first time or again: with nothing remembered."""
+        """Start or restart a node, without any earlier state."""
         self.dead.discard(node)
         self.exchanges[node] = UsageExchange(self.name(node), random.Random(self.random.getrandbits(64)))
         self.inboxes[node] = []
-        self.give(node, AccountLimitsChanged(self.limits))
-        self.give(node, UsageMembersChanged(self.view(node, range(self.size))))
+        self.handle_event(node, AccountLimitsChanged(self.limits))
+        self.handle_event(node, UsageMembersChanged(self.view(node, range(self.size))))
 
     def at(self, when: float, action: Callable[[], None]) -> None:
         heapq.heappush(self.queue, (when, next(self.counter), action))
 
-    def give(self, node: int, event: Event) -> None:
-        self.carry(node, self.exchanges[node].handle(event, self.now))
-        self.plan_tick(node)
+    def handle_event(self, node: int, event: Event) -> None:
+        self.transmit(node, self.exchanges[node].handle(event, self.now))
+        self.schedule_tick(node)
 
-    def carry(self, sender: int, effects: list[Effect]) -> None:
+    def transmit(self, sender: int, effects: list[Effect]) -> None:
         for effect in effects:
             assert isinstance(effect, Send)
             to = int(effect.to.removeprefix("node-"))
@@ -128,8 +129,8 @@
             if self.zone(sender) != self.zone(to):
                 self.bytes_between_zones[kind] += len(data)
             self.messages[kind] += 1
-            cut = self.side.get(sender, 0) != self.side.get(to, 0)
-            if cut or self.random.random() < self.lossy:
+            is_partitioned = self.partition_side.get(sender, 0) != self.partition_side.get(to, 0)
+            if is_partitioned or self.random.random() < self.loss_probability:
                 continue
             event = MessageReceived(self.name(sender), wire.decode(data).message)
             exchange = self.exchanges[to]
@@ -142,11 +143,11 @@
         if to in self.dead or self.exchanges[to] is not exchange:
             return
         if to in self.frozen:
-            self.inboxes[to].append(lambda: self.give(to, event))
+            self.inboxes[to].append(lambda: self.handle_event(to, event))
             return
-        self.give(to, event)
+        self.handle_event(to, event)
 
-    def plan_tick(self, node: int) -> None:
+    def schedule_tick(self, node: int) -> None:
         exchange = self.exchanges[node]
         due = exchange.next_deadline()
         if due != float("inf"):
@@ -156,48 +157,48 @@
         if node in self.dead or node in self.frozen or self.exchanges[node] is not exchange:
             return
         if exchange.next_deadline() <= self.now and exchange.next_deadline() == due:
-            self.give(node, Tick())
+            self.handle_event(node, Tick())
 
     def thaw(self, node: int) -> None:
         self.frozen.discard(node)
-        waiting, self.inboxes[node] = self.inboxes[node], []
-        for action in waiting:
+        held_back, self.inboxes[node] = self.inboxes[node], []
+        for action in held_back:
             action()
-        self.plan_tick(node)
+        self.schedule_tick(node)
 
-    def see(self, nodes: Iterable[int], present: Iterable[int]) -> None:
-        """Give ``nodes`` a membership view."""
-        shown = list(present)
+    def set_members(self, nodes: Iterable[int], present: Iterable[int]) -> None:
+        """Apply a membership view of the ``present`` nodes at ``nodes``."""
+        members = list(present)
         for node in nodes:
             if node not in self.dead:
-                self.give(node, UsageMembersChanged(self.view(node, shown)))
+                self.handle_event(node, UsageMembersChanged(self.view(node, members)))
 
     def set_limit(self, limit: AccountLimit) -> None:
         self.limits = {**self.limits, ACCOUNT: limit}
         for node in self.exchanges:
-            self.give(node, AccountLimitsChanged(self.limits))
+            self.handle_event(node, AccountLimitsChanged(self.limits))
 
-    def ask(self, node: int, account: str, tokens: float) -> None:
+    def request(self, node: int, account: str, tokens: float) -> None:
         if node in self.dead:
             return
         if node in self.frozen:
-            self.inboxes[node].append(lambda: self.ask(node, account, tokens))
+            self.inboxes[node].append(lambda: self.request(node, account, tokens))
             return
         wait = self.exchanges[node].admit(account, tokens, self.now)
         assert wait is None or wait >= 0.05
         self.requests.append(Request(self.now, node, account, tokens, wait is None))
-        self.plan_tick(node)
+        self.schedule_tick(node)
 
-    def load(self, load: Load, until: float) -> None:
-        """Plan the arrivals of a load from the end of the warm-up."""
+    def add_load(self, load: Load, until: float) -> None:
+        """Schedule the arrivals of a load from the end of the warm-up."""
         mean = sum(size * part for size, part in load.sizes)
-        when = WARM_S
+        when = WARM_UP_S
         while when < until:
             rate = max(load.tokens_per_s(when), 1.0)
             when += self.random.expovariate(rate / mean)
             node = self.random.choice(list(load.nodes(when)))
             size = self.random.choices([s for s, _ in load.sizes], [p for _, p in load.sizes])[0]
-            self.at(when, lambda n=node, s=size: self.ask(n, load.account, s))
+            self.at(when, lambda n=node, s=size: self.request(n, load.account, s))
 
     def run(self, until: float) -> None:
         while self.queue and self.queue[0][0] <= until:
@@ -210,37 +211,41 @@
             r.tokens for r in self.requests if r.admitted and r.account == account and begin <= r.at < end
         )
 
-    def refused(self, begin: float, end: float, account: str = ACCOUNT) -> float:
+    def rejected(self, begin: float, end: float, account: str = ACCOUNT) -> float:
         return sum(
             r.tokens for r in self.requests if not r.admitted and r.account == account and begin <= r.at < end
         )
 
-    def passed(self, begin: float, end: float, account: str = ACCOUNT) -> dict[float, float]:
-        """Return the part of the requests that was admitted, by their size."""
-        asked: Counter[float] = Counter()
+    def admitted_fraction_by_size(
+        self, begin: float, end: float, account: str = ACCOUNT
+    ) -> dict[float, float]:
+        """Return the fraction of the requests of each size that was admitted."""
+        requested: Counter[float] = Counter()
         admitted: Counter[float] = Counter()
         for request in self.requests:
             if request.account == account and begin <= request.at < end:
-                asked[request.tokens] += 1
+                requested[request.tokens] += 1
                 admitted[request.tokens] += request.admitted
-        return {size: admitted[size] / count for size, count in asked.items()}
+        return {size: admitted[size] / count for size, count in requested.items()}
 
     def excess(self, rate: float = RATE, burst: float = BURST, account: str = ACCOUNT) -> float:
-        """Return the largest surplus over rate x 8 + burst of any 8 s window (tokens; negative: none)."""
-        taken = [(r.at, r.tokens) for r in self.requests if r.admitted and r.account == account]
+        """Return by how many tokens the worst 8 s window exceeds rate x 8 + burst; negative if none does."""
+        admissions = [(r.at, r.tokens) for r in self.requests if r.admitted and r.account == account]
         most = total = 0.0
         begin = 0
-        for at, tokens in taken:
+        for at, tokens in admissions:
             total += tokens
-            while taken[begin][0] <= at - WINDOW_S:
-                total -= taken[begin][1]
+            while admissions[begin][0] <= at - WINDOW_S:
+                total -= admissions[begin][1]
                 begin += 1
             most = max(most, total)
         return most - (rate * WINDOW_S + burst)
 
-    def ideal(self, begin: float, end: float, rate: float = RATE, burst: float = BURST) -> float:
-        """Return what one bucket for all would have admitted of the same requests from ``begin`` on."""
-        level, at, taken = burst, begin, 0.0
+    def admitted_by_single_bucket(
+        self, begin: float, end: float, rate: float = RATE, burst: float = BURST
+    ) -> float:
+        """Return the tokens of the same requests that a single bucket for all nodes would have admitted."""
+        level, at, admitted_tokens = burst, begin, 0.0
         for request in self.requests:
             if not begin <= request.at < end or request.account != ACCOUNT:
                 continue
@@ -248,9 +253,9 @@
             at = request.at
             if level >= min(request.tokens, burst):
                 level -= request.tokens
-                taken += request.tokens
-        return taken
+                admitted_tokens += request.tokens
+        return admitted_tokens
 
     def allowance(self, rate: float = RATE, burst: float = BURST) -> float:
-        """Return the surplus that the promise leaves."""
+        """Return the excess over rate x 8 + burst that the quota bound allows."""
         return (rate * WINDOW_S + burst) * (TOLERANCE - 1.0) + SLACK
