--- a/src/springmux/gateway/attempt_timeouts.py
+++ b/src/springmux/gateway/attempt_timeouts.py
@@ -1,7 +1,7 @@
-"""Timeouts of one attempt at an engine, after which another engine may take over a repeatable request.
+"""Timeouts of one attempt at an engine, after which a repeatable request may be sent to another engine.
 
-A busy engine is slow to all its requests, an unresponsive one sends nothing at all. An engine that has sent
-anything to this node meanwhile therefore gets much more time: retrying would only add to its load.
+A busy engine is slow for all requests, an unresponsive one sends nothing at all. An engine that has sent
+anything to this node in the meantime therefore gets much more time: a retry would only add load.
 """
 
 from __future__ import annotations
@@ -9,19 +9,19 @@
 from springmux.control.gateway_configuration import GatewayRoute
 
 UNRESPONSIVE_FIRST_EVENT_FACTOR = 0.6
-"""Part of the latency target of the first event; the rest is enough for another engine."""
+"""Fraction of the first event's latency target; the remaining time is enough for another engine."""
 BUSY_FIRST_EVENT_FACTOR = 2.0
 PREFILL_FACTOR = 2.0
-"""Times the estimated prefill before the first event, since engines differ in speed.
+"""Multiple of the estimated prefill time before the first event, since engines differ in speed.
 
-A long prompt that is not cached takes longer than ``UNRESPONSIVE_FIRST_EVENT_FACTOR`` of its target at any
-engine, and one of many nodes may receive nothing else from that engine meanwhile.
+At any engine, a long uncached prompt takes longer than ``UNRESPONSIVE_FIRST_EVENT_FACTOR`` of its target, and
+one of many nodes may receive nothing else from that engine in the meantime.
 """
 UNRESPONSIVE_GAP_FACTOR = 2.0
-"""Times the route's gap target: a long prefill beside a stream widens its gaps to about the target."""
+"""Multiple of the route's gap target: a long prefill beside a stream widens its gaps to about the target."""
 BUSY_GAP_FACTOR = 6.0
 DEFAULT_GAP_TARGET_S = 1.0
-"""Used where the route has no gap target."""
+"""Gap target of a route that has none."""
 
 
 class AttemptTimeouts:
@@ -49,7 +49,7 @@
         self._busy_gap_s = BUSY_GAP_FACTOR * gap_target_s
 
     def shortest_s(self, awaiting_first: bool) -> float:
-        """Return the shortest timeout that can apply, after which to check for the first time.
+        """Return the shortest timeout (s) that can apply, after which the first check is due.
 
         :param awaiting_first: whether no event of the response has arrived yet.
         """
@@ -59,7 +59,7 @@
         """Return whether the attempt has timed out ``elapsed_s`` after its last event.
 
         :param awaiting_first: whether no event of the response has arrived yet.
-        :param engine_unresponsive: whether the engine has sent this node nothing else since then either.
+        :param engine_unresponsive: whether the engine has sent this node nothing else since then.
         """
         if awaiting_first:
             limit_s = self._unresponsive_first_event_s if engine_unresponsive else self._busy_first_event_s
--- a/src/springmux/gateway/attempts.py
+++ b/src/springmux/gateway/attempts.py
@@ -1,7 +1,7 @@
 """Limits on the attempts of one forwarded request.
 
-Unlike :mod:`springmux.router.retry_policy`, an attempt that the engine declined has a limit of its own, and a
-retry can be reserved from the budget before the running attempt is given up.
+Unlike in :mod:`springmux.router.retry_policy`, attempts that engines declined have a limit of their own, and
+a retry can be reserved from the budget before the running attempt is cancelled.
 """
 
 from __future__ import annotations
@@ -11,29 +11,30 @@
 from springmux.control.gateway_configuration import GatewayRoute
 from springmux.coordination.retry_budget import RetryBudget
 
-LEAST_TIME_LEFT_S = 0.05
-"""With less time to the deadline another engine could not respond."""
+MIN_TIME_LEFT_S = 0.05
+"""Shortest time to the deadline in which another engine could respond."""
 MAX_UNSENT_ATTEMPTS = 6
-"""Attempts that sent nothing: with so many engines lost, a further one is unlikely to help."""
+"""Maximum number of attempts that sent nothing. With that many engines lost, another attempt is unlikely to
+help."""
 MAX_DECLINED_ATTEMPTS = 3
-"""Attempts that engines declined: the service is full, and further ones would only add load."""
+"""Maximum number of declined attempts. The service is full then, and another attempt would only add load."""
 
 
 class AttemptEnd(enum.StrEnum):
-    """How an attempt ended that brought the client no complete response."""
+    """How an attempt ended that returned no complete response to the client."""
 
     UNSENT = "unsent"
     """Nothing was sent to the engine."""
     DECLINED = "declined"
     """The engine stated that it did not execute the request."""
     MAY_HAVE_RUN = "may_have_run"
-    """It was sent, and no complete response arrived."""
+    """The request was sent, and no complete response arrived."""
     ERROR_RESPONSE = "failed_answer"
-    """The engine executed it and responded with an error of its own."""
+    """The engine executed the request and responded with an error."""
 
 
 class AttemptRules:
-    """Count one request's attempts and decide whether another one is allowed."""
+    """Counts one request's attempts and decides whether another one is allowed."""
 
     def __init__(self, route: GatewayRoute, budget: RetryBudget, deadline: float) -> None:
         self._route = route
@@ -47,13 +48,13 @@
         """Whether any engine may have begun to execute the request."""
 
     @property
-    def spare_attempt(self) -> bool:
-        """Whether another engine may be used if the running attempt is given up."""
+    def has_spare_attempt(self) -> bool:
+        """Whether another engine may be used if the running attempt is cancelled."""
         return self._route.repeatable and self._executed + 1 < self._route.max_attempts
 
     def reserve(self, now: float) -> bool:
-        """Reserve a retry before the running attempt is given up; return whether the budget allows it."""
-        if not self.spare_attempt or self._reserved or not self._has_time(now):
+        """Reserve a retry before the running attempt is cancelled; return whether the budget allows it."""
+        if not self.has_spare_attempt or self._reserved or not self._has_time(now):
             return False
         self._reserved = self._budget.try_acquire(now)
         return self._reserved
@@ -76,4 +77,4 @@
         return reserved or self._budget.try_acquire(now)
 
     def _has_time(self, now: float) -> bool:
-        return now + LEAST_TIME_LEFT_S < self._deadline
+        return now + MIN_TIME_LEFT_S < self._deadline
--- a/src/springmux/gateway/core.py
+++ b/src/springmux/gateway/core.py
@@ -1,4 +1,4 @@
-"""State shared by a node's forwarded requests: routes, placement, version filter, quota, retry budget."""
+"""State shared by a node's forwarded requests: routes, placement, version filter, quota and retry budget."""
 
 from __future__ import annotations
 
@@ -20,25 +20,25 @@
 from springmux.vocabulary.names import EngineId, ServiceName
 
 FLEET_RETRY_SHARE = 0.75
-"""Part of the fleet's minimum number of retries that its known nodes share."""
+"""Fraction of the fleet's minimum number of retries that is divided among its known nodes."""
 NODE_RETRY_FACTOR = 0.75
-"""Part of the fleet's retry ratio that each node uses, since counts differ at a window's edges; a bound on
-each node bounds the fleet (docs/notes/retries.md)."""
+"""Fraction of the fleet's retry ratio that each node uses, since counts differ at the edges of a window. A
+bound on each node bounds the fleet (docs/notes/retries.md)."""
 MIN_NODE_RETRIES = 2
-"""Allows a second retry beside a running one, where the fleet's bound allows it to all nodes."""
+"""Lets each node send a second retry while one is running, if the fleet's bound allows that for all nodes."""
 MIN_WINDOW_S = 0.1
 
 
 class RetryBounds(msgspec.Struct, frozen=True):
-    """The fleet's bound on retries in any ``window_s``: ``share`` of its requests plus ``least``."""
+    """The fleet's bound on retries in any ``window_s``: ``share`` of its requests plus ``minimum``."""
 
     share: float = 0.2
-    least: float = 0.0
+    minimum: float = 0.0
     window_s: float = 10.0
 
 
 class RolloutInForce(msgspec.Struct, frozen=True):
-    """A rollout's record with the monotonic time (s) at which it took effect at this node."""
+    """A rollout's record, and the monotonic time (s) at which its phase took effect at this node."""
 
     record: RolloutRecord
     since: float
@@ -54,22 +54,23 @@
     def __init__(
         self,
         zone: str,
-        source: random.Random,
+        rng: random.Random,
         chooser: VersionChooser,
         usage: UsageExchange,
         keys_current: Callable[[float], bool] = _always_current,
     ) -> None:
         """Start without any configuration.
 
-        :param keys_current: returns whether this node's view of revoked keys is recent enough at a time.
+        :param keys_current: returns whether this node's view of revoked keys is recent enough at a given
+            time.
         """
         self._keys_current = keys_current
         self.chooser = chooser
         self.usage = usage
-        self.placement = Placement(zone, source)
+        self.placement = Placement(zone, rng)
         self.table = RouteTable(EMPTY_GATEWAY)
         self._retry_bounds = RetryBounds()
-        self.retry_budget = _budget(self._retry_bounds)
+        self.retry_budget = _make_budget(self._retry_bounds)
         self.counters = GatewayCounters()
         self.rollouts: dict[ServiceName, RolloutInForce] = {}
         self._view: ControlView = EMPTY_VIEW
@@ -80,7 +81,7 @@
         return self._view.gateway.version > 0
 
     def knows_keys(self, now: float) -> bool:
-        """Return whether this node can validate keys, which it always can where none are required."""
+        """Return whether this node can validate keys; always true if no keys are required."""
         return not self.table.configuration.requires_key or self._keys_current(now)
 
     @property
@@ -88,10 +89,10 @@
         """The control state in effect."""
         return self._view
 
-    def bound_retries(self, bounds: RetryBounds) -> None:
+    def set_retry_bounds(self, bounds: RetryBounds) -> None:
         """Set the fleet's bound on retries; call before the first request."""
         self._retry_bounds = bounds
-        self.retry_budget = _budget(bounds)
+        self.retry_budget = _make_budget(bounds)
 
     def update_control(self, view: ControlView, now: float) -> None:
         """Apply a newer control state; ignore an older one."""
@@ -110,15 +111,15 @@
 
     def exchange_loads(self) -> None:
         """Publish changes of this node's load on engines and apply the other nodes' reports."""
-        for engine, requests, prompt_tokens in self.placement.changed_loads():
+        for engine, requests, prompt_tokens in self.placement.take_changed_loads():
             self.usage.note_engine_load(engine, float(requests), prompt_tokens)
         others = self.usage.other_engine_loads()
-        self.placement.report_others({EngineId(engine): load for engine, load in others.items()})
+        self.placement.update_other_loads({EngineId(engine): load for engine, load in others.items()})
 
     def update_fleet(self, nodes: int) -> None:
         """Set the number of live nodes, which share the fleet's bounds."""
         self.placement.set_fleet_size(nodes)
-        self.retry_budget.set_floor(_node_floor(self._retry_bounds.least, max(1, nodes)))
+        self.retry_budget.set_floor(_node_floor(self._retry_bounds.minimum, max(1, nodes)))
 
     def _update_rollouts(self, view: ControlView, now: float) -> None:
         kept: dict[ServiceName, RolloutInForce] = {}
@@ -130,11 +131,11 @@
         self.rollouts = kept
 
 
-def _node_floor(least: float, nodes: int) -> int:
-    """Return the retries that one of ``nodes`` may send on top of its ratio; above one only if all may."""
-    usual = int(FLEET_RETRY_SHARE * least / nodes)
-    return max(1, usual, min(MIN_NODE_RETRIES, int(least / nodes)))
+def _node_floor(minimum: float, nodes: int) -> int:
+    """Return the retries that one of ``nodes`` may send beyond its ratio; more than one only if all may."""
+    usual = int(FLEET_RETRY_SHARE * minimum / nodes)
+    return max(1, usual, min(MIN_NODE_RETRIES, int(minimum / nodes)))
 
 
-def _budget(bounds: RetryBounds) -> RetryBudget:
+def _make_budget(bounds: RetryBounds) -> RetryBudget:
     return RetryBudget(NODE_RETRY_FACTOR * bounds.share, window_s=max(MIN_WINDOW_S, bounds.window_s))
--- a/src/springmux/gateway/dialect.py
+++ b/src/springmux/gateway/dialect.py
@@ -1,4 +1,4 @@
-"""Names of the headers that the gateway reads and writes; a deployment may configure its own."""
+"""Names of the headers that the gateway reads and writes; a deployment may configure others."""
 
 from __future__ import annotations
 
--- a/src/springmux/gateway/engine_pool.py
+++ b/src/springmux/gateway/engine_pool.py
@@ -1,4 +1,4 @@
-"""The engines of each service as one node uses them: own load, groups by version, rendezvous orders."""
+"""The engines of each service as seen by one node: load, groups by version, rendezvous orders."""
 
 from __future__ import annotations
 
@@ -15,18 +15,19 @@
 from springmux.vocabulary.names import EngineId, ServiceName, VersionName
 
 REFRESH_S = 0.25
-"""Interval between comparisons of the engines and steps of their slow start."""
+"""Interval, in seconds, between comparisons of the engines and between updates of their slow start."""
 ORDER_LENGTH = 16
-"""Engines kept of a prefix's rendezvous order: the most that share it, and some that may be unavailable."""
+"""Engines kept of a prefix's rendezvous order: the maximum that share a prefix, and spares for unavailable
+ones."""
 MAX_CACHED_ORDERS = 4096
 QUEUE_ESTIMATE_DECAY_S = 0.2
-"""Decay time of the queue estimated from an observed wait: about one long prefill."""
+"""Time constant, in seconds, of the queue estimated from an observed wait: about one long prefill."""
 IN_FLIGHT_SMOOTHING = 0.05
-"""Weight of the newest count in the moving average: about the last 20 requests."""
+"""Weight of the newest count in the moving average: about the last 20 requests count."""
 _HASH_RANGE = float(1 << 64) * (1.0 + 2.0**-50)
 """Slightly above 2**64, so that no score rounds to 1, whose logarithm is 0."""
 _THRESHOLD_MASK = (1 << 16) - 1
-"""Bits of a score that decide how early in its slow start an engine takes the prefix."""
+"""Bits of a score that determine how early in its slow start an engine receives the prefix."""
 
 
 @dataclass(eq=False, slots=True)
@@ -34,9 +35,9 @@
     """One engine incarnation, with this node's view of its load. Times are monotonic seconds.
 
     ``prefill_tokens``: prompt tokens of this node's requests without a first event. ``queue_tokens``: tokens
-    queued ahead of a recent request, estimated from its wait, at ``queue_estimated_at``. ``other_requests``
+    queued ahead of a recent request, estimated from its wait at ``queue_estimated_at``. ``other_requests``
     and ``other_tokens``: load of the other nodes, as reported. ``ramp``: share (0..1) of its usual requests
-    during slow start. ``skipped``: choices by load since the last dispatch to it.
+    during slow start. ``skipped_choices``: choices by load since the last dispatch to it.
     """
 
     record: EngineRecord
@@ -49,7 +50,7 @@
     other_requests: float = 0.0
     other_tokens: float = 0.0
     sent_at: float = -math.inf
-    skipped: int = 0
+    skipped_choices: int = 0
     ramp: float = 1.0
 
     @property
@@ -57,20 +58,19 @@
         """Requests of all nodes in flight on the engine, as far as this node knows."""
         return self.in_flight + self.other_requests
 
-    def skips_turn(self, engines: int) -> bool:
-        """Count one choice among ``engines``; return whether a warming or slow engine sits it out.
+    def skips_choice(self, engines: int) -> bool:
+        """Count a choice among ``engines`` engines; return whether to skip this one as warming or slow.
 
-        Such an engine is usually the least loaded, so counting limits it to one choice in
-        ``engines / share``.
+        Such an engine is usually the least loaded, so it is limited to one choice in ``engines / share``.
         """
         share = self.ramp * self.health.weight
         if share >= 1.0:
             return False
-        self.skipped += 1
-        return self.skipped * share < engines
+        self.skipped_choices += 1
+        return self.skipped_choices * share < engines
 
     def tokens_ahead(self, now: float) -> float:
-        """Return the prompt tokens probably queued ahead of a request that is dispatched now."""
+        """Return the estimated prompt tokens queued ahead of a request that is dispatched now."""
         ahead = self.prefill_tokens + self.other_tokens
         age_s = now - self.queue_estimated_at
         if age_s < 5.0 * QUEUE_ESTIMATE_DECAY_S:
@@ -79,7 +79,7 @@
 
 
 class EngineGroup:
-    """Ready engines from which one is chosen."""
+    """Ready engines among which a request's engine is chosen."""
 
     def __init__(self, slots: Iterable[EngineSlot]) -> None:
         self.slots = sorted(slots, key=lambda slot: slot.record.engine)
@@ -89,7 +89,7 @@
     def order(self, prefix_id: str) -> list[tuple[EngineSlot, float]]:
         """Return a prefix's engines in weighted rendezvous order, weighted by capacity.
 
-        Each comes with a fixed threshold in 0..1 and takes the prefix once its ramp exceeds it, so a new
+        Each has a fixed threshold in 0..1 and receives the prefix once its ramp exceeds that, so a new
         engine's set of prefixes only grows. Weighting: Schindelhauer and Schomaker 2005.
         """
         order = self._orders.get(prefix_id)
@@ -113,15 +113,15 @@
 
 
 def _weighted_score(score: int, slot: EngineSlot) -> float:
-    """Return -capacity / ln(u) for the score as u in 0..1; equal capacities keep the order of scores."""
+    """Return -capacity / ln(u), with u the score scaled to 0..1; equal capacities keep the scores' order."""
     return -max(1, slot.record.capacity) / math.log((score + 0.5) / _HASH_RANGE)
 
 
 class ServicePool:
     """All engines of one service.
 
-    ``has_unhealthy``: some engine may be suspected or ejected. ``mean_in_flight``: moving average of this
-    node's requests on the ready engines.
+    ``has_unhealthy``: whether some engine may be suspect or ejected. ``mean_in_flight``: moving average of
+    this node's requests on the ready engines.
     """
 
     def __init__(self, slots: Sequence[EngineSlot], mean_in_flight: float = 0.0) -> None:
@@ -161,18 +161,18 @@
         update_outliers(self._healths, now)
         for group in self._by_version.values():
             ramps = [slow_start_share(slot.first_seen_at, now) for slot in group.slots]
-            # If all engines of a version are new, none should be spared.
+            # If all engines of a version are new, none should get less than the others.
             largest = max(ramps)
             for slot, ramp in zip(group.slots, ramps, strict=True):
                 slot.ramp = ramp / largest
-        self.has_unhealthy = any(slot.health.suspect or slot.health.ejected for slot in self.ready.slots)
+        self.has_unhealthy = any(slot.health.is_suspect or slot.health.ejected for slot in self.ready.slots)
 
-    def note_in_flight(self) -> None:
+    def update_mean_in_flight(self) -> None:
         """Update the moving average of this node's requests on the pool."""
         in_flight = sum(slot.in_flight for slot in self.ready.slots)
         self.mean_in_flight += IN_FLIGHT_SMOOTHING * (in_flight - self.mean_in_flight)
 
-    def refresh_soon(self) -> None:
+    def force_refresh(self) -> None:
         """Force a comparison of the engines at the next choice."""
         self._refresh_at = -math.inf
 
@@ -190,7 +190,10 @@
 
 
 class EngineTable:
-    """All engines by service. A restarted engine gets a new slot: empty cache, clean health record."""
+    """All engines by service.
+
+    A restarted engine gets a new slot, since its cache is empty and its earlier failures no longer matter.
+    """
 
     def __init__(self) -> None:
         self.slots: dict[EngineId, EngineSlot] = {}
@@ -233,7 +236,7 @@
         slot.record = record
         moved = record.address != old.address
         if moved or record.age_key > old.age_key:
-            slot.health.record_changed(moved)
+            slot.health.apply_new_record(moved)
 
     def _rebuild_pools(self, services: set[ServiceName]) -> None:
         members: dict[ServiceName, list[EngineSlot]] = {service: [] for service in services}
@@ -251,7 +254,7 @@
 
 def _restarted(old: EngineSlot, record: EngineRecord, first_seen_at: float) -> EngineSlot:
     slot = EngineSlot(record, first_seen_at)
-    # A record that arrives right after a misdirection may be older than it.
+    # A record that arrives right after a misdirection may be older than the misdirection.
     slot.health.misdirected_at = old.health.misdirected_at
     slot.health.stale_until = old.health.stale_until
     return slot
--- a/src/springmux/gateway/event_stream.py
+++ b/src/springmux/gateway/event_stream.py
@@ -1,27 +1,27 @@
-"""Server-sent events of a resumable stream: complete events only, each of them once.
+"""Server-sent events of a resumable stream: only complete events are forwarded, each of them once.
 
-An engine may fail within an event. Only complete events are forwarded, so that another engine can continue
+An engine may fail within an event. Since only complete events are forwarded, another engine can continue
 after the last one (``Last-Event-ID``, WHATWG HTML, section 9.2).
 """
 
 from __future__ import annotations
 
 MAX_EVENT_BYTES = 1 << 20
-"""Far above any valid event."""
+"""Largest accepted event, far above any valid one."""
 
 
 class MalformedStreamError(Exception):
-    """The stream violates the format: its ids skip, or an event does not end."""
+    """The stream is malformed: an event id was skipped, or an event does not end."""
 
     @classmethod
     def unterminated_event(cls) -> MalformedStreamError:
         """Return the error for an event longer than :data:`MAX_EVENT_BYTES`."""
-        return cls("an event does not end")
+        return cls("event has no end within the size limit")
 
     @classmethod
     def skipped_ids(cls, number: int, last_number: int) -> MalformedStreamError:
         """Return the error for event ``number`` directly after ``last_number``."""
-        return cls(f"event {number} follows {last_number}")
+        return cls(f"event {number} directly follows event {last_number}")
 
 
 class EventStream:
@@ -33,7 +33,7 @@
         self.events = 0
         """Number of events forwarded."""
         self._pending = b""
-        self._last_number = _number(last_event_id)
+        self._last_number = _parse_number(last_event_id)
 
     @property
     def at_event_end(self) -> bool:
@@ -43,7 +43,7 @@
     def feed(self, data: bytes) -> bytes:
         """Return the events that ``data`` completes, without those already forwarded.
 
-        :raises MalformedStreamError: if the ids skip or an event does not end.
+        :raises MalformedStreamError: if an event id was skipped or an event does not end.
         """
         pending = self._pending + data
         end = _end_of_events(pending)
@@ -54,15 +54,15 @@
             return b""
         return b"".join(event for event in _split(pending[:end]) if self._is_new(event))
 
-    def break_off(self) -> None:
-        """Drop the incomplete event, which another engine sends from its start."""
+    def discard_incomplete_event(self) -> None:
+        """Drop the incomplete event; another engine sends it again from its start."""
         self._pending = b""
 
     def _is_new(self, event: bytes) -> bool:
         identity = _event_id(event)
         if identity is None:
             return True
-        number = _number(identity)
+        number = _parse_number(identity)
         if number is not None and self._last_number is not None:
             if number <= self._last_number:
                 return False
@@ -83,7 +83,7 @@
 
 
 def _split(data: bytes) -> list[bytes]:
-    """Split complete events; further empty lines stay with the event after them."""
+    """Split complete events; extra empty lines stay with the event that follows them."""
     separator = b"\r\n\r\n" if b"\r\n\r\n" in data else b"\n\n"
     events: list[bytes] = []
     blank = b""
@@ -104,5 +104,5 @@
     return None
 
 
-def _number(identity: bytes | None) -> int | None:
+def _parse_number(identity: bytes | None) -> int | None:
     return int(identity) if identity is not None and identity.isdigit() else None
--- a/src/springmux/gateway/outlier_detection.py
+++ b/src/springmux/gateway/outlier_detection.py
@@ -1,9 +1,9 @@
 """Outlier detection: failing engines are ejected, slow ones get a smaller weight.
 
-An engine is compared with the others of its version only. If most of a version fail, none is an outlier: a
-bad version is the rollout judge's concern (cf. Envoy's outlier detection, success rate method). The router
-ejects after consecutive failures instead (:mod:`springmux.router.ejection`): there each response is verified
-against its protocol, here an error status may be the request's own fault.
+An engine is compared only with the others of its version. If most engines of a version fail, none is an
+outlier: a bad version is detected by the rollout judge (cf. Envoy's outlier detection, success rate method).
+The router ejects after consecutive failures instead (:mod:`springmux.router.ejection`): it verifies each
+response against its protocol, whereas here an error status may be caused by the request itself.
 """
 
 from __future__ import annotations
@@ -16,20 +16,21 @@
 OUTLIER_FAILURE_RATE = 0.15
 """Failure rate above which an engine may be an outlier."""
 HEALTHY_FAILURE_RATE = 0.05
-"""The other engines' median must be below."""
+"""The median failure rate of the other engines must be below this for an engine to be an outlier."""
 MIN_SAMPLES = 5
 MIN_FAILURES = 1.5
-"""Weight of recent failures; a single one is chance."""
+"""Smallest decayed count of failures of an outlier; a single failure may be chance."""
 MAX_EJECTED_SHARE = 0.5
-"""Of a service's engines."""
+"""Largest fraction of a service's engines that may be ejected."""
 SLOW_FACTOR = 4.0
-"""Times the others' median pace; an uncached long prompt takes about this much longer than a cached one."""
+"""Multiple of the others' median seconds per token above which an engine is slow. An uncached long prompt
+takes about this many times as long as a cached one."""
 MIN_WEIGHT = 0.05
-"""Share of its usual requests that a slow engine keeps, enough to notice that it has recovered."""
+"""Fraction of its usual requests that a slow engine keeps: enough to detect its recovery."""
 
 
 def update_outliers(versions: Sequence[Sequence[EngineHealth]], now: float) -> None:
-    """Set ``ejected`` and ``weight`` of a service's engines, which are grouped by version."""
+    """Set ``ejected`` and ``weight`` of the engines of a service, grouped by version."""
     count = 0
     outliers: list[tuple[float, EngineHealth]] = []
     for group in versions:
@@ -47,7 +48,7 @@
 
 
 def _failing(group: Sequence[EngineHealth], now: float) -> list[tuple[float, EngineHealth]]:
-    known = [(health.failure_rate(now), health) for health in group if health.counted >= MIN_SAMPLES]
+    known = [(health.failure_rate(now), health) for health in group if health.sample_count >= MIN_SAMPLES]
     found = []
     for rate, health in known:
         if rate <= OUTLIER_FAILURE_RATE or health.failures < MIN_FAILURES:
@@ -59,17 +60,17 @@
 
 
 def _set_weights(group: Sequence[EngineHealth], now: float) -> None:
-    known = [health for health in group if health.paced >= MIN_SAMPLES]
+    known = [health for health in group if health.pace_sample_count >= MIN_SAMPLES]
     for health in group:
         health.weight = 1.0
     if len(known) < 2:
         return
-    quickest = min(health.log_pace for health in known)
+    fastest = min(health.mean_log_pace for health in known)
     for health in known:
-        # The quickest bounds the median from below, which saves sorting for healthy engines.
-        if health.pace_excess(quickest, now) <= SLOW_FACTOR:
+        # The fastest engine bounds the median from below, so that healthy engines need no sorting.
+        if health.pace_excess(fastest, now) <= SLOW_FACTOR:
             continue
-        others = [other.log_pace for other in known if other is not health]
+        others = [other.mean_log_pace for other in known if other is not health]
         excess = health.pace_excess(statistics.median(others), now)
         if excess > SLOW_FACTOR:
             health.weight = max(MIN_WEIGHT, 1.0 / excess)
--- a/src/springmux/gateway/prefix_memory.py
+++ b/src/springmux/gateway/prefix_memory.py
@@ -1,4 +1,4 @@
-"""Estimate of prefix caches from one node's dispatches: each prefix's rate, and where parts went last.
+"""Estimate of prefix caches from one node's dispatches: rates of prefixes, and last engine of each part.
 
 Unlike in the router's index of hashed blocks (:mod:`springmux.router.prefix_index`), clients name the parts.
 """
@@ -15,14 +15,15 @@
 T = TypeVar("T")
 
 PREFILL_TOKENS_PER_S = 50_000.0
-"""Assumed prefill speed of an engine."""
+"""Assumed prefill speed of an engine, in tokens/s."""
 RATE_WINDOW_S = 30.0
-"""Decay time of a prefix's request count: a few of its requests at the usual rates."""
+"""Time constant, in seconds, of a prefix's request count: a few of its requests at usual rates."""
 MAX_LOAD_PER_ENGINE = 0.35
-"""Part of one engine's capacity that one prefix may use before it gets a further engine."""
+"""Fraction of one engine's capacity that a prefix may use before it gets another engine."""
 MAX_ENGINES_PER_PREFIX = 8
 CACHED_S = 20.0
-"""A prefix sent to an engine this recently is probably still cached: caches turn over in 50 to 100 s."""
+"""Time, in seconds, for which a prefix sent to an engine is probably cached: caches turn over in 50 to 100
+s."""
 MAX_PREFIXES = 4096
 MAX_PARTS = 8192
 DURATION_SMOOTHING = 0.05
@@ -32,15 +33,15 @@
 
 @dataclass(eq=False, slots=True)
 class _PrefixUse:
-    """Decayed request count of a prefix at time ``at``, and when each engine last got it."""
+    """Decayed request count of a prefix at time ``at``, and when it was last sent to each engine."""
 
     count: float = 0.0
     at: float = 0.0
-    sent: dict[EngineSlot, float] = field(default_factory=dict)
+    last_sent: dict[EngineSlot, float] = field(default_factory=dict)
 
 
 class PrefixMemory:
-    """Bounded memory of prefixes and parts; the least recently used are dropped first."""
+    """Bounded record of prefixes and parts; the least recently used ones are dropped first."""
 
     def __init__(self) -> None:
         self.fleet_size = 1
@@ -53,10 +54,10 @@
         use = self._uses.pop(prefix_id, None) or _PrefixUse()
         use.count = use.count * math.exp((use.at - now) / RATE_WINDOW_S) + 1.0
         use.at = now
-        if len(use.sent) > 2 * MAX_ENGINES_PER_PREFIX:
-            use.sent = {other: at for other, at in use.sent.items() if now - at < CACHED_S}
-        use.sent[slot] = now
-        _put(self._uses, prefix_id, use, MAX_PREFIXES)
+        if len(use.last_sent) > 2 * MAX_ENGINES_PER_PREFIX:
+            use.last_sent = {other: at for other, at in use.last_sent.items() if now - at < CACHED_S}
+        use.last_sent[slot] = now
+        _store(self._uses, prefix_id, use, MAX_PREFIXES)
 
     def record_duration(self, seconds: float) -> None:
         """Record the duration of one request with a shared prefix."""
@@ -65,12 +66,13 @@
     def probably_cached(self, prefix_id: str, slot: EngineSlot, now: float) -> bool:
         """Return whether this node sent the prefix to the engine recently."""
         use = self._uses.get(prefix_id)
-        return use is not None and now - use.sent.get(slot, -math.inf) < CACHED_S
+        return use is not None and now - use.last_sent.get(slot, -math.inf) < CACHED_S
 
     def engine_count(self, prefix_id: str, own_tokens: float, capacity: int, now: float) -> int:
-        """Return how many engines share the prefix, by the fleet's load with it (own rate times nodes).
+        """Return the number of engines that the fleet's load with a prefix needs.
 
-        A single request is no rate: multiplied by many nodes it would look like many requests.
+        The fleet's rate is this node's rate times the number of nodes. A single request is not counted as a
+        rate, since times many nodes it would look like many requests.
         """
         use = self._uses.get(prefix_id)
         if use is None:
@@ -85,14 +87,14 @@
     def record_part(self, part_id: str, slot: EngineSlot) -> None:
         """Record that a part was sent to an engine."""
         self._parts.pop(part_id, None)
-        _put(self._parts, part_id, slot, MAX_PARTS)
+        _store(self._parts, part_id, slot, MAX_PARTS)
 
     def last_engine(self, part_id: str) -> EngineSlot | None:
         """Return the engine that a part was last sent to, if known."""
         return self._parts.get(part_id)
 
 
-def _put(memory: OrderedDict[str, T], key: str, value: T, max_entries: int) -> None:
+def _store(memory: OrderedDict[str, T], key: str, value: T, max_entries: int) -> None:
     if len(memory) >= max_entries:
         memory.popitem(last=False)
     memory[key] = value
--- a/src/springmux/gateway/prompt_headers.py
+++ b/src/springmux/gateway/prompt_headers.py
@@ -1,4 +1,4 @@
-"""Parsing of the headers that describe a prompt, and what they mean for quota and priority."""
+"""Parsing of the headers that describe a prompt, and the quota units and priority derived from them."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 from springmux.gateway.prompt_metadata import NO_PROMPT_METADATA, PromptMetadata
 
 MAX_PRIORITY = 9
-"""Engines have ten priorities; 0 is the most urgent."""
+"""Lowest of the ten priorities of an engine; 0 is the most urgent."""
 ROUTE_PRIORITIES_PER_TENANT_PRIORITY = 3
-"""The tenant's priority comes before the route's."""
+"""Weight of a tenant's priority, which takes precedence over the route's."""
 MAX_TOKEN_DIGITS = 12
 
 
 def parse_prompt_metadata(prefix: bytes | None, usage: bytes | None) -> PromptMetadata:
     """Return the prompt's metadata from the two headers (docs/API.md).
 
-    Malformed parts are left out, since they only guide the engine choice.
+    Malformed parts are ignored, since the metadata only guides the engine choice.
     """
     if prefix is None and usage is None:
         return NO_PROMPT_METADATA
@@ -27,7 +27,7 @@
 
 
 def quota_tokens(tenant: GatewayTenant, usage: bytes | None) -> float:
-    """Return the quota units of a request: its stated tokens, or the tenant's default without any."""
+    """Return the quota units of a request: stated tokens, or the tenant's default; 1 if requests count."""
     if not tenant.counts_tokens:
         return 1.0
     if usage is None:
--- a/src/springmux/gateway/prompt_metadata.py
+++ b/src/springmux/gateway/prompt_metadata.py
@@ -1,22 +1,24 @@
-"""What a client states about its prompt."""
+"""Metadata that a client states about its prompt."""
 
 from __future__ import annotations
 
 import msgspec
 
 LONG_PROMPT_TOKENS = 2000
-"""Shorter prompts have a short prefill, so their engine is chosen by load."""
+"""Smallest long prompt. Shorter ones have a short prefill, so their engine is chosen by load."""
 LONG_PREFIX_TOKENS = 1000
-"""Shorter shared prefixes are not worth a longer wait."""
+"""Smallest long prefix. For a shorter shared prefix a longer wait doesn't pay off."""
 ROUTING_PART_TOKENS = 500
-"""Smaller parts don't choose the engine: a session's few tokens must not separate it from its dossier."""
+"""Smallest part that determines the engine. The few tokens of a session must not separate it from the engines
+that cache its large shared part."""
 
 
 class PromptMetadata(msgspec.Struct, frozen=True):
     """Structure and size of a prompt; all empty for plain services.
 
-    ``prefix``: the prompt's parts (id, tokens) in order, the last being the request's or session's own.
-    ``prompt_tokens``: tokens of the prompt. ``output_tokens``: most tokens of the response.
+    ``prefix``: the prompt's parts (id, tokens) in order; the last one belongs to the request or session
+    alone. ``prompt_tokens``: tokens of the prompt. ``output_tokens``: maximum number of tokens of the
+    response.
     """
 
     prefix: tuple[tuple[str, int], ...] = ()
@@ -24,7 +26,9 @@
     output_tokens: int = 0
 
     def long_prefix(self) -> tuple[str, int]:
-        """Return the id that routes the prompt and the tokens up to it, or ``("", 0)`` for short ones.
+        """Return the id of the part that routes the prompt, and the tokens up to its end.
+
+        Return ``("", 0)`` for a short prompt or prefix.
 
         It is the last shared part of at least :data:`ROUTING_PART_TOKENS`; since caches are keyed by parts,
         its id identifies everything before it as well.
--- a/src/springmux/gateway/refusals.py
+++ b/src/springmux/gateway/refusals.py
@@ -8,7 +8,7 @@
 
 
 class RefusalReason(enum.StrEnum):
-    """Why a client got no complete response of an engine. The values are labels of logs and metrics."""
+    """Why a client got no complete response from an engine. The values are labels in logs and metrics."""
 
     NO_CONFIGURATION = "no_configuration"
     UNKNOWN_ROUTE = "unknown_route"
@@ -19,7 +19,7 @@
     QUOTA_EXCEEDED = "quota_exceeded"
     NO_ENGINE = "no_engine"
     ENGINES_FULL = "engines_full"
-    """Every engine tried declined the request or accepted no connection."""
+    """Every attempted engine declined the request or accepted no connection."""
     NOT_SENT_IN_TIME = "not_sent_in_time"
     """The deadline passed before an engine accepted the request."""
     NO_ANSWER_IN_TIME = "no_answer_in_time"
@@ -50,14 +50,15 @@
         RefusalReason.HEADERS_TOO_LARGE,
     }
 )
-"""Reasons that are the client's fault and no evidence of the fleet's health."""
+"""Reasons caused by the client, which say nothing about the fleet's health."""
 
 
 class GatewayCounters(msgspec.Struct):
     """Counts since the start, for metrics.
 
     ``requests``: requests whose head was read. ``dispatches``: attempts at engines. ``retries``: attempts
-    after one that was sent. ``resumed``: attempts to continue a stream of which the client has the beginning.
+    after one that was sent. ``resumed``: attempts that continue a stream whose beginning was already sent to
+    the client.
     """
 
     requests: int = 0
@@ -68,7 +69,7 @@
 
 
 class RefusalSummary(msgspec.Struct, frozen=True):
-    """Refusals for one reason since the last summary; request and route are those of the first."""
+    """Refusals for one reason since the last summary, with the request and route of the first one."""
 
     reason: RefusalReason
     count: int
--- a/src/springmux/gateway/routing.py
+++ b/src/springmux/gateway/routing.py
@@ -10,11 +10,11 @@
 
 
 class RouteNotFoundError(Exception):
-    """No route of that host is a prefix of the path (404)."""
+    """No route of the host has a prefix that matches the path (404)."""
 
 
 class KeyRejectedError(Exception):
-    """The route requires a key, and it is missing or unknown (401)."""
+    """The route requires a key, and the request's key is missing or unknown (401)."""
 
 
 class Admitted(msgspec.Struct, frozen=True):
--- a/src/springmux/gateway/versions.py
+++ b/src/springmux/gateway/versions.py
@@ -1,7 +1,7 @@
 """Choice of version and engine for the attempts of one forwarded request.
 
-Unlike :mod:`springmux.router.selection`, any version serves while there is no rollout, so a retry consults
-the version filter again in case a rollout began meanwhile.
+Unlike in :mod:`springmux.router.selection`, any version may serve while there is no rollout, so a retry
+consults the version filter again in case a rollout has begun since.
 """
 
 from __future__ import annotations
@@ -14,9 +14,10 @@
 
 
 class VersionSelection:
-    """Versions and engines left for one request. A credit for the candidate pays for one sent attempt.
+    """Versions and engines that remain for one request.
 
-    An unused credit is given back; a retry after a sent attempt goes to the stable version.
+    A credit for the candidate version allows one sent attempt. An unused credit is given back; a retry after
+    a sent attempt goes to the stable version.
     """
 
     __slots__ = (
@@ -87,25 +88,25 @@
         )
 
     def _choose_versions_again(self, now: float) -> None:
-        """Apply a rollout that began since the first attempt; a retry goes to the stable version."""
+        """Apply a rollout that began after the first attempt; a retry goes to the stable version."""
         choice = self._chooser.choose(self.service, self._prefix_key, now, self._route)
         self._versions = choice.versions[1:] if choice.candidate else choice.versions
         if choice.candidate:
             self._chooser.give_back(self.service, choice.versions[0], now)
 
-    def sent(self, record: EngineRecord) -> None:
-        """Record that an attempt was sent to an engine, which spends the credit."""
+    def record_sent(self, record: EngineRecord) -> None:
+        """Record that an attempt was sent to an engine, which uses up the credit."""
         self.excluded.add(record.engine)
         if self._credit:
             self._credit = False
             self._versions = self._versions[1:] or self._versions
 
-    def not_sent(self, record: EngineRecord) -> None:
-        """Record that nothing reached an engine, which is excluded from now on."""
+    def record_not_sent(self, record: EngineRecord) -> None:
+        """Record that nothing was sent to an engine, which is excluded from now on."""
         self.excluded.add(record.engine)
 
     def give_back(self, now: float) -> None:
-        """Give back a credit that no sent attempt used."""
+        """Return an unused credit to the version filter."""
         if self._credit:
             self._credit = False
             self._chooser.give_back(self.service, self._versions[0], now)
--- a/src/springmux/lab/bench/placement_ablation.py
+++ b/src/springmux/lab/bench/placement_ablation.py
@@ -20,11 +20,11 @@
 LOADS = (1.0, 1.5)
 VARIANTS: dict[str, PlacementPolicy] = {
     "as it is": PlacementPolicy(),
-    "long prefixes have no engines of their own": PlacementPolicy(by_prefix=False),
+    "long prefixes have no engines of their own": PlacementPolicy(hash_long_prefixes=False),
     "short prompts have no engines of their own": PlacementPolicy(hashed_engines=0),
     "one engine drawn, not the better of two": PlacementPolicy(choices=1),
     "a prefix never leaves its engines": PlacementPolicy(bound_factor=math.inf),
-    "other nodes' loads don't count": PlacementPolicy(others_count=False),
+    "other nodes' loads don't count": PlacementPolicy(use_other_loads=False),
 }
 
 
--- a/src/springmux/node/gateway/attempt.py
+++ b/src/springmux/node/gateway/attempt.py
@@ -53,7 +53,7 @@
         self._services = request.services
         self._loop = asyncio.get_running_loop()
         self._placement = request.services.core.placement
-        self._dispatch = self._placement.began(record, request.prompt, self._loop.time())
+        self._dispatch = self._placement.record_dispatch(record, request.prompt, self._loop.time())
         self._evidence = AttemptEvidence(request, record, self._dispatch.expected_tokens, self._loop.time())
         self._outcome = ExchangeOutcome.ABANDONED
         self._ending: Ending | None = Ending.CALLER_GONE
@@ -85,7 +85,7 @@
         )
         self._upstream = upstream
         self._watchdog = self._start_watchdog()
-        self._selection.sent(self._record)
+        self._selection.record_sent(self._record)
         request.in_doubt = True
         head = await upstream.head()
         request.trace.status = head.status
@@ -208,11 +208,11 @@
 
     def _record_event(self) -> None:
         now = self._loop.time()
-        self._request.trace.event(now)
+        self._request.trace.record_event(now)
         if self._evidence.record_event(now):
-            self._placement.first_event(self._dispatch, now)
+            self._placement.record_first_event(self._dispatch, now)
         else:
-            self._placement.heard(self._dispatch, now)
+            self._placement.record_response_bytes(self._dispatch, now)
         if self._watchdog is not None:
             self._watchdog.record_event(now)
 
@@ -231,7 +231,7 @@
             return AttemptResult(AttemptEnd.UNSENT)
         self._ending = ENDINGS.get(kind, Ending.ENGINE_LOST)
         if self._request.events is not None:
-            self._request.events.break_off()
+            self._request.events.discard_incomplete_event()
         return AttemptResult(AttemptEnd.MAY_HAVE_RUN)
 
     def _record_cancellation(self) -> None:
@@ -245,7 +245,7 @@
         self._ending = Ending.WHOLE  # counts as a slow response, not as a broken one
         self._evidence.timed_out(self._loop.time())
         if self._request.events is not None:
-            self._request.events.break_off()
+            self._request.events.discard_incomplete_event()
         return AttemptResult(AttemptEnd.MAY_HAVE_RUN)
 
     def _finish(self) -> None:
@@ -259,16 +259,16 @@
                 upstream.release()
             else:
                 upstream.abort()
-        self._placement.ended(self._dispatch, self._outcome, now)
+        self._placement.record_end(self._dispatch, self._outcome, now)
         self._evidence.report(self._ending, now)
 
     def _start_watchdog(self) -> ResponseWatchdog | None:
         """Return a watchdog if another engine could serve the request after a timeout."""
         rules = self._request.rules
-        if not rules.spare_attempt:
+        if not rules.has_spare_attempt:
             return None
         return ResponseWatchdog(
             AttemptTimeouts(self._request.route, self._dispatch.prefill_wait_s),
-            lambda since: self._placement.silent_since(self._dispatch, since),
+            lambda since: self._placement.received_nothing_since(self._dispatch, since),
             lambda: rules.reserve(self._loop.time()),
         )
--- a/src/springmux/node/gateway/attempt_loop.py
+++ b/src/springmux/node/gateway/attempt_loop.py
@@ -66,10 +66,10 @@
     request: ForwardedRequest, selection: VersionSelection, record: EngineRecord
 ) -> AttemptResult:
     request.services.core.counters.dispatches += 1
-    request.trace.attempt(record.engine)
+    request.trace.record_attempt(record.engine)
     result = await Attempt(request, record, selection).run()
     if result.end is AttemptEnd.UNSENT:
-        selection.not_sent(record)
+        selection.record_not_sent(record)
     if result.end in (AttemptEnd.UNSENT, AttemptEnd.DECLINED):
         request.in_doubt = False
     return result
--- a/src/springmux/node/gateway/forwarder.py
+++ b/src/springmux/node/gateway/forwarder.py
@@ -99,7 +99,7 @@
                 refusal = await run_attempts(request)
         except TimeoutError:
             refusal = request.timeout_refusal()
-        trace.answered()
+        trace.record_response()
         if refusal is None:
             return
         if refusal.retry_after_s is not None:
@@ -128,7 +128,7 @@
         reason = RefusalReason.ANSWER_CUT if exchange.begun else refusal.reason
         not_executed = refusal.retry_after_s is not None or refusal.status < 500
         refused = not_executed and not exchange.begun
-        trace.end(RequestOutcome.REFUSED if refused else RequestOutcome.FAILED, reason.value)
+        trace.record_end(RequestOutcome.REFUSED if refused else RequestOutcome.FAILED, reason.value)
         self._services.refusals.record(reason, exchange.head, trace.route)
         if exchange.begun:
             exchange.abort()
--- a/src/springmux/node/gateway/gateway_node.py
+++ b/src/springmux/node/gateway/gateway_node.py
@@ -183,7 +183,7 @@
         agent = NodeAgent(
             settings.agent_settings(), opened.recovered, randomness, opened.claims, opened.remembered
         )
-        agent.gateway.bound_retries(
+        agent.gateway.set_retry_bounds(
             RetryBounds(settings.retry_share, settings.fleet_retries, settings.retry_window_s)
         )
         return agent
--- a/src/springmux/simulation/placement/world.py
+++ b/src/springmux/simulation/placement/world.py
@@ -30,7 +30,7 @@
 
 
 EngineLoads = dict[EngineId, tuple[float, float]]
-"""Requests and prompt tokens in flight, by engine, as :meth:`Placement.report_others` takes them."""
+"""Requests and prompt tokens in flight, by engine, as :meth:`Placement.update_other_loads` takes them."""
 
 
 @dataclass(frozen=True)
@@ -116,19 +116,23 @@
     def _report(self, now: float) -> None:
         assert self._exchange is not None
         for reported, node in zip(self._reported_loads, self.nodes, strict=True):
-            reported.update((engine, (requests, tokens)) for engine, requests, tokens in node.changed_loads())
+            reported.update(
+                (engine, (requests, tokens)) for engine, requests, tokens in node.take_changed_loads()
+            )
         loads = _Loads([dict(reported) for reported in self._reported_loads])
         self._schedule(now + self._exchange.delay_s, lambda _: self._receive_reports(loads))
 
     def _receive_reports(self, loads: _Loads) -> None:
         for number, node in enumerate(self.nodes):
-            node.report_others(loads.others(number))
+            node.update_other_loads(loads.others(number))
 
     def _arrive(self, request: Request, choose: Chooser, now: float) -> None:
         engine = choose(request.node, request, now)
         request.engine = engine
         self.in_flight[request.node][engine] += 1
-        request.dispatch = self.nodes[request.node].began(self.records[engine], request.metadata, now)
+        request.dispatch = self.nodes[request.node].record_dispatch(
+            self.records[engine], request.metadata, now
+        )
         self.engines[engine].waiting.append(request)
         if not self.engines[engine].busy:
             self.engines[engine].busy = True
@@ -154,9 +158,9 @@
             done = heapq.heappop(engine.decoding).request
             assert done.dispatch is not None
             self.in_flight[done.node][number] -= 1
-            self.nodes[done.node].ended(done.dispatch, ExchangeOutcome.OK, end)
+            self.nodes[done.node].record_end(done.dispatch, ExchangeOutcome.OK, end)
         self._schedule(end, lambda at: self._step(number, at))
 
     def _first_event(self, request: Request, now: float) -> None:
         assert request.dispatch is not None
-        self.nodes[request.node].first_event(request.dispatch, now)
+        self.nodes[request.node].record_first_event(request.dispatch, now)
--- a/tests/unit/bad_days/gateway_fleet.py
+++ b/tests/unit/bad_days/gateway_fleet.py
@@ -126,7 +126,7 @@
         self.began = now()
         self.nodes = [FleetNode(f"n{number}", self.farm, self.source, chooser) for number in range(nodes)]
         for node in self.nodes:
-            node.core.bound_retries(RetryBounds(least=LEAST_FLEET_RETRIES))
+            node.core.set_retry_bounds(RetryBounds(minimum=LEAST_FLEET_RETRIES))
             node.core.update_fleet(nodes)
         self.configure()
         for number in range(engines):
--- a/tests/unit/bad_days/test_answers_late_lost_crossed.py
+++ b/tests/unit/bad_days/test_answers_late_lost_crossed.py
@@ -135,7 +135,7 @@
 @pytest.mark.parametrize(
     ("method", "mutation"),
     [
-        ("break_off", lambda stream: None),
+        ("discard_incomplete_event", lambda stream: None),
         ("_is_new", lambda stream, event: setattr(stream, "events", stream.events + 1) or True),
     ],
     ids=["keeps the unfinished event", "forgets what was passed on"],
--- a/tests/unit/bad_days/test_candidate_requests.py
+++ b/tests/unit/bad_days/test_candidate_requests.py
@@ -100,7 +100,7 @@
 
 def test_the_checker_sees_a_retry_at_the_candidate_without_a_credit(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
-        VersionSelection, "sent", lambda selection, record: selection.excluded.add(record.engine)
+        VersionSelection, "record_sent", lambda selection, record: selection.excluded.add(record.engine)
     )
     fleet, chooser = beside_a_candidate(LOSING)
     assert candidate_runs(fleet) > chooser.spent
--- a/tests/unit/bench/test_placement_ablation.py
+++ b/tests/unit/bench/test_placement_ablation.py
@@ -14,7 +14,7 @@
     """Given one seed, the same policy gives the same figures, and another one others."""
     complete = run_case(SMALL_BATCHES, 1.0, 1, PlacementPolicy(), TRACE_S)
     assert complete == run_case(SMALL_BATCHES, 1.0, 1, PlacementPolicy(), TRACE_S)
-    without = run_case(SMALL_BATCHES, 1.0, 1, PlacementPolicy(by_prefix=False), TRACE_S)
+    without = run_case(SMALL_BATCHES, 1.0, 1, PlacementPolicy(hash_long_prefixes=False), TRACE_S)
     assert without.kinds[0].kept < complete.kinds[0].kept - 0.1
     assert without.kinds[0].p95_s > complete.kinds[0].p95_s
 
--- a/tests/unit/gateway/test_engine_health.py
+++ b/tests/unit/gateway/test_engine_health.py
@@ -38,9 +38,9 @@
     for _ in range(count):
         record = placement.choose(TEXT, (V1,), ANY, (), now, trial_allowed=trial_allowed)
         assert record is not None
-        dispatches.append(placement.began(record, ANY, now))
+        dispatches.append(placement.record_dispatch(record, ANY, now))
     for dispatch in dispatches:
-        placement.ended(dispatch, O.ABANDONED, now)
+        placement.record_end(dispatch, O.ABANDONED, now)
     return {dispatch.record.engine for dispatch in dispatches}
 
 
@@ -54,7 +54,7 @@
     assert chosen(placement, ANY, 11.1, trial_allowed=True) == "e0"
     trial = send(placement, records[0], 11.1)
     assert used(placement, 11.2, trial_allowed=True) == {"e1", "e2"}
-    placement.ended(trial, O.OK, 11.3)
+    placement.record_end(trial, O.OK, 11.3)
     assert used(placement, 12.0) == {"e0", "e1", "e2"}
 
 
@@ -75,7 +75,7 @@
     placement = node(records)
     dispatches = [send(placement, records[0], 9.9) for _ in range(4)]
     for dispatch in dispatches:
-        placement.ended(dispatch, O.SILENT, 10.0)
+        placement.record_end(dispatch, O.SILENT, 10.0)
     assert chosen(placement, ANY, 11.05, trial_allowed=True) == "e0"
 
 
@@ -101,7 +101,7 @@
     placement = node(records)
     exchange(placement, records[0], O.SILENT, 10.0)
     trial = send(placement, records[0], 11.1)
-    placement.ended(trial, O.ABANDONED, 11.2)
+    placement.record_end(trial, O.ABANDONED, 11.2)
     assert used(placement, 11.3) == {"e1"}
     assert chosen(placement, ANY, 11.8, trial_allowed=True) == "e0"
 
@@ -131,11 +131,11 @@
     records = engines(3)
     placement = node(records)
     waiting = send(placement, records[0], 10.0)
-    placement.ended(waiting, O.TIMED_OUT, 11.0)
+    placement.record_end(waiting, O.TIMED_OUT, 11.0)
     assert "e0" in used(placement, 12.5)
     waiting = send(placement, records[0], 13.0)
     exchange(placement, records[1], O.OK, 13.5)
-    placement.ended(waiting, O.TIMED_OUT, 14.0)
+    placement.record_end(waiting, O.TIMED_OUT, 14.0)
     assert "e0" not in used(placement, 14.5)
 
 
@@ -145,7 +145,7 @@
     waiting = send(placement, records[0], 13.0)
     exchange(placement, records[1], O.OK, 13.9)
     exchange(placement, records[0], O.OK, 13.8)
-    placement.ended(waiting, O.TIMED_OUT, 14.0)
+    placement.record_end(waiting, O.TIMED_OUT, 14.0)
     assert "e0" in used(placement, 16.0)
 
 
@@ -226,7 +226,7 @@
     assert chosen(placement, ANY, 12.0, trial_allowed=True) == "e2"
     trial = send(placement, records[2], 12.0)
     assert "e2" not in used(placement, 12.1, trial_allowed=True)
-    placement.ended(trial, O.ERROR_STATUS, 12.2)
+    placement.record_end(trial, O.ERROR_STATUS, 12.2)
     assert "e2" not in used(placement, 12.6, trial_allowed=True)
     assert chosen(placement, ANY, 12.8, trial_allowed=True) == "e2"
 
@@ -299,7 +299,7 @@
     assert record is not None
     dispatch = send(placement, record, now, PLAIN)
     # The client leaves, so that nothing new is learned.
-    placement.ended(dispatch, O.ABANDONED, now)
+    placement.record_end(dispatch, O.ABANDONED, now)
     return record.engine
 
 
@@ -320,7 +320,7 @@
     restarted = msgspec.structs.replace(records[0], incarnation=2)
     placement.update_engines(view([restarted, records[1]]), 10.2)
     assert used(placement, 10.3) == {"e0", "e1"}
-    placement.ended(old, O.RESET, 10.4)
+    placement.record_end(old, O.RESET, 10.4)
     assert free_places(placement, TEXT, (V1,), 10.5) == 32
     assert "e0" in used(placement, 10.5)
 
--- a/tests/unit/gateway/test_event_stream.py
+++ b/tests/unit/gateway/test_event_stream.py
@@ -36,7 +36,7 @@
     """Given an engine that breaks off anywhere, another one goes on, or begins anew, and nothing doubles."""
     stream = EventStream()
     out = stream.feed(ALL[:cut])
-    stream.break_off()
+    stream.discard_incomplete_event()
     reached = int(stream.last_event_id or b"0")
     first = 1 if from_the_start else reached + 1
     out += stream.feed(b"".join(_event(number) for number in range(first, 9)))
--- a/tests/unit/gateway/test_placement.py
+++ b/tests/unit/gateway/test_placement.py
@@ -105,9 +105,9 @@
         dossier = "rare" if number % 50 == 0 else "hot"
         record = placement.choose(TEXT, (V1,), long_prompt(dossier), (), now)
         assert record is not None
-        dispatch = placement.began(record, long_prompt(dossier), now)
-        placement.first_event(dispatch, now + 0.09)
-        placement.ended(dispatch, ExchangeOutcome.OK, now + 0.09)
+        dispatch = placement.record_dispatch(record, long_prompt(dossier), now)
+        placement.record_first_event(dispatch, now + 0.09)
+        placement.record_end(dispatch, ExchangeOutcome.OK, now + 0.09)
         if dossier == "rare":
             rare.add(record.engine)
         else:
@@ -123,7 +123,7 @@
     dispatch = send(placement, records[0], 1.0, long_prompt("d"))
     for _ in range(6):
         assert choose_and_send(placement, SHORT, 1.0) != "e0"
-    placement.first_event(dispatch, 1.1)
+    placement.record_first_event(dispatch, 1.1)
     assert chosen(placement, PromptMetadata((), 300), 3.0) == "e0"
 
 
@@ -131,8 +131,8 @@
     records = engines(2)
     placement = node(records)
     dispatch = send(placement, records[0], 1.0, PromptMetadata((), 383))
-    placement.first_event(dispatch, 1.4)
-    placement.ended(dispatch, ExchangeOutcome.OK, 1.4)
+    placement.record_first_event(dispatch, 1.4)
+    placement.record_end(dispatch, ExchangeOutcome.OK, 1.4)
     # The other one was used later, so the order of use speaks for the first.
     exchange(placement, records[1], ExchangeOutcome.OK, 1.42, took_s=0.01)
     assert {chosen(placement, PromptMetadata((), 383), 1.45) for _ in range(20)} == {"e1"}
@@ -179,16 +179,16 @@
 
 def test_reported_load_of_others_counts_until_the_next_report() -> None:
     placement = node(engines(2))
-    placement.report_others({EngineId("e0"): (3.0, 20_000.0), EngineId("gone"): (1.0, 1.0)})
+    placement.update_other_loads({EngineId("e0"): (3.0, 20_000.0), EngineId("gone"): (1.0, 1.0)})
     assert {chosen(placement, SHORT, 1.0) for _ in range(20)} == {"e1"}
-    placement.report_others({EngineId("e1"): (3.0, 20_000.0)})
+    placement.update_other_loads({EngineId("e1"): (3.0, 20_000.0)})
     assert {chosen(placement, SHORT, 1.0) for _ in range(20)} == {"e0"}
 
 
 def test_what_must_be_read_before_a_first_event_counts_all_that_lies_ahead() -> None:
     records = engines(1)
     placement = node(records)
-    placement.report_others({records[0].engine: (1.0, 10_000.0)})
+    placement.update_other_loads({records[0].engine: (1.0, 10_000.0)})
     cold = send(placement, records[0], 1.0, long_prompt("d"))
     again = send(placement, records[0], 1.0, long_prompt("d"))
     assert cold.prefill_wait_s == pytest.approx((cold.expected_tokens + 10_000.0) / 50_000.0)
@@ -203,13 +203,13 @@
     placement = node(records)
     first = send(placement, records[0], 1.0, PromptMetadata((), 100))
     send(placement, records[1], 1.0, PromptMetadata((), 50))
-    assert sorted(placement.changed_loads()) == [("e0", 1, 100.0), ("e1", 1, 50.0)]
-    assert placement.changed_loads() == []
-    placement.first_event(first, 1.1)
-    assert placement.changed_loads() == [("e0", 1, 0.0)]
+    assert sorted(placement.take_changed_loads()) == [("e0", 1, 100.0), ("e1", 1, 50.0)]
+    assert placement.take_changed_loads() == []
+    placement.record_first_event(first, 1.1)
+    assert placement.take_changed_loads() == [("e0", 1, 0.0)]
     placement.update_engines(view(records[1:]), 1.2)
-    placement.ended(first, ExchangeOutcome.OK, 1.3)
-    assert placement.changed_loads() == [("e0", 0, 0.0)]
+    placement.record_end(first, ExchangeOutcome.OK, 1.3)
+    assert placement.take_changed_loads() == [("e0", 0, 0.0)]
 
 
 def test_a_full_batch_is_avoided_and_leaves_no_free_place() -> None:
@@ -229,7 +229,7 @@
     assert {chosen(placement, PLAIN, 1.0) for _ in range(10)} == {"e3"}
     dispatch = send(placement, records[3], 1.0, PLAIN)
     assert chosen(placement, PLAIN, 1.0) != "e3"
-    placement.ended(dispatch, ExchangeOutcome.OK, 1.05)
+    placement.record_end(dispatch, ExchangeOutcome.OK, 1.05)
     assert chosen(placement, PLAIN, 1.1) == "e3"
 
 
@@ -243,7 +243,7 @@
         assert record is not None
         counts[record.engine] += 1
         dispatch = send(placement, record, now, PLAIN)
-        placement.ended(dispatch, ExchangeOutcome.OK, now + 0.04)
+        placement.record_end(dispatch, ExchangeOutcome.OK, now + 0.04)
     # One request at a time here, twelve in the fleet on 24 places.
     assert counts["e3"] <= 40
 
@@ -277,7 +277,7 @@
             record = placement.choose(TEXT, (V1,), PromptMetadata((), 300), (), now)
             assert record is not None
             counts[record.engine] += 1
-            placement.ended(send(placement, record, now, PLAIN), ExchangeOutcome.ABANDONED, now)
+            placement.record_end(send(placement, record, now, PLAIN), ExchangeOutcome.ABANDONED, now)
         assert least <= counts["e9"] <= most
 
 
@@ -376,11 +376,11 @@
         prompt = source.choice([SHORT, PLAIN, long_prompt(f"d{number % 7}")])
         record = placement.choose(TEXT, (), prompt, (), 1.0)
         assert record is not None
-        dispatches.append(placement.began(record, prompt, 1.0))
+        dispatches.append(placement.record_dispatch(record, prompt, 1.0))
     for dispatch in dispatches:
-        placement.first_event(dispatch, 1.2)
-        placement.ended(dispatch, source.choice(list(ExchangeOutcome)), 1.5)
-        placement.ended(dispatch, ExchangeOutcome.OK, 1.6)
+        placement.record_first_event(dispatch, 1.2)
+        placement.record_end(dispatch, source.choice(list(ExchangeOutcome)), 1.5)
+        placement.record_end(dispatch, ExchangeOutcome.OK, 1.6)
     assert {dispatch.slot.in_flight for dispatch in dispatches} == {0}
     assert {dispatch.slot.prefill_tokens for dispatch in dispatches} == {0.0}
 
@@ -389,6 +389,6 @@
     """A call is over before news of it arrives; the back end that looked free to all would be full."""
     records = engines(3)
     placement = node(records)
-    placement.report_others({record.engine: (9.0, 0.0) for record in records[:2]})
+    placement.update_other_loads({record.engine: (9.0, 0.0) for record in records[:2]})
     counts = Counter(choose_and_send(placement, PLAIN, 1.0) for _ in range(30))
     assert dict(counts) == {"e0": 10, "e1": 10, "e2": 10}
--- a/tests/unit/gateway/test_versions.py
+++ b/tests/unit/gateway/test_versions.py
@@ -74,7 +74,7 @@
     placement = _placement(OLD, OLD, NEW, NEW)
     first = selection.next_engine(placement, FACTS, 0.0)
     assert first is not None and first.version == NEW
-    selection.sent(first)
+    selection.record_sent(first)
     second = selection.next_engine(placement, FACTS, 0.0)
     assert second is not None and second.version == OLD
     selection.give_back(0.0)
@@ -117,7 +117,7 @@
     selection = VersionSelection(chooser, SERVICE, ROUTE, 1, 0.0)
     placement = _placement(OLD, NEW, NEW, NEW)
     first = next(record for record in _records(placement) if record.version == NEW)
-    selection.sent(first)
+    selection.record_sent(first)
     chooser.change(CANDIDATE_FIRST)
     for _ in range(3):
         found = selection.next_engine(placement, FACTS, 0.0)
--- a/tests/unit/gateway/transcripts.py
+++ b/tests/unit/gateway/transcripts.py
@@ -77,7 +77,7 @@
 
 def send(placement: Placement, record: EngineRecord, now: float, prompt: PromptMetadata = SHORT) -> Dispatch:
     """Send a request to a given engine."""
-    return placement.began(record, prompt, now)
+    return placement.record_dispatch(record, prompt, now)
 
 
 def choose_and_send(
@@ -99,5 +99,5 @@
     prompt: PromptMetadata = SHORT,
 ) -> None:
     """Send a request to a given engine; it ends ``took_s`` later, at ``now``."""
-    dispatch = placement.began(record, prompt, now - took_s)
-    placement.ended(dispatch, outcome, now)
+    dispatch = placement.record_dispatch(record, prompt, now - took_s)
+    placement.record_end(dispatch, outcome, now)
--- a/tests/unit/lab/test_request_losses.py
+++ b/tests/unit/lab/test_request_losses.py
@@ -45,10 +45,10 @@
 
     async def story() -> None:
         trace = RequestTrace(10.0, route="text", tenant="a", target_ms=500.0, gap_target_ms=400.0)
-        trace.attempt("e7")
+        trace.record_attempt("e7")
         for at in (10.2, 10.3, 10.9):
-            trace.event(at)
-        trace.answered()
+            trace.record_event(at)
+        trace.record_response()
         RequestLog(EventLog("n1", "debug", output=written)).write(trace)
 
     play(story())
--- a/tests/unit/node/gateway/stand_ins.py
+++ b/tests/unit/node/gateway/stand_ins.py
@@ -233,7 +233,9 @@
     @property
     def in_flight(self) -> int:
         """Requests on all engines by the loads that the node would tell the others."""
-        self._loads.update((engine, requests) for engine, requests, _ in self.core.placement.changed_loads())
+        self._loads.update(
+            (engine, requests) for engine, requests, _ in self.core.placement.take_changed_loads()
+        )
         return sum(self._loads.values())
 
 
--- a/tests/unit/node/gateway/test_core.py
+++ b/tests/unit/node/gateway/test_core.py
@@ -43,7 +43,7 @@
 def test_nodes_never_share_out_more_retries_than_the_fleet_has(least: float, nodes: int, floor: int) -> None:
     """Given the fleet's bound and its nodes, each may send so many retries with no request beside them."""
     core = _core()
-    core.bound_retries(RetryBounds(share=0.0, least=least))
+    core.set_retry_bounds(RetryBounds(share=0.0, minimum=least))
     core.update_fleet(nodes)
     sent = sum(core.retry_budget.try_acquire(1.0) for _ in range(100))
     assert sent == floor
