--- a/tests/unit/gateway/places.py
+++ b/tests/unit/gateway/pool_state.py
@@ -1,4 +1,4 @@
-"""What the engines' table holds after exchanges, for tests of its upkeep."""
+"""State of the engine table that tests compare after dispatches."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 from springmux.vocabulary.names import ServiceName, VersionName
 
 
-def free_places(
+def free_capacity(
     placement: Placement, service: ServiceName, versions: tuple[VersionName, ...], now: float
 ) -> int:
-    """Return how many more requests the usable engines take, as far as this node knows."""
+    """Return the number of further requests that the usable engines can take, as far as this node knows."""
     pool = placement._table.pool(service)
     if pool is None:
         return 0
--- a/tests/unit/gateway/test_attempt_timeouts.py
+++ b/tests/unit/gateway/test_attempt_timeouts.py
@@ -1,4 +1,4 @@
-"""A busy engine is waited for, a unresponsive one is not; nothing is given up that has no other engine."""
+"""Timeouts of attempts at busy and unresponsive engines, and the retry reserved before a cancellation."""
 
 from __future__ import annotations
 
@@ -37,10 +37,10 @@
         (2.41, False, False, True),
     ],
 )
-def test_a_silent_engine_is_left_sooner_than_a_busy_one(
+def test_an_unresponsive_engine_times_out_sooner_than_a_busy_one(
     elapsed_s: float, first: bool, unresponsive: bool, over: bool
 ) -> None:
-    """Given a silence, it depends on what else the engine has sent whether the timeout has passed."""
+    """Given no events of a response, the timeout depends on whether the engine has sent anything else."""
     assert AttemptTimeouts(ROUTE).is_over(elapsed_s, first, unresponsive) is over
 
 
@@ -55,17 +55,17 @@
         (0.80, 1.61, False, True),
     ],
 )
-def test_a_long_prompt_is_given_the_time_that_reading_it_takes(
+def test_the_first_event_timeout_covers_the_estimated_prefill(
     prefill_s: float, elapsed_s: float, unresponsive: bool, over: bool
 ) -> None:
-    """Given a prompt that takes longer to read than the usual timeout, its engine is no unresponsive one."""
+    """Given a prompt whose prefill exceeds the usual timeout, the attempt doesn't time out during it."""
     assert AttemptTimeouts(ROUTE, prefill_s).is_over(elapsed_s, True, unresponsive) is over
 
 
-def test_a_retry_is_taken_before_an_engine_is_given_up() -> None:
-    """Given no budget, there is nothing to give up for; given some, the retry is then paid already."""
-    poor = AttemptRules(ROUTE, RetryBudget(0.15, 0), deadline=5.0)
-    assert not poor.reserve(1.0)
+def test_a_retry_is_reserved_before_the_running_attempt_is_cancelled() -> None:
+    """Given no budget, no retry can be reserved; given one, the reserved retry needs no further budget."""
+    rules_without_budget = AttemptRules(ROUTE, RetryBudget(0.15, 0), deadline=5.0)
+    assert not rules_without_budget.reserve(1.0)
     rules = AttemptRules(ROUTE, RetryBudget(0.0, 1), deadline=5.0)
     assert rules.reserve(1.0)
     assert not rules.reserve(1.0)
@@ -73,7 +73,7 @@
 
 
 def test_nothing_is_reserved_near_the_deadline_or_without_another_engine() -> None:
-    """Given no time or no further attempt, the present engine is waited for."""
+    """Given too little time or no further attempt, no retry is reserved."""
     assert not AttemptRules(ROUTE, RetryBudget(0.0, 1), deadline=1.0).reserve(0.97)
     rules = AttemptRules(ROUTE, RetryBudget(0.0, 5), deadline=5.0)
     assert rules.may_try_again(AttemptEnd.MAY_HAVE_RUN, 1.0)
--- a/tests/unit/gateway/test_attempts.py
+++ b/tests/unit/gateway/test_attempts.py
@@ -1,4 +1,4 @@
-"""When a request may go to another engine."""
+"""Rules for another attempt of a request at another engine."""
 
 from __future__ import annotations
 
@@ -23,23 +23,23 @@
     return AttemptRules(route, RetryBudget(0.15, floor), deadline)
 
 
-def test_what_may_have_run_is_not_sent_again_unless_it_may_be_repeated() -> None:
-    """Given a lost answer, only a safe request or a resumable stream has another attempt."""
+def test_a_request_that_may_have_been_executed_is_retried_only_if_repeatable() -> None:
+    """Given a lost response, only a safe request or a resumable stream gets another attempt."""
     assert not _rules(GatewayRouteKind.UNSAFE).may_try_again(AttemptEnd.MAY_HAVE_RUN, 0.0)
     assert not _rules(GatewayRouteKind.STREAM).may_try_again(AttemptEnd.MAY_HAVE_RUN, 0.0)
     assert _rules(GatewayRouteKind.SAFE).may_try_again(AttemptEnd.MAY_HAVE_RUN, 0.0)
     assert _rules(GatewayRouteKind.STREAM, resumable=True).may_try_again(AttemptEnd.MAY_HAVE_RUN, 0.0)
 
 
-def test_no_more_engines_run_it_than_the_route_allows() -> None:
-    """Given two attempts, a third engine gets nothing."""
+def test_the_routes_maximum_of_executed_attempts_is_respected() -> None:
+    """Given a maximum of two attempts, the request is not sent to a third engine."""
     rules = _rules(GatewayRouteKind.SAFE)
     assert rules.may_try_again(AttemptEnd.ERROR_RESPONSE, 0.0)
     assert not rules.may_try_again(AttemptEnd.MAY_HAVE_RUN, 0.0)
 
 
-def test_an_engine_that_declined_has_not_run_it() -> None:
-    """Given declines, an unsafe request goes to another engine and may be refused in the end."""
+def test_a_declined_attempt_does_not_count_as_executed() -> None:
+    """Given declined attempts, an unsafe request goes to other engines up to the limit of declines."""
     rules = _rules(GatewayRouteKind.UNSAFE, attempts=1)
     assert rules.may_try_again(AttemptEnd.DECLINED, 0.0)
     assert rules.may_try_again(AttemptEnd.DECLINED, 0.0)
@@ -47,16 +47,16 @@
     assert not rules.may_have_run
 
 
-def test_a_refusal_is_not_promised_once_it_may_have_run() -> None:
-    """Given a lost answer after a decline, the client may not be told that it has not run."""
+def test_may_have_run_is_set_after_a_lost_response_even_after_a_decline() -> None:
+    """Given a lost response after a decline, the response must not say that the request was not executed."""
     rules = _rules(GatewayRouteKind.SAFE)
     rules.may_try_again(AttemptEnd.DECLINED, 0.0)
     rules.may_try_again(AttemptEnd.MAY_HAVE_RUN, 0.0)
     assert rules.may_have_run
 
 
-def test_the_budget_bounds_sends_but_not_vain_connections() -> None:
-    """Given no budget, nothing is sent again, but another engine may be connected to."""
+def test_the_retry_budget_limits_sent_attempts_but_not_failed_connections() -> None:
+    """Given no budget, nothing is sent again, but connections to other engines may be attempted."""
     assert not _rules(GatewayRouteKind.SAFE, floor=0).may_try_again(AttemptEnd.MAY_HAVE_RUN, 0.0)
     rules = _rules(GatewayRouteKind.UNSAFE, floor=0)
     assert [rules.may_try_again(AttemptEnd.UNSENT, 0.0) for _ in range(MAX_UNSENT_ATTEMPTS)] == [
@@ -65,6 +65,6 @@
     ]
 
 
-def test_near_the_deadline_nothing_is_tried_again() -> None:
-    """Given no time left, the request is answered as it is."""
+def test_nothing_is_retried_near_the_deadline() -> None:
+    """Given too little time before the deadline, the request gets no further attempt."""
     assert not _rules(GatewayRouteKind.SAFE, deadline=1.0).may_try_again(AttemptEnd.DECLINED, 0.96)
--- a/tests/unit/gateway/test_routing.py
+++ b/tests/unit/gateway/test_routing.py
@@ -1,4 +1,4 @@
-"""Routes by host and longest prefix, keys and tenants."""
+"""Lookup of routes by host and longest prefix, of tenants by key, and parsing of prompt headers."""
 
 from __future__ import annotations
 
@@ -62,20 +62,20 @@
         ("A.Example:8080", "/other", "root"),
     ],
 )
-def test_the_longest_prefix_of_the_host_counts(host: str, path: str, name: str) -> None:
+def test_the_route_with_the_longest_prefix_of_the_host_is_found(host: str, path: str, name: str) -> None:
     """Given several prefixes of a path, the longest one's route is found."""
     assert TABLE.admit(host, path, "k1").route.name == name
 
 
 @pytest.mark.parametrize(("host", "path"), [("c.example", "/x/"), ("b.example", "/x/"), ("b.example", "/o")])
-def test_no_route(host: str, path: str) -> None:
-    """Given another host, or a path that no prefix begins, there is no route."""
+def test_a_request_without_a_matching_route_is_rejected(host: str, path: str) -> None:
+    """Given another host, or a path that matches no prefix, there is no route."""
     with pytest.raises(RouteNotFoundError):
         TABLE.admit(host, path, "k1")
 
 
-def test_keys_are_needed_except_on_public_routes() -> None:
-    """Given tenants, a missing or unknown key is refused, but not on a public route."""
+def test_keys_are_required_except_on_public_routes() -> None:
+    """Given tenants, a missing or unknown key is rejected, except on a public route."""
     for key in (None, "k2"):
         with pytest.raises(KeyRejectedError):
             TABLE.admit("a.example", "/", key)
@@ -83,14 +83,14 @@
     assert TABLE.admit("b.example", "/o/", "k1").tenant is TENANT
 
 
-def test_without_tenants_nobody_needs_a_key() -> None:
+def test_no_keys_are_required_without_tenants() -> None:
     """Given no tenants, requests need no key."""
     table = RouteTable(GatewayConfiguration(version=1, routes=(_route("r", "a.example", "/"),)))
     assert table.admit("a.example", "/p", None).tenant is None
 
 
-def test_facts_are_read_from_the_headers() -> None:
-    """Given both headers, the parts keep their order and the tokens are counted."""
+def test_prompt_metadata_is_parsed_from_the_headers() -> None:
+    """Given both headers, the parts keep their order, and malformed parts are ignored."""
     prompt = parse_prompt_metadata(b"5c1e:800,91bd:410, e440:250", b"1460,80")
     assert prompt.prefix == (("5c1e", 800), ("91bd", 410), ("e440", 250))
     assert (prompt.prompt_tokens, prompt.output_tokens) == (1460, 80)
@@ -98,15 +98,15 @@
     assert parse_prompt_metadata(None, b"nonsense").prompt_tokens == 0
 
 
-def test_a_request_counts_its_stated_tokens_or_the_tenants_default() -> None:
-    """Given usage, its sum counts; given none, the default; where requests count, one."""
+def test_quota_units_are_the_stated_tokens_or_the_tenants_default() -> None:
+    """Stated tokens are summed, else the default applies; a tenant that counts requests uses one unit."""
     assert quota_tokens(TENANT, b"1460,80") == 1540
     assert quota_tokens(TENANT, None) == 200
     assert quota_tokens(GatewayTenant(TenantName("t")), b"1460,80") == 1
 
 
-def test_a_tenants_rank_comes_before_the_routes() -> None:
-    """Given ranks of both, a more urgent tenant's least urgent route still comes first."""
+def test_a_tenants_priority_takes_precedence_over_the_routes() -> None:
+    """Given priorities of both, the least urgent route of a more urgent tenant still comes first."""
     urgent = GatewayTenant(TenantName("u"), priority=0)
     least_urgent_route = _route("r", "a", "/", priority=2)
     assert engine_priority(least_urgent_route, urgent) < engine_priority(_route("r", "a", "/"), TENANT)
--- a/tests/unit/gateway/test_versions.py
+++ b/tests/unit/gateway/test_versions.py
@@ -1,4 +1,4 @@
-"""Which version a request goes to, and what becomes of its credit."""
+"""Choice of a request's version, and use or return of its credit for the candidate."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 SERVICE = ServiceName("text")
 ROUTE = RouteName("draft")
 OLD, NEW = VersionName("v1"), VersionName("v2")
-FACTS = PromptMetadata()
+PROMPT = PromptMetadata()
 
 
 class _Chooser:
-    """A version filter that gives one choice and notes what comes back."""
+    """Version filter that returns a fixed choice and records the credits given back."""
 
-    def __init__(self, choice: VersionChoice, lapsed: frozenset[VersionName] = frozenset()) -> None:
+    def __init__(self, choice: VersionChoice, expired: frozenset[VersionName] = frozenset()) -> None:
         self._choice = choice
-        self._lapsed = lapsed
+        self._expired = expired
         self.given_back: list[VersionName] = []
 
     def change(self, choice: VersionChoice) -> None:
@@ -37,19 +37,19 @@
     def watch(
         self, service: ServiceName, route: RouteName, prompt_bytes: int, expected_hit: float, now: float
     ) -> FirstTokenWatch | None:
-        raise AssertionError("a selection watches nothing")
+        raise AssertionError("a selection starts no watch")
 
     def overdue(self, watch: FirstTokenWatch, now: float) -> None:
-        raise AssertionError("a selection watches nothing")
+        raise AssertionError("a selection starts no watch")
 
     def give_back(self, service: ServiceName, version: VersionName, now: float) -> None:
         self.given_back.append(version)
 
     def recheck(self, service: ServiceName, version: VersionName, now: float) -> bool:
-        return version not in self._lapsed
+        return version not in self._expired
 
     def observe(self, outcome: PromptOutcome, now: float, watch: FirstTokenWatch | None = None) -> None:
-        raise AssertionError("a selection observes nothing")
+        raise AssertionError("a selection records no outcome")
 
 
 def _placement(*versions: VersionName) -> Placement:
@@ -67,52 +67,52 @@
 CANDIDATE_FIRST = VersionChoice((NEW, OLD), candidate=True, engines_limit=1)
 
 
-def test_a_candidate_is_tried_once_and_pays_with_its_credit() -> None:
-    """Given a credit and a sent attempt that failed, the next goes to the released version."""
+def test_a_sent_attempt_at_the_candidate_uses_the_credit() -> None:
+    """Given a credit and a sent attempt that failed, the next attempt goes to the stable version."""
     chooser = _Chooser(CANDIDATE_FIRST)
     selection = VersionSelection(chooser, SERVICE, ROUTE, 1, 0.0)
     placement = _placement(OLD, OLD, NEW, NEW)
-    first = selection.next_engine(placement, FACTS, 0.0)
+    first = selection.next_engine(placement, PROMPT, 0.0)
     assert first is not None and first.version == NEW
     selection.record_sent(first)
-    second = selection.next_engine(placement, FACTS, 0.0)
+    second = selection.next_engine(placement, PROMPT, 0.0)
     assert second is not None and second.version == OLD
     selection.give_back(0.0)
     assert chooser.given_back == []
 
 
-def test_an_unused_credit_is_given_back() -> None:
-    """Given a candidate without an engine, the credit returns and the released version serves."""
+def test_a_credit_is_given_back_if_the_candidate_has_no_engine() -> None:
+    """Given a candidate without an engine, the credit is given back and the stable version serves."""
     chooser = _Chooser(CANDIDATE_FIRST)
     selection = VersionSelection(chooser, SERVICE, ROUTE, 1, 0.0)
-    found = selection.next_engine(_placement(OLD), FACTS, 0.0)
+    found = selection.next_engine(_placement(OLD), PROMPT, 0.0)
     assert found is not None and found.version == OLD
     assert chooser.given_back == [NEW]
 
 
-def test_a_lease_that_lapsed_meanwhile_sends_nothing_to_the_candidate() -> None:
-    """Given a recheck that refuses the candidate, its engines are not chosen."""
+def test_a_candidate_rejected_by_the_recheck_gets_no_request() -> None:
+    """Given a recheck that rejects the candidate, as after an expired lease, its engines are not chosen."""
     chooser = _Chooser(CANDIDATE_FIRST, frozenset({NEW}))
-    found = VersionSelection(chooser, SERVICE, ROUTE, 1, 0.0).next_engine(_placement(OLD, NEW), FACTS, 0.0)
+    found = VersionSelection(chooser, SERVICE, ROUTE, 1, 0.0).next_engine(_placement(OLD, NEW), PROMPT, 0.0)
     assert found is not None and found.version == OLD
 
 
-def test_a_withdrawn_version_is_no_way_out() -> None:
-    """Given only engines of a version that may not be used, there is none."""
+def test_no_engine_is_chosen_if_only_other_versions_have_engines() -> None:
+    """Given only engines of a version that may not be used, no engine is chosen."""
     chooser = _Chooser(VersionChoice((OLD,)))
-    assert VersionSelection(chooser, SERVICE, ROUTE, 1, 0.0).next_engine(_placement(NEW), FACTS, 0.0) is None
+    assert VersionSelection(chooser, SERVICE, ROUTE, 1, 0.0).next_engine(_placement(NEW), PROMPT, 0.0) is None
 
 
-def test_a_service_without_a_rollout_takes_any_version() -> None:
+def test_any_version_serves_while_there_is_no_rollout() -> None:
     """Given no versions from the filter, any engine of the service serves."""
     found = VersionSelection(_Chooser(VersionChoice(())), SERVICE, ROUTE, 1, 0.0).next_engine(
-        _placement(NEW), FACTS, 0.0
+        _placement(NEW), PROMPT, 0.0
     )
     assert found is not None
 
 
-def test_a_rollout_that_began_since_the_first_attempt_binds_the_retry() -> None:
-    """Given no rollout at first and one by the retry, the retry goes to the released version."""
+def test_a_rollout_that_began_after_the_first_attempt_applies_to_the_retry() -> None:
+    """Given a rollout that began before the retry, the retry goes to the stable version."""
     chooser = _Chooser(VersionChoice(()))
     selection = VersionSelection(chooser, SERVICE, ROUTE, 1, 0.0)
     placement = _placement(OLD, NEW, NEW, NEW)
@@ -120,7 +120,7 @@
     selection.record_sent(first)
     chooser.change(CANDIDATE_FIRST)
     for _ in range(3):
-        found = selection.next_engine(placement, FACTS, 0.0)
+        found = selection.next_engine(placement, PROMPT, 0.0)
         assert found is not None and found.version == OLD
     assert chooser.given_back == [NEW]
 
@@ -129,7 +129,7 @@
     found: list[EngineRecord] = []
     while True:
         tried = {record.engine for record in found}
-        record = placement.choose(SERVICE, (), FACTS, tried, 0.0)
+        record = placement.choose(SERVICE, (), PROMPT, tried, 0.0)
         if record is None:
             return found
         found.append(record)
