--- a/tests/unit/quota/test_accuracy.py
+++ b/tests/unit/quota/test_accuracy.py
@@ -43,9 +43,9 @@
 ) -> None:
     fleet = QuotaFleet()
     run_load(fleet, load, node_chooser)
-    least, most = fleet.window_extremes(5.0, 40.0, WINDOW_S)
-    assert least >= 1.0 - TOLERANCE
-    assert most <= 1.0 + TOLERANCE
+    lowest, highest = fleet.window_extremes(5.0, 40.0, WINDOW_S)
+    assert lowest >= 1.0 - TOLERANCE
+    assert highest <= 1.0 + TOLERANCE
     assert fleet.admitted(0.0, WINDOW_S) <= (1.0 + TOLERANCE) * RATE * WINDOW_S + BURST
 
 
@@ -74,16 +74,16 @@
     fleet.add_load(20.0, 50.0, 6.0 * RATE, on_all_nodes(fleet))
     fleet.world.run_until(50.0)
     assert fleet.admitted(0.0, 20.0) >= 0.95 * fleet.requested(0.0, 20.0)
-    least, most = fleet.window_extremes(20.0, 50.0, WINDOW_S)
-    assert least >= 1.0 - TOLERANCE
-    assert most <= 1.0 + TOLERANCE + BURST / (RATE * WINDOW_S)
+    lowest, highest = fleet.window_extremes(20.0, 50.0, WINDOW_S)
+    assert lowest >= 1.0 - TOLERANCE
+    assert highest <= 1.0 + TOLERANCE + BURST / (RATE * WINDOW_S)
 
 
 def test_lost_duplicated_and_reordered_messages_create_no_tokens() -> None:
     fleet = QuotaFleet(network=NetworkSettings(loss=0.1, duplication=0.1, reordering=0.2))
     run_load(fleet, 2.0, on_all_nodes)
-    least, most = fleet.window_extremes(5.0, 40.0, WINDOW_S)
-    assert 1.0 - TOLERANCE <= least <= most <= 1.0 + TOLERANCE
+    lowest, highest = fleet.window_extremes(5.0, 40.0, WINDOW_S)
+    assert 1.0 - TOLERANCE <= lowest <= highest <= 1.0 + TOLERANCE
 
 
 OWNER_RETURNS = pytest.mark.parametrize(
@@ -108,21 +108,21 @@
     fleet = QuotaFleet(seed=seed)
     schedule_owner_loss(fleet, owner_returns)
     run_load(fleet, 2.0, on_all_nodes)
-    least, most = fleet.window_extremes(5.0, 40.0, WINDOW_S)
-    assert least >= 1.0 - TOLERANCE
-    assert most <= 1.0 + TOLERANCE
+    lowest, highest = fleet.window_extremes(5.0, 40.0, WINDOW_S)
+    assert lowest >= 1.0 - TOLERANCE
+    assert highest <= 1.0 + TOLERANCE
 
 
 @OWNER_RETURNS
-@pytest.mark.parametrize(("load", "least"), [(0.5, 0.94), (0.8, 0.88)])
+@pytest.mark.parametrize(("load", "min_admitted_share"), [(0.5, 0.94), (0.8, 0.88)])
 def test_a_tenant_below_its_quota_is_rarely_rejected_when_the_owner_is_killed(
-    owner_returns: bool, load: float, least: float
+    owner_returns: bool, load: float, min_admitted_share: float
 ) -> None:
     """Each node gets less than one request per second, which its share must cover as a whole."""
     fleet = QuotaFleet(seed=6)
     schedule_owner_loss(fleet, owner_returns)
     run_load(fleet, load, on_all_nodes, end=25.0)
-    assert fleet.admitted(15.0, 25.0) >= least * fleet.requested(15.0, 25.0)
+    assert fleet.admitted(15.0, 25.0) >= min_admitted_share * fleet.requested(15.0, 25.0)
 
 
 def test_the_windows_detect_an_owner_that_ignores_outstanding_tokens(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/unit/quota/test_quota_allocator.py
+++ b/tests/unit/quota/test_quota_allocator.py
@@ -173,7 +173,7 @@
 
 
 def test_a_repeated_reservation_adds_no_demand() -> None:
-    figures = []
+    requested_tokens = []
     for again in (True, False):
         allocator = make_allocator(REQUESTER)
         allocator.reserve("tenant", 10.0, 1.0)
@@ -181,9 +181,11 @@
         allocator.reserve("tenant", 300.0, 1.1)
         for number in range(10):
             allocator.reserve("tenant", 300.0, 1.1 + number / 1000, again=again)
-        figures.append(sent_request(allocator.handle(Tick(), allocator.next_deadline())).demands[0].requested)
+        requested_tokens.append(
+            sent_request(allocator.handle(Tick(), allocator.next_deadline())).demands[0].requested
+        )
 
-    assert figures[0] < figures[1]
+    assert requested_tokens[0] < requested_tokens[1]
 
 
 def test_the_owner_reclaims_unspent_shares_for_a_waiting_request() -> None:
--- a/tests/unit/usage/test_quota_bound.py
+++ b/tests/unit/usage/test_quota_bound.py
@@ -55,13 +55,16 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 7))
-@pytest.mark.parametrize(("size", "most"), [(12, 0.0), (90, 0.005)])
-def test_a_tenant_below_its_rate_is_not_rejected(size, most, seed) -> None:
+@pytest.mark.parametrize(("size", "extra_rejected_share"), [(12, 0.0), (90, 0.005)])
+def test_a_tenant_below_its_rate_is_not_rejected(size, extra_rejected_share, seed) -> None:
     """No more is rejected than by a single bucket for all nodes; with 90 nodes half a percent more."""
     world = scenarios.steady(seed, size)
     requested = sum(request.tokens for request in world.requests)
     rejected = world.rejected(0.0, 40.0)
-    assert rejected <= (requested - world.admitted_by_single_bucket(0.0, 40.0)) + most * requested
+    assert (
+        rejected
+        <= (requested - world.admitted_by_single_bucket(0.0, 40.0)) + extra_rejected_share * requested
+    )
 
 
 def test_a_lowered_and_a_raised_limit_apply_immediately() -> None:
--- a/tests/unit/usage/world.py
+++ b/tests/unit/usage/world.py
@@ -231,15 +231,15 @@
     def excess(self, rate: float = RATE, burst: float = BURST, account: str = ACCOUNT) -> float:
         """Return by how many tokens the worst 8 s window exceeds rate x 8 + burst; negative if none does."""
         admissions = [(r.at, r.tokens) for r in self.requests if r.admitted and r.account == account]
-        most = total = 0.0
+        largest = total = 0.0
         begin = 0
         for at, tokens in admissions:
             total += tokens
             while admissions[begin][0] <= at - WINDOW_S:
                 total -= admissions[begin][1]
                 begin += 1
-            most = max(most, total)
-        return most - (rate * WINDOW_S + burst)
+            largest = max(largest, total)
+        return largest - (rate * WINDOW_S + burst)
 
     def admitted_by_single_bucket(
         self, begin: float, end: float, rate: float = RATE, burst: float = BURST
