--- a/src/springmux/gateway/refusal_responses.py
+++ b/src/springmux/gateway/refusal_responses.py
@@ -1,4 +1,4 @@
-"""The error responses that the gateway sends itself: status, code, message, and when to retry."""
+"""Error responses that the gateway itself sends: status, code, message and retry delay."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """A response of the gateway itself, in place of an engine's.
+    """An error response that the gateway sends in place of an engine's response.
 
     ``retry_after_s`` is set exactly where the request was not executed.
     """
@@ -34,7 +34,7 @@
     "this node is out of contact and can't tell whether the key is still valid",
     0.2,
 )
-"""Other nodes probably have current keys, so the client may retry soon."""
+"""The retry delay is short, since other nodes probably have a current view of revoked keys."""
 BODY_TOO_LARGE = Refusal(
     RefusalReason.BODY_TOO_LARGE, 413, "body_too_large", "the body is larger than the limit"
 )
@@ -53,12 +53,16 @@
     "no answer within the time allowed; the request may have run",
 )
 TOO_LATE_UNSENT = Refusal(
-    RefusalReason.NOT_SENT_IN_TIME, 503, "deadline_exceeded", "no engine took the request in time", 0.25
+    RefusalReason.NOT_SENT_IN_TIME,
+    503,
+    "deadline_exceeded",
+    "no engine took the request in time",
+    0.25,
 )
 
 
 def over_quota(retry_after_s: float) -> Refusal:
-    """Return the refusal of a request over its tenant's quota."""
+    """Return the refusal of a request that exceeds its tenant's quota, with the retry delay in seconds."""
     return Refusal(
         RefusalReason.QUOTA_EXCEEDED, 429, "quota_exceeded", "the tenant's quota is used up", retry_after_s
     )
--- a/src/springmux/node/gateway/attempt_loop.py
+++ b/src/springmux/node/gateway/attempt_loop.py
@@ -20,7 +20,7 @@
     services, route, prompt = request.services, request.route, request.prompt
     core = services.core
     loop = asyncio.get_running_loop()
-    core.retry_budget.note_request(loop.time())
+    core.retry_budget.record_request(loop.time())
     service = choose_service(route, prompt, services.randomness)
     services.rates.dispatched(service)
     await services.startup_gate.wait_for(lambda: core.placement.knows_engines(service))
@@ -66,10 +66,10 @@
     request: ForwardedRequest, selection: VersionSelection, record: EngineRecord
 ) -> AttemptResult:
     request.services.core.counters.dispatches += 1
-    request.trace.attempt(record.engine)
+    request.trace.record_attempt(record.engine)
     result = await Attempt(request, record, selection).run()
     if result.end is AttemptEnd.UNSENT:
-        selection.not_sent(record)
+        selection.record_not_sent(record)
     if result.end in (AttemptEnd.UNSENT, AttemptEnd.DECLINED):
         request.in_doubt = False
     return result
