--- a/src/springmux/coordination/__init__.py
+++ b/src/springmux/coordination/__init__.py
@@ -1,5 +1,5 @@
-"""The embeddable coordination library: pure state machines, no I/O, no clock, no global randomness.
+"""The embeddable coordination library: pure state machines without I/O, clocks or global randomness.
 
-Every part has ``handle(event, now) -> list[Effect]`` (see :mod:`springmux.coordination.state_machine`).
-This folder imports nothing else of springmux, so that others can embed it alone.
+Every component has ``handle(event, now) -> list[Effect]`` (see :mod:`springmux.coordination.state_machine`).
+This package imports no other part of springmux, so that other programs can embed it alone.
 """
--- a/src/springmux/coordination/claims/claim_coordinator.py
+++ b/src/springmux/coordination/claims/claim_coordinator.py
@@ -1,8 +1,8 @@
-"""State machine of the claims: at most one run of an action, decided by two of three holders.
+"""State machine of the claims protocol: an action runs at most once, as decided by two of three holders.
 
 Source: majority locks with intersecting quorums (Gifford 1979; Thomas 1979). In addition, a holder with a
-disk replies to a request only once its grant is synced, and a holder that lost its memory, joined, paused or
-was down pulls the records of the others before it grants (docs/notes/claims.md).
+disk replies to a request only once its grant is synced. A holder that lost its records, joined, paused or was
+down pulls the records of the others before it grants (docs/notes/claims.md).
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 )
 
 INCARNATION_BITS = 62
-"""Random incarnations of this size fit a signed 64-bit integer on the wire."""
+"""Size of random incarnations; they fit a signed 64-bit integer on the wire."""
 
 
 class ClaimCoordinator:
@@ -58,7 +58,7 @@
     ``ClaimsPersistFailed``, ``MessageReceived`` and ``Tick``; returns ``Send``, ``PersistClaims``,
     ``ClaimResolved`` and ``LogLine``. A granted claim must be ended.
 
-    :param recovered: content of the node's journal at start; ``None`` on a node without a disk, which
+    :param recovered: content of the node's journal at start, or ``None`` on a node without a disk, which
         keeps claims in memory only and never emits ``PersistClaims``.
     """
 
@@ -95,31 +95,31 @@
         self._last_event_at: float | None = None
 
     def next_deadline(self) -> float:
-        """Return when the next tick is due; ``tick_s`` bounds it, so that a pause is detected."""
+        """Return when the next tick is due: within ``tick_s``, so that a pause can be detected."""
         next_tick = 0.0 if self._last_event_at is None else self._last_event_at + self._settings.tick_s
         disk = self._persistence.deadline if self._persistence else NEVER
         return min(next_tick, self._claimant.deadline, self._synchronizer.deadline, disk)
 
     def handle(self, event: Event, now: float) -> list[Effect]:
-        """Handle one event, and messages to this node itself in place; return the effects to execute."""
+        """Handle one event and the resulting messages to this node itself; return the effects to execute."""
         effects = self._recover(now)
         effects += self._detect_pause(now)
         effects += self._handle(event, now)
         if now >= self._synchronizer.deadline:
             effects += self._synchronizer.send_pulls(now)
         effects += self._claimant.tick(now)
-        return self._deliver_local(effects, now) + self._flush(now)
+        return self._deliver_local(effects, now) + self._flush_journal(now)
 
     def held_keys(self) -> int:
-        """Return the number of keys this node remembers, for status pages."""
+        """Return the number of keys of which this node has a record, for status pages."""
         return len(self._holder.store)
 
     def is_synchronized(self, now: float) -> bool:
-        """Return whether this node's memory of claims is complete."""
+        """Return whether this node's records of claims are complete."""
         return self._synchronizer.is_intact(now)
 
     def _recover(self, now: float) -> list[Effect]:
-        """Restore the journal's records at the first event, which supplies the time."""
+        """Restore the journal's records at the first event, since only events supply the time."""
         recovered, self._recovered = self._recovered, None
         if recovered is None:
             return []
@@ -128,15 +128,15 @@
             return []
         return [LogLine("claims_journal_damaged", LogLevel.ERROR, {"reason": recovered.damage})]
 
-    def _flush(self, now: float) -> list[Effect]:
+    def _flush_journal(self, now: float) -> list[Effect]:
         if self._persistence is None:
             return []
-        state = self._synchronizer.take_new_state(now)
+        state = self._synchronizer.pop_changed_state(now)
         if state is not None:
             self._persistence.write(state)
         return self._persistence.flush(now)
 
-    def _persisted(self, batch: int) -> list[Effect]:
+    def _handle_persisted(self, batch: int) -> list[Effect]:
         assert self._persistence is not None
         replies = [
             (grant, self._holder.reply_to_persisted(grant))
@@ -164,7 +164,7 @@
             case HoldersChanged():
                 return self._change_ring(event, now)
             case ClaimsPersisted(batch=batch):
-                return self._persisted(batch)
+                return self._handle_persisted(batch)
             case ClaimsPersistFailed():
                 if self._persistence is not None:
                     self._persistence.handle_failure(event, now)
@@ -206,7 +206,7 @@
         return effects
 
     def _deliver_local(self, effects: list[Effect], now: float) -> list[Effect]:
-        """Handle messages to this node itself until none is left; return the other effects."""
+        """Handle messages from this node to itself until none is left; return the other effects."""
         remote: list[Effect] = []
         pending = effects
         while pending:
--- a/src/springmux/coordination/claims/claimant.py
+++ b/src/springmux/coordination/claims/claimant.py
@@ -1,4 +1,4 @@
-"""Claimant: requests a key from three holders, needs two grants, and settles the outcome with all."""
+"""Claimant: requests a key from its three holders, needs two grants, and reports the outcome to all."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 from springmux.coordination.state_machine import NEVER, Effect, Send
 
 
-class Phase(enum.Enum):
-    """Phase of a claim at its claimant."""
+class ClaimPhase(enum.Enum):
+    """Phase of a claim at the claimant."""
 
     REQUESTING = "requesting"
     GRANTED = "granted"
@@ -30,29 +30,29 @@
 
 
 class Claim:
-    """One attempt of this node. ``span``: the key's holders at the time of the request."""
+    """One attempt of this node. ``span``: the holders of the key at the time of the request."""
 
     def __init__(self, attempt: ClaimAttempt, key: str, span: HolderSpan, now: float) -> None:
         self.attempt = attempt
         self.key = key
         self.span = span
-        self.phase = Phase.REQUESTING
+        self.phase = ClaimPhase.REQUESTING
         self.since = now
-        self.next_send = now
+        self.next_send_at = now
         self.grants: dict[NodeId, ClaimReply] = {}
         self.rejections: dict[NodeId, ClaimReply] = {}
-        self.unready: set[NodeId] = set()
+        self.not_ready: set[NodeId] = set()
         self.settle: ClaimSettle | None = None
         self.unacknowledged: set[NodeId] = set()
         self.added_holders: set[NodeId] = set()
         self.settle_interval_s = 0.0
 
     def majority(self) -> int:
-        """Return the number of grants that decide."""
+        """Return the number of grants that is needed."""
         return len(self.span.holders) // 2 + 1
 
     def has_majority(self) -> bool:
-        """Return whether a majority of grants is consistent: each names the others' incarnations."""
+        """Return whether a majority of the grants is consistent: each contains the other's incarnation."""
         if self.majority() == 1:
             return bool(self.grants)
         return any(
@@ -69,7 +69,7 @@
 
 
 class Claimant:
-    """All attempts of this node that are requested, running or being settled."""
+    """All attempts of this node that are being requested, running or being settled."""
 
     def __init__(self, own: NodeId, incarnation: int, settings: ClaimSettings) -> None:
         self._own = own
@@ -84,7 +84,7 @@
         return self._deadline
 
     def request(self, event: ClaimWanted, span: HolderSpan | None, now: float) -> list[Effect]:
-        """Request the key from its holders; without a ring it is unavailable at once."""
+        """Request the key from its holders; while no ring is known it is unavailable immediately."""
         if span is None or not span.holders or event.correlation_id in self._claims:
             return [_resolved(event.correlation_id, ClaimVerdict.UNAVAILABLE)]
         attempt = ClaimAttempt(self._own, self._incarnation, event.correlation_id)
@@ -93,65 +93,68 @@
         return self._send_request(claim, now)
 
     def handle_reply(self, sender: NodeId, message: ClaimReply, now: float) -> list[Effect]:
-        """Count a holder's reply; replies to attempts already decided are ignored."""
+        """Count a holder's reply. Replies to decided attempts are ignored, except further grants."""
         claim = self._find(message.attempt)
         if claim is None or sender not in claim.span.holders:
             return []
-        if claim.phase is Phase.GRANTED and message.status is HolderStatus.GRANTED:
+        if claim.phase is ClaimPhase.GRANTED and message.status is HolderStatus.GRANTED:
             claim.grants[sender] = message
-        if claim.phase is not Phase.REQUESTING:
+        if claim.phase is not ClaimPhase.REQUESTING:
             return []
         if message.status is HolderStatus.GRANTED:
             claim.grants[sender] = message
         elif message.status is HolderStatus.HELD:
             claim.rejections[sender] = message
         else:
-            claim.unready.add(sender)
+            claim.not_ready.add(sender)
         return self._evaluate(claim, now)
 
     def end(self, event: ClaimEnded, now: float) -> list[Effect]:
-        """Settle a granted claim with all its holders."""
+        """Report the outcome of a granted claim to all its holders."""
         claim = self._claims.get(event.correlation_id)
-        if claim is None or claim.phase is not Phase.GRANTED:
+        if claim is None or claim.phase is not ClaimPhase.GRANTED:
             return []
         answer = event.answer if len(event.answer) <= self._settings.max_answer_bytes else b""
         return self._begin_settle(claim, event.ran, answer, now)
 
     def abandon(self, correlation_id: str, now: float) -> list[Effect]:
-        """Withdraw a claim whose client has gone; a granted one must be ended instead."""
+        """Withdraw an undecided claim whose client disconnected; a granted one must be ended instead."""
         claim = self._claims.get(correlation_id)
-        if claim is None or claim.phase is not Phase.REQUESTING:
+        if claim is None or claim.phase is not ClaimPhase.REQUESTING:
             return []
         return self._begin_settle(claim, False, b"", now)
 
     def handle_settle_ack(self, sender: NodeId, message: ClaimSettleAck) -> None:
-        """Record a holder's acknowledgement; the last one removes the claim."""
+        """Record a holder's acknowledgement, and remove the claim after the last one."""
         claim = self._find(message.attempt)
-        if claim is not None and claim.phase is Phase.SETTLING:
+        if claim is not None and claim.phase is ClaimPhase.SETTLING:
             claim.unacknowledged.discard(sender)
             if not claim.unacknowledged:
                 del self._claims[claim.attempt.name]
 
     def add_holders(self, holders: dict[str, HolderSpan]) -> None:
-        """Settle also with holders added by a ring change, since they may have pulled the claim."""
+        """Also report outcomes to holders added by a ring change, since they may have pulled the claim.
+
+        :param holders: the current holders of each open key.
+        """
         for claim in self._claims.values():
             span = holders.get(claim.key)
             if span is None:
                 continue
             claim.added_holders.update(span.holders)
-            if claim.phase is Phase.SETTLING:
+            if claim.phase is ClaimPhase.SETTLING:
                 claim.unacknowledged.update(span.holders)
 
     def open_keys(self) -> set[str]:
-        """Return the keys of all open claims."""
+        """Return the keys of all claims that aren't removed yet."""
         return {claim.key for claim in self._claims.values()}
 
     def own_records(self) -> list[ClaimRecord]:
-        """Return this node's own granted or ended claims, for a holder that restores its memory."""
+        """Return this node's own granted or ended claims, for a holder that restores its records."""
         found = []
         for claim in self._claims.values():
             settle = claim.settle
-            if claim.phase is Phase.GRANTED:
+            if claim.phase is ClaimPhase.GRANTED:
                 found.append(ClaimRecord(claim.key, (claim.attempt,), ClaimState.RUNNING))
             elif settle is not None and settle.ran:
                 found.append(ClaimRecord(claim.key, (claim.attempt,), ClaimState.FINISHED, settle.answer))
@@ -168,13 +171,13 @@
         return effects
 
     def _tick_claim(self, claim: Claim, now: float) -> list[Effect]:
-        if claim.phase is Phase.REQUESTING and now >= claim.since + self._settings.decision_timeout_s:
+        if claim.phase is ClaimPhase.REQUESTING and now >= claim.since + self._settings.decision_timeout_s:
             return self._reject(claim, now)
-        if claim.phase is Phase.SETTLING and now >= claim.since + self._settings.settle_give_up_s:
+        if claim.phase is ClaimPhase.SETTLING and now >= claim.since + self._settings.settle_give_up_s:
             del self._claims[claim.attempt.name]
             return []
         effects: list[Effect] = []
-        if now >= claim.next_send:
+        if now >= claim.next_send_at:
             effects = self._send_settle(claim, now) if claim.settle else self._send_request(claim, now)
         else:
             self._schedule(claim)
@@ -188,21 +191,21 @@
             effects = self._begin_settle(claim, False, b"", now)
             return [_resolved(claim.attempt.name, ClaimVerdict.FINISHED, finished.answer), *effects]
         if claim.has_majority():
-            claim.phase = Phase.GRANTED
+            claim.phase = ClaimPhase.GRANTED
             return [_resolved(claim.attempt.name, ClaimVerdict.GRANTED)]
-        rejecting = len(set(claim.rejections) | claim.unready - set(claim.grants))
+        rejecting = len(set(claim.rejections) | claim.not_ready - set(claim.grants))
         if len(claim.span.holders) - rejecting < claim.majority():
             return self._reject(claim, now)
         return []
 
     def _reject(self, claim: Claim, now: float) -> list[Effect]:
-        """Resolve without a grant and withdraw. A key granted to another attempt counts as running."""
+        """Resolve a claim without a grant, and withdraw it. A key of another attempt counts as running."""
         verdict = ClaimVerdict.RUNNING if claim.rejections else ClaimVerdict.UNAVAILABLE
         effects = self._begin_settle(claim, False, b"", now)
         return [_resolved(claim.attempt.name, verdict), *effects]
 
     def _begin_settle(self, claim: Claim, ran: bool, answer: bytes, now: float) -> list[Effect]:
-        claim.phase = Phase.SETTLING
+        claim.phase = ClaimPhase.SETTLING
         claim.since = now
         claim.settle = ClaimSettle(claim.attempt, claim.key, ran, answer)
         claim.unacknowledged = claim.added_holders.union(claim.span.holders)
@@ -210,9 +213,9 @@
         return self._send_settle(claim, now)
 
     def _send_request(self, claim: Claim, now: float) -> list[Effect]:
-        is_requesting = claim.phase is Phase.REQUESTING
+        is_requesting = claim.phase is ClaimPhase.REQUESTING
         interval_s = self._settings.resend_s if is_requesting else self._settings.settle_resend_s
-        claim.next_send = now + interval_s
+        claim.next_send_at = now + interval_s
         request = ClaimRequest(claim.attempt, claim.key, claim.span.since, claim.span.until)
         pending = [holder for holder in claim.span.holders if holder not in claim.grants]
         self._schedule(claim)
@@ -222,14 +225,14 @@
 
     def _send_settle(self, claim: Claim, now: float) -> list[Effect]:
         assert claim.settle is not None
-        claim.next_send = now + claim.settle_interval_s
+        claim.next_send_at = now + claim.settle_interval_s
         claim.settle_interval_s = min(2.0 * claim.settle_interval_s, self._settings.settle_resend_limit_s)
         self._schedule(claim)
         return [Send(holder, claim.settle) for holder in sorted(claim.unacknowledged)]
 
     def _schedule(self, claim: Claim) -> None:
-        deadline = claim.next_send
-        if claim.phase is Phase.REQUESTING:
+        deadline = claim.next_send_at
+        if claim.phase is ClaimPhase.REQUESTING:
             deadline = min(deadline, claim.since + self._settings.decision_timeout_s)
         self._deadline = min(self._deadline, deadline)
 
--- a/src/springmux/coordination/claims/decision.py
+++ b/src/springmux/coordination/claims/decision.py
@@ -1,4 +1,4 @@
-"""Decision on a claim of an at-most-once key."""
+"""Decision on the claim of an at-most-once key."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 
 class ClaimVerdict(enum.StrEnum):
-    """Outcome of the holders' replies."""
+    """Result of a claim according to the holders' replies."""
 
     GRANTED = "granted"
-    """Two of three holders recorded this claimant; it alone may run."""
+    """Two of three holders recorded this claimant; only it may run the action."""
     RUNNING = "running"
-    """Another claimant holds the key and has not reported an end."""
+    """Another claimant has the key and has not reported an outcome."""
     FINISHED = "finished"
     """The action ran; ``answer`` is the stored response, if it was small enough."""
     UNAVAILABLE = "unavailable"
-    """No two holders replied in time; nothing runs."""
+    """No two holders granted the key in time, so nothing runs."""
 
 
 class ClaimDecision(msgspec.Struct, frozen=True):
-    """Verdict for one request, with the stored response of a finished one (opaque bytes)."""
+    """Verdict on one request. ``answer``: for FINISHED, the stored response as opaque bytes, if any."""
 
     verdict: ClaimVerdict
     answer: bytes = b""
--- a/src/springmux/coordination/claims/holder.py
+++ b/src/springmux/coordination/claims/holder.py
@@ -1,4 +1,4 @@
-"""Holder: grants a key to the first attempt, stores outcomes, replies to pulls."""
+"""Holder: grants a key to the first attempt, stores outcomes, and replies to pulls."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 class Holder:
     """Decides on the keys that this node holds.
 
-    :param persistence: the journal of a node with a disk; without one, grants are sent at once.
+    :param persistence: the journal of a node with a disk; without it, grants are sent immediately.
     """
 
     def __init__(
@@ -51,8 +51,8 @@
         self.store = store
         self._persistence = persistence
         self._granted: dict[str, ClaimAttempt] = {}
-        self._hashed: dict[str, tuple[NodeId, ...]] = {}
-        self._hashed_version = 0
+        self._holders_by_key: dict[str, tuple[NodeId, ...]] = {}
+        self._holders_version = 0
 
     def restore(self, claims: Iterable[ClaimStored], now: float) -> None:
         """Restore the journal's records."""
@@ -64,7 +64,8 @@
     def handle_request(self, claimant: NodeId, request: ClaimRequest, now: float) -> ClaimReply | None:
         """Grant the key to the first attempt under this node's ring, and to no other.
 
-        :returns: ``None`` while the disk is pending or unusable; the claimant proceeds with the others.
+        :returns: ``None`` while the grant isn't durable or the disk is unusable; the claimant proceeds with
+            the other holders.
         """
         attempt = request.attempt
         if self.store.is_withdrawn(attempt):
@@ -98,7 +99,7 @@
         return self._grant(grant.attempt, tuple(each for each in span.holders if each != self._own))
 
     def apply_settle(self, message: ClaimSettle, now: float) -> None:
-        """Apply the outcome of an attempt: store that it ran, or withdraw it and never grant it again."""
+        """Apply the outcome of an attempt: record that it ran, or withdraw it and never grant it again."""
         record = self.store.find(message.key)
         if message.ran:
             if record is None or record.state is ClaimState.RUNNING or message.attempt in record.attempts:
@@ -119,7 +120,7 @@
             self.store.remove(message.key)
 
     def merge(self, records: Iterable[ClaimRecord], now: float) -> None:
-        """Merge a peer's records. Their attempts block the key, but are not granted by this node."""
+        """Merge a peer's records. Their attempts block the key, but this node doesn't grant it to them."""
         for record in records:
             known = self.store.find(record.key)
             if record.state is ClaimState.FINISHED:
@@ -140,7 +141,10 @@
     def build_page(
         self, sender: NodeId, pull: ClaimPull, own_claims: Iterable[ClaimRecord], now: float
     ) -> ClaimPage | None:
-        """Return the page for a pull; ``None`` if the puller has another ring or has restarted since."""
+        """Return the next page for a pull; ``None`` if the sender has another ring or has restarted since.
+
+        :param own_claims: claims of this node as claimant, added to the last page.
+        """
         ring = self._rings.current
         if (
             ring is None
@@ -171,23 +175,23 @@
         )
 
     def expire(self, now: float) -> None:
-        """Drop expired records."""
+        """Remove expired records and withdrawals."""
         self.store.expire(now)
         if len(self._granted) > 2 * len(self.store) + self._settings.page_records:
             self._granted = {key: own for key, own in self._granted.items() if self.store.find(key)}
 
     def _holders_of(self, ring: ClaimRing, key: str) -> tuple[NodeId, ...]:
         """Return a key's holders, cached for all peers that pull under the same ring."""
-        if ring.version != self._hashed_version or len(self._hashed) > self._settings.max_entries:
-            self._hashed.clear()
-            self._hashed_version = ring.version
-        holders = self._hashed.get(key)
+        if ring.version != self._holders_version or len(self._holders_by_key) > self._settings.max_entries:
+            self._holders_by_key.clear()
+            self._holders_version = ring.version
+        holders = self._holders_by_key.get(key)
         if holders is None:
-            holders = self._hashed[key] = ring.holders(key)
+            holders = self._holders_by_key[key] = ring.holders(key)
         return holders
 
     def _position_before_anchors(self, anchors: tuple[str, ...]) -> int:
-        """Return the position before the oldest known anchor, 0 if none is known."""
+        """Return the change log position before the oldest known anchor, or 0 if none is known."""
         positions = [self.store.position_of(key) for key in anchors]
         return min((position - 1 for position in positions if position is not None), default=0)
 
@@ -198,7 +202,7 @@
         return ClaimReply(attempt, HolderStatus.GRANTED, self._incarnation, self._incarnations.of(peers))
 
     def _peers_if_ready(self, request: ClaimRequest, now: float) -> tuple[NodeId, ...] | None:
-        """Return the other holders of the key, or ``None`` if this node may not grant it now."""
+        """Return the other holders of the key, or ``None`` if this node may not grant the key now."""
         span = self._rings.span(request.key)
         if span is None or self._own not in span.holders:
             return None
--- a/src/springmux/coordination/claims/journal.py
+++ b/src/springmux/coordination/claims/journal.py
@@ -1,6 +1,6 @@
 """Journal entries of a holder with a disk, and their recovery at its start.
 
-The holder's memory is a fold over its entries in order: the last entry of a key wins.
+The holder's records are a fold over the entries in order; the last entry of a key wins.
 :mod:`springmux.storage.claim_journal` stores the entries; this module defines their meaning.
 """
 
@@ -16,23 +16,23 @@
 
 
 class ClaimStored(msgspec.Struct, frozen=True, array_like=True, omit_defaults=True, tag="ClaimKept"):
-    """A key's current record. ``granted``: the attempt that this holder itself granted, if any."""
+    """The record of a key changed. ``granted``: the attempt that this holder itself granted, if any."""
 
     record: ClaimRecord
     granted: ClaimAttempt | None = None
 
 
 class ClaimReleased(msgspec.Struct, frozen=True, array_like=True, tag="ClaimFreed"):
-    """A key was withdrawn, evicted or has expired."""
+    """The record of a key was removed: it was withdrawn, evicted or expired."""
 
     key: str
 
 
 class HolderState(msgspec.Struct, frozen=True, array_like=True, tag="HolderState"):
-    """Extent of the holder's memory, written only while that is complete.
+    """Extent of the holder's records, written only while they are complete.
 
-    ``rings``: the newest rings without a gap. ``complete``: for each peer the ring version under
-    which all its records were pulled; those entries precede this one.
+    ``rings``: the newest rings without a gap. ``complete``: for each peer the ring version under which all
+    its records were pulled; the entries of these records precede this one.
     """
 
     rings: tuple[ClaimRing, ...]
@@ -43,11 +43,11 @@
 
 
 class RecoveredClaims(msgspec.Struct, frozen=True):
-    """A holder's journal at start.
+    """Content of a holder's journal at its start.
 
-    ``founded``: the journal is as old as the replica ``replica`` and has lost nothing, so a missing key was
-    never granted under this identity. ``damage``: why an earlier journal was set aside; its content is then
-    ignored.
+    ``founded``: whether the journal is as old as the replica ``replica`` and has lost nothing, so that a
+    missing key was never granted under this identity. ``damage``: why an earlier journal was set aside, with
+    its content ignored; empty otherwise.
     """
 
     replica: ReplicaId
@@ -58,14 +58,14 @@
 
 
 class JournalFold:
-    """Folds entries into the final records, in the order of their last change."""
+    """Folds entries into the resulting records, in the order of their last change."""
 
     def __init__(self) -> None:
         self._stored: dict[str, ClaimStored] = {}
         self.state: HolderState | None = None
 
-    def take(self, entries: Iterable[ClaimEntry]) -> None:
-        """Add entries, oldest first."""
+    def apply(self, entries: Iterable[ClaimEntry]) -> None:
+        """Apply entries, oldest first."""
         for entry in entries:
             if isinstance(entry, ClaimStored):
                 self._stored.pop(entry.record.key, None)
@@ -76,10 +76,10 @@
                 self.state = entry
 
     def claims(self) -> tuple[ClaimStored, ...]:
-        """Return the stored keys."""
+        """Return the resulting records of keys."""
         return tuple(self._stored.values())
 
     def entries(self) -> list[ClaimEntry]:
-        """Return the shortest journal with the same meaning."""
+        """Return the shortest journal that results in the same records and state."""
         state: list[ClaimEntry] = [self.state] if self.state is not None else []
         return [*self._stored.values(), *state]
--- a/src/springmux/coordination/claims/messages.py
+++ b/src/springmux/coordination/claims/messages.py
@@ -1,4 +1,4 @@
-"""Peer messages and records of the claims protocol."""
+"""Peer messages of the claims protocol, and the records that they carry."""
 
 from __future__ import annotations
 
@@ -22,16 +22,17 @@
     """State of a key at a holder."""
 
     RUNNING = 0
-    """Granted; the claimant has not reported an end, and after a crash never will."""
+    """The key is granted. The claimant has not reported an outcome, and after a crash never will."""
     FINISHED = 1
-    """It ran."""
+    """The action ran."""
 
 
 class ClaimRecord(msgspec.Struct, frozen=True, array_like=True):
-    """One key at a holder. ``answer``: the stored response, if it was small enough.
+    """Record of one key at a holder.
 
-    ``attempts``: all that may have the key. A holder grants it to one, but learns other holders' grants by
-    pulling; the key is free again only when all of them were withdrawn.
+    ``attempts``: all attempts that may have the key. A holder grants it to one, but learns the grants of
+    other holders by pulling; the key is free again only when all these attempts were withdrawn.
+    ``answer``: the stored response, if it was small enough.
     """
 
     key: str
@@ -41,19 +42,23 @@
 
 
 class HolderStatus(enum.IntEnum):
-    """A holder's reply to a claim."""
+    """Status in a holder's reply to a claim request."""
 
     GRANTED = 0
     HELD = 1
-    """Another attempt has the key; the reply says in which state."""
+    """Another attempt has the key; the reply contains the key's state."""
     NOT_READY = 2
-    """The holder's ring or memory is not up to date, so it decides nothing."""
+    """The ring or the records of the holder aren't up to date, so it can't decide."""
     WITHDRAWN = 3
-    """This attempt was withdrawn before."""
+    """This attempt was withdrawn earlier."""
 
 
 class ClaimRequest(PeerMessage, frozen=True, tag="ClaimRequest"):
-    """Request of a key from a holder; ``since``..``until``: the ring versions with the same holders."""
+    """Request for a key, sent to its holders.
+
+    ``since``, ``until``: the first and last version of the consecutive rings in which, as far as the claimant
+    knows, the key has these holders.
+    """
 
     attempt: ClaimAttempt
     key: str
@@ -64,9 +69,9 @@
 class ClaimReply(PeerMessage, frozen=True, tag="ClaimReply"):
     """A holder's reply to :class:`ClaimRequest`.
 
-    ``incarnation``: the holder's own; ``peer_incarnations``: those of the other holders as known to it. Two
-    grants count together only if each names the other's incarnation: a holder that lost a grant in a restart
-    has since pulled from the others, which then name its new incarnation.
+    ``incarnation``: that of the holder. ``peer_incarnations``: those of the other holders as far as it knows
+    them. Two grants count together only if each contains the other's incarnation: a holder that lost a grant
+    in a restart has since pulled from the others, whose replies then contain its new incarnation.
     """
 
     attempt: ClaimAttempt
@@ -78,9 +83,9 @@
 
 
 class ClaimSettle(PeerMessage, frozen=True, tag="ClaimSettle"):
-    """Outcome of an attempt, resent by the claimant until acknowledged.
+    """Outcome of an attempt, resent by the claimant until the holder acknowledges it.
 
-    ``ran`` false: withdrawn or never dispatched, so the key is free for others.
+    ``ran``: false if the attempt was withdrawn or never dispatched, so that the key is free for others.
     """
 
     attempt: ClaimAttempt
@@ -96,11 +101,12 @@
 
 
 class ClaimPull(PeerMessage, frozen=True, tag="ClaimPull"):
-    """Request of a peer's records of the keys that the sender holds under ring ``version``.
+    """Request for the receiver's records of the keys that the sender holds under ring ``version``.
 
-    ``peer_incarnation`` and ``after``: the peer's incarnation and change log position that the sender has
-    reached. ``anchors``: newest finished keys of a sender whose journal is intact. A peer with another
-    incarnation than ``peer_incarnation`` begins at the oldest of them that it knows.
+    ``peer_incarnation`` and ``after``: the receiver's incarnation, and the position in its change log that
+    the sender has reached. ``anchors``: the newest finished keys of a sender with an intact journal. If the
+    receiver's incarnation differs from ``peer_incarnation``, its reply begins at the oldest anchor that it
+    knows.
     """
 
     version: int
@@ -112,10 +118,10 @@
 
 
 class ClaimPage(PeerMessage, frozen=True, tag="ClaimPage"):
-    """One page of the reply to :class:`ClaimPull`; ``end_position``: the change log position reached.
+    """One page of the reply to :class:`ClaimPull`.
 
-    ``intact`` false: the peer lost its own memory in a restart (or a wipe of its disk) and has not restored
-    it yet.
+    ``end_position``: the position in the sender's change log that the page reaches. ``intact``: false if the
+    sender lost its records in a restart (or a wipe of its disk) and has not restored them yet.
     """
 
     version: int
--- a/src/springmux/coordination/claims/persistence.py
+++ b/src/springmux/coordination/claims/persistence.py
@@ -1,7 +1,7 @@
-"""Group commit of a holder's journal: one batch in flight while the next one collects.
+"""Group commit of a holder's journal: while one batch is written, entries collect for the next one.
 
-A grant is sent only after its batch was synced. Other entries are written in order but not waited for:
-losing one can only leave a key claimed that was released.
+A grant is sent only after its batch was synced. Nothing waits for other entries, which are written in order:
+losing one can at worst leave a released key claimed.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class PendingGrant(msgspec.Struct, frozen=True):
-    """A grant that is not durable yet."""
+    """A grant that isn't durable yet, so that it has not been sent."""
 
     attempt: ClaimAttempt
     key: str
@@ -24,7 +24,7 @@
 
 
 class ClaimPersistence:
-    """Writes the holder's journal. Any failure except a full disk is permanent."""
+    """Writes the holder's journal. Any failure other than a full disk is permanent."""
 
     def __init__(self, settings: ClaimSettings) -> None:
         self._settings = settings
@@ -42,34 +42,34 @@
 
     @property
     def deadline(self) -> float:
-        """Return when a stall is to be detected or a full disk to be retried."""
+        """Return when a batch in flight counts as stalled, or a full disk is retried."""
         stall_at = NEVER if self._stalled else self._sent_at + self._settings.disk_stall_s
         return min(stall_at, self._retry_at)
 
     def write(self, entry: ClaimEntry) -> None:
-        """Add an entry to the next batch; after a permanent failure, drop it."""
+        """Add an entry to the next batch; after a permanent failure the entry is dropped."""
         if self._failed:
             return
         self._queue.append(entry)
         if len(self._queue) > self._settings.max_entries:
-            # A missing entry would invalidate the later ones, so the journal ends here.
-            self._fail("the journal waits for too long", "queue")
+            # Later entries would be invalid without a dropped one, so the journal ends here.
+            self._fail("too many journal entries wait for the disk", "queue")
 
     def defer_grant(self, grant: PendingGrant) -> None:
-        """Send a grant only once everything written so far is durable."""
+        """Queue a grant that may be sent once everything written so far is durable."""
         self._pending.add(grant.attempt)
         self._queued_grants.append(grant)
 
     def is_pending(self, attempt: ClaimAttempt) -> bool:
-        """Return whether a grant of this attempt is not durable yet."""
+        """Return whether a grant of this attempt isn't durable yet."""
         return attempt in self._pending
 
     def is_usable(self) -> bool:
-        """Return whether new grants can be synced soon."""
+        """Return whether new grants can be synced: the disk has not failed, stalled or filled up."""
         return not (self._failed or self._stalled or self._retry_at < NEVER)
 
     def flush(self, now: float) -> list[Effect]:
-        """Send the next batch if none is in flight; detect a stall."""
+        """Write the next batch if none is in flight; otherwise check whether the batch in flight stalls."""
         log_lines, self._log_lines = self._log_lines, []
         if self._sent_at < NEVER:
             return [*log_lines, *self._check_stall(now)]
@@ -83,7 +83,7 @@
         return [*log_lines, self._send(entries, now)]
 
     def handle_persisted(self, batch: int) -> list[PendingGrant]:
-        """Handle a synced batch; return the grants that may be sent now."""
+        """Handle a synced batch, and return the grants that may be sent now."""
         if batch != self._batch or self._sent_at == NEVER:
             return []
         if self._stalled:
@@ -94,7 +94,7 @@
         return grants
 
     def handle_failure(self, event: ClaimsPersistFailed, now: float) -> None:
-        """Schedule a retry on a full disk; no other failure can be retried (fsync semantics)."""
+        """Schedule a retry on a full disk; after other failures a retry isn't safe (fsync semantics)."""
         if event.batch != self._batch or self._sent_at == NEVER:
             return
         self._sent_at, self._stalled = NEVER, False
@@ -102,7 +102,7 @@
             self._retry_at = now + self._settings.disk_retry_s
             self._log_lines.append(LogLine("claims_disk_full", LogLevel.ERROR, {"reason": event.reason}))
         else:
-            self._fail("this holder grants nothing until it is restarted with a sound disk", event.reason)
+            self._fail("this holder grants no claims until it is restarted with a working disk", event.reason)
 
     def _send(self, entries: tuple[ClaimEntry, ...], now: float) -> PersistClaims:
         self._batch += 1
--- a/src/springmux/coordination/claims/ring.py
+++ b/src/springmux/coordination/claims/ring.py
@@ -1,9 +1,9 @@
 """The claim ring: the ordered, versioned set of nodes among which the holders of a key are chosen.
 
-Rings are totally ordered by ``version`` and each differs from the one before by one member, so any
-two consecutive holder sets of a key share at least two members. The order must come from one
-authority (the replicated control log): a leaderless view can't order two concurrent changes.
-The control leader proposes :func:`next_ring`; every node passes the committed ring to its
+Rings are totally ordered by ``version``, and each differs from its predecessor by one member, so that
+consecutive holder sets of a key share at least two members. The order must come from a single authority (the
+replicated control log), since a membership view without a leader can't order two concurrent changes. The
+control leader proposes :func:`next_ring`; every node passes the committed ring to its
 :class:`~springmux.coordination.claims.claim_coordinator.ClaimCoordinator`.
 """
 
@@ -19,20 +19,21 @@
 from springmux.coordination.rendezvous import spread_holders
 
 HOLDERS_PER_KEY = 3
-"""Two of three holders decide, so one may be lost (design note docs/notes/claims.md)."""
+"""Holders of each key. Two of three decide, so one may be lost (design note docs/notes/claims.md)."""
 
 RING_MEMBERS_MAX = 24
-"""Every member pulls a new ring's keys from every other, so the bound limits pulls to 552 in any fleet."""
+"""Maximum number of members. For a new ring every member pulls keys from every other, so the limit bounds the
+number of pulls to 552 in any fleet."""
 
 RING_HISTORY_LENGTH = 8
-"""Rings kept to determine how long a key's holders are unchanged; changes are minutes apart."""
+"""Rings kept to determine since which version a key's holders are unchanged; changes are minutes apart."""
 
 
 class RingMember(msgspec.Struct, frozen=True, array_like=True, omit_defaults=True):
-    """A node that may hold claims, with its failure domain.
+    """A node that may hold claims, with its zone as failure domain.
 
-    ``replica``: identity of its data folder when it joined, ``None`` if it had none. A disk replaced
-    later has another identity.
+    ``replica``: identity of the node's data folder when it joined, ``None`` if it had none. A disk that
+    replaces it later has another identity.
     """
 
     node: NodeId
@@ -47,7 +48,7 @@
     members: tuple[RingMember, ...]
 
     def holders(self, key: str) -> tuple[NodeId, ...]:
-        """Return the holders of ``key`` in this ring, in distinct zones if there are enough."""
+        """Return the holders of ``key`` in this ring, in distinct zones if there are enough zones."""
         zones = {member.node: member.zone for member in self.members}
         return tuple(spread_holders(key, zones, HOLDERS_PER_KEY, lambda node: zones[node]))
 
@@ -55,7 +56,7 @@
         """Return the names of the members."""
         return frozenset(member.node for member in self.members)
 
-    def partners(self, node: NodeId) -> frozenset[NodeId]:
+    def co_holders(self, node: NodeId) -> frozenset[NodeId]:
         """Return the members that may hold a key together with ``node``; none if it isn't a member.
 
         If there are enough zones, two holders of a key never share one.
@@ -69,7 +70,7 @@
 
     @property
     def is_durable(self) -> bool:
-        """Whether every member has a disk, so that claims survive unless a disk is lost."""
+        """Whether every member has a disk, so that claims survive restarts unless a disk is lost."""
         return all(member.replica is not None for member in self.members)
 
     def has_replica(self, node: NodeId, replica: ReplicaId) -> bool:
@@ -90,9 +91,9 @@
 
 
 class RingHistory:
-    """The newest rings seen by a node, without a gap in their versions.
+    """The newest rings known to a node, without a gap in their versions.
 
-    :param remembered: rings of an earlier incarnation; none is current until one at least as new arrives.
+    :param remembered: rings of an earlier incarnation; none is current until a ring at least as new arrives.
     """
 
     def __init__(self, remembered: Iterable[ClaimRing] = ()) -> None:
@@ -101,18 +102,21 @@
 
     @property
     def current(self) -> ClaimRing | None:
-        """Return the newest ring, or ``None`` before the first."""
+        """Return the newest ring, or ``None`` before the first one of this incarnation arrives."""
         return self._rings[-1] if self._in_force else None
 
     @property
     def known(self) -> tuple[ClaimRing, ...]:
-        """Return the rings without a gap, oldest first, including those of an earlier incarnation."""
+        """Return all rings, oldest first, including those of an earlier incarnation."""
         return tuple(self._rings)
 
     def advance(self, ring: ClaimRing) -> bool:
-        """Add a ring; return ``False`` for one that isn't newer. A gap drops the older rings."""
+        """Add a ring, and drop the older ones if versions between are missing.
+
+        :returns: ``False`` if the ring isn't newer than the current one.
+        """
         newest = self._rings[-1] if self._rings else None
-        if newest is not None and (ring.version < newest.version or self._is_current(ring)):
+        if newest is not None and (ring.version < newest.version or self._is_current_version(ring)):
             return False
         self._in_force = True
         if newest is not None and ring.version == newest.version:
@@ -123,11 +127,11 @@
         del self._rings[:-RING_HISTORY_LENGTH]
         return True
 
-    def _is_current(self, ring: ClaimRing) -> bool:
+    def _is_current_version(self, ring: ClaimRing) -> bool:
         return self.current is not None and self.current.version == ring.version
 
     def span(self, key: str) -> HolderSpan | None:
-        """Return the current holders of ``key`` and the versions since when they are unchanged."""
+        """Return the current holders of ``key``, and since which version they are unchanged."""
         current = self.current
         if current is None:
             return None
@@ -141,16 +145,16 @@
 
 
 def first_ring(view: MembershipView) -> ClaimRing:
-    """Return the first ring of a fleet: nodes with disks if there are enough.
+    """Return the first ring of a fleet, of nodes with disks if there are enough of them.
 
-    It has at most :data:`RING_MEMBERS_MAX` members, taken from every zone in turn.
+    It has at most :data:`RING_MEMBERS_MAX` members, chosen from every zone in turn.
     """
     records = view.controllers()
     if len(records) < HOLDERS_PER_KEY:
         records = view.staying()
     chosen: list[RingMember] = []
     while records and len(chosen) < RING_MEMBERS_MAX:
-        record = _from_emptiest_zone(records, chosen)
+        record = _from_smallest_zone(records, chosen)
         records.remove(record)
         chosen.append(_member(record))
     return ClaimRing(1, tuple(sorted(chosen, key=lambda member: member.node)))
@@ -162,14 +166,14 @@
     gone: frozenset[NodeId],
     left: frozenset[NodeId] = frozenset(),
 ) -> ClaimRing | None:
-    """Return the ring after ``ring``, one member different, or ``None`` if nothing changes.
+    """Return the ring that follows ``ring``, with one member changed, or ``None`` if no change is needed.
 
     A lost member is removed before another is added, so that no holder set consists of two lost members and
-    a new one; nothing else changes while any member is absent.
+    a new one. No other change is made while any member is absent.
 
-    :param gone: members absent for long (10 minutes by default), so that neither a restart nor a partition
-        changes a holder set.
-    :param left: members that left cleanly and did not return soon; removed if there is a replacement.
+    :param gone: members that have been absent for long (10 minutes by default), so that neither a restart nor
+        a partition changes a holder set.
+    :param left: members that left cleanly and didn't return soon; they are removed if there is a replacement.
     """
     disks_only = _requires_disks(ring, view)
     candidates = view.controllers() if disks_only else view.staying()
@@ -181,7 +185,7 @@
     if ring.nodes() - {record.node for record in view.present()}:
         return None
     if spares and len(ring.members) < RING_MEMBERS_MAX:
-        joined = _member(_from_emptiest_zone(spares, ring.members))
+        joined = _member(_from_smallest_zone(spares, ring.members))
         members = sorted((*ring.members, joined), key=lambda member: member.node)
         return ClaimRing(ring.version + 1, tuple(members))
     diskless = [member for member in ring.members if disks_only and member.replica is None]
@@ -189,7 +193,7 @@
 
 
 def _requires_disks(ring: ClaimRing, view: MembershipView) -> bool:
-    """Return whether only nodes with disks may hold claims, even while some of them are down."""
+    """Return whether only nodes with disks may hold claims: there are enough, even if some are down."""
     present = {record.node for record in view.controllers()}
     members = {member.node for member in ring.members if member.replica is not None}
     return len(present | members) >= HOLDERS_PER_KEY
@@ -211,7 +215,7 @@
     return RingMember(record.node, record.zone, record.replica)
 
 
-def _from_emptiest_zone(records: Sequence[NodeRecord], members: Sequence[RingMember]) -> NodeRecord:
-    """Return the record whose zone has the fewest members; ties go to the first name."""
+def _from_smallest_zone(records: Sequence[NodeRecord], members: Sequence[RingMember]) -> NodeRecord:
+    """Return the record whose zone has the fewest ``members``; ties are broken by name."""
     taken = Counter(member.zone for member in members)
     return min(records, key=lambda record: (taken[record.zone], record.node))
--- a/src/springmux/coordination/claims/store.py
+++ b/src/springmux/coordination/claims/store.py
@@ -1,4 +1,4 @@
-"""A holder's memory: bounded records by key, with a change log for incremental pulls."""
+"""A holder's records by key, bounded in number and size, with a change log for incremental pulls."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from springmux.coordination.claims.journal import ClaimEntry, ClaimReleased, ClaimStored
 from springmux.coordination.claims.messages import ClaimAttempt, ClaimRecord, ClaimState
 
-COMPACT_SLACK = 1024
-"""Stale entries tolerated before the change log is compacted."""
+COMPACTION_SLACK = 1024
+"""Number of stale entries, beyond that of records, above which the change log is compacted."""
 
 
 class ClaimStore:
-    """Records of the keys that this node holds; its caller decides on them.
+    """Records of the keys that this node holds; decisions on them are up to the caller.
 
-    :param write: called with every change, in order (the journal of a node with a disk).
+    :param write: called with every change, in order; on a node with a disk it writes the journal.
     """
 
     def __init__(self, settings: ClaimSettings, write: Callable[[ClaimEntry], None] | None = None) -> None:
         self._settings = settings
-        self._write = write or _write_to_no_journal
+        self._write = write or _discard_entry
         self._records: dict[str, ClaimRecord] = {}
         self._changed_at: dict[str, float] = {}
         self._positions: dict[str, int] = {}
@@ -51,24 +51,27 @@
         return self._records.get(key)
 
     def has_room(self) -> bool:
-        """Return whether one more key fits; running keys are never evicted."""
+        """Return whether one more key can be stored; running keys are never evicted."""
         return len(self._records) < self._settings.max_entries or bool(self._finished)
 
     def position_of(self, key: str) -> int | None:
-        """Return the change log position of a key's newest change."""
+        """Return the change log position of a key's newest change, or ``None`` for an unknown key."""
         return self._positions.get(key)
 
     def newest_finished(self) -> Iterator[str]:
-        """Return finished keys, the newest first."""
+        """Return the finished keys, newest first."""
         return reversed(self._finished)
 
     def put(self, record: ClaimRecord, now: float, granted: ClaimAttempt | None = None) -> None:
-        """Store or replace the record of a key; ``granted``: this node's own grant, for the journal."""
+        """Store or replace the record of a key, and journal it.
+
+        :param granted: the attempt that this node itself granted, if any; it is only journaled.
+        """
         self._write(ClaimStored(record, granted))
         self._put(record, now)
 
     def restore(self, record: ClaimRecord, now: float) -> None:
-        """Store a record from the journal. Its age is unknown, so its window starts anew."""
+        """Store a record from the journal. Its age is unknown, so its claim window starts anew."""
         self._put(record, now)
 
     def _put(self, record: ClaimRecord, now: float) -> None:
@@ -86,7 +89,7 @@
         self._evict(record.key)
 
     def remove(self, key: str) -> None:
-        """Remove a key."""
+        """Remove the record of a key, if any, and journal that."""
         if key in self._records:
             self._write(ClaimReleased(key))
             self._drop(key)
@@ -98,22 +101,22 @@
         del self._positions[key]
         self._finished.pop(key, None)
         self._answer_bytes -= self._answers.pop(key, 0)
-        if len(self._change_log) > 2 * len(self._records) + COMPACT_SLACK:
+        if len(self._change_log) > 2 * len(self._records) + COMPACTION_SLACK:
             self._change_log = [each for each in self._change_log if self._positions.get(each[1]) == each[0]]
 
     def withdraw(self, attempt: ClaimAttempt, now: float) -> None:
-        """Reject an attempt from now on."""
+        """Record that an attempt is withdrawn, and evict the oldest such records over the limit."""
         self._tombstones[attempt] = now
         self._tombstones.move_to_end(attempt)
         while len(self._tombstones) > self._settings.max_tombstones:
             self._tombstones.popitem(last=False)
 
     def is_withdrawn(self, attempt: ClaimAttempt) -> bool:
-        """Return whether the attempt was withdrawn."""
+        """Return whether the attempt was withdrawn and its tombstone has not expired."""
         return attempt in self._tombstones
 
     def expire(self, now: float) -> None:
-        """Drop expired keys and tombstones, examining the oldest entries only."""
+        """Remove expired keys and tombstones; only the oldest entries are examined."""
         horizon = now - self._settings.window_s
         while self._records:
             key = next(iter(self._records))
@@ -126,7 +129,10 @@
             self._tombstones.popitem(last=False)
 
     def changes_after(self, after: int) -> Iterator[tuple[int, ClaimRecord]]:
-        """Yield the records changed after a change log position, oldest first, each once."""
+        """Yield the records changed after a change log position with the position of their newest change.
+
+        The oldest change comes first, and each record comes once.
+        """
         start = bisect.bisect_right(self._change_log, after, key=lambda entry: entry[0])
         for index in range(start, len(self._change_log)):
             position, key = self._change_log[index]
@@ -148,5 +154,5 @@
             self.remove(oldest)
 
 
-def _write_to_no_journal(entry: ClaimEntry) -> None:
-    """Discard an entry, at a node without a disk."""
+def _discard_entry(entry: ClaimEntry) -> None:
+    """Discard an entry on a node without a disk."""
--- a/src/springmux/coordination/claims/synchronization.py
+++ b/src/springmux/coordination/claims/synchronization.py
@@ -1,9 +1,9 @@
-"""Anti-entropy: a holder that lost its memory, joined, paused or was down pulls the others' claims first.
+"""Anti-entropy: a holder that lost its records, joined, paused or was down first pulls those of the others.
 
-A pull counts in two ways. *Pulled* is valid since this node's start or pause: at least one co-holder must be
-pulled, since both others know a key that they granted meanwhile. *Complete* is valid as long as the memory
-lasts (over restarts, where there is a journal): a co-holder that is down is then not needed, since this node
-still knows all that it granted and learned.
+A pull counts in two ways. *Pulled* is valid since this node's start or last pause. At least one co-holder
+must be pulled, since both other holders know a key that they granted in the meantime. *Complete* is valid as
+long as this node keeps its records, which includes restarts if it has a journal. A co-holder that is down
+then isn't needed, since this node still knows all that it granted and learned.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class Cursor(msgspec.Struct, frozen=True):
-    """Position reached in a peer's change log, and the ring under which its records were selected."""
+    """Position reached in a peer's change log, and the ring version under which records were selected."""
 
     incarnation: int = 0
     version: int = 0
@@ -31,7 +31,7 @@
 
 
 class Synchronizer:
-    """Pulls records from peers. A peer is *pulled* for a ring version once its last page arrived.
+    """Pulls records from peers. A peer is *pulled* for a ring version once its last page has arrived.
 
     :param recovered: content of the journal at start, or ``None`` on a node without a disk.
     """
@@ -59,8 +59,8 @@
         self._complete: dict[NodeId, int] = {}
         self._outstanding: set[NodeId] = set()
         self._anchors: dict[NodeId, list[str]] = {}
-        self._next_pull = NEVER
-        self._started: float | None = None
+        self._next_pull_at = NEVER
+        self._started_at: float | None = None
         self._round = incarnation
         self._intact = False
         self._state_changed = False
@@ -70,14 +70,14 @@
 
     @property
     def deadline(self) -> float:
-        """Return when outstanding pulls are due."""
-        return self._next_pull if self._outstanding else NEVER
+        """Return when outstanding pulls are resent."""
+        return self._next_pull_at if self._outstanding else NEVER
 
     def is_intact(self, now: float) -> bool:
-        """Return whether this node's memory is complete, by pulls since its start or by its journal."""
+        """Return whether this node's records are complete, by pulls since its start or by its journal."""
         if self._intact or self._ring is None:
             return self._intact
-        others = self._ring.partners(self._own)
+        others = self._ring.co_holders(self._own)
         pulled = sum(1 for peer in others if peer in self._pulled)
         waited_long_enough = not self._ring.is_durable and self._accepts_incomplete_peers(now)
         member = self._own in self._ring.nodes()
@@ -87,48 +87,54 @@
         self._state_changed = self._state_changed or self._intact
         return self._intact
 
-    def take_new_state(self, now: float) -> HolderState | None:
-        """Return the state to write to the journal if the extent of the memory has changed."""
+    def pop_changed_state(self, now: float) -> HolderState | None:
+        """Return the state to write to the journal if the extent of complete records has changed.
+
+        The change then counts as written.
+        """
         if not self._state_changed or not self.is_intact(now):
             return None
         self._state_changed = False
         return HolderState(self._rings.known, tuple(sorted(self._complete.items())))
 
     def change_ring(self, ring: ClaimRing, now: float) -> list[Effect]:
-        """Apply a new ring and pull from every other member."""
-        if self._started is None:
-            self._started = now
+        """Apply a new ring, and pull from every member that may hold a key together with this node."""
+        if self._started_at is None:
+            self._started_at = now
         self._ring = ring
         self._state_changed = True
         if not self._has_continuous_memory(ring):
             self._intact = False
             self._pulled.clear()
         if self._is_founder(ring):
-            self._complete = dict.fromkeys(ring.partners(self._own), ring.version)
+            self._complete = dict.fromkeys(ring.co_holders(self._own), ring.version)
             self._intact = True
         return self.restart_pulls(now, discard_pulled=False)
 
     def restart_pulls(self, now: float, discard_pulled: bool) -> list[Effect]:
         """Start a new round of pulls.
 
-        :param discard_pulled: earlier pulls no longer count (after a pause).
+        :param discard_pulled: whether earlier pulls no longer count; true after a pause.
         """
         if self._ring is None:
             return []
         if discard_pulled:
             self._pulled.clear()
         self._round += 1
-        self._outstanding = set(self._ring.partners(self._own))
+        self._outstanding = set(self._ring.co_holders(self._own))
         self._anchors = self._find_anchors(self._ring)
         return self.send_pulls(now)
 
     def send_pulls(self, now: float) -> list[Effect]:
-        """Send a pull to every peer whose last page is missing."""
-        self._next_pull = now + self._settings.pull_resend_s
+        """Send a pull to every peer whose last page of this round is missing."""
+        self._next_pull_at = now + self._settings.pull_resend_s
         return [self._pull_from(peer) for peer in sorted(self._outstanding)]
 
     def apply_page(self, sender: NodeId, page: ClaimPage, now: float) -> list[Effect] | None:
-        """Apply a page; return ``None`` if it isn't of this round, so its records must be ignored."""
+        """Apply a page, and request the next one if there is more.
+
+        :returns: ``None`` if the page isn't of this round, so that its records must be ignored.
+        """
         ring = self._ring
         if ring is None or page.version != ring.version or page.round != self._round:
             return None
@@ -145,12 +151,12 @@
         return []
 
     def may_grant(self, span: HolderSpan, now: float) -> bool:
-        """Return whether this holder knows all that the others may have granted.
+        """Return whether this holder knows all grants that the other holders may have made.
 
-        Either every other holder was pulled since the holder set is unchanged; or this node's memory is
-        complete for the set, and one other was pulled since its start. Without a disk, long after its
+        Either every other holder was pulled since the holder set is unchanged, or this node's records are
+        complete for the set and one other holder was pulled since the start. Without a disk, long after its
         start, this node proceeds without one unresponsive co-holder: claims known only to that holder and
-        to this node's lost memory are known to their claimants, which have sent them to the third.
+        to this node's lost records are known to their claimants, which have sent them to the third holder.
         """
         others = [holder for holder in span.holders if holder != self._own]
         missing = [peer for peer in others if self._pulled.get(peer, 0) < span.since]
@@ -164,7 +170,7 @@
         return not durable and len(missing) == 1 and self._age_s(now) >= self._settings.absent_wait_s
 
     def _has_continuous_memory(self, ring: ClaimRing) -> bool:
-        """Return whether this node was a holder right before ``ring``, or under it when it stopped."""
+        """Return whether this node was a member right before ``ring``, or of ``ring`` when it stopped."""
         known = self._rings.known
         if len(known) > 1 and self._own in known[-2].nodes():
             return True
@@ -172,20 +178,23 @@
         return state is not None and state.rings[-1].version == ring.version
 
     def _is_founder(self, ring: ClaimRing) -> bool:
-        """Return whether nothing was ever granted before ``ring`` and this memory has lost nothing."""
+        """Return whether nothing was granted before ``ring``, and this node's journal has lost nothing."""
         recovered = self._recovered
         if recovered is None or not recovered.founded or recovered.state is not None:
             return False
         return ring.version == 1 and ring.has_replica(self._own, recovered.replica)
 
     def _accepts_incomplete_peers(self, now: float) -> bool:
-        """Return whether a peer with incomplete memory counts; without disks it never completes by itself."""
+        """Return whether a pull from a peer with incomplete records counts.
+
+        Without disks, the records of such a peer never become complete by themselves.
+        """
         durable = self._ring is not None and self._ring.is_durable
         wait_s = self._settings.window_s if durable else self._settings.incomplete_peer_wait_s
         return self._age_s(now) >= wait_s
 
     def _age_s(self, now: float) -> float:
-        return 0.0 if self._started is None else now - self._started
+        return 0.0 if self._started_at is None else now - self._started_at
 
     def _pull_from(self, peer: NodeId) -> Send:
         assert self._ring is not None
@@ -201,7 +210,7 @@
         return Send(peer, ClaimPull(version, self._incarnation, 0, 0, self._round, anchors))
 
     def _find_anchors(self, ring: ClaimRing) -> dict[NodeId, list[str]]:
-        """Return the newest finished keys that each completely known peer holds too."""
+        """Return the newest finished keys that each holder has; none unless a peer was pulled completely."""
         anchor_count = self._settings.anchor_keys
         anchors: dict[NodeId, list[str]] = {}
         if not any(version >= ring.version for version in self._complete.values()):
--- a/src/springmux/coordination/membership/__init__.py
+++ b/src/springmux/coordination/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Failure detection and membership of nodes (SWIM with Lifeguard). Pure."""
+"""Failure detection and membership of nodes (SWIM with Lifeguard), as state machines without I/O."""
--- a/src/springmux/coordination/membership/contact_beacon.py
+++ b/src/springmux/coordination/membership/contact_beacon.py
@@ -1,8 +1,8 @@
-"""The leader's beacon in large fleets: relayed down a tree, counted back up it.
+"""The leader's beacon in large fleets: relayed down a tree of nodes, with counts reported back up.
 
-The leader's quorum alone isn't enough: a leader that its quorum confirms but that reaches only a minority
-of the nodes gives no evidence. So relays count their subtrees, and beacons carry the age of the last
-count that was a majority.
+The confirmation by the leader's quorum isn't enough: a leader with a quorum that reaches only a minority of
+the nodes provides no evidence of contact. Therefore relays count the nodes of their subtrees, and beacons
+carry the age of the last count that was a majority.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 from springmux.coordination.membership.settings import ContactSettings
 from springmux.coordination.state_machine import NEVER, Effect, Send
 
-HOP_S = 0.02
-"""Added to a beacon's age at each hop for the transit time, which nobody measures."""
+HOP_DELAY_S = 0.02
+"""Added to a beacon's age at each hop for the transit time, which isn't measured."""
 _COUNT_TIMEOUT_S = 0.15
 """How long a relay waits for the counts of its subtree."""
-_ROUNDS_KEPT = 12
+_MAX_ROUNDS = 12
 
 
 @dataclass
-class _Round:
-    """One beacon and the count of the nodes that it reached."""
+class _BeaconRound:
+    """One beacon, and the count of the nodes that it reached in this node's subtree."""
 
     parent: NodeId | None
     sent_at: float
@@ -35,7 +35,7 @@
 
 
 class BeaconRelay:
-    """Originates, relays and counts beacons; one per node."""
+    """Sends, relays and counts beacons; each node has one."""
 
     def __init__(self, own: NodeId, settings: ContactSettings) -> None:
         self._own = own
@@ -43,22 +43,22 @@
         self._zones: dict[NodeId, ZoneName] = {}
         self._zone_peers: list[NodeId] = []
         self._newest = (-1, -1)
-        self._rounds: dict[tuple[int, int], _Round] = {}
-        self._reached_at: float | None = None
+        self._rounds: dict[tuple[int, int], _BeaconRound] = {}
+        self._majority_reached_at: float | None = None
         self.evidence_at: float | None = None
         self.evidence_received_at: float | None = None
 
     def set_nodes(self, zones: dict[NodeId, ZoneName]) -> None:
-        """Set the present nodes with their zones, the own one among them."""
+        """Set the present nodes with their zones, including this node."""
         self._zones = zones
         own_zone = zones.get(self._own)
         self._zone_peers = [n for n, zone in zones.items() if zone == own_zone and n != self._own]
 
     def forget_evidence(self) -> None:
-        """Forget all evidence, which is worthless after a pause of this process."""
+        """Discard all evidence, which a pause of this process invalidates."""
         self.evidence_at = None
         self.evidence_received_at = None
-        self._reached_at = None
+        self._majority_reached_at = None
 
     def _add_evidence(self, proven_at: float, now: float) -> None:
         if self.evidence_at is None or proven_at > self.evidence_at:
@@ -67,59 +67,59 @@
                 self.evidence_received_at = now
 
     def next_deadline(self) -> float:
-        """Return when a count is to be reported."""
+        """Return when the next count must be reported, complete or not."""
         return min((r.report_at for r in self._rounds.values() if not r.reported), default=NEVER)
 
-    def originate(self, term: int, quorum_at: float, majority: int, now: float) -> list[Effect]:
-        """Send the next beacon of the leader, whose quorum confirmed it at ``quorum_at``."""
+    def send_as_leader(self, term: int, quorum_at: float, majority: int, now: float) -> list[Effect]:
+        """Send the next beacon as the leader, which its quorum confirmed at ``quorum_at``."""
         if term < self._newest[0]:
             return []
         sequence = self._newest[1] + 1 if term == self._newest[0] else 1
-        self._check_majority(term, majority)
+        self._find_majority_round(term, majority)
         self._newest = (term, sequence)
-        proven_at = None if self._reached_at is None else min(self._reached_at, quorum_at)
+        proven_at = None if self._majority_reached_at is None else min(self._majority_reached_at, quorum_at)
         if proven_at is not None:
             self._add_evidence(proven_at, now)
         age_ms = -1 if proven_at is None else int(1000 * (now - proven_at))
         targets = zone_targets(self._zones, self._own, sequence, self._settings.relay_fanout)
-        self._begin_round(None, len(targets), now)
+        self._start_round(None, len(targets), now)
         return [
             Send(t.node, ContactBeacon(term, sequence, age_ms, t.low, t.high, counted=True)) for t in targets
         ]
 
-    def _check_majority(self, term: int, majority: int) -> None:
+    def _find_majority_round(self, term: int, majority: int) -> None:
         for (round_term, _), each in self._rounds.items():
             if round_term == term and each.parent is None and each.nodes >= majority:
-                self._reached_at = max(each.sent_at, self._reached_at or each.sent_at)
+                self._majority_reached_at = max(each.sent_at, self._majority_reached_at or each.sent_at)
 
-    def _begin_round(self, parent: NodeId | None, pending: int, now: float) -> None:
-        self._rounds[self._newest] = _Round(parent, now, pending, 1, now + _COUNT_TIMEOUT_S)
+    def _start_round(self, parent: NodeId | None, pending: int, now: float) -> None:
+        self._rounds[self._newest] = _BeaconRound(parent, now, pending, 1, now + _COUNT_TIMEOUT_S)
         if parent is None:
             self._rounds[self._newest].reported = True
-        while len(self._rounds) > _ROUNDS_KEPT:
+        while len(self._rounds) > _MAX_ROUNDS:
             del self._rounds[next(iter(self._rounds))]
 
     def receive(self, sender: NodeId, beacon: ContactBeacon, trusted: bool, now: float) -> list[Effect]:
-        """Relay a beacon; one that isn't ``trusted`` (after a pause) is no evidence for this node."""
+        """Relay a beacon, and use it as evidence if it is ``trusted``; right after a pause it isn't."""
         key = (beacon.term, beacon.sequence)
         if beacon.age_ms >= 0 and trusted and key >= self._newest:
-            self._add_evidence(now - beacon.age_ms / 1000.0 - HOP_S, now)
+            self._add_evidence(now - beacon.age_ms / 1000.0 - HOP_DELAY_S, now)
         if not beacon.counted:
             return []
-        if key <= self._newest:  # Counted already: this parent needn't wait.
+        if key <= self._newest:  # Counted already; this reply lets the parent stop waiting.
             return [Send(sender, ContactCount(beacon.term, beacon.sequence, nodes=0))]
         self._newest = key
         low, high, fanout = beacon.low, beacon.high, self._settings.relay_fanout
         targets = range_targets(self._zone_peers, self._own, beacon.sequence, low, high, fanout)
-        self._begin_round(sender, len(targets), now)
-        age_ms = beacon.age_ms + int(1000 * HOP_S) if beacon.age_ms >= 0 else -1
+        self._start_round(sender, len(targets), now)
+        age_ms = beacon.age_ms + int(1000 * HOP_DELAY_S) if beacon.age_ms >= 0 else -1
         effects: list[Effect] = [
             Send(t.node, ContactBeacon(*key, age_ms, t.low, t.high, counted=True)) for t in targets
         ]
         return effects + self.report(now)
 
     def receive_count(self, count: ContactCount, now: float) -> list[Effect]:
-        """Add a child's count; forward one that comes late to the parent by itself."""
+        """Add a child's count to the own one; forward it separately if the own count was reported already."""
         key = (count.term, count.sequence)
         each = self._rounds.get(key)
         if each is None:
@@ -141,7 +141,7 @@
         return effects
 
     def send_evidence(self, to: NodeId, now: float) -> list[Effect]:
-        """Return the newest evidence for a node that missed beacons."""
+        """Send the newest evidence to a node that missed beacons."""
         if self.evidence_at is None or now - self.evidence_at > self._settings.evidence_s:
             return []
         age_ms = int(1000 * (now - self.evidence_at))
--- a/src/springmux/coordination/membership/contact_freshness.py
+++ b/src/springmux/coordination/membership/contact_freshness.py
@@ -1,7 +1,7 @@
-"""Freshness vectors: the age of the newest evidence of each node, added up hop by hop.
+"""Freshness vectors: the age of the newest evidence of each node, accumulated over the hops.
 
-An epidemic of small vectors (anti-entropy, Demers et al. 1987) replaces the leader's beacons when there
-is no leader. Ages are sent rounded up, so that evidence never seems newer than it is.
+Gossip of small vectors (anti-entropy, Demers et al. 1987) replaces the leader's beacons while there is no
+leader. Ages are rounded up, so that evidence never appears newer than it is.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 AGE_STEP_S = 0.1
 _AGE_BITS = 4
 _AGE_UNKNOWN = 15
-"""The highest value of ``_AGE_BITS`` bits."""
-_ROSTERS_KEPT = 8
-"""Rosters that are still understood while a membership change is disseminated."""
+"""Encoded age of a node without recent evidence; the highest value of ``_AGE_BITS`` bits."""
+_MAX_ROSTERS = 8
+"""Former rosters by which vectors of peers are still decoded while a membership change is disseminated."""
 
 
 class FreshnessVector:
-    """The newest time, on the own clock, at which each node is known to have been in contact."""
+    """The newest time, on this node's clock, at which each node is known to have been in contact."""
 
     def __init__(self, own: NodeId) -> None:
         self._own = own
@@ -32,15 +32,15 @@
         self._roster = 0
 
     def set_roster(self, names: list[NodeId]) -> None:
-        """Fix the order of nodes in vectors."""
+        """Set the order of the nodes in vectors."""
         self._roster = xxhash.xxh32_intdigest("\x00".join(names).encode())
         self._rosters.pop(self._roster, None)
         self._rosters[self._roster] = names
-        while len(self._rosters) > _ROSTERS_KEPT:
+        while len(self._rosters) > _MAX_ROSTERS:
             del self._rosters[next(iter(self._rosters))]
 
     def clear(self) -> None:
-        """Forget all evidence."""
+        """Discard all evidence."""
         self._evidence.clear()
 
     def proven_at(self, nodes: Iterable[NodeId]) -> list[float]:
@@ -49,11 +49,11 @@
         return [evidence[node] for node in nodes if node in evidence]
 
     def newest(self, node: NodeId) -> float:
-        """Return the time of the newest evidence of ``node``, minus infinity without any."""
+        """Return the time of the newest evidence of ``node``, or minus infinity without any."""
         return self._evidence.get(node, -math.inf)
 
     def encode(self, now: float) -> ContactVector:
-        """Return the vector to send."""
+        """Return the vector of ages at ``now``, to be sent to peers."""
         names = self._rosters.get(self._roster, [])
         ages = bytearray(_encoded_size(names))
         for index, node in enumerate(names):
@@ -63,7 +63,7 @@
         return ContactVector(roster=self._roster, ages=bytes(ages))
 
     def merge(self, sender: NodeId, vector: ContactVector, now: float) -> None:
-        """Apply a peer's vector; with an unknown roster it is evidence of the sender only."""
+        """Apply a peer's vector; if its roster is unknown, it is evidence of the sender only."""
         self._evidence[sender] = now
         names = self._rosters.get(vector.roster)
         if names is None or len(vector.ages) != _encoded_size(names):
@@ -79,5 +79,5 @@
 
 
 def _encoded_size(names: list[NodeId]) -> int:
-    """Return the bytes of a vector of ``names``, two nodes a byte."""
+    """Return the size in bytes of a vector of ``names``, with two nodes per byte."""
     return (len(names) + 1) // 2
--- a/src/springmux/coordination/membership/contact_heartbeats.py
+++ b/src/springmux/coordination/membership/contact_heartbeats.py
@@ -1,7 +1,7 @@
 """Direct evidence for small fleets: heartbeats that prove a round trip.
 
-Evidence of a node is dated at the moment when the heartbeat that it echoes was sent. A message that waited
-in a buffer while a process was paused therefore proves nothing.
+The time of the evidence of a node is that at which the heartbeat that it echoes was sent. A message that
+waited in a buffer while a process was paused therefore proves nothing.
 """
 
 from __future__ import annotations
@@ -15,21 +15,22 @@
 from springmux.coordination.membership.contact_messages import ContactHeartbeat
 from springmux.coordination.state_machine import Effect, Send
 
-_HEARTBEATS_KEPT = 32
-"""At the heartbeat period these reach back far beyond the time for which evidence counts."""
+_MAX_SENT_HEARTBEATS = 32
+"""Sent heartbeats whose echo is recognized. At the heartbeat period they reach back far beyond the time for
+which evidence counts."""
 
 
 class HeartbeatEvidence:
-    """Sends heartbeats and dates the evidence that their echoes give."""
+    """Sends heartbeats, and records the time of the evidence that their echoes provide."""
 
     def __init__(self, source: random.Random) -> None:
         self._sequence = source.randrange(1, 1 << 30)
-        self._sent: deque[tuple[int, float]] = deque(maxlen=_HEARTBEATS_KEPT)
+        self._sent: deque[tuple[int, float]] = deque(maxlen=_MAX_SENT_HEARTBEATS)
         self._received: dict[NodeId, int] = {}
         self._evidence: dict[NodeId, float] = {}
 
     def send(self, nodes: Iterable[NodeId], now: float) -> list[Effect]:
-        """Return a heartbeat for each of ``nodes``."""
+        """Send a heartbeat to each of ``nodes``."""
         self._sequence += 1
         self._sent.append((self._sequence, now))
         return [
@@ -38,19 +39,19 @@
         ]
 
     def receive(self, sender: NodeId, heartbeat: ContactHeartbeat) -> None:
-        """Record a peer's heartbeat and the evidence that its echo gives."""
+        """Record a peer's heartbeat and the evidence that its echo provides."""
         self._received[sender] = heartbeat.sequence
         sent_at = next((when for sequence, when in self._sent if sequence == heartbeat.echo), None)
         if sent_at is not None:
             self._evidence[sender] = max(sent_at, self._evidence.get(sender, sent_at))
 
     def reply(self, sender: NodeId) -> Effect:
-        """Return an echo for a node that must not wait for the next period, or gets no heartbeats."""
+        """Return an immediate reply, for a node that gets no heartbeats or must not wait for the next one."""
         heartbeat = ContactHeartbeat(self._sequence, self._received[sender], is_reply=True)
         return Send(to=sender, message=heartbeat)
 
     def proven_since(self, nodes: Iterable[NodeId], since: float) -> int:
-        """Return how many of ``nodes`` have evidence from ``since`` or later."""
+        """Return how many of ``nodes`` have evidence of ``since`` or later."""
         evidence = self._evidence
         return sum(1 for node in nodes if evidence.get(node, since - 1.0) >= since)
 
@@ -60,10 +61,10 @@
         return [evidence[node] for node in nodes if node in evidence]
 
     def newest(self, node: NodeId) -> float:
-        """Return the time of the newest evidence of ``node``, minus infinity without any."""
+        """Return the time of the newest evidence of ``node``, or minus infinity without any."""
         return self._evidence.get(node, -math.inf)
 
     def keep_only(self, nodes: set[NodeId]) -> None:
-        """Forget all other nodes than ``nodes``."""
+        """Discard the evidence of all nodes other than ``nodes``."""
         self._received = {node: value for node, value in self._received.items() if node in nodes}
         self._evidence = {node: value for node, value in self._evidence.items() if node in nodes}
--- a/src/springmux/coordination/membership/contact_known_nodes.py
+++ b/src/springmux/coordination/membership/contact_known_nodes.py
@@ -1,8 +1,8 @@
-"""The contact rule's denominator: which nodes count as known.
+"""The known nodes, of which the contact rule needs a majority.
 
-Every node counts until it has LEFT. A DEAD one stops counting once this node has been connected
-for ``settle_s`` since the death (a majority may shrink its own denominator, as in dynamic voting,
-Jajodia and Mutchler 1990; a minority partition may not, however long it lasts).
+Every node counts until it has LEFT. A DEAD node stops counting once this node has been connected for
+``settle_s`` since the death. A majority may thus reduce the number of nodes that are needed for a majority,
+as in dynamic voting (Jajodia and Mutchler 1990); a minority partition may not, however long it lasts.
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 
 from springmux.coordination.identifiers import NodeId
 from springmux.coordination.membership.settings import ContactSettings
-from springmux.coordination.membership.table import PRESENT
+from springmux.coordination.membership.table import PRESENT_STATUSES
 from springmux.coordination.membership.view import MembershipView, NodeStatus
 
 
 class KnownNodes:
-    """The nodes that count, the own one among them, and those of them that are present."""
+    """The nodes that count, including this one, and the others of them that are present."""
 
     def __init__(self, own: NodeId, settings: ContactSettings) -> None:
         self._own = own
@@ -25,7 +25,7 @@
         self._gone_at: dict[NodeId, float] = {}
         self._excluded: set[NodeId] = set()
         self.present: tuple[NodeId, ...] = ()
-        self.met_others = False
+        self.has_met_others = False
 
     def __len__(self) -> int:
         return len(self._known)
@@ -34,14 +34,14 @@
         return iter(self._known)
 
     def names(self) -> list[NodeId]:
-        """Return the known nodes in the order of their names."""
+        """Return the known nodes, sorted by name."""
         return sorted(self._known)
 
     def update(self, view: MembershipView, now: float) -> None:
         """Apply a newer view."""
         present: list[NodeId] = []
         for node, record in view.nodes.items():
-            if record.status in PRESENT:
+            if record.status in PRESENT_STATUSES:
                 self._known.add(node)
                 self._gone_at.pop(node, None)
                 self._excluded.discard(node)
@@ -55,10 +55,10 @@
             self._gone_at.setdefault(node, now)
         self._excluded &= view.nodes.keys()
         self.present = tuple(sorted(node for node in present if node != self._own))
-        self.met_others = self.met_others or bool(self.present)
+        self.has_met_others = self.has_met_others or bool(self.present)
 
     def expire(self, now: float, connected_since: float | None) -> None:
-        """Exclude nodes that have been gone for ``settle_s`` of contact."""
+        """Exclude nodes that have been gone for ``settle_s`` while this node was in contact."""
         if connected_since is None:
             return
         for node, gone_at in list(self._gone_at.items()):
@@ -71,5 +71,5 @@
         self._excluded.add(node)
 
     def majority(self) -> int:
-        """Return how many nodes, the own one among them, are a majority."""
+        """Return the number of nodes, including this one, that are a majority."""
         return len(self._known) // 2 + 1
--- a/src/springmux/coordination/membership/contact_messages.py
+++ b/src/springmux/coordination/membership/contact_messages.py
@@ -6,9 +6,10 @@
 
 
 class ContactHeartbeat(PeerMessage, frozen=True, tag="ContactBeat"):
-    """Heartbeat that proves a round trip: ``echo`` is the receiver's newest sequence seen by the sender.
+    """Heartbeat that proves a round trip.
 
-    ``is_reply`` marks one sent in reply, outside the sender's period; it gets no reply itself.
+    ``echo``: the newest sequence number that the sender received from the receiver.
+    ``is_reply``: whether this is an immediate reply outside the sender's period; it gets no reply itself.
     """
 
     sequence: int
@@ -20,8 +21,8 @@
     """The leader's evidence of contact, relayed down a tree.
 
     ``age_ms``: time since the leader, confirmed by its quorum, reached a majority of the nodes; -1 if
-    it hasn't yet. The receiver relays to the nodes of its zone in ``[low, high)``; ``counted`` asks it
-    to count them.
+    it hasn't yet. The receiver relays to the nodes of its zone in ``[low, high)``; with ``counted`` it
+    replies with the number of nodes reached.
     """
 
     term: int
@@ -33,7 +34,7 @@
 
 
 class ContactCount(PeerMessage, frozen=True, tag="ContactCount"):
-    """``nodes`` nodes of the sender's subtree received the beacon ``sequence`` of ``term``."""
+    """Number of nodes in the sender's subtree that received the beacon ``sequence`` of ``term``."""
 
     term: int
     sequence: int
@@ -41,7 +42,7 @@
 
 
 class ContactVector(PeerMessage, frozen=True, tag="ContactVector"):
-    """Ages of the evidence of all nodes of a roster, four bits each (see ``contact_freshness``)."""
+    """Age of the evidence of each node of a roster, four bits each (see ``contact_freshness``)."""
 
     roster: int
     ages: bytes
--- a/src/springmux/coordination/membership/dissemination.py
+++ b/src/springmux/coordination/membership/dissemination.py
@@ -1,4 +1,4 @@
-"""Dissemination of membership updates: piggybacked on probes, and by gossip between them.
+"""Dissemination of membership updates, piggybacked on probes and by gossip between probes.
 
 Sources: SWIM, section 4.1 (infection-style dissemination); Lifeguard, section III-C (buddy system).
 """
@@ -19,7 +19,7 @@
 
 
 class Disseminator:
-    """Chooses what each message carries and which nodes get gossip."""
+    """Selects the updates that each message carries, and the nodes that get gossip."""
 
     def __init__(
         self,
@@ -40,22 +40,22 @@
         """Return when the next gossip is due."""
         return self._gossip_at if len(self._queue) else NEVER
 
-    def hasten(self, now: float) -> None:
-        """Let the next gossip be due at once."""
+    def schedule_immediately(self, now: float) -> None:
+        """Make the next gossip due at ``now``."""
         self._gossip_at = now
 
     def for_ping(self, target: NodeId, now: float) -> Piggyback:
-        """Return what a ping to ``target`` carries; a suspect learns of the suspicion at once."""
+        """Return the updates for a ping to ``target``; a suspect is notified of the suspicion."""
         suspicion = self._detector.buddy_update(target)
-        updates = self._queue.take(len(self._table), now, suspicion)
+        updates = self._queue.select_updates(len(self._table), now, suspicion)
         return updates if suspicion is None else self._with_own_record(updates)
 
     def for_ack(self, target: NodeId, now: float) -> Piggyback:
-        """Return what the reply to a ping of ``target`` carries."""
-        return self._queue.take(len(self._table), now, self._detector.buddy_update(target))
+        """Return the updates for the acknowledgement of a ping from ``target``."""
+        return self._queue.select_updates(len(self._table), now, self._detector.buddy_update(target))
 
     def notify_suspect(self, node: NodeId) -> list[Effect]:
-        """Tell a node that it is suspected, so that it can refute that."""
+        """Notify a node of its suspicion, so that it can refute."""
         suspicion = self._detector.buddy_update(node)
         if suspicion is None:
             return []
@@ -69,16 +69,16 @@
         self._gossip_at = now + self._settings.gossip_period_s
         effects: list[Effect] = []
         for target in self._gossip_targets(present):
-            updates = self._queue.take(len(self._table), now)
+            updates = self._queue.select_updates(len(self._table), now)
             if updates != NO_UPDATES:
                 effects.append(Send(to=target, message=MemberGossip(updates)))
         return effects
 
     def _gossip_targets(self, present: tuple[NodeId, ...]) -> list[NodeId]:
-        """Return random targets: in a large fleet one in another zone, the others in the own zone.
+        """Return random targets: in a large fleet one in another zone, the others in this node's zone.
 
-        Each zone hears from all its nodes' far targets, so updates cross as surely as by uniform choice, for
-        fewer connections and bytes between zones.
+        Every node of a zone sends to other zones, so updates reach them as reliably as with uniformly chosen
+        targets, with fewer connections and bytes between zones.
         """
         fanout = self._settings.gossip_fanout
         peers = self._table.present_peers()
@@ -88,7 +88,7 @@
         return [*self._random.sample(peers.own_zone, fanout - 1), self._random.choice(peers.other_zones)]
 
     def _with_own_record(self, updates: Piggyback) -> Piggyback:
-        """Return ``updates`` with the own record first.
+        """Return ``updates`` with this node's record first.
 
         A target that isn't believed alive may be a new process, which can reply only to nodes whose address
         it knows.
--- a/src/springmux/coordination/membership/failure_detector.py
+++ b/src/springmux/coordination/membership/failure_detector.py
@@ -1,4 +1,4 @@
-"""The failure detector: which status each node has, suspicions, and refutations of the own one.
+"""The failure detector: status of each node, suspicions, and refutation of wrong reports about this node.
 
 Sources: SWIM, section 4.2 (suspicion, incarnations); Lifeguard, section III.
 """
@@ -12,16 +12,17 @@
 from springmux.coordination.membership.messages import Piggyback, StatusUpdate
 from springmux.coordination.membership.settings import MembershipSettings
 from springmux.coordination.membership.suspicion import LocalHealth, Suspicion
-from springmux.coordination.membership.table import PRESENT, MemberTable
+from springmux.coordination.membership.table import PRESENT_STATUSES, MemberTable
 from springmux.coordination.membership.view import NodeRecord, NodeStatus
 from springmux.coordination.state_machine import NEVER, Effect, LogLevel, LogLine
 
-_CLASHES_IGNORED = 2
-"""Records of an earlier process under the own name, of which peers may know different incarnations."""
+_IGNORED_CLASHES = 2
+"""Name clashes that aren't logged: peers may still send records of an earlier process of this node, with
+different incarnations."""
 
 
 class FailureDetector:
-    """Applies updates, decides suspicions, and refutes wrong updates by raising the own incarnation."""
+    """Applies updates, decides suspicions, and refutes wrong updates by raising this node's incarnation."""
 
     def __init__(
         self,
@@ -41,31 +42,33 @@
         self._clashes = 0
 
     def next_deadline(self, handled_at: float) -> float:
-        """Return when a suspicion is to be decided; an overdue one is checked again shortly."""
+        """Return when the next suspicion times out, or is checked again because its death is postponed."""
         factor = self._health.factor
-        deadlines = (each.deadline(self._settings, factor) for each in self._suspicions.values())
+        deadlines = (suspicion.deadline(self._settings, factor) for suspicion in self._suspicions.values())
         earliest = min(deadlines, default=NEVER)
         if earliest <= handled_at:
             return handled_at + self._settings.direct_timeout_s
         return earliest
 
     def restart_suspicions(self, now: float) -> None:
-        """Give every suspect its full time again after a pause of this process."""
+        """Restart the timeout of every suspicion, after a pause of this process."""
         for suspicion in self._suspicions.values():
             suspicion.started_at = now
 
     def suspect(self, node: NodeId, now: float) -> list[Effect]:
         """Suspect a node whose probe failed."""
         record = self._table.get(node)
-        if record is None or record.status not in PRESENT:
+        if record is None or record.status not in PRESENT_STATUSES:
             return []
         suspicion = StatusUpdate(node, record.incarnation, NodeStatus.SUSPECT, self.own.node)
         return self.apply_status(suspicion, now)
 
     def decide_suspicions(self, now: float) -> list[Effect]:
-        """Turn suspicions that weren't refuted in time into deaths, unless the own probes fail too."""
+        """Declare suspects dead that didn't refute in time, unless the own probes since then failed too."""
         factor = self._health.factor
-        due = [n for n, each in self._suspicions.items() if each.deadline(self._settings, factor) <= now]
+        due = [
+            node for node, each in self._suspicions.items() if each.deadline(self._settings, factor) <= now
+        ]
         effects: list[Effect] = []
         for node in due:
             suspicion = self._suspicions[node]
@@ -76,14 +79,17 @@
         return effects
 
     def buddy_update(self, target: NodeId) -> StatusUpdate | None:
-        """Return the status that a node not believed alive must learn at once (Lifeguard, buddy system)."""
+        """Return the status to send to ``target`` if it isn't believed alive (Lifeguard, buddy system).
+
+        The target can then refute it without waiting for gossip.
+        """
         record = self._table.get(target)
         if record is None or record.status is NodeStatus.ALIVE:
             return None
         return StatusUpdate(target, record.incarnation, record.status, self.own.node)
 
     def receive_updates(self, sender: NodeId, updates: Piggyback, now: float) -> list[Effect]:
-        """Apply the updates that a message carried."""
+        """Apply the updates piggybacked on a message from ``sender``."""
         effects: list[Effect] = []
         for record in updates.records:
             effects += self.apply_record(record, now, authoritative=record.node == sender, disseminate=True)
@@ -96,15 +102,16 @@
     ) -> list[Effect]:
         """Apply a complete record.
 
-        :param authoritative: the node itself sent it, so that its tombstone is disregarded.
-        :param disseminate: queue it for gossip; not for records of a bulk transfer, which most nodes know.
+        :param authoritative: whether the node itself sent the record, so that its tombstone is ignored.
+        :param disseminate: whether to queue the record for gossip; ``False`` for records of a bulk
+            transfer, which most nodes know already.
         """
         if record.node == self.own.node:
             return self._detect_clash(record) + self._refute(record.incarnation, record != self.own, now)
         if record.status is NodeStatus.SUSPECT:
             record = msgspec.structs.replace(record, status=NodeStatus.ALIVE)
         if not self._table.supersedes(record, authoritative):
-            self._queue.note_duplicate(record)
+            self._queue.count_duplicate(record)
             return []
         before = self._table.get(record.node)
         self._table.put(record, now)
@@ -114,13 +121,13 @@
         return _status_line(before, record)
 
     def apply_status(self, update: StatusUpdate, now: float) -> list[Effect]:
-        """Apply a bare status; that of an unknown node is ignored."""
+        """Apply a status without a record; the status of an unknown node is ignored."""
         if update.node == self.own.node:
             return self._refute(update.incarnation, update.status is not NodeStatus.ALIVE, now)
         known = self._table.get(update.node)
         if known is None or update.incarnation < known.incarnation:
             return []
-        if update.status is NodeStatus.SUSPECT and known.status in PRESENT:
+        if update.status is NodeStatus.SUSPECT and known.status in PRESENT_STATUSES:
             self._add_accuser(update, now)
         claimed = msgspec.structs.replace(known, incarnation=update.incarnation, status=update.status)
         if not self._table.supersedes(claimed, authoritative=False):
@@ -142,7 +149,7 @@
             self._queue.add(update, now)  # Lifeguard, section III-B: confirmations are gossiped again.
 
     def _refute(self, incarnation: int, wrong: bool, now: float) -> list[Effect]:
-        """Raise the own incarnation over a wrong update or an earlier process under the same name."""
+        """Raise the own incarnation above that of a wrong update or an earlier process of the same name."""
         if self.leaving or not wrong or incarnation < self.own.incarnation:
             return []
         self.replace_own(self.own, incarnation + 1, now)
@@ -150,17 +157,20 @@
         return [LogLine("membership_refuted", LogLevel.INFO, {"incarnation": self.own.incarnation})]
 
     def _detect_clash(self, record: NodeRecord) -> list[Effect]:
-        """Warn of another process under the own name; one that has ended raises no more incarnations."""
+        """Log a warning if another process uses this node's name.
+
+        The process still runs if its incarnation keeps rising: an ended one raises no incarnation.
+        """
         if record.peer_address == self.own.peer_address or record.incarnation <= self.own.incarnation:
             return []
         self._clashes += 1
-        if self._clashes <= _CLASHES_IGNORED:
+        if self._clashes <= _IGNORED_CLASHES:
             return []
         fields = {"address": record.peer_address, "incarnation": record.incarnation}
         return [LogLine("membership_name_clash", LogLevel.WARNING, fields)]
 
     def replace_own(self, record: NodeRecord, incarnation: int, now: float) -> None:
-        """Store and disseminate another own record."""
+        """Replace this node's record, keeping its name, and disseminate it."""
         status = NodeStatus.LEFT if self.leaving else NodeStatus.ALIVE
         self.own = msgspec.structs.replace(record, node=self.own.node, incarnation=incarnation, status=status)
         self._table.put(self.own, now)
--- a/src/springmux/coordination/membership/gossip_queue.py
+++ b/src/springmux/coordination/membership/gossip_queue.py
@@ -1,4 +1,7 @@
-"""The queue of updates to disseminate: bounded per message and in transmissions (SWIM, section 4.1)."""
+"""The queue of updates to disseminate, with bounded size of messages and number of transmissions.
+
+Source: SWIM, section 4.1.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +23,7 @@
 
 
 class GossipQueue:
-    """The newest update of each node, least often sent first."""
+    """The newest update of each node; those sent least often are sent first."""
 
     def __init__(self, settings: MembershipSettings) -> None:
         self._settings = settings
@@ -30,11 +33,11 @@
         return len(self._queue)
 
     def add(self, update: NodeRecord | StatusUpdate, now: float) -> None:
-        """Queue ``update`` in place of an older one of the same node."""
+        """Queue ``update``, replacing an older one of the same node."""
         self._queue[update.node] = _Queued(update, now)
 
-    def note_duplicate(self, record: NodeRecord) -> None:
-        """Send ``record`` less often, since a peer sent it too: many know it already.
+    def count_duplicate(self, record: NodeRecord) -> None:
+        """Send ``record`` fewer times, since a peer sent it too and so many nodes know it already.
 
         Source: Demers et al. 1987, "Epidemic algorithms for replicated database maintenance", rumors with
         feedback and a counter.
@@ -44,11 +47,15 @@
             queued.sent += self._settings.duplicate_transmissions
 
     def keep_only(self, node: NodeId) -> None:
-        """Drop the updates of all other nodes, which may be outdated after a pause."""
+        """Drop the updates of all nodes other than ``node``, which may be outdated after a pause."""
         self._queue = {name: queued for name, queued in self._queue.items() if name == node}
 
-    def take(self, nodes: int, now: float, first: StatusUpdate | None = None) -> Piggyback:
-        """Return the updates for one message in a fleet of ``nodes``, with ``first`` before all others."""
+    def select_updates(self, nodes: int, now: float, first: StatusUpdate | None = None) -> Piggyback:
+        """Return the updates for one message, and count them as sent.
+
+        :param nodes: number of known nodes, which determines how often an update is sent.
+        :param first: an update that the message carries before all others, whether queued or not.
+        """
         if not self._queue and first is None:
             return NO_UPDATES
         limit = self._settings.retransmit_factor * max(1, math.ceil(math.log2(nodes + 1)))
@@ -70,6 +77,9 @@
         return Piggyback(tuple(records), tuple(statuses))
 
     def _outdated(self, queued: _Queued, now: float) -> bool:
-        """Return whether a suspicion must have been decided by now: a partitioned node mustn't revive it."""
+        """Return whether ``queued`` is a suspicion that other nodes must have decided by now.
+
+        A node that was partitioned must not spread such a suspicion again.
+        """
         suspect = queued.update.status is NodeStatus.SUSPECT
         return suspect and now - queued.queued_at > self._settings.suspicion_max_s
--- a/src/springmux/coordination/membership/membership.py
+++ b/src/springmux/coordination/membership/membership.py
@@ -1,7 +1,8 @@
 """Membership of nodes: SWIM with suspicion, incarnations and Lifeguard's local health.
 
 Sources: Das, Gupta and Motivala 2002 (SWIM); Dadgar, Phillips and Currey 2018 (Lifeguard).
-The cost for a node is bounded at any fleet size: one probe a period, a bounded number of updates a message.
+The load on a node is bounded at any fleet size: one probe per period, and a bounded number of updates per
+message.
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
 from springmux.coordination.membership.remembered import MissingPeers, PeerRecorder, RememberedPeer
 from springmux.coordination.membership.settings import MembershipSettings
 from springmux.coordination.membership.suspicion import LocalHealth
-from springmux.coordination.membership.table import PRESENT, MemberTable
+from springmux.coordination.membership.table import PRESENT_STATUSES, MemberTable
 from springmux.coordination.membership.view import MembershipView, NodeRecord, NodeStatus
 from springmux.coordination.membership.view_publisher import ViewPublisher
 from springmux.coordination.state_machine import (
@@ -44,11 +45,12 @@
 
 
 class Membership:
-    """Announces the own record to the fleet and detects failures of the other nodes.
+    """Announces this node's record to the fleet and detects failures of the other nodes.
 
-    :param own: the node's record; its incarnation may be 0, it rises when older updates are met.
-    :param seeds: peer addresses of other processes; the own address among them is skipped.
-    :param remembered: the peers that this node's disk kept, or ``None`` on a node without a disk.
+    :param own: this node's record. Its incarnation may be 0; it is raised above that of older updates
+        about this node.
+    :param seeds: peer addresses of other processes; this node's own address is skipped.
+    :param remembered: the peers stored on this node's disk, or ``None`` on a node without a disk.
     """
 
     def __init__(
@@ -74,27 +76,27 @@
         self._joiner = Joiner(own, seeds, self._table, self._missing, random, settings)
         self._publisher = ViewPublisher(self._table, settings)
         self._handled_at: float | None = None
-        self._reconnect_at = 0.0
+        self._next_reconnect_at = 0.0
 
     @property
     def view(self) -> MembershipView:
-        """Return the present immutable view."""
+        """Return the current immutable view."""
         return self._table.view()
 
     @property
     def health_factor(self) -> int:
-        """Return Lifeguard's local health multiplier, 1 when healthy; for metrics."""
+        """Return Lifeguard's local health multiplier for metrics; 1 means healthy."""
         return self._health.factor
 
     def awaits_remembered(self, now: float) -> bool:
-        """Return whether a peer from before the restart is missing, and may still be heard of soon.
+        """Return whether a peer known before the restart is missing and its waiting time has not expired.
 
-        Until then this node may know only part of the fleet, and must decide nothing for all of it.
+        Meanwhile this node may know only part of the fleet and must not make fleet-wide decisions.
         """
-        return self._missing.awaited(now)
+        return self._missing.is_awaited(now)
 
     def next_deadline(self) -> float:
-        """Return when the next tick is wanted."""
+        """Return when the next tick is due."""
         deadline = min(self._disseminator.next_deadline(), self._publisher.next_deadline())
         if self._detector.leaving:
             return deadline
@@ -103,7 +105,7 @@
             deadline,
             self._prober.next_deadline(),
             self._anti_entropy.next_deadline(),
-            self._reconnect_at,
+            self._next_reconnect_at,
             self._joiner.next_deadline(handled_at),
             self._detector.next_deadline(handled_at),
         )
@@ -117,24 +119,24 @@
         elif isinstance(event, MessageReceived):
             effects += self._receive(event.sender, event.message, now)
         elif isinstance(event, PeerUnreachable):
-            self._prober.bring_forward(event.node, now)
+            self._prober.probe_soon(event.node, now)
         elif isinstance(event, OwnRecordChanged):
             self._detector.replace_own(event.record, self._detector.own.incarnation + 1, now)
         elif isinstance(event, SeedsChanged):
             self._joiner.replace_seeds(self._detector.own, event.seeds, now)
-            self._anti_entropy.hasten(now)
+            self._anti_entropy.schedule_immediately(now)
         elif isinstance(event, LeaveBegun):
             effects += self._leave(now)
         if self._table.changed:
-            self._note_change(now)
+            self._handle_table_change(now)
         return effects + self._publisher.publish(now)
 
-    def _note_change(self, now: float) -> None:
-        self._publisher.note_change()
+    def _handle_table_change(self, now: float) -> None:
+        self._publisher.mark_changed()
         if len(self._missing):
-            self._missing.known(record.node for record in self._table.records())
+            self._missing.discard_known(record.node for record in self._table.records())
         if self._recorder is not None:
-            self._recorder.changed(now)
+            self._recorder.schedule_update(now)
 
     # --- time ---
 
@@ -149,12 +151,12 @@
         self._queue.keep_only(self._detector.own.node)
         self._health.reset_after_pause()
         self._detector.restart_suspicions(now)
-        self._anti_entropy.hasten(now)
+        self._anti_entropy.schedule_immediately(now)
         return [LogLine("membership_paused", LogLevel.WARNING, {"pause_s": round(now - last, 3)})]
 
     def _tick(self, now: float) -> list[Effect]:
         effects: list[Effect] = []
-        present = self._table.others(PRESENT)
+        present = self._table.others(PRESENT_STATUSES)
         if not self._detector.leaving:
             effects += self._probe(present, now)
             effects += self._joiner.join(self._detector.own, now)
@@ -191,13 +193,13 @@
         return self._anti_entropy.start_exchange(present, now)
 
     def _reconnect(self, now: float) -> list[Effect]:
-        """Ping a dead node now and then, so that the halves of a healed partition find each other again.
+        """Ping a random dead node with some probability, so that the two sides of a healed partition rejoin.
 
-        The whole fleet sends each dead node about one such ping a probe period.
+        The whole fleet together sends each dead node about one such ping per probe period.
         """
-        if now < self._reconnect_at:
+        if now < self._next_reconnect_at:
             return []
-        self._reconnect_at = now + self._settings.probe_period_s
+        self._next_reconnect_at = now + self._settings.probe_period_s
         dead = self._table.others((NodeStatus.DEAD,))
         if not dead or self._random.random() > len(dead) / len(self._table):
             return []
@@ -205,10 +207,10 @@
         return [Send(to=target, message=self._ping(target, self._prober.next_sequence(), now))]
 
     def _record_peers(self, now: float) -> list[Effect]:
-        """Have the disk keep the present fleet and the peers that are still missing."""
+        """Request that the present nodes and the peers still missing be stored on disk."""
         if self._recorder is None or now < self._recorder.next_deadline():
             return []
-        present = [self._table.get(node) for node in self._table.others(PRESENT)]
+        present = [self._table.get(node) for node in self._table.others(PRESENT_STATUSES)]
         known = [RememberedPeer(record.node, record.peer_address) for record in present if record is not None]
         return self._recorder.update(known + self._missing.peers())
 
@@ -219,7 +221,7 @@
         effects = self._dispatch(sender, message, now)
         introduced = was_unknown and self._table.get(sender) is not None
         if introduced and isinstance(message, wire.MemberPing | wire.MemberGossip):
-            # Who introduces itself to this node knows the fleet that this node may not know yet.
+            # The sender knows this node, so it may know other nodes that this node doesn't know yet.
             effects.append(self._anti_entropy.send_digest(sender))
         return effects
 
@@ -253,19 +255,19 @@
         return [*effects, Send(to=sender, message=ack)]
 
     def _fetch_unknown(self, sender: NodeId, incarnation: int) -> list[Effect]:
-        """Start an exchange with a sender that is unknown here, or known only in an older incarnation."""
+        """Start an exchange with a sender that is unknown or known only with an older incarnation."""
         known = self._table.get(sender)
         if known is not None and known.incarnation >= incarnation:
             return []
         return [self._anti_entropy.send_digest(sender)]
 
     def _receive_join(self, sender: NodeId, record: NodeRecord, now: float) -> list[Effect]:
-        was_alone = not self._table.others(PRESENT)
+        was_alone = not self._table.others(PRESENT_STATUSES)
         authoritative = record.node == sender
         effects = self._detector.apply_record(record, now, authoritative, disseminate=True)
         if was_alone:
-            # Who remembers this node may know the fleet that this node's seeds don't lead to.
-            self._anti_entropy.hasten(now)
+            # The sender knew this node's address, so it may know nodes that this node's seeds don't lead to.
+            self._anti_entropy.schedule_immediately(now)
         records = self._table.records()
         tombstone = self._table.tombstone(record.node)
         if tombstone is not None and tombstone >= record.incarnation:
@@ -277,5 +279,5 @@
         self._detector.leaving = True
         own = self._detector.own
         self._detector.replace_own(own, own.incarnation + 1, now)
-        self._disseminator.hasten(now)
-        return self._disseminator.gossip(self._table.others(PRESENT), now)
+        self._disseminator.schedule_immediately(now)
+        return self._disseminator.gossip(self._table.others(PRESENT_STATUSES), now)
--- a/src/springmux/coordination/membership/messages.py
+++ b/src/springmux/coordination/membership/messages.py
@@ -10,7 +10,7 @@
 
 
 class StatusUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """``accuser`` reports ``node`` in this status in this incarnation; shorter than a complete record."""
+    """Report by ``accuser`` of the status of ``node`` in ``incarnation``; shorter than a complete record."""
 
     node: NodeId
     incarnation: int
@@ -19,7 +19,7 @@
 
 
 class Piggyback(msgspec.Struct, frozen=True, array_like=True, omit_defaults=True):
-    """Updates carried by another message: complete records of alive nodes, bare statuses of the others."""
+    """Updates piggybacked on a message: complete records of alive nodes, and only the status of others."""
 
     records: tuple[NodeRecord, ...] = ()
     statuses: tuple[StatusUpdate, ...] = ()
@@ -29,7 +29,7 @@
 
 
 class MemberPing(PeerMessage, frozen=True, tag="MemberPing"):
-    """Probe of the receiver. ``incarnation`` is the sender's own."""
+    """Probe of the receiver. ``incarnation`` is that of the sender."""
 
     sequence: int
     incarnation: int
@@ -37,7 +37,7 @@
 
 
 class MemberAck(PeerMessage, frozen=True, tag="MemberAck"):
-    """Reply to a ping, direct or through a helper."""
+    """Acknowledgement of a ping, direct or through a helper. ``incarnation`` is that of the probed node."""
 
     sequence: int
     incarnation: int
@@ -45,13 +45,16 @@
 
 
 class MemberNack(PeerMessage, frozen=True, tag="MemberNack"):
-    """A helper's reply that it works but the target didn't reply to it (Lifeguard, section III-A)."""
+    """A helper's reply that it works, but the target sent it no acknowledgement.
+
+    Source: Lifeguard, section III-A.
+    """
 
     sequence: int
 
 
 class MemberPingRequest(PeerMessage, frozen=True, tag="MemberPingRequest"):
-    """Probe ``target`` for the sender (SWIM, section 3.1)."""
+    """Request to probe ``target`` on behalf of the sender (SWIM, section 3.1)."""
 
     sequence: int
     target: NodeId
@@ -59,25 +62,25 @@
 
 
 class MemberGossip(PeerMessage, frozen=True, tag="MemberGossip"):
-    """Updates between probes, sent only while there are any."""
+    """Updates sent between probes, while any are queued."""
 
     updates: Piggyback
 
 
 class MemberJoin(PeerMessage, frozen=True, tag="MemberJoin"):
-    """Request to take the sender into the fleet; its first message to a seed address."""
+    """Request to join the fleet, sent to seed addresses and remembered peers."""
 
     record: NodeRecord
 
 
 class MemberDigest(PeerMessage, frozen=True, tag="MemberDigest"):
-    """Hashes of the sender's present records by bucket, four bytes each."""
+    """Hashes of the sender's present nodes by bucket, four bytes each."""
 
     hashes: bytes
 
 
 class MemberState(PeerMessage, frozen=True, tag="MemberState"):
-    """Records of ``buckets``; with ``reply_wanted`` the receiver sends its own of the same buckets."""
+    """Records of ``buckets``. With ``reply_wanted`` the receiver replies with its own records of them."""
 
     records: tuple[NodeRecord, ...]
     buckets: tuple[int, ...] = ()
--- a/src/springmux/coordination/membership/prober.py
+++ b/src/springmux/coordination/membership/prober.py
@@ -1,4 +1,4 @@
-"""Probe rounds: the next target, the probe in flight, and probes relayed for other nodes."""
+"""Probe rounds: selection of targets, the probe in flight, and probes relayed for other nodes."""
 
 from __future__ import annotations
 
@@ -13,8 +13,9 @@
 from springmux.coordination.state_machine import NEVER, Effect, Send
 
 MakePing = Callable[[NodeId, int], MemberPing]
-_RELAYS_MAX = 64
-"""Probes relayed at a time; far above helpers times the probes that can fail at once."""
+_MAX_RELAYED_PROBES = 64
+"""Limit of concurrently relayed probes; far above the number of helpers times the probes that can fail
+together."""
 
 
 @dataclass
@@ -36,7 +37,7 @@
 
 
 class Prober:
-    """One probe at a time over a shuffled round of targets (SWIM, section 4.3)."""
+    """Probes the targets one at a time, in shuffled rounds (SWIM, section 4.3)."""
 
     def __init__(self, settings: MembershipSettings, health: LocalHealth, source: random.Random) -> None:
         self._settings = settings
@@ -50,36 +51,36 @@
         self._next_probe_at = 0.0
 
     def next_deadline(self) -> float:
-        """Return when a probe or a relayed one times out, or the next one starts."""
+        """Return when the own or a relayed probe times out, or when the next probe starts."""
         deadline = min((relay.nack_at for relay in self._relayed.values()), default=NEVER)
         if self._probe is None:
             return min(deadline, self._next_probe_at)
         return min(deadline, self._probe.ends_at if self._probe.indirect else self._probe.indirect_at)
 
     def restart(self, now: float) -> None:
-        """Drop the probe in flight, which is worthless after a pause of the process."""
+        """Cancel all probes in flight: after a pause of the process, a missing reply proves nothing."""
         self._probe = None
         self._relayed.clear()
         self._next_probe_at = now
 
-    def bring_forward(self, node: NodeId, now: float) -> None:
-        """Probe ``node`` next, within a quarter of a probe period."""
+    def probe_soon(self, node: NodeId, now: float) -> None:
+        """Make ``node`` the next target, with its probe due within a quarter of a probe period."""
         if node not in self._urgent:
             self._urgent.append(node)
         soon = now + self._settings.probe_period_s / 4 * self._random.random()
         self._next_probe_at = min(self._next_probe_at, soon)
 
     def next_sequence(self) -> int:
-        """Return a new probe number."""
+        """Return a new sequence number for a probe."""
         self._sequence += 1
         return self._sequence
 
     def begin(self, targets: tuple[NodeId, ...], make_ping: MakePing, now: float) -> list[Effect]:
-        """Start the next probe if it is due."""
+        """Start the next probe if it is due and none is in flight."""
         if self._probe is not None or now < self._next_probe_at:
             return []
         self._next_probe_at = now + self._settings.probe_period_s * self._random.uniform(0.9, 1.1)
-        target = self._choose(targets)
+        target = self._choose_target(targets)
         if target is None:
             return []
         factor = self._health.factor
@@ -92,7 +93,7 @@
         )
         return [Send(to=target, message=make_ping(target, sequence))]
 
-    def _choose(self, targets: tuple[NodeId, ...]) -> NodeId | None:
+    def _choose_target(self, targets: tuple[NodeId, ...]) -> NodeId | None:
         present = set(targets)
         while self._urgent:
             node = self._urgent.pop(0)
@@ -109,7 +110,7 @@
                 return node
 
     def request_helpers(self, targets: tuple[NodeId, ...], now: float) -> list[Effect]:
-        """Request indirect probes if the direct one wasn't acknowledged in time."""
+        """Request indirect probes if the direct probe wasn't acknowledged in time."""
         probe = self._probe
         if probe is None or probe.indirect or now < probe.indirect_at:
             return []
@@ -121,7 +122,7 @@
         return [Send(to=helper, message=request) for helper in helpers]
 
     def failed_target(self, now: float) -> NodeId | None:
-        """End the probe if it has timed out; return the target that must be suspected."""
+        """End the probe if it has timed out; return its target, which must be suspected."""
         probe = self._probe
         if probe is None or now < probe.ends_at:
             return None
@@ -145,15 +146,15 @@
         return []
 
     def receive_nack(self, message: MemberNack) -> None:
-        """Count a helper that works."""
+        """Count a helper that works, although it got no acknowledgement from the target."""
         if self._probe is not None and self._probe.sequence == message.sequence:
             self._probe.nacks += 1
 
     def relay(
         self, origin: NodeId, request: MemberPingRequest, make_ping: MakePing, now: float
     ) -> list[Effect]:
-        """Probe a target for ``origin``."""
-        if len(self._relayed) >= _RELAYS_MAX:
+        """Probe a target on behalf of ``origin``; too many concurrent requests are ignored."""
+        if len(self._relayed) >= _MAX_RELAYED_PROBES:
             return []
         sequence = self.next_sequence()
         nack_at = now + self._settings.direct_timeout_s
@@ -161,7 +162,7 @@
         return [Send(to=request.target, message=make_ping(request.target, sequence))]
 
     def send_nacks(self, now: float) -> list[Effect]:
-        """Notify origins whose target didn't acknowledge in time."""
+        """Send nacks to the origins of relayed probes whose target didn't acknowledge in time."""
         due = [sequence for sequence, relay in self._relayed.items() if relay.nack_at <= now]
         effects: list[Effect] = []
         for sequence in due:
--- a/src/springmux/coordination/membership/relay.py
+++ b/src/springmux/coordination/membership/relay.py
@@ -1,8 +1,8 @@
-"""Relay trees by ranges of hash space: each relay splits its range among nodes that it knows.
+"""Relay trees over ranges of hash space: each relay splits its range among the nodes that it knows.
 
-The tree needs no agreement on the member list: a node is reached if its parent knows it. Every salt
-gives another tree, so a relay that fails costs its subtree one message, not the next one. The root lies in
-some child's range and may get its own message back once.
+The nodes needn't agree on the member list: a node is reached if its parent knows it. Every salt gives another
+tree, so when a relay fails its subtree misses one message, but not the next one. The position of the root
+lies in the range of one of its children, so the root may get its own message back once.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
 
 
 def relay_position(node: NodeId, salt: int) -> int:
-    """Return the position of ``node`` in the tree that ``salt`` picks."""
+    """Return the position of ``node`` in hash space for the tree of ``salt``."""
     return xxhash.xxh32_intdigest(node.encode(), salt & 0xFFFFFFFF)
 
 
 def zone_targets(zones: Mapping[NodeId, ZoneName], own: NodeId, salt: int, fanout: int) -> list[RelayTarget]:
-    """Return the root's targets: a head in each other zone, and the split of the own zone."""
+    """Return the root's targets: one node in each other zone, and those that split the root's own zone."""
     targets: list[RelayTarget] = []
     members: dict[ZoneName, list[NodeId]] = {}
     for node, zone in zones.items():
@@ -50,7 +50,7 @@
 def range_targets(
     nodes: Iterable[NodeId], own: NodeId, salt: int, low: int, high: int, fanout: int
 ) -> list[RelayTarget]:
-    """Split ``[low, high)`` into at most ``fanout`` runs of nodes; the first of each run relays on."""
+    """Split ``[low, high)`` into at most ``fanout`` runs of nodes; the first node of each run relays."""
     if low >= high:
         return []
     positions = sorted((relay_position(node, salt), node) for node in nodes if node != own)
--- a/src/springmux/coordination/membership/suspicion.py
+++ b/src/springmux/coordination/membership/suspicion.py
@@ -12,14 +12,14 @@
 
 @dataclass
 class Suspicion:
-    """One suspected node: independent accusers shorten its time to refute."""
+    """One suspected node; independent accusers shorten the time that it has to refute."""
 
     incarnation: int
     started_at: float
     accusers: set[NodeId] = field(default_factory=set)
 
     def deadline(self, settings: MembershipSettings, health_factor: int) -> float:
-        """Return when the suspicion becomes a death (Lifeguard, section III-B)."""
+        """Return when the suspect is declared dead (Lifeguard, section III-B)."""
         confirmations = max(0, len(self.accusers) - 1)
         span = settings.suspicion_max_s - settings.suspicion_min_s
         share = math.log(confirmations + 1) / math.log(settings.suspicion_confirmations + 1)
@@ -28,7 +28,7 @@
 
 
 class LocalHealth:
-    """How far the node trusts itself: a score that stretches timeouts, and the last probes' outcomes."""
+    """Local health of this node: a score that lengthens timeouts, and the outcomes of the latest probes."""
 
     def __init__(self, settings: MembershipSettings) -> None:
         self._settings = settings
@@ -37,11 +37,11 @@
 
     @property
     def factor(self) -> int:
-        """Return the multiplier of timeouts, 1 when healthy."""
+        """Return the multiplier of timeouts; 1 means healthy."""
         return self._score + 1
 
     def add(self, points: int) -> None:
-        """Move the score; positive is worse."""
+        """Add ``points`` to the score; a higher score is worse."""
         self._score = max(0, min(self._settings.health_max, self._score + points))
 
     def record_probe(self, succeeded: bool, now: float) -> None:
@@ -54,6 +54,6 @@
         return 2 * outcomes.count(False) < len(outcomes)
 
     def reset_after_pause(self) -> None:
-        """Forget the outcomes that the own pause made worthless, and stretch timeouts for a while."""
+        """Discard the outcomes, which a pause of the process invalidates, and lengthen the timeouts."""
         self._outcomes.clear()
         self.add(2)
--- a/src/springmux/coordination/membership/view.py
+++ b/src/springmux/coordination/membership/view.py
@@ -1,4 +1,4 @@
-"""Immutable records of the fleet's nodes, and the view that a node has of all of them."""
+"""Immutable records of the fleet's nodes, and a node's view of all of them."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 
 
 class NodeRole(enum.StrEnum):
-    """What a node does."""
+    """Function of a node in the fleet."""
 
     ROUTER = "router"
     CONTROLLER = "controller"
 
 
 class NodeRecord(msgspec.Struct, frozen=True, array_like=True, omit_defaults=True):
-    """One node as the fleet knows it. Only the node itself raises its ``incarnation``.
+    """Record of one node. Only the node itself raises its ``incarnation``.
 
-    ``leaving``: its process is stopping. Until it has left it finishes requests and gets all updates, but
-    takes no singleton roles.
+    ``leaving``: the process is stopping. Until it has left, the node finishes requests and gets all updates,
+    but takes no singleton roles.
     """
 
     node: NodeId
@@ -48,32 +48,32 @@
 
 
 class MembershipView(msgspec.Struct, frozen=True):
-    """Immutable snapshot of the fleet's nodes, the own node among them."""
+    """Immutable snapshot of the fleet's nodes, including the own node."""
 
     own: NodeId
     nodes: Mapping[NodeId, NodeRecord]
 
     def present(self) -> list[NodeRecord]:
-        """Return alive and suspect nodes, by name."""
+        """Return the alive and suspect nodes, sorted by name."""
         usable = (NodeStatus.ALIVE, NodeStatus.SUSPECT)
         return sorted((r for r in self.nodes.values() if r.status in usable), key=lambda r: r.node)
 
     def staying(self) -> list[NodeRecord]:
-        """Return the present nodes that aren't stopping, by name: those that may take singleton roles."""
+        """Return the present nodes that aren't stopping and may take singleton roles, sorted by name."""
         return [record for record in self.present() if not record.leaving]
 
     def controllers(self) -> list[NodeRecord]:
-        """Return staying nodes that hold a replica of the control log."""
+        """Return the staying nodes that have a replica of the control log, sorted by name."""
         return [record for record in self.staying() if record.replica is not None]
 
     def present_by_zone(self) -> dict[ZoneName, tuple[NodeId, ...]]:
-        """Return the names of the present nodes by zone, each zone's in order; computed at each call."""
+        """Return the sorted names of the present nodes for each zone; computed at each call."""
         zones: dict[ZoneName, list[NodeId]] = {}
         for record in self.present():
             zones.setdefault(record.zone, []).append(record.node)
         return {zone: tuple(nodes) for zone, nodes in zones.items()}
 
     def zone_of(self, node: NodeId) -> ZoneName:
-        """Return the zone of ``node`` (an empty name for an unknown one)."""
+        """Return the zone of ``node``; an empty name if the node is unknown."""
         record = self.nodes.get(node)
         return record.zone if record else ZoneName("")
--- a/src/springmux/coordination/membership/view_publisher.py
+++ b/src/springmux/coordination/membership/view_publisher.py
@@ -1,4 +1,4 @@
-"""Publishing of views: each change at once in a small fleet, in batches in a large one."""
+"""Publishing of views: each change immediately in a small fleet, in batches in a large one."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ViewPublisher:
-    """Decides when a changed view goes to the other components."""
+    """Decides when a changed view is published to the other components."""
 
     def __init__(self, table: MemberTable, settings: MembershipSettings) -> None:
         self._table = table
@@ -18,11 +18,11 @@
         self._published_at = -NEVER
 
     def next_deadline(self) -> float:
-        """Return when a changed view is due."""
+        """Return when a changed view is to be published."""
         return self._due_at() if self._pending else NEVER
 
-    def note_change(self) -> None:
-        """Remember that the view changed."""
+    def mark_changed(self) -> None:
+        """Mark the view as changed since the last publication."""
         self._pending = True
 
     def publish(self, now: float) -> list[Effect]:
--- a/src/springmux/coordination/rendezvous.py
+++ b/src/springmux/coordination/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous (highest random weight) hashing: who holds a key, with least movement on change.
+"""Rendezvous (highest random weight) hashing: assignment of keys to members, with few moves on changes.
 
 Source: Thaler and Ravishankar, "Using name-based mappings to increase hit rates", 1998.
 """
@@ -14,24 +14,24 @@
 
 
 def rendezvous_score(key: str, member: str) -> int:
-    """Return the 64-bit weight of ``member`` for ``key``; the highest weight holds the key."""
+    """Return the 64-bit weight of ``member`` for ``key``; the member of highest weight holds the key."""
     return xxhash.xxh3_64_intdigest(f"{key}\x00{member}".encode())
 
 
 def ranked_members(key: str, members: Iterable[T]) -> list[T]:
-    """Return ``members`` from the first holder of ``key`` to the last; ties are broken by name."""
+    """Return ``members`` in order of preference as holders of ``key``; ties are broken by name."""
     return sorted(members, key=lambda member: (-rendezvous_score(key, member), member))
 
 
 def first_holders(key: str, members: Iterable[T], count: int) -> list[T]:
-    """Return the ``count`` first holders of ``key`` (fewer where there are fewer members)."""
+    """Return the first ``count`` holders of ``key``, or all members if there are fewer."""
     return ranked_members(key, members)[:count]
 
 
 def spread_holders(key: str, members: Iterable[T], count: int, zone_of: Callable[[T], str]) -> list[T]:
-    """Return ``count`` holders of ``key`` in distinct zones as far as zones suffice, then any.
+    """Return ``count`` holders of ``key``, first from distinct zones, then from any if zones don't suffice.
 
-    :param zone_of: the failure domain of a member.
+    :param zone_of: returns the failure domain of a member.
     """
     ranked = ranked_members(key, members)
     chosen: list[T] = []
--- a/src/springmux/coordination/state_machine.py
+++ b/src/springmux/coordination/state_machine.py
@@ -1,9 +1,8 @@
-"""The interface of every state machine: events in, effects out, time passed in.
+"""The interface of every state machine: it handles events at a given time and returns effects.
 
-The driver (the daemon's event loop, or the simulation) calls ``handle`` with one event and the present
-monotonic time in seconds, and executes the returned effects in their order. A state machine never
-sleeps, reads a clock, or does I/O; randomness comes from a seeded :class:`random.Random` that its
-constructor gets.
+The driver (the daemon's event loop, or the simulation) calls ``handle`` with one event and the current
+monotonic time in seconds, and executes the returned effects in order. A state machine never sleeps, reads a
+clock or does I/O; its randomness comes from a seeded :class:`random.Random` passed to its constructor.
 """
 
 from __future__ import annotations
@@ -17,22 +16,22 @@
 from springmux.coordination.identifiers import NodeId
 
 NEVER = float("inf")
-"""Deadline of a state machine that waits for nothing."""
+"""Deadline of a state machine that isn't waiting for any time."""
 
 
 class Event(msgspec.Struct, frozen=True):
-    """Something that happened; subclasses carry its data."""
+    """Base of the events that a state machine handles."""
 
 
 class Effect(msgspec.Struct, frozen=True):
-    """Something that a state machine requests of its driver."""
+    """Base of the actions that a state machine requests from its driver."""
 
 
 class PeerMessage(msgspec.Struct, frozen=True, array_like=True, omit_defaults=True):
     """Base of every message between nodes.
 
-    Each subclass states its wire tag (``tag="..."``), unique in the fleet; the tag never changes, whatever
-    the class is called. Fields may be added at the end with a default; readers ignore unknown ones.
+    Each subclass declares its wire tag (``tag="..."``), which is unique in the fleet and never changes, even
+    if the class is renamed. Fields may be added at the end with a default; receivers ignore unknown ones.
     """
 
 
@@ -41,24 +40,24 @@
 
 @functools.cache
 def message_name(message: type[PeerMessage]) -> str:
-    """Return the name of a message type in metrics and logs: its tag, spelled out where that is short."""
+    """Return the name of a message type in metrics and logs: its tag, or a full name for a short tag."""
     tag = str(message.__struct_config__.tag)
     return _NAMES_OF_SHORT_TAGS.get(tag, tag)
 
 
 class Tick(Event, frozen=True):
-    """The ``next_deadline`` of the state machine has come or passed."""
+    """The time of the state machine's ``next_deadline`` has been reached."""
 
 
 class MessageReceived(Event, frozen=True):
-    """A peer's message arrived. ``sender`` is the node that the connection was authenticated as."""
+    """A peer's message arrived. ``sender`` is the authenticated node of the connection."""
 
     sender: NodeId
     message: PeerMessage
 
 
 class Send(Effect, frozen=True):
-    """Send a message to a node; it may be lost, late, or arrive out of order."""
+    """Send a message to a node; the message may be lost, delayed or reordered."""
 
     to: NodeId
     message: PeerMessage
@@ -74,7 +73,10 @@
 
 
 class LogLine(Effect, frozen=True):
-    """Write one structured log line. ``name`` is stable; never a key or a prompt's text in ``fields``."""
+    """Write one structured log line.
+
+    ``name`` is stable. ``fields`` must never contain a key or the text of a prompt.
+    """
 
     name: str
     level: LogLevel = LogLevel.INFO
--- a/src/springmux/storage/claim_journal.py
+++ b/src/springmux/storage/claim_journal.py
@@ -91,7 +91,7 @@
         except DiskFailedError as error:
             self._broken = error.reason
             raise
-        self._fold.take(entries)
+        self._fold.apply(entries)
         if self._rewrite is not None:
             self._rewrite.concurrent_entries.extend(entries)
         if self._rewrite is not None or self._file.sound_bytes > self._rewrite_at_bytes:
--- a/src/springmux/storage/claim_journal_file.py
+++ b/src/springmux/storage/claim_journal_file.py
@@ -60,7 +60,7 @@
             if record.type is RecordType.CLAIMS_START:
                 start = _start_decoder.decode(record.payload)
             elif record.type is RecordType.CLAIM_ENTRIES:
-                fold.take(_entries_decoder.decode(record.payload))
+                fold.apply(_entries_decoder.decode(record.payload))
             sealed = sealed or record.type is RecordType.CLAIMS_SEAL
             sound_bytes = record.end
     except msgspec.DecodeError as error:
--- a/tests/unit/claims/network.py
+++ b/tests/unit/claims/network.py
@@ -43,7 +43,7 @@
 
     def recover(self) -> RecoveredClaims:
         fold = JournalFold()
-        fold.take(self.synced)
+        fold.apply(self.synced)
         self.writing = None
         return RecoveredClaims(self.replica, True, fold.claims(), fold.state)
 
--- a/tests/unit/membership/test_dissemination.py
+++ b/tests/unit/membership/test_dissemination.py
@@ -63,9 +63,9 @@
     queue = GossipQueue(SETTINGS)
     queue.add(record, 0.0)
     for _ in range(heard_again):
-        queue.note_duplicate(record)
+        queue.count_duplicate(record)
     count = 0
-    while queue.take(60, 0.0).records:
+    while queue.select_updates(60, 0.0).records:
         count += 1
     return count
 
@@ -83,8 +83,8 @@
     newer = msgspec.structs.replace(record, incarnation=1)
     queue.add(newer, 0.0)
     for _ in range(100):
-        queue.note_duplicate(record)
-    assert queue.take(60, 0.0).records == (newer,)
+        queue.count_duplicate(record)
+    assert queue.select_updates(60, 0.0).records == (newer,)
 
 
 @pytest.mark.parametrize("seed", range(6))
--- a/tests/unit/simulation/test_seeds.py
+++ b/tests/unit/simulation/test_seeds.py
@@ -51,7 +51,7 @@
 
 
 def rejoin_nobody(joiner: Joiner, own: NodeRecord, present: tuple[NodeId, ...], now: float) -> list[Effect]:
-    joiner._rejoin_at = max(joiner._rejoin_at, now + 1.0)
+    joiner._next_rejoin_at = max(joiner._next_rejoin_at, now + 1.0)
     return []
 
 
