--- a/tests/support/gossip_harness.py
+++ b/tests/support/gossip_harness.py
@@ -1,4 +1,4 @@
-"""A small virtual network for the gossip parts: virtual time, loss, cuts, freezes, restarts, counts."""
+"""A virtual network for components that gossip: virtual time, message loss, partitions, pauses, restarts."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
 from springmux.vocabulary.engines import EngineLoad, EngineRecord, EngineStatus, EnginesView
 from springmux.vocabulary.names import EngineId, ServiceName, VersionName
 
-PART_OF_PREFIX = {"Member": "membership", "Contact": "contact", "Directory": "directory"}
+COMPONENT_BY_PREFIX = {"Member": "membership", "Contact": "contact", "Directory": "directory"}
 
 
-def part_name(message: PeerMessage) -> str:
+def component_name(message: PeerMessage) -> str:
     name = message_name(type(message))
-    return next(part for prefix, part in PART_OF_PREFIX.items() if name.startswith(prefix))
+    return next(component for prefix, component in COMPONENT_BY_PREFIX.items() if name.startswith(prefix))
 
 
 def record_of(index: int, zones: int, address: str = "") -> NodeRecord:
@@ -52,41 +52,41 @@
 
 
 class VirtualNode:
-    """The parts of one node, driven by the network's clock."""
+    """The components of one node, driven by the network's clock."""
 
-    def __init__(self, network: Network, record: NodeRecord, parts: dict[str, object]) -> None:
+    def __init__(self, network: Network, record: NodeRecord, components: dict[str, object]) -> None:
         self.network = network
         self.record = record
-        self.parts = parts
+        self.components = components
         self.frozen = False
-        self.waiting: list[tuple[NodeId, PeerMessage]] = []
-        self.notes: list[tuple[float, LogLine]] = []
+        self.buffered: list[tuple[NodeId, PeerMessage]] = []
+        self.log_lines: list[tuple[float, LogLine]] = []
         self.engines: EnginesView | None = None
 
     @property
     def membership(self) -> Membership:
-        return self.parts["membership"]  # type: ignore[return-value]
+        return self.components["membership"]  # type: ignore[return-value]
 
     @property
     def contact(self) -> ContactMonitor:
-        return self.parts["contact"]  # type: ignore[return-value]
+        return self.components["contact"]  # type: ignore[return-value]
 
-    def give(self, part: str, event: Event) -> None:
-        for effect in self.parts[part].handle(event, self.network.now):  # type: ignore[attr-defined]
-            self.carry_out(effect)
-        self.network.schedule_tick(self, part)
+    def give(self, component: str, event: Event) -> None:
+        for effect in self.components[component].handle(event, self.network.now):  # type: ignore[attr-defined]
+            self.execute(effect)
+        self.network.schedule_tick(self, component)
 
-    def carry_out(self, effect: Effect) -> None:
+    def execute(self, effect: Effect) -> None:
         if isinstance(effect, Send):
             self.network.send(self, effect.to, effect.message)
         elif isinstance(effect, SendToAddress):
             self.network.send_to_address(self, effect.address, effect.message)
         elif isinstance(effect, LogLine):
-            self.notes.append((self.network.now, effect))
+            self.log_lines.append((self.network.now, effect))
         elif isinstance(effect, EnginesChanged):
             self.engines = effect.view
         elif isinstance(effect, MembershipChanged):
-            for name in self.parts:
+            for name in self.components:
                 if name != "membership":
                     self.give(name, MembershipUpdated(effect.view))
 
@@ -103,7 +103,7 @@
 
 
 class Network:
-    """Nodes, links and the virtual clock; everything follows from ``seed``."""
+    """Nodes, links and the virtual clock; all randomness derives from ``seed``."""
 
     def __init__(self, nodes: int, zones: int, seed: int, loss: float = 0.0) -> None:
         self.now = 100.0
@@ -113,9 +113,9 @@
         self.nodes: dict[NodeId, VirtualNode] = {}
         self.bytes_sent: Counter[str] = Counter()
         self.messages_sent: Counter[str] = Counter()
-        self._queue: list[tuple[float, int, Callable[[], None]]] = []
+        self._scheduled: list[tuple[float, int, Callable[[], None]]] = []
         self._ticks: dict[tuple[int, str], float] = {}
-        self._order = itertools.count()
+        self._event_numbers = itertools.count()
         self.zones = zones
         self.with_directory = False
         self.records = [record_of(index, zones) for index in range(nodes)]
@@ -124,63 +124,63 @@
     def start(self, records: Iterable[NodeRecord] | None = None) -> None:
         for record in records or self.records:
             source = random.Random(self.random.random())
-            parts: dict[str, object] = {
+            components: dict[str, object] = {
                 "membership": Membership(record, self.seeds, source),
                 "contact": ContactMonitor(record.node, True, source),
             }
             if self.with_directory:
-                parts["directory"] = EngineDirectory(record.node, source)
-            node = VirtualNode(self, record, parts)
+                components["directory"] = EngineDirectory(record.node, source)
+            node = VirtualNode(self, record, components)
             self.nodes[record.node] = node
-            for part in parts:
-                self.at(self.now + self.random.random() * 0.5, lambda n=node, p=part: self._tick(n, p))
+            for component in components:
+                self.at(self.now + self.random.random() * 0.5, lambda n=node, p=component: self._tick(n, p))
 
     def at(self, when: float, action: Callable[[], None]) -> None:
-        heapq.heappush(self._queue, (when, next(self._order), action))
+        heapq.heappush(self._scheduled, (when, next(self._event_numbers), action))
 
     def run(self, duration_s: float) -> None:
         end = self.now + duration_s
-        while self._queue and self._queue[0][0] <= end:
-            when, _, action = heapq.heappop(self._queue)
+        while self._scheduled and self._scheduled[0][0] <= end:
+            when, _, action = heapq.heappop(self._scheduled)
             self.now = max(self.now, when)
             action()
         self.now = end
 
-    def run_until(self, true: Callable[[], bool], limit_s: float, step_s: float = 0.1) -> float:
-        """Run until ``true()``; return the time it took, infinite if it took longer than ``limit_s``."""
-        begun = self.now
-        while not true():
-            if self.now - begun > limit_s:
+    def run_until(self, condition: Callable[[], bool], limit_s: float, step_s: float = 0.1) -> float:
+        """Run until ``condition()`` holds; return the time that took, infinity if longer than ``limit_s``."""
+        started_at = self.now
+        while not condition():
+            if self.now - started_at > limit_s:
                 return float("inf")
             self.run(step_s)
-        return self.now - begun
+        return self.now - started_at
 
-    def schedule_tick(self, node: VirtualNode, part: str) -> None:
-        deadline = node.parts[part].next_deadline()  # type: ignore[attr-defined]
-        key = (id(node), part)
+    def schedule_tick(self, node: VirtualNode, component: str) -> None:
+        deadline = node.components[component].next_deadline()  # type: ignore[attr-defined]
+        key = (id(node), component)
         if deadline == float("inf") or self._ticks.get(key, float("inf")) <= deadline:
             return
         self._ticks[key] = deadline
-        self.at(max(deadline, self.now), lambda: self._tick(node, part, deadline))
+        self.at(max(deadline, self.now), lambda: self._tick(node, component, deadline))
 
-    def _tick(self, node: VirtualNode, part: str, planned: float | None = None) -> None:
-        key = (id(node), part)
+    def _tick(self, node: VirtualNode, component: str, planned: float | None = None) -> None:
+        key = (id(node), component)
         if node.frozen or self.nodes.get(node.record.node) is not node:
             return
         if planned is not None and self._ticks.get(key) != planned:
             return
         self._ticks.pop(key, None)
-        node.give(part, Tick())
+        node.give(component, Tick())
 
     def send(self, sender: VirtualNode, to: NodeId, message: PeerMessage) -> None:
-        part = part_name(message)
-        self.bytes_sent[part] += len(msgspec.msgpack.encode(message))
-        self.messages_sent[part] += 1
+        component = component_name(message)
+        self.bytes_sent[component] += len(msgspec.msgpack.encode(message))
+        self.messages_sent[component] += 1
         self._deliver_later(sender, self.nodes.get(to), message)
 
     def send_to_address(self, sender: VirtualNode, address: Address, message: PeerMessage) -> None:
-        found = (node for node in self.nodes.values() if node.record.peer_address == address)
-        self._deliver_later(sender, next(found, None), message)
+        candidates = (node for node in self.nodes.values() if node.record.peer_address == address)
+        self._deliver_later(sender, next(candidates, None), message)
 
     def _deliver_later(self, sender: VirtualNode, target: VirtualNode | None, message: PeerMessage) -> None:
         if target is None or self.random.random() < self.loss or self.cut(sender, target):
@@ -192,9 +192,9 @@
         if self.nodes.get(target.record.node) is not target:
             return
         if target.frozen:
-            target.waiting.append((sender, message))
+            target.buffered.append((sender, message))
             return
-        target.give(part_name(message), MessageReceived(sender, message))
+        target.give(component_name(message), MessageReceived(sender, message))
 
     # --- faults ---
 
@@ -208,15 +208,15 @@
         self.node(index).frozen = True
 
     def thaw(self, index: int) -> None:
-        """Wake a frozen node: first what waited in its buffers, then its overdue ticks."""
+        """Resume a paused node: first the messages in its buffers, then its overdue ticks."""
         node = self.node(index)
         node.frozen = False
-        waiting, node.waiting = node.waiting, []
-        for sender, message in waiting:
-            node.give(part_name(message), MessageReceived(sender, message))
-        for part in node.parts:
-            self._ticks.pop((id(node), part), None)
-            node.give(part, Tick())
+        buffered, node.buffered = node.buffered, []
+        for sender, message in buffered:
+            node.give(component_name(message), MessageReceived(sender, message))
+        for component in node.components:
+            self._ticks.pop((id(node), component), None)
+            node.give(component, Tick())
 
     def cut_off(self, indexes: Iterable[int]) -> None:
         inside = {self.records[index].node for index in indexes}
@@ -225,16 +225,16 @@
     def heal(self) -> None:
         self.cut = lambda one, other: False
 
-    # --- verdicts ---
+    # --- checks ---
 
-    def all_see(self, index: int, status: NodeStatus | None) -> bool:
+    def all_have_status(self, index: int, status: NodeStatus | None) -> bool:
         node = self.records[index].node
         others = (each for each in self.nodes.values() if each.record.node != node and not each.frozen)
         return all(each.status_of(node) is status for each in others)
 
-    def all_see_from_outside(self, cut: list[int]) -> list[bool]:
-        """Tell for each cut-off node whether every node outside the cut holds it as dead."""
-        names = [self.records[index].node for index in cut]
+    def dead_to_all_others(self, isolated: list[int]) -> list[bool]:
+        """Return for each isolated node whether every node outside believes it dead."""
+        names = [self.records[index].node for index in isolated]
         outside = [node for name, node in self.nodes.items() if name not in names]
         return [all(node.status_of(name) is NodeStatus.DEAD for node in outside) for name in names]
 
@@ -242,10 +242,12 @@
         names = self.nodes.keys()
         return all(each.status_of(name) is NodeStatus.ALIVE for each in self.nodes.values() for name in names)
 
-    def deaths_noted(self) -> list[str]:
-        """Return the nodes that anyone declared or believed dead so far."""
-        notes = (note for node in self.nodes.values() for _, note in node.notes)
-        return [n.fields["node"] for n in notes if n.fields.get("status") == NodeStatus.DEAD.value]
+    def logged_deaths(self) -> list[str]:
+        """Return the nodes that any node declared or believed dead so far, once per log line."""
+        log_lines = (line for node in self.nodes.values() for _, line in node.log_lines)
+        return [
+            line.fields["node"] for line in log_lines if line.fields.get("status") == NodeStatus.DEAD.value
+        ]
 
     def reset_counts(self) -> None:
         self.bytes_sent.clear()
@@ -253,7 +255,7 @@
 
 
 class VirtualEngine:
-    """A back end that heartbeats once a second at a node, and at the next node if that one is gone."""
+    """An engine that sends a heartbeat to a node each second, and to the next node if that one is gone."""
 
     def __init__(self, network: Network, index: int, at_node: int, incarnation: int = 1) -> None:
         self.network = network
@@ -272,7 +274,7 @@
         self.network.at(self.network.now + delay_s, self._announce)
 
     def tell(self, event: Event) -> None:
-        """Give an event to the engine's node, or the next that answers."""
+        """Pass an event to the engine's node, or to the next node that runs."""
         count = len(self.network.records)
         for step in range(count):
             node = self.network.nodes.get(self.network.records[(self.at_node + step) % count].node)
@@ -282,10 +284,10 @@
 
     def _announce(self) -> None:
         self.tell(EngineAnnounced(self.record))
-        self.network.at(self.network.now + 1.0, self._beat)
+        self.network.at(self.network.now + 1.0, self._send_heartbeat)
 
-    def _beat(self) -> None:
+    def _send_heartbeat(self) -> None:
         if self.speaks:
             load = EngineLoad(self.record.engine, running=1, queued=0)
             self.tell(EngineHeartbeat(self.record, load))
-        self.network.at(self.network.now + self.network.random.uniform(0.95, 1.05), self._beat)
+        self.network.at(self.network.now + self.network.random.uniform(0.95, 1.05), self._send_heartbeat)
--- a/tests/unit/agent/directory/test_directory_network.py
+++ b/tests/unit/agent/directory/test_directory_network.py
@@ -37,7 +37,7 @@
 
 
 def lost_notes(network):
-    notes = [note for node in network.nodes.values() for _, note in node.notes]
+    notes = [note for node in network.nodes.values() for _, note in node.log_lines]
     return [n for n in notes if n.fields.get("status") == EngineStatus.LOST.value]
 
 
@@ -115,7 +115,7 @@
     assert not [
         note
         for node in inside
-        for _, note in node.notes
+        for _, note in node.log_lines
         if note.name == "directory_status" and note.fields["status"] == "lost"
     ]
 
@@ -154,5 +154,5 @@
 def test_loads_stay_at_the_node_that_got_them():
     network, engines = fleet()
     name = engines[3].record.engine
-    holders = [n.record.node for n in network.nodes.values() if name in n.parts["directory"].view.loads]
+    holders = [n.record.node for n in network.nodes.values() if name in n.components["directory"].view.loads]
     assert holders == [network.records[3].node]
--- a/tests/unit/claims/test_durability.py
+++ b/tests/unit/claims/test_durability.py
@@ -1,4 +1,4 @@
-"""Holders with disks: what outlives a restart of everything, a wiped disk, and a disk that doesn't answer."""
+"""Holders with disks: claims after a restart of all nodes, with wiped disks, and with unresponsive disks."""
 
 from __future__ import annotations
 
@@ -16,196 +16,202 @@
 
 A, B, C, D, E = NODES
 GRANTED, RUNNING, UNAVAILABLE = ClaimVerdict.GRANTED, ClaimVerdict.RUNNING, ClaimVerdict.UNAVAILABLE
-RESTART_BOUND_S = 2.0
-RULE = pytest.mark.parametrize("rule_kept", [True, False], ids=["rule kept", "rule broken"])
+RESTART_LIMIT_S = 2.0
+WITH_AND_WITHOUT_RULE = pytest.mark.parametrize("rule_kept", [True, False], ids=["rule kept", "rule broken"])
 
 
 @pytest.fixture
 def network() -> ClaimNetwork:
-    """Holders a, b, c with disks, in step after a tenth of a second; d and e only claim."""
+    """Holders a, b and c with disks, synchronized after 0.1 s; nodes d and e are only claimants."""
     network = ClaimNetwork(nodes=(A, B, C), durable=True)
-    network.settle_down(0.1)
+    network.run(0.1)
     return network
 
 
-def granted(network: ClaimNetwork, attempt: str, key: str = "key", without: tuple[NodeId, ...] = ()) -> bool:
+def is_granted(
+    network: ClaimNetwork, attempt: str, key: str = "key", without: tuple[NodeId, ...] = ()
+) -> bool:
     network.claim(D, attempt, key)
-    network.settle_down(0.3, without=without)
+    network.run(0.3, without=without)
     return network.verdict(attempt) is GRANTED
 
 
-@RULE
-def test_a_grant_is_answered_only_after_the_sync(
+@WITH_AND_WITHOUT_RULE
+def test_grant_is_sent_only_after_the_sync(
     network: ClaimNetwork, rule_kept: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     if not rule_kept:
         network.coordinators[A]._holder._persistence = None
     network.claim(D, "t1")
-    for sender, to, message in network.take_all():
-        network.give(to, MessageReceived(sender, message))
-    replies = [sender for sender, _, message in network.bag if isinstance(message, ClaimReply)]
+    for sender, to, message in network.remove_all_in_flight():
+        network.dispatch(to, MessageReceived(sender, message))
+    replies = [sender for sender, _, message in network.in_flight if isinstance(message, ClaimReply)]
     assert (replies == []) is rule_kept
     for holder in (A, B, C):
         network.sync(holder)
-    assert {sender for sender, _, message in network.bag if isinstance(message, ClaimReply)} == {A, B, C}
+    assert {sender for sender, _, message in network.in_flight if isinstance(message, ClaimReply)} == {
+        A,
+        B,
+        C,
+    }
 
 
-def test_a_resend_after_a_power_cut_between_grant_and_dispatch_does_not_run(network: ClaimNetwork) -> None:
-    assert granted(network, "t1")
+def test_resend_after_a_power_cut_between_grant_and_dispatch_does_not_run(network: ClaimNetwork) -> None:
+    assert is_granted(network, "t1")
     network.power_cut(NODES)
-    network.settle_down(RESTART_BOUND_S)
+    network.run(RESTART_LIMIT_S)
     network.claim(E, "t2")
-    network.settle_down(0.3)
+    network.run(0.3)
     assert network.verdict("t2") is RUNNING
-    assert granted(network, "t3", "another key")
+    assert is_granted(network, "t3", "another key")
 
 
-def test_a_power_cut_before_the_sync_leaves_the_key_free(network: ClaimNetwork) -> None:
+def test_power_cut_before_the_sync_leaves_the_key_free(network: ClaimNetwork) -> None:
     network.claim(D, "t1")
-    for sender, to, message in network.take_all():
-        network.give(to, MessageReceived(sender, message))
+    for sender, to, message in network.remove_all_in_flight():
+        network.dispatch(to, MessageReceived(sender, message))
     network.power_cut(NODES)
-    network.settle_down(RESTART_BOUND_S)
-    assert granted(network, "t2")
+    network.run(RESTART_LIMIT_S)
+    assert is_granted(network, "t2")
     assert network.verdict("t1") is None
 
 
-@pytest.mark.parametrize("lost", [A, B, C])
-@pytest.mark.parametrize("silent", [A, B, C])
-def test_after_a_restart_of_everything_one_wiped_holder_learns_what_it_had(
-    network: ClaimNetwork, lost: NodeId, silent: NodeId
+@pytest.mark.parametrize("wiped_holder", [A, B, C])
+@pytest.mark.parametrize("unreachable", [A, B, C])
+def test_wiped_holder_restores_its_records_after_a_restart_of_all_nodes(
+    network: ClaimNetwork, wiped_holder: NodeId, unreachable: NodeId
 ) -> None:
-    """t1 has two of three; whichever of them was wiped, the other still refuses the resend."""
-    assert granted(network, "t1", without=(silent,))
-    network.power_cut(NODES, wiped=(lost,))
-    network.settle_down(RESTART_BOUND_S)
-    assert not granted(network, "t2")
-    assert granted(network, "t3", "another key")
+    """t1 has two grants of three. If one of these holders is wiped, the other still rejects the resend."""
+    assert is_granted(network, "t1", without=(unreachable,))
+    network.power_cut(NODES, wiped=(wiped_holder,))
+    network.run(RESTART_LIMIT_S)
+    assert not is_granted(network, "t2")
+    assert is_granted(network, "t3", "another key")
 
 
-@RULE
-def test_a_wiped_holder_needs_both_others_however_long(
+@WITH_AND_WITHOUT_RULE
+def test_wiped_holder_grants_only_after_it_pulled_both_others(
     network: ClaimNetwork, rule_kept: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """a and b gave t1; a is wiped and b stays down: c doesn't know of t1, so a must not help it to grant."""
+    """a and b grant t1; a is wiped and b stays down. c doesn't know t1, so a must not grant t2."""
     if not rule_kept:
         monkeypatch.setattr(Synchronizer, "may_grant", _one_pulled_is_enough)
         monkeypatch.setattr(Synchronizer, "is_intact", lambda *_: True)
-    assert granted(network, "t1", without=(C,))
+    assert is_granted(network, "t1", without=(C,))
     network.power_cut(NODES, wiped=(A,))
-    network.settle_down(60.0, without=(B,))
-    assert granted(network, "t2", without=(B,)) is not rule_kept
+    network.run(60.0, without=(B,))
+    assert is_granted(network, "t2", without=(B,)) is not rule_kept
 
 
 def _one_pulled_is_enough(synchronizer: Synchronizer, span: HolderSpan, _: float) -> bool:
     return any(synchronizer._pulled.get(holder, 0) >= span.since for holder in span.holders)
 
 
-@RULE
-def test_with_two_wiped_holders_claims_are_refused(
+@WITH_AND_WITHOUT_RULE
+def test_claims_are_rejected_with_two_wiped_holders(
     network: ClaimNetwork, rule_kept: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     if not rule_kept:
         monkeypatch.setattr(Synchronizer, "_accepts_incomplete_peers", lambda *_: True)
-    assert granted(network, "t1", without=(C,))
+    assert is_granted(network, "t1", without=(C,))
     network.power_cut(NODES, wiped=(A, B))
-    network.settle_down(60.0)
-    assert granted(network, "t2") is not rule_kept
-    assert granted(network, "t3", "another key") is not rule_kept
+    network.run(60.0)
+    assert is_granted(network, "t2") is not rule_kept
+    assert is_granted(network, "t3", "another key") is not rule_kept
 
 
-def test_after_a_restart_of_everything_two_intact_holders_are_enough(network: ClaimNetwork) -> None:
-    assert granted(network, "t1", without=(C,))
+def test_two_intact_holders_are_enough_after_a_restart_of_all_nodes(network: ClaimNetwork) -> None:
+    assert is_granted(network, "t1", without=(C,))
     network.power_cut(NODES)
-    network.settle_down(RESTART_BOUND_S, without=(C,))
-    assert granted(network, "t2", "another key", without=(C,))
-    assert not granted(network, "t3", without=(C,))
+    network.run(RESTART_LIMIT_S, without=(C,))
+    assert is_granted(network, "t2", "another key", without=(C,))
+    assert not is_granted(network, "t3", without=(C,))
 
 
-@RULE
+@WITH_AND_WITHOUT_RULE
 @pytest.mark.parametrize("finished", [0, 40], ids=["from the beginning", "from its newest keys"])
-def test_a_restarted_holder_grants_no_key_that_the_others_gave(
+def test_restarted_holder_grants_no_key_that_the_others_granted(
     network: ClaimNetwork, rule_kept: bool, finished: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     if not rule_kept:
         monkeypatch.setattr(Synchronizer, "may_grant", lambda *_: True)
     for number in range(finished):
-        assert granted(network, f"f{number}", f"finished{number}")
+        assert is_granted(network, f"f{number}", f"finished{number}")
         network.end(f"f{number}")
-    network.settle_down(0.3)
-    assert granted(network, "t1", without=(C,))
+    network.run(0.3)
+    assert is_granted(network, "t1", without=(C,))
     network.power_cut((C,))
-    network.settle_down(0.02, without=(D,))
-    pages = [entry for entry in network.bag if isinstance(entry[2], ClaimPage)]
-    network.bag = []
+    network.run(0.02, without=(D,))
+    pages = [entry for entry in network.in_flight if isinstance(entry[2], ClaimPage)]
+    network.in_flight = []
     network.claim(E, "t2")
-    request = next(entry[2] for entry in network.bag if isinstance(entry[2], ClaimRequest))
-    network.give(C, MessageReceived(E, request))
+    request = next(entry[2] for entry in network.in_flight if isinstance(entry[2], ClaimRequest))
+    network.dispatch(C, MessageReceived(E, request))
     network.sync(C)
-    replies = [each.status for _, to, each in network.bag if to == E and isinstance(each, ClaimReply)]
+    replies = [each.status for _, to, each in network.in_flight if to == E and isinstance(each, ClaimReply)]
     assert (GRANTED.name not in [status.name for status in replies]) is rule_kept
     assert sum(len(page.records) for _, _, page in pages if isinstance(page, ClaimPage)) <= 2 * 34
     if rule_kept:
-        network.bag = pages
-        network.settle_down(1.0)
+        network.in_flight = pages
+        network.run(1.0)
         assert network.coordinators[C]._holder.store.find("key") is not None
         assert network.coordinators[C]._synchronizer.may_grant(
             network.coordinators[C]._rings.span("key"), network.now
         )
 
 
-def test_the_claimant_goes_on_without_a_stalled_disk(network: ClaimNetwork) -> None:
+def test_claimant_proceeds_without_a_holder_with_a_stalled_disk(network: ClaimNetwork) -> None:
     network.disks[A].stalled = True
-    assert granted(network, "t1")
-    network.settle_down(1.5)
+    assert is_granted(network, "t1")
+    network.run(1.5)
     assert "claims_disk_stalled" in network.log_names
-    assert granted(network, "t2", "second")
+    assert is_granted(network, "t2", "second")
     assert network.coordinators[A]._holder.store.find("second") is None
     network.disks[A].stalled = False
-    network.settle_down(0.5)
+    network.run(0.5)
     assert "claims_disk_resumed" in network.log_names
-    assert granted(network, "t3", "third", without=(B,))
+    assert is_granted(network, "t3", "third", without=(B,))
 
 
 @pytest.mark.parametrize("full", [True, False])
-def test_a_full_disk_is_tried_again_and_a_failed_one_never(network: ClaimNetwork, full: bool) -> None:
+def test_full_disk_is_retried_and_a_failed_one_is_not(network: ClaimNetwork, full: bool) -> None:
     network.disks[A].stalled = True
-    assert granted(network, "t1")
+    assert is_granted(network, "t1")
     network.fail_disk(A, full)
     network.disks[A].stalled = False
-    network.settle_down(0.2)
+    network.run(0.2)
     assert network.log_names[-1] == ("claims_disk_full" if full else "claims_disk_failed")
-    assert granted(network, "t2", "second")
-    network.settle_down(ClaimSettings().disk_retry_s)
-    assert granted(network, "t3", "third", without=(B,)) is full
+    assert is_granted(network, "t2", "second")
+    network.run(ClaimSettings().disk_retry_s)
+    assert is_granted(network, "t3", "third", without=(B,)) is full
 
 
-def test_a_wiped_holder_is_whole_again_after_it_pulled(network: ClaimNetwork) -> None:
-    """Wiped one after the other, with time to pull between them, the holders lose nothing."""
-    assert granted(network, "t1")
+def test_wiped_holder_has_complete_records_after_it_pulled(network: ClaimNetwork) -> None:
+    """Holders that are wiped one after another, with time to pull in between, lose no claims."""
+    assert is_granted(network, "t1")
     for holder in (A, B, C):
         network.power_cut((holder,), wiped=(holder,))
-        network.settle_down(RESTART_BOUND_S)
+        network.run(RESTART_LIMIT_S)
     network.power_cut(NODES)
-    network.settle_down(RESTART_BOUND_S)
-    assert not granted(network, "t2")
-    assert granted(network, "t3", "another key")
+    network.run(RESTART_LIMIT_S)
+    assert not is_granted(network, "t2")
+    assert is_granted(network, "t3", "another key")
 
 
-def test_a_holder_that_was_out_of_the_ring_is_not_whole_before_it_pulled(network: ClaimNetwork) -> None:
+def test_holder_that_rejoins_the_ring_is_not_synchronized_before_it_pulled(network: ClaimNetwork) -> None:
     for members in ((B, C), (A, B, C)):
         network.change_ring(members)
         for holder in (A, B, C):
-            network.give(holder, HoldersChanged(network.ring))
+            network.dispatch(holder, HoldersChanged(network.ring))
         if A not in members:
-            network.settle_down(0.1)
+            network.run(0.1)
     assert not network.coordinators[A].is_synchronized(network.now)
     assert network.coordinators[B].is_synchronized(network.now)
-    network.settle_down(0.1)
+    network.run(0.1)
     assert network.coordinators[A].is_synchronized(network.now)
 
 
-def test_a_journal_that_can_not_keep_up_ends() -> None:
+def test_journal_ends_when_too_many_entries_wait() -> None:
     persistence = ClaimPersistence(ClaimSettings(max_entries=2))
     entries = ClaimNetwork(durable=True).disks[A].writing
     assert entries is not None
--- a/tests/unit/claims/test_model.py
+++ b/tests/unit/claims/test_model.py
@@ -1,4 +1,4 @@
-"""Random walks over claims with every fault: no key is ever granted to two that may run."""
+"""Random walks over the claims protocol with faults: no key is ever granted to two attempts that may run."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 WALKS = 400
 STEPS = 260
 CLAIMS_PER_KEY = 3
-MUTANT_WALKS = 1500
+WALKS_WITH_BROKEN_RULE = 1500
 
 
 class Walk:
-    """One seeded walk. At most one holder forgets at a time: the bound that the design states.
+    """One seeded walk. At most one holder at a time loses its records, the limit that the design states.
 
-    With disks any number restart at any moment, but only one is wiped at a time.
+    With disks, any number of nodes may restart at any time, but only one at a time is wiped.
     """
 
     def __init__(self, seed: int, durable: bool = False) -> None:
@@ -30,7 +30,7 @@
         self.random = self.network.random
         self.freed: set[str] = set()
         self.count = 0
-        self.network.settle_down(6.0)
+        self.network.run(6.0)
 
     def run(self) -> list[str]:
         for _ in range(STEPS):
@@ -43,11 +43,11 @@
 
     def step(self) -> None:
         network, choice = self.network, self.random.random()
-        self.sync_some()
-        if choice < 0.60 and network.bag:
-            network.deliver(self.random.randrange(len(network.bag)), keep=self.random.random() < 0.1)
-        elif choice < 0.64 and network.bag:
-            network.bag.pop(self.random.randrange(len(network.bag)))
+        self.sync_some_disks()
+        if choice < 0.60 and network.in_flight:
+            network.deliver(self.random.randrange(len(network.in_flight)), keep=self.random.random() < 0.1)
+        elif choice < 0.64 and network.in_flight:
+            network.in_flight.pop(self.random.randrange(len(network.in_flight)))
         elif choice < 0.74:
             self.count += 1
             network.claim(self.random.choice(NODES), f"t{self.count}", f"key{self.count // CLAIMS_PER_KEY}")
@@ -60,7 +60,7 @@
         elif choice < 0.84:
             self.change_ring()
         elif choice < 0.92:
-            self.tell_ring()
+            self.announce_ring()
         elif choice < 0.95:
             self.synchronize()
         else:
@@ -76,17 +76,17 @@
                 self.network.end(attempt, ran=not never_dispatched)
 
     def synchronize(self) -> None:
-        """Let pulls through, so that restarts and ring changes come often within a walk."""
+        """Deliver pulls and pages, so that restarts and ring changes are possible often within a walk."""
         for node in NODES:
-            self.network.give(node, HoldersChanged(self.network.ring))
+            self.network.dispatch(node, HoldersChanged(self.network.ring))
         for _ in range(6):
-            bag = self.network.bag
-            for index in reversed(range(len(bag))):
-                if isinstance(bag[index][2], ClaimPull | ClaimPage):
+            in_flight = self.network.in_flight
+            for index in reversed(range(len(in_flight))):
+                if isinstance(in_flight[index][2], ClaimPull | ClaimPage):
                     self.network.deliver(index)
 
-    def in_step(self) -> bool:
-        """Whether every node is at the newest ring and has its memory whole."""
+    def is_synchronized(self) -> bool:
+        """Return whether every member knows the newest ring and may grant all keys that it holds."""
         network = self.network
         coordinators = network.coordinators
         keys = [f"key{index}" for index in range(self.count // CLAIMS_PER_KEY + 1)]
@@ -98,14 +98,14 @@
             if span is not None and node in span.holders
         )
 
-    def sync_some(self) -> None:
+    def sync_some_disks(self) -> None:
         for node in self.network.disks:
             if node not in self.network.frozen and self.random.random() < 0.3:
                 self.network.sync(node)
 
-    def cut_power(self) -> None:
+    def cut_power_of_some(self) -> None:
         network, random = self.network, self.random
-        wiped = (random.choice(NODES),) if random.random() < 0.2 and self.in_step() else ()
+        wiped = (random.choice(NODES),) if random.random() < 0.2 and self.is_synchronized() else ()
         cut = NODES if random.random() < 0.3 else tuple(random.sample(NODES, 2))
         cut = tuple(sorted({*cut, *wiped}))
         network.frozen -= set(cut)
@@ -113,23 +113,23 @@
 
     def restart_one(self) -> None:
         if self.network.disks:
-            self.cut_power()
-        elif self.in_step():
+            self.cut_power_of_some()
+        elif self.is_synchronized():
             node = self.random.choice(NODES)
             self.network.frozen.discard(node)
             self.network.restart(node)
 
     def change_ring(self) -> None:
-        if self.in_step():
+        if self.is_synchronized():
             members = set(self.network.ring.nodes())
             member = self.random.choice(NODES)
             changed = members ^ {member}
             if len(changed) >= 3:
                 self.network.change_ring(tuple(sorted(changed)))
 
-    def tell_ring(self) -> None:
+    def announce_ring(self) -> None:
         for node in self.random.sample(NODES, 3):
-            self.network.give(node, HoldersChanged(self.network.ring))
+            self.network.dispatch(node, HoldersChanged(self.network.ring))
 
 
 def first_violation(walks: int, durable: bool = False) -> Iterator[int]:
@@ -137,7 +137,7 @@
 
 
 @pytest.mark.parametrize("durable", [False, True], ids=["memory", "disks"])
-def test_no_walk_grants_a_key_twice_and_walks_do_grant(durable: bool) -> None:
+def test_random_walks_grant_keys_and_never_grant_one_twice(durable: bool) -> None:
     grants = frees = 0
     for seed in range(WALKS):
         walk = Walk(seed, durable)
@@ -148,19 +148,21 @@
     assert frees > WALKS // 10
 
 
-@pytest.mark.parametrize("broken", ["one grant is enough", "a forgetful holder grants, and counts"])
-def test_breaking_a_rule_is_seen(broken: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    if broken == "one grant is enough":
+@pytest.mark.parametrize(
+    "broken_rule", ["one grant is enough", "a holder without its records grants, and its grant counts"]
+)
+def test_random_walks_detect_a_broken_rule(broken_rule: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    if broken_rule == "one grant is enough":
         monkeypatch.setattr(Claim, "majority", lambda claim: 1)
     else:
         monkeypatch.setattr(Synchronizer, "may_grant", lambda *_: True)
         monkeypatch.setattr(Claim, "_consistent", lambda *_: True)
-    assert next(first_violation(MUTANT_WALKS), None) is not None
+    assert next(first_violation(WALKS_WITH_BROKEN_RULE), None) is not None
 
 
-def test_a_disk_that_keeps_nothing_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_random_walks_detect_a_disk_that_loses_its_journal(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(ClaimDisk, "recover", _recover_nothing)
-    assert next(first_violation(MUTANT_WALKS, durable=True), None) is not None
+    assert next(first_violation(WALKS_WITH_BROKEN_RULE, durable=True), None) is not None
 
 
 def _recover_nothing(disk: ClaimDisk) -> RecoveredClaims:
--- a/tests/unit/claims/test_schedules.py
+++ b/tests/unit/claims/test_schedules.py
@@ -1,4 +1,8 @@
-"""The schedules that each rule is there for. Every one is run again with the rule broken, to see it fail."""
+"""Message schedules that the rules of the claims protocol guard against.
+
+Tests with ``rule_kept`` also run with the rule disabled, and then expect the violation, which shows that the
+schedule exercises the rule.
+"""
 
 from __future__ import annotations
 
@@ -31,23 +35,26 @@
     ClaimVerdict.FINISHED,
     ClaimVerdict.UNAVAILABLE,
 )
-INTACT_BROKEN = pytest.mark.parametrize("rule_kept", [True, False], ids=["rule kept", "rule broken"])
+WITH_AND_WITHOUT_RULE = pytest.mark.parametrize("rule_kept", [True, False], ids=["rule kept", "rule broken"])
 
 
 @pytest.fixture
 def network() -> ClaimNetwork:
-    """Holders a, b, c in step; d and e only claim."""
+    """Synchronized holders a, b and c; nodes d and e are only claimants."""
     network = ClaimNetwork(nodes=(A, B, C))
-    network.settle_down(6.0)
-    assert not network.bag
+    network.run(6.0)
+    assert not network.in_flight
     return network
 
 
 def deliver(network: ClaimNetwork, kind: type[PeerMessage], *, to: NodeId | None = None, of: str = "") -> int:
-    """Deliver all present messages of one kind, to one node and about one attempt where given."""
-    chosen = [entry for entry in network.bag if _matches(entry, kind, to, of)]
+    """Deliver all messages of type ``kind`` in flight, if given only those to ``to`` about attempt ``of``.
+
+    :returns: the number of messages delivered.
+    """
+    chosen = [entry for entry in network.in_flight if _matches(entry, kind, to, of)]
     for entry in chosen:
-        network.deliver(network.bag.index(entry))
+        network.deliver(network.in_flight.index(entry))
     return len(chosen)
 
 
@@ -59,8 +66,8 @@
     )
 
 
-def lose(network: ClaimNetwork, kind: type[PeerMessage], to: NodeId) -> None:
-    network.bag = [entry for entry in network.bag if not _matches(entry, kind, to, "")]
+def drop(network: ClaimNetwork, kind: type[PeerMessage], to: NodeId) -> None:
+    network.in_flight = [entry for entry in network.in_flight if not _matches(entry, kind, to, "")]
 
 
 def pull_all(network: ClaimNetwork) -> None:
@@ -68,122 +75,126 @@
         pass
 
 
-def test_two_grants_decide_and_the_answer_is_kept_for_a_resend_elsewhere(network: ClaimNetwork) -> None:
+def test_two_grants_decide_and_the_response_is_stored_for_a_resend_at_another_node(
+    network: ClaimNetwork,
+) -> None:
     network.claim(D, "t1")
-    network.settle_down(0.1, without=(C,))
+    network.run(0.1, without=(C,))
     assert network.verdict("t1") is GRANTED
     network.claim(E, "t2")
-    network.settle_down(0.1)
+    network.run(0.1)
     assert network.verdict("t2") is RUNNING
     network.end("t1", answer=b"done")
-    network.settle_down()
+    network.run()
     network.claim(E, "t3")
-    network.settle_down(0.1)
+    network.run(0.1)
     assert network.decisions["t3"].verdict is FINISHED
     assert network.decisions["t3"].answer == b"done"
 
 
-def test_an_action_never_dispatched_is_free_for_another(network: ClaimNetwork) -> None:
+def test_key_of_an_undispatched_action_can_be_claimed_again(network: ClaimNetwork) -> None:
     network.claim(D, "t1")
-    network.settle_down(0.1)
+    network.run(0.1)
     network.end("t1", ran=False)
-    network.settle_down()
+    network.run()
     network.claim(E, "t2")
-    network.settle_down(0.1)
+    network.run(0.1)
     assert network.verdict("t2") is GRANTED
 
 
-def test_a_claimant_that_died_burns_the_key(network: ClaimNetwork) -> None:
+def test_key_of_a_crashed_claimant_stays_claimed(network: ClaimNetwork) -> None:
     network.claim(D, "t1")
-    network.settle_down(0.1)
+    network.run(0.1)
     network.restart(D)
-    network.settle_down(30.0)
+    network.run(30.0)
     network.claim(D, "t2")
-    network.settle_down()
+    network.run()
     assert network.verdict("t2") is RUNNING
 
 
-def test_without_two_holders_it_is_refused_in_time_and_withdrawn(network: ClaimNetwork) -> None:
+def test_claim_without_two_holders_times_out_and_is_withdrawn(network: ClaimNetwork) -> None:
     network.claim(D, "t1")
-    network.settle_down(0.24, without=(B, C))
+    network.run(0.24, without=(B, C))
     assert network.verdict("t1") is None
-    network.settle_down(0.04, without=(B, C))
+    network.run(0.04, without=(B, C))
     assert network.verdict("t1") is UNAVAILABLE
-    network.settle_down(2.0)
+    network.run(2.0)
     network.claim(E, "t2")
-    network.settle_down(0.1)
+    network.run(0.1)
     assert network.verdict("t2") is GRANTED
 
 
-def test_before_a_ring_is_known_the_refusal_is_immediate() -> None:
+def test_claim_before_the_first_ring_is_unavailable_immediately() -> None:
     network = ClaimNetwork(nodes=())
     network.claim(A, "t1")
     assert network.verdict("t1") is UNAVAILABLE
 
 
-def test_two_holders_not_ready_are_refused_without_waiting(network: ClaimNetwork) -> None:
+def test_claim_is_unavailable_without_waiting_if_two_holders_are_not_ready(network: ClaimNetwork) -> None:
     network.restart(A)
     network.restart(B)
-    network.take_all()
+    network.remove_all_in_flight()
     network.claim(D, "t1")
     deliver(network, ClaimRequest)
     deliver(network, ClaimReply)
     assert network.verdict("t1") is UNAVAILABLE
 
 
-def test_a_claim_that_comes_after_its_withdrawal_is_not_granted(network: ClaimNetwork) -> None:
+def test_request_that_arrives_after_its_withdrawal_is_not_granted(network: ClaimNetwork) -> None:
     network.claim(D, "t1")
-    late = next(entry for entry in network.bag if entry[1] == A)
-    network.bag.remove(late)
-    network.settle_down(0.5, without=(B, C))
+    late = next(entry for entry in network.in_flight if entry[1] == A)
+    network.in_flight.remove(late)
+    network.run(0.5, without=(B, C))
     assert network.verdict("t1") is UNAVAILABLE
-    network.bag = [late]
-    network.settle_down(0.1)
+    network.in_flight = [late]
+    network.run(0.1)
     assert network.coordinators[A].held_keys() == 0
 
 
-def test_holders_that_forgot_learn_from_the_third(network: ClaimNetwork) -> None:
+def test_holders_restarted_one_by_one_restore_their_records_by_pulls(network: ClaimNetwork) -> None:
     network.claim(D, "t1")
-    network.settle_down(0.1)
+    network.run(0.1)
     for holder in (A, B, C):
         network.restart(holder)
-        network.settle_down(6.0)
+        network.run(6.0)
     network.claim(E, "t2")
-    network.settle_down()
+    network.run()
     assert network.verdict("t2") is RUNNING
 
 
-def test_a_thawed_holder_pulls_before_it_grants(network: ClaimNetwork) -> None:
+def test_holder_pulls_after_a_pause_before_it_grants(network: ClaimNetwork) -> None:
     network.frozen = {C}
     network.advance(3.0)
     network.frozen = set()
     network.claim(D, "t1")
     deliver(network, ClaimRequest, to=C)
-    pulls = [to for sender, to, message in network.bag if sender == C and isinstance(message, ClaimPull)]
+    pulls = [
+        to for sender, to, message in network.in_flight if sender == C and isinstance(message, ClaimPull)
+    ]
     assert pulls == [A, B]
     assert network.coordinators[C].held_keys() == 0
 
 
-def test_the_outcome_is_resent_until_every_holder_has_it(network: ClaimNetwork) -> None:
+def test_outcome_is_resent_until_every_holder_has_it(network: ClaimNetwork) -> None:
     network.claim(D, "t1")
-    network.settle_down(0.1)
+    network.run(0.1)
     network.end("t1", answer=b"done")
-    lose(network, ClaimSettle, to=A)
-    network.settle_down(1.0)
+    drop(network, ClaimSettle, to=A)
+    network.run(1.0)
     deliver(network, ClaimSettleAck)
     assert network.coordinators[A]._holder.store.find("key").answer == b"done"
 
 
-@INTACT_BROKEN
-def test_a_grant_forgotten_in_flight_does_not_count(
+@WITH_AND_WITHOUT_RULE
+def test_grant_lost_in_a_restart_does_not_count(
     network: ClaimNetwork, rule_kept: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """a grants t1 and forgets it; b grants t1 only after a has pulled: a's grant must not count."""
+    """a's grant of t1 is lost in a restart; b grants t1 only after a has pulled. a's grant must not count."""
     if not rule_kept:
         monkeypatch.setattr(Claim, "_consistent", lambda *_: True)
     network.claim(D, "t1")
     deliver(network, ClaimRequest, to=A)
-    lose(network, ClaimRequest, to=C)
+    drop(network, ClaimRequest, to=C)
     network.restart(A)
     pull_all(network)
     deliver(network, ClaimRequest, to=B)
@@ -195,20 +206,20 @@
     assert (network.verdict("t1") is not GRANTED) is rule_kept
 
 
-@INTACT_BROKEN
-def test_an_inherited_attempt_is_not_granted_again(
+@WITH_AND_WITHOUT_RULE
+def test_attempt_learned_by_a_pull_is_not_granted(
     network: ClaimNetwork, rule_kept: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """t1 has a and b, t2 has c. a forgets and pulls: it must grant t2 no more than any other."""
+    """t1 is granted by a and b, t2 by c. a restarts and pulls both attempts, and must not grant t2."""
     if not rule_kept:
         monkeypatch.setattr(Holder, "merge", _merge_as_granted)
     network.claim(E, "t2")
     deliver(network, ClaimRequest, to=C)
-    network.take_all()
+    network.remove_all_in_flight()
     network.claim(D, "t1")
     deliver(network, ClaimRequest, to=A)
     deliver(network, ClaimRequest, to=B)
-    lose(network, ClaimRequest, to=C)
+    drop(network, ClaimRequest, to=C)
     deliver(network, ClaimReply, of="t1")
     assert network.verdict("t1") is GRANTED
     network.restart(A)
@@ -221,15 +232,15 @@
     assert (network.verdict("t2") is not GRANTED) is rule_kept
 
 
-def test_a_withdrawn_attempt_does_not_free_a_key_that_another_may_have(network: ClaimNetwork) -> None:
-    """t1 has a and b, t2 has c; a forgets, pulls both and sees t2 withdrawn: t1 still has the key."""
+def test_withdrawal_does_not_free_a_key_that_another_attempt_may_have(network: ClaimNetwork) -> None:
+    """t1 is granted by a and b, t2 by c. a restarts and pulls both; t2 is withdrawn. t1 still has the key."""
     network.claim(E, "t2")
     deliver(network, ClaimRequest, to=C)
-    network.take_all()
+    network.remove_all_in_flight()
     network.claim(D, "t1")
     deliver(network, ClaimRequest, to=A)
     deliver(network, ClaimRequest, to=B)
-    lose(network, ClaimRequest, to=C)
+    drop(network, ClaimRequest, to=C)
     deliver(network, ClaimReply, of="t1")
     assert network.verdict("t1") is GRANTED
     network.restart(A)
@@ -237,7 +248,7 @@
     network.advance(0.3)
     assert deliver(network, ClaimSettle, of="t2") == 3
     network.claim(E, "t3")
-    lose(network, ClaimRequest, to=B)
+    drop(network, ClaimRequest, to=B)
     deliver(network, ClaimRequest, of="t3")
     deliver(network, ClaimReply, of="t3")
     assert network.verdict("t3") is not GRANTED
@@ -250,20 +261,20 @@
             holder._granted[record.key] = record.attempts[0]
 
 
-@INTACT_BROKEN
-def test_a_claim_of_a_former_ring_is_not_granted(
+@WITH_AND_WITHOUT_RULE
+def test_claim_under_a_former_ring_is_not_granted(
     network: ClaimNetwork, rule_kept: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """c grants t1 under ring 1; ring 2 is a, b, d. a must not grant t1, since b and d don't know of it."""
+    """c grants t1 under ring 1; ring 2 is a, b and d. a must not grant t1, which b and d don't know."""
     if not rule_kept:
         monkeypatch.setattr(HolderSpan, "agrees_with", lambda *_: True)
         monkeypatch.setattr(Claim, "_consistent", lambda *_: True)
     network.claim(E, "t1")
     deliver(network, ClaimRequest, to=C)
-    lose(network, ClaimRequest, to=B)
+    drop(network, ClaimRequest, to=B)
     network.change_ring((A, B, D))
     for node in (A, B, D):
-        network.give(node, HoldersChanged(network.ring))
+        network.dispatch(node, HoldersChanged(network.ring))
     pull_all(network)
     deliver(network, ClaimRequest, to=A)
     deliver(network, ClaimReply, of="t1")
--- a/tests/unit/claims/test_store.py
+++ b/tests/unit/claims/test_store.py
@@ -1,4 +1,4 @@
-"""The holder's memory is bounded: answers go before keys, finished keys before running ones."""
+"""Limits of a holder's store: responses are evicted before keys, and only finished keys are evicted."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     return ClaimRecord(key, (ATTEMPT,), ClaimState.RUNNING)
 
 
-def test_the_oldest_finished_key_goes_first_and_running_ones_stay() -> None:
+def test_oldest_finished_key_is_evicted_first_and_running_keys_stay() -> None:
     store = ClaimStore(ClaimSettings(max_entries=3))
     for record in (running("r"), finished("old"), finished("new"), finished("newest")):
         store.put(record, 0.0)
@@ -28,7 +28,7 @@
     assert not store.has_room()
 
 
-def test_answers_over_the_bytes_go_but_their_keys_stay_finished() -> None:
+def test_responses_over_the_size_limit_are_evicted_but_their_keys_stay_finished() -> None:
     store = ClaimStore(ClaimSettings(max_answers_bytes=10))
     store.put(finished("old", b"12345678"), 0.0)
     store.put(finished("new", b"12345678"), 0.0)
@@ -37,7 +37,7 @@
     assert store.answer_bytes == 8
 
 
-def test_keys_past_the_window_and_old_tombstones_are_dropped() -> None:
+def test_expired_keys_and_tombstones_are_removed() -> None:
     store = ClaimStore(ClaimSettings(window_s=100.0, tombstone_s=50.0))
     store.put(running("old"), 0.0)
     store.put(running("new"), 60.0)
@@ -50,7 +50,7 @@
     assert not store.is_withdrawn(ATTEMPT)
 
 
-def test_changes_are_published_once_each_from_a_position_on() -> None:
+def test_changes_after_a_position_include_each_record_once() -> None:
     store = ClaimStore(ClaimSettings())
     store.put(running("a"), 0.0)
     store.put(running("b"), 0.0)
--- a/tests/unit/membership/test_contact_sizes.py
+++ b/tests/unit/membership/test_contact_sizes.py
@@ -1,4 +1,4 @@
-"""A fleet that shrinks or grows over the limit of direct evidence stays in contact meanwhile."""
+"""A fleet that grows or shrinks across the limit of direct heartbeats stays in contact during the change."""
 
 import random
 
@@ -13,7 +13,7 @@
 LARGE, SMALL = 30, 20
 
 
-def fleet(present: int, left: int = 0) -> MembershipUpdated:
+def membership_updated(present: int, left: int = 0) -> MembershipUpdated:
     address = Address("10.0.0.1:7000")
     records = {}
     for number in range(present + left):
@@ -23,25 +23,25 @@
     return MembershipUpdated(MembershipView(own=OWN, nodes=records))
 
 
-def test_a_fleet_that_shrinks_to_direct_evidence_keeps_the_beacons_for_its_time() -> None:
-    part = ContactMonitor(OWN, True, random.Random(1))
-    part.handle(fleet(LARGE), 1.0)
-    part.handle(MessageReceived(LEADER, ContactBeacon(1, 1, 50)), 1.1)
-    assert part.connected(1.1)
-    part.handle(fleet(SMALL, left=LARGE - SMALL), 1.2)
-    assert part.connected(1.3)
-    assert not part.connected(2.7)
-
-
-def test_a_fleet_that_grows_over_direct_evidence_keeps_its_round_trips_for_their_time() -> None:
-    part = ContactMonitor(OWN, True, random.Random(1))
-    part.handle(fleet(SMALL), 1.0)
-    beats = [effect for effect in part.handle(Tick(), 1.0) if isinstance(effect, Send)]
-    assert len(beats) == SMALL - 1
-    for beat in beats:
-        assert isinstance(beat.message, ContactHeartbeat)
-        part.handle(MessageReceived(beat.to, ContactHeartbeat(7, beat.message.sequence)), 1.1)
-    assert part.connected(1.1)
-    part.handle(fleet(SMALL + 8), 1.2)
-    assert part.connected(1.3)
-    assert not part.connected(2.6)
+def test_fleet_that_shrinks_below_the_heartbeat_limit_uses_beacons_until_they_expire() -> None:
+    monitor = ContactMonitor(OWN, True, random.Random(1))
+    monitor.handle(membership_updated(LARGE), 1.0)
+    monitor.handle(MessageReceived(LEADER, ContactBeacon(1, 1, 50)), 1.1)
+    assert monitor.connected(1.1)
+    monitor.handle(membership_updated(SMALL, left=LARGE - SMALL), 1.2)
+    assert monitor.connected(1.3)
+    assert not monitor.connected(2.7)
+
+
+def test_fleet_that_grows_above_the_heartbeat_limit_uses_round_trips_until_they_expire() -> None:
+    monitor = ContactMonitor(OWN, True, random.Random(1))
+    monitor.handle(membership_updated(SMALL), 1.0)
+    heartbeats = [effect for effect in monitor.handle(Tick(), 1.0) if isinstance(effect, Send)]
+    assert len(heartbeats) == SMALL - 1
+    for heartbeat in heartbeats:
+        assert isinstance(heartbeat.message, ContactHeartbeat)
+        monitor.handle(MessageReceived(heartbeat.to, ContactHeartbeat(7, heartbeat.message.sequence)), 1.1)
+    assert monitor.connected(1.1)
+    monitor.handle(membership_updated(SMALL + 8), 1.2)
+    assert monitor.connected(1.3)
+    assert not monitor.connected(2.6)
--- a/tests/unit/membership/test_dissemination.py
+++ b/tests/unit/membership/test_dissemination.py
@@ -1,4 +1,4 @@
-"""Gossip in a large fleet: mostly within the zone, fewer transmissions of what is known already."""
+"""Gossip in a large fleet: mostly within a zone, with fewer transmissions of what peers know already."""
 
 from __future__ import annotations
 
@@ -21,21 +21,22 @@
 
 
 ROUNDS = 2
-"""Before the first probe that nobody answers: who is accused is told so by the same kind of message."""
+"""Rounds before the first probe fails. From then on, a suspect is notified by a message of the same type,
+which would be mistaken for gossip."""
 
 
 def gossip_targets(nodes: int, seed: int) -> list[list[NodeId]]:
-    """Return whom node 0 of a fleet sends its news to, round after round."""
+    """Return the targets of the gossip of node 0 of a fleet, for each round."""
     records = [record_of(index, ZONES) for index in range(nodes)]
-    part = Membership(records[0], (records[1].peer_address,), random.Random(seed))
-    part.handle(Tick(), 0.0)
+    membership = Membership(records[0], (records[1].peer_address,), random.Random(seed))
+    membership.handle(Tick(), 0.0)
     state = wire.MemberState(tuple(records[1:]))
-    part.handle(MessageReceived(records[1].node, state), 0.1)
+    membership.handle(MessageReceived(records[1].node, state), 0.1)
     found: list[list[NodeId]] = []
     now = 0.1
     for _ in range(ROUNDS):
         now += SETTINGS.gossip_period_s
-        effects = part.handle(Tick(), now)
+        effects = membership.handle(Tick(), now)
         sent = [e for e in effects if isinstance(e, Send) and isinstance(e.message, wire.MemberGossip)]
         if sent:
             found.append([effect.to for effect in sent])
@@ -46,7 +47,7 @@
     return int(node.removeprefix("node-")) % ZONES
 
 
-def test_a_large_fleet_sends_news_to_one_node_of_another_zone_at_a_time() -> None:
+def test_large_fleet_gossips_to_at_most_one_node_of_another_zone_per_round() -> None:
     rounds = [targets for seed in range(20) for targets in gossip_targets(60, seed)]
     assert len(rounds) == 20 * ROUNDS
     for targets in rounds:
@@ -54,15 +55,15 @@
     assert {zone(node) for targets in rounds for node in targets} == set(range(ZONES))
 
 
-def test_a_small_fleet_sends_news_to_any() -> None:
+def test_small_fleet_gossips_to_nodes_of_any_zone() -> None:
     rounds = [targets for seed in range(20) for targets in gossip_targets(12, seed)]
     assert any(sum(zone(node) != 0 for node in targets) > 1 for targets in rounds)
 
 
-def copies(heard_again: int, record: NodeRecord) -> int:
+def transmissions(duplicates: int, record: NodeRecord) -> int:
     queue = GossipQueue(SETTINGS)
     queue.add(record, 0.0)
-    for _ in range(heard_again):
+    for _ in range(duplicates):
         queue.count_duplicate(record)
     count = 0
     while queue.select_updates(60, 0.0).records:
@@ -70,14 +71,14 @@
     return count
 
 
-def test_each_copy_that_is_heard_spares_one() -> None:
+def test_each_duplicate_received_saves_one_transmission() -> None:
     record = record_of(1, ZONES)
-    assert copies(0, record) == 18
-    assert copies(5, record) == 13
-    assert copies(100, record) == 0
+    assert transmissions(0, record) == 18
+    assert transmissions(5, record) == 13
+    assert transmissions(100, record) == 0
 
 
-def test_other_news_of_the_same_node_spares_none() -> None:
+def test_duplicates_of_an_older_record_save_no_transmission() -> None:
     queue = GossipQueue(SETTINGS)
     record = record_of(1, ZONES)
     newer = msgspec.structs.replace(record, incarnation=1)
@@ -88,7 +89,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_a_change_in_one_zone_is_known_in_all_others_soon(seed: int) -> None:
+def test_change_in_one_zone_is_known_in_all_zones_in_time(seed: int) -> None:
     network = Network(60, ZONES, seed, 0.01)
     network.start()
     assert network.run_until(network.all_alive, 15) < 15
--- a/tests/unit/membership/test_joining.py
+++ b/tests/unit/membership/test_joining.py
@@ -1,4 +1,4 @@
-"""Partitions of a fleet that forgot each other meet again at the seeds' addresses."""
+"""Join requests to seeds, by which partitions rejoin that have forgotten each other."""
 
 import random
 
@@ -18,48 +18,48 @@
     return NodeRecord(NodeId(f"n{number}"), ZoneName("z"), address, address, address)
 
 
-def asked_seeds(part: Membership, until: float) -> set[Address]:
-    asked = set()
+def seeds_that_get_join_requests(membership: Membership, until: float) -> set[Address]:
+    addresses = set()
     now = 1.0
     while now < until:
-        for effect in part.handle(Tick(), now):
+        for effect in membership.handle(Tick(), now):
             if isinstance(effect, SendToAddress) and isinstance(effect.message, MemberJoin):
-                asked.add(effect.address)
+                addresses.add(effect.address)
         now += 0.1
-    return asked
+    return addresses
 
 
-def part_that_knows(*numbers: int) -> Membership:
-    part = Membership(record(9), SEEDS, random.Random(1))
+def membership_that_knows(*numbers: int) -> Membership:
+    membership = Membership(record(9), SEEDS, random.Random(1))
     state = MemberState(tuple(record(number) for number in numbers))
-    part.handle(MessageReceived(NodeId("n1"), state), 0.9)
-    return part
+    membership.handle(MessageReceived(NodeId("n1"), state), 0.9)
+    return membership
 
 
-def test_seeds_that_nobody_present_listens_at_are_asked_in_turn() -> None:
-    assert asked_seeds(part_that_knows(5, 6), until=100.0) == set(SEEDS)
+def test_absent_seeds_get_join_requests_in_turn() -> None:
+    assert seeds_that_get_join_requests(membership_that_knows(5, 6), until=100.0) == set(SEEDS)
 
 
-def test_present_seeds_are_not_asked() -> None:
-    # Later the unanswered probes make the seeds dead, and then they are asked again.
-    assert asked_seeds(part_that_knows(1, 2), until=1.2) == set()
+def test_present_seeds_get_no_join_requests() -> None:
+    # Later the unanswered probes make the seeds dead, and they get join requests again.
+    assert seeds_that_get_join_requests(membership_that_knows(1, 2), until=1.2) == set()
 
 
-def test_seeds_of_a_reload_are_asked_soon_and_the_former_ones_no_more() -> None:
-    part = part_that_knows(5, 6)
+def test_reloaded_seeds_soon_get_join_requests_instead_of_the_former_ones() -> None:
+    membership = membership_that_knows(5, 6)
     new = Address("10.0.0.7:7000")
 
-    part.handle(SeedsChanged((new,)), 1.0)
+    membership.handle(SeedsChanged((new,)), 1.0)
 
-    assert asked_seeds(part, until=1.5) == {new}
+    assert seeds_that_get_join_requests(membership, until=1.5) == {new}
 
 
-def test_a_node_that_met_nobody_asks_the_seeds_of_a_reload_at_once() -> None:
-    part = Membership(record(9), SEEDS, random.Random(1))
-    part.handle(Tick(), 0.9)
+def test_node_without_peers_contacts_reloaded_seeds_immediately() -> None:
+    membership = Membership(record(9), SEEDS, random.Random(1))
+    membership.handle(Tick(), 0.9)
     new = Address("10.0.0.7:7000")
-    part.handle(SeedsChanged((new,)), 1.0)
+    membership.handle(SeedsChanged((new,)), 1.0)
 
-    effects = part.handle(Tick(), 1.0)
+    effects = membership.handle(Tick(), 1.0)
 
     assert [effect.address for effect in effects if isinstance(effect, SendToAddress)] == [new]
--- a/tests/unit/membership/test_membership_network.py
+++ b/tests/unit/membership/test_membership_network.py
@@ -1,4 +1,4 @@
-"""Fleets on the virtual network: faults, and the time until all nodes know."""
+"""Fleets on the virtual network under faults, and the time until all nodes detect them."""
 
 import msgspec
 import pytest
@@ -7,8 +7,9 @@
 from springmux.coordination.membership.view import NodeStatus
 from tests.support.gossip_harness import Network
 
-DEATH_KNOWN_S = 4.0
-"""Aim: about 3 s; the wait until some node probes the dead one has an exponential tail."""
+DEATH_DETECTION_LIMIT_S = 4.0
+"""Limit for the time until all nodes know a death. The target is about 3 s, but the wait until some node
+probes the dead one has an exponential tail."""
 
 
 def fleet(nodes=12, zones=4, seed=1, loss=0.0):
@@ -20,73 +21,77 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_killed_node_is_dead_everywhere_soon(seed):
+def test_death_of_a_killed_node_is_known_to_all_nodes_in_time(seed):
     network = fleet(seed=seed, loss=0.01)
     network.kill(5)
-    assert network.run_until(lambda: network.all_see(5, NodeStatus.DEAD), 8) <= DEATH_KNOWN_S
-    assert set(network.deaths_noted()) == {network.records[5].node}
+    assert (
+        network.run_until(lambda: network.all_have_status(5, NodeStatus.DEAD), 8) <= DEATH_DETECTION_LIMIT_S
+    )
+    assert set(network.logged_deaths()) == {network.records[5].node}
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_no_false_death_at_one_percent_loss(seed):
     network = fleet(seed=seed, loss=0.01)
     network.run(60)
-    assert network.deaths_noted() == []
+    assert network.logged_deaths() == []
 
 
 def test_no_false_death_at_five_percent_loss_in_a_larger_fleet():
     network = fleet(nodes=60, seed=3, loss=0.05)
     network.run(30)
-    assert network.deaths_noted() == []
+    assert network.logged_deaths() == []
 
 
-def test_short_freeze_is_no_death_and_long_one_is_taken_back():
+def test_short_pause_is_no_death_and_node_declared_dead_in_a_long_one_recovers():
     network = fleet()
     network.freeze(4)
     network.run(0.9)
     network.thaw(4)
     network.run(5)
-    assert network.deaths_noted() == []
+    assert network.logged_deaths() == []
     network.freeze(4)
-    assert network.run_until(lambda: network.all_see(4, NodeStatus.DEAD), 8) <= DEATH_KNOWN_S
+    assert (
+        network.run_until(lambda: network.all_have_status(4, NodeStatus.DEAD), 8) <= DEATH_DETECTION_LIMIT_S
+    )
     network.run(20)
     network.thaw(4)
     assert network.run_until(network.all_alive, 8) < 3
-    assert set(network.deaths_noted()) == {network.records[4].node}
+    assert set(network.logged_deaths()) == {network.records[4].node}
 
 
-@pytest.mark.parametrize("cut", [[7], [0, 4, 8]])
-def test_nodes_cut_off_declare_nobody_dead_and_return(cut):
+@pytest.mark.parametrize("isolated", [[7], [0, 4, 8]])
+def test_isolated_nodes_declare_at_most_one_death_and_recover(isolated):
     network = fleet()
-    network.cut_off(cut)
-    assert network.run_until(lambda: all(network.all_see_from_outside(cut)), 8) <= DEATH_KNOWN_S
+    network.cut_off(isolated)
+    assert network.run_until(lambda: all(network.dead_to_all_others(isolated)), 8) <= DEATH_DETECTION_LIMIT_S
     network.run(20)
-    for index in cut:
+    for index in isolated:
         inside = network.node(index).membership.view
-        # A death in the first second, before its own failures tell the node, is tolerated for one other.
+        # One death is tolerated: in the first second the node's own failed probes don't prevent it yet.
         assert sum(1 for record in inside.nodes.values() if record.status is NodeStatus.DEAD) <= 1
     network.heal()
     assert network.run_until(network.all_alive, 15) < 8
 
 
-def test_restart_under_the_same_name_at_another_address():
+def test_node_restarted_at_another_address_replaces_its_old_record():
     network = fleet()
     old = network.records[6]
-    for fate in ("known", "dead"):
+    for status in ("known", "dead"):
         network.kill(6)
-        if fate == "dead":
+        if status == "dead":
             network.run(10)
-        moved = msgspec.structs.replace(old, peer_address=f"10.7.7.7:{fate}", client_address="10.7.7.7:1")
+        moved = msgspec.structs.replace(old, peer_address=f"10.7.7.7:{status}", client_address="10.7.7.7:1")
         network.start([moved])
 
-        def seen(moved=moved):
+        def all_know_new_address(moved=moved):
             views = (node.membership.view.nodes[old.node] for node in network.nodes.values())
             return all(r.peer_address == moved.peer_address and r.status is NodeStatus.ALIVE for r in views)
 
-        assert network.run_until(seen, 8) < 3, fate
+        assert network.run_until(all_know_new_address, 8) < 3, status
 
 
-def test_flapping_node_ends_alive():
+def test_node_that_pauses_repeatedly_is_alive_in_the_end():
     network = fleet(loss=0.05)
     for _ in range(6):
         network.freeze(2)
@@ -94,7 +99,7 @@
         network.thaw(2)
         network.run(1.0)
     assert network.run_until(network.all_alive, 10) < 5
-    assert set(network.deaths_noted()) <= {network.records[2].node}
+    assert set(network.logged_deaths()) <= {network.records[2].node}
 
 
 def test_leaving_node_is_known_to_have_left_without_a_suspicion():
@@ -102,12 +107,12 @@
     network.node(3).give("membership", LeaveBegun())
     network.run(0.3)
     network.kill(3)
-    assert network.run_until(lambda: network.all_see(3, NodeStatus.LEFT), 5) < 2
+    assert network.run_until(lambda: network.all_have_status(3, NodeStatus.LEFT), 5) < 2
     network.run(70)
-    assert network.all_see(3, None)
+    assert network.all_have_status(3, None)
 
 
-def test_seeds_that_start_last_are_waited_for():
+def test_nodes_started_before_their_seeds_join_when_the_seeds_start():
     network = Network(6, 2, seed=2)
     network.start(network.records[3:])
     network.run(5)
--- a/tests/unit/membership/test_view.py
+++ b/tests/unit/membership/test_view.py
@@ -1,4 +1,4 @@
-"""What the view of membership says of the fleet's zones."""
+"""Grouping of nodes by zone in the membership view."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tests.support.gossip_harness import record_of
 
 
-def test_present_nodes_are_grouped_by_zone_in_order_of_their_names() -> None:
+def test_present_nodes_are_grouped_by_zone_and_sorted_by_name() -> None:
     records = [record_of(index, 2) for index in (4, 3, 2, 1, 0)]
     records[1] = msgspec.structs.replace(records[1], status=NodeStatus.SUSPECT)
     records[2] = msgspec.structs.replace(records[2], status=NodeStatus.DEAD)
