--- a/src/springmux/coordination/claims/claimant.py
+++ b/src/springmux/coordination/claims/claimant.py
@@ -37,7 +37,7 @@
         self.key = key
         self.span = span
         self.phase = ClaimPhase.REQUESTING
-        self.since = now
+        self.phase_started_at = now
         self.next_send_at = now
         self.grants: dict[NodeId, ClaimReply] = {}
         self.rejections: dict[NodeId, ClaimReply] = {}
@@ -171,9 +171,15 @@
         return effects
 
     def _tick_claim(self, claim: Claim, now: float) -> list[Effect]:
-        if claim.phase is ClaimPhase.REQUESTING and now >= claim.since + self._settings.decision_timeout_s:
+        if (
+            claim.phase is ClaimPhase.REQUESTING
+            and now >= claim.phase_started_at + self._settings.decision_timeout_s
+        ):
             return self._reject(claim, now)
-        if claim.phase is ClaimPhase.SETTLING and now >= claim.since + self._settings.settle_give_up_s:
+        if (
+            claim.phase is ClaimPhase.SETTLING
+            and now >= claim.phase_started_at + self._settings.settle_give_up_s
+        ):
             del self._claims[claim.attempt.name]
             return []
         effects: list[Effect] = []
@@ -185,7 +191,8 @@
 
     def _evaluate(self, claim: Claim, now: float) -> list[Effect]:
         finished = next(
-            (each for each in claim.rejections.values() if each.state is ClaimState.FINISHED), None
+            (rejection for rejection in claim.rejections.values() if rejection.state is ClaimState.FINISHED),
+            None,
         )
         if finished is not None:
             effects = self._begin_settle(claim, False, b"", now)
@@ -206,7 +213,7 @@
 
     def _begin_settle(self, claim: Claim, ran: bool, answer: bytes, now: float) -> list[Effect]:
         claim.phase = ClaimPhase.SETTLING
-        claim.since = now
+        claim.phase_started_at = now
         claim.settle = ClaimSettle(claim.attempt, claim.key, ran, answer)
         claim.unacknowledged = claim.added_holders.union(claim.span.holders)
         claim.settle_interval_s = self._settings.settle_resend_s
@@ -233,7 +240,7 @@
     def _schedule(self, claim: Claim) -> None:
         deadline = claim.next_send_at
         if claim.phase is ClaimPhase.REQUESTING:
-            deadline = min(deadline, claim.since + self._settings.decision_timeout_s)
+            deadline = min(deadline, claim.phase_started_at + self._settings.decision_timeout_s)
         self._deadline = min(self._deadline, deadline)
 
     def _find(self, attempt: ClaimAttempt) -> Claim | None:
--- a/src/springmux/coordination/claims/holder.py
+++ b/src/springmux/coordination/claims/holder.py
@@ -96,7 +96,7 @@
         span = self._rings.span(grant.key)
         if span is None or self._own not in span.holders or self._granted.get(grant.key) != grant.attempt:
             return None
-        return self._grant(grant.attempt, tuple(each for each in span.holders if each != self._own))
+        return self._grant(grant.attempt, tuple(holder for holder in span.holders if holder != self._own))
 
     def apply_settle(self, message: ClaimSettle, now: float) -> None:
         """Apply the outcome of an attempt: record that it ran, or withdraw it and never grant it again."""
@@ -132,7 +132,9 @@
             if known is not None:
                 if known.state is ClaimState.FINISHED:
                     continue
-                attempts = known.attempts + tuple(each for each in attempts if each not in known.attempts)
+                attempts = known.attempts + tuple(
+                    attempt for attempt in attempts if attempt not in known.attempts
+                )
                 if attempts == known.attempts:
                     continue
             if attempts:
--- a/src/springmux/coordination/claims/ring.py
+++ b/src/springmux/coordination/claims/ring.py
@@ -208,7 +208,7 @@
 
 
 def _without(ring: ClaimRing, member: RingMember) -> ClaimRing:
-    return ClaimRing(ring.version + 1, tuple(each for each in ring.members if each != member))
+    return ClaimRing(ring.version + 1, tuple(other for other in ring.members if other != member))
 
 
 def _member(record: NodeRecord) -> RingMember:
@@ -217,5 +217,5 @@
 
 def _from_smallest_zone(records: Sequence[NodeRecord], members: Sequence[RingMember]) -> NodeRecord:
     """Return the record whose zone has the fewest ``members``; ties are broken by name."""
-    taken = Counter(member.zone for member in members)
-    return min(records, key=lambda record: (taken[record.zone], record.node))
+    members_by_zone = Counter(member.zone for member in members)
+    return min(records, key=lambda record: (members_by_zone[record.zone], record.node))
--- a/src/springmux/coordination/claims/store.py
+++ b/src/springmux/coordination/claims/store.py
@@ -102,7 +102,9 @@
         self._finished.pop(key, None)
         self._answer_bytes -= self._answers.pop(key, 0)
         if len(self._change_log) > 2 * len(self._records) + COMPACTION_SLACK:
-            self._change_log = [each for each in self._change_log if self._positions.get(each[1]) == each[0]]
+            self._change_log = [
+                entry for entry in self._change_log if self._positions.get(entry[1]) == entry[0]
+            ]
 
     def withdraw(self, attempt: ClaimAttempt, now: float) -> None:
         """Record that an attempt is withdrawn, and evict the oldest such records over the limit."""
--- a/src/springmux/coordination/claims/synchronization.py
+++ b/src/springmux/coordination/claims/synchronization.py
@@ -103,7 +103,7 @@
             self._started_at = now
         self._ring = ring
         self._state_changed = True
-        if not self._has_continuous_memory(ring):
+        if not self._has_continuous_records(ring):
             self._intact = False
             self._pulled.clear()
         if self._is_founder(ring):
@@ -169,7 +169,7 @@
         durable = self._ring is not None and self._ring.is_durable
         return not durable and len(missing) == 1 and self._age_s(now) >= self._settings.absent_wait_s
 
-    def _has_continuous_memory(self, ring: ClaimRing) -> bool:
+    def _has_continuous_records(self, ring: ClaimRing) -> bool:
         """Return whether this node was a member right before ``ring``, or of ``ring`` when it stopped."""
         known = self._rings.known
         if len(known) > 1 and self._own in known[-2].nodes():
--- a/src/springmux/coordination/membership/anti_entropy.py
+++ b/src/springmux/coordination/membership/anti_entropy.py
@@ -22,12 +22,12 @@
         self,
         table: MemberTable,
         detector: FailureDetector,
-        source: random.Random,
+        rng: random.Random,
         settings: MembershipSettings,
     ) -> None:
         self._table = table
         self._detector = detector
-        self._random = source
+        self._random = rng
         self._settings = settings
         self._exchange_at = 0.0
 
--- a/src/springmux/coordination/membership/contact_beacon.py
+++ b/src/springmux/coordination/membership/contact_beacon.py
@@ -88,9 +88,11 @@
         ]
 
     def _find_majority_round(self, term: int, majority: int) -> None:
-        for (round_term, _), each in self._rounds.items():
-            if round_term == term and each.parent is None and each.nodes >= majority:
-                self._majority_reached_at = max(each.sent_at, self._majority_reached_at or each.sent_at)
+        for (round_term, _), beacon_round in self._rounds.items():
+            if round_term == term and beacon_round.parent is None and beacon_round.nodes >= majority:
+                self._majority_reached_at = max(
+                    beacon_round.sent_at, self._majority_reached_at or beacon_round.sent_at
+                )
 
     def _start_round(self, parent: NodeId | None, pending: int, now: float) -> None:
         self._rounds[self._newest] = _BeaconRound(parent, now, pending, 1, now + _COUNT_TIMEOUT_S)
@@ -121,23 +123,27 @@
     def receive_count(self, count: ContactCount, now: float) -> list[Effect]:
         """Add a child's count to the own one; forward it separately if the own count was reported already."""
         key = (count.term, count.sequence)
-        each = self._rounds.get(key)
-        if each is None:
+        beacon_round = self._rounds.get(key)
+        if beacon_round is None:
             return []
-        if each.reported and each.parent is not None:
-            return [Send(each.parent, count)]
-        each.nodes += count.nodes
-        each.pending -= 1
+        if beacon_round.reported and beacon_round.parent is not None:
+            return [Send(beacon_round.parent, count)]
+        beacon_round.nodes += count.nodes
+        beacon_round.pending -= 1
         return self.report(now)
 
     def report(self, now: float) -> list[Effect]:
         """Report counts that are complete or have timed out."""
         effects: list[Effect] = []
-        for (term, sequence), each in self._rounds.items():
-            if each.reported or each.parent is None or (each.pending > 0 and now < each.report_at):
+        for (term, sequence), beacon_round in self._rounds.items():
+            if (
+                beacon_round.reported
+                or beacon_round.parent is None
+                or (beacon_round.pending > 0 and now < beacon_round.report_at)
+            ):
                 continue
-            each.reported = True
-            effects.append(Send(each.parent, ContactCount(term, sequence, each.nodes)))
+            beacon_round.reported = True
+            effects.append(Send(beacon_round.parent, ContactCount(term, sequence, beacon_round.nodes)))
         return effects
 
     def send_evidence(self, to: NodeId, now: float) -> list[Effect]:
--- a/src/springmux/coordination/membership/contact_heartbeats.py
+++ b/src/springmux/coordination/membership/contact_heartbeats.py
@@ -23,8 +23,8 @@
 class HeartbeatEvidence:
     """Sends heartbeats, and records the time of the evidence that their echoes provide."""
 
-    def __init__(self, source: random.Random) -> None:
-        self._sequence = source.randrange(1, 1 << 30)
+    def __init__(self, rng: random.Random) -> None:
+        self._sequence = rng.randrange(1, 1 << 30)
         self._sent: deque[tuple[int, float]] = deque(maxlen=_MAX_SENT_HEARTBEATS)
         self._received: dict[NodeId, int] = {}
         self._evidence: dict[NodeId, float] = {}
--- a/src/springmux/coordination/membership/contact_monitor.py
+++ b/src/springmux/coordination/membership/contact_monitor.py
@@ -36,7 +36,9 @@
 )
 
 _ROUND_TRIPS_AFTER_PAUSE = 2
+"""Peers with a round trip that are needed after a pause of the process before relayed evidence counts."""
 _PROBES_AFTER_PAUSE = 6
+"""Peers that get a heartbeat in each period until then."""
 
 
 class ContactMonitor:
--- a/src/springmux/coordination/membership/dissemination.py
+++ b/src/springmux/coordination/membership/dissemination.py
@@ -26,13 +26,13 @@
         table: MemberTable,
         queue: GossipQueue,
         detector: FailureDetector,
-        source: random.Random,
+        rng: random.Random,
         settings: MembershipSettings,
     ) -> None:
         self._table = table
         self._queue = queue
         self._detector = detector
-        self._random = source
+        self._random = rng
         self._settings = settings
         self._gossip_at = 0.0
 
--- a/src/springmux/coordination/membership/failure_detector.py
+++ b/src/springmux/coordination/membership/failure_detector.py
@@ -67,7 +67,9 @@
         """Declare suspects dead that didn't refute in time, unless the own probes since then failed too."""
         factor = self._health.factor
         due = [
-            node for node, each in self._suspicions.items() if each.deadline(self._settings, factor) <= now
+            node
+            for node, suspected in self._suspicions.items()
+            if suspected.deadline(self._settings, factor) <= now
         ]
         effects: list[Effect] = []
         for node in due:
--- a/src/springmux/coordination/membership/joining.py
+++ b/src/springmux/coordination/membership/joining.py
@@ -31,14 +31,14 @@
         seeds: tuple[Address, ...],
         table: MemberTable,
         missing: MissingPeers,
-        source: random.Random,
+        rng: random.Random,
         settings: MembershipSettings,
     ) -> None:
         self._own_address = own.peer_address
         self._seeds = self._without_own(seeds)
         self._table = table
         self._missing = missing
-        self._random = source
+        self._random = rng
         self._settings = settings
         self._next_join_at = 0.0
         self._next_rejoin_at = settings.seed_period_s
@@ -67,7 +67,7 @@
     def join(self, own: NodeRecord, now: float) -> list[Effect]:
         """Send requests to all absent seeds and a few missing peers.
 
-        Only while this node knows no present node, or waits for remembered peers.
+        Requests are sent only while no other node is present, or remembered peers are awaited.
         """
         if not self._is_joining(now) or now < self._next_join_at:
             return []
@@ -88,7 +88,7 @@
 
     def _is_joining(self, now: float) -> bool:
         alone = not self._table.others(PRESENT_STATUSES)
-        return self._missing.is_awaited(now) or (alone and bool(self._seeds or len(self._missing)))
+        return self._missing.are_awaited(now) or (alone and bool(self._seeds or len(self._missing)))
 
     def _absent_addresses(self) -> list[Address]:
         """Return the seeds at which no present node listens, then the addresses of a few missing peers."""
--- a/src/springmux/coordination/membership/membership.py
+++ b/src/springmux/coordination/membership/membership.py
@@ -93,7 +93,7 @@
 
         Meanwhile this node may know only part of the fleet and must not make fleet-wide decisions.
         """
-        return self._missing.is_awaited(now)
+        return self._missing.are_awaited(now)
 
     def next_deadline(self) -> float:
         """Return when the next tick is due."""
--- a/src/springmux/coordination/membership/prober.py
+++ b/src/springmux/coordination/membership/prober.py
@@ -39,11 +39,11 @@
 class Prober:
     """Probes the targets one at a time, in shuffled rounds (SWIM, section 4.3)."""
 
-    def __init__(self, settings: MembershipSettings, health: LocalHealth, source: random.Random) -> None:
+    def __init__(self, settings: MembershipSettings, health: LocalHealth, rng: random.Random) -> None:
         self._settings = settings
         self._health = health
-        self._random = source
-        self._sequence = source.randrange(1 << 30)
+        self._random = rng
+        self._sequence = rng.randrange(1 << 30)
         self._round: list[NodeId] = []
         self._urgent: list[NodeId] = []
         self._probe: _Probe | None = None
--- a/src/springmux/coordination/membership/remembered.py
+++ b/src/springmux/coordination/membership/remembered.py
@@ -37,10 +37,10 @@
     """Remembered peers for which no record has arrived since the start, from them or from other nodes."""
 
     def __init__(
-        self, peers: Iterable[RememberedPeer], source: random.Random, settings: MembershipSettings
+        self, peers: Iterable[RememberedPeer], rng: random.Random, settings: MembershipSettings
     ) -> None:
         self._missing = {peer.node: peer.address for peer in peers}
-        self._random = source
+        self._random = rng
         self._settings = settings
         self._started_at: float | None = None
 
@@ -51,7 +51,7 @@
         """Start the waiting time at ``now``, the time of the first event."""
         self._started_at = now
 
-    def is_awaited(self, now: float) -> bool:
+    def are_awaited(self, now: float) -> bool:
         """Return whether peers are missing and the waiting time has not expired.
 
         An outdated list delays the node by this time at most.
--- a/src/springmux/coordination/membership/settings.py
+++ b/src/springmux/coordination/membership/settings.py
@@ -18,6 +18,8 @@
     suspicion_min_s: float = 1.0
     suspicion_max_s: float = 1.6
     suspicion_confirmations: int = 3
+    """Accusers after the first with which a suspicion times out after ``suspicion_min_s``; without any it
+    times out after ``suspicion_max_s`` (Lifeguard, section III-B)."""
     health_max: int = 8
     """Maximum of the local health score (S in Lifeguard, section III-A, which uses 8)."""
     gossip_period_s: float = 0.2
@@ -30,9 +32,12 @@
     components work for every node of the fleet."""
     updates_per_message: int = 6
     retransmit_factor: int = 3
+    """An update is sent this number of times the binary logarithm of the fleet size, rounded up (SWIM,
+    section 4.1)."""
     duplicate_transmissions: int = 1
     """Transmissions by this node that one copy of a queued record from a peer counts as."""
     sync_period_s: float = 10.0
+    """Mean interval of anti-entropy exchanges."""
     sync_again_s: float = 1.0
     """Mean delay of the next exchange after one that brought updates: a node that joins a starting fleet
     doesn't learn all of it in one exchange."""
@@ -42,13 +47,15 @@
     """Interval at which a node sends a join request to an absent seed. In a partition of many nodes, one of
     them soon does."""
     pause_s: float = 1.0
-    """Gap between two handled events that counts as a pause of the process: twice the probe period, which has
-    no other cause."""
+    """Gap between two handled events that counts as a pause of the process. A gap of this length, twice the
+    probe period, has no other cause."""
     outcome_window: int = 8
     """Number of this node's latest probe outcomes that are kept. If most of those since a suspicion began are
     failures, this node doesn't declare the death."""
     forget_dead_s: float = 600.0
+    """Time after which the record of a dead node is removed."""
     forget_left_s: float = 60.0
+    """Time after which the record of a node that left is removed."""
     tombstones_max: int = 4096
     remembered_wait_s: float = 3.0
     """Time after the start during which a node proposes no commands while a remembered peer is missing."""
@@ -62,6 +69,7 @@
     """Timing of the contact rule; a partitioned node should detect that it is cut off within about 1.5 s."""
 
     evidence_s: float = 1.5
+    """Time for which evidence of contact counts."""
     heartbeat_period_s: float = 0.4
     direct_nodes_max: int = 24
     """Number of known nodes up to which each node sends heartbeats to every other node. The load of a node
@@ -76,3 +84,4 @@
     quarantine_s: float = 0.3
     """Time after a pause in which relayed evidence is ignored, since it may have waited in socket buffers."""
     settle_s: float = 30.0
+    """Time of uninterrupted contact after a node's death until that node no longer counts as known."""
--- a/tests/support/gossip_harness.py
+++ b/tests/support/gossip_harness.py
@@ -41,13 +41,13 @@
 
 
 def record_of(index: int, zones: int, address: str = "") -> NodeRecord:
-    port = address or f"10.0.{index // 250}.{index % 250}"
+    host = address or f"10.0.{index // 250}.{index % 250}"
     return NodeRecord(
         node=NodeId(f"node-{index:03d}"),
         zone=ZoneName(f"zone-{index % zones}"),
-        peer_address=Address(f"{port}:7000"),
-        client_address=Address(f"{port}:8080"),
-        admin_address=Address(f"{port}:8081"),
+        peer_address=Address(f"{host}:7000"),
+        client_address=Address(f"{host}:8080"),
+        admin_address=Address(f"{host}:8081"),
     )
 
 
