--- a/tests/unit/claims/network.py
+++ b/tests/unit/claims/network.py
@@ -61,7 +61,7 @@
         self.log_names: list[str] = []
         self.ring = self.ring_of(1, nodes)
         self.coordinators: dict[NodeId, ClaimCoordinator] = {}
-        self.frozen: set[NodeId] = set()
+        self.paused: set[NodeId] = set()
         self.in_flight: list[tuple[NodeId, NodeId, PeerMessage]] = []
         self.decisions: dict[str, ClaimDecision] = {}
         self.owner: dict[str, tuple[NodeId, ClaimCoordinator, str]] = {}
@@ -107,7 +107,7 @@
         self.ring = self.ring_of(self.ring.version + 1, nodes)
 
     def dispatch(self, node: NodeId, event: Event) -> None:
-        if node not in self.frozen:
+        if node not in self.paused:
             self._execute(node, self.coordinators[node].handle(event, self.now))
 
     def claim(self, node: NodeId, attempt: str, key: str = "key") -> None:
@@ -121,7 +121,7 @@
 
     def deliver(self, index: int, keep: bool = False) -> None:
         sender, to, message = self.in_flight[index] if keep else self.in_flight.pop(index)
-        if to not in self.frozen:
+        if to not in self.paused:
             self.dispatch(to, MessageReceived(sender, message))
         elif not keep:
             self.in_flight.append((sender, to, message))
@@ -129,17 +129,17 @@
     def advance(self, seconds: float) -> None:
         self.now += seconds
         for node in NODES:
-            if node not in self.frozen and self.coordinators[node].next_deadline() <= self.now:
+            if node not in self.paused and self.coordinators[node].next_deadline() <= self.now:
                 self.dispatch(node, Tick())
 
     def run(self, seconds: float = 1.0, without: tuple[NodeId, ...] = ()) -> None:
         """Advance time and deliver all messages in order; those to or from ``without`` are lost."""
         for _ in range(round(seconds / 0.02)):
             for sender, to, message in self.remove_all_in_flight():
-                if sender not in without and to not in without and to not in self.frozen:
+                if sender not in without and to not in without and to not in self.paused:
                     self.dispatch(to, MessageReceived(sender, message))
             for node, disk in self.disks.items():
-                if not disk.stalled and node not in self.frozen:
+                if not disk.stalled and node not in self.paused:
                     self.sync(node)
             self.advance(0.02)
 
--- a/tests/unit/claims/test_model.py
+++ b/tests/unit/claims/test_model.py
@@ -56,7 +56,7 @@
         elif choice < 0.80:
             self.restart_one()
         elif choice < 0.82:
-            network.frozen = set() if network.frozen else {self.random.choice(NODES)}
+            network.paused = set() if network.paused else {self.random.choice(NODES)}
         elif choice < 0.84:
             self.change_ring()
         elif choice < 0.92:
@@ -69,7 +69,7 @@
     def end_one(self) -> None:
         for attempt in self.network.granted():
             node = self.network.owner[attempt][0]
-            if attempt not in self.freed and node not in self.network.frozen:
+            if attempt not in self.freed and node not in self.network.paused:
                 never_dispatched = self.random.random() < 0.5
                 if never_dispatched:
                     self.freed.add(attempt)
@@ -100,7 +100,7 @@
 
     def sync_some_disks(self) -> None:
         for node in self.network.disks:
-            if node not in self.network.frozen and self.random.random() < 0.3:
+            if node not in self.network.paused and self.random.random() < 0.3:
                 self.network.sync(node)
 
     def cut_power_of_some(self) -> None:
@@ -108,7 +108,7 @@
         wiped = (random.choice(NODES),) if random.random() < 0.2 and self.is_synchronized() else ()
         cut = NODES if random.random() < 0.3 else tuple(random.sample(NODES, 2))
         cut = tuple(sorted({*cut, *wiped}))
-        network.frozen -= set(cut)
+        network.paused -= set(cut)
         network.power_cut(cut, wiped)
 
     def restart_one(self) -> None:
@@ -116,7 +116,7 @@
             self.cut_power_of_some()
         elif self.is_synchronized():
             node = self.random.choice(NODES)
-            self.network.frozen.discard(node)
+            self.network.paused.discard(node)
             self.network.restart(node)
 
     def change_ring(self) -> None:
--- a/tests/unit/claims/test_schedules.py
+++ b/tests/unit/claims/test_schedules.py
@@ -163,9 +163,9 @@
 
 
 def test_holder_pulls_after_a_pause_before_it_grants(network: ClaimNetwork) -> None:
-    network.frozen = {C}
+    network.paused = {C}
     network.advance(3.0)
-    network.frozen = set()
+    network.paused = set()
     network.claim(D, "t1")
     deliver(network, ClaimRequest, to=C)
     pulls = [
--- a/tests/unit/membership/test_membership_rules.py
+++ b/tests/unit/membership/test_membership_rules.py
@@ -137,9 +137,9 @@
                     membership.handle(MessageReceived(effect.to, ack), now)
         return now - 0.2
 
-    alone, confirmed = death_time(["a"]), death_time(["a", "b", "c", "d"])
+    unconfirmed, confirmed = death_time(["a"]), death_time(["a", "b", "c", "d"])
     assert SETTINGS.suspicion_min_s <= confirmed < SETTINGS.suspicion_min_s + 0.15
-    assert SETTINGS.suspicion_max_s <= alone < SETTINGS.suspicion_max_s + 0.15
+    assert SETTINGS.suspicion_max_s <= unconfirmed < SETTINGS.suspicion_max_s + 0.15
 
 
 def test_paused_process_restarts_its_suspicions_instead_of_declaring_deaths():
