--- a/src/springmux/coordination/claims/claimant.py
+++ b/src/springmux/coordination/claims/claimant.py
@@ -48,7 +48,7 @@
         self.settle_interval_s = 0.0
 
     def majority(self) -> int:
-        """Return the number of grants that is needed."""
+        """Return the number of grants that decide the claim."""
         return len(self.span.holders) // 2 + 1
 
     def has_majority(self) -> bool:
--- a/src/springmux/coordination/claims/events.py
+++ b/src/springmux/coordination/claims/events.py
@@ -110,7 +110,7 @@
     """Time for which a withdrawn attempt is rejected; far above any delay of a message."""
     max_tombstones: int = 50_000
     tick_s: float = 0.5
-    """Maximum interval of ticks; a longer one reveals a pause of the process."""
+    """Maximum interval of ticks; a tick that comes much later reveals a pause of the process."""
     pause_limit_s: float = 1.5
     """Time by which a tick may be late; after a longer pause the node pulls before it grants again."""
     pull_resend_s: float = 0.3
--- a/src/springmux/coordination/claims/ring.py
+++ b/src/springmux/coordination/claims/ring.py
@@ -178,8 +178,10 @@
     disks_only = _requires_disks(ring, view)
     candidates = view.controllers() if disks_only else view.staying()
     spares = [record for record in candidates if record.node not in ring.nodes()]
-    has_more = len(ring.members) > HOLDERS_PER_KEY
-    lost = [member for member in ring.members if _may_remove(member, gone, left, bool(spares), has_more)]
+    is_above_minimum = len(ring.members) > HOLDERS_PER_KEY
+    lost = [
+        member for member in ring.members if _may_remove(member, gone, left, bool(spares), is_above_minimum)
+    ]
     if lost:
         return _without(ring, lost[0])
     if ring.nodes() - {record.node for record in view.present()}:
@@ -189,7 +191,7 @@
         members = sorted((*ring.members, joined), key=lambda member: member.node)
         return ClaimRing(ring.version + 1, tuple(members))
     diskless = [member for member in ring.members if disks_only and member.replica is None]
-    return _without(ring, diskless[0]) if diskless and has_more else None
+    return _without(ring, diskless[0]) if diskless and is_above_minimum else None
 
 
 def _requires_disks(ring: ClaimRing, view: MembershipView) -> bool:
@@ -200,10 +202,14 @@
 
 
 def _may_remove(
-    member: RingMember, gone: frozenset[NodeId], left: frozenset[NodeId], has_spare: bool, has_more: bool
+    member: RingMember,
+    gone: frozenset[NodeId],
+    left: frozenset[NodeId],
+    has_spare: bool,
+    is_above_minimum: bool,
 ) -> bool:
     if member.node in gone:
-        return has_spare or has_more
+        return has_spare or is_above_minimum
     return member.node in left and has_spare
 
 
--- a/src/springmux/coordination/membership/contact_freshness.py
+++ b/src/springmux/coordination/membership/contact_freshness.py
@@ -43,12 +43,12 @@
         """Discard all evidence."""
         self._evidence.clear()
 
-    def proven_at(self, nodes: Iterable[NodeId]) -> list[float]:
+    def evidence_times(self, nodes: Iterable[NodeId]) -> list[float]:
         """Return the times of the newest evidence of those of ``nodes`` that have any."""
         evidence = self._evidence
         return [evidence[node] for node in nodes if node in evidence]
 
-    def newest(self, node: NodeId) -> float:
+    def newest_evidence_at(self, node: NodeId) -> float:
         """Return the time of the newest evidence of ``node``, or minus infinity without any."""
         return self._evidence.get(node, -math.inf)
 
--- a/src/springmux/coordination/membership/contact_heartbeats.py
+++ b/src/springmux/coordination/membership/contact_heartbeats.py
@@ -50,17 +50,17 @@
         heartbeat = ContactHeartbeat(self._sequence, self._received[sender], is_reply=True)
         return Send(to=sender, message=heartbeat)
 
-    def proven_since(self, nodes: Iterable[NodeId], since: float) -> int:
+    def count_proven_since(self, nodes: Iterable[NodeId], since: float) -> int:
         """Return how many of ``nodes`` have evidence of ``since`` or later."""
         evidence = self._evidence
         return sum(1 for node in nodes if evidence.get(node, since - 1.0) >= since)
 
-    def proven_at(self, nodes: Iterable[NodeId]) -> list[float]:
+    def evidence_times(self, nodes: Iterable[NodeId]) -> list[float]:
         """Return the times of the newest evidence of those of ``nodes`` that have any."""
         evidence = self._evidence
         return [evidence[node] for node in nodes if node in evidence]
 
-    def newest(self, node: NodeId) -> float:
+    def newest_evidence_at(self, node: NodeId) -> float:
         """Return the time of the newest evidence of ``node``, or minus infinity without any."""
         return self._evidence.get(node, -math.inf)
 
--- a/src/springmux/coordination/membership/contact_monitor.py
+++ b/src/springmux/coordination/membership/contact_monitor.py
@@ -95,10 +95,13 @@
     def _evidence_times(self) -> list[float]:
         others = [node for node in self._known if node != self._own]
         if self._uses_heartbeats:
-            return self._heartbeats.proven_at(others)
+            return self._heartbeats.evidence_times(others)
         # After the fleet grew over the limit, round trips still count until they expire, since the first
         # beacon takes a while.
-        return [max(self._heartbeats.newest(node), self._freshness.newest(node)) for node in others]
+        return [
+            max(self._heartbeats.newest_evidence_at(node), self._freshness.newest_evidence_at(node))
+            for node in others
+        ]
 
     def connected(self, now: float) -> bool:
         """Return whether this node is in contact with a majority of the known nodes.
@@ -187,7 +190,7 @@
         if now - paused_at < self._settings.quarantine_s:
             return False
         needed = min(_ROUND_TRIPS_AFTER_PAUSE, max(1, len(self._known) - 1))
-        return self._heartbeats.proven_since(self._known.present, paused_at) >= needed
+        return self._heartbeats.count_proven_since(self._known.present, paused_at) >= needed
 
     def _report_change(self, now: float) -> list[Effect]:
         is_connected = self.connected(now)
@@ -258,5 +261,5 @@
         self._heartbeats.receive(sender, heartbeat)
         is_regular = self._uses_heartbeats and sender in self._known.present
         # A sender without fresh evidence gets an immediate reply instead of the echo of the next period.
-        is_proven = self._heartbeats.newest(sender) >= now - self._settings.evidence_s
+        is_proven = self._heartbeats.newest_evidence_at(sender) >= now - self._settings.evidence_s
         return [] if (is_regular and is_proven) or heartbeat.is_reply else [self._heartbeats.reply(sender)]
--- a/src/springmux/coordination/membership/failure_detector.py
+++ b/src/springmux/coordination/membership/failure_detector.py
@@ -154,8 +154,8 @@
         """Raise the own incarnation above that of a wrong update or an earlier process of the same name."""
         if self.leaving or not wrong or incarnation < self.own.incarnation:
             return []
-        self.replace_own(self.own, incarnation + 1, now)
-        self._health.add(1)
+        self.replace_own_record(self.own, incarnation + 1, now)
+        self._health.adjust_score(1)
         return [LogLine("membership_refuted", LogLevel.INFO, {"incarnation": self.own.incarnation})]
 
     def _detect_clash(self, record: NodeRecord) -> list[Effect]:
@@ -171,7 +171,7 @@
         fields = {"address": record.peer_address, "incarnation": record.incarnation}
         return [LogLine("membership_name_clash", LogLevel.WARNING, fields)]
 
-    def replace_own(self, record: NodeRecord, incarnation: int, now: float) -> None:
+    def replace_own_record(self, record: NodeRecord, incarnation: int, now: float) -> None:
         """Replace this node's record, keeping its name, and disseminate it."""
         status = NodeStatus.LEFT if self.leaving else NodeStatus.ALIVE
         self.own = msgspec.structs.replace(record, node=self.own.node, incarnation=incarnation, status=status)
--- a/src/springmux/coordination/membership/membership.py
+++ b/src/springmux/coordination/membership/membership.py
@@ -76,7 +76,7 @@
         self._joiner = Joiner(own, seeds, self._table, self._missing, random, settings)
         self._publisher = ViewPublisher(self._table, settings)
         self._handled_at: float | None = None
-        self._next_reconnect_at = 0.0
+        self._next_dead_ping_at = 0.0
 
     @property
     def view(self) -> MembershipView:
@@ -105,7 +105,7 @@
             deadline,
             self._prober.next_deadline(),
             self._anti_entropy.next_deadline(),
-            self._next_reconnect_at,
+            self._next_dead_ping_at,
             self._joiner.next_deadline(handled_at),
             self._detector.next_deadline(handled_at),
         )
@@ -121,7 +121,7 @@
         elif isinstance(event, PeerUnreachable):
             self._prober.probe_soon(event.node, now)
         elif isinstance(event, OwnRecordChanged):
-            self._detector.replace_own(event.record, self._detector.own.incarnation + 1, now)
+            self._detector.replace_own_record(event.record, self._detector.own.incarnation + 1, now)
         elif isinstance(event, SeedsChanged):
             self._joiner.replace_seeds(self._detector.own, event.seeds, now)
             self._anti_entropy.schedule_immediately(now)
@@ -162,7 +162,7 @@
             effects += self._joiner.join(self._detector.own, now)
             effects += self._exchange(present, now)
             effects += self._joiner.rejoin(self._detector.own, present, now)
-            effects += self._reconnect(now)
+            effects += self._ping_dead_node(now)
             effects += self._record_peers(now)
         effects += self._disseminator.gossip(present, now)
         return effects
@@ -170,11 +170,11 @@
     def _probe(self, present: tuple[NodeId, ...], now: float) -> list[Effect]:
         effects = self._prober.send_nacks(now)
         effects += self._prober.request_helpers(present, now)
-        failed = self._prober.failed_target(now)
+        failed = self._prober.pop_failed_target(now)
         if failed is not None:
             effects += self._detector.suspect(failed, now)
             effects += self._disseminator.notify_suspect(failed)
-        effects += self._prober.begin(present, self._make_ping(now), now)
+        effects += self._prober.start_probe(present, self._make_ping(now), now)
         effects += self._detector.decide_suspicions(now)
         return effects
 
@@ -192,14 +192,14 @@
         self._missing.forget_old(now)
         return self._anti_entropy.start_exchange(present, now)
 
-    def _reconnect(self, now: float) -> list[Effect]:
+    def _ping_dead_node(self, now: float) -> list[Effect]:
         """Ping a random dead node with some probability, so that the two sides of a healed partition rejoin.
 
         The whole fleet together sends each dead node about one such ping per probe period.
         """
-        if now < self._next_reconnect_at:
+        if now < self._next_dead_ping_at:
             return []
-        self._next_reconnect_at = now + self._settings.probe_period_s
+        self._next_dead_ping_at = now + self._settings.probe_period_s
         dead = self._table.others((NodeStatus.DEAD,))
         if not dead or self._random.random() > len(dead) / len(self._table):
             return []
@@ -232,7 +232,7 @@
             case wire.MemberAck():
                 effects = self._detector.receive_updates(sender, message.updates, now)
                 effects += self._prober.receive_ack(message, now)
-                return effects + self._fetch_unknown(sender, message.incarnation)
+                return effects + self._exchange_if_outdated(sender, message.incarnation)
             case wire.MemberNack():
                 self._prober.receive_nack(message)
             case wire.MemberPingRequest():
@@ -249,12 +249,12 @@
 
     def _receive_ping(self, sender: NodeId, ping: wire.MemberPing, now: float) -> list[Effect]:
         effects = self._detector.receive_updates(sender, ping.updates, now)
-        effects += self._fetch_unknown(sender, ping.incarnation)
+        effects += self._exchange_if_outdated(sender, ping.incarnation)
         updates = self._disseminator.for_ack(sender, now)
         ack = wire.MemberAck(ping.sequence, self._detector.own.incarnation, updates)
         return [*effects, Send(to=sender, message=ack)]
 
-    def _fetch_unknown(self, sender: NodeId, incarnation: int) -> list[Effect]:
+    def _exchange_if_outdated(self, sender: NodeId, incarnation: int) -> list[Effect]:
         """Start an exchange with a sender that is unknown or known only with an older incarnation."""
         known = self._table.get(sender)
         if known is not None and known.incarnation >= incarnation:
@@ -278,6 +278,6 @@
     def _leave(self, now: float) -> list[Effect]:
         self._detector.leaving = True
         own = self._detector.own
-        self._detector.replace_own(own, own.incarnation + 1, now)
+        self._detector.replace_own_record(own, own.incarnation + 1, now)
         self._disseminator.schedule_immediately(now)
         return self._disseminator.gossip(self._table.others(PRESENT_STATUSES), now)
--- a/src/springmux/coordination/membership/prober.py
+++ b/src/springmux/coordination/membership/prober.py
@@ -75,7 +75,7 @@
         self._sequence += 1
         return self._sequence
 
-    def begin(self, targets: tuple[NodeId, ...], make_ping: MakePing, now: float) -> list[Effect]:
+    def start_probe(self, targets: tuple[NodeId, ...], make_ping: MakePing, now: float) -> list[Effect]:
         """Start the next probe if it is due and none is in flight."""
         if self._probe is not None or now < self._next_probe_at:
             return []
@@ -121,7 +121,7 @@
         request = MemberPingRequest(sequence=probe.sequence, target=probe.target)
         return [Send(to=helper, message=request) for helper in helpers]
 
-    def failed_target(self, now: float) -> NodeId | None:
+    def pop_failed_target(self, now: float) -> NodeId | None:
         """End the probe if it has timed out; return its target, which must be suspected."""
         probe = self._probe
         if probe is None or now < probe.ends_at:
@@ -130,7 +130,7 @@
         self._health.record_probe(False, now)
         # Lifeguard, section III-A: helpers' nacks prove that this node receives messages.
         missing = probe.helpers - probe.nacks if probe.helpers else 1
-        self._health.add(max(0, missing))
+        self._health.adjust_score(max(0, missing))
         return probe.target
 
     def receive_ack(self, message: MemberAck, now: float) -> list[Effect]:
@@ -142,7 +142,7 @@
         if self._probe is not None and self._probe.sequence == message.sequence:
             self._probe = None
             self._health.record_probe(True, now)
-            self._health.add(-1)
+            self._health.adjust_score(-1)
         return []
 
     def receive_nack(self, message: MemberNack) -> None:
--- a/src/springmux/coordination/membership/suspicion.py
+++ b/src/springmux/coordination/membership/suspicion.py
@@ -40,7 +40,7 @@
         """Return the multiplier of timeouts; 1 means healthy."""
         return self._score + 1
 
-    def add(self, points: int) -> None:
+    def adjust_score(self, points: int) -> None:
         """Add ``points`` to the score; a higher score is worse."""
         self._score = max(0, min(self._settings.health_max, self._score + points))
 
@@ -56,4 +56,4 @@
     def reset_after_pause(self) -> None:
         """Discard the outcomes, which a pause of the process invalidates, and lengthen the timeouts."""
         self._outcomes.clear()
-        self.add(2)
+        self.adjust_score(2)
--- a/tests/unit/membership/test_contact.py
+++ b/tests/unit/membership/test_contact.py
@@ -206,7 +206,7 @@
         vector.set_roster(names)
     second.merge(names[0], first.encode(10.0), 10.0)
     third.merge(names[1], second.encode(10.55), 20.55)
-    (proven_at,) = third.proven_at([names[0]])
+    (proven_at,) = third.evidence_times([names[0]])
     assert 19.9 <= proven_at <= 20.0
 
 
