--- a/src/springmux/rollout/abort_requests.py
+++ b/src/springmux/rollout/abort_requests.py
@@ -53,7 +53,7 @@
         now: float,
     ) -> list[Effect]:
         """Request an abort if this visit caused it; notify the token's issuer unless the token has it."""
-        self._registry.refresh_rest(participant)
+        self._registry.refresh_default_choice(participant)
         if was_aborted or not participant.aborted:
             return []
         effects = self.request(participant, now)
@@ -86,7 +86,7 @@
         record, decision = participant.record, participant.decision
         if participant.terminal or decision is None:
             return []
-        self._registry.refresh_rest(participant)
+        self._registry.refresh_default_choice(participant)
         self._due_at[record.rollout] = now + ABORT_RETRY_S
         leadership = self._leadership()
         if leadership is not None:
--- a/src/springmux/rollout/issuer.py
+++ b/src/springmux/rollout/issuer.py
@@ -33,16 +33,16 @@
     def __init__(self, entry: RolloutEntry, now: float) -> None:
         self.entry = entry
         self.began_at = now
-        self.live: set[int] = set()
+        self.live_writers: set[int] = set()
         self.evidence_from = now
         """Launch time of the newest returned round."""
         self._meters: dict[int, RateMeter] = {}
         self._order: tuple[ZoneName, ...] = ()
         self._order_weight = -1.0
-        self._widen = 1.0
-        self._widen_weight = -1.0
-        self._widen_at = now
-        self._widen_totals = self.totals()
+        self._widening_factor = 1.0
+        self._widening_weight = -1.0
+        self._widening_checked_at = now
+        self._widening_totals = self.totals()
 
     def totals(self) -> AccountTotals:
         """Return the sums over the ring's accounts, lost writers' among them."""
@@ -50,24 +50,24 @@
 
     def prompts_per_s(self) -> float:
         """Return the measured rate of the live writers' prompts."""
-        return sum(self.rate_of(writer) for writer in self.live)
+        return sum(self.rate_of(writer) for writer in self.live_writers)
 
     def rate_of(self, writer: int) -> float:
         """Return the measured prompt rate of one writer."""
         meter = self._meters.get(writer)
         return meter.per_s if meter is not None else 0.0
 
-    def absorb(self, returned: RolloutEntry, launched_at: float | None, now: float) -> None:
+    def merge_returned(self, returned: RolloutEntry, launched_at: float | None, now: float) -> None:
         """Merge a returned round; of a replaced one (``launched_at`` ``None``) only the counters."""
         current = launched_at is not None
         known = by_writer(self.entry.accounts)
         accounts = dict(known)
-        live: set[int] = set()
+        live_writers: set[int] = set()
         for account in returned.accounts:
             former = known.get(account.writer)
-            accounts[account.writer] = _newer(account, former, current)
+            accounts[account.writer] = _merge_account(account, former, current)
             if former is None or account.visits > former.visits:
-                live.add(account.writer)
+                live_writers.add(account.writer)
                 self._measure(account, now)
         self.entry = msgspec.structs.replace(
             self.entry,
@@ -77,7 +77,7 @@
             decision=self.entry.decision or returned.decision,
         )
         if launched_at is not None:
-            self.live = live
+            self.live_writers = live_writers
             self.evidence_from = launched_at
 
     def _measure(self, account: Account, now: float) -> None:
@@ -91,7 +91,7 @@
         """Return the measured prompt rate of each zone with a live writer."""
         rates: dict[ZoneName, float] = {}
         for account in self.entry.accounts:
-            if account.writer in self.live and account.zone < len(zones):
+            if account.writer in self.live_writers and account.zone < len(zones):
                 zone = zones[account.zone]
                 rates[zone] = rates.get(zone, 0.0) + self.rate_of(account.writer)
         return rates
@@ -113,30 +113,30 @@
 
     def set_zone_weights(self, zones: tuple[ZoneName, ...], record: RolloutRecord, now: float) -> None:
         """Write the zones' weights into the entry; within a rollout they only grow."""
-        self._widen_if_starved(record, now)
+        self._widen_if_underused(record, now)
         rates = self.zone_rates(zones)
         targets = self._targets(zones, record)
         former = self.entry.zone_weights_bp
         weights: list[int] = []
         for index, zone in enumerate(zones):
-            target = min(1.0, targets.get(zone, 0.0) * self._widen)
+            target = min(1.0, targets.get(zone, 0.0) * self._widening_factor)
             known = former[index] if index < len(former) else 0
             weights.append(max(known, round(target * BASIS_POINTS)))
         per_ten_s = tuple(round(10 * rates.get(zone, 0.0)) for zone in zones)
         self.entry = msgspec.structs.replace(self.entry, zone_weights_bp=tuple(weights), zone_rates=per_ten_s)
 
-    def _widen_if_starved(self, record: RolloutRecord, now: float) -> None:
-        if record.plan.pacing.even and record.weight != self._widen_weight:
-            self._widen = 1.0
-            self._widen_weight = record.weight
-        if now - self._widen_at < WIDEN_AFTER_S:
+    def _widen_if_underused(self, record: RolloutRecord, now: float) -> None:
+        if record.plan.pacing.even and record.weight != self._widening_weight:
+            self._widening_factor = 1.0
+            self._widening_weight = record.weight
+        if now - self._widening_checked_at < WIDEN_AFTER_S:
             return
-        added = self.totals().less(self._widen_totals)
+        added = self.totals().minus(self._widening_totals)
         pool = credit_pool(record.plan, record.phase, self.totals(), self.entry.allowance)
         if record.weight > 0 and pool > 0 and added.sent < 0.5 * record.weight * added.prompts:
-            self._widen = min(self._widen * WIDEN_FACTOR, 1.0 / record.weight)
-        self._widen_at = now
-        self._widen_totals = self.totals()
+            self._widening_factor = min(self._widening_factor * WIDEN_FACTOR, 1.0 / record.weight)
+        self._widening_checked_at = now
+        self._widening_totals = self.totals()
 
     def grant_from_ledger(
         self, zones: tuple[ZoneName, ...], record: RolloutRecord, round_s: float
@@ -145,16 +145,16 @@
         targets = self._targets(zones, record)
         pool = credit_pool(record.plan, record.phase, self.totals(), self.entry.allowance)
         ranks = {zone: rank for rank, zone in enumerate(self.order(zones, record))}
-        needs = [
+        demands = [
             (ranks.get(zones[account.zone], len(ranks)), account)
             for account in self.entry.accounts
-            if account.writer in self.live and account.zone < len(zones)
+            if account.writer in self.live_writers and account.zone < len(zones)
         ]
-        needs.sort(key=lambda pair: (pair[0], pair[1].taken, pair[1].writer))
+        demands.sort(key=lambda pair: (pair[0], pair[1].spent, pair[1].writer))
         return self._grant(
             [
                 CreditDemand(a.writer, self.rate_of(a.writer), targets.get(zones[a.zone], 0.0))
-                for _, a in needs
+                for _, a in demands
             ],
             pool,
             round_s,
@@ -162,16 +162,17 @@
 
     def grant_from_pool(self, weight: float, pool: int, round_s: float) -> dict[int, int]:
         """Grant credits that a zone ring's lead was given; return them by writer."""
-        live = sorted(
-            (a for a in self.entry.accounts if a.writer in self.live), key=lambda a: (a.taken, a.writer)
+        live_writers = sorted(
+            (a for a in self.entry.accounts if a.writer in self.live_writers),
+            key=lambda a: (a.spent, a.writer),
         )
         return self._grant(
-            [CreditDemand(a.writer, self.rate_of(a.writer), weight) for a in live], pool, round_s
+            [CreditDemand(a.writer, self.rate_of(a.writer), weight) for a in live_writers], pool, round_s
         )
 
-    def _grant(self, needs: list[CreditDemand], pool: int, round_s: float) -> dict[int, int]:
+    def _grant(self, demands: list[CreditDemand], pool: int, round_s: float) -> dict[int, int]:
         accounts = by_writer(self.entry.accounts)
-        grants = allocate_credits(needs, accounts, pool, GRANT_HORIZON_ROUNDS * round_s)
+        grants = allocate_credits(demands, accounts, pool, GRANT_HORIZON_ROUNDS * round_s)
         for writer, credits in grants.items():
             account = accounts[writer]
             accounts[writer] = msgspec.structs.replace(account, granted=account.granted + credits)
@@ -180,7 +181,7 @@
         return grants
 
 
-def _newer(account: Account, former: Account | None, current: bool) -> Account:
+def _merge_account(account: Account, former: Account | None, current: bool) -> Account:
     if former is None:
         return account if current else msgspec.structs.replace(account, visits=0)
     merged = merge_accounts(account if current else former, former if current else account)
--- a/src/springmux/rollout/judgement/digest.py
+++ b/src/springmux/rollout/judgement/digest.py
@@ -156,9 +156,9 @@
     return sums.digest()
 
 
-def merge(a: EvidenceDigest, b: EvidenceDigest) -> EvidenceDigest:
+def merge(first: EvidenceDigest, second: EvidenceDigest) -> EvidenceDigest:
     """Return the evidence of both; associative and commutative."""
-    return merge_all((a, b))
+    return merge_all((first, second))
 
 
 def subtract(newer: EvidenceDigest, older: EvidenceDigest) -> EvidenceDigest:
--- a/src/springmux/rollout/judgement/evidence_table.py
+++ b/src/springmux/rollout/judgement/evidence_table.py
@@ -195,7 +195,7 @@
         pools = known.strata.get(_stratum(prompt_bytes, expected_hit)) if known is not None else None
         if pools is None:
             return None
-        references = _take_fresh(pools.first_token, now)
+        references = _drain_recent(pools.first_token, now)
         if not references:
             return None
         limit_s = max(references) * self._first_token_ratio
@@ -279,7 +279,7 @@
         sums[_CANDIDATE_BAD] += bad
         sums[_CANDIDATE_TOTAL] += 1
         table.count_engine(number, slot, bad)
-        references = _take_fresh(table.error_pool, now)
+        references = _drain_recent(table.error_pool, now)
         bet = ERROR_BETS[len(references)][int(sum(references))][bad]
         sums[_ERROR_BETS_AT] += bet.odds_4
         sums[_ERROR_BETS_AT + 1] += bet.odds_16
@@ -317,7 +317,7 @@
     return ending is not Ending.WHOLE and ending in BAD_ENDINGS
 
 
-def _take_fresh(pool: _Pool, now: float) -> list[float]:
+def _drain_recent(pool: _Pool, now: float) -> list[float]:
     """Empty ``pool`` and return its values that are recent enough."""
     oldest = now - REFERENCE_AGE_S
     values = [value for at, value in pool if at >= oldest]
@@ -328,7 +328,7 @@
 def _bet_on_rank(sums: list[int], column: int, pool: _Pool, scaled_s: float, now: float) -> None:
     if not pool:
         return
-    _bet_among(sums, column, _take_fresh(pool, now), scaled_s)
+    _bet_among(sums, column, _drain_recent(pool, now), scaled_s)
 
 
 def _bet_among(sums: list[int], column: int, references: Sequence[float], scaled_s: float) -> None:
--- a/src/springmux/rollout/judgement/final_analysis.py
+++ b/src/springmux/rollout/judgement/final_analysis.py
@@ -21,7 +21,7 @@
 FINAL_LEVEL = 0.1
 """Chance of aborting a good version here, for errors and for latency each, at most. Without errors at
 the stable version, and with latencies alike, it is far less: the limits leave room."""
-LEAST_BAD = 2
+MIN_BAD_ANSWERS = 2
 """One bad answer is no evidence, however good the stable version is."""
 RECENT_EPOCHS = 3
 """The last three of eight epochs are tested by themselves, for a version that turned bad late."""
@@ -45,7 +45,7 @@
         windows = list(_windows(scope)) if index == 0 else [scope.suffixes[0]]
         level = 0.5 * FINAL_LEVEL / (len(windows) if index == 0 else len(scopes) - 1)
         for sums in (_without_lost_engines(scope, window) for window in windows):
-            if sums.candidate_bad < LEAST_BAD:
+            if sums.candidate_bad < MIN_BAD_ANSWERS:
                 continue
             rise = _rate(sums.candidate_bad, sums.candidate_total) - _rate(sums.stable_bad, sums.stable_total)
             if rise >= limits.error_rise and chance_of_bad(sums, sums) <= level:
--- a/src/springmux/rollout/judgement/judge.py
+++ b/src/springmux/rollout/judgement/judge.py
@@ -28,21 +28,21 @@
 from springmux.rollout.judgement.evidence_table import EPOCHS
 from springmux.rollout.plan import RolloutDecision, RolloutPlan
 
-GUARD_BAD = 25
+GUARD_BAD_ANSWERS = 25
 """Bad answers from which the plain guard looks; half of the fifty that start the rollback's clock."""
-GUARD_BAD_ONE_ENGINE = 40
+GUARD_BAD_ANSWERS_ONE_ENGINE = 40
 """Bad answers from which even those of one engine are the version's; below fifty with a round to spare."""
 GUARD_CHANCE = 1e-4
 """Chance at a look that so many of all bad answers are the candidate's. With twice the stable version's
 rate, forty to fifty bad answers are beyond it, whatever the rate. Small, because the guard looks at each
 round, start and route."""
-ENOUGH_STABLE = 100
+MIN_STABLE_ANSWERS = 100
 """Stable answers since a start below which those of the complete rollout give the ordinary error rate."""
-CLEAN_ANSWERS = 8
+MIN_OTHER_ANSWERS = 8
 """Answers of the other engines needed to say that only one engine is at fault."""
 CLEAN_LEVEL = 0.001
 """Other engines are clean unless chance alone makes their bad answers with less than this probability."""
-LOST_ENGINES = 3
+MIN_LOST_ENGINES = 3
 """Distinct lost candidate engines: two may be a crash and a second one right after the repair."""
 PASS_LEVEL = 0.05
 """Chance of calling a rise beyond the limits excluded, per test; a pass only informs."""
@@ -126,12 +126,14 @@
     def _guard(self, scopes: Sequence[Scope]) -> RolloutDecision | None:
         for scope in scopes:
             for sums in scope.suffixes:
-                if sums.candidate_bad < GUARD_BAD or not self._relevant(sums):
+                if sums.candidate_bad < GUARD_BAD_ANSWERS or not self._relevant(sums):
                     continue
-                reference = sums if sums.stable_total >= ENOUGH_STABLE else scope.suffixes[0]
+                reference = sums if sums.stable_total >= MIN_STABLE_ANSWERS else scope.suffixes[0]
                 if chance_of_bad(sums, reference) > GUARD_CHANCE:
                     continue
-                if sums.candidate_bad >= GUARD_BAD_ONE_ENGINE or not _one_engine_at_fault(scope, sums):
+                if sums.candidate_bad >= GUARD_BAD_ANSWERS_ONE_ENGINE or not _one_engine_at_fault(
+                    scope, sums
+                ):
                     reason = f"{sums.candidate_bad} bad answers at a rate above the limit"
                     return RolloutDecision("judge", reason, "guard", scope.name, _error_figures(sums))
         return None
@@ -140,7 +142,7 @@
         lost, used = _lost_of(uses, candidate=True)
         stable_lost, stable_used = _lost_of(uses, candidate=False)
         share = lost / max(used, 1)
-        if lost < LOST_ENGINES or share < 0.5 or 2 * stable_lost / max(stable_used, 1) > share:
+        if lost < MIN_LOST_ENGINES or share < 0.5 or 2 * stable_lost / max(stable_used, 1) > share:
             return None
         figures = f"candidate {lost} of {used} engines lost, stable {stable_lost} of {stable_used}"
         reason = "half or more of the candidate's engines were lost"
@@ -248,7 +250,7 @@
         return False
     worst = max(counts, key=lambda slot: counts[slot][0])
     other_answers = sum(engine.total for engine in scope.engines if engine.slot != worst)
-    if other_answers < CLEAN_ANSWERS:
+    if other_answers < MIN_OTHER_ANSWERS:
         return worst in scope.lost
     other_bad = sum(bad for slot, (bad, _) in counts.items() if slot != worst)
     other_total = sum(total for slot, (_, total) in counts.items() if slot != worst)
--- a/src/springmux/rollout/judgement/stable_latencies.py
+++ b/src/springmux/rollout/judgement/stable_latencies.py
@@ -12,8 +12,8 @@
 OUTLIER_FACTOR = 2.5
 """Times the stable version's ninth decile: above the spread of caches and queues, below "several times
 slower" than a usual answer."""
-KEPT_LATENCIES = 64
-LEAST_LATENCIES = 8
+MAX_LATENCIES = 64
+MIN_LATENCIES = 8
 """With fewer the decile says nothing."""
 UPDATE_EVERY = 4
 _DECILE = 0.9
@@ -25,7 +25,7 @@
     __slots__ = ("_limit_s", "_since_update", "_values")
 
     def __init__(self) -> None:
-        self._values: deque[float] = deque(maxlen=KEPT_LATENCIES)
+        self._values: deque[float] = deque(maxlen=MAX_LATENCIES)
         self._limit_s: float | None = None
         self._since_update = 0
 
@@ -33,7 +33,7 @@
         """Add one answer of the stable version."""
         self._values.append(first_token_s)
         self._since_update += 1
-        if len(self._values) >= LEAST_LATENCIES and self._since_update >= UPDATE_EVERY:
+        if len(self._values) >= MIN_LATENCIES and self._since_update >= UPDATE_EVERY:
             ordered = sorted(self._values)
             self._limit_s = OUTLIER_FACTOR * ordered[int(_DECILE * (len(ordered) - 1))]
             self._since_update = 0
--- a/src/springmux/rollout/leadership.py
+++ b/src/springmux/rollout/leadership.py
@@ -17,14 +17,14 @@
 from springmux.rollout.plan import RolloutPhase, RolloutRecord
 from springmux.rollout.step_proposer import StepProposer
 from springmux.rollout.token import RolloutEntry, index_of_zone
-from springmux.rollout.token_ring.rings import RELAY, WHOLE_FLEET, RingLayout, way_from
+from springmux.rollout.token_ring.rings import RELAY, WHOLE_FLEET, RingLayout, itinerary_from
 from springmux.rollout.version_filter import LEASE_S
 from springmux.vocabulary.engines import EnginesView
 from springmux.vocabulary.names import RolloutId
 
 ROUND_S = 0.35
 """Time between rounds in a small fleet: evidence and aborts spread in well under a second."""
-LONGEST_ROUND_S = 1.0
+MAX_ROUND_S = 1.0
 """A lost round is reissued after 1.4 s, still within the lease."""
 TOKEN_BYTES_PER_S = 1500
 """A node's share of the 2 KB/s for the token; rounds slow down before it is exceeded."""
@@ -32,7 +32,7 @@
 """Size of one account on the wire (measured, docs/notes/token.md)."""
 PROPOSE_PERIOD_S = 0.2
 """Steps are due between rounds too; the check is cheap."""
-LOST_AFTER_S = 0.8
+ROUND_TIMEOUT_S = 0.8
 """A round that hasn't returned after this is reissued: six skipped hops."""
 GRANT_QUARANTINE_S = LEASE_S + 0.5
 """A new leader grants nothing until every lease of its predecessor's unknown grants has ended."""
@@ -44,7 +44,7 @@
 RESTART_GAP_S = 9.0
 """Counted after a restart of all nodes for the time that nobody measured: 3 s since the last checkpoint,
 and 6 s until a controller runs again. From then on it counts, so the 12 s of the brief may pass."""
-LARGEST_GAP_SHARE = 0.25
+MAX_GAP_SHARE = 0.25
 """Part of a short ``by_s`` that is counted at most."""
 
 _encoder = msgspec.msgpack.Encoder()
@@ -76,9 +76,9 @@
         self.zones: list[ZoneName] = []
         self._own = own
         self._sequence = first_sequence
-        self._since = now
+        self._leading_since = now
         self._round: TokenRound | None = None
-        self._unsure: set[RolloutId] = set()
+        self._unconfirmed_elapsed: set[RolloutId] = set()
         """Rollouts taken up from the record alone, until a round shows whether any node remembers more."""
         self._proposed_at = now
 
@@ -92,20 +92,20 @@
         if not self.step_proposers:
             return NEVER
         if self._round is None:
-            return self._since
-        wait_s = self.round_s if self._round.returned else max(LOST_AFTER_S, self.round_s + 0.4)
+            return self._leading_since
+        wait_s = self.round_s if self._round.returned else max(ROUND_TIMEOUT_S, self.round_s + 0.4)
         return self._round.launched_at + wait_s
 
     def launch_now(self) -> None:
         """Launch the next round at once: something was aborted, paused or begun."""
         self._round = None
 
-    def follow(self, participants: Iterable[Participant], now: float) -> None:
+    def set_rollouts(self, participants: Iterable[Participant], now: float) -> None:
         """Issue exactly these rollouts from now on; launch a round at once to publish the change."""
         under_way = {participant.record.rollout: participant for participant in participants}
         for rollout in set(self.step_proposers) - set(under_way):
             del self.step_proposers[rollout]
-            self._unsure.discard(rollout)
+            self._unconfirmed_elapsed.discard(rollout)
         for rollout, participant in under_way.items():
             if rollout not in self.step_proposers:
                 self._adopt(participant, now)
@@ -117,9 +117,11 @@
         issued = IssuedRollout(self._first_entry(participant), now)
         self.step_proposers[rollout] = StepProposer(participant, issued, now)
         if participant.last_entry is None and participant.record.elapsed_s > 0:
-            self._unsure.add(rollout)
+            self._unconfirmed_elapsed.add(rollout)
         inherited = (
-            participant.last_entry is not None or participant.record.elapsed_s > 0 or now <= self._since
+            participant.last_entry is not None
+            or participant.record.elapsed_s > 0
+            or now <= self._leading_since
         )
         granting_from = now + (_quarantine_s(participant.record) if inherited else MEASURE_RATES_S)
         self.step_proposers[rollout].granting_from = granting_from
@@ -149,17 +151,17 @@
         self._sequence += 1
         self._round = TokenRound(self._sequence, now)
         ring = RELAY if layout.relayed else WHOLE_FLEET
-        members = layout.leads() if layout.relayed else layout.order
+        members = layout.ring_leaders() if layout.relayed else layout.order
         token = RolloutToken(
             issuer=self._own,
             term=self.term,
             sequence=self._sequence,
             ring=ring,
-            itinerary=way_from(self._own, members),
+            itinerary=itinerary_from(self._own, members),
             zones=tuple(self.zones),
             entries=tuple(self._entry(step_proposer, now) for step_proposer in self.step_proposers.values()),
         )
-        self._pace(token, layout)
+        self._adapt_round_period(token, layout)
         return token, effects
 
     def _entry(self, step_proposer: StepProposer, now: float) -> RolloutEntry:
@@ -183,13 +185,13 @@
             issued.grant_from_ledger(zones, record, self.round_s)
         return issued.entry
 
-    def _pace(self, token: RolloutToken, layout: RingLayout) -> None:
+    def _adapt_round_period(self, token: RolloutToken, layout: RingLayout) -> None:
         """Set the time to the next round so that the busiest node keeps its byte rate."""
         self.token_bytes = len(_encoder.encode(token))
         if layout.relayed:
             others = max(0, layout.longest_ring() - len(layout.rings))
             self.token_bytes = 2 * self.token_bytes + ACCOUNT_BYTES * others
-        adapted_s = min(LONGEST_ROUND_S, max(ROUND_S, self.token_bytes / TOKEN_BYTES_PER_S))
+        adapted_s = min(MAX_ROUND_S, max(ROUND_S, self.token_bytes / TOKEN_BYTES_PER_S))
         self.round_s = self.settings.token_period_s or adapted_s
 
     def token_returned(self, token: RolloutToken, engines: EnginesView | None, now: float) -> list[Effect]:
@@ -205,7 +207,7 @@
             step_proposer = self.step_proposers.get(entry.rollout)
             if step_proposer is None:
                 continue
-            step_proposer.issued.absorb(entry, launched_at, now)
+            step_proposer.issued.merge_returned(entry, launched_at, now)
             if launched_at is not None:
                 self._set_clock(step_proposer.participant, entry, now)
             if entry.aborted and not step_proposer.participant.aborted:
@@ -216,11 +218,11 @@
     def _set_clock(self, participant: Participant, entry: RolloutEntry, now: float) -> None:
         """Take the time used as the nodes know it; count a gap that no node has measured."""
         participant.clock.advance_to(entry.elapsed_s, now)
-        if entry.rollout not in self._unsure:
+        if entry.rollout not in self._unconfirmed_elapsed:
             return
-        self._unsure.discard(entry.rollout)
-        if not entry.remembered:
-            gap_s = min(RESTART_GAP_S, LARGEST_GAP_SHARE * participant.record.plan.by_s)
+        self._unconfirmed_elapsed.discard(entry.rollout)
+        if not entry.known_before_term:
+            gap_s = min(RESTART_GAP_S, MAX_GAP_SHARE * participant.record.plan.by_s)
             participant.clock.advance_to(participant.clock.read(now) + gap_s, now)
 
     def propose_steps(self, engines: EnginesView | None, now: float) -> list[Effect]:
--- a/src/springmux/rollout/participant.py
+++ b/src/springmux/rollout/participant.py
@@ -21,7 +21,7 @@
 
 HISTORY_ROUNDS = 256
 """Digests remembered by visit: about 90 s of rounds, longer than any token can take to return."""
-PROVEN_AGE_S = 2.5
+LEASE_AFTER_VISIT_S = 2.5
 """A lease ends this long after the newest own visit that the token shows. A token that waited for a frozen
 node shows no recent one. Usually that visit is a round or two old, and the lease complete."""
 CLOCK_RECENT_S = 5.0
@@ -47,7 +47,7 @@
             return found
         return self._digests[max((known for known in self._digests if known <= visit), default=0)]
 
-    def remember(self, visit: int, digest: EvidenceDigest) -> None:
+    def store(self, visit: int, digest: EvidenceDigest) -> None:
         """Keep the digest of a visit; the base stays."""
         self._digests[visit] = digest
         if len(self._digests) > HISTORY_ROUNDS:
@@ -93,13 +93,13 @@
         self.verdict: Verdict | None = None
         self.history = SampleHistory()
         """Samples taken while this node leads."""
-        self.weight_seen = record.weight
+        self.highest_weight = record.weight
         self._own = own
         self._zone = zone
         self._rng = rng
         self._evidence = EvidenceTable(record.service, record.stable, record.candidate, record.plan)
         self._judge = Judge(record.plan)
-        self._judged = EMPTY_DIGEST
+        self._judged_evidence = EMPTY_DIGEST
         self._history = EvidenceHistory(EMPTY_DIGEST)
         self._writer = rng.getrandbits(_WRITER_BITS)
         self._visits = 0
@@ -126,7 +126,7 @@
         self.record = record
         self.clock.advance_to(record.elapsed_s, now)
         self.clock.set_running(record.phase in ACTIVE_PHASES, now)
-        self.weight_seen = max(self.weight_seen, record.weight)
+        self.highest_weight = max(self.highest_weight, record.weight)
         if record.phase is RolloutPhase.ABORTED:
             self.abort(record.decision)
         if record.phase not in ACTIVE_PHASES:
@@ -144,9 +144,9 @@
         if not visit.leading:
             self.clock.set_to(entry.elapsed_s, visit.now)
         self.clock.advance_to(self.record.elapsed_s, visit.now)
-        self.weight_seen = max(self.weight_seen, entry.weight)
+        self.highest_weight = max(self.highest_weight, entry.weight)
         self.received_evidence = entry.evidence
-        entry = self.judge_merged(self._add_own(entry, visit))
+        entry = self.judge_merged(self._add_own_account(entry, visit))
         self._renew_lease(entry, visit)
         self.last_entry = entry
         self.last_zones = tuple(visit.zones)
@@ -158,17 +158,17 @@
                 self._open_account()
             self.ring = visit.ring
         elif visit.term != self._term and self.last_entry is not None:
-            entry = self.remind(entry, visit.now)
+            entry = self.restore_elapsed(entry, visit.now)
             entry, zones = recover_accounts(entry, self.last_entry, tuple(visit.zones), self.last_zones)
             visit.zones[:] = zones
         self._term = visit.term
         return entry
 
-    def remind(self, entry: RolloutEntry, now: float) -> RolloutEntry:
+    def restore_elapsed(self, entry: RolloutEntry, now: float) -> RolloutEntry:
         """Return a new leader's entry with the time used as this node knows it, if that is more."""
         recent = now - self._visited_at.get(self._visits, -NEVER) <= CLOCK_RECENT_S
         elapsed_s = max(entry.elapsed_s, self.clock.read(now)) if recent else entry.elapsed_s
-        return msgspec.structs.replace(entry, elapsed_s=elapsed_s, remembered=True)
+        return msgspec.structs.replace(entry, elapsed_s=elapsed_s, known_before_term=True)
 
     def _open_account(self) -> None:
         """Begin a new account; the old one stays counted in the ring that this node has left."""
@@ -178,22 +178,22 @@
         self._history = EvidenceHistory(self._history.last())
         self.gate.open_account()
 
-    def _add_own(self, entry: RolloutEntry, visit: TokenVisit) -> RolloutEntry:
-        self.gate.lapse(visit.now)
+    def _add_own_account(self, entry: RolloutEntry, visit: TokenVisit) -> RolloutEntry:
+        self.gate.expire_credits(visit.now)
         known = entry.account(self._writer)
         if known is not None and known.visits > self._visits:
             self._open_account()
             known = None
         shown = known.visits if known is not None else 0
         proven_at = self._visited_at.get(shown, -NEVER)
-        self._lease_end = proven_at + PROVEN_AGE_S
+        self._lease_end = proven_at + LEASE_AFTER_VISIT_S
         included = self._history.at(shown)
         digest = self._evidence.digest()
         if digest != included:
             missing = subtract(digest, included)
             entry = msgspec.structs.replace(entry, evidence=merge(entry.evidence, missing))
         self._visits += 1
-        self._history.remember(self._visits, digest)
+        self._history.store(self._visits, digest)
         self._visited_at[self._visits] = visit.now
         self._visited_at.pop(self._visits - HISTORY_ROUNDS, None)
         self.gate.accept_granted(known.granted if known is not None else 0)
@@ -207,8 +207,8 @@
         """
         if entry.aborted and not self.aborted:
             self.abort(entry.decision)
-        if not self.aborted and entry.evidence != self._judged:
-            self._judged = entry.evidence
+        if not self.aborted and entry.evidence != self._judged_evidence:
+            self._judged_evidence = entry.evidence
             self._judge_evidence(entry.evidence)
         if self.aborted and not entry.aborted:
             return msgspec.structs.replace(entry, aborted=True, decision=self.decision)
--- a/src/springmux/rollout/planning/load_step.py
+++ b/src/springmux/rollout/planning/load_step.py
@@ -14,9 +14,9 @@
 LOAD_FACTOR = 2.5
 """Times a stable engine's load. After *done* there may be two candidate engines for three stable ones, and a
 burst on top; a fault that begins at half as much again must show by more than one or two prompts."""
-LARGEST_LOAD_WEIGHT = 0.9
+MAX_LOAD_WEIGHT = 0.9
 """Some prompts stay on the stable version, to be compared with."""
-FULLEST = 0.9
+MAX_SLOT_USE = 0.9
 """Part of an engine's slots that the step fills at most, unless stable engines are fuller themselves."""
 
 
@@ -29,7 +29,7 @@
     """Return the weight that gives one engine :data:`LOAD_FACTOR` times a stable one's load, or ``least``."""
     if stable_count == 0:
         return least
-    return max(least, min(LARGEST_LOAD_WEIGHT, LOAD_FACTOR / stable_count))
+    return max(least, min(MAX_LOAD_WEIGHT, LOAD_FACTOR / stable_count))
 
 
 def loaded_engines(
@@ -44,7 +44,7 @@
         return 0
     by_load = round(weight * stable_count / LOAD_FACTOR)
     stable_load = in_flight / stable_count
-    room = max(FULLEST * capacity, stable_load)
+    room = max(MAX_SLOT_USE * capacity, stable_load)
     by_slots = math.ceil(weight * in_flight / room) if room > 0 else 0
     wanted = max(1, by_load, by_slots)
     return 0 if wanted >= candidate_count else wanted
--- a/src/springmux/rollout/planning/preview.py
+++ b/src/springmux/rollout/planning/preview.py
@@ -6,13 +6,13 @@
 
 import msgspec
 
-from springmux.rollout.judgement.judge import GUARD_BAD_ONE_ENGINE
+from springmux.rollout.judgement.judge import GUARD_BAD_ANSWERS_ONE_ENGINE
 from springmux.rollout.plan import RolloutPlan
 from springmux.rollout.planning.schedule import Schedule, ScheduleImpossibleError, can_carry, plan_schedule
 
 FEW_CANARY_PROMPTS = 50
 """Below this many canary answers a fault of a tenth of the answers is often missed (judge's trials)."""
-TOLD_PROMPTS = 50
+ROLLBACK_START_BAD_ANSWERS = 50
 """The rollback's clock starts at the fiftieth bad answer (the product's promise)."""
 
 
@@ -82,7 +82,7 @@
 def _bad_until_rollback(plan: RolloutPlan, prompts_per_s: float) -> int:
     """Prompts until the guard must act, and those sent at the canary's weight until the last node stops."""
     during_rollback = plan.canary_weight * prompts_per_s * plan.rollback_ms / 1000
-    return max(GUARD_BAD_ONE_ENGINE, TOLD_PROMPTS) + math.ceil(during_rollback)
+    return max(GUARD_BAD_ANSWERS_ONE_ENGINE, ROLLBACK_START_BAD_ANSWERS) + math.ceil(during_rollback)
 
 
 def _warnings(
--- a/src/springmux/rollout/planning/schedule.py
+++ b/src/springmux/rollout/planning/schedule.py
@@ -26,14 +26,14 @@
 """Two rounds of the token: one carries the weight out, one brings evidence back."""
 MINIMUM_CANARY_S = 5.0
 """A canary shorter than this gathers little evidence: ten rounds."""
-CANARY_OF_SHORT_TERM = 0.5
-SHORT_TERM_S = 10.0
+SHORT_DEADLINE_CANARY_SHARE = 0.5
+SHORT_DEADLINE_S = 10.0
 """Of a term below this, which is too short for :data:`MINIMUM_CANARY_S`, this share is enough."""
-LATE_STEP_S = 0.4
+OVERDUE_STEP_S = 0.4
 """The same when the schedule is overdue, after a leader change: one round."""
-ANSWER_S = 0.6
+FIRST_ANSWERS_S = 0.6
 """Time for first answers under a new weight: a round to spread it, and a short answer."""
-SUSPICIOUS_BAD = 3
+SUSPICIOUS_BAD_ANSWERS = 3
 """Bad answers since the last step for which the finish waits, within the reserve, for those still to come."""
 FINISH_MARGIN_S = 0.5
 """Latest finish before the term, however suspicious: committing takes a few round trips and an fsync."""
@@ -83,7 +83,7 @@
     durations = step_durations(plan)
     _check_canary(plan, durations)
     while True:
-        schedule = _lay_out(plan, prompts_per_s, durations)
+        schedule = _build_schedule(plan, prompts_per_s, durations)
         last = schedule.steps[-1]
         if last.funded >= plan.pacing.last_step_paid or prompts_per_s <= 0:
             return schedule
@@ -115,7 +115,7 @@
 
 def _check_canary(plan: RolloutPlan, durations: tuple[float, ...]) -> None:
     canary_s = plan.by_s - reserve_of(plan) - sum(durations)
-    needed_s = MINIMUM_CANARY_S if plan.by_s >= SHORT_TERM_S else CANARY_OF_SHORT_TERM * plan.by_s
+    needed_s = MINIMUM_CANARY_S if plan.by_s >= SHORT_DEADLINE_S else SHORT_DEADLINE_CANARY_SHARE * plan.by_s
     if canary_s < needed_s:
         raise ScheduleImpossibleError(
             f"by_s {plan.by_s:g} leaves {canary_s:.1f} s of canary after steps of {sum(durations):.1f} s and"
@@ -129,7 +129,7 @@
         )
 
 
-def _lay_out(plan: RolloutPlan, prompts_per_s: float, durations: tuple[float, ...]) -> Schedule:
+def _build_schedule(plan: RolloutPlan, prompts_per_s: float, durations: tuple[float, ...]) -> Schedule:
     done_s = plan.by_s - reserve_of(plan)
     canary_s = done_s - sum(durations)
     accrual = accruing_share(plan) * prompts_per_s
@@ -207,9 +207,9 @@
         return _finish_or_wait(plan, progress)
     if progress.elapsed_s < _start_of(plan, upcoming):
         return _checkpoint_or_wait(plan, progress, "on schedule")
-    if progress.weight > 0 and progress.in_step_s < _least_dwell_s(plan, progress):
+    if progress.weight > 0 and progress.in_step_s < _minimum_step_s(plan, progress):
         return NextStep(StepKind.WAIT, reason="the last step is too recent")
-    if not _carries(plan, upcoming, progress):
+    if not _can_carry_weight(plan, upcoming, progress):
         reason = (
             f"ready candidate engines run {progress.candidate_capacity} requests at once, weight {upcoming:g}"
             f" needs {plan.pacing.capacity_share * upcoming * progress.stable_capacity:.1f}"
@@ -231,14 +231,14 @@
     return candidate_capacity > 0 and candidate_capacity >= share * weight * stable_capacity
 
 
-def _carries(plan: RolloutPlan, weight: float, progress: Progress) -> bool:
+def _can_carry_weight(plan: RolloutPlan, weight: float, progress: Progress) -> bool:
     share = plan.pacing.capacity_share
     return can_carry(weight, progress.candidate_capacity, progress.stable_capacity, share)
 
 
-def _least_dwell_s(plan: RolloutPlan, progress: Progress) -> float:
+def _minimum_step_s(plan: RolloutPlan, progress: Progress) -> float:
     overdue = progress.elapsed_s >= plan.by_s - reserve_of(plan)
-    return LATE_STEP_S if overdue else MINIMUM_STEP_S
+    return OVERDUE_STEP_S if overdue else MINIMUM_STEP_S
 
 
 def _upcoming_weight(plan: RolloutPlan, weight: float) -> float | None:
@@ -276,14 +276,14 @@
 def _finish_or_wait(plan: RolloutPlan, progress: Progress) -> NextStep:
     if progress.elapsed_s < plan.by_s - reserve_of(plan):
         return NextStep(StepKind.WAIT, reason="on schedule")
-    if progress.in_step_s < _least_dwell_s(plan, progress):
+    if progress.in_step_s < _minimum_step_s(plan, progress):
         return NextStep(StepKind.WAIT, reason="the last step is too recent")
-    if not _carries(plan, 1.0, progress):
+    if not _can_carry_weight(plan, 1.0, progress):
         return NextStep(StepKind.WAIT, reason="ready candidate engines can't carry the whole load")
     latest = progress.elapsed_s >= plan.by_s - plan.pacing.done_delay_s - FINISH_MARGIN_S
     if not progress.evidence_fresh and (plan.pacing.needs_evidence or not latest):
         return NextStep(StepKind.WAIT, reason="evidence of the last step is still to come")
-    if progress.recent_bad >= SUSPICIOUS_BAD and not latest:
+    if progress.recent_bad >= SUSPICIOUS_BAD_ANSWERS and not latest:
         return NextStep(StepKind.WAIT, reason=f"{progress.recent_bad} bad answers since the last step")
     return NextStep(StepKind.FINISH, progress.weight, RolloutPhase.SHIFTING)
 
--- a/src/springmux/rollout/planning/standard_plan.py
+++ b/src/springmux/rollout/planning/standard_plan.py
@@ -14,34 +14,34 @@
 from springmux.rollout.reported_state import DONE_SETTLE_S
 from springmux.vocabulary.names import ServiceName, VersionName
 
-LONG_TERM_S = 30.0
+LONG_DEADLINE_S = 30.0
 """From here on the ordinary steps last for two rounds and more."""
-SHORT_CANARY, SHORT_COMPARISON = 0.045, 0.10
+SHORT_CANARY_WEIGHT, SHORT_COMPARISON_WEIGHT = 0.045, 0.10
 """Weights where the service's rate isn't known; the canary's is below the 8% that accrue as credit."""
-LOAD_STEP = 0.25
+LOAD_STEP_WEIGHT = 0.25
 """Least weight of the load step; with few stable engines it is larger (:mod:`.load_step`)."""
-CANARY_OF_SHARE = 0.6
+CANARY_PART_OF_SHARE = 0.6
 """Bounds the canary's weight for small exposure shares: 0.06 of the usual 0.10."""
-CANARY_OF_CREDIT, COMPARISON_OF_CREDIT = 0.3, 0.25
+CANARY_PART_OF_CREDIT, COMPARISON_PART_OF_CREDIT = 0.3, 0.25
 """Parts of the credit before *done*. The rest is for the load step: a fault that shows only under load takes
 some thirty prompts in a second or two on one engine."""
-LARGEST_COMPARISON = 0.2
+MAX_COMPARISON_WEIGHT = 0.2
 """Below the load step."""
-LEAST_RISE = 1.25
+MIN_WEIGHT_RISE = 1.25
 """Of the weight from the canary to the comparison."""
 AFTER_DONE_S = 1.3
 """From the commit of *done* to the term, in which a version that turned out bad would get all prompts. They
 count as its exposure too, so a short term keeps credit for them."""
-LEAST_PART_BEFORE_DONE = 0.25
+MIN_SHARE_PART = 0.25
 ALLOWANCE_BEFORE_DONE = 0.95
 """The rest is for what a quick handover hides of the canary, two rounds of it, and for a late end."""
-COMPARISON_TIME, LOAD_TIME, MINIMUM_STEP_S = 0.15, 0.12, 0.8
+COMPARISON_TIME_SHARE, LOAD_TIME_SHARE, MINIMUM_STEP_S = 0.15, 0.12, 0.8
 """Parts of the term for the step in which latencies are compared once more, and for the load step."""
 LAST_STEP_S = 0.8
 """Two rounds of the token."""
 RESERVE_SHARE, MINIMUM_RESERVE_S = 0.05, 0.9
 """From the last step's end to the latest finish: a round or two that are waited for, and the commit."""
-LEAST_CAPACITY = 0.25
+MIN_CAPACITY_SHARE = 0.25
 """Candidate engines start after the order and may be few at first; a quarter of the capacity is enough."""
 
 
@@ -61,7 +61,7 @@
 
     A term under 10 s is too short for a leader change; it is done late rather than without evidence.
     """
-    long = by_s >= LONG_TERM_S
+    long = by_s >= LONG_DEADLINE_S
     plan = RolloutPlan(
         service=service,
         candidate=candidate,
@@ -69,11 +69,11 @@
         expose_share=expose_share,
         expose_allowance=expose_allowance,
         rollback_ms=rollback_ms,
-        canary_weight=min(RolloutPlan(service, candidate).canary_weight, CANARY_OF_SHARE * expose_share),
+        canary_weight=min(RolloutPlan(service, candidate).canary_weight, CANARY_PART_OF_SHARE * expose_share),
         pacing=Pacing(
             done_delay_s=DONE_SETTLE_S,
             last_step_paid=0.0,
-            capacity_share=LEAST_CAPACITY,
+            capacity_share=MIN_CAPACITY_SHARE,
             needs_evidence=True,
         ),
     )
@@ -83,30 +83,32 @@
 def _short_weights(plan: RolloutPlan, prompts_per_s: float) -> tuple[float, float]:
     """Return the weights of a short term's canary and comparison; ``plan`` has its pacing already."""
     if prompts_per_s <= 0.0:
-        return min(SHORT_CANARY, CANARY_OF_SHARE * plan.expose_share), SHORT_COMPARISON
+        return min(SHORT_CANARY_WEIGHT, CANARY_PART_OF_SHARE * plan.expose_share), SHORT_COMPARISON_WEIGHT
     done_s = plan.by_s - reserve_of(plan)
     comparison_s = plan.pacing.step_s[0]
     canary_s = done_s - sum(plan.pacing.step_s)
     credit = accruing_share(plan) * prompts_per_s * done_s + allowance_part(plan)
-    canary = min(EXPOSE_TARGET * plan.expose_share, CANARY_OF_CREDIT * credit / (prompts_per_s * canary_s))
-    comparison = COMPARISON_OF_CREDIT * credit / (prompts_per_s * comparison_s)
-    return canary, min(LARGEST_COMPARISON, max(LEAST_RISE * canary, comparison))
+    canary = min(
+        EXPOSE_TARGET * plan.expose_share, CANARY_PART_OF_CREDIT * credit / (prompts_per_s * canary_s)
+    )
+    comparison = COMPARISON_PART_OF_CREDIT * credit / (prompts_per_s * comparison_s)
+    return canary, min(MAX_COMPARISON_WEIGHT, max(MIN_WEIGHT_RISE * canary, comparison))
 
 
 def _share_before_done(plan: RolloutPlan) -> float:
     """Return the part of the exposure share that may be spent before *done*."""
     left = plan.expose_share - AFTER_DONE_S / plan.by_s
-    return max(LEAST_PART_BEFORE_DONE, left / (EXPOSE_TARGET * plan.expose_share))
+    return max(MIN_SHARE_PART, left / (EXPOSE_TARGET * plan.expose_share))
 
 
 def _shortened(plan: RolloutPlan, prompts_per_s: float) -> RolloutPlan:
     paced = msgspec.structs.replace(
         plan,
-        steps=(SHORT_COMPARISON, LOAD_STEP, 1.0),
+        steps=(SHORT_COMPARISON_WEIGHT, LOAD_STEP_WEIGHT, 1.0),
         pacing=Pacing(
             step_s=(
-                max(MINIMUM_STEP_S, COMPARISON_TIME * plan.by_s),
-                max(MINIMUM_STEP_S, LOAD_TIME * plan.by_s),
+                max(MINIMUM_STEP_S, COMPARISON_TIME_SHARE * plan.by_s),
+                max(MINIMUM_STEP_S, LOAD_TIME_SHARE * plan.by_s),
                 LAST_STEP_S,
             ),
             reserve_s=max(MINIMUM_RESERVE_S, RESERVE_SHARE * plan.by_s),
@@ -114,7 +116,7 @@
             last_step_paid=0.0,
             allowance_part=ALLOWANCE_BEFORE_DONE,
             share_part=_share_before_done(plan),
-            capacity_share=LEAST_CAPACITY,
+            capacity_share=MIN_CAPACITY_SHARE,
             quick_handover=True,
             needs_evidence=True,
             even=True,
--- a/src/springmux/rollout/registry.py
+++ b/src/springmux/rollout/registry.py
@@ -55,14 +55,14 @@
         for service, stable in event.stable.items():
             if service not in event.rollouts:
                 self._gate(service, stable).release(stable)
-        changed = [record for record in event.rollouts.values() if self._take(record, now)]
+        changed = [record for record in event.rollouts.values() if self._apply_record(record, now)]
         return changed, [_record_log_line(record) for record in changed]
 
     def set_engines(self, view: EnginesView) -> None:
         """Set the directory of engines."""
         self.engines = view
         for participant in self.under_way():
-            self.refresh_rest(participant)
+            self.refresh_default_choice(participant)
 
     def engines_limit(self, entry: RolloutEntry) -> int:
         """Return on how many candidate engines the entry's weight is concentrated; 0 means all."""
@@ -76,20 +76,20 @@
         in_flight = entry.prompts_per_s * participant.stable_answer_s
         return loaded_engines(weight, stable, candidates, capacity, in_flight)
 
-    def refresh_rest(self, participant: Participant) -> None:
+    def refresh_default_choice(self, participant: Participant) -> None:
         """Let the candidate serve where it had the full weight and stable's engines are gone.
 
         A rollout may be done, and the old engines stopped, before this node hears of it.
         """
         record = participant.record
-        full_weight = participant.weight_seen >= 1.0 and not participant.aborted
+        full_weight = participant.highest_weight >= 1.0 and not participant.aborted
         stable_gone = self.engines is not None and not ready_count(
             self.engines, record.service, record.stable
         )
         candidate_there = ready_count(self.engines, record.service, record.candidate) > 0
-        participant.gate.set_rest(full_weight and stable_gone and candidate_there)
+        participant.gate.set_default_choice(full_weight and stable_gone and candidate_there)
 
-    def _take(self, record: RolloutRecord, now: float) -> bool:
+    def _apply_record(self, record: RolloutRecord, now: float) -> bool:
         participant = self._participants.get(record.service)
         if participant is not None and participant.record.rollout == record.rollout:
             if participant.record == record:
@@ -103,7 +103,7 @@
         if record.phase in TERMINAL_PHASES:
             participant.gate.release(released_version(record))
         else:
-            self.refresh_rest(participant)
+            self.refresh_default_choice(participant)
         return True
 
     def _gate(self, service: ServiceName, stable: VersionName) -> ServiceGate:
--- a/src/springmux/rollout/rollout_coordinator.py
+++ b/src/springmux/rollout/rollout_coordinator.py
@@ -34,7 +34,7 @@
 from springmux.rollout.reporting import build_status
 from springmux.rollout.status import RolloutSample, RolloutStatus
 from springmux.rollout.token import RolloutEntry
-from springmux.rollout.token_ring.rings import RELAY, RingLayout, lay_out, way_from
+from springmux.rollout.token_ring.rings import RELAY, RingLayout, build_ring_layout, itinerary_from
 from springmux.rollout.token_ring.token_forwarding import ForwardResult, TokenForwarder
 from springmux.rollout.token_ring.zone_ring import ZoneRing
 from springmux.vocabulary.names import ServiceName
@@ -56,12 +56,12 @@
         self._zone = zone
         self._random = random
         self._members: tuple[NodeRecord, ...] = ()
-        self._layout: RingLayout = lay_out(())
+        self._layout: RingLayout = build_ring_layout(())
         self._forwarder = TokenForwarder(own)
         self._leadership: Leadership | None = None
         self._zone_ring: ZoneRing | None = None
-        self._seen = (-1, -1)
-        self._seen_relay = (-1, -1)
+        self._newest_round = (-1, -1)
+        self._newest_relay_round = (-1, -1)
         self._aborts = AbortRequests(own, self._registry, lambda: self._leadership)
 
     def handle(self, event: Event, now: float) -> list[Effect]:
@@ -97,14 +97,14 @@
         if self._leadership is not None:
             self._leadership.settings = self._registry.settings
             if changed:
-                self._leadership.follow(self._registry.under_way(), now)
+                self._leadership.set_rollouts(self._registry.under_way(), now)
         return effects
 
     def _on_fleet(self, event: FleetChanged) -> list[Effect]:
         members = tuple(event.view.present())
         if members != self._members:
             self._members = members
-            self._layout = lay_out(members)
+            self._layout = build_ring_layout(members)
         return []
 
     def _on_issuer(self, event: IssuerChanged, now: float) -> list[Effect]:
@@ -113,10 +113,10 @@
             return []
         if self._leadership is not None and self._leadership.term == event.term:
             return []
-        sequence = max(self._seen[1], self._seen_relay[1], 0)
+        sequence = max(self._newest_round[1], self._newest_relay_round[1], 0)
         leadership = Leadership(self._own, event.term, sequence, self._registry.settings, now)
         self._leadership = leadership
-        leadership.follow(self._registry.under_way(), now)
+        leadership.set_rollouts(self._registry.under_way(), now)
         note = LogLine("rollout_issuer", LogLevel.INFO, {"term": event.term, "sequence": sequence})
         # Who decided an abort may be gone before it was committed.
         aborted = [known for known in self._registry.under_way() if known.aborted]
@@ -129,12 +129,12 @@
         for forwarded in self._forwarder.expire(now):
             effects += self._apply_forwarded(forwarded, now)
         if self._leadership is not None and self._leadership.round_due() <= now:
-            effects += self._launch(self._leadership, now)
+            effects += self._launch_round(self._leadership, now)
         if self._leadership is not None:
             effects += self._leadership.propose_steps(self._registry.engines, now)
         return effects + self._aborts.retry(now)
 
-    def _launch(self, leadership: Leadership, now: float) -> list[Effect]:
+    def _launch_round(self, leadership: Leadership, now: float) -> list[Effect]:
         token, effects = leadership.launch(self._layout, now)
         if token.ring == RELAY:
             return effects + self._visit_relay(token, now)
@@ -159,16 +159,16 @@
         if token.issuer == self._own:
             return self._token_returned(token, now)
         if token.ring == RELAY:
-            if token.round_id <= self._seen_relay:
+            if token.round_id <= self._newest_relay_round:
                 return self._aborts.apply_token_aborts(token, now)
             return self._visit_relay(token, now)
-        if token.round_id <= self._seen:
+        if token.round_id <= self._newest_round:
             return self._aborts.apply_token_aborts(token, now)
         visited, effects = self._visit(token, now)
         return effects + self._forward(visited, now)
 
     def _visit(self, token: RolloutToken, now: float) -> tuple[RolloutToken, list[Effect]]:
-        self._seen = token.round_id
+        self._newest_round = token.round_id
         zones = list(token.zones)
 
         def contribute(entry: RolloutEntry, participant: Participant) -> RolloutEntry:
@@ -198,8 +198,8 @@
 
     def _visit_relay(self, token: RolloutToken, now: float) -> list[Effect]:
         """Add the own zone ring's sums, pass the relay token on, and launch a round of the zone ring."""
-        self._seen_relay = token.round_id
-        ring = self._layout.led_by(self._own)
+        self._newest_relay_round = token.round_id
+        ring = self._layout.ring_led_by(self._own)
         if ring is None:
             return self._forward(token, now)
         if self._zone_ring is None or self._zone_ring.ring != ring:
@@ -216,7 +216,7 @@
     def _launch_zone_ring(self, zone_ring: ZoneRing, relay: RolloutToken, now: float) -> list[Effect]:
         known = by_rollout(self._registry.under_way())
         token = zone_ring.launch(relay, known, ZONE_ROUND_S, now)
-        itinerary = way_from(self._own, self._layout.rings[zone_ring.ring])
+        itinerary = itinerary_from(self._own, self._layout.rings[zone_ring.ring])
         token = msgspec.structs.replace(token, issuer=self._own, itinerary=itinerary)
         visited, effects = self._visit(token, now)
         return effects + self._forward(visited, now)
@@ -232,7 +232,7 @@
 
     def _token_returned(self, token: RolloutToken, now: float) -> list[Effect]:
         if self._zone_ring is not None and token.ring == self._zone_ring.ring:
-            self._zone_ring.absorb(token, now)
+            self._zone_ring.merge_returned(token, now)
             return self._aborts.apply_token_aborts(token, now)
         if self._leadership is None:
             return self._aborts.apply_token_aborts(token, now)
--- a/src/springmux/rollout/step_proposer.py
+++ b/src/springmux/rollout/step_proposer.py
@@ -12,7 +12,7 @@
 from springmux.rollout.participant import ACTIVE_PHASES, Participant
 from springmux.rollout.plan import RolloutDecision, RolloutPhase
 from springmux.rollout.planning.load_step import is_load_step, load_weight
-from springmux.rollout.planning.schedule import ANSWER_S, NextStep, Progress, StepKind, next_step
+from springmux.rollout.planning.schedule import FIRST_ANSWERS_S, NextStep, Progress, StepKind, next_step
 from springmux.rollout.status import EvidenceSummary, RolloutSample
 from springmux.vocabulary.engines import EnginesView
 
@@ -31,10 +31,10 @@
         """When this leader's first credits go out; without them there is no evidence of a weight."""
         self._weight = participant.record.weight
         self._weight_since = now
-        self._bad_before = issued.entry.evidence.candidate_bad
+        self._bad_before_weight = issued.entry.evidence.candidate_bad
         self._last_proposal: tuple[StepKind, int] | None = None
         self._proposed_at = now
-        self._refused: RolloutDecision | None = None
+        self._refusal: RolloutDecision | None = None
         self._abort_due_at = now
 
     def propose(self, engines: EnginesView | None, minimum_ready: int, now: float) -> list[Effect]:
@@ -46,44 +46,46 @@
         if record.weight != self._weight:
             self._weight = record.weight
             self._weight_since = now
-            self._bad_before = self.issued.entry.evidence.candidate_bad
+            self._bad_before_weight = self.issued.entry.evidence.candidate_bad
         self.participant.history.add(self._sample(now), now)
         if self.participant.aborted or record.phase not in ACTIVE_PHASES:
             reason = "aborted" if self.participant.aborted else record.phase.value
-            return self._wait(reason) + self._propose_abort(now)
+            return self._set_wait_reason(reason) + self._propose_abort(now)
         step = next_step(record.plan, self._progress(engines, now))
         if step.kind is StepKind.WAIT:
-            return self._wait(step.reason)
+            return self._set_wait_reason(step.reason)
         ready = ready_count(engines, record.service, record.candidate)
         if ready < minimum_ready and step.kind is not StepKind.CHECKPOINT:
-            return self._wait(f"{ready} candidate engines ready, minimum_ready_engines is {minimum_ready}")
+            return self._set_wait_reason(
+                f"{ready} candidate engines ready, minimum_ready_engines is {minimum_ready}"
+            )
         if step.kind is StepKind.FINISH and record.plan.pacing.needs_evidence:
             decision = final_analysis(record.plan.limits, self.issued.entry.evidence)
             if decision is not None:
-                self._refused = msgspec.structs.replace(decision, decided_by="leader")
-                self.participant.abort(self._refused)
+                self._refusal = msgspec.structs.replace(decision, decided_by="leader")
+                self.participant.abort(self._refusal)
                 return self._propose_abort(now)
         if step.kind is StepKind.STEP and is_load_step(record.plan, step.weight) and step.weight < 1.0:
             stable = ready_count(engines, record.service, record.stable)
             step = msgspec.structs.replace(step, weight=load_weight(step.weight, stable))
-        return self._wait(step.reason) + self._propose_step(step, now)
+        return self._set_wait_reason(step.reason) + self._propose_step(step, now)
 
     def _propose_abort(self, now: float) -> list[Effect]:
         """Propose the abort of a release that the final analysis refused, until it is committed."""
         record = self.participant.record
-        if self._refused is None or record.phase is RolloutPhase.ABORTED or now < self._abort_due_at:
+        if self._refusal is None or record.phase is RolloutPhase.ABORTED or now < self._abort_due_at:
             return []
         self._abort_due_at = now + PROPOSAL_RETRY_S
-        fields = {"service": record.service, "rollout": record.rollout, "reason": self._refused.reason}
+        fields = {"service": record.service, "rollout": record.rollout, "reason": self._refusal.reason}
         return [
-            ProposeAbort(record.service, record.rollout, self._refused),
+            ProposeAbort(record.service, record.rollout, self._refusal),
             LogLine("rollout_abort_wanted", LogLevel.WARNING, fields),
         ]
 
     def _progress(self, engines: EnginesView | None, now: float) -> Progress:
         record = self.participant.record
         totals = self.issued.totals()
-        evidence_due = max(self._weight_since, self.granting_from) + ANSWER_S
+        evidence_due = max(self._weight_since, self.granting_from) + FIRST_ANSWERS_S
         return Progress(
             weight=record.weight,
             elapsed_s=self.participant.clock.read(now),
@@ -94,11 +96,11 @@
             committed=totals.committed,
             candidate_capacity=ready_capacity(engines, record.service, record.candidate),
             stable_capacity=ready_capacity(engines, record.service, record.stable),
-            recent_bad=self.issued.entry.evidence.candidate_bad - self._bad_before,
+            recent_bad=self.issued.entry.evidence.candidate_bad - self._bad_before_weight,
             evidence_fresh=self.issued.evidence_from >= evidence_due,
         )
 
-    def _wait(self, reason: str) -> list[Effect]:
+    def _set_wait_reason(self, reason: str) -> list[Effect]:
         if reason == self.waiting:
             return []
         self.waiting = reason
--- a/src/springmux/rollout/token.py
+++ b/src/springmux/rollout/token.py
@@ -36,24 +36,24 @@
     prompts: int = 0
     visits: int = 0
     granted: int = 0
-    taken: int = 0
-    lapsed: int = 0
+    spent: int = 0
+    expired: int = 0
     given_back: int = 0
 
     @property
     def outstanding(self) -> int:
         """Credits that may still be spent."""
-        return self.granted - self.taken - self.lapsed
+        return self.granted - self.spent - self.expired
 
     @property
     def committed(self) -> int:
         """Credits that count against the bound: sent and outstanding."""
-        return self.granted - self.lapsed - self.given_back
+        return self.granted - self.expired - self.given_back
 
     @property
     def sent(self) -> int:
         """Prompts sent to the candidate."""
-        return self.taken - self.given_back
+        return self.spent - self.given_back
 
 
 class RolloutEntry(msgspec.Struct, frozen=True, array_like=True, omit_defaults=True):
@@ -82,7 +82,7 @@
     aborted: bool = False
     decision: RolloutDecision | None = None
     zone_rates: tuple[int, ...] = ()
-    remembered: bool = False
+    known_before_term: bool = False
 
     @property
     def prompts_per_s(self) -> float:
@@ -108,8 +108,8 @@
         prompts=max(first.prompts, second.prompts),
         visits=first.visits,
         granted=max(first.granted, second.granted),
-        taken=max(first.taken, second.taken),
-        lapsed=max(first.lapsed, second.lapsed),
+        spent=max(first.spent, second.spent),
+        expired=max(first.expired, second.expired),
         given_back=max(first.given_back, second.given_back),
     )
 
@@ -161,41 +161,41 @@
 
     prompts: int = 0
     granted: int = 0
-    taken: int = 0
-    lapsed: int = 0
+    spent: int = 0
+    expired: int = 0
     given_back: int = 0
 
     @property
     def committed(self) -> int:
         """Credits sent or outstanding."""
-        return self.granted - self.lapsed - self.given_back
+        return self.granted - self.expired - self.given_back
 
     @property
     def sent(self) -> int:
         """Prompts sent to the candidate."""
-        return self.taken - self.given_back
+        return self.spent - self.given_back
 
-    def less(self, older: AccountTotals) -> AccountTotals:
+    def minus(self, older: AccountTotals) -> AccountTotals:
         """Return what was added since ``older``."""
         return AccountTotals(
             prompts=self.prompts - older.prompts,
             granted=self.granted - older.granted,
-            taken=self.taken - older.taken,
-            lapsed=self.lapsed - older.lapsed,
+            spent=self.spent - older.spent,
+            expired=self.expired - older.expired,
             given_back=self.given_back - older.given_back,
         )
 
 
 def total_accounts(accounts: Iterable[Account]) -> AccountTotals:
     """Return the sums over ``accounts``."""
-    prompts = granted = taken = lapsed = given_back = 0
+    prompts = granted = spent = expired = given_back = 0
     for account in accounts:
         prompts += account.prompts
         granted += account.granted
-        taken += account.taken
-        lapsed += account.lapsed
+        spent += account.spent
+        expired += account.expired
         given_back += account.given_back
-    return AccountTotals(prompts, granted, taken, lapsed, given_back)
+    return AccountTotals(prompts, granted, spent, expired, given_back)
 
 
 def by_writer(accounts: Iterable[Account]) -> dict[int, Account]:
--- a/src/springmux/rollout/token_ring/rings.py
+++ b/src/springmux/rollout/token_ring/rings.py
@@ -45,7 +45,7 @@
         """Return the ring that ``node`` belongs to, ``None`` for an unknown one."""
         return self._ring_by_node.get(node)
 
-    def lead(self, ring: int) -> NodeId:
+    def ring_leader(self, ring: int) -> NodeId:
         """Return the node that launches the rounds of a zone ring."""
         return self.rings[ring][0]
 
@@ -53,19 +53,19 @@
         """Return the number of nodes in the largest ring."""
         return max((len(members) for members in self.rings.values()), default=0)
 
-    def leads(self) -> tuple[NodeId, ...]:
+    def ring_leaders(self) -> tuple[NodeId, ...]:
         """Return the leads of all zone rings, by zone."""
         return tuple(members[0] for members in self.rings.values())
 
-    def led_by(self, node: NodeId) -> int | None:
+    def ring_led_by(self, node: NodeId) -> int | None:
         """Return the zone ring that ``node`` leads, if any."""
         ring = self.ring_of(node)
-        if ring is None or ring == WHOLE_FLEET or self.lead(ring) != node:
+        if ring is None or ring == WHOLE_FLEET or self.ring_leader(ring) != node:
             return None
         return ring
 
 
-def lay_out(records: Iterable[NodeRecord]) -> RingLayout:
+def build_ring_layout(records: Iterable[NodeRecord]) -> RingLayout:
     """Return the rings of the given present nodes, ordered by zone and name.
 
     Nodes that don't route are left out. A zone is split by a hash of the node's name, so that a lost
@@ -98,7 +98,7 @@
     return max(number, RELAY + 1)
 
 
-def way_from(start: NodeId, members: tuple[NodeId, ...]) -> tuple[NodeId, ...]:
+def itinerary_from(start: NodeId, members: tuple[NodeId, ...]) -> tuple[NodeId, ...]:
     """Return ``members`` without ``start``, beginning with the one after it."""
     if start not in members:
         return members
--- a/src/springmux/rollout/token_ring/token_forwarding.py
+++ b/src/springmux/rollout/token_ring/token_forwarding.py
@@ -10,7 +10,7 @@
 
 HOP_TIMEOUT_S = 0.12
 """A hop that doesn't acknowledge within this is skipped: some round trips, and a third of a round."""
-AVOID_S = 0.6
+SKIPPED_NODE_BACKOFF_S = 0.6
 """A skipped node isn't tried again for this long: a round or two, well within the lease."""
 RETURN_ATTEMPTS = 3
 """Times that the last hop, to the issuer, is tried; the issuer reissues the token anyway."""
@@ -72,7 +72,7 @@
     def _skip(self, hop: PendingHop, now: float) -> ForwardResult:
         if hop.to == hop.token.issuer:
             return self._retry_return(hop, now)
-        self._avoid_until[hop.to] = now + AVOID_S
+        self._avoid_until[hop.to] = now + SKIPPED_NODE_BACKOFF_S
         skipped = LogLine(
             "rollout_token_hop_skipped",
             LogLevel.WARNING,
--- a/src/springmux/rollout/token_ring/zone_ring.py
+++ b/src/springmux/rollout/token_ring/zone_ring.py
@@ -29,7 +29,7 @@
 _WRITER_BITS = 31
 
 
-class RingShare:
+class RingRollout:
     """One rollout as the lead of one zone ring sees it."""
 
     def __init__(self, ring: int, zone: ZoneName, participant: Participant, rng: random.Random) -> None:
@@ -40,23 +40,23 @@
         self._writer = rng.getrandbits(_WRITER_BITS)
         self._visits = 0
         self._granted = 0
-        self._base: AccountTotals | None = None
+        self._base_totals: AccountTotals | None = None
         self._term = -1
-        self._kept: RolloutEntry | None = None
-        self._kept_zones: tuple[ZoneName, ...] = ()
+        self._last_entry: RolloutEntry | None = None
+        self._last_zones: tuple[ZoneName, ...] = ()
         before = participant.received_evidence if participant.ring == ring else EMPTY_DIGEST
         self._history = EvidenceHistory(before)
 
     def report(self, entry: RolloutEntry, term: int, zones: list[ZoneName], now: float) -> RolloutEntry:
         """Return the relay token's entry with this ring's sums, judged on the fleet's evidence."""
-        if term != self._term and self._kept is not None:
-            entry = self.participant.remind(entry, now)
-            entry, known_zones = recover_accounts(entry, self._kept, tuple(zones), self._kept_zones)
+        if term != self._term and self._last_entry is not None:
+            entry = self.participant.restore_elapsed(entry, now)
+            entry, known_zones = recover_accounts(entry, self._last_entry, tuple(zones), self._last_zones)
             zones[:] = known_zones
         self._term = term
         entry = self.participant.judge_merged(self._add_ring(entry, zones))
-        self._kept = entry
-        self._kept_zones = tuple(zones)
+        self._last_entry = entry
+        self._last_zones = tuple(zones)
         return entry
 
     def _add_ring(self, entry: RolloutEntry, zones: list[ZoneName]) -> RolloutEntry:
@@ -68,7 +68,7 @@
             entry = msgspec.structs.replace(entry, evidence=evidence)
             included = digest
         self._visits += 1
-        self._history.remember(self._visits, included)
+        self._history.store(self._visits, included)
         self._granted = max(self._granted, known.granted if known is not None else 0)
         added = self._added()
         account = Account(
@@ -77,8 +77,8 @@
             prompts=added.prompts,
             visits=self._visits,
             granted=self._granted,
-            taken=added.taken,
-            lapsed=added.lapsed,
+            spent=added.spent,
+            expired=added.expired,
             given_back=added.given_back,
         )
         return with_account(entry, account)
@@ -89,9 +89,9 @@
         What came before was reported by the former lead; what fell between is left out, which only
         lowers the prompts that credits accrue from.
         """
-        if self.issued is None or self._base is None:
+        if self.issued is None or self._base_totals is None:
             return AccountTotals()
-        return self.issued.totals().less(self._base)
+        return self.issued.totals().minus(self._base_totals)
 
     def prepare(
         self, entry: RolloutEntry, zones: tuple[ZoneName, ...], round_s: float, now: float
@@ -107,8 +107,8 @@
             aborted=entry.aborted or issued.entry.aborted,
             decision=entry.decision or issued.entry.decision,
         )
-        if self._base is not None and not issued.entry.aborted:
-            pool = self._granted - (issued.totals().granted - self._base.granted)
+        if self._base_totals is not None and not issued.entry.aborted:
+            pool = self._granted - (issued.totals().granted - self._base_totals.granted)
             issued.grant_from_pool(entry.zone_weight(zones.index(self._zone)), max(0, pool), round_s)
         return issued.entry
 
@@ -118,13 +118,13 @@
             return last_entry
         return msgspec.structs.replace(entry, accounts=(), evidence=EMPTY_DIGEST)
 
-    def absorb(self, returned: RolloutEntry, current: bool, now: float) -> None:
+    def merge_returned(self, returned: RolloutEntry, current: bool, now: float) -> None:
         """Take a round of the zone ring that came back."""
         if self.issued is None:
             return
-        self.issued.absorb(returned, now if current else None, now)
-        if current and self._base is None:
-            self._base = self.issued.totals()
+        self.issued.merge_returned(returned, now if current else None, now)
+        if current and self._base_totals is None:
+            self._base_totals = self.issued.totals()
 
 
 class ZoneRing:
@@ -134,14 +134,14 @@
         self.ring = ring
         self._zone = zone
         self._rng = rng
-        self._shares: dict[RolloutId, RingShare] = {}
+        self._ring_rollouts: dict[RolloutId, RingRollout] = {}
         self._round = (-1, -1)
 
     def report(
         self, entry: RolloutEntry, participant: Participant, term: int, zones: list[ZoneName], now: float
     ) -> RolloutEntry:
         """Add the ring's sums to one entry of a relay token."""
-        return self._share(participant).report(entry, term, zones, now)
+        return self._ring_rollout(participant).report(entry, term, zones, now)
 
     def launch(
         self, relay: RolloutToken, participants: Mapping[RolloutId, Participant], round_s: float, now: float
@@ -149,24 +149,26 @@
         """Return this ring's token for the relay token's round; the caller sets issuer and itinerary."""
         self._round = relay.round_id
         entries = [
-            self._share(participants[entry.rollout]).prepare(entry, relay.zones, round_s, now)
+            self._ring_rollout(participants[entry.rollout]).prepare(entry, relay.zones, round_s, now)
             if entry.rollout in participants
             else entry
             for entry in relay.entries
         ]
         return msgspec.structs.replace(relay, ring=self.ring, entries=tuple(entries))
 
-    def absorb(self, token: RolloutToken, now: float) -> None:
+    def merge_returned(self, token: RolloutToken, now: float) -> None:
         """Take a round that came back."""
         current = token.round_id == self._round
         for entry in token.entries:
-            share = self._shares.get(entry.rollout)
-            if share is not None:
-                share.absorb(entry, current, now)
+            ring_rollout = self._ring_rollouts.get(entry.rollout)
+            if ring_rollout is not None:
+                ring_rollout.merge_returned(entry, current, now)
 
-    def _share(self, participant: Participant) -> RingShare:
+    def _ring_rollout(self, participant: Participant) -> RingRollout:
         rollout = participant.record.rollout
-        share = self._shares.get(rollout)
-        if share is None:
-            share = self._shares[rollout] = RingShare(self.ring, self._zone, participant, self._rng)
-        return share
+        ring_rollout = self._ring_rollouts.get(rollout)
+        if ring_rollout is None:
+            ring_rollout = self._ring_rollouts[rollout] = RingRollout(
+                self.ring, self._zone, participant, self._rng
+            )
+        return ring_rollout
--- a/src/springmux/rollout/version_filter.py
+++ b/src/springmux/rollout/version_filter.py
@@ -22,7 +22,7 @@
 _HASH_MULTIPLIER = 0x9E3779B97F4A7C15
 """Odd multiplier of Fibonacci hashing (Knuth, The Art of Computer Programming, volume 3, section 6.4)."""
 
-THIN_ROUTE_WEIGHT = 0.30
+LOW_TRAFFIC_ROUTE_WEIGHT = 0.30
 """With a larger share of a thin route's prompts fewer stable ones are left to compare with; at about a third
 a fault in half of the answers takes the fewest prompts to show."""
 EVEN_LAST_WEIGHT = 0.25
@@ -63,31 +63,31 @@
         "_route_thresholds",
         "_salt",
         "_threshold",
+        "aborted_candidate",
         "available",
         "candidate",
         "candidate_choice",
+        "default_choice",
         "even_routes",
         "evidence",
+        "expired",
         "given_back",
         "granted",
-        "lapsed",
         "lease_until",
         "prompts",
-        "rest_choice",
         "rollout",
+        "spent",
         "stable",
-        "taken",
-        "withdrawn",
     )
 
     def __init__(self, stable: VersionName) -> None:
         self.stable = stable
         self.candidate: VersionName | None = None
-        self.withdrawn: VersionName | None = None
+        self.aborted_candidate: VersionName | None = None
         """Candidate of the last aborted rollout; a prompt that chose it before is not sent to it any more."""
         self.rollout: RolloutId | None = None
-        self.rest_choice = VersionChoice(versions=(stable,))
-        self.candidate_choice = self.rest_choice
+        self.default_choice = VersionChoice(versions=(stable,))
+        self.candidate_choice = self.default_choice
         self.lease_until = -NEVER
         self.evidence: EvidenceSink | None = None
         self.even_routes = False
@@ -101,8 +101,8 @@
         """Start all counters again under a new writer; what the old one had out can't be spent any more."""
         self.prompts = 0
         self.granted = 0
-        self.taken = 0
-        self.lapsed = 0
+        self.spent = 0
+        self.expired = 0
         self.given_back = 0
         self.available = 0
 
@@ -123,40 +123,40 @@
         self._route_thresholds = {}
         self.rollout = rollout
         self.candidate = candidate
-        self.withdrawn = None if self.withdrawn == candidate else self.withdrawn
+        self.aborted_candidate = None if self.aborted_candidate == candidate else self.aborted_candidate
         self.evidence = evidence
         self._salt = salt & _HASH_MASK
         self._threshold = 0
         self.lease_until = -NEVER
-        self.set_rest(False)
+        self.set_default_choice(False)
         self.open_account()
 
     def release(self, stable: VersionName) -> None:
         """No rollout is under way: everything goes to ``stable``."""
         self.close()
-        self.withdrawn = self.candidate or self.withdrawn
-        if self.withdrawn == stable:
-            self.withdrawn = None
+        self.aborted_candidate = self.candidate or self.aborted_candidate
+        if self.aborted_candidate == stable:
+            self.aborted_candidate = None
         self.stable = stable
         self.candidate = None
         self.evidence = None
-        self.set_rest(False)
+        self.set_default_choice(False)
 
     def close(self) -> None:
         """Send nothing more to the candidate (paused or aborted) until :meth:`renew`."""
         self.lease_until = -NEVER
 
-    def set_rest(self, candidate_too: bool) -> None:
+    def set_default_choice(self, candidate_too: bool) -> None:
         """Set what prompts outside the slice get; ``candidate_too`` where stable has no engine left."""
         versions: tuple[VersionName, ...] = (self.stable,)
         if candidate_too and self.candidate is not None:
             versions = (self.stable, self.candidate)
-        self.rest_choice = VersionChoice(versions=versions)
+        self.default_choice = VersionChoice(versions=versions)
 
-    def lapse(self, now: float) -> None:
+    def expire_credits(self, now: float) -> None:
         """Give up the unspent credits of a lease that has ended."""
         if now > self.lease_until and self.available > 0:
-            self.lapsed += self.available
+            self.expired += self.available
             self.available = 0
 
     def renew(
@@ -181,7 +181,7 @@
     def accept_granted(self, granted: int) -> None:
         """Take the credits that the issuer has granted in all."""
         self.granted = max(self.granted, granted)
-        self.available = self.granted - self.taken - self.lapsed
+        self.available = self.granted - self.spent - self.expired
 
     def account(self, writer: int, zone: int, visits: int) -> Account:
         """Return the counters for the token."""
@@ -191,8 +191,8 @@
             prompts=self.prompts,
             visits=visits,
             granted=self.granted,
-            taken=self.taken,
-            lapsed=self.lapsed,
+            spent=self.spent,
+            expired=self.expired,
             given_back=self.given_back,
         )
 
@@ -206,11 +206,11 @@
                 self._route_prompts[route] = (known or 0) + 1
             threshold = self._route_thresholds.get(route, threshold)
         if now > self.lease_until or self.available <= 0:
-            return self.rest_choice
+            return self.default_choice
         if ((prefix_key ^ self._salt) * _HASH_MULTIPLIER) & _HASH_MASK >= threshold:
-            return self.rest_choice
+            return self.default_choice
         self.available -= 1
-        self.taken += 1
+        self.spent += 1
         return self.candidate_choice
 
 
@@ -220,7 +220,7 @@
     Thinnest first: each gets an even part of what remains, at most :data:`THIN_ROUTE_WEIGHT` of its prompts.
     """
     remaining = weight * sum(prompts.values())
-    cap = max(weight, THIN_ROUTE_WEIGHT)
+    cap = max(weight, LOW_TRAFFIC_ROUTE_WEIGHT)
     weights: dict[RouteName, float] = {}
     for number, route in enumerate(sorted(prompts, key=lambda name: (prompts[name], name))):
         prompt_share = min(remaining / (len(prompts) - number), cap * prompts[route])
@@ -245,7 +245,7 @@
     def give_back(self, service: ServiceName, version: VersionName, now: float) -> None:
         """Return the credit of a candidate prompt that was never dispatched; it goes back to the pool."""
         gate = self.gates.get(service)
-        if gate is not None and version == gate.candidate and gate.given_back < gate.taken:
+        if gate is not None and version == gate.candidate and gate.given_back < gate.spent:
             gate.given_back += 1
 
     def recheck(self, service: ServiceName, version: VersionName, now: float) -> bool:
@@ -254,8 +254,8 @@
         if gate is None or version == gate.stable:
             return True
         if version != gate.candidate:
-            return version != gate.withdrawn
-        return now <= gate.lease_until or version in gate.rest_choice.versions
+            return version != gate.aborted_candidate
+        return now <= gate.lease_until or version in gate.default_choice.versions
 
     def watch(
         self, service: ServiceName, route: RouteName, prompt_bytes: int, expected_hit: float, now: float
--- a/tests/unit/rollout/short_term_fleet.py
+++ b/tests/unit/rollout/short_term_fleet.py
@@ -23,7 +23,7 @@
 EXPOSE_SHARE, EXPOSE_ALLOWANCE, ROLLBACK_MS = 0.10, 50, 5000
 ELECTION_S = 1.5
 NO_QUORUM_S = 5.0
-WIDE, THIN = RouteName("caption"), RouteName("dossier")
+HIGH_TRAFFIC, LOW_TRAFFIC = RouteName("caption"), RouteName("dossier")
 
 
 class Fault(msgspec.Struct, frozen=True, kw_only=True):
@@ -61,7 +61,7 @@
         nodes: int = 12,
         stable: int = 6,
         candidates: int = 4,
-        thin_share: float = 0.07,
+        low_traffic_share: float = 0.07,
         answer_s: float = 0.5,
         base_errors: float = 0.0,
         appear_s: float = ENGINES_APPEAR_S,
@@ -71,7 +71,7 @@
         capacity: int = 64,
         calls: bool = False,
     ) -> None:
-        self.fault, self.thin_share, self.answer_s = fault, thin_share, answer_s
+        self.fault, self.low_traffic_share, self.answer_s = fault, low_traffic_share, answer_s
         self.base_errors, self.appear_s, self.patience_s = base_errors, appear_s, patience_s
         self.watched, self.capacity, self.calls = watched, capacity, calls
         self.stable_load = prompts_per_s * answer_s / stable
@@ -96,20 +96,20 @@
         """No node leads, and nothing is committed, for five seconds and an election."""
         leader, self.leader = self.leader, None
         assert leader is not None
-        self._give(leader, IssuerChanged(False, Term(self.term)))
+        self._deliver(leader, IssuerChanged(False, Term(self.term)))
         self.at(NO_QUORUM_S + ELECTION_S, lambda: self.elect(self.names[0]))
 
     def crash(self, engine: EngineId, back_after_s: float) -> None:
         """An engine dies and comes back; what ran on it is reset."""
         self.crashed.add(engine)
-        self._show_engines()
-        self.at(back_after_s, lambda: self._come_back(engine))
+        self._publish_engines()
+        self.at(back_after_s, lambda: self._recover_engine(engine))
 
-    def _come_back(self, engine: EngineId) -> None:
+    def _recover_engine(self, engine: EngineId) -> None:
         self.crashed.discard(engine)
-        self._show_engines()
+        self._publish_engines()
 
-    def _show_engines(self) -> None:
+    def _publish_engines(self) -> None:
         view = engines_view(self.stable_count, self.candidate_count, self.capacity)
         ready = {name: record for name, record in view.engines.items() if name not in self.crashed}
         self.set_engines(msgspec.structs.replace(view, engines=ready))
@@ -120,10 +120,10 @@
         self.at(self.rng.expovariate(rate), lambda: self._prompt(name, rate))
         if name in self.dead or name in self.frozen:
             return
-        if self.over_at is None or self.elapsed() <= self.plan.by_s:
+        if self.ended_at is None or self.elapsed() <= self.plan.by_s:
             self.prompts += 1
-        route = THIN if self.rng.random() < self.thin_share else WIDE
-        choice = self.parts[name].filter.choose(SERVICE, self.rng.getrandbits(64), self.now, route)
+        route = LOW_TRAFFIC if self.rng.random() < self.low_traffic_share else HIGH_TRAFFIC
+        choice = self.coordinators[name].filter.choose(SERVICE, self.rng.getrandbits(64), self.now, route)
         self.at(self.rng.uniform(0.0, 0.02), lambda: self._dispatch_choice(name, choice, route))
 
     def _dispatch_choice(self, name: NodeId, choice: VersionChoice, route: RouteName) -> None:
@@ -132,7 +132,7 @@
         if name in self.frozen:
             self.frozen[name].append(lambda: self._dispatch_choice(name, choice, route))
             return
-        chooser, version, limit = self.parts[name].filter, choice.versions[0], choice.engines_limit
+        chooser, version, limit = self.coordinators[name].filter, choice.versions[0], choice.engines_limit
         usable = ready_count(self.engines, SERVICE, version) > 0
         if choice.candidate and not (usable and chooser.recheck(SERVICE, version, self.now)):
             chooser.give_back(SERVICE, version, self.now)
@@ -155,7 +155,7 @@
         return self.rng.choice(engines[:limit] if limit else engines) if engines else None
 
     def _run(self, name: NodeId, version: VersionName, engine: EngineId, route: RouteName) -> None:
-        size = 0 if self.calls else 24_000 if route == THIN else 400
+        size = 0 if self.calls else 24_000 if route == LOW_TRAFFIC else 400
         pieces = 0 if self.calls else 20
         bad = version == CANDIDATE and self._turned_bad(engine, route)
         slow = self.fault.slow if bad else 1.0
@@ -168,7 +168,7 @@
             first_s *= 1.0 + max(0.0, 1.0 - (self.elapsed() - self.appear_s)) * 0.3
         watch = None
         if version == CANDIDATE and self.watched:
-            watch = self.parts[name].filter.watch(SERVICE, route, size, 0.5, self.now)
+            watch = self.coordinators[name].filter.watch(SERVICE, route, size, 0.5, self.now)
         self.running[engine] += 1
         took_s = min(0.05, self.answer_s) if error else first_s + pieces * gap_s
         gone = took_s > self.patience_s
@@ -190,7 +190,7 @@
 
     def _overdue(self, name: NodeId, watch: FirstTokenWatch) -> None:
         if name not in self.dead and name not in self.frozen:
-            self.parts[name].filter.overdue(watch, self.now)
+            self.coordinators[name].filter.overdue(watch, self.now)
 
     def _ended(self, name: NodeId, outcome: PromptOutcome, watch: FirstTokenWatch | None, slow: bool) -> None:
         self.running[outcome.engine] -= 1
@@ -202,17 +202,17 @@
         if bad and outcome.version == CANDIDATE and self.fault != GOOD:
             self.bad_at.append(self.now)
         if name not in self.dead and name not in self.frozen:
-            self.parts[name].filter.observe(outcome, self.now, watch)
+            self.coordinators[name].filter.observe(outcome, self.now, watch)
 
     # Figures
 
     @property
     def ended_s(self) -> float:
         """Seconds from the order to the committed end; infinite while it runs."""
-        return math.inf if self.over_at is None else self.over_at - self.began
+        return math.inf if self.ended_at is None else self.ended_at - self.started_at
 
     @property
-    def told_s(self) -> float:
+    def reported_s(self) -> float:
         """Seconds from the order until operators are told the end."""
         done = self.record.phase is RolloutPhase.DONE
         return self.ended_s + (DONE_SETTLE_S if done else 0.0)
--- a/tests/unit/rollout/test_fleet.py
+++ b/tests/unit/rollout/test_fleet.py
@@ -14,17 +14,17 @@
     PLAN,
     SERVICE,
     STABLE,
-    Badness,
+    BadProbability,
     VirtualFleet,
-    bad_at_once,
+    always_bad,
     engines_view,
-    good,
+    never_bad,
 )
 
 SHORT = msgspec.structs.replace(PLAN, by_s=30.0)
 
 
-def bad_after(elapsed_s: float, share: float = 1.0) -> Badness:
+def bad_after(elapsed_s: float, share: float = 1.0) -> BadProbability:
     return lambda elapsed: share if elapsed > elapsed_s else 0.0
 
 
@@ -35,8 +35,8 @@
 
 def assert_done_by(fleet: VirtualFleet, term_s: float) -> None:
     assert fleet.record.phase is RolloutPhase.DONE
-    assert fleet.over_at is not None
-    assert fleet.over_at - fleet.began <= term_s
+    assert fleet.ended_at is not None
+    assert fleet.ended_at - fleet.started_at <= term_s
 
 
 @pytest.mark.parametrize("prompts_per_s", [123.0, 40.0, 10.0])
@@ -70,7 +70,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_version_bad_at_once_is_aborted(seed: int) -> None:
-    fleet = VirtualFleet(seed, badness=bad_at_once, loss=0.05 * seed, duplicate=0.1)
+    fleet = VirtualFleet(seed, bad_probability=always_bad, loss=0.05 * seed, duplicate=0.1)
     fleet.run(40)
     assert fleet.record.phase is RolloutPhase.ABORTED
     assert_bounds_kept(fleet)
@@ -78,7 +78,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_version_that_turns_bad_at_the_last_step_is_aborted(seed: int) -> None:
-    fleet = VirtualFleet(seed, prompts_per_s=600.0, plan=SHORT, badness=bad_after(26.4), loss=0.1)
+    fleet = VirtualFleet(seed, prompts_per_s=600.0, plan=SHORT, bad_probability=bad_after(26.4), loss=0.1)
     fleet.at(26.5, lambda: fleet.freeze(fleet.names[5], 6.0))
     fleet.run(36)
     assert fleet.record.phase is RolloutPhase.ABORTED
@@ -99,7 +99,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_new_leader_waits_for_evidence_of_its_own_before_it_finishes(seed: int) -> None:
-    fleet = VirtualFleet(seed, badness=bad_after(54.0, 0.4))
+    fleet = VirtualFleet(seed, bad_probability=bad_after(54.0, 0.4))
     fleet.at(54.0, lambda: fleet.cut_off(fleet.names[0], 20.0))
     fleet.run(70)
     assert fleet.record.phase is RolloutPhase.ABORTED
@@ -112,7 +112,7 @@
     frozen = fleet.names[4]
     fleet.freeze(frozen, 10.0)
     fleet.run(9.9)
-    choice = fleet.parts[frozen].filter.choose(SERVICE, 1, fleet.now)
+    choice = fleet.coordinators[frozen].filter.choose(SERVICE, 1, fleet.now)
     assert choice.versions == (STABLE,)
     fleet.run(33)
     assert_done_by(fleet, PLAN.by_s)
@@ -133,7 +133,7 @@
 
 
 def test_a_restart_of_all_nodes_forgets_the_ledger_and_grants_no_second_allowance() -> None:
-    fleet = VirtualFleet(7, badness=bad_after(20.0))
+    fleet = VirtualFleet(7, bad_probability=bad_after(20.0))
     fleet.run(18)
     for name in fleet.names:
         fleet.start(name)
@@ -169,7 +169,7 @@
     fleet.cut_off(fleet.names[4], 10.0)
     fleet.run(4)
     assert fleet.record.phase is RolloutPhase.DONE
-    chooser = fleet.parts[fleet.names[4]].filter
+    chooser = fleet.coordinators[fleet.names[4]].filter
     assert chooser.choose(SERVICE, 1, fleet.now).versions == (STABLE,)
     fleet.set_engines(engines_view(stable=0))
     choice = chooser.choose(SERVICE, 1, fleet.now)
@@ -192,17 +192,17 @@
     assert status.zone_order[0] == "z0"
     assert status.lease_age_s is not None
     assert 0 < status.sent <= status.prompts
-    samples = fleet.parts[fleet.names[0]].samples(SERVICE)
+    samples = fleet.coordinators[fleet.names[0]].samples(SERVICE)
     assert len(samples) >= 30
     assert samples[-1].elapsed_s == pytest.approx(20.0, abs=1.0)
     assert samples[-1].evidence.stable_total > 1000
 
 
 def test_zone_rings_keep_the_bounds_when_a_lead_is_lost_and_the_leader_changes() -> None:
-    fleet = VirtualFleet(10, nodes=40, prompts_per_s=300.0, plan=SHORT, badness=bad_after(25.0))
-    lead = fleet.names[1]
-    fleet.at(8.0, lambda: fleet.kill(lead))
-    fleet.at(11.0, lambda: fleet.forget(lead))
+    fleet = VirtualFleet(10, nodes=40, prompts_per_s=300.0, plan=SHORT, bad_probability=bad_after(25.0))
+    ring_leader = fleet.names[1]
+    fleet.at(8.0, lambda: fleet.kill(ring_leader))
+    fleet.at(11.0, lambda: fleet.remove_from_membership(ring_leader))
     fleet.at(18.0, lambda: fleet.elect(fleet.names[7]))
     fleet.run(36)
     assert fleet.record.phase is RolloutPhase.ABORTED
@@ -221,12 +221,14 @@
 @pytest.mark.parametrize("seed", range(16))
 def test_random_faults_never_break_the_bounds(seed: int) -> None:
     rng = random.Random(seed)
-    badness = rng.choice([good, bad_at_once, bad_after(rng.uniform(2, 28), rng.choice([0.3, 1.0]))])
+    bad_probability = rng.choice(
+        [never_bad, always_bad, bad_after(rng.uniform(2, 28), rng.choice([0.3, 1.0]))]
+    )
     fleet = VirtualFleet(
         seed,
         prompts_per_s=rng.choice([10.0, 123.0, 300.0]),
         plan=SHORT,
-        badness=badness,
+        bad_probability=bad_probability,
         loss=rng.choice([0.0, 0.05, 0.15]),
         duplicate=rng.choice([0.0, 0.2]),
         delay_s=rng.choice([(0.001, 0.006), (0.001, 0.3)]),
@@ -245,5 +247,5 @@
             fleet.at(at_s, lambda: fleet.cut_off(fleet.names[0], 20.0))
     fleet.run(40)
     assert_bounds_kept(fleet)
-    if badness is bad_at_once:
+    if bad_probability is always_bad:
         assert fleet.record.phase is RolloutPhase.ABORTED
--- a/tests/unit/rollout/test_ledger.py
+++ b/tests/unit/rollout/test_ledger.py
@@ -15,7 +15,7 @@
 
 
 def test_pool_is_the_target_share_plus_allowance_less_what_is_out() -> None:
-    totals = AccountTotals(prompts=1000, granted=50, taken=30, lapsed=5, given_back=1)
+    totals = AccountTotals(prompts=1000, granted=50, spent=30, expired=5, given_back=1)
     assert credit_pool(PLAN, RolloutPhase.SHIFTING, totals, allowance=10) == 80 + 10 - 44
 
 
@@ -52,13 +52,13 @@
 )
 def test_no_more_is_granted_than_the_pool_has(rows: list[tuple[float, float, int]], pool: int) -> None:
     accounts = {n: Account(n, 0, granted=out) for n, (_, _, out) in enumerate(rows)}
-    needs = [CreditDemand(n, rate, weight) for n, (rate, weight, _) in enumerate(rows)]
-    grants = allocate_credits(needs, accounts, pool, 1.0)
+    demands = [CreditDemand(n, rate, weight) for n, (rate, weight, _) in enumerate(rows)]
+    grants = allocate_credits(demands, accounts, pool, 1.0)
     assert sum(grants.values()) <= pool
     assert all(credits > 0 for credits in grants.values())
 
 
 def test_a_small_pool_goes_to_the_first_and_outstanding_credits_count() -> None:
     accounts = {1: Account(1, 0, granted=1), 2: Account(2, 0), 3: Account(3, 0)}
-    needs = [CreditDemand(1, 0.1, 0.1), CreditDemand(2, 0.1, 0.1), CreditDemand(3, 0.1, 0.1)]
-    assert allocate_credits(needs, accounts, 1, 1.0) == {2: 1}
+    demands = [CreditDemand(1, 0.1, 0.1), CreditDemand(2, 0.1, 0.1), CreditDemand(3, 0.1, 0.1)]
+    assert allocate_credits(demands, accounts, 1, 1.0) == {2: 1}
--- a/tests/unit/rollout/test_load_step.py
+++ b/tests/unit/rollout/test_load_step.py
@@ -11,7 +11,7 @@
 from springmux.rollout.judgement.evidence_table import LOADED_RATIO, EvidenceTable
 from springmux.rollout.outcome import Ending
 from springmux.rollout.plan import RolloutPhase
-from springmux.rollout.planning.load_step import FULLEST, LOAD_FACTOR, load_weight, loaded_engines
+from springmux.rollout.planning.load_step import LOAD_FACTOR, MAX_SLOT_USE, load_weight, loaded_engines
 from springmux.rollout.planning.schedule import plan_schedule
 from springmux.rollout.planning.standard_plan import plan_for
 from springmux.rollout.version_filter import EVEN_LAST_WEIGHT, ServiceGate
@@ -29,8 +29,8 @@
 
 def calls_fleet(seed: int, by_s: float, calls_per_s: float, fault: Fault) -> ShortTermFleet:
     return ShortTermFleet(
-        seed, by_s, calls_per_s, fault, nodes=9, stable=3, candidates=3, thin_share=0.0, answer_s=0.065,
-        capacity=6, calls=True,
+        seed, by_s, calls_per_s, fault, nodes=9, stable=3, candidates=3, low_traffic_share=0.0,
+        answer_s=0.065, capacity=6, calls=True,
     )  # fmt: skip
 
 
@@ -51,7 +51,7 @@
 def test_the_load_fits_the_slots_as_far_as_the_stable_engines_load_does() -> None:
     """Given 6 engines of 16 slots that run 8 requests each, 2.5 times as many would not fit one."""
     engines = loaded_engines(load_weight(0.25, 6), 6, 6, capacity=16, in_flight=48.0)
-    assert load_weight(0.25, 6) * 48.0 / engines <= FULLEST * 16
+    assert load_weight(0.25, 6) * 48.0 / engines <= MAX_SLOT_USE * 16
     assert loaded_engines(load_weight(0.25, 6), 6, 6, capacity=16, in_flight=12.0) == 1
     full = loaded_engines(load_weight(0.25, 6), 6, 6, capacity=16, in_flight=120.0)
     assert load_weight(0.25, 6) * 120.0 / full <= 20.0, "no more than a stable engine has"
@@ -142,14 +142,14 @@
         fleet = calls_fleet(seed, by_s, calls_per_s, GOOD)
         fleet.run(by_s + AFTER_S)
         assert fleet.record.phase is RolloutPhase.DONE
-        assert fleet.told_s <= by_s
+        assert fleet.reported_s <= by_s
         assert fleet.worst_excess <= 0
 
 
 def assert_aborted_in_time(fleet: ShortTermFleet) -> None:
     assert fleet.record.phase is RolloutPhase.ABORTED
     assert math.isfinite(fleet.ended_s)
-    assert fleet.told_s <= fleet.plan.by_s
+    assert fleet.reported_s <= fleet.plan.by_s
     assert fleet.worst_excess <= 0
 
 
--- a/tests/unit/rollout/test_participant.py
+++ b/tests/unit/rollout/test_participant.py
@@ -159,9 +159,9 @@
 
 
 def test_merge_of_copies_is_the_maximum_and_recovery_asks_for_evidence_again() -> None:
-    first = Account(1, 0, prompts=5, visits=3, granted=2, taken=1)
+    first = Account(1, 0, prompts=5, visits=3, granted=2, spent=1)
     second = Account(1, 0, prompts=4, visits=9, granted=6)
-    assert merge_accounts(first, second) == Account(1, 0, prompts=5, visits=3, granted=6, taken=1)
+    assert merge_accounts(first, second) == Account(1, 0, prompts=5, visits=3, granted=6, spent=1)
     last_entry = entry(accounts=(second, Account(2, 0, prompts=8, visits=4)), aborted=True)
     recovered, zones = recover_accounts(entry(accounts=(first,)), last_entry, (ZoneName("y"),), (ZONE,))
     assert recovered.account(2) == Account(2, 1, prompts=8, visits=0)
@@ -184,7 +184,7 @@
     node.contribute(entry(elapsed_s=30.0), visit(term=1, now=1.0))
     token = node.contribute(entry(elapsed_s=28.0), visit(term=2, now=2.5))
     assert token.elapsed_s == 31.5
-    assert token.remembered
+    assert token.known_before_term
     assert node.contribute(entry(elapsed_s=29.0), visit(term=2, now=3.0)).elapsed_s == 29.0
     long_away = node.contribute(entry(elapsed_s=30.0), visit(term=3, now=90.0))
     assert long_away.elapsed_s == 30.0, "it may have missed a pause"
--- a/tests/unit/rollout/test_short_term_components.py
+++ b/tests/unit/rollout/test_short_term_components.py
@@ -25,7 +25,7 @@
 from springmux.rollout.planning.standard_plan import plan_for
 from springmux.rollout.reported_state import DONE_SETTLE_S, RolloutState, may_report_done, state_of
 from springmux.rollout.rollout_coordinator import RolloutCoordinator
-from springmux.rollout.version_filter import NO_VERSIONS, THIN_ROUTE_WEIGHT, route_weights
+from springmux.rollout.version_filter import LOW_TRAFFIC_ROUTE_WEIGHT, NO_VERSIONS, route_weights
 from springmux.vocabulary.names import RouteName, VersionName
 from tests.unit.rollout.judgement.support import outcome
 from tests.unit.rollout.virtual_fleet import CANDIDATE, SERVICE, STABLE, record_of
@@ -72,7 +72,7 @@
     assert state_of(record_of(phase=RolloutPhase.PAUSED), confirmed=True) is RolloutState.RUNNING
 
 
-def unconfigured_part() -> RolloutCoordinator:
+def unconfigured_coordinator() -> RolloutCoordinator:
     return RolloutCoordinator(NodeId("n00"), ZoneName("z0"), random.Random(1), RolloutSettings())
 
 
@@ -81,39 +81,39 @@
 
 
 def test_a_service_that_no_configuration_names_is_run_from_its_record() -> None:
-    part = unconfigured_part()
-    assert part.filter.choose(SERVICE, 1, 0.0) is NO_VERSIONS
-    part.handle(view(1), 0.0)
-    assert part.status(SERVICE, 0.0) is not None
-    assert part.filter.choose(SERVICE, 1, 0.0).versions == (STABLE,)
-    assert not part.filter.recheck(SERVICE, CANDIDATE, 0.0), "no lease yet"
-    part.handle(view(2, phase=RolloutPhase.DONE, stable=CANDIDATE, weight=1.0), 1.0)
-    assert part.filter.choose(SERVICE, 1, 1.0).versions == (CANDIDATE,)
-    assert part.filter.recheck(SERVICE, CANDIDATE, 1.0)
+    coordinator = unconfigured_coordinator()
+    assert coordinator.filter.choose(SERVICE, 1, 0.0) is NO_VERSIONS
+    coordinator.handle(view(1), 0.0)
+    assert coordinator.status(SERVICE, 0.0) is not None
+    assert coordinator.filter.choose(SERVICE, 1, 0.0).versions == (STABLE,)
+    assert not coordinator.filter.recheck(SERVICE, CANDIDATE, 0.0), "no lease yet"
+    coordinator.handle(view(2, phase=RolloutPhase.DONE, stable=CANDIDATE, weight=1.0), 1.0)
+    assert coordinator.filter.choose(SERVICE, 1, 1.0).versions == (CANDIDATE,)
+    assert coordinator.filter.recheck(SERVICE, CANDIDATE, 1.0)
 
 
 @pytest.mark.parametrize("seen_running", [True, False], ids=["seen running", "seen aborted only"])
 def test_an_aborted_candidate_of_an_unconfigured_service_is_never_sent_to_again(seen_running: bool) -> None:
-    part = unconfigured_part()
+    coordinator = unconfigured_coordinator()
     if seen_running:
-        part.handle(view(1), 0.0)
-    part.handle(view(2, phase=RolloutPhase.ABORTED, weight=0.0), 1.0)
-    part.handle(ControlViewChanged({}, {}, Revision(3)), 2.0)
+        coordinator.handle(view(1), 0.0)
+    coordinator.handle(view(2, phase=RolloutPhase.ABORTED, weight=0.0), 1.0)
+    coordinator.handle(ControlViewChanged({}, {}, Revision(3)), 2.0)
     for key in range(100):
-        assert part.filter.choose(SERVICE, key, 3.0).versions == (STABLE,)
-    assert not part.filter.recheck(SERVICE, CANDIDATE, 3.0)
-    assert part.filter.recheck(SERVICE, STABLE, 3.0)
+        assert coordinator.filter.choose(SERVICE, key, 3.0).versions == (STABLE,)
+    assert not coordinator.filter.recheck(SERVICE, CANDIDATE, 3.0)
+    assert coordinator.filter.recheck(SERVICE, STABLE, 3.0)
 
 
 def test_routes_get_alike_many_candidate_prompts_as_far_as_a_thin_one_can() -> None:
     weights = route_weights({CAPTION: 930, DOSSIER: 70}, 0.06)
-    assert weights[DOSSIER] == pytest.approx(THIN_ROUTE_WEIGHT)
+    assert weights[DOSSIER] == pytest.approx(LOW_TRAFFIC_ROUTE_WEIGHT)
     assert weights[CAPTION] * 930 + weights[DOSSIER] * 70 == pytest.approx(60)
     assert route_weights({CAPTION: 500, DOSSIER: 500}, 0.06) == pytest.approx({CAPTION: 0.06, DOSSIER: 0.06})
     assert route_weights({}, 0.06) == {}
 
 
-def watched_book() -> tuple[EvidenceTable, FirstTokenWatch]:
+def watched_table() -> tuple[EvidenceTable, FirstTokenWatch]:
     table = EvidenceTable(SERVICE, STABLE, VersionName("v2"))
     for number in range(4):
         table.record(outcome(STABLE, first_token_s=0.1 + 0.01 * number), 1.0)
@@ -127,7 +127,7 @@
 
 
 def test_an_overdue_first_token_is_the_same_bet_as_at_the_prompts_end_and_is_made_once() -> None:
-    table, watch = watched_book()
+    table, watch = watched_table()
     assert watch.overdue_after_s == pytest.approx(0.13 * JudgeLimits().first_token_ratio)
     table.record_overdue(watch, 1.8)
     early = first_token_bets(table)
@@ -135,13 +135,13 @@
     table.record_overdue(watch, 1.9)
     table.record(outcome(CANDIDATE, first_token_s=5.0), 6.0, watch)
     assert first_token_bets(table) == early
-    at_end, watch_at_end = watched_book()
+    at_end, watch_at_end = watched_table()
     at_end.record(outcome(CANDIDATE, first_token_s=5.0), 6.0, watch_at_end)
     assert first_token_bets(at_end) == early
 
 
 def test_what_a_watch_holds_is_compared_with_nothing_else() -> None:
-    table, watch = watched_book()
+    table, watch = watched_table()
     assert table.watch(CAPTION, 600, 0.0, 1.5) is None
     table.record(outcome(CANDIDATE, first_token_s=0.1), 1.7)
     assert first_token_bets(table) == [0]
--- a/tests/unit/rollout/test_short_terms.py
+++ b/tests/unit/rollout/test_short_terms.py
@@ -10,9 +10,9 @@
 from springmux.vocabulary.names import EngineId
 from tests.unit.rollout.short_term_fleet import (
     GOOD,
+    HIGH_TRAFFIC,
     LATE_S,
-    THIN,
-    WIDE,
+    LOW_TRAFFIC,
     Fault,
     ShortTermFleet,
 )
@@ -34,15 +34,15 @@
 
 def assert_aborted(fleet: ShortTermFleet) -> None:
     assert fleet.record.phase is RolloutPhase.ABORTED
-    assert fleet.told_s <= fleet.plan.by_s
+    assert fleet.reported_s <= fleet.plan.by_s
     assert len(fleet.sent_at) > 0
-    assert fleet.sent_at[-1] <= fleet.began + fleet.ended_s + 0.6, "nothing after it is known everywhere"
+    assert fleet.sent_at[-1] <= fleet.started_at + fleet.ended_s + 0.6, "nothing after it is known everywhere"
     assert_bounds(fleet)
 
 
 def assert_done(fleet: ShortTermFleet) -> None:
     assert fleet.record.phase is RolloutPhase.DONE
-    assert fleet.told_s <= fleet.plan.by_s
+    assert fleet.reported_s <= fleet.plan.by_s
     assert_bounds(fleet)
 
 
@@ -50,7 +50,14 @@
 @pytest.mark.parametrize("prompts_per_s", [60.0, 250.0])
 @pytest.mark.parametrize(
     "fault",
-    [ERRORS, LATE_ERRORS, SLOW, LATE_SLOW, Fault(errors=0.5, route=WIDE), Fault(errors=0.5, above_running=4)],
+    [
+        ERRORS,
+        LATE_ERRORS,
+        SLOW,
+        LATE_SLOW,
+        Fault(errors=0.5, route=HIGH_TRAFFIC),
+        Fault(errors=0.5, above_running=4),
+    ],
     ids=["errors", "late errors", "slow", "late slow", "one wide route", "under load"],
 )
 def test_a_bad_version_is_aborted_by_the_term(fault: Fault, prompts_per_s: float, by_s: float) -> None:
@@ -61,7 +68,7 @@
 
 
 @pytest.mark.parametrize("by_s", TERMS)
-@pytest.mark.parametrize("fault", [Fault(errors=0.5, route=THIN), Fault(slow=8.0, route=THIN)])
+@pytest.mark.parametrize("fault", [Fault(errors=0.5, route=LOW_TRAFFIC), Fault(slow=8.0, route=LOW_TRAFFIC)])
 def test_a_version_bad_on_a_route_of_seven_percent_is_aborted(fault: Fault, by_s: float) -> None:
     for seed in (1, 2):
         fleet = ShortTermFleet(seed, by_s, 120.0, fault)
@@ -158,5 +165,5 @@
     fleet = ShortTermFleet(1, 5.0, 100.0)
     fleet.run(5.0 + AFTER_S)
     assert fleet.record.phase is RolloutPhase.DONE
-    assert math.isfinite(fleet.told_s)
+    assert math.isfinite(fleet.reported_s)
     assert_bounds(fleet)
--- a/tests/unit/rollout/test_version_filter.py
+++ b/tests/unit/rollout/test_version_filter.py
@@ -65,7 +65,7 @@
 def test_credits_of_a_lapsed_lease_are_not_spent_under_the_next_one() -> None:
     chooser = filter_with_rollout(weight=1.0, credits=5)
     gate = chooser.gates[SERVICE]
-    gate.lapse(LEASE_S + 1)
+    gate.expire_credits(LEASE_S + 1)
     gate.accept_granted(5)
     gate.renew(1.0, 0, LEASE_S + 1)
     assert chooser.choose(SERVICE, 1, LEASE_S + 1).versions == (STABLE,)
@@ -75,7 +75,7 @@
 def test_done_trap_candidate_serves_where_stable_is_gone() -> None:
     chooser = filter_with_rollout(weight=1.0, credits=0)
     gate = chooser.gates[SERVICE]
-    gate.set_rest(True)
+    gate.set_default_choice(True)
     late = LEASE_S + 1
     assert chooser.choose(SERVICE, 1, late).versions == (STABLE, CANDIDATE)
     assert chooser.recheck(SERVICE, CANDIDATE, late)
--- a/tests/unit/rollout/virtual_fleet.py
+++ b/tests/unit/rollout/virtual_fleet.py
@@ -39,15 +39,15 @@
 COMMIT_S = 0.06
 ELECTION_S = 1.5
 
-Badness = Callable[[float], float]
+BadProbability = Callable[[float], float]
 """Probability that a candidate's answer is bad, by time since promotion."""
 
 
-def good(_: float) -> float:
+def never_bad(_: float) -> float:
     return 0.0
 
 
-def bad_at_once(_: float) -> float:
+def always_bad(_: float) -> float:
     return 1.0
 
 
@@ -84,7 +84,7 @@
         zones: int = 4,
         prompts_per_s: float = 123.0,
         plan: RolloutPlan = PLAN,
-        badness: Badness = good,
+        bad_probability: BadProbability = never_bad,
         loss: float = 0.0,
         duplicate: float = 0.0,
         delay_s: tuple[float, float] = (0.001, 0.006),
@@ -92,7 +92,7 @@
         self.rng = random.Random(seed)
         self.now = 100.0
         self.plan = plan
-        self.badness = badness
+        self.bad_probability = bad_probability
         self.loss, self.duplicate, self.delay_s = loss, duplicate, delay_s
         self.engines = engines_view()
         self.control = ControlState()
@@ -102,7 +102,7 @@
         self._apply(PromoteRollout(order=OrderId("promote"), rollout=RolloutId("r1"), plan=plan))
         self.names = [NodeId(f"n{n:02d}") for n in range(nodes)]
         self.zone = {name: ZoneName(f"z{n % zones}") for n, name in enumerate(self.names)}
-        self.parts: dict[NodeId, RolloutCoordinator] = {}
+        self.coordinators: dict[NodeId, RolloutCoordinator] = {}
         self.leader: NodeId | None = self.names[0]
         self.term = 1
         self.cut: set[NodeId] = set()
@@ -112,15 +112,15 @@
         self.bad_at: list[float] = []
         self.prompts = 0
         self.sent_by_zone: dict[ZoneName, int] = dict.fromkeys(self.zone.values(), 0)
-        self.over_at: float | None = None
-        self.notes: list[LogLine] = []
+        self.ended_at: float | None = None
+        self.log_lines: list[LogLine] = []
         self.bytes_sent: dict[NodeId, int] = dict.fromkeys(self.names, 0)
         self.token_sizes: list[int] = []
         self.worst_excess = -1e9
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
         self._ticks: dict[NodeId, float] = {}
-        self.began = self.now
+        self.started_at = self.now
         for name in self.names:
             self.start(name)
         self._lead(self.names[0])
@@ -132,10 +132,10 @@
         """Start a node, or start it again with nothing in memory but the control state."""
         self.dead.discard(name)
         rng = random.Random(self.rng.getrandbits(32))
-        self.parts[name] = RolloutCoordinator(name, self.zone[name], rng, RolloutSettings())
-        self._give(name, self._view_event())
-        self._give(name, self._fleet_event(name))
-        self._give(name, EnginesChanged(self.engines))
+        self.coordinators[name] = RolloutCoordinator(name, self.zone[name], rng, RolloutSettings())
+        self._deliver(name, self._view_event())
+        self._deliver(name, self._fleet_event(name))
+        self._deliver(name, EnginesChanged(self.engines))
 
     def restart_all(self, down_s: float) -> None:
         """Stop every node, start them all later, and elect a leader after that."""
@@ -147,11 +147,11 @@
     def kill(self, name: NodeId) -> None:
         self.dead.add(name)
 
-    def forget(self, name: NodeId) -> None:
+    def remove_from_membership(self, name: NodeId) -> None:
         """Let the membership lose a node."""
         self.names = [known for known in self.names if known != name]
         for other in self.names:
-            self._give(other, self._fleet_event(other))
+            self._deliver(other, self._fleet_event(other))
 
     def freeze(self, name: NodeId, duration_s: float) -> None:
         if name in self.frozen:
@@ -170,13 +170,13 @@
         former, self.leader = self.leader, None
         self.term += 1
         if former is not None and former not in self.dead:
-            self._give(former, IssuerChanged(False, Term(self.term - 1)))
+            self._deliver(former, IssuerChanged(False, Term(self.term - 1)))
         self._lead(name)
 
     def set_engines(self, view: EnginesView) -> None:
         self.engines = view
         for name in self.names:
-            self._give(name, EnginesChanged(view))
+            self._deliver(name, EnginesChanged(view))
 
     @property
     def record(self) -> RolloutRecord:
@@ -191,8 +191,8 @@
     def order(self, command: AnyCommand) -> None:
         """Commit a command; nodes hear of it some time within half a second."""
         self._apply(command)
-        if self.record.phase in TERMINAL_PHASES and self.over_at is None:
-            self.over_at = self.now
+        if self.record.phase in TERMINAL_PHASES and self.ended_at is None:
+            self.ended_at = self.now
         event = self._view_event()
         for name in self.names:
             delay = 0.01 if name == self.leader else self.rng.uniform(0.01, 0.5)
@@ -217,14 +217,14 @@
         self.now = end
 
     def elapsed(self) -> float:
-        return self.now - self.began
+        return self.now - self.started_at
 
     def status(self) -> Any:
-        return self.parts[self.leader or self.names[0]].status(SERVICE, self.now)
+        return self.coordinators[self.leader or self.names[0]].status(SERVICE, self.now)
 
     def _lead(self, name: NodeId) -> None:
         self.leader = name
-        self._give(name, IssuerChanged(True, Term(self.term)))
+        self._deliver(name, IssuerChanged(True, Term(self.term)))
 
     def _view_event(self) -> ControlViewChanged:
         return ControlViewChanged({SERVICE: self.record}, {SERVICE: STABLE}, self.control.view().revision)
@@ -238,22 +238,22 @@
         if name in self.cut:
             self.at(0.3, lambda: self._deliver_view(name, event))
         else:
-            self._give(name, event)
+            self._deliver(name, event)
 
     def _thaw(self, name: NodeId) -> None:
         for action in self.frozen.pop(name):
             action()
 
-    def _give(self, name: NodeId, event: Event) -> None:
+    def _deliver(self, name: NodeId, event: Event) -> None:
         if name in self.dead:
             return
         if name in self.frozen:
-            self.frozen[name].append(lambda: self._give(name, event))
+            self.frozen[name].append(lambda: self._deliver(name, event))
             return
-        part = self.parts[name]
-        for effect in part.handle(event, self.now):
-            self._carry_out(name, effect)
-        deadline = part.next_deadline()
+        coordinator = self.coordinators[name]
+        for effect in coordinator.handle(event, self.now):
+            self._execute(name, effect)
+        deadline = coordinator.next_deadline()
         if deadline < NEVER and self._ticks.get(name, NEVER) > deadline:
             self._ticks[name] = deadline
             self.at(max(0.0, deadline - self.now), lambda: self._tick(name, deadline))
@@ -261,13 +261,13 @@
     def _tick(self, name: NodeId, deadline: float) -> None:
         if self._ticks.get(name) == deadline:
             del self._ticks[name]
-        self._give(name, Tick())
+        self._deliver(name, Tick())
 
-    def _carry_out(self, name: NodeId, effect: Effect) -> None:
+    def _execute(self, name: NodeId, effect: Effect) -> None:
         if isinstance(effect, Send):
             self._send(name, effect)
         elif isinstance(effect, LogLine):
-            self.notes.append(effect)
+            self.log_lines.append(effect)
         elif isinstance(effect, RolloutProposal) and self._can_commit(name):
             self.at(COMMIT_S, lambda: self.order(command_for(effect)))
 
@@ -288,15 +288,15 @@
             if self.rng.random() < self.loss or name in self.cut or send.to in self.cut:
                 continue
             event = MessageReceived(name, message)
-            self.at(self.rng.uniform(*self.delay_s), lambda event=event: self._give(send.to, event))
+            self.at(self.rng.uniform(*self.delay_s), lambda event=event: self._deliver(send.to, event))
 
     # Prompts
 
     def _begin_prompts(self, prompts_per_s: float, zones: int) -> None:
-        busyness = {name: 1.0 + int(self.zone[name][1:]) for name in self.names}
-        whole = sum(busyness.values())
+        zone_rates = {name: 1.0 + int(self.zone[name][1:]) for name in self.names}
+        whole = sum(zone_rates.values())
         for name in self.names:
-            rate = prompts_per_s * busyness[name] / whole
+            rate = prompts_per_s * zone_rates[name] / whole
             self.at(self.rng.expovariate(rate), lambda name=name, rate=rate: self._prompt(name, rate))
 
     def _prompt(self, name: NodeId, rate: float) -> None:
@@ -305,7 +305,7 @@
             return
         if self.record.phase not in TERMINAL_PHASES:
             self.prompts += 1
-        gate = self.parts[name].filter
+        gate = self.coordinators[name].filter
         choice = gate.choose(SERVICE, self.rng.getrandbits(64), self.now)
         wait_s = self.rng.uniform(0.0, 0.02)
         self.at(wait_s, lambda: self._dispatch(name, choice.versions[0]))
@@ -316,7 +316,7 @@
         if name in self.frozen:
             self.frozen[name].append(lambda: self._dispatch(name, version))
             return
-        gate = self.parts[name].filter
+        gate = self.coordinators[name].filter
         if not gate.recheck(SERVICE, version, self.now):
             gate.give_back(SERVICE, version, self.now)
             version = STABLE
@@ -325,7 +325,7 @@
             self.sent_by_zone[self.zone[name]] += 1
             share = self.plan.expose_share * self.prompts + self.plan.expose_allowance
             self.worst_excess = max(self.worst_excess, len(self.sent_at) - share)
-        bad = version == CANDIDATE and self.rng.random() < self.badness(self.elapsed())
+        bad = version == CANDIDATE and self.rng.random() < self.bad_probability(self.elapsed())
         self.at(self.rng.uniform(0.05, 0.6), lambda: self._answer(name, version, bad))
 
     def _answer(self, name: NodeId, version: VersionName, bad: bool) -> None:
@@ -345,7 +345,7 @@
             token_gap_s=None if bad else self.rng.lognormvariate(-4.0, 0.3),
             tokens=0 if bad else 20,
         )
-        self.parts[name].filter.observe(outcome, self.now)
+        self.coordinators[name].filter.observe(outcome, self.now)
 
     def last_send_after_fiftieth_bad_s(self) -> float:
         """Seconds from the fiftieth bad answer to the last prompt sent; negative if there was none."""
