--- a/src/springmux/rollout/__init__.py
+++ b/src/springmux/rollout/__init__.py
@@ -1,5 +1,5 @@
 """The release gate inside every router, after the rollout described in the paper (sections V.C, V.D).
 
-Templates, plans, version filter, token, exposure ledger, evidence, judge, scheduler.
-Pure. May import ``vocabulary`` and ``coordination``.
+The package holds the templates, plans, version filter, token, exposure ledger, evidence, judge and scheduler.
+Its code does no I/O. It may import ``vocabulary`` and ``coordination``.
 """
--- a/src/springmux/rollout/abort_requests.py
+++ b/src/springmux/rollout/abort_requests.py
@@ -1,4 +1,4 @@
-"""Aborts that this node proposes until the control state has them."""
+"""Aborts that this node proposes until they are committed to the control state."""
 
 from __future__ import annotations
 
@@ -14,11 +14,14 @@
 from springmux.vocabulary.names import RolloutId
 
 ABORT_RETRY_S = 1.0
-"""An abort is proposed again after this until the record is terminal."""
+"""Interval at which an abort is proposed again until the record is terminal."""
 
 
 class AbortRequests:
-    """Aborts proposed by one node. ``leadership`` returns the node's leadership, if it leads."""
+    """Aborts proposed by one node.
+
+    :param leadership: returns the node's leadership, ``None`` while it isn't the leader.
+    """
 
     def __init__(
         self, own: NodeId, registry: RolloutRegistry, leadership: Callable[[], Leadership | None]
@@ -29,7 +32,7 @@
         self._due_at: dict[RolloutId, float] = {}
 
     def next_deadline(self) -> float:
-        """Return when the next abort is proposed again."""
+        """Return when the next repeated proposal is due."""
         return min(self._due_at.values(), default=NEVER)
 
     def forget(self, rollout: RolloutId) -> None:
@@ -52,7 +55,7 @@
         known_aborted: bool,
         now: float,
     ) -> list[Effect]:
-        """Request an abort if this visit caused it; notify the token's issuer unless the token has it."""
+        """Request an abort that this visit caused; notify the issuer unless the token had the flag."""
         self._registry.refresh_default_choice(participant)
         if was_aborted or not participant.aborted:
             return []
@@ -74,7 +77,7 @@
         return effects
 
     def handle_notice(self, notice: RolloutAbortNotice, now: float) -> list[Effect]:
-        """Handle an abort that another node decided."""
+        """Handle the notice of an abort that another node decided."""
         participant = self._registry.find(notice.service, notice.rollout)
         if participant is None or participant.aborted:
             return []
@@ -82,7 +85,7 @@
         return self.request(participant, now)
 
     def request(self, participant: Participant, now: float) -> list[Effect]:
-        """Propose the abort, as the leader or as the node that decided it."""
+        """Propose the abort if this node is the leader or decided it; other nodes propose nothing."""
         record, decision = participant.record, participant.decision
         if participant.terminal or decision is None:
             return []
--- a/src/springmux/rollout/effects.py
+++ b/src/springmux/rollout/effects.py
@@ -1,6 +1,6 @@
-"""Proposals of the rollout coordinator, which the agent turns into commands of the control log.
+"""Proposals of the rollout coordinator, which the agent converts into commands of the control log.
 
-Order ids derive from rollout and step, so that a repeated proposal is one command.
+Order ids are derived from the rollout and the step, so a repeated proposal takes effect once.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class ProposeAbort(Effect, frozen=True):
-    """Commit the abort of a rollout. Repeated about each second until the record is terminal."""
+    """Propose the abort of a rollout. It is repeated about every second until the record is terminal."""
 
     service: ServiceName
     rollout: RolloutId
@@ -19,7 +19,7 @@
 
 
 class ProposeStep(Effect, frozen=True):
-    """Commit a step (leader only). A step of the same weight is a checkpoint of ``elapsed_s``."""
+    """Propose a step (leader only). A step with the present weight is a checkpoint of ``elapsed_s``."""
 
     service: ServiceName
     rollout: RolloutId
@@ -30,7 +30,7 @@
 
 
 class ProposeFinish(Effect, frozen=True):
-    """Commit that the candidate is stable (leader only)."""
+    """Propose to finish a rollout, which makes the candidate the stable version (leader only)."""
 
     service: ServiceName
     rollout: RolloutId
--- a/src/springmux/rollout/elapsed.py
+++ b/src/springmux/rollout/elapsed.py
@@ -1,13 +1,13 @@
-"""The unpaused time of a rollout, kept at every node by the monotonic clock."""
+"""The unpaused time of a rollout, which every node measures with its monotonic clock."""
 
 from __future__ import annotations
 
 
 class ElapsedClock:
-    """Runs while the rollout isn't paused. A new leader continues from its own clock.
+    """Clock that runs while the rollout isn't paused. A new leader continues from its own clock.
 
-    Every node sets its clock by the token, whose issuer has the authority, and never lets it fall behind
-    the committed record, so that a leader change doesn't set a rollout back.
+    Every node sets its clock from the token, whose issuer is authoritative. The clock never falls behind the
+    committed record, so a leader change doesn't set a rollout back.
     """
 
     def __init__(self, elapsed_s: float, running: bool, now: float) -> None:
@@ -20,7 +20,7 @@
         return self._elapsed_s + (max(0.0, now - self._at) if self._running else 0.0)
 
     def advance_to(self, elapsed_s: float, now: float) -> None:
-        """Set the clock to ``elapsed_s`` if that is ahead."""
+        """Set the clock to ``elapsed_s`` unless it already shows a later time."""
         self._elapsed_s = max(elapsed_s, self.read(now))
         self._at = now
 
--- a/src/springmux/rollout/engine_counts.py
+++ b/src/springmux/rollout/engine_counts.py
@@ -7,7 +7,7 @@
 
 
 def ready_capacity(engines: EnginesView | None, service: ServiceName, version: VersionName) -> int:
-    """Return how many requests the ready engines of a version run at once."""
+    """Return how many requests the ready engines of a version can run concurrently."""
     if engines is None:
         return 0
     return sum(record.capacity for record in engines.ready(service) if record.version == version)
@@ -21,7 +21,7 @@
 
 
 def engines_limit(weight: float, stable_count: int, candidate_count: int) -> int:
-    """Return on how many candidate engines ``weight`` gives each the load of a stable one; 0 means all."""
+    """Return how many candidate engines get a stable engine's load each at ``weight``; 0 means all."""
     if weight >= 1.0 or stable_count == 0:
         return 0
     wanted = max(1, round(weight * stable_count / (1.0 - weight)))
--- a/src/springmux/rollout/events.py
+++ b/src/springmux/rollout/events.py
@@ -1,4 +1,4 @@
-"""Events of the rollout coordinator beside ticks and messages."""
+"""Events that the rollout coordinator handles besides ticks and messages."""
 
 from __future__ import annotations
 
@@ -15,10 +15,11 @@
 
 
 class RolloutSettings(msgspec.Struct, frozen=True):
-    """A deployment's exceptions; the defaults are the ordinary path.
+    """A deployment's exceptions from the default settings.
 
     ``token_period_s``: fixed time between rounds; ``None`` adapts it to the token's size.
-    ``minimum_ready_engines``: of the candidate, below which no step is taken and nothing finished.
+    ``minimum_ready_engines``: number of ready candidate engines below which no step and no finish is
+    proposed.
     """
 
     token_period_s: float | None = None
@@ -26,7 +27,7 @@
 
 
 class ControlViewChanged(Event, frozen=True):
-    """A newer control state is in force. ``stable``: the configured version of each known service."""
+    """A newer control state was applied. ``stable``: the configured version of each known service."""
 
     rollouts: Mapping[ServiceName, RolloutRecord]
     stable: Mapping[ServiceName, VersionName]
@@ -35,7 +36,7 @@
 
 
 class FleetChanged(Event, frozen=True):
-    """The set of present nodes, or a zone, changed."""
+    """The set of present nodes, or the zone of a node, changed."""
 
     view: MembershipView
 
@@ -47,7 +48,7 @@
 
 
 class IssuerChanged(Event, frozen=True):
-    """This node became, or no longer is, the control leader, who issues the token under ``term``."""
+    """This node became, or ceased to be, the control leader, which issues the token under ``term``."""
 
     leading: bool
     term: Term
--- a/src/springmux/rollout/issuer.py
+++ b/src/springmux/rollout/issuer.py
@@ -1,4 +1,4 @@
-"""State of a ring's issuer, who launches its rounds: accounts, evidence, rates, and granted credits."""
+"""State of a ring's issuer, the node that launches its rounds: accounts, evidence, rates, granted credits."""
 
 from __future__ import annotations
 
@@ -19,23 +19,25 @@
 )
 
 MEASURE_RATES_S = 1.5
-"""Rates are measured this long before the first credit, so that the quietest zones are known."""
+"""Prompt rates are measured for this long before the first grant, to find the zones with least traffic."""
 GRANT_HORIZON_ROUNDS = 2.0
-"""A grant lasts for the present round and a late or lost next one."""
+"""Rounds that a grant covers: the present one, and the next one if it is late or lost."""
 WIDEN_AFTER_S = 3.0
+"""Interval at which the candidate's prompts are compared with the weight."""
 WIDEN_FACTOR = 1.5
-"""Few large prefixes may leave the slice empty; it is widened until half of the weight arrives."""
+"""If a few large prefixes make up the traffic, hardly any may hash into the candidate's slice. The slice is
+widened by this factor until the candidate gets half of its weight."""
 
 
 class IssuedRollout:
-    """One rollout in one ring, as its issuer keeps it between rounds."""
+    """State of one rollout in one ring that the ring's issuer keeps between rounds."""
 
     def __init__(self, entry: RolloutEntry, now: float) -> None:
         self.entry = entry
         self.began_at = now
         self.live_writers: set[int] = set()
         self.evidence_from = now
-        """Launch time of the newest returned round."""
+        """Launch time of the newest round that returned."""
         self._meters: dict[int, RateMeter] = {}
         self._order: tuple[ZoneName, ...] = ()
         self._order_weight = -1.0
@@ -45,20 +47,20 @@
         self._widening_totals = self.totals()
 
     def totals(self) -> AccountTotals:
-        """Return the sums over the ring's accounts, lost writers' among them."""
+        """Return the sums over the ring's accounts, including those of lost writers."""
         return total_accounts(self.entry.accounts)
 
     def prompts_per_s(self) -> float:
-        """Return the measured rate of the live writers' prompts."""
+        """Return the measured prompt rate of all live writers, per second."""
         return sum(self.rate_of(writer) for writer in self.live_writers)
 
     def rate_of(self, writer: int) -> float:
-        """Return the measured prompt rate of one writer."""
+        """Return the measured prompt rate of one writer, per second; 0 if it is unknown."""
         meter = self._meters.get(writer)
         return meter.per_s if meter is not None else 0.0
 
     def merge_returned(self, returned: RolloutEntry, launched_at: float | None, now: float) -> None:
-        """Merge a returned round; of a replaced one (``launched_at`` ``None``) only the counters."""
+        """Merge a returned round; of a superseded one (``launched_at`` ``None``) only the counters."""
         current = launched_at is not None
         known = by_writer(self.entry.accounts)
         accounts = dict(known)
@@ -97,7 +99,11 @@
         return rates
 
     def order(self, zones: tuple[ZoneName, ...], record: RolloutRecord) -> tuple[ZoneName, ...]:
-        """Return zones from the first tried; decided anew at each weight, so that it doesn't flutter."""
+        """Return the zones in the order in which they get weight.
+
+        The order changes only with the weight or the set of zones, so that varying rates don't reorder zones
+        within a step.
+        """
         rates = self.zone_rates(zones)
         if self._order_weight != record.weight or set(self._order) != set(rates):
             self._order = zone_order(rates, record.plan.first_zones)
@@ -105,14 +111,14 @@
         return self._order
 
     def _targets(self, zones: tuple[ZoneName, ...], record: RolloutRecord) -> dict[ZoneName, float]:
-        """Return each zone's weight now; in a short term all are alike."""
+        """Return each zone's target weight; with ``pacing.even`` all zones have the same."""
         rates = self.zone_rates(zones)
         if record.plan.pacing.even:
             return dict.fromkeys(rates, record.weight)
         return zone_weights(self.order(zones, record), rates, record.weight)
 
     def set_zone_weights(self, zones: tuple[ZoneName, ...], record: RolloutRecord, now: float) -> None:
-        """Write the zones' weights into the entry; within a rollout they only grow."""
+        """Set the zones' weights in the entry; within a rollout a weight never falls."""
         self._widen_if_underused(record, now)
         rates = self.zone_rates(zones)
         targets = self._targets(zones, record)
@@ -141,7 +147,7 @@
     def grant_from_ledger(
         self, zones: tuple[ZoneName, ...], record: RolloutRecord, round_s: float
     ) -> dict[int, int]:
-        """Grant credits up to the ledger's bound, the quietest zones first; return them by writer."""
+        """Grant credits up to the ledger's bound, in the order of the zones; return them by writer."""
         targets = self._targets(zones, record)
         pool = credit_pool(record.plan, record.phase, self.totals(), self.entry.allowance)
         ranks = {zone: rank for rank, zone in enumerate(self.order(zones, record))}
@@ -161,7 +167,7 @@
         )
 
     def grant_from_pool(self, weight: float, pool: int, round_s: float) -> dict[int, int]:
-        """Grant credits that a zone ring's lead was given; return them by writer."""
+        """Grant the writers of a zone ring the credits that its leader received; return them by writer."""
         live_writers = sorted(
             (a for a in self.entry.accounts if a.writer in self.live_writers),
             key=lambda a: (a.spent, a.writer),
--- a/src/springmux/rollout/judgement/__init__.py
+++ b/src/springmux/rollout/judgement/__init__.py
@@ -1,4 +1,5 @@
 """Evidence about a candidate version and the sequential tests that judge it (docs/notes/judgement.md).
 
-Pure. May import ``vocabulary``, ``coordination`` and :mod:`springmux.rollout.plan` and ``outcome``.
+The code does no I/O. It may import ``vocabulary``, ``coordination``, :mod:`springmux.rollout.plan` and
+``outcome``.
 """
--- a/src/springmux/rollout/judgement/bets.py
+++ b/src/springmux/rollout/judgement/bets.py
@@ -1,8 +1,8 @@
-"""Bets on matched sets: one candidate outcome beside fresh stable outcomes of the same kind.
+"""Bets on matched sets: one candidate outcome and recent stable outcomes of the same kind.
 
-Within a set all outcomes are exchangeable if the versions are alike, whatever the base rate or the
-load at that moment, so each bet has expectation at most 1 and their running product is a test
-martingale that may be looked at continuously: a product above 1/alpha has probability at most alpha
+If the versions are equal, all outcomes of a set are exchangeable, whatever the base rate or the load
+at that moment. Each bet then has expectation at most 1, and the running product of the bets is a test
+martingale that may be evaluated continuously: a product above 1/alpha has probability at most alpha
 (Ville; Robbins 1970; Howard, Ramdas, McAuliffe and Sekhon 2021). The error bet is the conditional
 likelihood ratio of a 1:k matched case-control set, the two-sample Bernoulli e-value of Turner, Ly and
 Gruenwald (2021) conditioned on the number of bad answers. The latency bet is an exponential tilt of
@@ -18,15 +18,16 @@
 from springmux.rollout.judgement.digest import MILLINATS
 
 MAX_ERROR_REFERENCES = 24
-"""Stable answers per set: what a 4% canary leaves for each candidate answer (0.96 / 0.04)."""
+"""Stable answers per set: their number per candidate answer of a 4% canary (0.96 / 0.04)."""
 MAX_LATENCY_REFERENCES = 6
-"""Few, so that they are recent also on thin routes; measured gain beyond 6 is small."""
+"""Stable latencies per set: few, so that low-traffic routes have recent ones; more than 6 add little."""
 
 ERROR_ODDS = (4.0, 16.0, 100.0)
-"""Alternatives: a few percent, a clear share, nearly all answers bad, over a base of about 1%."""
+"""Alternative hypotheses: a few percent, a clear share, and nearly all answers bad, at a base rate of about
+1%."""
 MILD_TILT = 1.5
 STEEP_TILT = 5.0
-"""Growth-optimal near a slowdown of 1.3 and 2 times the limit for log-normal latencies (trials)."""
+"""The tilts are growth-optimal near a slowdown of 1.3 and 2 times the limit for log-normal latencies."""
 
 
 class ErrorBet(msgspec.Struct, frozen=True):
@@ -38,7 +39,7 @@
 
 
 class LatencyBet(msgspec.Struct, frozen=True):
-    """Log bets of one set, in millinats: slower than the limit (mild, steep), and within it."""
+    """Log bets of one set, in millinats: slower than the limit (mild, steep), and within the limit."""
 
     mild: int
     steep: int
--- a/src/springmux/rollout/judgement/chance.py
+++ b/src/springmux/rollout/judgement/chance.py
@@ -1,4 +1,4 @@
-"""What chance alone makes of counts: the formulas that the judge's rules use."""
+"""Probability formulas for counts, used by the judge's rules."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 def chance_of_bad(window: EpochEvidence, reference: EpochEvidence) -> float:
-    """Bound the chance that the candidate has so many of all bad answers if the versions are alike.
+    """Return a bound of the chance that equal versions give the candidate so many of all bad answers.
 
-    :param reference: where the stable version's answers are taken from.
+    :param reference: sums from which the stable version's answers are taken.
 
-    Each bad answer is the candidate's with the candidate's share of the answers (the conditional test of
-    two Poisson rates, Przyborowski and Wilenski 1940), by the binomial tail's Chernoff bound. 0 if there
-    is no stable answer to compare with.
+    If the versions are equal, a bad answer is the candidate's with a probability that is its share of the
+    answers (the conditional test of two Poisson rates, Przyborowski and Wilenski 1940). The bound is the
+    binomial tail's Chernoff bound. It is 0 if there is no stable answer to compare with.
     """
     if reference.stable_total == 0:
         return 0.0
@@ -41,7 +41,7 @@
 
 
 def log_error_rise_excluded(sums: EpochEvidence, rise: float) -> float:
-    """Log likelihood ratio of the stable version's error rate against that rate plus ``rise``."""
+    """Return the log likelihood ratio of the stable version's error rate against that rate plus ``rise``."""
     base = (sums.stable_bad + 0.5) / (sums.stable_total + 1)
     risen = min(base + rise, 0.999)
     good = sums.candidate_total - sums.candidate_bad
--- a/src/springmux/rollout/judgement/digest.py
+++ b/src/springmux/rollout/judgement/digest.py
@@ -1,7 +1,7 @@
-"""Evidence as it travels: sums of counts and log bets that add up across nodes.
+"""Evidence as it is sent between nodes: sums of counts and log bets that add up across nodes.
 
 A node's digest is cumulative since its table was created. All numbers are integers, so merging is exact in
-any order and :func:`subtract` undoes :func:`merge`. Log bets are in thousandths of a nat.
+any order, and :func:`subtract` undoes :func:`merge`. Log bets are in thousandths of a nat.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 import msgspec
 
 MILLINATS = 1000
-"""Fixed-point scale of log bets; a bet's rounding (at most 0.001 nat, downwards) costs power only."""
+"""Fixed-point scale of log bets. Rounding (down, by at most 0.001 nat) only reduces the tests' power."""
 
 
 class EpochEvidence(msgspec.Struct, frozen=True, array_like=True):
     """Sums over one epoch of one route.
 
     The ``error_*`` sums are log bets that the candidate's odds of a bad answer are 4, 16 and 100 times
-    the stable version's; the latency sums are a mild and a steep bet that it is slower than the limit
-    allows, and one that it is faster than the limit.
+    those of the stable version. The latency sums are a mild and a steep log bet that the candidate is slower
+    than the limit allows, and one that it is within the limit.
     """
 
     epoch: int
@@ -40,7 +40,7 @@
 
 
 class EngineEvidence(msgspec.Struct, frozen=True, array_like=True):
-    """Answers of one candidate engine on one route in one epoch. ``slot`` is a hash of its name."""
+    """Answers of one candidate engine on one route in one epoch. ``slot`` is a hash of the engine's name."""
 
     epoch: int
     slot: int
@@ -49,7 +49,7 @@
 
 
 class RouteEvidence(msgspec.Struct, frozen=True, array_like=True):
-    """Everything known about one route, in canonical order (by epoch, then slot)."""
+    """All evidence about one route, in canonical order (by epoch, then slot)."""
 
     route: str
     epochs: tuple[EpochEvidence, ...] = ()
@@ -57,7 +57,7 @@
 
 
 class EngineUse(msgspec.Struct, frozen=True, array_like=True):
-    """One engine of either version: prompts answered, and loss events reported by nodes."""
+    """One engine of either version: number of answered prompts, and of loss events that nodes reported."""
 
     slot: int
     candidate: bool
@@ -66,14 +66,14 @@
 
 
 class EvidenceDigest(msgspec.Struct, frozen=True, array_like=True, omit_defaults=True):
-    """Cumulative evidence of one node, or of many merged."""
+    """Cumulative evidence of one node, or the merged evidence of many."""
 
     routes: tuple[RouteEvidence, ...] = ()
     engines: tuple[EngineUse, ...] = ()
 
     @property
     def candidate_bad(self) -> int:
-        """Bad answers of the candidate (lost engines and departed callers are not among them)."""
+        """Bad answers of the candidate; lost engines and disconnected clients do not count."""
         return sum(epoch.candidate_bad for route in self.routes for epoch in route.epochs)
 
     @property
@@ -157,12 +157,12 @@
 
 
 def merge(first: EvidenceDigest, second: EvidenceDigest) -> EvidenceDigest:
-    """Return the evidence of both; associative and commutative."""
+    """Return the sum of two digests; associative and commutative."""
     return merge_all((first, second))
 
 
 def subtract(newer: EvidenceDigest, older: EvidenceDigest) -> EvidenceDigest:
-    """Return what ``newer`` has on top of ``older``, so that merging ``older`` gives ``newer`` again."""
+    """Return the difference of two digests, so that merging it with ``older`` gives ``newer`` again."""
     sums = _Accumulator()
     sums.add(newer, 1)
     sums.add(older, -1)
--- a/src/springmux/rollout/judgement/evidence_table.py
+++ b/src/springmux/rollout/judgement/evidence_table.py
@@ -1,8 +1,8 @@
-"""One node's evidence about one rollout, kept from the outcomes of its own streams.
+"""One node's evidence about one rollout, collected from the outcomes of its own streams.
 
-Candidate outcomes are matched here, where they are measured, with stable outcomes of the same route,
-expected cache hit and prompt length that ended in the last seconds; only sums of log bets leave the
-node. Each stable outcome is used in one set only, which keeps the sets independent.
+Each node matches its candidate outcomes with its stable outcomes of the same route, expected cache hit and
+prompt length that ended in the last seconds; it sends only sums of log bets to other nodes. Each stable
+outcome is used in one set only, which keeps the sets independent.
 """
 
 from __future__ import annotations
@@ -31,24 +31,26 @@
 from springmux.vocabulary.names import EngineId, RouteName, ServiceName, VersionName
 
 EPOCHS = 8
-"""Starting points of a test, so that a version that turns bad late isn't judged on its good start."""
+"""Number of epochs, each a possible start of a test, so that good answers at the beginning don't hide a
+version that turns bad later."""
 MAX_ROUTES = 8
-"""Bound of the digest; further routes share one entry."""
+"""Number of routes in a digest, which bounds its size; further routes share one entry."""
 OTHER_ROUTES = "(other)"
 ENGINE_SLOTS = 256
-"""Names are hashed to a byte: a bounded digest; a collision of two engines only makes it cautious."""
+"""Engine names are hashed to a byte, which bounds the digest. A collision of two engines only makes the judge
+more cautious."""
 REFERENCE_AGE_S = 10.0
-"""A stable outcome older than this is not compared: load may have changed since."""
+"""A stable outcome older than this is not compared, since the load may have changed."""
 LOADED_RATIO = 4.0
-"""Ratio of latencies from which a call without a prompt counts as slow while the candidate's engines carry
-more than stable ones do. Answers to prompts aren't compared then: cold caches and the load together make a
-good version many times slower."""
+"""Ratio of latencies above which a call without a prompt counts as slow during the load step, when the
+candidate's engines carry more load than stable ones. Answers to prompts aren't compared then, because cold
+caches and the load together make a good version many times slower."""
 ANSWER_TIME_WEIGHT = 0.05
-"""Weight of the newest answer in the mean time of stable answers."""
+"""Weight of the newest answer in the moving average of stable answer times."""
 LOSS_EVENT_S = 5.0
-"""Lost prompts of one engine within this time are one event."""
+"""Lost prompts of one engine within this time count as one loss event."""
 
-# Columns of an epoch's sums, in the order of the fields of EpochEvidence after the epoch's number.
+# Columns of an epoch's sums, in the order of the fields of EpochEvidence that follow the epoch's number.
 _CANDIDATE_BAD, _CANDIDATE_TOTAL, _STABLE_BAD, _STABLE_TOTAL = 0, 1, 2, 3
 _ERROR_BETS_AT, _FIRST_TOKEN_BETS_AT, _TOKEN_GAP_BETS_AT = 4, 7, 10
 _COLUMNS = len(EpochEvidence.__struct_fields__) - 1
@@ -79,7 +81,7 @@
 
 
 class _Stratum:
-    """Stable latencies that no candidate answer was compared with yet."""
+    """Stable latencies of one stratum that no candidate answer has been compared with yet."""
 
     def __init__(self) -> None:
         self.first_token: _Pool = deque(maxlen=MAX_LATENCY_REFERENCES)
@@ -87,10 +89,10 @@
         self.stable_latencies = StableLatencies()
 
     def is_bad(self, outcome: PromptOutcome) -> bool:
-        """Return whether an answer of either version counts as bad: failed, or a latency outlier.
+        """Return whether an answer of either version counts as bad: it failed or is a latency outlier.
 
-        Outliers count only for calls without a prompt: a prompt's first token depends on caches, and a
-        good version's are cold.
+        Outliers count only for calls without a prompt: the first token of a prompt depends on caches, and
+        those of a good candidate are cold.
         """
         if _is_bad(outcome.ending):
             return True
@@ -132,7 +134,7 @@
 class EvidenceTable:
     """Accumulates the outcomes of one service during one rollout into a digest.
 
-    :param plan: its limits and term; the defaults of a plan if not given.
+    :param plan: the limits and the deadline; without it the defaults of a plan apply.
     """
 
     def __init__(
@@ -150,7 +152,7 @@
         self._token_gap_ratio = plan.limits.token_gap_ratio
         self._epoch_s = plan.by_s / EPOCHS
         self.loaded = False
-        """Whether the candidate's engines are made to carry more than stable ones do (the load step)."""
+        """Whether the load step makes the candidate's engines carry more load than stable ones."""
         self.stable_answer_s = 0.0
         """Mean time of the stable version's answers, in seconds; 0 before the first."""
         self._began_at: float | None = None
@@ -161,7 +163,7 @@
     def record(self, outcome: PromptOutcome, now: float, watch: FirstTokenWatch | None = None) -> None:
         """Record one outcome; ignore those of other services or versions and of disconnected clients.
 
-        :param watch: of a candidate prompt, if it was watched: its first token is compared with the watch's.
+        :param watch: the watch of a candidate prompt, if any; its references are used for the comparison.
         """
         candidate = outcome.version == self._candidate
         if outcome.service != self._service or not (candidate or outcome.version == self._stable):
@@ -184,10 +186,10 @@
     def watch(
         self, route: RouteName, prompt_bytes: int, expected_hit: float, now: float
     ) -> FirstTokenWatch | None:
-        """Take the stable first tokens that a candidate prompt is compared with out of its stratum.
+        """Remove the stable first tokens that a candidate prompt is compared with from its stratum.
 
-        They are chosen at dispatch, and held, so that a look before the prompt's end is the same bet as at
-        its end: a version that is many times slower is detected while its first prompts are still waiting.
+        They are chosen at dispatch and kept, so that a comparison before the prompt's end is the same bet as
+        one at its end. A version that is many times slower is thus detected while its first prompts wait.
         """
         if self.loaded:
             return None
@@ -202,7 +204,7 @@
         return FirstTokenWatch(self._service, route, tuple(references), limit_s)
 
     def record_overdue(self, watch: FirstTokenWatch, now: float) -> None:
-        """Bet on a first token that is later than the limit allows; once for each watch."""
+        """Record the bet for a first token that exceeds the limit, once for each watch."""
         if watch.recorded:
             return
         watch.recorded = True
@@ -210,7 +212,7 @@
         _bet_among(sums, _FIRST_TOKEN_BETS_AT, watch.references, math.inf)
 
     def digest(self) -> EvidenceDigest:
-        """Return everything recorded so far, in canonical order."""
+        """Return all evidence recorded so far, in canonical order."""
         return EvidenceDigest(
             tuple(self._routes[name].evidence(name) for name in sorted(self._routes)),
             tuple(
@@ -299,10 +301,10 @@
 
 
 def _stratum(prompt_bytes: int, expected_hit: float) -> int:
-    """Return the stratum: expected cache hit in three parts, prompt length by powers of four.
+    """Return the stratum: expected cache hit in three ranges, prompt length by powers of four.
 
-    Requests in flight on the engine are left out: a slow version causes them, so comparing only
-    at equal load would hide its fault.
+    The number of requests in flight on the engine is no criterion: a slow version causes it to rise, so
+    comparing only at equal load would hide its fault.
     """
     warmth = 0 if expected_hit < _COLD_HIT else 1 if expected_hit < _WARM_HIT else 2
     return warmth + 3 * (prompt_bytes.bit_length() // 2)
@@ -313,12 +315,12 @@
 
 
 def _is_bad(ending: Ending) -> bool:
-    """Complete answers are nearly all: skip the set lookup for them."""
+    """Return whether ``ending`` is bad. Nearly all answers are complete, so those skip the set lookup."""
     return ending is not Ending.WHOLE and ending in BAD_ENDINGS
 
 
 def _drain_recent(pool: _Pool, now: float) -> list[float]:
-    """Empty ``pool`` and return its values that are recent enough."""
+    """Empty ``pool`` and return those of its values that are recent enough."""
     oldest = now - REFERENCE_AGE_S
     values = [value for at, value in pool if at >= oldest]
     pool.clear()
--- a/src/springmux/rollout/judgement/final_analysis.py
+++ b/src/springmux/rollout/judgement/final_analysis.py
@@ -1,9 +1,9 @@
-"""Final analysis of the evidence, right before a rollout of a short term is finished.
+"""Final analysis of the evidence, immediately before a rollout whose pacing needs evidence is finished.
 
-The sequential test (:mod:`.judge`) may be evaluated at any time, at the price of evidence that a term
-of 12 s may not bring, above all on a thin route. An analysis planned once has no such price, so it needs
-less. Its level is also less strict than the test's: a version released wrongly breaks the exposure bound,
-one that is aborted wrongly is only late.
+The sequential test (:mod:`.judge`) may be evaluated at any time, but therefore needs more evidence than a
+deadline of 12 s may allow to collect, above all on a low-traffic route. An analysis that is run once needs
+less evidence. Its level is also less strict than that of the sequential test, because releasing a bad version
+breaks the exposure bound, while aborting a good one only delays it.
 """
 
 from __future__ import annotations
@@ -19,17 +19,17 @@
 from springmux.rollout.plan import JudgeLimits, RolloutDecision
 
 FINAL_LEVEL = 0.1
-"""Chance of aborting a good version here, for errors and for latency each, at most. Without errors at
-the stable version, and with latencies alike, it is far less: the limits leave room."""
+"""Largest chance of aborting a good version, for errors and for latency each. If the stable version has no
+errors and the latencies are equal, the chance is far lower because the limits leave room."""
 MIN_BAD_ANSWERS = 2
-"""One bad answer is no evidence, however good the stable version is."""
+"""A single bad answer is no evidence, however good the stable version is."""
 RECENT_EPOCHS = 3
-"""The last three of eight epochs are tested by themselves, for a version that turned bad late."""
+"""The last three of eight epochs are also tested separately, to detect a version that turned bad late."""
 _LATENCY_TESTS = ("first_token", "token_gap")
 
 
 def final_analysis(limits: JudgeLimits, evidence: EvidenceDigest) -> RolloutDecision | None:
-    """Return why the candidate must not be released, or ``None``."""
+    """Return why the candidate must not be released, ``None`` if it may be."""
     scopes = [scope for scope in scopes_of(evidence) if scope.suffixes]
     if not scopes:
         return None
@@ -37,9 +37,10 @@
 
 
 def _errors(limits: JudgeLimits, scopes: Sequence[Scope]) -> RolloutDecision | None:
-    """Test error rates, single routes first since the narrower scope says more.
+    """Test error rates, single routes first because the narrower scope is more informative.
 
-    Half of the level is for all routes together, half is shared by them (Bonferroni).
+    Half of the level is used for all routes together, the other half is divided among the routes
+    (Bonferroni).
     """
     for index, scope in reversed(list(enumerate(scopes))):
         windows = list(_windows(scope)) if index == 0 else [scope.suffixes[0]]
@@ -59,7 +60,7 @@
 
 
 def _without_lost_engines(scope: Scope, window: EpochEvidence) -> EpochEvidence:
-    """Leave out the bad answers of engines that were reported lost: those are the engines'."""
+    """Return ``window`` without the bad answers of lost engines, which are not the version's fault."""
     lost = sum(e.bad for e in scope.engines if e.epoch >= window.epoch and e.slot in scope.lost)
     return msgspec.structs.replace(window, candidate_bad=max(0, window.candidate_bad - lost))
 
@@ -73,7 +74,7 @@
 
 
 def _latency(scopes: Sequence[Scope]) -> RolloutDecision | None:
-    """Average the bets since the beginning: half of the stake on all routes, half shared by them."""
+    """Test the average of all bets: half of the stake on all routes together, half divided among them."""
     terms: list[tuple[float, str, Scope]] = []
     for index, scope in enumerate(scopes):
         stake = 0.5 / (1 if index == 0 else len(scopes) - 1)
--- a/src/springmux/rollout/judgement/judge.py
+++ b/src/springmux/rollout/judgement/judge.py
@@ -1,8 +1,8 @@
 """The verdict on a candidate version: a pure function of the merged evidence.
 
-Every holder of the same evidence reaches the same verdict, and looking more often or at more nodes
-costs nothing: all of them look at one running product of bets (:mod:`.bets`). The rules, their
-weights and false-alarm arithmetic are in docs/notes/judgement.md.
+Every node with the same evidence reaches the same verdict. Judging more often or on more nodes does not
+raise the false-alarm rate, because all of them judge one running product of bets (:mod:`.bets`). The rules,
+their weights and the false-alarm arithmetic are in docs/notes/judgement.md.
 """
 
 from __future__ import annotations
@@ -29,33 +29,40 @@
 from springmux.rollout.plan import RolloutDecision, RolloutPlan
 
 GUARD_BAD_ANSWERS = 25
-"""Bad answers from which the plain guard looks; half of the fifty that start the rollback's clock."""
+"""Bad answers from which the guard applies: half of the fifty that start the rollback time."""
 GUARD_BAD_ANSWERS_ONE_ENGINE = 40
-"""Bad answers from which even those of one engine are the version's; below fifty with a round to spare."""
+"""Bad answers from which even those of a single engine count against the version. It is below the fifty that
+start the rollback time, with one round to spare."""
 GUARD_CHANCE = 1e-4
-"""Chance at a look that so many of all bad answers are the candidate's. With twice the stable version's
-rate, forty to fifty bad answers are beyond it, whatever the rate. Small, because the guard looks at each
-round, start and route."""
+"""Chance of the candidate's number of bad answers, per check, below which the guard aborts. At twice the
+stable version's error rate, forty to fifty bad answers are enough, whatever the rate. The chance is small
+because the guard checks every round, start and route."""
 MIN_STABLE_ANSWERS = 100
-"""Stable answers since a start below which those of the complete rollout give the ordinary error rate."""
+"""With fewer stable answers since a start, the complete rollout's give the usual error rate."""
 MIN_OTHER_ANSWERS = 8
-"""Answers of the other engines needed to say that only one engine is at fault."""
+"""Answers of the other engines that are needed to attribute a fault to a single engine."""
 CLEAN_LEVEL = 0.001
-"""Other engines are clean unless chance alone makes their bad answers with less than this probability."""
+"""Other engines count as good unless their number of bad answers has a lower probability by chance."""
 MIN_LOST_ENGINES = 3
-"""Distinct lost candidate engines: two may be a crash and a second one right after the repair."""
+"""Lost candidate engines that condemn a version; two may be one crash and another right after the repair."""
 PASS_LEVEL = 0.05
-"""Chance of calling a rise beyond the limits excluded, per test; a pass only informs."""
+"""Chance, per test, of wrongly reporting that a rise beyond the limits is excluded. A pass is only reported
+and decides nothing."""
 ALL_ROUTES = "all routes"
 NAME_ALL_MARGIN = math.log(2)
-"""Of equal evidence the narrower is named; only the decision's wording depends on it."""
+"""Margin by which all routes together must exceed a single route to be named in a decision, so that equal
+evidence names the single route. Only the decision's text depends on it."""
 
 _ERROR_TEST = "errors"
 _LATENCY_TESTS = ("first_token", "token_gap")
 
 
 class Verdict(msgspec.Struct, frozen=True):
-    """``abort``: significantly and relevantly worse. ``passed``: a rise beyond the limits is excluded."""
+    """Result of judging a candidate.
+
+    ``abort``: the candidate is significantly and relevantly worse. ``passed``: a rise beyond the limits is
+    excluded. ``decision``: the reason of an abort.
+    """
 
     abort: bool
     passed: bool
@@ -63,7 +70,7 @@
 
 
 class Scope(msgspec.Struct, frozen=True):
-    """Evidence of one route, or of all; ``suffixes[i]`` sums the epochs from the i-th on."""
+    """Evidence of one route or of all routes; ``suffixes[i]`` sums the epochs from the i-th on."""
 
     name: str
     suffixes: tuple[EpochEvidence, ...]
@@ -72,7 +79,7 @@
 
 
 class _Finding(msgspec.Struct, frozen=True):
-    """One test's e-value (as a logarithm) and the sums of the start that contributed most."""
+    """One test's e-value (as a natural logarithm) and the sums of the start that contributed most."""
 
     test: str
     scope: Scope
@@ -157,7 +164,7 @@
         else:
             ratio = limits.first_token_ratio if finding.test == "first_token" else limits.token_gap_ratio
             name = finding.test.replace("_", " ")
-            reason = f"{name} slower than {ratio:g} times that of like prompts on the stable version"
+            reason = f"{name} slower than {ratio:g} times that of comparable prompts on the stable version"
             figures = f"{finding.sums.candidate_total} candidate answers; {strength}"
         return RolloutDecision("judge", reason, finding.test, finding.scope.name, figures)
 
@@ -175,7 +182,7 @@
 
 
 def scopes_of(evidence: EvidenceDigest) -> list[Scope]:
-    """Return all routes together first, then each route that the candidate has answered."""
+    """Return the scope of all routes, followed by one for each route that the candidate has answered."""
     lost = frozenset(use.slot for use in evidence.engines if use.candidate and use.losses)
     answered = [route for route in evidence.routes if route.engines]
     epochs = _sum_by_epoch(epoch for route in answered for epoch in route.epochs)
@@ -215,7 +222,7 @@
 def _finding(test: str, scope: Scope, rows: Sequence[tuple[int, ...]], width: int) -> _Finding:
     """Mix the bets over alternatives (``width``) and over the :data:`EPOCHS` possible starts.
 
-    A start still to come holds its stake, so it contributes an e-value of 1.
+    A start that is still to come keeps its stake, so it contributes an e-value of 1.
     """
     best_at = max(range(len(rows)), key=lambda at: max(rows[at], default=-math.inf), default=0)
     waiting = max(EPOCHS - len(rows), 0) * width
@@ -228,15 +235,15 @@
 
 
 def _naming_order(finding: _Finding) -> float:
-    """Name a route rather than all of them, unless all together are clearly stronger evidence."""
+    """Return the sort key of a finding; it prefers a single route unless all routes are clearly stronger."""
     return finding.log_e - (NAME_ALL_MARGIN if finding.scope.name == ALL_ROUTES else 0.0)
 
 
 def _one_engine_at_fault(scope: Scope, window: EpochEvidence) -> bool:
-    """Return whether the bad answers since ``window`` began are one engine's while the others are clean.
+    """Return whether the bad answers since ``window`` began are one engine's while the others are good.
 
     If hardly any other engine was used, the version is held responsible, unless that engine was
-    reported lost: then what timed out on it belongs to its loss.
+    reported lost: timeouts on a lost engine are part of its loss.
     """
     if window.candidate_bad == 0:
         return False
--- a/src/springmux/rollout/judgement/stable_latencies.py
+++ b/src/springmux/rollout/judgement/stable_latencies.py
@@ -1,8 +1,9 @@
-"""Latency outliers: complete answers so slow, against the stable version's, that they count as bad.
+"""Latency outliers: complete answers so much slower than the stable version's that they count as bad.
 
-The latency tests compare complete distributions: a version of which only a part of the answers is many times
-slower may have a usual median, and its quick half even speaks for it. Far beyond what the stable version
-takes, an answer is a failure to its client; such answers go into the error test, for both versions alike.
+The latency tests compare whole distributions. A version that answers only a part of its requests many times
+slower may have a normal median, and its fast answers even count in its favour. An answer that takes far
+longer than the stable version's is a failure to the client, so such answers of either version go into the
+error test.
 """
 
 from __future__ import annotations
@@ -10,11 +11,12 @@
 from collections import deque
 
 OUTLIER_FACTOR = 2.5
-"""Times the stable version's ninth decile: above the spread of caches and queues, below "several times
-slower" than a usual answer."""
+"""Multiple of the stable version's ninth decile above which an answer is an outlier. It is above the
+variation that caches and queues cause, and below an answer that is several times slower than usual."""
 MAX_LATENCIES = 64
+"""Number of newest latencies of a stratum that are kept."""
 MIN_LATENCIES = 8
-"""With fewer the decile says nothing."""
+"""With fewer latencies the decile is not meaningful."""
 UPDATE_EVERY = 4
 _DECILE = 0.9
 
@@ -30,7 +32,7 @@
         self._since_update = 0
 
     def add(self, first_token_s: float) -> None:
-        """Add one answer of the stable version."""
+        """Add the first-token time of one answer of the stable version, in seconds."""
         self._values.append(first_token_s)
         self._since_update += 1
         if len(self._values) >= MIN_LATENCIES and self._since_update >= UPDATE_EVERY:
--- a/src/springmux/rollout/leadership.py
+++ b/src/springmux/rollout/leadership.py
@@ -1,4 +1,4 @@
-"""The control leader as issuer of the token: it paces rounds, grants credits, and proposes steps."""
+"""The control leader as issuer of the token: it launches rounds, grants credits and proposes steps."""
 
 from __future__ import annotations
 
@@ -23,35 +23,37 @@
 from springmux.vocabulary.names import RolloutId
 
 ROUND_S = 0.35
-"""Time between rounds in a small fleet: evidence and aborts spread in well under a second."""
+"""Time between rounds in a small fleet, so that evidence and aborts spread in well under a second."""
 MAX_ROUND_S = 1.0
-"""A lost round is reissued after 1.4 s, still within the lease."""
+"""Longest time between rounds. A lost round is then reissued after 1.4 s, which is still within the lease."""
 TOKEN_BYTES_PER_S = 1500
-"""A node's share of the 2 KB/s for the token; rounds slow down before it is exceeded."""
+"""Part of a node's 2 KB/s that the token may use; the time between rounds grows to stay within it."""
 ACCOUNT_BYTES = 22
 """Size of one account on the wire (measured, docs/notes/token.md)."""
 PROPOSE_PERIOD_S = 0.2
-"""Steps are due between rounds too; the check is cheap."""
+"""Interval of the cheap check for due steps, since a step may become due between rounds."""
 ROUND_TIMEOUT_S = 0.8
-"""A round that hasn't returned after this is reissued: six skipped hops."""
+"""A round that hasn't returned after this time is reissued. It allows for six skipped hops."""
 GRANT_QUARANTINE_S = LEASE_S + 0.5
-"""A new leader grants nothing until every lease of its predecessor's unknown grants has ended."""
+"""A new leader grants nothing for this time, until every lease under unknown grants of the previous leader
+has ended."""
 QUICK_HANDOVER_S = 0.7
-"""The same in the canary of a short term: two rounds, which fence the predecessor's and bring its grants home
-with the nodes' accounts. What a node that they missed may still spend, the canary's weight for two rounds, is
-within the part of the bound that is kept for leader changes."""
+"""The same time in the canary of a short rollout. It is two rounds, which fence the previous leader's rounds
+and return its grants with the nodes' accounts. A node that both rounds missed may still spend the canary's
+weight for two rounds; the part of the exposure bound that is kept for leader changes covers that."""
 
 RESTART_GAP_S = 9.0
-"""Counted after a restart of all nodes for the time that nobody measured: 3 s since the last checkpoint,
-and 6 s until a controller runs again. From then on it counts, so the 12 s of the brief may pass."""
+"""Elapsed time that is added after a restart of all nodes, for the time that no node measured: 3 s since the
+last checkpoint and 6 s until a controller runs again. From then on a controller measures the time, so an
+outage may last the required 12 s."""
 MAX_GAP_SHARE = 0.25
-"""Part of a short ``by_s`` that is counted at most."""
+"""Largest part of ``by_s`` that is added for such a gap; it matters when ``by_s`` is short."""
 
 _encoder = msgspec.msgpack.Encoder()
 
 
 class TokenRound(msgspec.Struct):
-    """The round under way."""
+    """The round that the leader launched last."""
 
     sequence: int
     launched_at: float
@@ -59,9 +61,10 @@
 
 
 class Leadership:
-    """What one node does while it leads under one term.
+    """State of one node while it leads under one consensus term.
 
-    :param first_sequence: above every round that this node has seen; the term fences the rest.
+    :param first_sequence: at least the sequence of every round that this node has seen. Rounds of an older
+        term are fenced by the term.
     :param settings: the deployment's exceptions, which may change.
     """
 
@@ -79,16 +82,16 @@
         self._leading_since = now
         self._round: TokenRound | None = None
         self._unconfirmed_elapsed: set[RolloutId] = set()
-        """Rollouts taken up from the record alone, until a round shows whether any node remembers more."""
+        """Rollouts resumed from the record alone, until a round shows whether a node knows more."""
         self._proposed_at = now
 
     def next_deadline(self) -> float:
-        """Return when a round, or a check of the schedule, is due."""
+        """Return when the next round or check of the schedule is due."""
         proposals_due = self._proposed_at + PROPOSE_PERIOD_S if self.step_proposers else NEVER
         return min(self.round_due(), proposals_due)
 
     def round_due(self) -> float:
-        """Return when the next round is launched, or the present one counts as lost."""
+        """Return when the next round is due, or when the present round counts as lost."""
         if not self.step_proposers:
             return NEVER
         if self._round is None:
@@ -97,11 +100,11 @@
         return self._round.launched_at + wait_s
 
     def launch_now(self) -> None:
-        """Launch the next round at once: something was aborted, paused or begun."""
+        """Make the next round due immediately, to publish an abort or a change of the rollouts."""
         self._round = None
 
     def set_rollouts(self, participants: Iterable[Participant], now: float) -> None:
-        """Issue exactly these rollouts from now on; launch a round at once to publish the change."""
+        """Replace the set of issued rollouts, and make a round due immediately to publish the change."""
         under_way = {participant.record.rollout: participant for participant in participants}
         for rollout in set(self.step_proposers) - set(under_way):
             del self.step_proposers[rollout]
@@ -112,7 +115,7 @@
         self.launch_now()
 
     def _adopt(self, participant: Participant, now: float) -> None:
-        """Issue a rollout, continuing from this node's last replica of the token."""
+        """Start to issue a rollout, continuing from this node's last copy of its entry."""
         rollout = participant.record.rollout
         issued = IssuedRollout(self._first_entry(participant), now)
         self.step_proposers[rollout] = StepProposer(participant, issued, now)
@@ -143,7 +146,7 @@
         return msgspec.structs.replace(entry, allowance=allowance)
 
     def launch(self, layout: RingLayout, now: float) -> tuple[RolloutToken, list[Effect]]:
-        """Return the token of a new round, not yet visited by this node, and notes."""
+        """Return the token of a new round, without this node's contribution, and log lines."""
         effects: list[Effect] = []
         if self._round is not None and not self._round.returned:
             fields = {"term": self.term, "sequence": self._round.sequence}
@@ -186,7 +189,7 @@
         return issued.entry
 
     def _adapt_round_period(self, token: RolloutToken, layout: RingLayout) -> None:
-        """Set the time to the next round so that the busiest node keeps its byte rate."""
+        """Set the time to the next round so that the node with most token traffic keeps its byte rate."""
         self.token_bytes = len(_encoder.encode(token))
         if layout.relayed:
             others = max(0, layout.longest_ring() - len(layout.rings))
@@ -195,7 +198,7 @@
         self.round_s = self.settings.token_period_s or adapted_s
 
     def token_returned(self, token: RolloutToken, engines: EnginesView | None, now: float) -> list[Effect]:
-        """Handle a round that returned, then propose steps."""
+        """Handle a round that returned, and return the proposals that are due."""
         if token.term != self.term:
             return []
         launched_at: float | None = None
@@ -216,7 +219,7 @@
         return self.propose_steps(engines, now)
 
     def _set_clock(self, participant: Participant, entry: RolloutEntry, now: float) -> None:
-        """Take the time used as the nodes know it; count a gap that no node has measured."""
+        """Advance the clock to the nodes' elapsed time, and add a gap that no node has measured."""
         participant.clock.advance_to(entry.elapsed_s, now)
         if entry.rollout not in self._unconfirmed_elapsed:
             return
@@ -226,7 +229,7 @@
             participant.clock.advance_to(participant.clock.read(now) + gap_s, now)
 
     def propose_steps(self, engines: EnginesView | None, now: float) -> list[Effect]:
-        """Return the proposals that the schedules of all rollouts call for now."""
+        """Return the proposals that are due in any rollout."""
         self._proposed_at = now
         effects: list[Effect] = []
         for step_proposer in self.step_proposers.values():
@@ -235,7 +238,7 @@
 
 
 def _quarantine_s(record: RolloutRecord) -> float:
-    """Return for how long a new leader grants nothing."""
+    """Return how long a new leader grants nothing, in seconds."""
     quick = record.plan.pacing.quick_handover and record.phase is RolloutPhase.CANARY
     return QUICK_HANDOVER_S if quick else GRANT_QUARANTINE_S
 
--- a/src/springmux/rollout/ledger.py
+++ b/src/springmux/rollout/ledger.py
@@ -1,8 +1,9 @@
-"""The exposure ledger: how many credits may be outstanding, and who gets them. A hard bound beside the judge.
+"""The exposure ledger: how many credits may be outstanding, and which writers get them.
 
-One credit pays for one prompt sent to the candidate. The issuer grants credits so that all sent plus all
-outstanding stay below a share of the service's prompts plus an allowance. Outstanding credits of a node that
-was lost stay counted as spent; unspent ones return only when the node itself reports that they expired.
+The ledger is a hard bound on a bad candidate's prompts, independent of the judge. One credit pays for one
+prompt sent to the candidate. The issuer grants credits so that the sent prompts plus the outstanding credits
+stay below a share of the service's prompts plus an allowance. Outstanding credits of a lost node count as
+spent; unspent credits return to the pool only when the node itself reports that they expired.
 """
 
 from __future__ import annotations
@@ -17,27 +18,28 @@
 from springmux.rollout.token import Account, AccountTotals
 
 EXPOSE_TARGET = 0.8
-"""Fraction of ``expose_share`` that credits are granted for; the rest covers what a leader change hides."""
+"""Fraction of ``expose_share`` that is granted as credits; the rest covers what a leader change hides."""
 CANARY_SLACK = 1.25
-"""A canary may run this much above its weight, so that whole credits at quiet nodes don't starve it."""
+"""Factor by which a canary may exceed its weight. Credits are whole numbers, and without slack those granted
+to low-traffic nodes would use up the canary's credit."""
 ZONE_SPREAD = 4.0
-"""A zone gets at most this multiple of the fleet's weight, so that a quiet zone isn't used completely."""
+"""A zone gets at most this multiple of the fleet's weight, so a low-traffic zone isn't fully shifted."""
 
 
 def allowance_part(plan: RolloutPlan) -> int:
-    """Return the credits on top of the share."""
+    """Return how many credits are granted on top of the share of prompts."""
     return math.floor(plan.pacing.allowance_part * plan.expose_allowance)
 
 
 def accruing_share(plan: RolloutPlan) -> float:
-    """Return the part of the service's prompts that accrues as credit."""
+    """Return the fraction of the service's prompts that accrues as credit."""
     return EXPOSE_TARGET * plan.pacing.share_part * plan.expose_share
 
 
 def credit_pool(plan: RolloutPlan, phase: RolloutPhase, totals: AccountTotals, allowance: int) -> int:
     """Return how many credits may be granted now, never negative.
 
-    In the canary phase the canary's weight bounds them too, so that credit is saved for the steps.
+    In the canary phase the canary's weight limits the credits too, so that credit is left for the steps.
     """
     limit = math.floor(accruing_share(plan) * totals.prompts) + allowance
     if phase is RolloutPhase.CANARY:
@@ -46,7 +48,7 @@
 
 
 def zone_order(rates: Mapping[ZoneName, float], first_zones: Sequence[ZoneName]) -> tuple[ZoneName, ...]:
-    """Return zones in the order in which they get weight: ``first_zones``, then by rising prompt rate."""
+    """Return zones in the order in which they get weight: ``first_zones``, then by ascending prompt rate."""
     given = [zone for zone in first_zones if zone in rates]
     others = sorted((zone for zone in rates if zone not in given), key=lambda zone: (rates[zone], zone))
     return (*given, *others)
@@ -55,7 +57,7 @@
 def zone_weights(
     order: Sequence[ZoneName], rates: Mapping[ZoneName, float], weight: float
 ) -> dict[ZoneName, float]:
-    """Return each zone's weight so that the fleet's is ``weight``: the first zones are filled first."""
+    """Return each zone's weight so that the fleet's weight is ``weight``; earlier zones are filled first."""
     if weight >= 1.0:
         return dict.fromkeys(order, 1.0)
     cap = min(1.0, ZONE_SPREAD * weight)
@@ -69,7 +71,7 @@
 
 
 class CreditDemand(msgspec.Struct, frozen=True):
-    """What one writer can spend before the token's next visit."""
+    """Prompt rate and candidate weight of one writer, from which its need of credits follows."""
 
     writer: int
     rate_per_s: float
@@ -79,10 +81,11 @@
 def allocate_credits(
     demands: Iterable[CreditDemand], accounts: Mapping[int, Account], pool: int, horizon_s: float
 ) -> dict[int, int]:
-    """Return credits to add by writer, at most ``pool`` in all.
+    """Return the credits to grant by writer, at most ``pool`` in total.
 
-    Each writer is filled up to its weight's prompts within ``horizon_s``, at least one credit where its
-    weight is above zero. First one each in the given order, so that a small pool reaches many; then the rest.
+    Each writer with a weight above zero is topped up to the candidate prompts that it expects within
+    ``horizon_s``, at least one credit. Every writer gets one credit first, in the order of ``demands``, so
+    that a small pool reaches many writers; the rest is then shared.
     """
     missing_by_writer: dict[int, int] = {}
     for demand in demands:
--- a/src/springmux/rollout/messages.py
+++ b/src/springmux/rollout/messages.py
@@ -12,10 +12,10 @@
 class RolloutToken(PeerMessage, frozen=True, tag="RolloutToken"):
     """The circulating token: one round of one ring.
 
-    ``issuer`` launched the round and gets it back. ``(term, sequence)`` grows with every round; a node
-    handles each at most once and ignores older ones (fencing). ``ring``: see
-    :mod:`springmux.rollout.token_ring.rings`. ``itinerary``: the nodes still to be visited. ``zones``: names
-    behind the accounts' zone indexes.
+    ``issuer`` launched the round, and the token returns to it. ``(term, sequence)`` grows with every round; a
+    node handles each round at most once and ignores older rounds (fencing). ``ring``: see
+    :mod:`springmux.rollout.token_ring.rings`. ``itinerary``: the nodes still to be visited. ``zones``: zone
+    names, in the order of the accounts' zone indexes.
     """
 
     issuer: NodeId
@@ -28,12 +28,12 @@
 
     @property
     def round_id(self) -> tuple[int, int]:
-        """Order of rounds, oldest first."""
+        """Term and sequence of the round; a newer round has a larger id."""
         return (self.term, self.sequence)
 
 
 class RolloutTokenAck(PeerMessage, frozen=True, tag="RolloutTokenAck"):
-    """The token of this round arrived; its sender need not skip the receiver."""
+    """Acknowledges the token of a round, so that its sender doesn't skip this node."""
 
     term: Term
     sequence: int
@@ -41,7 +41,7 @@
 
 
 class RolloutAbortNotice(PeerMessage, frozen=True, tag="RolloutAbortNotice"):
-    """A holder's merged evidence calls for an abort; sent ahead of the token's own flag."""
+    """Tells the issuer that a node decided an abort from the merged evidence, before the token returns."""
 
     service: ServiceName
     rollout: RolloutId
--- a/src/springmux/rollout/outcome.py
+++ b/src/springmux/rollout/outcome.py
@@ -1,4 +1,4 @@
-"""What the data plane tells the rollout: the choice it was given and how each prompt ended."""
+"""Interface of the rollout to the data plane: version choices, and the outcome of each prompt."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class VersionChoice(msgspec.Struct, frozen=True):
-    """Versions that may serve one prompt, the first preferred, made before any engine is chosen.
+    """Versions that may serve one prompt, in order of preference, chosen before any engine is.
 
-    ``candidate``: the first version is a rollout's candidate and one exposure credit was spent.
-    ``engines_limit``: use only the first that many ready engines of the first version, by rendezvous hash
-    of the service's name (0: all), so that at a small weight they carry the load that a stable engine has.
+    ``candidate``: the first version is a rollout's candidate, and one exposure credit was spent.
+    ``engines_limit``: number of ready engines of the first version to use, the first by rendezvous hash of
+    the service's name (0: all), so that at a small weight each carries the load of a stable engine.
     """
 
     versions: tuple[VersionName, ...]
@@ -30,16 +30,16 @@
     ERROR_STATUS = "error_status"
     """The engine answered with a server error."""
     REJECTED = "rejected"
-    """The engine's whole answer was a client error (4xx). Callers send both versions the same requests, so a
-    candidate that rejects more of them is worse; it says nothing against the engine's health."""
+    """The engine's whole answer was a client error (4xx). Clients send both versions the same requests, so a
+    candidate that rejects more of them is worse. A rejection is no evidence against the engine's health."""
     BROKEN = "broken"
     """The stream was cut short, spliced, or malformed while the engine stayed reachable."""
     TIMED_OUT = "timed_out"
-    """No first piece, or no next piece, within the route's limits."""
+    """The first or the next piece of the answer did not arrive within the route's limits."""
     ENGINE_LOST = "engine_lost"
-    """Refused, reset or dark: one event of that engine, not of its version."""
+    """Connection refused, reset or unresponsive: a fault of that engine, not of its version."""
     CALLER_GONE = "caller_gone"
-    """Says nothing about the engine."""
+    """The client disconnected, which is no evidence about the engine."""
 
 
 BAD_ENDINGS = frozenset({Ending.ERROR_STATUS, Ending.REJECTED, Ending.BROKEN, Ending.TIMED_OUT})
@@ -48,7 +48,7 @@
 class PromptOutcome(msgspec.Struct, frozen=True):
     """One dispatched prompt's measurements. Times in seconds; ``None`` where not reached.
 
-    ``expected_hit``: share of the prompt that our own index expected in the engine's cache, 0..1.
+    ``expected_hit``: share of the prompt that this node's index expected in the engine's cache, 0..1.
     ``engine_in_flight``: this node's requests on the engine at dispatch.
     """
 
@@ -66,10 +66,11 @@
 
 
 class FirstTokenWatch(msgspec.Struct):
-    """One candidate prompt under way, beside the stable ones that it is compared with, chosen at dispatch.
+    """One candidate prompt under way, with the stable first-token times that it is compared with.
 
-    ``overdue_after_s``: age without a first token at which it is slower than all of them beyond the limit;
-    the node need not wait for its end to tell. ``recorded``: the comparison, made once, is in the evidence.
+    ``references``: those times in seconds, chosen at dispatch. ``overdue_after_s``: age without a first
+    token, in seconds, at which the prompt exceeds the limit against all references, so the node can record
+    that before the prompt ends. ``recorded``: whether the comparison, which is made once, is in the evidence.
     """
 
     service: ServiceName
@@ -80,14 +81,14 @@
 
 
 class VersionChooser(Protocol):
-    """The version filter as the router sees it. Calls are synchronous and take microseconds."""
+    """Interface of the version filter to the router. Calls are synchronous and take microseconds."""
 
     def choose(
         self, service: ServiceName, prefix_key: int, now: float, route: RouteName | None = None
     ) -> VersionChoice:
         """Decide which versions may serve a prompt whose prefix hashes to ``prefix_key`` (64 bits).
 
-        ``route``: with it a short rollout gives thin routes enough candidate prompts to be judged.
+        ``route``: lets a short rollout give low-traffic routes enough candidate prompts to be judged.
 
         Counts the prompt in the service's total. Never returns an empty tuple for a known service.
         """
@@ -98,17 +99,17 @@
         ...
 
     def recheck(self, service: ServiceName, version: VersionName, now: float) -> bool:
-        """Return, at dispatch itself, whether ``version`` may still be sent to (lease and abort)."""
+        """Return at dispatch whether prompts may still be sent to ``version`` (lease and abort)."""
         ...
 
     def watch(
         self, service: ServiceName, route: RouteName, prompt_bytes: int, expected_hit: float, now: float
     ) -> FirstTokenWatch | None:
-        """Begin to watch a candidate prompt at its dispatch; ``None`` if there is nothing to compare with."""
+        """Start watching a candidate prompt at its dispatch; ``None`` if there is nothing to compare with."""
         ...
 
     def overdue(self, watch: FirstTokenWatch, now: float) -> None:
-        """Record that no first token came within the watch's ``overdue_after_s``."""
+        """Record that no first token arrived within the watch's ``overdue_after_s``."""
         ...
 
     def observe(self, outcome: PromptOutcome, now: float, watch: FirstTokenWatch | None = None) -> None:
--- a/src/springmux/rollout/participant.py
+++ b/src/springmux/rollout/participant.py
@@ -1,4 +1,4 @@
-"""One node's participation in one rollout: its account, evidence, lease and additions to a token."""
+"""One node's participation in one rollout: its account, evidence, lease and contributions to the token."""
 
 from __future__ import annotations
 
@@ -20,27 +20,29 @@
 from springmux.rollout.version_filter import ServiceGate
 
 HISTORY_ROUNDS = 256
-"""Digests remembered by visit: about 90 s of rounds, longer than any token can take to return."""
+"""Number of visits whose digests are kept: about 90 s of rounds, longer than any token takes to return."""
 LEASE_AFTER_VISIT_S = 2.5
-"""A lease ends this long after the newest own visit that the token shows. A token that waited for a frozen
-node shows no recent one. Usually that visit is a round or two old, and the lease complete."""
+"""A lease ends this long after this node's newest visit that the token confirms. A token that was held back
+by a frozen node confirms no recent visit, so it renews no lease. Usually the confirmed visit is one or two
+rounds old and does not shorten the lease."""
 CLOCK_RECENT_S = 5.0
-"""A node visited within this knows of any pause; its clock may set a new leader's right."""
+"""A node visited by a token within this time knows of any pause, so its clock may correct a new leader's."""
 _WRITER_BITS = 31
-"""A writer fits five bytes on the wire; two of 360 collide with probability 3e-5, and notice it."""
+"""A writer number takes five bytes on the wire. Among 360 nodes two collide with probability 3e-5, and a node
+detects the collision."""
 ACTIVE_PHASES = frozenset({RolloutPhase.CANARY, RolloutPhase.SHIFTING})
 
 
 class EvidenceHistory:
-    """Digests of this node as of each token visit, so that exactly the missing evidence is added."""
+    """Digests of this node at each token visit, so that it adds exactly the evidence that the token lacks."""
 
     def __init__(self, base: EvidenceDigest) -> None:
         self._digests: dict[int, EvidenceDigest] = {0: base}
 
     def at(self, visit: int) -> EvidenceDigest:
-        """Return the digest as of ``visit``, or of the nearest older one that is still known.
+        """Return the digest at ``visit``, or at the nearest older visit that is still stored.
 
-        The nearest older one counts some evidence twice rather than lose any.
+        An older digest makes some evidence count twice, which is preferred to losing evidence.
         """
         found = self._digests.get(visit)
         if found is not None:
@@ -48,7 +50,7 @@
         return self._digests[max((known for known in self._digests if known <= visit), default=0)]
 
     def store(self, visit: int, digest: EvidenceDigest) -> None:
-        """Keep the digest of a visit; the base stays."""
+        """Store the digest of a visit. The base digest is never removed."""
         self._digests[visit] = digest
         if len(self._digests) > HISTORY_ROUNDS:
             oldest = min(known for known in self._digests if known > 0)
@@ -60,7 +62,7 @@
 
 
 class TokenVisit(msgspec.Struct, frozen=True):
-    """One visit of a token; ``zones`` may be appended to. ``leading``: this node has the clock."""
+    """One visit of a token. ``zones`` may be extended. ``leading``: this node's clock is authoritative."""
 
     ring: int
     term: int
@@ -113,12 +115,12 @@
 
     @property
     def stable_answer_s(self) -> float:
-        """Mean time of the stable version's answers at this node, in seconds; 0 if it has none yet."""
+        """Mean time of the stable version's answers at this node, in seconds; 0 before the first answer."""
         return self._evidence.stable_answer_s
 
     @property
     def terminal(self) -> bool:
-        """Whether the committed record is over."""
+        """Whether the committed record is in a terminal phase."""
         return self.record.phase in TERMINAL_PHASES
 
     def update_record(self, record: RolloutRecord, now: float) -> None:
@@ -133,7 +135,7 @@
             self.gate.close()
 
     def abort(self, decision: RolloutDecision | None) -> None:
-        """Send nothing more to the candidate, ever, in this rollout."""
+        """Stop sending prompts to the candidate for the rest of this rollout."""
         self.aborted = True
         self.decision = self.decision or decision
         self.gate.close()
@@ -165,13 +167,13 @@
         return entry
 
     def restore_elapsed(self, entry: RolloutEntry, now: float) -> RolloutEntry:
-        """Return a new leader's entry with the time used as this node knows it, if that is more."""
+        """Return a new leader's entry with this node's elapsed time if that is later and its clock recent."""
         recent = now - self._visited_at.get(self._visits, -NEVER) <= CLOCK_RECENT_S
         elapsed_s = max(entry.elapsed_s, self.clock.read(now)) if recent else entry.elapsed_s
         return msgspec.structs.replace(entry, elapsed_s=elapsed_s, known_before_term=True)
 
     def _open_account(self) -> None:
-        """Begin a new account; the old one stays counted in the ring that this node has left."""
+        """Open a new account. The totals of the ring that this node has left still include the old one."""
         self._writer = self._rng.getrandbits(_WRITER_BITS)
         self._visits = 0
         self._visited_at.clear()
@@ -184,10 +186,10 @@
         if known is not None and known.visits > self._visits:
             self._open_account()
             known = None
-        shown = known.visits if known is not None else 0
-        proven_at = self._visited_at.get(shown, -NEVER)
-        self._lease_end = proven_at + LEASE_AFTER_VISIT_S
-        included = self._history.at(shown)
+        confirmed_visit = known.visits if known is not None else 0
+        confirmed_at = self._visited_at.get(confirmed_visit, -NEVER)
+        self._lease_end = confirmed_at + LEASE_AFTER_VISIT_S
+        included = self._history.at(confirmed_visit)
         digest = self._evidence.digest()
         if digest != included:
             missing = subtract(digest, included)
@@ -201,9 +203,9 @@
         return with_account(entry, self.gate.account(self._writer, zone, self._visits))
 
     def judge_merged(self, entry: RolloutEntry) -> RolloutEntry:
-        """Return ``entry``, turned to aborted if its merged evidence calls for it or this node knows of one.
+        """Return ``entry``, aborted if its evidence justifies an abort or this node knows of one.
 
-        The judge runs once for each change of the evidence, so at most once a round.
+        The judge runs once for each change of the evidence, so at most once per round.
         """
         if entry.aborted and not self.aborted:
             self.abort(entry.decision)
@@ -234,5 +236,5 @@
 
 
 def hash_salt(record: RolloutRecord) -> int:
-    """Return the salt of a rollout's slices: another rollout tries other prefixes first."""
+    """Return the hash salt of a rollout, by which each rollout selects different prefixes first."""
     return xxhash.xxh3_64_intdigest(record.rollout.encode())
--- a/src/springmux/rollout/plan.py
+++ b/src/springmux/rollout/plan.py
@@ -11,11 +11,11 @@
 
 
 class JudgeLimits(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What rise of the candidate over the stable version counts as significant.
+    """Limits beyond which the candidate counts as worse than the stable version.
 
-    ``error_rise``: absolute rise of the error rate that must be excluded or shown.
-    ``first_token_ratio`` and ``token_gap_ratio``: ratio of medians. ``false_alarm``: probability of
-    a wrong abort over a complete rollout, shared among all tests.
+    ``error_rise``: absolute rise of the error rate that an abort must show and a pass must exclude.
+    ``first_token_ratio`` and ``token_gap_ratio``: ratio of medians. ``false_alarm``: probability of a wrong
+    abort over a complete rollout, shared among all tests.
     """
 
     error_rise: float = 0.02
@@ -25,19 +25,20 @@
 
 
 class Pacing(msgspec.Struct, frozen=True, omit_defaults=True):
-    """How a plan's term is divided; the defaults are the schedule's own rules (docs/ROLLOUT.md, Short terms).
-
-    ``step_s``: seconds of each step, empty for the shares of ``by_s``. ``reserve_s``: kept between the last
-    step's end and the latest finish, 0 for the share of ``by_s``. ``done_delay_s``: *done* is reported
-    so long after it is in force, so a rollout finishes that much earlier. ``last_step_paid``: least share of
-    the last step that credits must pay for. ``allowance_part``: of the allowance, that is granted; the rest
-    covers what a leader change hides. ``capacity_share``: of the stable engines' capacity, that the
-    candidate's must have for the full weight. ``quick_handover``: in the canary a new leader grants after its
-    first rounds, not after the former leases' end. ``needs_evidence``: nothing is finished, even at the term,
-    before evidence of the last weight returned to the present leader, and a last look is taken at it.
-    ``share_part``: of the exposure share, that may be spent before *done*; the rest is for what a version
-    gets between *done* and the term, if it turns out bad. ``even``: zones aren't tried one after another, and
-    each route gets about as many candidate prompts as another, so that a thin one is judged.
+    """How a plan's time is divided; the defaults are the schedule's own rules (docs/ROLLOUT.md, Short terms).
+
+    ``step_s``: seconds of each step; if empty, shares of ``by_s`` are used. ``reserve_s``: seconds between
+    the last step's end and the latest finish; if 0, a share of ``by_s``. ``done_delay_s``: seconds between
+    applying and reporting *done*; a rollout finishes that much earlier. ``last_step_paid``: smallest share of
+    the last step's prompts that credits must cover. ``allowance_part``: part of the allowance that is
+    granted; the rest covers grants that a leader change hides. ``capacity_share``: share of the stable
+    engines' capacity that the candidate's engines need for the full weight. ``quick_handover``: in the canary
+    a new leader grants credits after its first rounds instead of after the end of the previous leases.
+    ``needs_evidence``: a rollout is not finished, even at the deadline, before evidence of the last weight
+    has returned to the present leader and passed a final analysis. ``share_part``: part of the exposure share
+    that may be spent before *done*; the rest covers the prompts of a version that turns out bad between
+    *done* and the deadline. ``even``: all zones get the same weight instead of one after another, and all
+    routes get about the same number of candidate prompts, so that low-traffic routes are judged too.
     """
 
     step_s: tuple[float, ...] = ()
@@ -53,12 +54,13 @@
 
 
 class RolloutPlan(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A template stamped with a tenant's values; then only orders are needed.
+    """Parameters of one rollout: a template filled with a tenant's values.
 
-    ``by_s``: term, in seconds of unpaused time from promotion, by which a good rollout is done.
+    ``by_s``: deadline, in seconds of unpaused time from promotion, by which a good rollout is done.
     ``expose_share``: largest share of the service's prompts that a bad version may get.
-    ``expose_allowance``: prompts on top of that share. ``rollback_ms``: time from the fiftieth bad
-    answer to the last prompt sent. ``first_zones``: tried first; empty means the quietest, measured.
+    ``expose_allowance``: prompts on top of that share. ``rollback_ms``: milliseconds from the fiftieth bad
+    answer to the last prompt sent. ``canary_weight`` and ``steps``: the candidate's weights, 0..1.
+    ``first_zones``: zones that get weight first; if empty, zones follow by ascending measured traffic.
     """
 
     service: ServiceName
@@ -76,7 +78,7 @@
 
 
 class RolloutPhase(enum.StrEnum):
-    """Where a rollout stands. ABORTED and DONE are terminal."""
+    """Phase of a rollout. ABORTED and DONE are terminal."""
 
     CANARY = "canary"
     SHIFTING = "shifting"
@@ -89,7 +91,7 @@
 
 
 class RolloutDecision(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Why a rollout took its last turn: which test, which stratum, the figures, who decided."""
+    """Why a rollout was aborted or changed: the deciding node, reason, test, stratum and figures."""
 
     decided_by: str
     reason: str
@@ -101,9 +103,9 @@
 class RolloutRecord(msgspec.Struct, frozen=True, omit_defaults=True):
     """Committed state of one service's newest rollout.
 
-    ``stable`` is the version that ordinary prompts get (after DONE it is the candidate).
-    ``weight`` is the committed traffic weight of the candidate; ``elapsed_s`` the unpaused time
-    used when the record was last committed. ``resume_phase`` is where RESUME returns to.
+    ``stable`` is the version that serves prompts outside the rollout (after DONE it is the candidate).
+    ``weight`` is the committed traffic weight of the candidate, ``elapsed_s`` the unpaused time when the
+    record was last committed. ``resume_phase`` is the phase that RESUME restores.
     """
 
     rollout: RolloutId
--- a/src/springmux/rollout/planning/__init__.py
+++ b/src/springmux/rollout/planning/__init__.py
@@ -1,1 +1,1 @@
-"""What a rollout is to do: templates, plans, their checks, schedule and preview."""
+"""Planning of a rollout: templates, plans and their checks, the schedule and the preview."""
--- a/src/springmux/rollout/planning/load_step.py
+++ b/src/springmux/rollout/planning/load_step.py
@@ -1,8 +1,8 @@
-"""The load step of a short term: the last step before the full weight tries the candidate under load.
+"""The load step of a short rollout: the last step before the full weight tests the candidate under load.
 
-A version may be bad only above a load that its engines meet after *done*, when the old engines are gone and
-nothing can be taken back. So that it shows before, the step's prompts go to so few candidate engines that
-each of them carries :data:`LOAD_FACTOR` times a stable engine's load, as far as its slots allow.
+A version may fail only above a load that its engines first reach after *done*, when the old engines are gone
+and the rollout can't be reversed. To detect that earlier, the step's prompts go to so few candidate engines
+that each carries :data:`LOAD_FACTOR` times a stable engine's load, as far as its slots allow.
 """
 
 from __future__ import annotations
@@ -12,21 +12,21 @@
 from springmux.rollout.plan import RolloutPlan
 
 LOAD_FACTOR = 2.5
-"""Times a stable engine's load. After *done* there may be two candidate engines for three stable ones, and a
-burst on top; a fault that begins at half as much again must show by more than one or two prompts."""
+"""Multiple of a stable engine's load. After *done* two candidate engines may replace three stable ones, and a
+burst may come on top; a fault that begins at 1.5 times the load must affect more than one or two prompts."""
 MAX_LOAD_WEIGHT = 0.9
-"""Some prompts stay on the stable version, to be compared with."""
+"""Largest weight of the load step, so that some stable answers are left for comparison."""
 MAX_SLOT_USE = 0.9
-"""Part of an engine's slots that the step fills at most, unless stable engines are fuller themselves."""
+"""Largest part of a candidate engine's slots that the step fills, unless stable engines are busier."""
 
 
 def is_load_step(plan: RolloutPlan, weight: float) -> bool:
-    """Return whether ``weight`` is the load step's or the full one; only short terms have a load step."""
+    """Return whether ``weight`` is that of the load step or larger; only short rollouts have a load step."""
     return plan.pacing.even and len(plan.steps) > 1 and weight >= plan.steps[-2]
 
 
 def load_weight(least: float, stable_count: int) -> float:
-    """Return the weight that gives one engine :data:`LOAD_FACTOR` times a stable one's load, or ``least``."""
+    """Return the weight, at least ``least``, that gives an engine :data:`LOAD_FACTOR` stable loads."""
     if stable_count == 0:
         return least
     return max(least, min(MAX_LOAD_WEIGHT, LOAD_FACTOR / stable_count))
@@ -37,8 +37,8 @@
 ) -> int:
     """Return on how many candidate engines ``weight`` is concentrated; 0 means all.
 
-    :param capacity: requests that a candidate engine runs at once.
-    :param in_flight: mean number of the service's requests that run at once on all engines; 0 if not known.
+    :param capacity: requests that a candidate engine can run concurrently.
+    :param in_flight: mean number of the service's requests in flight on all engines; 0 if unknown.
     """
     if stable_count == 0:
         return 0
--- a/src/springmux/rollout/planning/plan_checks.py
+++ b/src/springmux/rollout/planning/plan_checks.py
@@ -1,4 +1,4 @@
-"""Ranges that a rollout plan must keep, whatever template it came from."""
+"""Range checks of a rollout plan, which apply to every template."""
 
 from __future__ import annotations
 
@@ -7,22 +7,23 @@
 
 MINIMUM_BY_S, MAXIMUM_BY_S = 10.0, 7 * 86_400.0
 MAXIMUM_EXPOSE_SHARE = 0.10
-"""A bad version never gets more than about a tenth of its service's prompts (the product's promise)."""
+"""A bad version is guaranteed never to get more than about a tenth of its service's prompts."""
 MAXIMUM_ALLOWANCE = 100
 MINIMUM_ROLLBACK_MS, MAXIMUM_ROLLBACK_MS = 3000, 5000
-"""At most the promised 5 s after the fiftieth bad answer; below 3 s the 2 s lease leaves no time to tell."""
+"""At most the guaranteed 5 s after the fiftieth bad answer. Below 3 s, the 2 s lease leaves too little time
+to spread an abort."""
 MAXIMUM_STEPS = 12
 MAXIMUM_ERROR_RISE = 0.5
 MAXIMUM_RATIO = 10.0
 MAXIMUM_FALSE_ALARM = 0.01
-"""Fewer than one good rollout in a hundred may be aborted."""
+"""At most one good rollout in a hundred may be aborted."""
 
 _Check = tuple[str, bool, str]
-"""A field's path, whether it is right, and what is allowed."""
+"""A field's path, whether its value is valid, and the allowed values."""
 
 
 def validate_plan(plan: RolloutPlan) -> tuple[FieldError, ...]:
-    """Return every field of ``plan`` that is out of range or doesn't fit the others."""
+    """Return an error for every field of ``plan`` that is out of range or inconsistent with the others."""
     checks = (
         ("service", bool(plan.service), "must not be empty"),
         ("candidate", bool(plan.candidate), "must not be empty"),
--- a/src/springmux/rollout/planning/preview.py
+++ b/src/springmux/rollout/planning/preview.py
@@ -1,4 +1,4 @@
-"""What a plan would do, before it is promoted: schedule, exposure bound and warnings, or the refusal."""
+"""Preview of a plan before its promotion: schedule, exposure bound and warnings, or the refusal."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from springmux.rollout.planning.schedule import Schedule, ScheduleImpossibleError, can_carry, plan_schedule
 
 FEW_CANARY_PROMPTS = 50
-"""Below this many canary answers a fault of a tenth of the answers is often missed (judge's trials)."""
+"""With fewer canary answers the judge often misses a fault in a tenth of the answers."""
 ROLLBACK_START_BAD_ANSWERS = 50
-"""The rollback's clock starts at the fiftieth bad answer (the product's promise)."""
+"""Number of bad answers at which the guaranteed rollback time starts."""
 
 
 class EngineCapacity(msgspec.Struct, frozen=True):
-    """Requests that the ready engines of each version run at once, and how many engines there are."""
+    """Concurrent requests of each version's ready engines, and the number of candidate engines."""
 
     candidate: int
     stable: int
@@ -25,12 +25,12 @@
 
 
 class Preview(msgspec.Struct, frozen=True):
-    """The outlook of a plan at ``prompts_per_s`` of its service.
+    """Expected course of a plan at a rate of ``prompts_per_s``.
 
-    ``exposure_bound``: most prompts that the candidate can get if it is bad, by the end of the term.
-    ``expected_prompts``: the service's prompts in the term; ``canary_prompts``: the candidate's in the
-    canary; ``worst_bad_prompts``: most bad answers if every answer is bad from the start, by the
-    judge's plain guard and ``rollback_ms``. ``refusal`` empty: the plan can be promoted.
+    ``exposure_bound``: largest number of prompts that a bad candidate can get by the deadline.
+    ``expected_prompts``: the service's prompts by the deadline. ``canary_prompts``: the candidate's prompts
+    in the canary. ``worst_bad_prompts``: largest number of bad answers if every answer is bad from the start,
+    by the judge's guard and ``rollback_ms``. ``refusal``: why the plan can't be promoted; empty if it can.
     """
 
     plan: RolloutPlan
@@ -45,7 +45,7 @@
 
 
 def preview(plan: RolloutPlan, prompts_per_s: float, capacity: EngineCapacity | None = None) -> Preview:
-    """Return the outlook of ``plan``; a plan that can't keep its promises is refused with the arithmetic."""
+    """Return the preview of ``plan``; if it can't keep its bounds, the refusal contains the arithmetic."""
     expected = math.floor(prompts_per_s * plan.by_s)
     bound = math.floor(plan.expose_share * expected) + plan.expose_allowance
     refusal = ""
@@ -80,7 +80,7 @@
 
 
 def _bad_until_rollback(plan: RolloutPlan, prompts_per_s: float) -> int:
-    """Prompts until the guard must act, and those sent at the canary's weight until the last node stops."""
+    """Return the prompts until the guard must abort, plus those sent until the last node stops sending."""
     during_rollback = plan.canary_weight * prompts_per_s * plan.rollback_ms / 1000
     return max(GUARD_BAD_ANSWERS_ONE_ENGINE, ROLLBACK_START_BAD_ANSWERS) + math.ceil(during_rollback)
 
@@ -105,5 +105,5 @@
             if step.funded < 1
         ]
     if capacity is not None and capacity.candidate_engines == 1:
-        warnings.append("one candidate engine: its loss can't be told from a fault of the version")
+        warnings.append("one candidate engine: its loss can't be distinguished from a fault of the version")
     return tuple(warnings)
--- a/src/springmux/rollout/planning/schedule.py
+++ b/src/springmux/rollout/planning/schedule.py
@@ -1,8 +1,8 @@
-"""When the weight rises: planned backwards from the term, paid for by the exposure ledger.
+"""Schedule of the weight's steps, planned backwards from the deadline and paid for by the exposure ledger.
 
 The paper runs a canary "for some minutes" and then shifts step by step (section V.C); here ``by_s`` bounds
-both. A low canary for most of the time saves credit, and the steps that follow are short. One pure function
-serves the preview and the leader.
+both. A canary with a low weight takes most of the time and saves credit; the steps that follow are short.
+The preview and the leader use the same pure functions.
 """
 
 from __future__ import annotations
@@ -20,35 +20,39 @@
 """Share of ``by_s`` for each step, from the first (10%) to the last (100%): 12, 2, 1 and 1 s of 60 s."""
 RESERVE_SHARE = 3 / 60
 MINIMUM_RESERVE_S = 3.0
-"""Time between the last step's end and the term: a leader change takes about 1.5 s, the new leader's first
-round 0.4 s, and a lost round before it 0.8 s. What it costs in exposure is in docs/ROLLOUT.md."""
+"""Time between the last step's end and the deadline. A leader change takes about 1.5 s, the new leader's
+first round 0.4 s, and a lost round before it 0.8 s. The cost in exposure is in docs/ROLLOUT.md."""
 MINIMUM_STEP_S = 0.8
-"""Two rounds of the token: one carries the weight out, one brings evidence back."""
+"""Two rounds of the token: one distributes the weight, one returns evidence."""
 MINIMUM_CANARY_S = 5.0
-"""A canary shorter than this gathers little evidence: ten rounds."""
+"""A shorter canary collects little evidence; this is ten rounds."""
 SHORT_DEADLINE_CANARY_SHARE = 0.5
 SHORT_DEADLINE_S = 10.0
-"""Of a term below this, which is too short for :data:`MINIMUM_CANARY_S`, this share is enough."""
+"""A deadline below this is too short for :data:`MINIMUM_CANARY_S`; then a canary of
+:data:`SHORT_DEADLINE_CANARY_SHARE` of it is enough."""
 OVERDUE_STEP_S = 0.4
-"""The same when the schedule is overdue, after a leader change: one round."""
+"""Shortest step when the schedule is overdue, after a leader change: one round."""
 FIRST_ANSWERS_S = 0.6
-"""Time for first answers under a new weight: a round to spread it, and a short answer."""
+"""Time until the first answers under a new weight: a round to distribute it, and a short answer."""
 SUSPICIOUS_BAD_ANSWERS = 3
-"""Bad answers since the last step for which the finish waits, within the reserve, for those still to come."""
+"""With this many bad answers since the last step, the finish waits within the reserve for further answers."""
 FINISH_MARGIN_S = 0.5
-"""Latest finish before the term, however suspicious: committing takes a few round trips and an fsync."""
+"""Time before the deadline at which the finish waits for bad answers no longer; the commit takes a few round
+trips and an fsync."""
 CHECKPOINT_SHARE = 1 / 20
 MINIMUM_CHECKPOINT_S = 3.0
+"""Interval of checkpoints within a long step, as a share of ``by_s`` and at least in seconds. A checkpoint
+commits the elapsed time, so that it survives a restart of all nodes."""
 FIRST_CHECKPOINT_S = 0.5
-"""The first one follows promotion at once: it shows a later leader that the allowance was given."""
-"""Elapsed time is committed this often in a long step, for a restart of the whole fleet."""
+"""Time of the first checkpoint, which shows a later leader that the allowance was granted already."""
 
 
 class ScheduledStep(msgspec.Struct, frozen=True):
-    """One step. Times in seconds of unpaused time from promotion.
+    """One step. Times are in seconds of unpaused time from promotion.
 
-    ``demand``: prompts that the weight asks for in this step; ``expected_spent``: credits spent by its end,
-    as far as ``budget`` (accrued by its end, allowance included) pays; ``funded``: share of the demand.
+    ``demand``: prompts in this step at its weight. ``budget``: credits that accrue by the step's end,
+    including the allowance. ``expected_spent``: credits spent by its end, at most ``budget``. ``funded``:
+    share of the demand that the credits cover.
     """
 
     start_s: float
@@ -61,7 +65,7 @@
 
 
 class Schedule(msgspec.Struct, frozen=True):
-    """A complete rollout. ``done_s``: when FINISH is due; ``reserve_s``: what is left to the term then."""
+    """All steps of a rollout. ``done_s``: time of the finish; ``reserve_s``: time from then to ``by_s``."""
 
     steps: tuple[ScheduledStep, ...]
     done_s: float
@@ -70,15 +74,15 @@
 
 
 class ScheduleImpossibleError(SpringmuxError):
-    """The plan can't keep its promises; the message holds the arithmetic."""
+    """The plan can't keep its deadline and exposure bound; the message contains the arithmetic."""
 
 
 def plan_schedule(plan: RolloutPlan, prompts_per_s: float) -> Schedule:
-    """Return the schedule of ``plan`` at a given rate of the service's prompts.
+    """Return the schedule of ``plan`` at a given prompt rate of the service.
 
-    The first step is shortened, and the canary lengthened, as far as the last step needs the credit.
+    The first step is shortened and the canary lengthened as far as needed to save credit for the last step.
 
-    :raises ScheduleImpossibleError: if the time is too short, or the share too small for the steps.
+    :raises ScheduleImpossibleError: if the time is too short or the exposure share too small for the steps.
     """
     durations = step_durations(plan)
     _check_canary(plan, durations)
@@ -98,7 +102,7 @@
 
 
 def step_durations(plan: RolloutPlan) -> tuple[float, ...]:
-    """Return the seconds of each of the plan's steps; the last four as in :data:`STEP_SHARES`."""
+    """Return the seconds of each of the plan's steps, by default according to :data:`STEP_SHARES`."""
     if len(plan.pacing.step_s) == len(plan.steps):
         return plan.pacing.step_s
     count = len(plan.steps)
@@ -107,7 +111,7 @@
 
 
 def reserve_of(plan: RolloutPlan) -> float:
-    """Return the seconds kept between the last step's end and the term, telling the operators included."""
+    """Return the seconds between the last step's end and the deadline, including the delay of reporting."""
     pacing = plan.pacing
     reserve_s = pacing.reserve_s or max(MINIMUM_RESERVE_S, RESERVE_SHARE * plan.by_s)
     return reserve_s + pacing.done_delay_s
@@ -151,7 +155,7 @@
 
 
 class StepKind(enum.StrEnum):
-    """What the leader does next."""
+    """The leader's possible next actions."""
 
     WAIT = "wait"
     STEP = "step"
@@ -160,13 +164,13 @@
 
 
 class Progress(msgspec.Struct, frozen=True):
-    """Where a rollout stands, as the leader measures it.
+    """Progress of a rollout, as the leader measures it.
 
     ``in_step_s``: time since the present weight was committed. ``prompts`` and ``committed`` are the ledger's
-    sums. ``candidate_capacity`` and ``stable_capacity``: requests that the ready engines run at once.
-    ``recent_bad``: bad answers of the candidate since the present weight. ``evidence_fresh``: a round
-    returned that was launched :data:`ANSWER_S` after the present weight was committed, and after this leader
-    could grant credits.
+    sums. ``candidate_capacity`` and ``stable_capacity``: requests that the ready engines can run
+    concurrently. ``recent_bad``: the candidate's bad answers under the present weight. ``evidence_fresh``:
+    whether a round has returned that was launched at least :data:`FIRST_ANSWERS_S` after the present weight
+    was committed and after this leader could grant credits.
     """
 
     weight: float
@@ -183,7 +187,7 @@
 
 
 class NextStep(msgspec.Struct, frozen=True):
-    """The leader's next move; ``reason`` says why it waits."""
+    """The leader's next action; ``reason`` says why it waits."""
 
     kind: StepKind
     weight: float = 0.0
@@ -192,15 +196,15 @@
 
 
 CAPACITY_NEEDED = 0.5
-"""Share of the stable engines' capacity at which the candidate must carry the full weight, unless the plan
-says another."""
+"""Share of the stable engines' capacity that the candidate's engines need to carry the full weight, unless
+the plan sets another share."""
 
 
 def next_step(plan: RolloutPlan, progress: Progress) -> NextStep:
-    """Return what the leader does now. Steps are never skipped: a late leader takes them two rounds apart.
+    """Return the leader's next action. Steps are never skipped; an overdue leader shortens them instead.
 
-    A rollout finishes by its term with or without enough evidence; only evidence against it (an abort)
-    stops it, or engines that can't carry the weight.
+    Unless the plan's pacing needs evidence, a rollout finishes by its deadline with or without enough
+    evidence. Only evidence against the candidate (an abort) or engines that can't carry the weight stop it.
     """
     upcoming = _upcoming_weight(plan, progress.weight)
     if upcoming is None:
@@ -226,7 +230,7 @@
 ) -> bool:
     """Return whether the candidate's ready engines can carry ``weight`` of the service's load.
 
-    :param share: of the stable engines' capacity that is needed for the full weight.
+    :param share: share of the stable engines' capacity that is needed for the full weight.
     """
     return candidate_capacity > 0 and candidate_capacity >= share * weight * stable_capacity
 
@@ -246,7 +250,7 @@
 
 
 def _start_of(plan: RolloutPlan, weight: float) -> float:
-    """Return when the step to ``weight`` is due, counted back from the term."""
+    """Return when the step to ``weight`` is due, in seconds from promotion; planned from the deadline."""
     if weight <= plan.canary_weight:
         return 0.0
     remaining = zip(plan.steps, step_durations(plan), strict=True)
@@ -254,11 +258,11 @@
 
 
 def _should_save(plan: RolloutPlan, progress: Progress, upcoming: float) -> bool:
-    """Return whether the first step waits because the ledger could not pay for the last one then."""
+    """Return whether the first step has to wait so that the credit suffices for the last step."""
     if upcoming != plan.steps[0] or len(plan.steps) == 1:
         return False
     if plan.pacing.even:
-        # The load step is what a short term saves for; the last step needs no credit of its own.
+        # A short rollout saves credit for the load step; its last step needs no separate credit.
         return False
     tail = step_durations(plan)[1:]
     done_s = plan.by_s - reserve_of(plan)
--- a/src/springmux/rollout/planning/standard_plan.py
+++ b/src/springmux/rollout/planning/standard_plan.py
@@ -1,7 +1,8 @@
-"""The plan of an order that names only service, candidate and term: short terms keep canary and comparison.
+"""The plan of an order that specifies only service, candidate and deadline.
 
-Terms of :data:`LONG_TERM_S` and more have the ordinary steps. Below, the shares of ``by_s`` would leave steps
-shorter than a round of the token; three steps remain (docs/ROLLOUT.md, "Short terms").
+Deadlines of :data:`LONG_DEADLINE_S` and more have the ordinary steps. With a shorter deadline the shares of
+``by_s`` would give steps that are shorter than a round of the token, so a short rollout has a canary and
+three steps: comparison, load and full weight (docs/ROLLOUT.md, "Short terms").
 """
 
 from __future__ import annotations
@@ -15,34 +16,39 @@
 from springmux.vocabulary.names import ServiceName, VersionName
 
 LONG_DEADLINE_S = 30.0
-"""From here on the ordinary steps last for two rounds and more."""
+"""From this deadline on, each ordinary step takes two rounds or more."""
 SHORT_CANARY_WEIGHT, SHORT_COMPARISON_WEIGHT = 0.045, 0.10
-"""Weights where the service's rate isn't known; the canary's is below the 8% that accrue as credit."""
+"""Weights if the service's rate is unknown; that of the canary is below the 8% that accrue as credit."""
 LOAD_STEP_WEIGHT = 0.25
-"""Least weight of the load step; with few stable engines it is larger (:mod:`.load_step`)."""
+"""Smallest weight of the load step; with few stable engines it is larger (:mod:`.load_step`)."""
 CANARY_PART_OF_SHARE = 0.6
-"""Bounds the canary's weight for small exposure shares: 0.06 of the usual 0.10."""
+"""Largest canary weight as a part of the exposure share, which limits it if the share is small: 0.06 of the
+usual 0.10."""
 CANARY_PART_OF_CREDIT, COMPARISON_PART_OF_CREDIT = 0.3, 0.25
-"""Parts of the credit before *done*. The rest is for the load step: a fault that shows only under load takes
-some thirty prompts in a second or two on one engine."""
+"""Parts of the credit before *done* that the canary and the comparison use. The rest is for the load step:
+detecting a fault that occurs only under load takes about thirty prompts on one engine in a second or two."""
 MAX_COMPARISON_WEIGHT = 0.2
-"""Below the load step."""
+"""Largest weight of the comparison step, which must be below that of the load step."""
 MIN_WEIGHT_RISE = 1.25
-"""Of the weight from the canary to the comparison."""
+"""Smallest factor by which the weight rises from the canary to the comparison."""
 AFTER_DONE_S = 1.3
-"""From the commit of *done* to the term, in which a version that turned out bad would get all prompts. They
-count as its exposure too, so a short term keeps credit for them."""
+"""Time from the commit of *done* to the deadline, in which a version that turns out bad gets all prompts.
+They count towards its exposure too, so a short rollout reserves credit for them."""
 MIN_SHARE_PART = 0.25
+"""Smallest part of the exposure share that may be spent before *done*."""
 ALLOWANCE_BEFORE_DONE = 0.95
-"""The rest is for what a quick handover hides of the canary, two rounds of it, and for a late end."""
+"""Part of the allowance that is granted before *done*. The rest covers the two rounds of the canary that a
+quick handover hides, and a late end."""
 COMPARISON_TIME_SHARE, LOAD_TIME_SHARE, MINIMUM_STEP_S = 0.15, 0.12, 0.8
-"""Parts of the term for the step in which latencies are compared once more, and for the load step."""
+"""Parts of ``by_s`` for the comparison step, in which latencies are compared once more, and for the load
+step; and the shortest step in seconds."""
 LAST_STEP_S = 0.8
 """Two rounds of the token."""
 RESERVE_SHARE, MINIMUM_RESERVE_S = 0.05, 0.9
-"""From the last step's end to the latest finish: a round or two that are waited for, and the commit."""
+"""Time from the last step's end to the latest finish, as a share of ``by_s`` and at least in seconds. It
+allows for waiting one or two rounds, and for the commit."""
 MIN_CAPACITY_SHARE = 0.25
-"""Candidate engines start after the order and may be few at first; a quarter of the capacity is enough."""
+"""Share of the stable capacity that is enough; candidate engines start after the order, few at first."""
 
 
 def plan_for(
@@ -54,12 +60,14 @@
     rollback_ms: int,
     prompts_per_s: float = 0.0,
 ) -> RolloutPlan:
-    """Return the plan for a term of ``by_s`` seconds; any positive term gives one.
+    """Return the plan for a deadline of ``by_s`` seconds; any positive deadline gives a plan.
 
-    :param prompts_per_s: the service's prompts a second, as the ordering node guesses; 0 if it can't tell.
-        A thin service's canary is larger and a busy one's smaller, so that the load step finds credit.
+    :param prompts_per_s: the service's prompt rate as the ordering node estimates it; 0 if it is unknown.
+        The canary of a low-traffic service is larger and that of a high-traffic one smaller, so that enough
+        credit is left for the load step.
 
-    A term under 10 s is too short for a leader change; it is done late rather than without evidence.
+    A deadline under 10 s is too short for a leader change; then the rollout finishes late rather than without
+    evidence.
     """
     long = by_s >= LONG_DEADLINE_S
     plan = RolloutPlan(
@@ -81,7 +89,7 @@
 
 
 def _short_weights(plan: RolloutPlan, prompts_per_s: float) -> tuple[float, float]:
-    """Return the weights of a short term's canary and comparison; ``plan`` has its pacing already."""
+    """Return the weights of a short rollout's canary and comparison; ``plan`` must have its final pacing."""
     if prompts_per_s <= 0.0:
         return min(SHORT_CANARY_WEIGHT, CANARY_PART_OF_SHARE * plan.expose_share), SHORT_COMPARISON_WEIGHT
     done_s = plan.by_s - reserve_of(plan)
--- a/src/springmux/rollout/planning/standard_template.py
+++ b/src/springmux/rollout/planning/standard_template.py
@@ -87,4 +87,4 @@
         },
     },
 )
-"""Built in; operators may put others beside it."""
+"""Built-in template; operators may add others."""
--- a/src/springmux/rollout/planning/template.py
+++ b/src/springmux/rollout/planning/template.py
@@ -1,7 +1,7 @@
-"""Rollout templates: typed parameters with bounds, stamped into plans with a tenant's few values.
+"""Rollout templates: typed parameters with bounds, from which a plan is made with a tenant's values.
 
 A template is a JSON document; each field of its ``plan`` is a literal or ``{"parameter": "name"}``.
-Wrong input is answered with every error at once, each with its path.
+Invalid input is rejected with a list of all errors, each with its path.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
 from springmux.vocabulary.errors import FieldError, SpringmuxError
 
 MAX_DOCUMENT_BYTES = 64 * 1024
-"""A template or promote body is a page of text; larger ones are refused unread."""
+"""Largest template or promote body, which is usually a page of text; larger documents aren't parsed."""
 MAXIMUM_NUMBER = 1e15
-"""No parameter of a plan needs more; below it whole numbers are exact as floats."""
+"""Bound of numeric parameters. No plan needs more, and whole numbers below it are exact as floats."""
 STANDARD_TEMPLATE_NAME = "standard"
 
 _DURATION = re.compile(r"(\d+(?:\.\d+)?)\s*(ms|s|m|h)")
@@ -30,7 +30,7 @@
 
 
 class TemplateError(SpringmuxError):
-    """A template, its parameters or the plan they make are wrong; ``errors`` names every field."""
+    """A template, its parameters or the resulting plan are invalid; ``errors`` names every field."""
 
     def __init__(self, errors: tuple[FieldError, ...]) -> None:
         super().__init__("; ".join(f"{error.path}: {error.message}" for error in errors))
@@ -54,7 +54,7 @@
 
 
 class Parameter(_Model):
-    """One typed parameter. Without a default it must be given. Bounds are inclusive."""
+    """One typed parameter. It is required if it has no default. Bounds are inclusive."""
 
     name: str = pydantic.Field(pattern=r"^[a-z][a-z0-9_]{0,63}$")
     type: ParameterType
@@ -86,7 +86,7 @@
 def parse_template(data: bytes) -> RolloutTemplate:
     """Return the template in a JSON document.
 
-    :raises TemplateError: with every error in it, wrong defaults and unknown names included.
+    :raises TemplateError: if the document is invalid; it lists all errors, including invalid defaults.
     """
     template = _parse(data, RolloutTemplate)
     errors = _template_errors(template)
@@ -98,15 +98,15 @@
 def parse_promote_body(data: bytes) -> PromoteBody:
     """Return the body of a promote or preview order; an empty ``template`` means the standard one.
 
-    :raises TemplateError: if it is not of that shape.
+    :raises TemplateError: if the document is not a valid body.
     """
     return _parse(data, PromoteBody)
 
 
 def stamp(template: RolloutTemplate, parameters: Mapping[str, object]) -> RolloutPlan:
-    """Return the plan that ``template`` makes with ``parameters``.
+    """Return the plan that ``template`` defines for ``parameters``.
 
-    :raises TemplateError: naming every unknown, missing or wrong parameter, or every wrong plan field.
+    :raises TemplateError: naming every unknown, missing or invalid parameter, or every invalid plan field.
     """
     values: dict[str, object] = {}
     known = {parameter.name for parameter in template.parameters}
@@ -118,7 +118,7 @@
         path = f"parameters.{parameter.name}"
         given = parameters.get(parameter.name, parameter.default)
         if given is None:
-            errors.append(FieldError(path, f"missing; give a {parameter.type}"))
+            errors.append(FieldError(path, f"missing; a {parameter.type} is required"))
             continue
         try:
             values[parameter.name] = _value(parameter, given)
@@ -135,7 +135,7 @@
 
 def _parse(data: bytes, model: type[_M]) -> _M:
     if len(data) > MAX_DOCUMENT_BYTES:
-        raise TemplateError((FieldError("", f"{len(data)} bytes, at most {MAX_DOCUMENT_BYTES} are read"),))
+        raise TemplateError((FieldError("", f"{len(data)} bytes, at most {MAX_DOCUMENT_BYTES} are allowed"),))
     try:
         return model.model_validate_json(data, strict=False)
     except pydantic.ValidationError as error:
@@ -152,7 +152,7 @@
     for index, parameter in enumerate(template.parameters):
         path = f"parameters.{index}"
         if parameter.name in names:
-            errors.append(FieldError(f"{path}.name", f"{parameter.name!r} is given twice"))
+            errors.append(FieldError(f"{path}.name", f"{parameter.name!r} is defined twice"))
         names.add(parameter.name)
         low, high = parameter.minimum, parameter.maximum
         if low is not None and high is not None and low > high:
@@ -224,7 +224,7 @@
     """
     if parameter.type is ParameterType.STRING:
         if not isinstance(given, str) or not given:
-            raise ValueError(f"must be a text, not {json.dumps(given, default=str)}")
+            raise ValueError(f"must be a string, not {json.dumps(given, default=str)}")
         return given
     if parameter.type is ParameterType.ZONES:
         if not isinstance(given, list | tuple) or not all(isinstance(z, str) and z for z in given):
@@ -243,9 +243,9 @@
 def _number(given: object) -> float:
     if isinstance(given, bool) or not isinstance(given, int | float):
         raise ValueError(f"must be a number, not {json.dumps(given, default=str)}")
-    # Compared first: a whole number too large for a float can't be converted at all.
+    # Check the bounds first: an integer too large for a float can't be converted.
     if not -MAXIMUM_NUMBER <= given <= MAXIMUM_NUMBER:
-        raise ValueError(f"must be a number within {MAXIMUM_NUMBER:g}")
+        raise ValueError(f"must be a number of magnitude at most {MAXIMUM_NUMBER:g}")
     return float(given)
 
 
@@ -254,5 +254,5 @@
         return _number(given)
     match = _DURATION.fullmatch(given.strip())
     if match is None:
-        raise ValueError(f"must be seconds or a text like 90s, 5m, 1h, not {json.dumps(given)}")
+        raise ValueError(f"must be seconds or a string such as 90s, 5m or 1h, not {json.dumps(given)}")
     return float(match[1]) * _DURATION_UNITS_S[match[2]]
--- a/src/springmux/rollout/rate_meter.py
+++ b/src/springmux/rollout/rate_meter.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 RATE_WINDOW_S = 3.0
-"""Time constant of measured prompt rates: some rounds, short against a step of the shift's beginning."""
+"""Time constant of measured prompt rates: a few rounds, and short compared with the shift's first step."""
 
 
 class RateMeter:
-    """Exponentially smoothed rate of a growing counter, per second."""
+    """Exponentially smoothed rate of a monotonic counter, per second."""
 
     def __init__(self, count: int, now: float) -> None:
         self._count = count
@@ -16,7 +16,7 @@
         self._weight = 0.0
 
     def update(self, count: int, now: float) -> None:
-        """Update with the counter's present value."""
+        """Update the rate with the counter's present value; ignore a value that has fallen."""
         passed_s = now - self._at
         if passed_s <= 0 or count < self._count:
             return
--- a/src/springmux/rollout/registry.py
+++ b/src/springmux/rollout/registry.py
@@ -1,4 +1,4 @@
-"""Rollouts of this node by the committed records, and the version filter that they determine."""
+"""Participants for the committed rollout records, and the version filter that the records determine."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class RolloutRegistry:
-    """Owner of the participants and of the filter's gates."""
+    """Owns this node's participants and the filter's gates."""
 
     def __init__(self, own: NodeId, zone: ZoneName, rng: random.Random, settings: RolloutSettings) -> None:
         self.settings = settings
@@ -32,22 +32,22 @@
         self._participants: dict[ServiceName, Participant] = {}
 
     def newest(self, service: ServiceName) -> Participant | None:
-        """Return the newest rollout of ``service``, over or not."""
+        """Return the participant of the newest rollout of ``service``, under way or terminal."""
         return self._participants.get(service)
 
     def under_way(self) -> list[Participant]:
-        """Return the rollouts whose record is not terminal."""
+        """Return the participants whose record is not terminal."""
         return [participant for participant in self._participants.values() if not participant.terminal]
 
     def find(self, service: ServiceName, rollout: RolloutId) -> Participant | None:
-        """Return the participant of a rollout under way, ``None`` if this node knows of no such."""
+        """Return the participant of a rollout under way, ``None`` if this node knows no such rollout."""
         participant = self._participants.get(service)
         if participant is None or participant.record.rollout != rollout or participant.terminal:
             return None
         return participant
 
     def apply(self, event: ControlViewChanged, now: float) -> tuple[list[RolloutRecord], list[Effect]]:
-        """Apply a control state, unless it is older; return the changed records, and log lines."""
+        """Apply a control state unless it is outdated; return the changed records and log lines."""
         if event.revision < self._revision:
             return [], []
         self._revision = event.revision
@@ -59,7 +59,7 @@
         return changed, [_record_log_line(record) for record in changed]
 
     def set_engines(self, view: EnginesView) -> None:
-        """Set the directory of engines."""
+        """Replace the directory of engines."""
         self.engines = view
         for participant in self.under_way():
             self.refresh_default_choice(participant)
@@ -77,9 +77,9 @@
         return loaded_engines(weight, stable, candidates, capacity, in_flight)
 
     def refresh_default_choice(self, participant: Participant) -> None:
-        """Let the candidate serve where it had the full weight and stable's engines are gone.
+        """Allow the candidate for all prompts if it had the full weight and no stable engine is left.
 
-        A rollout may be done, and the old engines stopped, before this node hears of it.
+        A rollout may be finished, and the old engines stopped, before this node receives the new record.
         """
         record = participant.record
         full_weight = participant.highest_weight >= 1.0 and not participant.aborted
@@ -114,12 +114,12 @@
 
 
 def released_version(record: RolloutRecord) -> VersionName:
-    """Return the version that ordinary prompts get."""
+    """Return the version that serves all prompts after a terminal rollout."""
     return record.candidate if record.phase is RolloutPhase.DONE else record.stable
 
 
 def by_rollout(participants: Iterable[Participant]) -> dict[RolloutId, Participant]:
-    """Return participants by their rollout."""
+    """Return the participants by rollout id."""
     return {participant.record.rollout: participant for participant in participants}
 
 
--- a/src/springmux/rollout/reported_state.py
+++ b/src/springmux/rollout/reported_state.py
@@ -7,9 +7,10 @@
 from springmux.rollout.plan import RolloutPhase, RolloutRecord
 
 DONE_SETTLE_S = 0.4
-"""The old engines stop at once when *done* is reported, without draining. By then every node must send to the
-new version: a committed change reaches connected nodes within some tenths of a second (push, and a fetch
-by nodes that are behind), and prompts already under way to an old engine have this long to end."""
+"""Time between applying the *done* record and reporting *done*. The old engines stop without draining as soon
+as *done* is reported, so every node must send to the new version by then. A committed change reaches
+connected nodes within some tenths of a second (by push, or by a fetch of nodes that are behind), and prompts
+already under way to an old engine have this time to end."""
 
 
 class RolloutState(enum.StrEnum):
@@ -23,7 +24,7 @@
 def may_report_done(record: RolloutRecord, since: float, now: float) -> bool:
     """Return whether *done* may be reported.
 
-    :param since: when this node put ``record`` in force, on the clock of ``now`` (seconds, monotonic).
+    :param since: when this node applied ``record``, on the clock of ``now`` (seconds, monotonic).
     """
     return record.phase is RolloutPhase.DONE and now - since >= DONE_SETTLE_S
 
@@ -31,7 +32,7 @@
 def state_of(record: RolloutRecord, confirmed: bool) -> RolloutState:
     """Return the state to report.
 
-    An abort is reported at once, since the new engines drain after it. A paused rollout is running.
+    An abort is reported without delay, since the new engines drain after it. A paused rollout is running.
 
     :param confirmed: whether *done* may be reported, see :func:`may_report_done`.
     """
--- a/src/springmux/rollout/reporting.py
+++ b/src/springmux/rollout/reporting.py
@@ -1,4 +1,4 @@
-"""Builds the status of a rollout from this node's state."""
+"""Builds a node's status of a rollout."""
 
 from __future__ import annotations
 
@@ -13,7 +13,10 @@
 def build_status(
     participant: Participant, step_proposer: StepProposer | None, own_zone: ZoneName, now: float
 ) -> RolloutStatus:
-    """Return the status; ``steering`` is the leader's, ``None`` elsewhere."""
+    """Return the status.
+
+    :param step_proposer: the leader's proposer of this rollout, ``None`` on other nodes.
+    """
     record, gate, last_entry = participant.record, participant.gate, participant.last_entry
     zones = participant.last_zones
     leased = now <= gate.lease_until
--- a/src/springmux/rollout/rollout_coordinator.py
+++ b/src/springmux/rollout/rollout_coordinator.py
@@ -1,8 +1,9 @@
-"""The rollout in one node: token, lease, ledger, evidence and, at the control leader, the schedule.
+"""State machine of the rollouts in one node: token, lease, ledger, evidence and, at the leader, the schedule.
 
-Pure (see :mod:`springmux.coordination.state_machine`). The data plane uses :attr:`RolloutCoordinator.filter`;
-everything else comes in as events. Any node whose merged evidence calls for it turns the token to *abort*;
-only the leader, who issues the token, raises a weight or finishes.
+It does no I/O (see :mod:`springmux.coordination.state_machine`). The data plane uses
+:attr:`RolloutCoordinator.filter`; all other input arrives as events. Any node sets the token's abort flag if
+the merged evidence justifies an abort. Only the control leader, which issues the token, raises a weight or
+finishes a rollout.
 """
 
 from __future__ import annotations
@@ -40,14 +41,14 @@
 from springmux.vocabulary.names import ServiceName
 
 ZONE_ROUND_S = 0.9
-"""Horizon of grants in a zone ring; the relay ring's rounds of a large fleet take about this long."""
+"""Seconds that a grant in a zone ring covers; a round of a large fleet's relay ring takes about as long."""
 
 EntryUpdate = Callable[[RolloutEntry, Participant], RolloutEntry]
-"""Returns a token's entry with what this node, or the ring it leads, has to add."""
+"""Returns a token's entry with the contribution of this node, or of the zone ring that it leads."""
 
 
 class RolloutCoordinator:
-    """One node's part in all rollouts. ``random`` draws the node's account numbers."""
+    """One node's part in all rollouts. ``random`` generates the writer numbers of the node's accounts."""
 
     def __init__(self, own: NodeId, zone: ZoneName, random: random.Random, settings: RolloutSettings) -> None:
         self._registry = RolloutRegistry(own, zone, random, settings)
@@ -82,7 +83,7 @@
         return []
 
     def next_deadline(self) -> float:
-        """Return when a hop, a round or a repeated abort is due."""
+        """Return when the next hop timeout, round or repeated abort proposal is due."""
         round_due = self._leadership.next_deadline() if self._leadership is not None else NEVER
         return min(round_due, self._forwarder.next_deadline(), self._aborts.next_deadline())
 
@@ -118,7 +119,7 @@
         self._leadership = leadership
         leadership.set_rollouts(self._registry.under_way(), now)
         note = LogLine("rollout_issuer", LogLevel.INFO, {"term": event.term, "sequence": sequence})
-        # Who decided an abort may be gone before it was committed.
+        # The node that decided an abort may have failed before the abort was committed.
         aborted = [known for known in self._registry.under_way() if known.aborted]
         return [note, *(effect for known in aborted for effect in self._aborts.request(known, now))]
 
@@ -183,7 +184,7 @@
     def _add_to_entries(
         self, token: RolloutToken, zones: list[ZoneName], add: EntryUpdate, now: float
     ) -> tuple[RolloutToken, list[Effect]]:
-        """Return the token with ``add`` applied to each rollout known here; ``add`` may extend ``zones``."""
+        """Apply ``add`` to the token's entries of known rollouts; ``add`` may extend ``zones``."""
         effects: list[Effect] = []
         entries: list[RolloutEntry] = []
         for entry in token.entries:
@@ -197,7 +198,7 @@
         return msgspec.structs.replace(token, zones=tuple(zones), entries=tuple(entries)), effects
 
     def _visit_relay(self, token: RolloutToken, now: float) -> list[Effect]:
-        """Add the own zone ring's sums, pass the relay token on, and launch a round of the zone ring."""
+        """Add the own zone ring's sums, forward the relay token, and launch a round of the zone ring."""
         self._newest_relay_round = token.round_id
         ring = self._layout.ring_led_by(self._own)
         if ring is None:
@@ -243,7 +244,7 @@
     # Status
 
     def status(self, service: ServiceName, now: float) -> RolloutStatus | None:
-        """Return the newest rollout of ``service`` as this node knows it, ``None`` if there was none."""
+        """Return this node's view of the newest rollout of ``service``, ``None`` if there was none."""
         participant = self._registry.newest(service)
         if participant is None:
             return None
@@ -254,6 +255,6 @@
         return build_status(participant, step_proposer, self._zone, now)
 
     def samples(self, service: ServiceName) -> tuple[RolloutSample, ...]:
-        """Return the history that this node kept of the newest rollout while it led."""
+        """Return the samples of the newest rollout that this node recorded while it was the leader."""
         participant = self._registry.newest(service)
         return participant.history.samples() if participant is not None else ()
--- a/src/springmux/rollout/status.py
+++ b/src/springmux/rollout/status.py
@@ -1,4 +1,4 @@
-"""What a node can say of a rollout: one status, and at the leader a bounded history of samples."""
+"""A node's status of a rollout, and the bounded history of samples that the leader records."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from springmux.vocabulary.names import RolloutId, ServiceName, VersionName
 
 MAX_SAMPLES = 600
-"""Bound of the history; when it is full, every second sample is dropped."""
+"""Bound of the history. When it is full, every second sample is dropped."""
 SAMPLE_INTERVAL_S = 0.5
 
 
 class EvidenceSummary(msgspec.Struct, frozen=True):
-    """Judged answers in the merged evidence."""
+    """Numbers of judged and of bad answers in the merged evidence, and whether the judge passed it."""
 
     candidate_total: int = 0
     candidate_bad: int = 0
@@ -37,11 +37,11 @@
 
 
 class RolloutStatus(msgspec.Struct, frozen=True):
-    """A rollout as this node knows it.
+    """This node's view of a rollout.
 
-    ``prompts`` and ``sent`` are the fleet's, as of the last round; ``credits`` are this node's unspent ones.
-    ``lease_age_s``: age of the lease, ``None`` without one. ``waiting``: why the leader isn't going on.
-    ``zone_order``: quietest first; only the leader knows it.
+    ``prompts`` and ``sent`` are counts of the fleet at the last round; ``credits`` are this node's unspent
+    ones. ``lease_age_s``: age of the lease, ``None`` without one. ``waiting``: why the leader takes no step.
+    ``zone_order``: the zones in the order in which they get weight, by default by ascending traffic.
     """
 
     service: ServiceName
@@ -64,7 +64,7 @@
 
 
 class SampleHistory:
-    """Samples of one rollout, bounded by thinning."""
+    """Samples of one rollout. To stay bounded it drops every second sample and doubles the interval."""
 
     def __init__(self) -> None:
         self._samples: list[RolloutSample] = []
@@ -72,7 +72,7 @@
         self._next_at = 0.0
 
     def add(self, sample: RolloutSample, now: float) -> None:
-        """Take a sample if the last one is old enough."""
+        """Store ``sample`` if the interval since the last stored one has passed."""
         if now < self._next_at:
             return
         self._next_at = now + self._interval_s
--- a/src/springmux/rollout/step_proposer.py
+++ b/src/springmux/rollout/step_proposer.py
@@ -17,18 +17,18 @@
 from springmux.vocabulary.engines import EnginesView
 
 PROPOSAL_RETRY_S = 0.5
-"""A proposed command that isn't seen committed is proposed again after this; its order id makes it one."""
+"""A proposal that has not been committed is repeated after this time; its order id prevents duplicates."""
 
 
 class StepProposer:
-    """Turns progress into proposals; one object per rollout and leadership."""
+    """Proposes the steps that a rollout's progress allows; there is one per rollout and leadership."""
 
     def __init__(self, participant: Participant, issued: IssuedRollout, now: float) -> None:
         self.participant = participant
         self.issued = issued
         self.waiting = ""
         self.granting_from = now
-        """When this leader's first credits go out; without them there is no evidence of a weight."""
+        """When this leader grants its first credits. Before that there is no evidence about a weight."""
         self._weight = participant.record.weight
         self._weight_since = now
         self._bad_before_weight = issued.entry.evidence.candidate_bad
@@ -40,7 +40,7 @@
     def propose(self, engines: EnginesView | None, minimum_ready: int, now: float) -> list[Effect]:
         """Return the proposals and log lines that are due.
 
-        :param minimum_ready: candidate engines without which no step is taken.
+        :param minimum_ready: number of ready candidate engines below which no step is proposed.
         """
         record = self.participant.record
         if record.weight != self._weight:
@@ -71,7 +71,7 @@
         return self._set_wait_reason(step.reason) + self._propose_step(step, now)
 
     def _propose_abort(self, now: float) -> list[Effect]:
-        """Propose the abort of a release that the final analysis refused, until it is committed."""
+        """Propose the abort of a candidate that failed the final analysis, until the abort is committed."""
         record = self.participant.record
         if self._refusal is None or record.phase is RolloutPhase.ABORTED or now < self._abort_due_at:
             return []
@@ -109,7 +109,7 @@
 
     def _propose_step(self, step: NextStep, now: float) -> list[Effect]:
         record = self.participant.record
-        # A checkpoint only records the elapsed time: it stays at the present step.
+        # A checkpoint only records the elapsed time; the step number stays the same.
         number = record.step if step.kind is StepKind.CHECKPOINT else record.step + 1
         proposal = (step.kind, number)
         if proposal == self._last_proposal and now - self._proposed_at < PROPOSAL_RETRY_S:
@@ -145,7 +145,7 @@
 
 
 def summarize(participant: Participant, issued: IssuedRollout | None) -> EvidenceSummary:
-    """Return the counts of the newest merged evidence that this node has."""
+    """Return the counts of the newest merged evidence that this node has received."""
     entry = issued.entry if issued is not None else participant.last_entry
     if entry is None:
         return EvidenceSummary()
--- a/src/springmux/rollout/token.py
+++ b/src/springmux/rollout/token.py
@@ -1,9 +1,10 @@
-"""What the circulating token says of one rollout, and how two copies of it are merged.
+"""Content of the circulating token for one rollout, and the merging of two copies of it.
 
-Every counter has one writer and only grows, so that copies merge by the maximum (a state-based grow-only
-counter; Shapiro et al., "Conflict-free replicated data types", 2011). A token that is lost, doubled or late
-can therefore neither hide a spent credit nor invent a prompt. The evidence is one merged digest; each account
-says which visit of its writer the digest contains, and the writer adds what is missing.
+Every counter has one writer and only grows, so copies are merged by taking the maximum (a state-based
+grow-only counter; Shapiro et al., "Conflict-free replicated data types", 2011). A lost, duplicated or delayed
+token can therefore neither hide a spent credit nor add a prompt that did not occur. The evidence is one
+merged digest; each account names the visit of its writer up to which the digest contains the writer's
+evidence, and the writer adds what is missing.
 """
 
 from __future__ import annotations
@@ -18,17 +19,18 @@
 from springmux.vocabulary.names import RolloutId, ServiceName, VersionName
 
 BASIS_POINTS = 10_000
-"""Zone weights travel as whole basis points: three bytes each in place of nine."""
+"""Zone weights are sent as whole basis points, which take three bytes each instead of nine."""
 
 
 class Account(msgspec.Struct, frozen=True, array_like=True, omit_defaults=True):
-    """Cumulative counters of one writer: a node since its start, or a zone ring under one lead.
-
-    ``writer`` is drawn at random at each start, so that a restarted node opens a new account and its old one
-    stays counted. ``granted`` is written by the issuer only, the others by the writer only. ``zone``: index
-    into the token's zones. ``taken``: credits spent. ``lapsed``: credits whose lease ended before that.
-    ``given_back``: taken credits whose prompt was never dispatched. ``visits``: the writer's own count of
-    visits; the entry's evidence contains the writer's digest as of that visit.
+    """Cumulative counters of one writer: a node since its start, or a zone ring under one ring leader.
+
+    ``writer`` is a random number chosen at each start, so a restarted node opens a new account and its old
+    one is still counted. Only the issuer writes ``granted``; only the writer writes the other fields.
+    ``zone``: index into the token's zones. ``spent``: credits used for a prompt. ``expired``: credits whose
+    lease ended before they were spent. ``given_back``: spent credits whose prompt was never dispatched.
+    ``visits``: number of token visits that the writer counted; the entry's evidence contains the writer's
+    digest up to that visit.
     """
 
     writer: int
@@ -47,7 +49,7 @@
 
     @property
     def committed(self) -> int:
-        """Credits that count against the bound: sent and outstanding."""
+        """Credits that count against the exposure bound: sent prompts and outstanding credits."""
         return self.granted - self.expired - self.given_back
 
     @property
@@ -57,13 +59,14 @@
 
 
 class RolloutEntry(msgspec.Struct, frozen=True, array_like=True, omit_defaults=True):
-    """One rollout under way, as the token carries it.
-
-    ``weight`` and ``phase`` are what the issuer saw committed; ``elapsed_s`` unpaused time. ``allowance``:
-    credits on top of the share. ``fleet_prompts`` and ``fleet_sent`` are sums over the whole fleet as of the
-    last round. ``evidence`` is merged over the token's ring. ``aborted`` never goes back to false.
-    ``zone_rates``: each zone's measured prompts in ten seconds. ``remembered``: some node has a copy from
-    before this term, so not the whole fleet was restarted.
+    """The token's entry for one rollout under way.
+
+    ``weight`` and ``phase`` are the committed values that the issuer knows. ``elapsed_s``: unpaused time.
+    ``zone_weights_bp``: the candidate's weight in each zone in basis points. ``allowance``: credits on top of
+    the share of prompts. ``fleet_prompts`` and ``fleet_sent``: sums over the whole fleet at the last round.
+    ``evidence`` is merged over the token's ring. ``aborted`` never returns to false. ``zone_rates``: each
+    zone's measured prompts in ten seconds. ``known_before_term``: some node has a copy of the entry from
+    before this consensus term, so not all nodes were restarted.
     """
 
     service: ServiceName
@@ -86,7 +89,7 @@
 
     @property
     def prompts_per_s(self) -> float:
-        """The service's measured prompts a second."""
+        """The service's measured prompt rate, per second."""
         return sum(self.zone_rates) / 10.0
 
     def account(self, writer: int) -> Account | None:
@@ -101,7 +104,7 @@
 
 
 def merge_accounts(first: Account, second: Account) -> Account:
-    """Return the newer of each counter. ``visits`` is the first's: it belongs to the first's evidence."""
+    """Return the larger of each counter. ``visits`` is that of ``first``, whose evidence it describes."""
     return Account(
         writer=first.writer,
         zone=first.zone,
@@ -115,7 +118,7 @@
 
 
 def with_account(entry: RolloutEntry, account: Account) -> RolloutEntry:
-    """Return ``entry`` with ``account`` in place of its writer's former one."""
+    """Return ``entry`` with ``account`` replacing the earlier account of its writer."""
     others = tuple(known for known in entry.accounts if known.writer != account.writer)
     return msgspec.structs.replace(entry, accounts=(*others, account))
 
@@ -126,10 +129,11 @@
     zones: tuple[ZoneName, ...],
     last_zones: tuple[ZoneName, ...],
 ) -> tuple[RolloutEntry, tuple[ZoneName, ...]]:
-    """Merge the counters of an older copy into ``entry``, for an issuer that may not know them.
+    """Merge the counters of an older copy into ``entry``, for an issuer that may lack them.
 
-    Accounts that only the old copy has come without evidence (``visits`` 0), so that their writers add
-    their whole digest. Returns the entry and the token's zones with any that were missing.
+    Accounts that only the old copy has are added with ``visits`` 0, because ``entry`` lacks their evidence:
+    their writers then add their whole digest. Returns the entry, and the token's zones with the missing ones
+    appended.
     """
     accounts = {account.writer: account for account in entry.accounts}
     all_zones = list(zones)
@@ -150,7 +154,7 @@
 
 
 def index_of_zone(zones: list[ZoneName], zone: ZoneName) -> int:
-    """Return the index of ``zone`` in ``zones``, appending it if it is missing."""
+    """Return the index of ``zone`` in ``zones``; append it first if it is missing."""
     if zone not in zones:
         zones.append(zone)
     return zones.index(zone)
@@ -167,7 +171,7 @@
 
     @property
     def committed(self) -> int:
-        """Credits sent or outstanding."""
+        """Sent prompts and outstanding credits, which count against the exposure bound."""
         return self.granted - self.expired - self.given_back
 
     @property
@@ -176,7 +180,7 @@
         return self.spent - self.given_back
 
     def minus(self, older: AccountTotals) -> AccountTotals:
-        """Return what was added since ``older``."""
+        """Return the difference of each counter since ``older``."""
         return AccountTotals(
             prompts=self.prompts - older.prompts,
             granted=self.granted - older.granted,
--- a/src/springmux/rollout/token_ring/__init__.py
+++ b/src/springmux/rollout/token_ring/__init__.py
@@ -1,1 +1,1 @@
-"""The circulating token: its content, the rings of nodes, and how it goes from hop to hop."""
+"""The circulating token's rings of nodes, and its forwarding from node to node."""
--- a/src/springmux/rollout/token_ring/rings.py
+++ b/src/springmux/rollout/token_ring/rings.py
@@ -1,8 +1,8 @@
-"""Who passes the token to whom: one ring in a small fleet, zone rings and a relay ring in a large one.
+"""Layout of the token's rings: one ring in a small fleet, zone rings and a relay ring in a large fleet.
 
 A node's work grows with the size of its ring, not of the fleet. In a large fleet the control leader's relay
-ring visits one lead of each zone ring; the lead then launches a round of its own ring and carries that ring's
-sums on the next relay round.
+ring visits the leader of each zone ring. The ring leader then launches a round of its own ring, and adds that
+ring's sums to the next relay round.
 """
 
 from __future__ import annotations
@@ -17,24 +17,25 @@
 from springmux.coordination.membership.view import NodeRecord, NodeRole
 
 WHOLE_FLEET = 0
-"""Ring of all nodes, led by the control leader, in a fleet of at most :data:`RING_LIMIT` nodes."""
+"""Number of the ring of all nodes, led by the control leader, if there are at most :data:`RING_LIMIT`."""
 RELAY = 1
-"""Ring of the zone rings' leads, led by the control leader. Zone rings have larger numbers."""
+"""Number of the ring of all zone ring leaders, led by the control leader. Zone rings have larger numbers."""
 RING_LIMIT = 36
-"""Nodes in a single ring; sizes are in docs/notes/token.md."""
+"""Largest number of nodes in a single ring; token sizes are in docs/notes/token.md."""
 ZONE_RING_SIZE = 32
-"""Largest aimed size of a zone ring: its lead passes a relay token too, within the same 2 KB/s."""
+"""Target size of a zone ring. It is smaller than :data:`RING_LIMIT` because the ring leader also forwards the
+relay token within the same 2 KB/s."""
 
 
 class RingLayout(msgspec.Struct, frozen=True, dict=True):
-    """Rings of the present members. ``members`` of each ring are in the order of the token's way."""
+    """Rings of the present members. The token visits the members of a ring in their order."""
 
     rings: Mapping[int, tuple[NodeId, ...]]
     order: tuple[NodeId, ...]
 
     @property
     def relayed(self) -> bool:
-        """Whether zone rings are joined by a relay ring."""
+        """Whether there are zone rings, which a relay ring connects."""
         return WHOLE_FLEET not in self.rings
 
     @cached_property
@@ -42,7 +43,7 @@
         return {node: ring for ring, members in self.rings.items() for node in members}
 
     def ring_of(self, node: NodeId) -> int | None:
-        """Return the ring that ``node`` belongs to, ``None`` for an unknown one."""
+        """Return the ring that ``node`` belongs to, ``None`` for an unknown node."""
         return self._ring_by_node.get(node)
 
     def ring_leader(self, ring: int) -> NodeId:
@@ -54,11 +55,11 @@
         return max((len(members) for members in self.rings.values()), default=0)
 
     def ring_leaders(self) -> tuple[NodeId, ...]:
-        """Return the leads of all zone rings, by zone."""
+        """Return the leaders of all zone rings, in the order of the rings."""
         return tuple(members[0] for members in self.rings.values())
 
     def ring_led_by(self, node: NodeId) -> int | None:
-        """Return the zone ring that ``node`` leads, if any."""
+        """Return the zone ring that ``node`` leads, ``None`` if it leads none."""
         ring = self.ring_of(node)
         if ring is None or ring == WHOLE_FLEET or self.ring_leader(ring) != node:
             return None
@@ -68,8 +69,8 @@
 def build_ring_layout(records: Iterable[NodeRecord]) -> RingLayout:
     """Return the rings of the given present nodes, ordered by zone and name.
 
-    Nodes that don't route are left out. A zone is split by a hash of the node's name, so that a lost
-    node moves no other one.
+    Nodes without the router role are excluded. Zones are split by a hash of the node's name, so that the loss
+    of one node moves no other node to another ring.
     """
     routers = sorted((r for r in records if NodeRole.ROUTER in r.roles), key=lambda r: (r.zone, r.node))
     order = tuple(record.node for record in routers)
@@ -99,7 +100,7 @@
 
 
 def itinerary_from(start: NodeId, members: tuple[NodeId, ...]) -> tuple[NodeId, ...]:
-    """Return ``members`` without ``start``, beginning with the one after it."""
+    """Return the members that follow ``start`` in ring order, without ``start`` itself."""
     if start not in members:
         return members
     position = members.index(start)
--- a/src/springmux/rollout/token_ring/token_forwarding.py
+++ b/src/springmux/rollout/token_ring/token_forwarding.py
@@ -9,15 +9,15 @@
 from springmux.rollout.messages import RolloutToken, RolloutTokenAck
 
 HOP_TIMEOUT_S = 0.12
-"""A hop that doesn't acknowledge within this is skipped: some round trips, and a third of a round."""
+"""A hop not acknowledged within this time is skipped; it is several round trips and a third of a round."""
 SKIPPED_NODE_BACKOFF_S = 0.6
-"""A skipped node isn't tried again for this long: a round or two, well within the lease."""
+"""A skipped node isn't tried again for this time, which is one or two rounds and well within the lease."""
 RETURN_ATTEMPTS = 3
-"""Times that the last hop, to the issuer, is tried; the issuer reissues the token anyway."""
+"""Attempts at the last hop, to the issuer, which reissues the token if all of them fail."""
 
 
 class PendingHop(msgspec.Struct):
-    """A token forwarded and not yet acknowledged."""
+    """A forwarded token that has not been acknowledged yet."""
 
     token: RolloutToken
     to: NodeId
@@ -26,14 +26,14 @@
 
 
 class ForwardResult(msgspec.Struct, frozen=True):
-    """Effects of forwarding, and the token if it returned to its issuer, this node."""
+    """Effects of forwarding, and the token if this node is its issuer and the round is complete."""
 
     effects: tuple[Effect, ...] = ()
     returned: RolloutToken | None = None
 
 
 class TokenForwarder:
-    """Forwards tokens, one pending hop per ring; a newer round replaces an older one's hop."""
+    """Forwards tokens. Each ring has at most one pending hop; that of a newer round replaces an older one."""
 
     def __init__(self, own: NodeId) -> None:
         self._own = own
@@ -41,11 +41,11 @@
         self._avoid_until: dict[NodeId, float] = {}
 
     def next_deadline(self) -> float:
-        """Return when the first pending hop counts as failed."""
+        """Return when the earliest pending hop times out."""
         return min((hop.deadline for hop in self._pending.values()), default=NEVER)
 
     def forward(self, token: RolloutToken, now: float) -> ForwardResult:
-        """Send ``token`` to the next node of its itinerary that isn't avoided, or back to its issuer."""
+        """Send ``token`` to the next node of its itinerary that wasn't skipped recently, or to its issuer."""
         itinerary = token.itinerary
         while itinerary and self._avoid_until.get(itinerary[0], -NEVER) > now:
             itinerary = itinerary[1:]
@@ -58,14 +58,14 @@
         return ForwardResult(effects=(Send(to, onward),))
 
     def acknowledged(self, sender: NodeId, ack: RolloutTokenAck) -> None:
-        """Handle an acknowledgement; a late or foreign one changes nothing."""
+        """Handle an acknowledgement; ignore a late one, or one of another hop."""
         hop = self._pending.get(ack.ring)
         if hop is not None and hop.to == sender and hop.token.round_id == (ack.term, ack.sequence):
             del self._pending[ack.ring]
             self._avoid_until.pop(sender, None)
 
     def expire(self, now: float) -> list[ForwardResult]:
-        """Skip the hops whose time has run out."""
+        """Skip the hops that have timed out."""
         due = [hop for hop in self._pending.values() if hop.deadline <= now]
         return [self._skip(hop, now) for hop in due]
 
--- a/src/springmux/rollout/token_ring/zone_ring.py
+++ b/src/springmux/rollout/token_ring/zone_ring.py
@@ -1,7 +1,8 @@
-"""A zone ring's lead: it launches its ring's rounds and carries the ring's sums on the relay ring.
+"""The leader of a zone ring: it launches the ring's rounds and reports the ring's sums to the relay ring.
 
-To the relay ring a zone ring looks like one node: one account and one cumulative digest. Rounds are launched
-only when a relay token arrives, so a lead that is cut off from the issuer renews nobody's lease.
+To the relay ring a zone ring looks like a single node, with one account and one cumulative digest. Rounds are
+launched only when a relay token arrives, so a ring leader that is partitioned from the issuer renews no
+lease.
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
 
 
 class RingRollout:
-    """One rollout as the lead of one zone ring sees it."""
+    """State of one rollout that the leader of a zone ring keeps."""
 
     def __init__(self, ring: int, zone: ZoneName, participant: Participant, rng: random.Random) -> None:
         self.participant = participant
@@ -48,7 +49,7 @@
         self._history = EvidenceHistory(before)
 
     def report(self, entry: RolloutEntry, term: int, zones: list[ZoneName], now: float) -> RolloutEntry:
-        """Return the relay token's entry with this ring's sums, judged on the fleet's evidence."""
+        """Return the relay token's entry with this ring's sums, after judging the fleet's evidence."""
         if term != self._term and self._last_entry is not None:
             entry = self.participant.restore_elapsed(entry, now)
             entry, known_zones = recover_accounts(entry, self._last_entry, tuple(zones), self._last_zones)
@@ -84,10 +85,10 @@
         return with_account(entry, account)
 
     def _added(self) -> AccountTotals:
-        """Return the ring's sums since this node's first complete round as its lead.
+        """Return the ring's sums since this node's first complete round as ring leader.
 
-        What came before was reported by the former lead; what fell between is left out, which only
-        lowers the prompts that credits accrue from.
+        Earlier sums were reported by the previous ring leader. Counts between its last report and that round
+        are omitted, which only lowers the number of prompts from which credits accrue.
         """
         if self.issued is None or self._base_totals is None:
             return AccountTotals()
@@ -96,7 +97,7 @@
     def prepare(
         self, entry: RolloutEntry, zones: tuple[ZoneName, ...], round_s: float, now: float
     ) -> RolloutEntry:
-        """Return the entry for a round of the zone ring, with credits out of those given to the ring."""
+        """Return the entry for a round of the zone ring, with credits from those granted to the ring."""
         if self.issued is None:
             self.issued = IssuedRollout(self._first_entry(entry), now)
         issued = self.issued
@@ -119,7 +120,7 @@
         return msgspec.structs.replace(entry, accounts=(), evidence=EMPTY_DIGEST)
 
     def merge_returned(self, returned: RolloutEntry, current: bool, now: float) -> None:
-        """Take a round of the zone ring that came back."""
+        """Merge a returned round of the zone ring; of an older round (not ``current``) only the counters."""
         if self.issued is None:
             return
         self.issued.merge_returned(returned, now if current else None, now)
@@ -146,7 +147,7 @@
     def launch(
         self, relay: RolloutToken, participants: Mapping[RolloutId, Participant], round_s: float, now: float
     ) -> RolloutToken:
-        """Return this ring's token for the relay token's round; the caller sets issuer and itinerary."""
+        """Return this ring's token for the round of the relay token; the caller sets issuer and itinerary."""
         self._round = relay.round_id
         entries = [
             self._ring_rollout(participants[entry.rollout]).prepare(entry, relay.zones, round_s, now)
@@ -157,7 +158,7 @@
         return msgspec.structs.replace(relay, ring=self.ring, entries=tuple(entries))
 
     def merge_returned(self, token: RolloutToken, now: float) -> None:
-        """Take a round that came back."""
+        """Merge a returned round of this ring into the rollouts that it carries."""
         current = token.round_id == self._round
         for entry in token.entries:
             ring_rollout = self._ring_rollouts.get(entry.rollout)
--- a/src/springmux/rollout/version_filter.py
+++ b/src/springmux/rollout/version_filter.py
@@ -1,7 +1,8 @@
 """The version filter: which versions may serve a prompt, decided before any engine is chosen.
 
-The paper's per-request routing (section V.D), with the share of section V.C. It runs for every prompt, so all
-that can be computed beforehand is: a choice is a dictionary lookup, two comparisons and a multiplication.
+It implements the paper's per-request routing (section V.D) with the traffic share of section V.C. The filter
+runs for every prompt, so everything possible is computed in advance: a choice takes a dictionary lookup, two
+comparisons and a multiplication.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 from springmux.vocabulary.names import RolloutId, RouteName, ServiceName, VersionName
 
 LEASE_S = 2.0
-"""A node sends to a candidate only under a token not older than this on its monotonic clock."""
+"""A node sends prompts to a candidate only within this time after a token's visit, by its monotonic clock."""
 
 _HASH_RANGE = 1 << 64
 _HASH_MASK = _HASH_RANGE - 1
@@ -23,37 +24,39 @@
 """Odd multiplier of Fibonacci hashing (Knuth, The Art of Computer Programming, volume 3, section 6.4)."""
 
 LOW_TRAFFIC_ROUTE_WEIGHT = 0.30
-"""With a larger share of a thin route's prompts fewer stable ones are left to compare with; at about a third
-a fault in half of the answers takes the fewest prompts to show."""
+"""Largest candidate share of a low-traffic route's prompts. A larger share leaves fewer stable answers to
+compare with; at about a third, a fault in half of the answers is detected with the fewest prompts."""
 EVEN_LAST_WEIGHT = 0.25
-"""At full weight credits are few, and would go to the widest route; they are spread over routes."""
+"""Weight that is used for each route's share at full weight. Credits are scarce then, and without the limit
+the route with most traffic would use them up."""
 MAX_ROUTES = 8
-"""Routes that are evened out; further ones get the weight itself. The evidence's digest has as many."""
+"""Number of routes whose candidate prompts are evened out; further routes get the weight itself. The evidence
+digest has the same number."""
 
 NO_VERSIONS = VersionChoice(versions=())
-"""Answer for a service that the configuration doesn't know."""
+"""Choice for a service that is not configured."""
 
 
 class EvidenceSink(Protocol):
-    """Takes outcomes of a rollout's prompts."""
+    """Receives the outcomes of a rollout's prompts as evidence."""
 
     def record(self, outcome: PromptOutcome, now: float, watch: FirstTokenWatch | None = None) -> None:
-        """Take one outcome."""
+        """Record one outcome."""
         ...
 
     def watch(
         self, route: RouteName, prompt_bytes: int, expected_hit: float, now: float
     ) -> FirstTokenWatch | None:
-        """Choose what a candidate prompt's first token is compared with."""
+        """Choose the first tokens to compare a candidate prompt's with; ``None`` if there are none."""
         ...
 
     def record_overdue(self, watch: FirstTokenWatch, now: float) -> None:
-        """Take that a watched prompt has no first token within its limit."""
+        """Record that a watched prompt has no first token within its limit."""
         ...
 
 
 class ServiceGate:
-    """The filter's state for one service: prepared choices, the lease, and the node's own counters.
+    """The filter's state for one service: precomputed choices, the lease, and this node's counters.
 
     Counters only grow within one account (see :class:`springmux.rollout.token.Account`).
     """
@@ -84,7 +87,7 @@
         self.stable = stable
         self.candidate: VersionName | None = None
         self.aborted_candidate: VersionName | None = None
-        """Candidate of the last aborted rollout; a prompt that chose it before is not sent to it any more."""
+        """Candidate of the last aborted rollout; a prompt that chose it before the abort isn't sent to it."""
         self.rollout: RolloutId | None = None
         self.default_choice = VersionChoice(versions=(stable,))
         self.candidate_choice = self.default_choice
@@ -98,7 +101,7 @@
         self.open_account()
 
     def open_account(self) -> None:
-        """Start all counters again under a new writer; what the old one had out can't be spent any more."""
+        """Reset all counters for a new writer; the old one's outstanding credits can't be spent."""
         self.prompts = 0
         self.granted = 0
         self.spent = 0
@@ -114,9 +117,9 @@
         evidence: EvidenceSink,
         even_routes: bool = False,
     ) -> None:
-        """Take up a rollout; nothing goes to the candidate before the first :meth:`renew`.
+        """Begin a rollout; no prompt goes to the candidate before the first :meth:`renew`.
 
-        :param even_routes: each route gets about as many candidate prompts as another.
+        :param even_routes: whether all routes get about the same number of candidate prompts.
         """
         self.even_routes = even_routes
         self._route_prompts = {}
@@ -132,7 +135,7 @@
         self.open_account()
 
     def release(self, stable: VersionName) -> None:
-        """No rollout is under way: everything goes to ``stable``."""
+        """End the rollout: all prompts go to ``stable``."""
         self.close()
         self.aborted_candidate = self.candidate or self.aborted_candidate
         if self.aborted_candidate == stable:
@@ -143,18 +146,21 @@
         self.set_default_choice(False)
 
     def close(self) -> None:
-        """Send nothing more to the candidate (paused or aborted) until :meth:`renew`."""
+        """Send no prompts to the candidate (paused or aborted) until the next :meth:`renew`."""
         self.lease_until = -NEVER
 
     def set_default_choice(self, candidate_too: bool) -> None:
-        """Set what prompts outside the slice get; ``candidate_too`` where stable has no engine left."""
+        """Set the versions for prompts that are not sent to the candidate.
+
+        :param candidate_too: allow the candidate as second version, since the stable one has no engines left.
+        """
         versions: tuple[VersionName, ...] = (self.stable,)
         if candidate_too and self.candidate is not None:
             versions = (self.stable, self.candidate)
         self.default_choice = VersionChoice(versions=versions)
 
     def expire_credits(self, now: float) -> None:
-        """Give up the unspent credits of a lease that has ended."""
+        """Count the unspent credits of a lease that has ended as expired."""
         if now > self.lease_until and self.available > 0:
             self.expired += self.available
             self.available = 0
@@ -162,10 +168,10 @@
     def renew(
         self, weight: float, engines_limit: int, now: float, until: float = NEVER, last_step: bool = False
     ) -> None:
-        """Hold a fresh lease: ``weight`` of the prefixes, on ``engines_limit`` candidate engines.
+        """Renew the lease: send ``weight`` of the prefixes to ``engines_limit`` candidate engines.
 
-        :param until: latest end of the lease, if it is before the usual one.
-        :param last_step: the committed weight is 1; a widened ``weight`` reaches it before.
+        :param until: latest end of the lease, if that is earlier than :data:`LEASE_S` from ``now``.
+        :param last_step: whether the committed weight is 1; a widened ``weight`` may reach 1 earlier.
         """
         assert self.candidate is not None
         self._threshold = _HASH_RANGE if weight >= 1.0 else int(weight * _HASH_RANGE)
@@ -179,12 +185,12 @@
         self.lease_until = min(until, now + LEASE_S)
 
     def accept_granted(self, granted: int) -> None:
-        """Take the credits that the issuer has granted in all."""
+        """Set the total number of credits that the issuer has granted, unless a larger one is known."""
         self.granted = max(self.granted, granted)
         self.available = self.granted - self.spent - self.expired
 
     def account(self, writer: int, zone: int, visits: int) -> Account:
-        """Return the counters for the token."""
+        """Return this node's counters as an account of the token."""
         return Account(
             writer=writer,
             zone=zone,
@@ -197,7 +203,7 @@
         )
 
     def choose(self, prefix_key: int, now: float, route: RouteName | None = None) -> VersionChoice:
-        """Decide for one prompt (see :class:`VersionFilter`)."""
+        """Choose the versions for one prompt (see :class:`VersionFilter`)."""
         self.prompts += 1
         threshold = self._threshold
         if self.even_routes and route is not None:
@@ -215,9 +221,10 @@
 
 
 def route_weights(prompts: Mapping[RouteName, int], weight: float) -> dict[RouteName, float]:
-    """Return each route's weight so that all together have ``weight`` and each route about as many prompts.
+    """Return route weights that add up to ``weight`` overall and give routes about equal candidate prompts.
 
-    Thinnest first: each gets an even part of what remains, at most :data:`THIN_ROUTE_WEIGHT` of its prompts.
+    Routes are processed by ascending traffic: each gets an equal part of the remaining prompts, at most
+    :data:`LOW_TRAFFIC_ROUTE_WEIGHT` of its own unless ``weight`` is larger.
     """
     remaining = weight * sum(prompts.values())
     cap = max(weight, LOW_TRAFFIC_ROUTE_WEIGHT)
@@ -238,18 +245,18 @@
     def choose(
         self, service: ServiceName, prefix_key: int, now: float, route: RouteName | None = None
     ) -> VersionChoice:
-        """Return the versions for a prompt; see the protocol. Empty for an unknown service."""
+        """Return the versions for a prompt (see the protocol), none for an unknown service."""
         gate = self.gates.get(service)
         return gate.choose(prefix_key, now, route) if gate is not None else NO_VERSIONS
 
     def give_back(self, service: ServiceName, version: VersionName, now: float) -> None:
-        """Return the credit of a candidate prompt that was never dispatched; it goes back to the pool."""
+        """Return the credit of a candidate prompt that was never dispatched to the issuer's pool."""
         gate = self.gates.get(service)
         if gate is not None and version == gate.candidate and gate.given_back < gate.spent:
             gate.given_back += 1
 
     def recheck(self, service: ServiceName, version: VersionName, now: float) -> bool:
-        """Return whether ``version`` may still be sent to: a candidate only under a valid lease."""
+        """Return whether prompts may still be sent to ``version``; a candidate needs a valid lease."""
         gate = self.gates.get(service)
         if gate is None or version == gate.stable:
             return True
@@ -260,20 +267,20 @@
     def watch(
         self, service: ServiceName, route: RouteName, prompt_bytes: int, expected_hit: float, now: float
     ) -> FirstTokenWatch | None:
-        """Begin to watch a candidate prompt; see the protocol."""
+        """Start watching the first token of a candidate prompt; see the protocol."""
         gate = self.gates.get(service)
         if gate is None or gate.evidence is None:
             return None
         return gate.evidence.watch(route, prompt_bytes, expected_hit, now)
 
     def overdue(self, watch: FirstTokenWatch, now: float) -> None:
-        """Count a first token that is late beyond the limit as evidence, before it comes."""
+        """Record as evidence that a first token exceeds the limit, before it arrives."""
         gate = self.gates.get(watch.service)
         if gate is not None and gate.evidence is not None:
             gate.evidence.record_overdue(watch, now)
 
     def observe(self, outcome: PromptOutcome, now: float, watch: FirstTokenWatch | None = None) -> None:
-        """Count an outcome of the rollout's two versions as evidence."""
+        """Record an outcome of one of the rollout's two versions as evidence; ignore other versions."""
         gate = self.gates.get(outcome.service)
         if gate is None or gate.evidence is None:
             return
