--- a/src/springmux/node/admin/rollout_endpoints.py
+++ b/src/springmux/node/admin/rollout_endpoints.py
@@ -22,9 +22,9 @@
 from springmux.rollout.planning.template import (
     RolloutTemplate,
     TemplateError,
+    instantiate,
     parse_promote_body,
     parse_template,
-    stamp,
 )
 from springmux.rollout.status import RolloutStatus
 from springmux.vocabulary.engines import EnginesView
@@ -115,7 +115,7 @@
             parameters = dict(body.parameters)
             if service:
                 parameters.setdefault("service", service)
-            plan = stamp(self._template(body.template), parameters)
+            plan = instantiate(self._template(body.template), parameters)
         except TemplateError as error:
             raise invalid(ErrorCode.INVALID_ORDER, "the plan is wrong", error.errors) from None
         if service and plan.service != service:
--- a/src/springmux/rollout/planning/template.py
+++ b/src/springmux/rollout/planning/template.py
@@ -103,7 +103,7 @@
     return _parse(data, PromoteBody)
 
 
-def stamp(template: RolloutTemplate, parameters: Mapping[str, object]) -> RolloutPlan:
+def instantiate(template: RolloutTemplate, parameters: Mapping[str, object]) -> RolloutPlan:
     """Return the plan that ``template`` defines for ``parameters``.
 
     :raises TemplateError: naming every unknown, missing or invalid parameter, or every invalid plan field.
--- a/tests/unit/bad_days/test_bad_versions.py
+++ b/tests/unit/bad_days/test_bad_versions.py
@@ -9,7 +9,7 @@
 from springmux.rollout.plan import RolloutPhase
 from springmux.rollout.version_filter import ServiceGate
 from tests.unit.rollout.judgement.support import Stream
-from tests.unit.rollout.short_term_fleet import Fault, ShortTermFleet
+from tests.unit.rollout.short_rollout_fleet import Fault, ShortRolloutFleet
 
 TERM_S = 12.0
 AFTER_S = 8.0
@@ -22,9 +22,9 @@
 LATE_ERRORS = Fault(errors=0.5, late_s=3.0)
 
 
-def turns_bad_late() -> ShortTermFleet:
+def turns_bad_late() -> ShortRolloutFleet:
     """The candidate's engines start cold after the order and fail from their third second on."""
-    fleet = ShortTermFleet(1, TERM_S, PROMPTS_PER_S, LATE_ERRORS)
+    fleet = ShortRolloutFleet(1, TERM_S, PROMPTS_PER_S, LATE_ERRORS)
     fleet.run(TERM_S + AFTER_S)
     return fleet
 
--- a/tests/unit/rollout/judgement/support.py
+++ b/tests/unit/rollout/judgement/support.py
@@ -1,4 +1,4 @@
-"""Outcomes and fleets for the judgement's tests."""
+"""Outcomes and streams of them for the tests of the judge and its evidence."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 class Stream:
-    """Feeds one book: each call to ``canary`` is one candidate answer after ``stable`` stable ones."""
+    """Fills one evidence table: ``stable`` records stable answers, ``canary`` one candidate answer."""
 
     def __init__(self, seed: int = 0, plan: RolloutPlan = PLAN) -> None:
         self.table = new_table(plan)
--- a/tests/unit/rollout/judgement/test_bets.py
+++ b/tests/unit/rollout/judgement/test_bets.py
@@ -1,4 +1,4 @@
-"""Each bet is fair or worse under the null, exactly; so every running product is a test martingale."""
+"""Each bet has expectation at most 1 under the null hypothesis, so running products are test martingales."""
 
 from __future__ import annotations
 
@@ -38,6 +38,6 @@
     assert list(within) == sorted(within, reverse=True)
 
 
-def test_no_reference_no_bet() -> None:
+def test_without_references_the_bet_is_zero() -> None:
     assert msgspec.structs.astuple(LATENCY_BETS[0][0]) == (0, 0, 0)
     assert msgspec.structs.astuple(ERROR_BETS[0][0][True]) == (0, 0, 0)
--- a/tests/unit/rollout/judgement/test_digest.py
+++ b/tests/unit/rollout/judgement/test_digest.py
@@ -1,4 +1,4 @@
-"""Digests add up: any order of merging, and subtraction undoes it. Sizes are bounded."""
+"""Digests merge in any order, subtraction undoes a merge, and their size is bounded."""
 
 from __future__ import annotations
 
@@ -48,12 +48,12 @@
 
 @settings(derandomize=True, max_examples=30)
 @given(digests())
-def test_a_digest_survives_the_wire(digest: EvidenceDigest) -> None:
+def test_a_digest_is_unchanged_by_encoding_and_decoding(digest: EvidenceDigest) -> None:
     assert msgspec.msgpack.decode(msgspec.msgpack.encode(digest), type=EvidenceDigest) == digest
 
 
-def test_a_busy_digest_of_two_routes_is_small_and_many_routes_stay_bounded() -> None:
-    # Given two routes over a whole rollout on nine candidate engines
+def test_the_digest_of_two_routes_is_small_and_that_of_many_routes_is_bounded() -> None:
+    # Two routes over a whole rollout on nine candidate engines.
     table = new_table()
     for index in range(6000):
         version = CANDIDATE if index % 3 == 0 else STABLE
@@ -65,7 +65,7 @@
             outcome(version, ending=ending, engine=engine, route=route, first_token_s=latency), index / 100
         )
     assert len(msgspec.msgpack.encode(table.digest())) < 1500
-    # When hundreds of routes come, then the digest keeps eight
+    # With hundreds of routes the digest still keeps eight.
     for index in range(300):
         table.record(outcome(CANDIDATE, route=f"route-{index}"), 60.0)
     assert len(table.digest().routes) == 8
--- a/tests/unit/rollout/judgement/test_judge.py
+++ b/tests/unit/rollout/judgement/test_judge.py
@@ -1,4 +1,4 @@
-"""The judge's rules, each with the fault it is meant for."""
+"""The judge's rules, each tested with the kind of fault that it detects."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     assert (verdict.abort, verdict.passed, verdict.decision) == (False, False, None)
 
 
-def test_a_version_bad_at_once_is_aborted_within_a_handful() -> None:
+def test_a_version_that_is_bad_from_the_start_is_aborted_within_six_answers() -> None:
     stream = Stream()
     sent = 0
     while not stream.verdict().abort and sent < 50:
@@ -53,13 +53,13 @@
 
 
 def test_fifty_bad_answers_abort_without_any_reference_but_not_if_stable_is_as_bad() -> None:
-    # Given only candidate prompts at the last step: no matched set, only the plain guard
+    # At the last step all prompts go to the candidate: there is no matched set, so only the guard applies.
     alone = Stream()
     for index in range(50):
         alone.canary(ending=BAD, engine=f"engine-{index % 3}")
     decision = alone.verdict().decision
     assert decision is not None and decision.test == "guard"
-    # When the stable version answers as badly, nothing is held against the candidate
+    # The candidate is not aborted if the stable version has as many bad answers.
     both = Stream()
     for index in range(100):
         both.stable(4, error_rate=0.6)
@@ -68,7 +68,7 @@
     assert not both.verdict().abort
 
 
-def test_a_version_that_turns_bad_late_is_not_saved_by_its_good_start() -> None:
+def test_a_version_that_turns_bad_late_is_aborted_despite_its_good_start() -> None:
     stream = Stream()
     for index in range(400):
         stream.stable(4, error_rate=0.02)
@@ -83,7 +83,7 @@
     assert sent < 25
 
 
-def test_a_fault_on_one_quiet_route_is_not_diluted() -> None:
+def test_a_fault_on_one_low_traffic_route_is_not_diluted() -> None:
     stream = Stream()
     for index in range(200):
         stream.stable(12)
@@ -109,8 +109,8 @@
     assert decision is not None and f"{decision.test}_s" == metric
 
 
-def test_a_cold_cache_is_not_condemned_but_a_slow_version_on_it_is() -> None:
-    # Given warm stable engines (some prompts miss) and a candidate whose prompts all miss
+def test_a_cold_cache_does_not_abort_but_a_slow_version_on_it_does() -> None:
+    # The stable engines are warm (some prompts miss their caches); all prompts of the candidate miss.
     for slowdown, expected in ((1.0, False), (3.0, True)):
         stream = Stream(seed=5)
         for _ in range(100):
@@ -121,7 +121,7 @@
 
 
 def test_a_burst_that_slows_both_versions_is_no_fault() -> None:
-    # Given a small canary when quiet and a large one under a burst three times as slow
+    # A small canary under low load, then a large one under a burst that is three times as slow.
     stream = Stream(seed=7)
     for _ in range(30):
         stream.stable(24)
@@ -133,7 +133,7 @@
 
 
 @pytest.mark.parametrize("ending", [Ending.ENGINE_LOST, Ending.TIMED_OUT])
-def test_one_lost_or_dark_engine_is_not_the_version(ending: Ending) -> None:
+def test_one_lost_or_unresponsive_engine_does_not_abort_the_version(ending: Ending) -> None:
     stream = Stream()
     for index in range(30):
         stream.stable(12)
@@ -145,7 +145,7 @@
     assert not stream.verdict().abort
 
 
-def test_an_unresponsive_engine_beside_engines_with_ordinary_errors_is_not_the_version() -> None:
+def test_an_unresponsive_engine_beside_engines_with_ordinary_errors_does_not_abort_the_version() -> None:
     stream = Stream()
     for index in range(300):
         stream.stable(12, error_rate=0.01)
@@ -156,7 +156,7 @@
         assert not stream.verdict().abort or stream.table.digest().candidate_bad >= 40
 
 
-def test_timeouts_of_the_only_engine_after_its_loss_wait_for_the_guard() -> None:
+def test_timeouts_of_the_only_engine_after_its_loss_abort_only_by_the_guard() -> None:
     stream = Stream()
     stream.canary(ending=Ending.ENGINE_LOST, first_token_s=None)
     while not stream.verdict().abort:
@@ -168,17 +168,17 @@
 @pytest.mark.parametrize(
     ("window", "earlier", "aborts"),
     [
-        # 14% beside 10% of as many stable answers: chance. Twice as many bad ones: not.
+        # 14% compared with 10% of stable answers can be chance; twice that rate can not.
         (EpochEvidence(7, 41, 300, 40, 400), EpochEvidence(0), False),
         (EpochEvidence(7, 41, 150, 40, 400), EpochEvidence(0), True),
-        # Hardly any stable answer since the last step: those before it tell what is ordinary.
+        # With few stable answers since the last step, earlier ones give the ordinary error rate.
         (EpochEvidence(7, 41, 300, 0, 20), EpochEvidence(0, 0, 0, 600, 6000), False),
         (EpochEvidence(7, 41, 300, 0, 20), EpochEvidence(0, 0, 0, 60, 6000), True),
-        # A bad hour of the stable version that is over excuses nothing.
+        # Errors of the stable version that have ended do not excuse the candidate.
         (EpochEvidence(7, 41, 300, 4, 400), EpochEvidence(0, 0, 0, 600, 1000), True),
     ],
 )
-def test_the_guard_is_not_moved_by_what_chance_makes_of_an_ordinary_error_rate(
+def test_the_guard_ignores_chance_variations_of_an_ordinary_error_rate(
     window: EpochEvidence, earlier: EpochEvidence, aborts: bool
 ) -> None:
     engines = (EngineEvidence(7, 0, 41, 300),)
@@ -188,15 +188,15 @@
     assert verdict.decision is None or verdict.decision.test == "guard"
 
 
-def test_a_version_bad_on_many_engines_is_condemned_at_any_volume() -> None:
-    # Given thousands of answers a route, 30% bad on all engines, where the stable version has 10%
+def test_a_version_bad_on_many_engines_is_aborted_at_any_volume() -> None:
+    # Thousands of answers on a route, 30% of them bad on all engines; the stable version has 10%.
     rows = [EngineEvidence(7, slot, 1500, 5000) for slot in range(4)]
     epoch = EpochEvidence(7, 6000, 20_000, 4000, 40_000, error_4=90_000)
     decision = judge(EvidenceDigest((RouteEvidence("caption-hint", (epoch,), tuple(rows)),))).decision
     assert decision is not None and decision.test == "guard"
 
 
-def test_with_one_engine_in_use_timeouts_are_the_versions() -> None:
+def test_with_one_engine_in_use_timeouts_count_against_the_version() -> None:
     stream = Stream()
     for _ in range(10):
         stream.stable(12)
@@ -204,7 +204,7 @@
     assert stream.verdict().abort
 
 
-def test_losses_of_most_candidate_engines_condemn_unless_stable_engines_are_lost_too() -> None:
+def test_losses_of_most_candidate_engines_abort_unless_stable_engines_are_lost_too() -> None:
     table = new_table()
     for index in range(3):
         table.record(outcome(STABLE, engine=f"stable-{index}"), 0.0)
@@ -220,7 +220,7 @@
     assert not judge(table.digest()).abort
 
 
-def test_what_says_nothing_is_not_recorded() -> None:
+def test_outcomes_that_are_no_evidence_are_not_recorded() -> None:
     table = new_table()
     table.record(outcome(CANDIDATE, ending=Ending.CALLER_GONE), 0.0)
     table.record(outcome(VersionName("v0"), ending=BAD), 0.0)
@@ -248,16 +248,16 @@
 
 @pytest.mark.parametrize(("log_e", "aborts"), [(math.log(590), False), (math.log(610), True)])
 def test_the_false_alarm_rate_is_shared_among_all_tests(log_e: float, aborts: bool) -> None:
-    # Given one route: errors, first token and gap, each pooled and by route, have a sixth of the stake.
+    # With one route, errors, first token and gap have a sixth of the stake each, pooled and by route.
     # The error bet of one start among eight and one alternative among three has all the evidence.
     bet = int(1000 * (log_e + math.log(8 * 3)))
     epoch = EpochEvidence(7, 10, 20, 0, 400, error_100=bet)
     route = RouteEvidence("caption-hint", (epoch,), (EngineEvidence(7, 0, 10, 20),))
-    # Then 2/6 of the e-value is held against 1 / 0.005 = 200: 590 / 3 is below, 610 / 3 above.
+    # So 2/6 of the e-value is compared with 1 / 0.005 = 200: 590 / 3 is below, 610 / 3 above.
     assert judge(EvidenceDigest((route,))).abort is aborts
 
 
-def test_the_verdict_is_the_same_whoever_merges() -> None:
+def test_the_verdict_is_the_same_in_any_merge_order() -> None:
     streams = [Stream(seed) for seed in range(4)]
     for stream in streams:
         for _ in range(2):
@@ -270,7 +270,10 @@
 
 
 def false_alarms(seeds: int, first_token_ratio: float, error_rate: float) -> int:
-    """Rollouts on the null's border that any of twenty looks aborts, at a false-alarm rate of 5%."""
+    """Return how many rollouts on the border of the null hypothesis any of twenty checks aborts.
+
+    The limits allow a false-alarm rate of 5%.
+    """
     limits = msgspec.structs.replace(PLAN.limits, false_alarm=0.05, error_rise=0.0)
     plan = msgspec.structs.replace(PLAN, limits=limits)
     alarms = 0
@@ -288,8 +291,8 @@
     return alarms
 
 
-def test_looking_often_keeps_the_false_alarm_rate_on_the_border_of_the_null() -> None:
-    # Given candidates exactly as slow as the limit allows and as faulty as the stable version
+def test_frequent_judging_keeps_the_false_alarm_rate_on_the_border_of_the_null_hypothesis() -> None:
+    # The candidates are exactly as slow as the limit allows, with the error rate of the stable version.
     assert false_alarms(150, first_token_ratio=1.5, error_rate=0.1) <= 150 * 0.05
-    # Then the same looks do find a worse one: the count can rise
+    # The same checks detect a worse candidate, so the count above is able to rise.
     assert false_alarms(20, first_token_ratio=4.0, error_rate=0.1) == 20
--- a/tests/unit/rollout/judgement/test_trials.py
+++ b/tests/unit/rollout/judgement/test_trials.py
@@ -1,4 +1,4 @@
-"""The offline trials run the real judge: a good and a bad scenario, from fixed seeds."""
+"""The offline trials run the real judge on a good and a bad scenario from fixed seeds."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 BAD = Scenario("bad", False, errors=0.5)
 
 
-def test_trials_tell_good_from_bad_and_repeat_from_their_seeds() -> None:
+def test_trials_distinguish_good_from_bad_and_are_reproducible_from_their_seeds() -> None:
     rows = run_trials(2, (GOOD, BAD))
     assert [row.method for row in rows] == [*METHODS, *METHODS]
     good, bad = rows[0], rows[len(METHODS)]
--- a/tests/unit/rollout/planning/test_template.py
+++ b/tests/unit/rollout/planning/test_template.py
@@ -1,4 +1,4 @@
-"""Templates: parsed with every error at once, stamped within their bounds."""
+"""Templates: parsing that reports all errors, and plans made within the parameters' bounds."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from springmux.rollout.planning.template import (
     MAX_DOCUMENT_BYTES,
     TemplateError,
+    instantiate,
     parse_promote_body,
     parse_template,
-    stamp,
 )
 from springmux.vocabulary.names import ServiceName, VersionName
 
-GIVEN = {"service": "text", "candidate": "v2"}
+REQUIRED = {"service": "text", "candidate": "v2"}
 PLAN = RolloutPlan(ServiceName("text"), VersionName("v2"))
 
 
@@ -41,23 +41,23 @@
 
 
 def test_the_standard_template_needs_only_service_and_candidate() -> None:
-    plan = stamp(STANDARD_TEMPLATE, GIVEN)
+    plan = instantiate(STANDARD_TEMPLATE, REQUIRED)
     assert plan == msgspec.structs.replace(PLAN, template="standard")
     values = {"by_s": "5m", "first_zones": ["north"], "latency_ratio": 2, "error_rise": 0.01}
-    plan = stamp(STANDARD_TEMPLATE, {**GIVEN, **values})
+    plan = instantiate(STANDARD_TEMPLATE, {**REQUIRED, **values})
     assert (plan.by_s, plan.first_zones) == (300.0, ("north",))
     assert plan.limits == JudgeLimits(error_rise=0.01, first_token_ratio=2.0, token_gap_ratio=2.0)
 
 
-def test_the_standard_template_survives_its_own_document() -> None:
+def test_the_standard_template_parses_from_its_own_document() -> None:
     assert parse_template(STANDARD_TEMPLATE.model_dump_json().encode()) == STANDARD_TEMPLATE
 
 
-def test_every_wrong_parameter_is_named_at_once() -> None:
+def test_all_invalid_parameters_are_reported_together() -> None:
     wrong = {"service": 7, "by_s": "soon", "expose_share": 0.5, "rollback_ms": 4000.5, "first_zones": "north",
              "canary_weight": True, "weights": 1}  # fmt: skip
     with pytest.raises(TemplateError) as error:
-        stamp(STANDARD_TEMPLATE, wrong)
+        instantiate(STANDARD_TEMPLATE, wrong)
     names = [
         "weights",
         "service",
@@ -72,24 +72,24 @@
 
 
 @pytest.mark.parametrize("number", [10**400, -(10**400), float("inf"), "9" * 400 + "s"])
-def test_a_number_beyond_all_bounds_is_a_wrong_parameter(number: object) -> None:
+def test_a_number_beyond_all_bounds_is_an_invalid_parameter(number: object) -> None:
     with pytest.raises(TemplateError) as error:
-        stamp(STANDARD_TEMPLATE, {**GIVEN, "by_s": number})
+        instantiate(STANDARD_TEMPLATE, {**REQUIRED, "by_s": number})
     assert paths(error) == ["parameters.by_s"]
 
 
-def test_parameters_that_do_not_fit_each_other_are_refused() -> None:
+def test_inconsistent_parameters_are_rejected() -> None:
     with pytest.raises(TemplateError) as error:
-        stamp(STANDARD_TEMPLATE, {**GIVEN, "expose_share": 0.02})
+        instantiate(STANDARD_TEMPLATE, {**REQUIRED, "expose_share": 0.02})
     assert paths(error) == ["canary_weight"]
 
 
-def test_a_template_is_parsed_and_stamped() -> None:
-    plan = stamp(parse_template(document()), {"service": "pages"})
+def test_a_template_is_parsed_and_instantiated() -> None:
+    plan = instantiate(parse_template(document()), {"service": "pages"})
     assert (plan.service, plan.candidate, plan.by_s, plan.template) == ("pages", "v2", 120.0, "careful")
 
 
-def test_every_error_of_a_template_is_named_at_once() -> None:
+def test_all_errors_of_a_template_are_reported_together() -> None:
     bad = document(
         parameters=[
             {"name": "term", "type": "duration", "default": 5, "minimum": 30},
@@ -130,20 +130,20 @@
         (b" " * (MAX_DOCUMENT_BYTES + 1), ""),
     ],
 )
-def test_malformed_documents_are_refused_with_a_path(data: bytes, path: str) -> None:
+def test_malformed_documents_are_rejected_with_a_path(data: bytes, path: str) -> None:
     with pytest.raises(TemplateError) as error:
         parse_template(data)
     assert path in paths(error)
 
 
-def test_a_parameter_of_the_wrong_type_for_its_field_is_refused() -> None:
+def test_a_parameter_of_the_wrong_type_for_its_field_is_rejected() -> None:
     template = parse_template(document(plan={"service": {"parameter": "term"}, "candidate": "v2"}))
     with pytest.raises(TemplateError) as error:
-        stamp(template, {"service": "text"})
+        instantiate(template, {"service": "text"})
     assert paths(error) == ["plan.service"]
 
 
-def test_promote_bodies() -> None:
+def test_a_promote_body_has_default_template_and_rejects_unknown_fields() -> None:
     body = parse_promote_body(b'{"parameters": {"service": "text"}}')
     assert (body.template, body.parameters) == ("standard", {"service": "text"})
     with pytest.raises(TemplateError) as error:
@@ -171,6 +171,6 @@
         ({"limits": JudgeLimits(token_gap_ratio=1.0)}, "limits.token_gap_ratio"),
     ],
 )
-def test_plan_ranges(change: dict[str, Any], path: str) -> None:
+def test_each_plan_field_out_of_range_is_reported(change: dict[str, Any], path: str) -> None:
     assert validate_plan(PLAN) == ()
     assert path in [error.path for error in validate_plan(msgspec.structs.replace(PLAN, **change))]
--- a/tests/unit/rollout/short_term_fleet.py
+++ b/tests/unit/rollout/short_rollout_fleet.py
@@ -1,4 +1,4 @@
-"""A virtual fleet whose candidate engines start after the order, with loads, slow answers and two routes."""
+"""A virtual fleet with candidate engines that start after the order, engine load and two routes."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 ENGINES_APPEAR_S = 1.0
 LATE_S = 3.0
-"""Of an engine's age, at which a version that is bad late turns bad."""
+"""Age of an engine, in seconds, at which a version that is bad late turns bad."""
 EXPOSE_SHARE, EXPOSE_ALLOWANCE, ROLLBACK_MS = 0.10, 50, 5000
 ELECTION_S = 1.5
 NO_QUORUM_S = 5.0
@@ -27,10 +27,10 @@
 
 
 class Fault(msgspec.Struct, frozen=True, kw_only=True):
-    """How a candidate is bad: a share of errors, or slowness; from when, above which load, on which route.
+    """A candidate's fault: share of errors or slowdown, its start, and the load and route where it occurs.
 
-    ``above_running``: other requests on the engine from which it is bad; ``above_stable``: the same in
-    multiples of what a stable engine runs on average before the rollout.
+    ``above_running``: number of other requests on the engine from which the fault occurs. ``above_stable``:
+    the same in multiples of a stable engine's mean load before the rollout.
     """
 
     errors: float = 0.0
@@ -44,11 +44,12 @@
 GOOD = Fault()
 
 
-class ShortTermFleet(VirtualFleet):
-    """One order of a short term. ``thin_share``: of the prompts on the route ``dossier``.
+class ShortRolloutFleet(VirtualFleet):
+    """Fleet with one short rollout. ``low_traffic_share``: share of the prompts on the route ``dossier``.
 
-    ``answer_s``: a good answer's mean time. A client waits for ``patience_s``. ``capacity``: requests that
-    an engine runs at once. ``calls``: requests are calls without a prompt, answered in one piece.
+    ``answer_s``: mean time of a good answer. ``patience_s``: time after which a client disconnects.
+    ``capacity``: requests that an engine can run concurrently. ``calls``: requests are calls without a
+    prompt, which are answered in one piece.
     """
 
     def __init__(
@@ -86,21 +87,21 @@
     # Faults
 
     def kill_leader(self) -> None:
-        """The leader's machine dies; another leads after an election."""
+        """Kill the leader; an election makes another node the leader."""
         assert self.leader is not None
         self.kill(self.leader)
         self.leader = None
         self.at(ELECTION_S, lambda: self.elect(self.names[5]))
 
     def lose_quorum(self) -> None:
-        """No node leads, and nothing is committed, for five seconds and an election."""
+        """Leave the fleet without a leader and without commits for five seconds and an election."""
         leader, self.leader = self.leader, None
         assert leader is not None
         self._deliver(leader, IssuerChanged(False, Term(self.term)))
         self.at(NO_QUORUM_S + ELECTION_S, lambda: self.elect(self.names[0]))
 
     def crash(self, engine: EngineId, back_after_s: float) -> None:
-        """An engine dies and comes back; what ran on it is reset."""
+        """Crash an engine, which loses its requests, and start it again after ``back_after_s``."""
         self.crashed.add(engine)
         self._publish_engines()
         self.at(back_after_s, lambda: self._recover_engine(engine))
@@ -208,11 +209,11 @@
 
     @property
     def ended_s(self) -> float:
-        """Seconds from the order to the committed end; infinite while it runs."""
+        """Seconds from the order to the committed end; infinite while the rollout is under way."""
         return math.inf if self.ended_at is None else self.ended_at - self.started_at
 
     @property
     def reported_s(self) -> float:
-        """Seconds from the order until operators are told the end."""
+        """Seconds from the order until the end is reported to operators."""
         done = self.record.phase is RolloutPhase.DONE
         return self.ended_s + (DONE_SETTLE_S if done else 0.0)
--- a/tests/unit/rollout/test_fleet.py
+++ b/tests/unit/rollout/test_fleet.py
@@ -1,4 +1,4 @@
-"""Whole fleets in virtual time: exposure, rollback time and term under faults."""
+"""Fleets in virtual time: exposure bound, rollback time and deadline under faults."""
 
 from __future__ import annotations
 
@@ -33,14 +33,14 @@
     assert fleet.last_send_after_fiftieth_bad_s() <= 5.0, "rollback time"
 
 
-def assert_done_by(fleet: VirtualFleet, term_s: float) -> None:
+def assert_done_by(fleet: VirtualFleet, deadline_s: float) -> None:
     assert fleet.record.phase is RolloutPhase.DONE
     assert fleet.ended_at is not None
-    assert fleet.ended_at - fleet.started_at <= term_s
+    assert fleet.ended_at - fleet.started_at <= deadline_s
 
 
 @pytest.mark.parametrize("prompts_per_s", [123.0, 40.0, 10.0])
-def test_a_good_rollout_is_done_by_its_term(prompts_per_s: float) -> None:
+def test_a_good_rollout_is_done_by_its_deadline(prompts_per_s: float) -> None:
     fleet = VirtualFleet(1, prompts_per_s=prompts_per_s)
     fleet.run(50)
     assert fleet.sent_by_zone["z0"] > 0
@@ -61,7 +61,7 @@
     assert refused == []
 
 
-def test_the_canary_begins_in_the_quietest_zones() -> None:
+def test_the_canary_begins_in_the_zones_with_least_traffic() -> None:
     fleet = VirtualFleet(2)
     fleet.run(35)
     sent = fleet.sent_by_zone
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_version_bad_at_once_is_aborted(seed: int) -> None:
+def test_a_version_that_is_bad_from_the_start_is_aborted(seed: int) -> None:
     fleet = VirtualFleet(seed, bad_probability=always_bad, loss=0.05 * seed, duplicate=0.1)
     fleet.run(40)
     assert fleet.record.phase is RolloutPhase.ABORTED
@@ -86,12 +86,14 @@
     assert_bounds_kept(fleet)
 
 
-@pytest.mark.parametrize("before_term_s", [57.0, 45.0, 6.0, 4.0, 3.0, 2.5, 2.0])
+@pytest.mark.parametrize("before_deadline_s", [57.0, 45.0, 6.0, 4.0, 3.0, 2.5, 2.0])
 @pytest.mark.parametrize("by_s", [30.0, 60.0])
-def test_a_leader_cut_off_for_twenty_seconds_delays_nothing(before_term_s: float, by_s: float) -> None:
+def test_a_leader_partitioned_for_twenty_seconds_does_not_delay_the_rollout(
+    before_deadline_s: float, by_s: float
+) -> None:
     plan = msgspec.structs.replace(PLAN, by_s=by_s)
-    fleet = VirtualFleet(int(before_term_s), plan=plan)
-    fleet.at(max(3.0, by_s - before_term_s), lambda: fleet.cut_off(fleet.names[0], 20.0))
+    fleet = VirtualFleet(int(before_deadline_s), plan=plan)
+    fleet.at(max(3.0, by_s - before_deadline_s), lambda: fleet.partition(fleet.names[0], 20.0))
     fleet.run(by_s + 20)
     assert_done_by(fleet, by_s)
     assert_bounds_kept(fleet)
@@ -100,13 +102,13 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_a_new_leader_waits_for_evidence_of_its_own_before_it_finishes(seed: int) -> None:
     fleet = VirtualFleet(seed, bad_probability=bad_after(54.0, 0.4))
-    fleet.at(54.0, lambda: fleet.cut_off(fleet.names[0], 20.0))
+    fleet.at(54.0, lambda: fleet.partition(fleet.names[0], 20.0))
     fleet.run(70)
     assert fleet.record.phase is RolloutPhase.ABORTED
     assert_bounds_kept(fleet)
 
 
-def test_a_frozen_holder_sends_nothing_on_waking() -> None:
+def test_a_frozen_node_sends_nothing_to_the_candidate_when_it_resumes() -> None:
     fleet = VirtualFleet(5)
     fleet.run(20)
     frozen = fleet.names[4]
@@ -132,7 +134,7 @@
     assert fleet.record.elapsed_s > 27
 
 
-def test_a_restart_of_all_nodes_forgets_the_ledger_and_grants_no_second_allowance() -> None:
+def test_a_restart_of_all_nodes_loses_the_ledger_but_grants_no_second_allowance() -> None:
     fleet = VirtualFleet(7, bad_probability=bad_after(20.0))
     fleet.run(18)
     for name in fleet.names:
@@ -145,7 +147,9 @@
 
 @pytest.mark.parametrize("at_s", [10.0, 25.0, 41.0, 50.0])
 @pytest.mark.parametrize("down_s", [1.0, 6.0])
-def test_a_good_rollout_is_done_by_its_term_after_a_restart_of_all_nodes(at_s: float, down_s: float) -> None:
+def test_a_good_rollout_is_done_by_its_deadline_after_a_restart_of_all_nodes(
+    at_s: float, down_s: float
+) -> None:
     fleet = VirtualFleet(3)
     fleet.run(at_s)
     fleet.restart_all(down_s)
@@ -154,7 +158,7 @@
     assert_bounds_kept(fleet)
 
 
-def test_a_restarted_leader_goes_on_from_the_others_clocks() -> None:
+def test_a_restarted_leader_continues_from_the_clocks_of_other_nodes() -> None:
     fleet = VirtualFleet(4)
     fleet.run(20)
     fleet.start(fleet.names[5])
@@ -163,10 +167,10 @@
     assert fleet.status().elapsed_s == pytest.approx(23.0, abs=0.8)
 
 
-def test_a_cut_off_node_uses_the_candidate_once_the_old_engines_are_gone() -> None:
+def test_a_partitioned_node_uses_the_candidate_once_the_old_engines_are_gone() -> None:
     fleet = VirtualFleet(5, plan=SHORT)
     fleet.run(26.7)
-    fleet.cut_off(fleet.names[4], 10.0)
+    fleet.partition(fleet.names[4], 10.0)
     fleet.run(4)
     assert fleet.record.phase is RolloutPhase.DONE
     chooser = fleet.coordinators[fleet.names[4]].filter
@@ -177,7 +181,7 @@
     assert chooser.recheck(SERVICE, CANDIDATE, fleet.now)
 
 
-def test_missing_candidate_engines_hold_the_shift_and_are_named() -> None:
+def test_missing_candidate_engines_stop_the_shift_and_are_reported() -> None:
     fleet = VirtualFleet(8, plan=SHORT)
     fleet.set_engines(engines_view(stable=6, candidate=2))
     fleet.run(35)
@@ -185,7 +189,7 @@
     assert "ready candidate engines run 16" in fleet.status().waiting
 
 
-def test_samples_and_status_tell_the_story() -> None:
+def test_samples_and_status_describe_the_rollout() -> None:
     fleet = VirtualFleet(9, plan=SHORT)
     fleet.run(20)
     status = fleet.status()
@@ -198,7 +202,7 @@
     assert samples[-1].evidence.stable_total > 1000
 
 
-def test_zone_rings_keep_the_bounds_when_a_lead_is_lost_and_the_leader_changes() -> None:
+def test_zone_rings_keep_the_bounds_when_a_ring_leader_is_lost_and_the_leader_changes() -> None:
     fleet = VirtualFleet(10, nodes=40, prompts_per_s=300.0, plan=SHORT, bad_probability=bad_after(25.0))
     ring_leader = fleet.names[1]
     fleet.at(8.0, lambda: fleet.kill(ring_leader))
@@ -240,11 +244,11 @@
         if fault == "freeze":
             fleet.at(at_s, lambda name=name: fleet.freeze(name, 5.0))
         elif fault == "cut":
-            fleet.at(at_s, lambda name=name: fleet.cut_off(name, 8.0))
+            fleet.at(at_s, lambda name=name: fleet.partition(name, 8.0))
         elif fault == "restart":
             fleet.at(at_s, lambda name=name: fleet.start(name))
         else:
-            fleet.at(at_s, lambda: fleet.cut_off(fleet.names[0], 20.0))
+            fleet.at(at_s, lambda: fleet.partition(fleet.names[0], 20.0))
     fleet.run(40)
     assert_bounds_kept(fleet)
     if bad_probability is always_bad:
--- a/tests/unit/rollout/test_load_step.py
+++ b/tests/unit/rollout/test_load_step.py
@@ -1,4 +1,4 @@
-"""The load step: its weight, the engines it is concentrated on, and how answers under it are compared."""
+"""The load step: its weight, the number of engines that it uses, and how its answers are compared."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 from springmux.rollout.version_filter import EVEN_LAST_WEIGHT, ServiceGate
 from springmux.vocabulary.names import RolloutId, RouteName, VersionName
 from tests.unit.rollout.judgement.support import outcome
-from tests.unit.rollout.short_term_fleet import GOOD, Fault, ShortTermFleet
+from tests.unit.rollout.short_rollout_fleet import GOOD, Fault, ShortRolloutFleet
 from tests.unit.rollout.virtual_fleet import CANDIDATE, SERVICE, STABLE
 
 CAPTION = RouteName("caption-hint")
 AFTER_S = 2.5
-FROM_ONE_AND_A_HALF = Fault(errors=0.5, above_stable=1.5)
-FROM_TWO_OTHERS = Fault(errors=0.5, above_running=2)
-"""Of calls: a mean of 0.7 or 0.8 runs at once on each of three engines with six slots."""
+BAD_FROM_ONE_AND_A_HALF_LOADS = Fault(errors=0.5, above_stable=1.5)
+BAD_FROM_TWO_OTHER_REQUESTS = Fault(errors=0.5, above_running=2)
+"""For calls, of which 0.7 or 0.8 on average run concurrently on each of three engines with six slots."""
 
 
-def calls_fleet(seed: int, by_s: float, calls_per_s: float, fault: Fault) -> ShortTermFleet:
-    return ShortTermFleet(
+def calls_fleet(seed: int, by_s: float, calls_per_s: float, fault: Fault) -> ShortRolloutFleet:
+    return ShortRolloutFleet(
         seed, by_s, calls_per_s, fault, nodes=9, stable=3, candidates=3, low_traffic_share=0.0,
         answer_s=0.065, capacity=6, calls=True,
     )  # fmt: skip
@@ -49,12 +49,12 @@
 
 
 def test_the_load_fits_the_slots_as_far_as_the_stable_engines_load_does() -> None:
-    """Given 6 engines of 16 slots that run 8 requests each, 2.5 times as many would not fit one."""
+    """With 6 engines of 16 slots that run 8 requests each, 2.5 times as many would not fit on one engine."""
     engines = loaded_engines(load_weight(0.25, 6), 6, 6, capacity=16, in_flight=48.0)
     assert load_weight(0.25, 6) * 48.0 / engines <= MAX_SLOT_USE * 16
     assert loaded_engines(load_weight(0.25, 6), 6, 6, capacity=16, in_flight=12.0) == 1
     full = loaded_engines(load_weight(0.25, 6), 6, 6, capacity=16, in_flight=120.0)
-    assert load_weight(0.25, 6) * 120.0 / full <= 20.0, "no more than a stable engine has"
+    assert load_weight(0.25, 6) * 120.0 / full <= 20.0, "no more than a stable engine runs"
 
 
 def test_all_candidate_engines_are_used_where_few_are_ready() -> None:
@@ -63,7 +63,7 @@
 
 
 def latency_bets(loaded: bool, first_token_s: float, prompt_bytes: int) -> int:
-    """Return the bet against a candidate answer beside four stable ones of 0.1 s."""
+    """Return the steep log bet of a candidate answer that is compared with four stable ones of 0.1 s."""
     table = EvidenceTable(SERVICE, STABLE, VersionName("v2"))
     for number in range(4):
         answer = outcome(STABLE, first_token_s=0.1 + 0.001 * number, prompt_bytes=prompt_bytes)
@@ -74,14 +74,14 @@
     return route.epochs[0].first_token_steep
 
 
-def test_under_the_load_step_only_gross_lateness_of_a_call_speaks_against_a_candidate() -> None:
+def test_in_the_load_step_only_much_slower_calls_count_against_the_candidate() -> None:
     assert latency_bets(False, 0.3, 0) > 0
     assert latency_bets(True, 0.3, 0) < 0
     assert latency_bets(True, 0.1 * (LOADED_RATIO + 1.0), 0) > 0
 
 
-def test_under_the_load_step_errors_of_prompts_are_judged_and_latencies_are_not() -> None:
-    """Given cold caches and more load than a stable engine's, a good version is many times slower."""
+def test_in_the_load_step_errors_of_prompts_are_judged_and_latencies_are_not() -> None:
+    """With cold caches and more load than on a stable engine, a good version is many times slower."""
     assert latency_bets(False, 0.9, 600) > 0
     assert latency_bets(True, 0.9, 600) == 0
     table = EvidenceTable(SERVICE, STABLE, VersionName("v2"))
@@ -117,20 +117,22 @@
 
 @pytest.mark.parametrize("by_s", [12.0, 16.0])
 @pytest.mark.parametrize("prompts_per_s", [60.0, 120.0])
-def test_errors_from_one_and_a_half_times_a_stable_engines_load_are_found(
+def test_errors_from_one_and_a_half_times_a_stable_engines_load_are_detected(
     prompts_per_s: float, by_s: float
 ) -> None:
     for seed in (1, 2):
-        fleet = ShortTermFleet(seed, by_s, prompts_per_s, FROM_ONE_AND_A_HALF)
+        fleet = ShortRolloutFleet(seed, by_s, prompts_per_s, BAD_FROM_ONE_AND_A_HALF_LOADS)
         fleet.run(by_s + AFTER_S)
         assert_aborted_in_time(fleet)
 
 
 @pytest.mark.parametrize("by_s", [12.0, 16.0])
 @pytest.mark.parametrize("calls_per_s", [30.0, 36.0])
-def test_errors_of_a_thin_service_of_calls_under_load_are_found(calls_per_s: float, by_s: float) -> None:
+def test_errors_under_load_of_a_low_traffic_service_of_calls_are_detected(
+    calls_per_s: float, by_s: float
+) -> None:
     for seed in (1, 2):
-        fleet = calls_fleet(seed, by_s, calls_per_s, FROM_TWO_OTHERS)
+        fleet = calls_fleet(seed, by_s, calls_per_s, BAD_FROM_TWO_OTHER_REQUESTS)
         fleet.run(by_s + AFTER_S)
         assert_aborted_in_time(fleet)
 
@@ -146,7 +148,7 @@
         assert fleet.worst_excess <= 0
 
 
-def assert_aborted_in_time(fleet: ShortTermFleet) -> None:
+def assert_aborted_in_time(fleet: ShortRolloutFleet) -> None:
     assert fleet.record.phase is RolloutPhase.ABORTED
     assert math.isfinite(fleet.ended_s)
     assert fleet.reported_s <= fleet.plan.by_s
@@ -154,7 +156,7 @@
 
 
 def candidate_prompts(last_step: bool) -> int:
-    """Return how many of 1,000 prompts of one route choose the candidate at a weight widened to the whole."""
+    """Return how many of 1,000 prompts of one route choose the candidate at a weight widened to 1."""
     gate = ServiceGate(STABLE)
     gate.begin(RolloutId("r1"), CANDIDATE, 7, EvidenceTable(SERVICE, STABLE, CANDIDATE), even_routes=True)
     keys = random.Random(1)
@@ -164,6 +166,6 @@
     return sum(gate.choose(keys.getrandbits(64), 0.1, CAPTION).candidate for _ in range(1000))
 
 
-def test_a_widened_load_step_sends_all_its_prompts_and_only_the_last_step_spares_credit() -> None:
+def test_a_widened_load_step_sends_all_its_prompts_and_only_the_last_step_saves_credit() -> None:
     assert candidate_prompts(last_step=False) == 1000
     assert candidate_prompts(last_step=True) == pytest.approx(1000 * EVEN_LAST_WEIGHT, abs=50)
--- a/tests/unit/rollout/test_participant.py
+++ b/tests/unit/rollout/test_participant.py
@@ -1,4 +1,4 @@
-"""A node's additions to a passing token: nothing is lost, and nothing counted twice, whatever befalls it."""
+"""A node's contributions to the token: none is lost or counted twice if tokens are lost or outdated."""
 
 from __future__ import annotations
 
@@ -68,24 +68,24 @@
 
 
 @settings(derandomize=True, max_examples=60)
-@given(st.lists(st.sampled_from(["answer", "lap", "lost lap", "old copy", "new term"]), max_size=40))
+@given(st.lists(st.sampled_from(["answer", "round", "lost round", "old copy", "new term"]), max_size=40))
 def test_evidence_counts_each_answer_once_under_loss_and_reissue(steps: list[str]) -> None:
     nodes = [participant("a", 1), participant("b", 2)]
-    held, older, term, answers = entry(), entry(), 1, 0
-    for step in [*steps, "lap"]:
+    current, previous, term, answers = entry(), entry(), 1, 0
+    for step in [*steps, "round"]:
         if step == "answer":
             answer(nodes[answers % 2])
             answers += 1
             continue
         if step == "new term":
             term += 1
-        token = older if step == "old copy" else held
+        token = previous if step == "old copy" else current
         for node in nodes:
             token = node.contribute(token, visit(term))
-        if step != "lost lap":
-            older, held = held, token
-    assert held.evidence.stable_total == answers
-    assert total_accounts(held.accounts).prompts == answers
+        if step != "lost round":
+            previous, current = current, token
+    assert current.evidence.stable_total == answers
+    assert total_accounts(current.accounts).prompts == answers
 
 
 def test_a_restarted_node_opens_a_new_account_and_the_old_one_stays_counted() -> None:
@@ -109,7 +109,7 @@
     assert sum(prompts) <= 2
 
 
-def test_a_foreign_account_with_the_same_number_is_noticed() -> None:
+def test_a_node_detects_a_foreign_account_with_its_writer_number() -> None:
     node = participant("a", 1)
     writer = node.contribute(entry(), visit()).accounts[0].writer
     foreign = Account(writer, 0, prompts=100, visits=50, granted=9)
@@ -119,7 +119,7 @@
     assert node.gate.available == 0
 
 
-def test_bad_evidence_turns_the_token_to_abort_and_it_never_turns_back() -> None:
+def test_bad_evidence_sets_the_abort_flag_of_the_token_which_is_never_cleared() -> None:
     node = participant("a", 1)
     for _ in range(40):
         answer(node)
@@ -133,7 +133,7 @@
     assert node.gate.choose(1, 1.5).versions == (STABLE,)
 
 
-def test_a_holder_heeds_the_flag_of_others() -> None:
+def test_a_node_stops_sending_when_another_node_set_the_abort_flag() -> None:
     node = participant("a", 1)
     token = node.contribute(entry(), visit(now=0.7))
     decision = RolloutDecision("b", "errors")
@@ -142,7 +142,7 @@
     assert node.gate.choose(1, 1.0).versions == (STABLE,)
 
 
-def test_pause_stops_sending_and_the_clock_and_resume_goes_on() -> None:
+def test_pause_stops_sending_and_the_clock_and_resume_restarts_the_clock() -> None:
     node = participant("a", 1)
     token = node.contribute(entry(elapsed_s=9.7), visit(now=0.7))
     token = node.contribute(msgspec.structs.replace(token, elapsed_s=10.0), visit())
@@ -158,7 +158,7 @@
     assert node.clock.read(61.0) == 12.0
 
 
-def test_merge_of_copies_is_the_maximum_and_recovery_asks_for_evidence_again() -> None:
+def test_merged_copies_have_the_maximum_and_recovered_accounts_lack_evidence() -> None:
     first = Account(1, 0, prompts=5, visits=3, granted=2, spent=1)
     second = Account(1, 0, prompts=4, visits=9, granted=6)
     assert merge_accounts(first, second) == Account(1, 0, prompts=5, visits=3, granted=6, spent=1)
@@ -169,22 +169,22 @@
     assert recovered.aborted
 
 
-def test_a_token_that_waited_for_a_frozen_node_renews_no_lease() -> None:
+def test_a_token_held_back_by_a_frozen_node_renews_no_lease() -> None:
     node = participant("a", 1)
     first = node.contribute(entry(), visit(now=1.0))
-    assert node.gate.lease_until < 1.0, "no token shows yet that it is newer than this node's start"
-    waited = node.contribute(first, visit(now=9.0))
+    assert node.gate.lease_until < 1.0, "no token has confirmed a visit of this node yet"
+    held_back = node.contribute(first, visit(now=9.0))
     assert node.gate.lease_until < 9.0
-    node.contribute(waited, visit(now=9.35))
+    node.contribute(held_back, visit(now=9.35))
     assert node.gate.lease_until == 9.35 + LEASE_S
 
 
-def test_a_new_leader_s_token_does_not_put_the_clock_back() -> None:
+def test_a_new_leaders_token_does_not_set_the_clock_back() -> None:
     node = participant("a", 1)
     node.contribute(entry(elapsed_s=30.0), visit(term=1, now=1.0))
     token = node.contribute(entry(elapsed_s=28.0), visit(term=2, now=2.5))
     assert token.elapsed_s == 31.5
     assert token.known_before_term
     assert node.contribute(entry(elapsed_s=29.0), visit(term=2, now=3.0)).elapsed_s == 29.0
-    long_away = node.contribute(entry(elapsed_s=30.0), visit(term=3, now=90.0))
-    assert long_away.elapsed_s == 30.0, "it may have missed a pause"
+    after_long_absence = node.contribute(entry(elapsed_s=30.0), visit(term=3, now=90.0))
+    assert after_long_absence.elapsed_s == 30.0, "the node may have missed a pause"
--- a/tests/unit/rollout/test_rollout_coordinator.py
+++ b/tests/unit/rollout/test_rollout_coordinator.py
@@ -1,4 +1,4 @@
-"""Transcripts of single nodes: fencing, skipped hops, and who may say what."""
+"""Event sequences of single nodes: fencing, skipped hops, and which node may propose or abort."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
     return [(send.to, send.message) for send in sends if isinstance(send.message, RolloutToken)]
 
 
-def test_a_quiet_fleet_sends_nothing() -> None:
+def test_a_fleet_without_a_rollout_sends_no_token() -> None:
     coordinator = RolloutCoordinator(A, ZoneName("z"), random.Random(1), RolloutSettings())
     coordinator.handle(view(None), 0.0)
     assert coordinator.handle(IssuerChanged(True, Term(1)), 0.0)[0] is not None
@@ -61,7 +61,7 @@
     assert tokens(coordinator.handle(Tick(), 5.0)) == []
 
 
-def test_a_round_goes_round_the_ring_and_home() -> None:
+def test_a_round_visits_the_nodes_of_the_ring_and_returns_to_its_issuer() -> None:
     token = start_leading(new_coordinator(A))
     assert token.itinerary == (C, D)
     effects = new_coordinator(B).handle(MessageReceived(A, token), 0.0)
@@ -71,7 +71,7 @@
     assert tokens(new_coordinator(D).handle(MessageReceived(C, last), 0.0))[0][0] == A
 
 
-def test_each_round_is_taken_once_and_older_ones_are_fenced() -> None:
+def test_each_round_is_handled_once_and_older_rounds_are_fenced() -> None:
     node, token = new_coordinator(B), start_leading(new_coordinator(A), term=3)
     assert tokens(node.handle(MessageReceived(A, token), 0.0))
     older = (
@@ -122,7 +122,7 @@
     assert [again.sequence for _, again in reissued] == [token.sequence + 1]
 
 
-def test_only_the_leader_raises() -> None:
+def test_only_the_leader_proposes_a_higher_weight() -> None:
     overdue = record_of(elapsed_s=43.0)
     node = new_coordinator(B, overdue)
     leader = new_coordinator(A, overdue)
@@ -133,7 +133,7 @@
     assert [(e.weight, e.step, e.phase) for e in wanted] == [(0.10, 1, RolloutPhase.SHIFTING)]
 
 
-def test_a_notice_makes_the_leader_want_the_abort_until_the_record_is_terminal() -> None:
+def test_a_notice_makes_the_leader_propose_the_abort_until_the_record_is_terminal() -> None:
     coordinator = new_coordinator(A)
     start_leading(coordinator)
     decision = RolloutDecision("c", "errors")
@@ -149,7 +149,7 @@
     assert coordinator.next_deadline() == NEVER
 
 
-def test_a_new_leader_commits_the_abort_that_the_cut_off_one_decided() -> None:
+def test_a_new_leader_proposes_the_abort_that_the_former_leader_decided() -> None:
     coordinator = new_coordinator(B)
     decision = RolloutDecision("a", "errors")
     token = start_leading(new_coordinator(A))
@@ -159,7 +159,7 @@
     assert ProposeAbort(SERVICE, record_of().rollout, decision) in effects
 
 
-def test_a_deployment_s_exceptions_reach_the_issuer() -> None:
+def test_a_deployments_exceptions_reach_the_issuer() -> None:
     exceptions = b'{"exceptions": {"token_period_s": 0.2, "minimum_ready_engines": 7}}'
     control = ControlState()
     command = ApplyConfiguration(order=OrderId("o"), version=1, document=exceptions)
@@ -187,7 +187,7 @@
     assert status.phase is RolloutPhase.DONE
 
 
-def test_a_large_fleet_has_zone_rings_and_losing_a_node_moves_no_other() -> None:
+def test_a_large_fleet_has_zone_rings_and_the_loss_of_a_node_moves_no_other_node() -> None:
     records = [node_record(f"n{n:03d}", f"z{n % 4}") for n in range(360)]
     layout = build_ring_layout(records)
     assert layout.relayed
--- a/tests/unit/rollout/test_short_term_components.py
+++ b/tests/unit/rollout/test_short_rollout_components.py
@@ -1,4 +1,4 @@
-"""What short terms added: the plan, what operators are told, thin routes, the watch and the last look."""
+"""Components of short rollouts: plan, reported state, route weights, first-token watch, final analysis."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize("by_s", [10.0, 12.0, 16.0, 29.0, 30.0, 60.0])
 @pytest.mark.parametrize("prompts_per_s", [1.0, 60.0, 250.0, 400.0])
-def test_every_term_from_ten_seconds_has_a_valid_plan_and_a_schedule(
+def test_every_deadline_from_ten_seconds_has_a_valid_plan_and_a_schedule(
     by_s: float, prompts_per_s: float
 ) -> None:
     plan = plan_for(SERVICE, CANDIDATE, by_s, 0.1, 50, 5000)
@@ -46,7 +46,7 @@
     assert schedule.steps[-1].expected_spent <= 0.1 * prompts_per_s * by_s + 50
 
 
-def test_long_terms_keep_the_steps_and_short_ones_the_canary() -> None:
+def test_long_deadlines_keep_all_steps_and_short_ones_keep_the_canary() -> None:
     assert plan_for(SERVICE, CANDIDATE, 60.0, 0.1, 50, 5000).steps == (0.10, 0.25, 0.50, 1.0)
     short = plan_schedule(plan_for(SERVICE, CANDIDATE, 12.0, 0.1, 50, 5000), 120.0)
     times = [(step.weight, round(step.start_s, 3), round(step.end_s, 3)) for step in short.steps]
@@ -54,17 +54,17 @@
 
 
 @pytest.mark.parametrize("by_s", [1.0, 4.0, 9.9])
-def test_a_term_under_ten_seconds_gives_a_plan_all_the_same(by_s: float) -> None:
+def test_a_deadline_under_ten_seconds_still_gives_a_plan(by_s: float) -> None:
     plan = plan_for(SERVICE, CANDIDATE, by_s, 0.1, 50, 5000)
     assert plan.by_s == by_s
     assert plan.pacing.needs_evidence
 
 
-def test_done_is_reported_a_moment_after_it_is_in_force_and_an_abort_at_once() -> None:
+def test_done_is_reported_after_the_settling_time_and_an_abort_immediately() -> None:
     done = record_of(phase=RolloutPhase.DONE, stable=CANDIDATE, weight=1.0)
     assert not may_report_done(done, since=10.0, now=10.0 + 0.9 * DONE_SETTLE_S)
     assert may_report_done(done, since=10.0, now=10.0 + DONE_SETTLE_S)
-    assert DONE_SETTLE_S >= 0.4  # a change reaches every node in touch well within this
+    assert DONE_SETTLE_S >= 0.4  # a change reaches every connected node well within this time
     assert not may_report_done(record_of(), since=10.0, now=99.0)
     assert state_of(done, confirmed=False) is RolloutState.RUNNING
     assert state_of(done, confirmed=True) is RolloutState.DONE
@@ -80,7 +80,7 @@
     return ControlViewChanged({SERVICE: record_of(**changes)}, {}, Revision(revision))
 
 
-def test_a_service_that_no_configuration_names_is_run_from_its_record() -> None:
+def test_a_service_without_configuration_is_routed_by_its_rollout_record() -> None:
     coordinator = unconfigured_coordinator()
     assert coordinator.filter.choose(SERVICE, 1, 0.0) is NO_VERSIONS
     coordinator.handle(view(1), 0.0)
@@ -105,7 +105,7 @@
     assert coordinator.filter.recheck(SERVICE, STABLE, 3.0)
 
 
-def test_routes_get_alike_many_candidate_prompts_as_far_as_a_thin_one_can() -> None:
+def test_routes_get_equal_candidate_prompts_as_far_as_a_low_traffic_route_can() -> None:
     weights = route_weights({CAPTION: 930, DOSSIER: 70}, 0.06)
     assert weights[DOSSIER] == pytest.approx(LOW_TRAFFIC_ROUTE_WEIGHT)
     assert weights[CAPTION] * 930 + weights[DOSSIER] * 70 == pytest.approx(60)
@@ -140,7 +140,7 @@
     assert first_token_bets(at_end) == early
 
 
-def test_what_a_watch_holds_is_compared_with_nothing_else() -> None:
+def test_the_references_of_a_watch_are_compared_with_no_other_prompt() -> None:
     table, watch = watched_table()
     assert table.watch(CAPTION, 600, 0.0, 1.5) is None
     table.record(outcome(CANDIDATE, first_token_s=0.1), 1.7)
@@ -162,7 +162,7 @@
     return EpochEvidence(0, bad, total, stable_bad, stable_total)
 
 
-def test_the_last_look_refuses_a_fault_on_a_thin_route_and_lets_ordinary_errors_pass() -> None:
+def test_the_final_analysis_refuses_a_fault_on_a_low_traffic_route_and_accepts_ordinary_errors() -> None:
     captions = sums(0, 50, 0, 500)
     refused = final_analysis(JudgeLimits(), evidence((CAPTION, captions), (DOSSIER, sums(5, 10, 0, 25))))
     assert refused is not None
@@ -174,14 +174,14 @@
     assert final_analysis(JudgeLimits(), EvidenceDigest()) is None
 
 
-def test_bad_answers_of_a_lost_engine_are_not_the_versions() -> None:
+def test_bad_answers_of_a_lost_engine_do_not_count_against_the_version() -> None:
     found = evidence((CAPTION, sums(6, 50, 0, 500)))
     assert final_analysis(JudgeLimits(), found) is not None
     lost = msgspec.structs.replace(found, engines=(EngineUse(1, True, 50, 1),))
     assert final_analysis(JudgeLimits(), lost) is None
 
 
-def test_the_last_look_refuses_slow_first_tokens() -> None:
+def test_the_final_analysis_refuses_slow_first_tokens() -> None:
     slow = msgspec.structs.replace(sums(0, 30, 0, 300), first_token_steep=7000)
     refused = final_analysis(JudgeLimits(), evidence((CAPTION, slow)))
     assert refused is not None
--- a/tests/unit/rollout/test_short_terms_simulated.py
+++ b/tests/unit/rollout/test_short_rollouts_simulated.py
@@ -1,4 +1,4 @@
-"""Short terms in the simulation's whole hollow fleets, with their own routers, core and operators."""
+"""Short rollouts in the simulation's complete fleets, with their own routers, core and operators."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 ENGINES_APPEAR_S = 1.0
 LATE_S = 3.0
 KILLED_AT_S = 4.0
-AFTER_TERM_S = 6.0
+AFTER_DEADLINE_S = 6.0
 LATE_ERRORS = RolloutScenario(name="late errors", behaviour=VersionBehaviour(error_share=0.5, after_s=LATE_S))
 SLOW = RolloutScenario(name="slow", behaviour=VersionBehaviour(first_token_factor=8.0, gap_factor=8.0))
 GOOD = RolloutScenario(name="good")
 
 
 class ShortTrial(RolloutTrial):
-    """A term of some seconds; the candidate's engines start after the order."""
+    """A rollout of a few seconds whose candidate engines start after the order."""
 
     def __init__(self, scenario: RolloutScenario, seed: int, by_s: float) -> None:
         super().__init__(scenario, "anuario", seed, Variant.SPRINGMUX)
@@ -30,7 +30,7 @@
     def measure_short(self, kill_leader: bool = False) -> TrialResult:
         self.set_up()
         scheduler, world = self.fleet.world.scheduler, self.fleet.world
-        end = PROMOTED_AT_S + self.plan.by_s + AFTER_TERM_S
+        end = PROMOTED_AT_S + self.plan.by_s + AFTER_DEADLINE_S
         scheduler.at(TRAFFIC_BEGINS_S, lambda: self.clients.start(end))
         scheduler.at(PROMOTED_AT_S, self._promote_for_trial)
         scheduler.at(PROMOTED_AT_S + ENGINES_APPEAR_S, self._start_candidates)
@@ -58,14 +58,14 @@
 
 @pytest.mark.parametrize("by_s", [12.0, 16.0])
 @pytest.mark.parametrize("kill_leader", [False, True], ids=["calm", "leader killed"])
-def test_a_good_version_is_done_a_second_before_the_term(by_s: float, kill_leader: bool) -> None:
+def test_a_good_version_is_done_half_a_second_before_the_deadline(by_s: float, kill_leader: bool) -> None:
     result = ShortTrial(GOOD, 2, by_s).measure_short(kill_leader)
     assert result.phase == "done"
     assert result.sent > 0
     assert result.finished_s is not None and result.finished_s <= by_s - 0.5
 
 
-def test_a_late_fault_is_found_though_the_leader_was_killed() -> None:
+def test_a_late_fault_is_detected_although_the_leader_was_killed() -> None:
     result = ShortTrial(LATE_ERRORS, 3, 12.0).measure_short(kill_leader=True)
     assert result.phase == "aborted"
     assert result.excess <= 0
--- a/tests/unit/rollout/test_version_filter.py
+++ b/tests/unit/rollout/test_version_filter.py
@@ -1,4 +1,4 @@
-"""The filter's decisions for single prompts."""
+"""The version filter's choices for single prompts."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
     assert VersionFilter().choose(ServiceName("nope"), 1, 0.0) == NO_VERSIONS
 
 
-def test_without_a_rollout_everything_is_stable_and_counted() -> None:
+def test_without_a_rollout_every_prompt_is_counted_and_gets_the_stable_version() -> None:
     chooser = VersionFilter()
     chooser.gates[SERVICE] = ServiceGate(STABLE)
     assert chooser.choose(SERVICE, 1, 0.0).versions == (STABLE,)
     assert chooser.gates[SERVICE].prompts == 1
 
 
-def test_a_credit_is_spent_per_candidate_prompt_and_none_is_left_after() -> None:
+def test_each_candidate_prompt_spends_one_credit_until_none_is_left() -> None:
     chooser = filter_with_rollout(weight=1.0, credits=2)
     choices = [chooser.choose(SERVICE, key, 0.0) for key in range(4)]
     assert [choice.candidate for choice in choices] == [True, True, False, False]
@@ -52,7 +52,7 @@
     assert (account.committed, account.sent, account.outstanding) == (1, 0, 1)
 
 
-def test_a_lapsed_lease_means_stable_in_choose_and_recheck() -> None:
+def test_an_expired_lease_allows_only_the_stable_version_in_choose_and_recheck() -> None:
     chooser = filter_with_rollout(weight=1.0, credits=5)
     assert chooser.choose(SERVICE, 1, LEASE_S).candidate
     assert chooser.recheck(SERVICE, CANDIDATE, LEASE_S)
@@ -62,7 +62,7 @@
     assert chooser.recheck(SERVICE, STABLE, late)
 
 
-def test_credits_of_a_lapsed_lease_are_not_spent_under_the_next_one() -> None:
+def test_credits_of_an_expired_lease_are_not_spent_under_the_next_one() -> None:
     chooser = filter_with_rollout(weight=1.0, credits=5)
     gate = chooser.gates[SERVICE]
     gate.expire_credits(LEASE_S + 1)
@@ -72,7 +72,7 @@
     assert gate.account(1, 0, 1).committed == 0
 
 
-def test_done_trap_candidate_serves_where_stable_is_gone() -> None:
+def test_the_candidate_serves_without_a_lease_where_no_stable_engine_is_left() -> None:
     chooser = filter_with_rollout(weight=1.0, credits=0)
     gate = chooser.gates[SERVICE]
     gate.set_default_choice(True)
@@ -87,26 +87,30 @@
     gate = chooser.gates[SERVICE]
     gate.release(STABLE)
     assert not chooser.recheck(SERVICE, CANDIDATE, 0.1)
-    gate.begin(RolloutId("next"), VersionName("v3"), 0, Ignored())
+    gate.begin(RolloutId("next"), VersionName("v3"), 0, IgnoringSink())
     assert not chooser.recheck(SERVICE, CANDIDATE, 0.1)
     gate.release(CANDIDATE)
     assert chooser.recheck(SERVICE, CANDIDATE, 0.1)
 
 
-class Ignored:
+class IgnoringSink:
     def record(self, outcome: PromptOutcome, now: float) -> None: ...
 
 
 @settings(derandomize=True, max_examples=50)
 @given(st.integers(0, 2**64 - 1), st.floats(0.0, 1.0), st.floats(0.0, 1.0))
-def test_a_prefix_stays_in_the_slice_as_the_weight_grows(key: int, first: float, second: float) -> None:
+def test_a_prefix_sent_to_the_candidate_stays_there_as_the_weight_grows(
+    key: int, first: float, second: float
+) -> None:
     low, high = sorted((first, second))
     if filter_with_rollout(low, 1).choose(SERVICE, key, 0.0).candidate:
         assert filter_with_rollout(high, 1).choose(SERVICE, key, 0.0).candidate
 
 
-def test_the_slice_has_the_weight_s_share_of_prefixes() -> None:
+def test_the_share_of_prefixes_sent_to_the_candidate_equals_the_weight() -> None:
     chooser = filter_with_rollout(weight=0.2, credits=10_000)
     rng = random.Random(4)
-    taken = sum(chooser.choose(SERVICE, rng.getrandbits(64), 0.0).candidate for _ in range(10_000))
-    assert 1850 < taken < 2150
+    candidate_prompts = sum(
+        chooser.choose(SERVICE, rng.getrandbits(64), 0.0).candidate for _ in range(10_000)
+    )
+    assert 1850 < candidate_prompts < 2150
--- a/tests/unit/rollout/virtual_fleet.py
+++ b/tests/unit/rollout/virtual_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of rollout parts in virtual time, over the real control state, with Poisson prompts."""
+"""A fleet of rollout coordinators in virtual time, with the real control state and Poisson prompts."""
 
 from __future__ import annotations
 
@@ -75,7 +75,7 @@
 
 
 class VirtualFleet:
-    """Nodes ``n00``, ``n01``, ...; ``n00`` leads first. Zone ``z0`` is the quietest."""
+    """Nodes ``n00``, ``n01``, ...; ``n00`` is the first leader. Zone ``z0`` has the least traffic."""
 
     def __init__(
         self,
@@ -105,7 +105,7 @@
         self.coordinators: dict[NodeId, RolloutCoordinator] = {}
         self.leader: NodeId | None = self.names[0]
         self.term = 1
-        self.cut: set[NodeId] = set()
+        self.partitioned: set[NodeId] = set()
         self.frozen: dict[NodeId, list[Callable[[], None]]] = {}
         self.dead: set[NodeId] = set()
         self.sent_at: list[float] = []
@@ -129,7 +129,7 @@
     # Faults
 
     def start(self, name: NodeId) -> None:
-        """Start a node, or start it again with nothing in memory but the control state."""
+        """Start or restart a node; the control state is all that it keeps."""
         self.dead.discard(name)
         rng = random.Random(self.rng.getrandbits(32))
         self.coordinators[name] = RolloutCoordinator(name, self.zone[name], rng, RolloutSettings())
@@ -138,7 +138,7 @@
         self._deliver(name, EnginesChanged(self.engines))
 
     def restart_all(self, down_s: float) -> None:
-        """Stop every node, start them all later, and elect a leader after that."""
+        """Stop all nodes, start them again after ``down_s``, and then elect a leader."""
         self.dead.update(self.names)
         for name in self.names:
             self.at(down_s, lambda name=name: self.start(name))
@@ -148,7 +148,7 @@
         self.dead.add(name)
 
     def remove_from_membership(self, name: NodeId) -> None:
-        """Let the membership lose a node."""
+        """Remove a node from the membership."""
         self.names = [known for known in self.names if known != name]
         for other in self.names:
             self._deliver(other, self._fleet_event(other))
@@ -159,10 +159,10 @@
         self.frozen[name] = []
         self.at(duration_s, lambda: self._thaw(name))
 
-    def cut_off(self, name: NodeId, duration_s: float) -> None:
-        """Drop everything to and from a node; if it leads, the rest elect another."""
-        self.cut.add(name)
-        self.at(duration_s, lambda: self.cut.discard(name))
+    def partition(self, name: NodeId, duration_s: float) -> None:
+        """Drop all messages to and from a node; if it is the leader, the others elect another."""
+        self.partitioned.add(name)
+        self.at(duration_s, lambda: self.partitioned.discard(name))
         if name == self.leader:
             self.at(ELECTION_S, lambda: self.elect(next(n for n in self.names if self._usable(n))))
 
@@ -189,7 +189,7 @@
         self.order(ResumeRollout(order=OrderId("resume"), service=SERVICE))
 
     def order(self, command: AnyCommand) -> None:
-        """Commit a command; nodes hear of it some time within half a second."""
+        """Commit a command; nodes receive it within half a second."""
         self._apply(command)
         if self.record.phase in TERMINAL_PHASES and self.ended_at is None:
             self.ended_at = self.now
@@ -235,7 +235,7 @@
         return FleetChanged(MembershipView(own, records))
 
     def _deliver_view(self, name: NodeId, event: ControlViewChanged) -> None:
-        if name in self.cut:
+        if name in self.partitioned:
             self.at(0.3, lambda: self._deliver_view(name, event))
         else:
             self._deliver(name, event)
@@ -272,10 +272,10 @@
             self.at(COMMIT_S, lambda: self.order(command_for(effect)))
 
     def _usable(self, name: NodeId) -> bool:
-        return name not in self.cut and name not in self.dead and name not in self.frozen
+        return name not in self.partitioned and name not in self.dead and name not in self.frozen
 
     def _can_commit(self, name: NodeId) -> bool:
-        return name not in self.cut and self.leader is not None and self._usable(self.leader)
+        return name not in self.partitioned and self.leader is not None and self._usable(self.leader)
 
     def _send(self, name: NodeId, send: Send) -> None:
         data = msgspec.msgpack.encode(send.message)
@@ -285,7 +285,7 @@
         message = msgspec.msgpack.decode(data, type=type(send.message))
         copies = 2 if self.rng.random() < self.duplicate else 1
         for _ in range(copies):
-            if self.rng.random() < self.loss or name in self.cut or send.to in self.cut:
+            if self.rng.random() < self.loss or name in self.partitioned or send.to in self.partitioned:
                 continue
             event = MessageReceived(name, message)
             self.at(self.rng.uniform(*self.delay_s), lambda event=event: self._deliver(send.to, event))
