--- a/src/springmux/rollout/judgement/chance.py
+++ b/src/springmux/rollout/judgement/chance.py
@@ -21,12 +21,12 @@
         return 0.0
     share = window.candidate_total / (window.candidate_total + reference.stable_total)
     bad = window.candidate_bad + reference.stable_bad
-    found = window.candidate_bad / bad
-    if found <= share:
+    observed_share = window.candidate_bad / bad
+    if observed_share <= share:
         return 1.0
-    divergence = found * math.log(found / share)
-    if found < 1.0:
-        divergence += (1.0 - found) * math.log((1.0 - found) / (1.0 - share))
+    divergence = observed_share * math.log(observed_share / share)
+    if observed_share < 1.0:
+        divergence += (1.0 - observed_share) * math.log((1.0 - observed_share) / (1.0 - share))
     return math.exp(-bad * divergence)
 
 
--- a/src/springmux/rollout/judgement/evidence_table.py
+++ b/src/springmux/rollout/judgement/evidence_table.py
@@ -158,7 +158,7 @@
         self._began_at: float | None = None
         self._routes: dict[str, _RouteTable] = {}
         self._engine_counts: dict[tuple[int, bool], _EngineCounts] = {}
-        self._known: dict[tuple[EngineId, bool], _EngineCounts] = {}
+        self._counts_by_engine: dict[tuple[EngineId, bool], _EngineCounts] = {}
 
     def record(self, outcome: PromptOutcome, now: float, watch: FirstTokenWatch | None = None) -> None:
         """Record one outcome; ignore those of other services or versions and of disconnected clients.
@@ -171,7 +171,9 @@
         ending = outcome.ending
         if ending is Ending.CALLER_GONE:
             return
-        use = self._known.get((outcome.engine, candidate)) or self._add_engine(outcome.engine, candidate)
+        use = self._counts_by_engine.get((outcome.engine, candidate)) or self._add_engine(
+            outcome.engine, candidate
+        )
         if ending is Ending.ENGINE_LOST:
             use.count_loss(now)
             return
@@ -247,7 +249,7 @@
     def _add_engine(self, engine: EngineId, candidate: bool) -> _EngineCounts:
         slot = engine_slot(engine)
         use = self._engine_counts.setdefault((slot, candidate), _EngineCounts(slot))
-        self._known[engine, candidate] = use
+        self._counts_by_engine[engine, candidate] = use
         return use
 
     def _record_stable(self, outcome: PromptOutcome, table: _RouteTable, number: int, now: float) -> None:
--- a/src/springmux/rollout/judgement/judge.py
+++ b/src/springmux/rollout/judgement/judge.py
@@ -146,8 +146,8 @@
         return None
 
     def _lost_engines(self, uses: tuple[EngineUse, ...]) -> RolloutDecision | None:
-        lost, used = _lost_of(uses, candidate=True)
-        stable_lost, stable_used = _lost_of(uses, candidate=False)
+        lost, used = _count_lost(uses, candidate=True)
+        stable_lost, stable_used = _count_lost(uses, candidate=False)
         share = lost / max(used, 1)
         if lost < MIN_LOST_ENGINES or share < 0.5 or 2 * stable_lost / max(stable_used, 1) > share:
             return None
@@ -267,9 +267,9 @@
     return poisson_tail(other_bad, rate * other_total) > CLEAN_LEVEL
 
 
-def _lost_of(uses: tuple[EngineUse, ...], *, candidate: bool) -> tuple[int, int]:
-    mine = [use for use in uses if use.candidate is candidate]
-    return sum(use.losses > 0 for use in mine), len(mine)
+def _count_lost(uses: tuple[EngineUse, ...], *, candidate: bool) -> tuple[int, int]:
+    selected = [use for use in uses if use.candidate is candidate]
+    return sum(use.losses > 0 for use in selected), len(selected)
 
 
 def _rate(bad: int, total: int) -> float:
--- a/src/springmux/rollout/leadership.py
+++ b/src/springmux/rollout/leadership.py
@@ -29,7 +29,7 @@
 TOKEN_BYTES_PER_S = 1500
 """Part of a node's 2 KB/s that the token may use; the time between rounds grows to stay within it."""
 ACCOUNT_BYTES = 22
-"""Size of one account on the wire (measured, docs/notes/token.md)."""
+"""Size of one account on the wire (docs/notes/token.md)."""
 PROPOSE_PERIOD_S = 0.2
 """Interval of the cheap check for due steps, since a step may become due between rounds."""
 ROUND_TIMEOUT_S = 0.8
--- a/src/springmux/rollout/ledger.py
+++ b/src/springmux/rollout/ledger.py
@@ -49,9 +49,9 @@
 
 def zone_order(rates: Mapping[ZoneName, float], first_zones: Sequence[ZoneName]) -> tuple[ZoneName, ...]:
     """Return zones in the order in which they get weight: ``first_zones``, then by ascending prompt rate."""
-    given = [zone for zone in first_zones if zone in rates]
-    others = sorted((zone for zone in rates if zone not in given), key=lambda zone: (rates[zone], zone))
-    return (*given, *others)
+    named_zones = [zone for zone in first_zones if zone in rates]
+    others = sorted((zone for zone in rates if zone not in named_zones), key=lambda zone: (rates[zone], zone))
+    return (*named_zones, *others)
 
 
 def zone_weights(
@@ -91,8 +91,8 @@
     for demand in demands:
         if demand.weight <= 0:
             continue
-        level = max(1, math.ceil(demand.rate_per_s * demand.weight * horizon_s))
-        missing = level - accounts[demand.writer].outstanding
+        target = max(1, math.ceil(demand.rate_per_s * demand.weight * horizon_s))
+        missing = target - accounts[demand.writer].outstanding
         if missing > 0:
             missing_by_writer[demand.writer] = missing
     grants: dict[int, int] = {}
--- a/src/springmux/rollout/planning/plan_checks.py
+++ b/src/springmux/rollout/planning/plan_checks.py
@@ -52,8 +52,8 @@
     )
     errors = [
         FieldError(path, f"out of range: {allowed}")
-        for path, right, allowed in (*checks, *_limit_checks(plan.limits))
-        if not right
+        for path, valid, allowed in (*checks, *_limit_checks(plan.limits))
+        if not valid
     ]
     return (*errors, *_step_errors(plan))
 
@@ -88,11 +88,13 @@
     if not 1 <= len(steps) <= MAXIMUM_STEPS:
         return [FieldError("steps", f"give 1 to {MAXIMUM_STEPS} steps")]
     errors: list[FieldError] = []
-    before = plan.canary_weight
+    previous_weight = plan.canary_weight
     for index, step in enumerate(steps):
-        if not before < step <= 1:
-            errors.append(FieldError(f"steps.{index}", f"{step:g} must be above {before:g} and at most 1"))
-        before = step
+        if not previous_weight < step <= 1:
+            errors.append(
+                FieldError(f"steps.{index}", f"{step:g} must be above {previous_weight:g} and at most 1")
+            )
+        previous_weight = step
     if steps[-1] != 1.0:
         errors.append(FieldError(f"steps.{len(steps) - 1}", f"the last step must be 1, not {steps[-1]:g}"))
     return errors
--- a/src/springmux/rollout/planning/schedule.py
+++ b/src/springmux/rollout/planning/schedule.py
@@ -209,7 +209,7 @@
     upcoming = _upcoming_weight(plan, progress.weight)
     if upcoming is None:
         return _finish_or_wait(plan, progress)
-    if progress.elapsed_s < _start_of(plan, upcoming):
+    if progress.elapsed_s < _step_start_s(plan, upcoming):
         return _checkpoint_or_wait(plan, progress, "on schedule")
     if progress.weight > 0 and progress.in_step_s < _minimum_step_s(plan, progress):
         return NextStep(StepKind.WAIT, reason="the last step is too recent")
@@ -219,7 +219,7 @@
             f" needs {plan.pacing.capacity_share * upcoming * progress.stable_capacity:.1f}"
         )
         return _checkpoint_or_wait(plan, progress, reason)
-    if _should_save(plan, progress, upcoming):
+    if _should_save_credit(plan, progress, upcoming):
         return _checkpoint_or_wait(plan, progress, "saving credit for the last step")
     phase = RolloutPhase.CANARY if upcoming <= plan.canary_weight else RolloutPhase.SHIFTING
     return NextStep(StepKind.STEP, upcoming, phase)
@@ -249,7 +249,7 @@
     return next((step for step in (plan.canary_weight, *plan.steps) if step > weight), None)
 
 
-def _start_of(plan: RolloutPlan, weight: float) -> float:
+def _step_start_s(plan: RolloutPlan, weight: float) -> float:
     """Return when the step to ``weight`` is due, in seconds from promotion; planned from the deadline."""
     if weight <= plan.canary_weight:
         return 0.0
@@ -257,7 +257,7 @@
     return plan.by_s - reserve_of(plan) - sum(duration for step, duration in remaining if step >= weight)
 
 
-def _should_save(plan: RolloutPlan, progress: Progress, upcoming: float) -> bool:
+def _should_save_credit(plan: RolloutPlan, progress: Progress, upcoming: float) -> bool:
     """Return whether the first step has to wait so that the credit suffices for the last step."""
     if upcoming != plan.steps[0] or len(plan.steps) == 1:
         return False
--- a/src/springmux/rollout/planning/standard_plan.py
+++ b/src/springmux/rollout/planning/standard_plan.py
@@ -85,7 +85,7 @@
             needs_evidence=True,
         ),
     )
-    return plan if long else _shortened(plan, prompts_per_s)
+    return plan if long else _short_plan(plan, prompts_per_s)
 
 
 def _short_weights(plan: RolloutPlan, prompts_per_s: float) -> tuple[float, float]:
@@ -109,7 +109,7 @@
     return max(MIN_SHARE_PART, left / (EXPOSE_TARGET * plan.expose_share))
 
 
-def _shortened(plan: RolloutPlan, prompts_per_s: float) -> RolloutPlan:
+def _short_plan(plan: RolloutPlan, prompts_per_s: float) -> RolloutPlan:
     paced = msgspec.structs.replace(
         plan,
         steps=(SHORT_COMPARISON_WEIGHT, LOAD_STEP_WEIGHT, 1.0),
--- a/src/springmux/rollout/planning/template.py
+++ b/src/springmux/rollout/planning/template.py
@@ -116,20 +116,20 @@
     ]
     for parameter in template.parameters:
         path = f"parameters.{parameter.name}"
-        given = parameters.get(parameter.name, parameter.default)
-        if given is None:
+        raw_value = parameters.get(parameter.name, parameter.default)
+        if raw_value is None:
             errors.append(FieldError(path, f"missing; a {parameter.type} is required"))
             continue
         try:
-            values[parameter.name] = _value(parameter, given)
+            values[parameter.name] = _parse_value(parameter, raw_value)
         except ValueError as error:
             errors.append(FieldError(path, str(error)))
     if errors:
         raise TemplateError(tuple(errors))
     plan = _build_plan(template, values)
-    wrong = validate_plan(plan)
-    if wrong:
-        raise TemplateError(wrong)
+    plan_errors = validate_plan(plan)
+    if plan_errors:
+        raise TemplateError(plan_errors)
     return plan
 
 
@@ -159,7 +159,7 @@
             errors.append(FieldError(f"{path}.minimum", f"{low:g} is above the maximum {high:g}"))
         elif parameter.default is not None:
             try:
-                _value(parameter, parameter.default)
+                _parse_value(parameter, parameter.default)
             except ValueError as error:
                 errors.append(FieldError(f"{path}.default", str(error)))
     errors += _plan_field_errors(template.plan, RolloutPlan, "plan", names)
@@ -177,21 +177,21 @@
     errors: list[FieldError] = []
     types = {field.name: field.type for field in msgspec.structs.fields(target)}
     for name, value in fields.items():
-        here = f"{path}.{name}"
+        field_path = f"{path}.{name}"
         if name not in types or name == "template":
-            errors.append(FieldError(here, "unknown field of a plan"))
+            errors.append(FieldError(field_path, "unknown field of a plan"))
         elif name == "limits" and isinstance(value, dict):
-            errors += _plan_field_errors(value, JudgeLimits, here, names)
+            errors += _plan_field_errors(value, JudgeLimits, field_path, names)
         elif not isinstance(value, dict):
-            errors += _type_errors(here, value, types[name])
+            errors += _type_errors(field_path, value, types[name])
         elif set(value) != {"parameter"} or str(value["parameter"]) not in names:
-            errors.append(FieldError(here, 'give a value or {"parameter": NAME} of this template'))
+            errors.append(FieldError(field_path, 'give a value or {"parameter": NAME} of this template'))
     return errors
 
 
-def _type_errors(path: str, value: object, wanted: Any) -> list[FieldError]:
+def _type_errors(path: str, value: object, expected_type: Any) -> list[FieldError]:
     try:
-        msgspec.convert(value, wanted)
+        msgspec.convert(value, expected_type)
     except msgspec.ValidationError as error:
         return [FieldError(path, str(error))]
     return []
@@ -217,20 +217,20 @@
     return document
 
 
-def _value(parameter: Parameter, given: object) -> object:
-    """Return ``given`` as the parameter's type.
+def _parse_value(parameter: Parameter, raw_value: object) -> object:
+    """Return ``raw_value`` converted to the parameter's type.
 
     :raises ValueError: if it is of another type or out of bounds.
     """
     if parameter.type is ParameterType.STRING:
-        if not isinstance(given, str) or not given:
-            raise ValueError(f"must be a string, not {json.dumps(given, default=str)}")
-        return given
+        if not isinstance(raw_value, str) or not raw_value:
+            raise ValueError(f"must be a string, not {json.dumps(raw_value, default=str)}")
+        return raw_value
     if parameter.type is ParameterType.ZONES:
-        if not isinstance(given, list | tuple) or not all(isinstance(z, str) and z for z in given):
+        if not isinstance(raw_value, list | tuple) or not all(isinstance(z, str) and z for z in raw_value):
             raise ValueError("must be a list of zone names")
-        return list(given)
-    number = _duration_s(given) if parameter.type is ParameterType.DURATION else _number(given)
+        return list(raw_value)
+    number = _duration_s(raw_value) if parameter.type is ParameterType.DURATION else _number(raw_value)
     if parameter.type is ParameterType.INTEGER and number != int(number):
         raise ValueError(f"must be a whole number, not {number:g}")
     if parameter.minimum is not None and number < parameter.minimum:
@@ -240,19 +240,19 @@
     return int(number) if parameter.type is ParameterType.INTEGER else number
 
 
-def _number(given: object) -> float:
-    if isinstance(given, bool) or not isinstance(given, int | float):
-        raise ValueError(f"must be a number, not {json.dumps(given, default=str)}")
+def _number(raw_value: object) -> float:
+    if isinstance(raw_value, bool) or not isinstance(raw_value, int | float):
+        raise ValueError(f"must be a number, not {json.dumps(raw_value, default=str)}")
     # Check the bounds first: an integer too large for a float can't be converted.
-    if not -MAXIMUM_NUMBER <= given <= MAXIMUM_NUMBER:
+    if not -MAXIMUM_NUMBER <= raw_value <= MAXIMUM_NUMBER:
         raise ValueError(f"must be a number of magnitude at most {MAXIMUM_NUMBER:g}")
-    return float(given)
+    return float(raw_value)
 
 
-def _duration_s(given: object) -> float:
-    if not isinstance(given, str):
-        return _number(given)
-    match = _DURATION.fullmatch(given.strip())
+def _duration_s(raw_value: object) -> float:
+    if not isinstance(raw_value, str):
+        return _number(raw_value)
+    match = _DURATION.fullmatch(raw_value.strip())
     if match is None:
-        raise ValueError(f"must be seconds or a string such as 90s, 5m or 1h, not {json.dumps(given)}")
+        raise ValueError(f"must be seconds or a string such as 90s, 5m or 1h, not {json.dumps(raw_value)}")
     return float(match[1]) * _DURATION_UNITS_S[match[2]]
--- a/src/springmux/rollout/rollout_coordinator.py
+++ b/src/springmux/rollout/rollout_coordinator.py
@@ -118,10 +118,10 @@
         leadership = Leadership(self._own, event.term, sequence, self._registry.settings, now)
         self._leadership = leadership
         leadership.set_rollouts(self._registry.under_way(), now)
-        note = LogLine("rollout_issuer", LogLevel.INFO, {"term": event.term, "sequence": sequence})
+        log_line = LogLine("rollout_issuer", LogLevel.INFO, {"term": event.term, "sequence": sequence})
         # The node that decided an abort may have failed before the abort was committed.
         aborted = [known for known in self._registry.under_way() if known.aborted]
-        return [note, *(effect for known in aborted for effect in self._aborts.request(known, now))]
+        return [log_line, *(effect for known in aborted for effect in self._aborts.request(known, now))]
 
     # Rounds
 
--- a/src/springmux/rollout/token_ring/token_forwarding.py
+++ b/src/springmux/rollout/token_ring/token_forwarding.py
@@ -50,12 +50,12 @@
         while itinerary and self._avoid_until.get(itinerary[0], -NEVER) > now:
             itinerary = itinerary[1:]
         to = itinerary[0] if itinerary else token.issuer
-        onward = msgspec.structs.replace(token, itinerary=itinerary[1:])
+        next_token = msgspec.structs.replace(token, itinerary=itinerary[1:])
         if to == self._own:
             self._pending.pop(token.ring, None)
-            return ForwardResult(returned=onward)
-        self._pending[token.ring] = PendingHop(onward, to, now + HOP_TIMEOUT_S)
-        return ForwardResult(effects=(Send(to, onward),))
+            return ForwardResult(returned=next_token)
+        self._pending[token.ring] = PendingHop(next_token, to, now + HOP_TIMEOUT_S)
+        return ForwardResult(effects=(Send(to, next_token),))
 
     def acknowledged(self, sender: NodeId, ack: RolloutTokenAck) -> None:
         """Handle an acknowledgement; ignore a late one, or one of another hop."""
