--- a/src/springmux/rollout/judgement/judge.py
+++ b/src/springmux/rollout/judgement/judge.py
@@ -44,7 +44,8 @@
 CLEAN_LEVEL = 0.001
 """Other engines count as good unless their number of bad answers has a lower probability by chance."""
 MIN_LOST_ENGINES = 3
-"""Lost candidate engines that condemn a version; two may be one crash and another right after the repair."""
+"""Number of lost candidate engines from which a version may be aborted. Two may be a crash and a second one
+right after the repair."""
 PASS_LEVEL = 0.05
 """Chance, per test, of wrongly reporting that a rise beyond the limits is excluded. A pass is only reported
 and decides nothing."""
--- a/src/springmux/rollout/planning/schedule.py
+++ b/src/springmux/rollout/planning/schedule.py
@@ -187,7 +187,7 @@
 
 
 class NextStep(msgspec.Struct, frozen=True):
-    """The leader's next action; ``reason`` says why it waits."""
+    """The leader's next action; ``reason``: why it waits."""
 
     kind: StepKind
     weight: float = 0.0
@@ -201,7 +201,10 @@
 
 
 def next_step(plan: RolloutPlan, progress: Progress) -> NextStep:
-    """Return the leader's next action. Steps are never skipped; an overdue leader shortens them instead.
+    """Return the leader's next action.
+
+    Steps are never skipped. A late leader takes them two rounds apart, or one round apart if the schedule is
+    overdue.
 
     Unless the plan's pacing needs evidence, a rollout finishes by its deadline with or without enough
     evidence. Only evidence against the candidate (an abort) or engines that can't carry the weight stop it.
--- a/src/springmux/rollout/version_filter.py
+++ b/src/springmux/rollout/version_filter.py
@@ -150,7 +150,7 @@
         self.lease_until = -NEVER
 
     def set_default_choice(self, candidate_too: bool) -> None:
-        """Set the versions for prompts that are not sent to the candidate.
+        """Set the versions for prompts outside the candidate's share, without a credit or without a lease.
 
         :param candidate_too: allow the candidate as second version, since the stable one has no engines left.
         """
@@ -250,7 +250,7 @@
         return gate.choose(prefix_key, now, route) if gate is not None else NO_VERSIONS
 
     def give_back(self, service: ServiceName, version: VersionName, now: float) -> None:
-        """Return the credit of a candidate prompt that was never dispatched to the issuer's pool."""
+        """Return the credit of a candidate prompt that was never dispatched; it goes back to the pool."""
         gate = self.gates.get(service)
         if gate is not None and version == gate.candidate and gate.given_back < gate.spent:
             gate.given_back += 1
