--- a/src/springmux/rollout/planning/template.py
+++ b/src/springmux/rollout/planning/template.py
@@ -1,7 +1,7 @@
-"""Rollout templates: typed parameters with bounds, stamped into plans with a tenant's few values.
+"""Rollout templates: typed parameters with bounds, from which a plan is made with a tenant's values.
 
 A template is a JSON document; each field of its ``plan`` is a literal or ``{"parameter": "name"}``.
-Wrong input is answered with every error at once, each with its path.
+Invalid input is rejected with a list of all errors, each with its path.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
 from springmux.vocabulary.errors import FieldError, SpringmuxError
 
 MAX_DOCUMENT_BYTES = 64 * 1024
-"""A template or promote body is a page of text; larger ones are refused unread."""
+"""Largest template or promote body, which is usually a page of text; larger documents aren't parsed."""
 MAXIMUM_NUMBER = 1e15
-"""No parameter of a plan needs more; below it whole numbers are exact as floats."""
+"""Bound of numeric parameters. No plan needs more, and whole numbers below it are exact as floats."""
 STANDARD_TEMPLATE_NAME = "standard"
 
 _DURATION = re.compile(r"(\d+(?:\.\d+)?)\s*(ms|s|m|h)")
@@ -30,7 +30,7 @@
 
 
 class TemplateError(SpringmuxError):
-    """A template, its parameters or the plan they make are wrong; ``errors`` names every field."""
+    """A template, its parameters or the resulting plan are invalid; ``errors`` names every field."""
 
     def __init__(self, errors: tuple[FieldError, ...]) -> None:
         super().__init__("; ".join(f"{error.path}: {error.message}" for error in errors))
@@ -54,7 +54,7 @@
 
 
 class Parameter(_Model):
-    """One typed parameter. Without a default it must be given. Bounds are inclusive."""
+    """One typed parameter. It is required if it has no default. Bounds are inclusive."""
 
     name: str = pydantic.Field(pattern=r"^[a-z][a-z0-9_]{0,63}$")
     type: ParameterType
@@ -86,7 +86,7 @@
 def parse_template(data: bytes) -> RolloutTemplate:
     """Return the template in a JSON document.
 
-    :raises TemplateError: with every error in it, wrong defaults and unknown names included.
+    :raises TemplateError: if the document is invalid; it lists all errors, including invalid defaults.
     """
     template = _parse(data, RolloutTemplate)
     errors = _template_errors(template)
@@ -98,15 +98,15 @@
 def parse_promote_body(data: bytes) -> PromoteBody:
     """Return the body of a promote or preview order; an empty ``template`` means the standard one.
 
-    :raises TemplateError: if it is not of that shape.
+    :raises TemplateError: if the document is not a valid body.
     """
     return _parse(data, PromoteBody)
 
 
-def stamp(template: RolloutTemplate, parameters: Mapping[str, object]) -> RolloutPlan:
-    """Return the plan that ``template`` makes with ``parameters``.
+def instantiate(template: RolloutTemplate, parameters: Mapping[str, object]) -> RolloutPlan:
+    """Return the plan that ``template`` defines for ``parameters``.
 
-    :raises TemplateError: naming every unknown, missing or wrong parameter, or every wrong plan field.
+    :raises TemplateError: naming every unknown, missing or invalid parameter, or every invalid plan field.
     """
     values: dict[str, object] = {}
     known = {parameter.name for parameter in template.parameters}
@@ -116,26 +116,26 @@
     ]
     for parameter in template.parameters:
         path = f"parameters.{parameter.name}"
-        given = parameters.get(parameter.name, parameter.default)
-        if given is None:
+        raw_value = parameters.get(parameter.name, parameter.default)
+        if raw_value is None:
             errors.append(FieldError(path, f"missing; give a {parameter.type}"))
             continue
         try:
-            values[parameter.name] = _value(parameter, given)
+            values[parameter.name] = _parse_value(parameter, raw_value)
         except ValueError as error:
             errors.append(FieldError(path, str(error)))
     if errors:
         raise TemplateError(tuple(errors))
     plan = _build_plan(template, values)
-    wrong = validate_plan(plan)
-    if wrong:
-        raise TemplateError(wrong)
+    plan_errors = validate_plan(plan)
+    if plan_errors:
+        raise TemplateError(plan_errors)
     return plan
 
 
 def _parse(data: bytes, model: type[_M]) -> _M:
     if len(data) > MAX_DOCUMENT_BYTES:
-        raise TemplateError((FieldError("", f"{len(data)} bytes, at most {MAX_DOCUMENT_BYTES} are read"),))
+        raise TemplateError((FieldError("", f"{len(data)} bytes, at most {MAX_DOCUMENT_BYTES} are allowed"),))
     try:
         return model.model_validate_json(data, strict=False)
     except pydantic.ValidationError as error:
@@ -152,14 +152,14 @@
     for index, parameter in enumerate(template.parameters):
         path = f"parameters.{index}"
         if parameter.name in names:
-            errors.append(FieldError(f"{path}.name", f"{parameter.name!r} is given twice"))
+            errors.append(FieldError(f"{path}.name", f"{parameter.name!r} is defined twice"))
         names.add(parameter.name)
         low, high = parameter.minimum, parameter.maximum
         if low is not None and high is not None and low > high:
             errors.append(FieldError(f"{path}.minimum", f"{low:g} is above the maximum {high:g}"))
         elif parameter.default is not None:
             try:
-                _value(parameter, parameter.default)
+                _parse_value(parameter, parameter.default)
             except ValueError as error:
                 errors.append(FieldError(f"{path}.default", str(error)))
     errors += _plan_field_errors(template.plan, RolloutPlan, "plan", names)
@@ -177,21 +177,21 @@
     errors: list[FieldError] = []
     types = {field.name: field.type for field in msgspec.structs.fields(target)}
     for name, value in fields.items():
-        here = f"{path}.{name}"
+        field_path = f"{path}.{name}"
         if name not in types or name == "template":
-            errors.append(FieldError(here, "unknown field of a plan"))
+            errors.append(FieldError(field_path, "unknown field of a plan"))
         elif name == "limits" and isinstance(value, dict):
-            errors += _plan_field_errors(value, JudgeLimits, here, names)
+            errors += _plan_field_errors(value, JudgeLimits, field_path, names)
         elif not isinstance(value, dict):
-            errors += _type_errors(here, value, types[name])
+            errors += _type_errors(field_path, value, types[name])
         elif set(value) != {"parameter"} or str(value["parameter"]) not in names:
-            errors.append(FieldError(here, 'give a value or {"parameter": NAME} of this template'))
+            errors.append(FieldError(field_path, 'give a value or {"parameter": NAME} of this template'))
     return errors
 
 
-def _type_errors(path: str, value: object, wanted: Any) -> list[FieldError]:
+def _type_errors(path: str, value: object, expected_type: Any) -> list[FieldError]:
     try:
-        msgspec.convert(value, wanted)
+        msgspec.convert(value, expected_type)
     except msgspec.ValidationError as error:
         return [FieldError(path, str(error))]
     return []
@@ -217,20 +217,20 @@
     return document
 
 
-def _value(parameter: Parameter, given: object) -> object:
-    """Return ``given`` as the parameter's type.
+def _parse_value(parameter: Parameter, raw_value: object) -> object:
+    """Return ``raw_value`` converted to the parameter's type.
 
     :raises ValueError: if it is of another type or out of bounds.
     """
     if parameter.type is ParameterType.STRING:
-        if not isinstance(given, str) or not given:
-            raise ValueError(f"must be a text, not {json.dumps(given, default=str)}")
-        return given
+        if not isinstance(raw_value, str) or not raw_value:
+            raise ValueError(f"must be a string, not {json.dumps(raw_value, default=str)}")
+        return raw_value
     if parameter.type is ParameterType.ZONES:
-        if not isinstance(given, list | tuple) or not all(isinstance(z, str) and z for z in given):
+        if not isinstance(raw_value, list | tuple) or not all(isinstance(z, str) and z for z in raw_value):
             raise ValueError("must be a list of zone names")
-        return list(given)
-    number = _duration_s(given) if parameter.type is ParameterType.DURATION else _number(given)
+        return list(raw_value)
+    number = _duration_s(raw_value) if parameter.type is ParameterType.DURATION else _number(raw_value)
     if parameter.type is ParameterType.INTEGER and number != int(number):
         raise ValueError(f"must be a whole number, not {number:g}")
     if parameter.minimum is not None and number < parameter.minimum:
@@ -240,19 +240,19 @@
     return int(number) if parameter.type is ParameterType.INTEGER else number
 
 
-def _number(given: object) -> float:
-    if isinstance(given, bool) or not isinstance(given, int | float):
-        raise ValueError(f"must be a number, not {json.dumps(given, default=str)}")
-    # Compared first: a whole number too large for a float can't be converted at all.
-    if not -MAXIMUM_NUMBER <= given <= MAXIMUM_NUMBER:
-        raise ValueError(f"must be a number within {MAXIMUM_NUMBER:g}")
-    return float(given)
+def _number(raw_value: object) -> float:
+    if isinstance(raw_value, bool) or not isinstance(raw_value, int | float):
+        raise ValueError(f"must be a number, not {json.dumps(raw_value, default=str)}")
+    # Check the bounds first: an integer too large for a float can't be converted.
+    if not -MAXIMUM_NUMBER <= raw_value <= MAXIMUM_NUMBER:
+        raise ValueError(f"must be a number of magnitude at most {MAXIMUM_NUMBER:g}")
+    return float(raw_value)
 
 
-def _duration_s(given: object) -> float:
-    if not isinstance(given, str):
-        return _number(given)
-    match = _DURATION.fullmatch(given.strip())
+def _duration_s(raw_value: object) -> float:
+    if not isinstance(raw_value, str):
+        return _number(raw_value)
+    match = _DURATION.fullmatch(raw_value.strip())
     if match is None:
-        raise ValueError(f"must be seconds or a text like 90s, 5m, 1h, not {json.dumps(given)}")
+        raise ValueError(f"must be seconds or a string such as 90s, 5m or 1h, not {json.dumps(raw_value)}")
     return float(match[1]) * _DURATION_UNITS_S[match[2]]
--- a/src/springmux/rollout/rollout_coordinator.py
+++ b/src/springmux/rollout/rollout_coordinator.py
@@ -1,8 +1,9 @@
-"""The rollout in one node: token, lease, ledger, evidence and, at the control leader, the schedule.
+"""State machine of the rollouts in one node: token, lease, ledger, evidence and, at the leader, the schedule.
 
-Pure (see :mod:`springmux.coordination.state_machine`). The data plane uses :attr:`RolloutCoordinator.filter`;
-everything else comes in as events. Any node whose merged evidence calls for it turns the token to *abort*;
-only the leader, who issues the token, raises a weight or finishes.
+It does no I/O (see :mod:`springmux.coordination.state_machine`). The data plane uses
+:attr:`RolloutCoordinator.filter`; all other input arrives as events. Any node sets the token's abort flag if
+the merged evidence justifies an abort. Only the control leader, which issues the token, raises a weight or
+finishes a rollout.
 """
 
 from __future__ import annotations
@@ -34,20 +35,20 @@
 from springmux.rollout.reporting import build_status
 from springmux.rollout.status import RolloutSample, RolloutStatus
 from springmux.rollout.token import RolloutEntry
-from springmux.rollout.token_ring.rings import RELAY, RingLayout, lay_out, way_from
+from springmux.rollout.token_ring.rings import RELAY, RingLayout, build_ring_layout, itinerary_from
 from springmux.rollout.token_ring.token_forwarding import ForwardResult, TokenForwarder
 from springmux.rollout.token_ring.zone_ring import ZoneRing
 from springmux.vocabulary.names import ServiceName
 
 ZONE_ROUND_S = 0.9
-"""Horizon of grants in a zone ring; the relay ring's rounds of a large fleet take about this long."""
+"""Seconds that a grant in a zone ring covers; a round of a large fleet's relay ring takes about as long."""
 
 EntryUpdate = Callable[[RolloutEntry, Participant], RolloutEntry]
-"""Returns a token's entry with what this node, or the ring it leads, has to add."""
+"""Returns a token's entry with the contribution of this node, or of the zone ring that it leads."""
 
 
 class RolloutCoordinator:
-    """One node's part in all rollouts. ``random`` draws the node's account numbers."""
+    """One node's part in all rollouts. ``random`` generates the writer numbers of the node's accounts."""
 
     def __init__(self, own: NodeId, zone: ZoneName, random: random.Random, settings: RolloutSettings) -> None:
         self._registry = RolloutRegistry(own, zone, random, settings)
@@ -56,12 +57,12 @@
         self._zone = zone
         self._random = random
         self._members: tuple[NodeRecord, ...] = ()
-        self._layout: RingLayout = lay_out(())
+        self._layout: RingLayout = build_ring_layout(())
         self._forwarder = TokenForwarder(own)
         self._leadership: Leadership | None = None
         self._zone_ring: ZoneRing | None = None
-        self._seen = (-1, -1)
-        self._seen_relay = (-1, -1)
+        self._newest_round = (-1, -1)
+        self._newest_relay_round = (-1, -1)
         self._aborts = AbortRequests(own, self._registry, lambda: self._leadership)
 
     def handle(self, event: Event, now: float) -> list[Effect]:
@@ -82,7 +83,7 @@
         return []
 
     def next_deadline(self) -> float:
-        """Return when a hop, a round or a repeated abort is due."""
+        """Return when the next hop timeout, round or repeated abort proposal is due."""
         round_due = self._leadership.next_deadline() if self._leadership is not None else NEVER
         return min(round_due, self._forwarder.next_deadline(), self._aborts.next_deadline())
 
@@ -97,14 +98,14 @@
         if self._leadership is not None:
             self._leadership.settings = self._registry.settings
             if changed:
-                self._leadership.follow(self._registry.under_way(), now)
+                self._leadership.set_rollouts(self._registry.under_way(), now)
         return effects
 
     def _on_fleet(self, event: FleetChanged) -> list[Effect]:
         members = tuple(event.view.present())
         if members != self._members:
             self._members = members
-            self._layout = lay_out(members)
+            self._layout = build_ring_layout(members)
         return []
 
     def _on_issuer(self, event: IssuerChanged, now: float) -> list[Effect]:
@@ -113,14 +114,14 @@
             return []
         if self._leadership is not None and self._leadership.term == event.term:
             return []
-        sequence = max(self._seen[1], self._seen_relay[1], 0)
+        sequence = max(self._newest_round[1], self._newest_relay_round[1], 0)
         leadership = Leadership(self._own, event.term, sequence, self._registry.settings, now)
         self._leadership = leadership
-        leadership.follow(self._registry.under_way(), now)
-        note = LogLine("rollout_issuer", LogLevel.INFO, {"term": event.term, "sequence": sequence})
-        # Who decided an abort may be gone before it was committed.
+        leadership.set_rollouts(self._registry.under_way(), now)
+        log_line = LogLine("rollout_issuer", LogLevel.INFO, {"term": event.term, "sequence": sequence})
+        # The node that decided an abort may have failed before the abort was committed.
         aborted = [known for known in self._registry.under_way() if known.aborted]
-        return [note, *(effect for known in aborted for effect in self._aborts.request(known, now))]
+        return [log_line, *(effect for known in aborted for effect in self._aborts.request(known, now))]
 
     # Rounds
 
@@ -129,12 +130,12 @@
         for forwarded in self._forwarder.expire(now):
             effects += self._apply_forwarded(forwarded, now)
         if self._leadership is not None and self._leadership.round_due() <= now:
-            effects += self._launch(self._leadership, now)
+            effects += self._launch_round(self._leadership, now)
         if self._leadership is not None:
             effects += self._leadership.propose_steps(self._registry.engines, now)
         return effects + self._aborts.retry(now)
 
-    def _launch(self, leadership: Leadership, now: float) -> list[Effect]:
+    def _launch_round(self, leadership: Leadership, now: float) -> list[Effect]:
         token, effects = leadership.launch(self._layout, now)
         if token.ring == RELAY:
             return effects + self._visit_relay(token, now)
@@ -159,16 +160,16 @@
         if token.issuer == self._own:
             return self._token_returned(token, now)
         if token.ring == RELAY:
-            if token.round_id <= self._seen_relay:
+            if token.round_id <= self._newest_relay_round:
                 return self._aborts.apply_token_aborts(token, now)
             return self._visit_relay(token, now)
-        if token.round_id <= self._seen:
+        if token.round_id <= self._newest_round:
             return self._aborts.apply_token_aborts(token, now)
         visited, effects = self._visit(token, now)
         return effects + self._forward(visited, now)
 
     def _visit(self, token: RolloutToken, now: float) -> tuple[RolloutToken, list[Effect]]:
-        self._seen = token.round_id
+        self._newest_round = token.round_id
         zones = list(token.zones)
 
         def contribute(entry: RolloutEntry, participant: Participant) -> RolloutEntry:
@@ -183,7 +184,7 @@
     def _add_to_entries(
         self, token: RolloutToken, zones: list[ZoneName], add: EntryUpdate, now: float
     ) -> tuple[RolloutToken, list[Effect]]:
-        """Return the token with ``add`` applied to each rollout known here; ``add`` may extend ``zones``."""
+        """Apply ``add`` to the token's entries of known rollouts; ``add`` may extend ``zones``."""
         effects: list[Effect] = []
         entries: list[RolloutEntry] = []
         for entry in token.entries:
@@ -197,9 +198,9 @@
         return msgspec.structs.replace(token, zones=tuple(zones), entries=tuple(entries)), effects
 
     def _visit_relay(self, token: RolloutToken, now: float) -> list[Effect]:
-        """Add the own zone ring's sums, pass the relay token on, and launch a round of the zone ring."""
-        self._seen_relay = token.round_id
-        ring = self._layout.led_by(self._own)
+        """Add the own zone ring's sums, forward the relay token, and launch a round of the zone ring."""
+        self._newest_relay_round = token.round_id
+        ring = self._layout.ring_led_by(self._own)
         if ring is None:
             return self._forward(token, now)
         if self._zone_ring is None or self._zone_ring.ring != ring:
@@ -216,7 +217,7 @@
     def _launch_zone_ring(self, zone_ring: ZoneRing, relay: RolloutToken, now: float) -> list[Effect]:
         known = by_rollout(self._registry.under_way())
         token = zone_ring.launch(relay, known, ZONE_ROUND_S, now)
-        itinerary = way_from(self._own, self._layout.rings[zone_ring.ring])
+        itinerary = itinerary_from(self._own, self._layout.rings[zone_ring.ring])
         token = msgspec.structs.replace(token, issuer=self._own, itinerary=itinerary)
         visited, effects = self._visit(token, now)
         return effects + self._forward(visited, now)
@@ -232,7 +233,7 @@
 
     def _token_returned(self, token: RolloutToken, now: float) -> list[Effect]:
         if self._zone_ring is not None and token.ring == self._zone_ring.ring:
-            self._zone_ring.absorb(token, now)
+            self._zone_ring.merge_returned(token, now)
             return self._aborts.apply_token_aborts(token, now)
         if self._leadership is None:
             return self._aborts.apply_token_aborts(token, now)
@@ -243,7 +244,7 @@
     # Status
 
     def status(self, service: ServiceName, now: float) -> RolloutStatus | None:
-        """Return the newest rollout of ``service`` as this node knows it, ``None`` if there was none."""
+        """Return this node's view of the newest rollout of ``service``, ``None`` if there was none."""
         participant = self._registry.newest(service)
         if participant is None:
             return None
@@ -254,6 +255,6 @@
         return build_status(participant, step_proposer, self._zone, now)
 
     def samples(self, service: ServiceName) -> tuple[RolloutSample, ...]:
-        """Return the history that this node kept of the newest rollout while it led."""
+        """Return the samples of the newest rollout that this node recorded while it was the leader."""
         participant = self._registry.newest(service)
         return participant.history.samples() if participant is not None else ()
