--- a/src/springmux/agent/agent.py
+++ b/src/springmux/agent/agent.py
@@ -45,7 +45,7 @@
 from springmux.agent.status import NodeStatusReport
 from springmux.control.delivery.arrival import Arrival
 from springmux.control.delivery.events import PeerRevisionObserved, ReplicaRestored
-from springmux.control.freshness.events import ProofWanted
+from springmux.control.freshness.events import ProofRequested
 from springmux.control.order_events import SubmitOrder
 from springmux.control.state import ControlState
 from springmux.control.view import ControlView
@@ -169,7 +169,7 @@
     def state_proof_age_s(self, now: float) -> float:
         """Return how long ago the state in force here was last proven the newest acknowledged one.
 
-        Give :class:`springmux.control.freshness.events.ProofWanted` to request a new proof.
+        Give :class:`springmux.control.freshness.events.ProofRequested` to request a new proof.
         """
         return self._components.freshness.proof_age_s(now)
 
@@ -235,7 +235,7 @@
             PeerReachable: to_membership,
             PeerUnreachable: self._on_peer_unreachable,
             SeedsChanged: to_membership,
-            ProofWanted: self._deliver_to(self._components.freshness),
+            ProofRequested: self._deliver_to(self._components.freshness),
             CommandsPrepared: self._on_prepared,
             StopBegun: self._on_stop,
             StopFinished: self._on_stop_finished,
--- a/src/springmux/agent/components.py
+++ b/src/springmux/agent/components.py
@@ -154,7 +154,7 @@
     usage = UsageExchange(own, generator())
     delivery = StateDelivery(own, generator())
     freshness = _freshness_monitor(settings, state, delivery, generator())
-    gateway = GatewayCore(settings.zone, generator(), rollout.filter, usage, freshness.current)
+    gateway = GatewayCore(settings.zone, generator(), rollout.filter, usage, freshness.is_current)
     return NodeComponents(
         membership=_membership(settings, recovered, remembered, generator()),
         contact=contact,
--- a/src/springmux/agent/state_applier.py
+++ b/src/springmux/agent/state_applier.py
@@ -11,12 +11,12 @@
 
 from springmux.agent.effects import PrepareCommands, WriteSnapshot
 from springmux.control.commands import UnknownCommandError
-from springmux.control.compression import plain_size_bytes
+from springmux.control.compression import uncompressed_size_bytes
 from springmux.control.delivery.effects import ApplyCommands, ProvideSnapshot, ReplaceState
 from springmux.control.delivery.events import SnapshotProvided
 from springmux.control.order_events import CommandDecided
 from springmux.control.state import ControlState
-from springmux.control.state_image import UnreadableImageError
+from springmux.control.state_snapshot import UnreadableSnapshotError
 from springmux.coordination.consensus.effects import TakeSnapshot
 from springmux.coordination.consensus.types import SnapshotMeta
 from springmux.coordination.identifiers import Revision
@@ -74,7 +74,7 @@
             self._queue.popleft()
             try:
                 self._execute(work, events, effects)
-            except (UnknownCommandError, UnreadableImageError) as error:
+            except (UnknownCommandError, UnreadableSnapshotError) as error:
                 effects.append(self._stop_applying(error))
         return AppliedWork(events, effects)
 
@@ -107,5 +107,7 @@
     if not isinstance(work, ApplyCommands):
         return ()
     return tuple(
-        command.data for command in work.commands if plain_size_bytes(command.data) >= LARGE_COMMAND_BYTES
+        command.data
+        for command in work.commands
+        if uncompressed_size_bytes(command.data) >= LARGE_COMMAND_BYTES
     )
--- a/src/springmux/control/commands.py
+++ b/src/springmux/control/commands.py
@@ -1,7 +1,8 @@
-"""Commands of the replicated log and their results. Encoded with msgpack; applied deterministically.
+"""Commands of the replicated log and their results, encoded with msgpack and applied deterministically.
 
-Operators' commands carry an ``order`` id chosen by the client: a resent one gets its first result.
-The order ids of the leader's own commands derive from rollout and step, so a new leader can't repeat them.
+An operator's command carries an ``order`` id chosen by the client, so that a resent one gets its first
+result. The order ids of the leader's own commands derive from rollout and step, so that a command which a
+new leader proposes again has no second effect.
 """
 
 from __future__ import annotations
@@ -29,25 +30,26 @@
 )
 
 GATEWAY_ORDER_BYTES = 16
-"""Two changes share an order id with a probability below 1e-20 in years of hundreds of changes a day."""
+"""At hundreds of changes a day, two of them share an order id within years with a probability below 1e-20."""
 
 
 CONTENT_ORDER_PREFIX = "rollout/"
-"""Prefix of a rollout order's id that is derived from its content. The node that accepts such an order
-chooses the plan's canary by its own measurements, so one resent to another node may have another plan."""
+"""Prefix of the ids of rollout orders that are derived from the order's content. The node that accepts such
+an order derives the plan's canary from its own measurements, so the same order resent to another node may
+carry a different plan."""
 
 
 class Command(msgspec.Struct, frozen=True, omit_defaults=True, kw_only=True):
-    """Base of every command. ``issued_by`` is an operator's name or ``"system"``."""
+    """Base of every command. ``issued_by`` is an operator's name, or ``"system"`` for the leader's own."""
 
     order: OrderId
     issued_by: str = "operator"
 
 
 class ApplyConfiguration(Command, frozen=True, kw_only=True, tag="ApplyConfiguration"):
-    """Install ``document`` (JSON) as configuration ``version``, which must be the present one plus 1.
+    """Install ``document`` (JSON) as configuration ``version``, which must be the current one plus 1.
 
-    ``partial``: the document is a JSON Merge Patch (RFC 7396) on the present one.
+    ``partial``: the document is a JSON Merge Patch (RFC 7396) on the current one.
     """
 
     version: int
@@ -58,8 +60,9 @@
 class ApplyGateway(Command, frozen=True, kw_only=True, tag="ApplyGateway"):
     """Change the gateway's configuration if it is still at ``base_version`` (0: there is none yet).
 
-    ``document``: JSON, see :mod:`springmux.control.gateway_change`. ``partial``: it names single items to
-    put and to remove. ``order`` is :func:`gateway_order_id`; only accepted changes are remembered by it.
+    ``document``: JSON, see :mod:`springmux.control.gateway_change`. ``partial``: the document lists single
+    items to put and to remove. ``order`` comes from :func:`gateway_order_id`; results are kept for accepted
+    changes only.
     """
 
     base_version: int
@@ -88,7 +91,7 @@
 
 
 class RevokeKey(Command, frozen=True, kw_only=True, tag="RevokeKey"):
-    """Revoke a key: its next requests are rejected, running streams end."""
+    """Revoke a key: new requests with it are rejected, and its running streams end."""
 
     key: KeyId
 
@@ -101,10 +104,10 @@
 
 
 class PromoteRollout(Command, frozen=True, kw_only=True, tag="PromoteRollout"):
-    """Start a rollout under a plan; conflicts with one under way for the service.
+    """Start a rollout by a plan. It is a conflict if the service has a running rollout already.
 
-    ``stable``: the present version, as the node that accepted the order knows it from the engines. It is used
-    only for a service of the gateway that never had a rollout.
+    ``stable``: the current version, which the node that accepted the order learned from the engines. It is
+    used only for a service of the gateway that never had a rollout.
     """
 
     rollout: RolloutId
@@ -113,7 +116,7 @@
 
 
 class PauseRollout(Command, frozen=True, kw_only=True, tag="PauseRollout"):
-    """Send nothing more to the candidate and stop the rollout's clock."""
+    """Stop sending requests to the candidate, and stop counting the rollout's elapsed time."""
 
     service: ServiceName
 
@@ -125,7 +128,10 @@
 
 
 class AbortRollout(Command, frozen=True, kw_only=True, tag="AbortRollout"):
-    """End a rollout and return everything to the stable version. ``rollout`` empty: whichever runs."""
+    """End a rollout and return all requests to the stable version.
+
+    An empty ``rollout`` means the service's newest one, whatever its id.
+    """
 
     service: ServiceName
     rollout: RolloutId = RolloutId("")
@@ -133,9 +139,10 @@
 
 
 class SetRolloutStep(Command, frozen=True, kw_only=True, tag="SetRolloutStep"):
-    """Raise the weight, or record the time used at the same weight; proposed by the leader.
+    """Raise the candidate's weight, or record the elapsed time at an unchanged weight (a checkpoint).
 
-    Ignored unless the rollout runs. ``step`` counts the raises; a checkpoint carries the present number.
+    The leader proposes it; it is rejected unless the rollout is running. ``step`` counts the increases of the
+    weight; a checkpoint carries the current number.
     """
 
     service: ServiceName
@@ -147,7 +154,7 @@
 
 
 class FinishRollout(Command, frozen=True, kw_only=True, tag="FinishRollout"):
-    """Make the candidate the stable version; proposed by the leader."""
+    """Make the candidate the stable version. The leader proposes it."""
 
     service: ServiceName
     rollout: RolloutId
@@ -155,7 +162,7 @@
 
 
 class SetClaimRing(Command, frozen=True, kw_only=True, tag="SetClaimRing"):
-    """Change the holders of at-most-once claims; ``ring.version`` is the present one plus 1."""
+    """Change the nodes that hold at-most-once claims. ``ring.version`` is the current one plus 1."""
 
     ring: ClaimRing
 
@@ -179,11 +186,14 @@
 
 
 class UnknownCommandError(SpringmuxError):
-    """A command of a newer program can't be decoded. If it is committed, the node must not continue."""
+    """A command of a newer program version can't be decoded.
+
+    A node that meets such a command in the committed log must stop applying commands.
+    """
 
 
 class Outcome(enum.StrEnum):
-    """How a command ended."""
+    """Outcome of a decided command. Only an accepted command can have changed the state."""
 
     ACCEPTED = "accepted"
     CONFLICT = "conflict"
@@ -194,7 +204,7 @@
 class CommandResult(msgspec.Struct, frozen=True, omit_defaults=True):
     """Result of a command, kept for resent ones. ``revision``: log index at which it was decided.
 
-    ``winner``: in a conflict, what prevailed (version and order, or rollout), as JSON values.
+    ``winner``: in a conflict, the version and order or the rollout that prevailed, as JSON values.
     """
 
     order: OrderId
@@ -221,18 +231,18 @@
 
 
 def encode_command(command: AnyCommand) -> bytes:
-    """Return the log's bytes for ``command``; large ones are compressed."""
-    return compress(encode_plain(command))
+    """Return ``command`` as stored in the log; large ones are compressed."""
+    return compress(encode_uncompressed(command))
 
 
-def encode_plain(command: AnyCommand) -> bytes:
-    """Return the bytes of ``command`` before compression: the same ones in every build, for digests."""
+def encode_uncompressed(command: AnyCommand) -> bytes:
+    """Return ``command`` encoded without compression: the same bytes in every build, as digests need."""
     return _encoder.encode(command)
 
 
 def decode_command(data: bytes) -> AnyCommand:
     """Return the command in ``data``.
 
-    :raises msgspec.DecodeError: if the bytes are not a known command.
+    :raises msgspec.DecodeError: if the bytes aren't a command known to this program.
     """
     return _decoder.decode(decompress(data))
--- a/src/springmux/control/compression.py
+++ b/src/springmux/control/compression.py
@@ -1,7 +1,7 @@
-"""Compressed form of large encoded values: commands in the log, images of the control state.
+"""Compression of large encoded values: commands in the log and snapshots of the control state.
 
-A configuration's items resemble each other, so level 1 already leaves a sixteenth of it (400 KB to 25 KB
-in 1 ms). That is what a large change costs on the link of every node that passes it on.
+The items of a configuration resemble each other, so level 1 already reduces it to a sixteenth (400 KB to
+25 KB in 1 ms). The compressed size is what every node that forwards a large change sends over its link.
 """
 
 from __future__ import annotations
@@ -11,47 +11,49 @@
 import msgspec
 
 MARKER = b"\x01"
-"""Begins the compressed form. No msgpack map or array begins so, which every plain form here is."""
+"""First byte of the compressed form. Uncompressed values are msgpack maps or arrays, which never begin so."""
 SIZE_BYTES = 4
-"""Big-endian size of the plain form, after the marker."""
+"""Big-endian size of the uncompressed form, after the marker."""
 COMPRESS_FROM_BYTES = 4096
-"""Smaller values gain a few packets at most."""
+"""Compression saves at most a few packets for smaller values."""
 LEVEL = 1
-"""Higher levels gain 2% here and take twice as long."""
-MAX_PLAIN_BYTES = 64 << 20
-"""Bound on what a peer's few bytes may grow to; the largest message has the same."""
+"""zlib level; higher ones save 2% more on this data and take twice as long."""
+MAX_UNCOMPRESSED_BYTES = 64 << 20
+"""Bounds the size to which a few bytes of a peer can expand. The largest message has the same bound."""
 _HEADER_BYTES = len(MARKER) + SIZE_BYTES
 
 
-def compress(plain: bytes) -> bytes:
-    """Return the form to keep and send: ``plain`` itself if it is small."""
-    if len(plain) < COMPRESS_FROM_BYTES:
-        return plain
-    return MARKER + len(plain).to_bytes(SIZE_BYTES, "big") + zlib.compress(plain, LEVEL)
+def compress(uncompressed: bytes) -> bytes:
+    """Return the form to store and send: compressed, or ``uncompressed`` itself if it is small."""
+    if len(uncompressed) < COMPRESS_FROM_BYTES:
+        return uncompressed
+    return MARKER + len(uncompressed).to_bytes(SIZE_BYTES, "big") + zlib.compress(uncompressed, LEVEL)
 
 
 def decompress(data: bytes) -> bytes:
-    """Return the plain form of what :func:`compress` returned.
+    """Return the uncompressed form of what :func:`compress` returned.
 
-    :raises msgspec.DecodeError: if the bytes are damaged or grow beyond what they state.
+    :raises msgspec.DecodeError: if the bytes are damaged or don't have the size that they state.
     """
     if not data.startswith(MARKER):
         return data
-    size_bytes = plain_size_bytes(data)
-    if size_bytes > MAX_PLAIN_BYTES:
-        raise msgspec.DecodeError(f"compressed value of {size_bytes} bytes, the limit is {MAX_PLAIN_BYTES}")
+    size_bytes = uncompressed_size_bytes(data)
+    if size_bytes > MAX_UNCOMPRESSED_BYTES:
+        raise msgspec.DecodeError(
+            f"compressed value of {size_bytes} bytes, the limit is {MAX_UNCOMPRESSED_BYTES}"
+        )
     reader = zlib.decompressobj()
     try:
-        plain = reader.decompress(data[_HEADER_BYTES:], size_bytes + 1)
+        uncompressed = reader.decompress(data[_HEADER_BYTES:], size_bytes + 1)
     except zlib.error as error:
         raise msgspec.DecodeError(f"compressed value is damaged: {error}") from error
-    if len(plain) != size_bytes or not reader.eof:
-        raise msgspec.DecodeError(f"compressed value states {size_bytes} bytes and holds others")
-    return plain
+    if len(uncompressed) != size_bytes or not reader.eof:
+        raise msgspec.DecodeError(f"compressed value states {size_bytes} bytes, but has another size")
+    return uncompressed
 
 
-def plain_size_bytes(data: bytes) -> int:
-    """Return the size of the plain form without making it."""
+def uncompressed_size_bytes(data: bytes) -> int:
+    """Return the size of the uncompressed form without decompressing it."""
     if not data.startswith(MARKER):
         return len(data)
     return int.from_bytes(data[len(MARKER) : _HEADER_BYTES], "big")
--- a/src/springmux/control/configuration_section.py
+++ b/src/springmux/control/configuration_section.py
@@ -57,7 +57,7 @@
     running: bool
 
 
-class PresentConfiguration(msgspec.Struct, frozen=True):
+class CurrentConfiguration(msgspec.Struct, frozen=True):
     """The configuration in force and its document; replaced atomically, since a thread reads it, too."""
 
     configuration: Configuration
@@ -69,14 +69,14 @@
 
     def __init__(self, max_document_bytes: int = MAX_DOCUMENT_BYTES) -> None:
         self._max_document_bytes = max_document_bytes
-        self.present = PresentConfiguration(Configuration(), EMPTY_DOCUMENT)
+        self.current = CurrentConfiguration(Configuration(), EMPTY_DOCUMENT)
         self.history: tuple[ConfigurationVersion, ...] = ()
         self.documents: tuple[tuple[int, bytes], ...] = ()
         self._prepared: dict[tuple[int, bytes], ParsedDocument] = {}
 
     def prepare(self, command: ApplyConfiguration) -> None:
         """Parse a command ahead for ``apply``, in a thread; change nothing else."""
-        base = self.present
+        base = self.current
         parsed = self._parse(command.document, command.partial, base)
         if len(self._prepared) >= PREPARED_DOCUMENTS:
             self._prepared.clear()
@@ -84,9 +84,9 @@
 
     def parse(self, document: bytes, partial: bool) -> ParsedDocument:
         """Parse a complete document, or a merge patch on the present one."""
-        return self._parse(document, partial, self.present)
+        return self._parse(document, partial, self.current)
 
-    def _parse(self, document: bytes, partial: bool, base: PresentConfiguration) -> ParsedDocument:
+    def _parse(self, document: bytes, partial: bool, base: CurrentConfiguration) -> ParsedDocument:
         try:
             if len(document) > self._max_document_bytes:
                 raise ConfigurationTooLargeError(len(document), self._max_document_bytes)
@@ -106,9 +106,9 @@
 
         :param constraints: constraints of rollouts on services, which a document must respect.
         """
-        if command.version != self.present.configuration.version + 1:
+        if command.version != self.current.configuration.version + 1:
             return self._version_conflict(command.version)
-        parsed = self._prepared.pop(_key(command, self.present), None)
+        parsed = self._prepared.pop(_key(command, self.current), None)
         if parsed is None:
             parsed = self.parse(command.document, command.partial)
         errors = parsed.errors or self.rollout_conflicts(parsed.configuration, constraints)
@@ -124,7 +124,7 @@
         errors: list[FieldError] = []
         for constraint in constraints if configuration is not None else ():
             found = configuration.services.get(constraint.service) if configuration else None
-            before = self.present.configuration.services.get(constraint.service)
+            before = self.current.configuration.services.get(constraint.service)
             path = f"services.{constraint.service}"
             if found is None and before is not None and constraint.running:
                 errors.append(FieldError(path, "a rollout of this service is under way; abort it first"))
@@ -150,7 +150,7 @@
         documents: tuple[tuple[int, bytes], ...],
     ) -> None:
         """Replace the section by a snapshot's."""
-        self.present = PresentConfiguration(configuration, document)
+        self.current = CurrentConfiguration(configuration, document)
         self.history = history
         self.documents = documents
         self._prepared.clear()
@@ -162,7 +162,7 @@
         return ParsedDocument(document, build_configuration(value, 0))
 
     def _version_conflict(self, version: int) -> Verdict:
-        present = self.present.configuration.version
+        present = self.current.configuration.version
         winner: dict[str, Any] = {"version": present}
         if self.history:
             winner["order"] = self.history[-1].order
@@ -173,13 +173,13 @@
         self, command: ApplyConfiguration, document: bytes, configuration: Configuration, revision: Revision
     ) -> None:
         numbered = msgspec.structs.replace(configuration, version=command.version)
-        self.present = PresentConfiguration(numbered, document)
+        self.current = CurrentConfiguration(numbered, document)
         made = ConfigurationVersion(command.version, command.order, command.issued_by, revision)
         self.history = (*self.history, made)[-HISTORY_VERSIONS:]
         self.documents = _bounded((*self.documents, (command.version, document)))
 
 
-def _key(command: ApplyConfiguration, base: PresentConfiguration) -> tuple[int, bytes]:
+def _key(command: ApplyConfiguration, base: CurrentConfiguration) -> tuple[int, bytes]:
     """Return the cache key of a parsed document: its digest, and for a patch also the base version."""
     base_version = base.configuration.version if command.partial else -1
     return (base_version, hashlib.blake2b(command.document, digest_size=16).digest())
--- a/src/springmux/control/decided_order_store.py
+++ b/src/springmux/control/decided_order_store.py
@@ -1,4 +1,4 @@
-"""Results of decided orders in the control state, for operators and for the leader separately."""
+"""Results of decided orders in the control state, kept separately for operators and for the leader."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 SYSTEM_ISSUER = "system"
 """``issued_by`` of the leader's own commands."""
 MAX_SYSTEM_ORDERS = 1000
-"""The leader resends for seconds at most; a rollout takes some tens of orders a minute."""
+"""The leader resends a command for seconds at most, and a rollout needs some tens of orders per minute."""
 
 
 class DecidedOrderStore:
-    """Two windows, so that a busy rollout never evicts an operator's order."""
+    """One window for operators and one for the leader, so that a rollout never evicts an operator's order."""
 
     def __init__(self, max_orders: int, max_order_bytes: int) -> None:
         self.operators = OrderWindow(max_orders, max_order_bytes)
         self.system = OrderWindow(MAX_SYSTEM_ORDERS, max_order_bytes)
 
     def find(self, order: OrderId) -> DecidedOrder | None:
-        """Return the decided order of that id, if it's still kept."""
+        """Return the decided order with this id, or ``None`` if it is undecided or was evicted."""
         return self.operators.find(order) or self.system.find(order)
 
     def recall(self, command: AnyCommand) -> CommandResult | None:
@@ -39,10 +39,11 @@
         )
 
     def remember(self, command: AnyCommand, result: CommandResult) -> None:
-        """Store the result, unless the order was rejected and a resent one must be decided anew.
+        """Store the result, unless the order was rejected and must be decided again when it is resent.
 
-        A rejected step of the leader may be due later (after a pause). The order id of a gateway change is a
-        hash of its content, so that the operator can't choose a new one.
+        Rejected commands of the leader and rejected gateway changes aren't stored. A rollout step that was
+        rejected during a pause may become valid after it. The order id of a gateway change is a hash of its
+        content, so the operator can't resend the same change under a new id.
         """
         is_system = command.issued_by == SYSTEM_ISSUER
         only_accepted = is_system or isinstance(command, ApplyGateway)
--- a/src/springmux/control/delivery/__init__.py
+++ b/src/springmux/control/delivery/__init__.py
@@ -1,4 +1,4 @@
-"""Delivery of committed commands to every node: push by a relay tree, repair by anti-entropy.
+"""Delivery of committed commands to every node: pushes through a relay tree, and repair by anti-entropy.
 
 Pure. May import the rest of ``control`` and what ``control`` may import.
 """
--- a/src/springmux/control/delivery/applied_commands.py
+++ b/src/springmux/control/delivery/applied_commands.py
@@ -1,4 +1,4 @@
-"""How far this node has applied the committed commands; only the next ones in order pass."""
+"""Tracks which committed commands this node has applied, and accepts only those that follow them."""
 
 from __future__ import annotations
 
@@ -7,14 +7,17 @@
 from springmux.control.delivery.effects import ApplyCommands, ReplaceState
 from springmux.control.delivery.messages import DeliveredCommand
 from springmux.control.delivery.recent_log import RecentLog
-from springmux.control.state_image import image_revision
+from springmux.control.state_snapshot import snapshot_revision
 from springmux.coordination.consensus.types import Entry, EntryKind
 from springmux.coordination.identifiers import Revision
 from springmux.coordination.state_machine import Effect
 
 
 class AppliedCommands:
-    """The revision handed to the agent. ``recent`` keeps the newest commands for peers that are behind."""
+    """The revision up to which commands were passed to the agent.
+
+    :param recent: keeps the newest commands, to serve peers that are behind.
+    """
 
     def __init__(self, recent: RecentLog) -> None:
         self._recent = recent
@@ -22,11 +25,14 @@
 
     @property
     def revision(self) -> Revision:
-        """Index of the newest command handed to the agent."""
+        """Log index of the newest command passed to the agent."""
         return self._revision
 
     def select_new(self, entries: Sequence[Entry]) -> tuple[DeliveredCommand, ...]:
-        """Return the commands newer than the present revision, to which the first one is next."""
+        """Return the commands among ``entries`` that are newer than the current revision.
+
+        The first one gets the current revision as its predecessor, since ``entries`` continue the log.
+        """
         commands: list[DeliveredCommand] = []
         previous = self._revision
         for entry in entries:
@@ -36,7 +42,7 @@
         return tuple(commands)
 
     def apply(self, commands: Sequence[DeliveredCommand]) -> list[Effect]:
-        """Hand the agent the commands that follow the present revision without a gap."""
+        """Pass the agent those commands that follow the current revision without a gap."""
         following: list[DeliveredCommand] = []
         revision = self._revision
         for command in commands:
@@ -53,11 +59,11 @@
         return [ApplyCommands(tuple(following))]
 
     def replace(self, snapshot: bytes) -> list[Effect]:
-        """Replace the state by a snapshot, if that is newer.
+        """Replace the state by ``snapshot`` if that is newer.
 
-        :raises UnreadableImageError: if ``snapshot`` can't be read.
+        :raises UnreadableSnapshotError: if the revision of ``snapshot`` can't be read.
         """
-        revision = image_revision(snapshot)
+        revision = snapshot_revision(snapshot)
         if revision <= self._revision:
             return []
         self._revision = revision
--- a/src/springmux/control/delivery/arrival.py
+++ b/src/springmux/control/delivery/arrival.py
@@ -1,4 +1,4 @@
-"""How a newer control state reached a node, and since when the node knew that it was behind."""
+"""Records how newer control state reached a node, and since when the node had known that it was behind."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
     """How committed commands reach a node."""
 
     REPLICA = "replica"
-    """The node's own replica committed them, or recovered them from disk."""
+    """The node's own replica committed the commands, or recovered them from disk."""
     PUSH = "push"
-    """The leader pushed them through the relay tree."""
+    """The leader pushed the commands through the relay tree."""
     TRANSFER = "transfer"
-    """They were fetched from a peer that was ahead."""
+    """The node fetched the commands from a peer that was ahead."""
 
 
 class Arrival(msgspec.Struct, frozen=True):
@@ -31,14 +31,17 @@
 
 
 class ArrivalTracker:
-    """Record the newest arrival. A node that learns of no newer revision doesn't know that it is behind."""
+    """Tracks the newest arrival.
+
+    A node counts as behind from the moment at which it learns of a newer revision, not from its commit.
+    """
 
     def __init__(self) -> None:
         self.newest: Arrival | None = None
         self._behind_since: float | None = None
 
     def observe_revision(self, revision: Revision, own: Revision, now: float) -> None:
-        """Record a revision that a peer has."""
+        """Record that a peer has ``revision``, while this node has ``own``."""
         if revision > own and self._behind_since is None:
             self._behind_since = now
 
--- a/src/springmux/control/delivery/confirmation.py
+++ b/src/springmux/control/delivery/confirmation.py
@@ -1,8 +1,8 @@
-"""The revision that a node must reach before it is ready: the newest one acknowledged by a quorum.
+"""Finds the revision that a node must reach before it is ready: the newest one acknowledged by a quorum.
 
 A node that starts may have an old state (from its disk) or none. It sends a request to the leader, which
 has a quorum confirm its leadership (ReadIndex, Ongaro 2014, section 6.4) and replies with its own revision.
-Many nodes that start together share one confirmation.
+Nodes that start at the same time share one confirmation.
 """
 
 from __future__ import annotations
@@ -16,33 +16,36 @@
 from springmux.coordination.state_machine import NEVER, Effect, Send
 
 REQUEST_BITS = 48
-"""Request numbers start at random, so that a reply to an earlier process isn't accepted."""
+"""Bits of the first request number. It is random, so that replies to an earlier process aren't accepted."""
 
 
 class RevisionRequester:
-    """Request the revision in every node: at start and after each loss of contact, until a reply comes."""
+    """Requests the confirmed revision from the leader until a reply arrives. Every node has one.
+
+    Requests are sent after the start, and again after each loss of contact.
+    """
 
     def __init__(self, rng: random.Random, settings: DeliverySettings) -> None:
         self._settings = settings
         self._first_request = rng.getrandbits(REQUEST_BITS)
         self._request = self._first_request
         self._request_at = 0.0
-        self.confirmed: Revision | None = None
+        self.confirmed_revision: Revision | None = None
         self.awaiting_reply = True
-        """Whether the reply since the start, or since contact was restored, is outstanding."""
+        """Whether no reply has arrived since the start, or since contact was restored."""
 
     def next_deadline(self, leader: NodeId | None) -> float:
-        """Return when the next request is due."""
+        """Return the monotonic time of the next request."""
         return self._request_at if self.awaiting_reply and leader is not None else NEVER
 
     def restart(self) -> None:
-        """Request anew once contact is restored; replies to earlier requests no longer count."""
+        """Start over after contact was restored; replies to earlier requests are no longer accepted."""
         self.awaiting_reply = True
         self._request_at = 0.0
         self._first_request = self._request
 
-    def leader_changed(self) -> None:
-        """Make a request to the new leader due at once."""
+    def handle_leader_change(self) -> None:
+        """Make the next request due immediately, since it goes to a new leader."""
         self._request_at = 0.0
 
     def tick(self, leader: NodeId | None, now: float) -> list[Effect]:
@@ -53,19 +56,20 @@
         self._request += 1
         return [Send(leader, RevisionRequest(self._request))]
 
-    def accept(self, reply: RevisionConfirmed) -> bool:
-        """Handle a reply; return whether its request was sent since the start or :meth:`restart`."""
+    def accept_reply(self, reply: RevisionConfirmed) -> bool:
+        """Handle a reply; return whether its request was sent since the start or the last :meth:`restart`."""
         if not self._first_request < reply.request <= self._request:
             return False
         self.awaiting_reply = False
-        self.confirmed = max(self.confirmed or Revision(0), reply.revision)
+        self.confirmed_revision = max(self.confirmed_revision or Revision(0), reply.revision)
         return True
 
 
 class RevisionConfirmer:
-    """Answer the requests, at the leader. One confirmation runs at a time.
+    """Replies to the requests at the leader. One confirmation runs at a time.
 
-    A request that arrives while one runs waits for the next: the confirmation must start after it.
+    A request that arrives during a confirmation waits for the next one, because only a confirmation that
+    starts after the request covers it.
     """
 
     def __init__(self, settings: DeliverySettings) -> None:
@@ -77,27 +81,27 @@
         self._timeout_at = NEVER
 
     def next_deadline(self) -> float:
-        """Return when an unanswered confirmation times out."""
+        """Return the monotonic time at which the running confirmation times out."""
         return self._timeout_at
 
-    def request(self, sender: NodeId, request: RevisionRequest, now: float) -> list[Effect]:
-        """Queue a request; start a confirmation if none runs."""
+    def add_request(self, sender: NodeId, request: RevisionRequest, now: float) -> list[Effect]:
+        """Queue a request; start a confirmation unless one is running."""
         self._next[sender] = request
         return [] if self._running else self._start(now)
 
-    def confirmed(
+    def handle_confirmation(
         self, correlation_id: str, index: LogIndex | None, applied: LogIndex, own: Revision, now: float
     ) -> list[Effect]:
-        """Handle the replica's reply. A refused confirmation is dropped; the requesters retry."""
+        """Handle the replica's reply. If it refused, the requests are dropped and the requesters retry."""
         if correlation_id != self._correlation_id():
             return []
         if index is None:
             self._running = {}
             return self._start(now)
         self._index = index
-        return self.applied(applied, own, now)
+        return self.handle_applied_index(applied, own, now)
 
-    def applied(self, applied: LogIndex, own: Revision, now: float) -> list[Effect]:
+    def handle_applied_index(self, applied: LogIndex, own: Revision, now: float) -> list[Effect]:
         """Reply to the requesters once the state has applied the confirmed index."""
         if self._index is None or applied < self._index:
             return []
@@ -108,14 +112,14 @@
         return replies + self._start(now)
 
     def tick(self, now: float) -> list[Effect]:
-        """Start over if the replica gave no reply in time."""
+        """Start a new confirmation if the replica didn't reply in time."""
         if now < self._timeout_at:
             return []
         self._next = {**self._running, **self._next}
         return self._start(now)
 
     def stop(self) -> None:
-        """Drop all requests: this node no longer leads."""
+        """Drop all requests, because this node no longer leads."""
         self._running, self._next = {}, {}
         self._index = None
         self._timeout_at = NEVER
--- a/src/springmux/control/delivery/effects.py
+++ b/src/springmux/control/delivery/effects.py
@@ -1,4 +1,4 @@
-"""Effects that state delivery requests from the agent, besides ``Send`` and ``LogLine``."""
+"""Effects of state delivery, for the agent to execute, besides ``Send`` and ``LogLine``."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ApplyCommands(Effect, frozen=True):
-    """Apply these to the control state, in order. They follow its revision without a gap."""
+    """Apply the commands to the control state in order. They follow its revision without a gap."""
 
     commands: tuple[DeliveredCommand, ...]
 
@@ -21,10 +21,10 @@
 
 
 class ProvideSnapshot(Effect, frozen=True):
-    """Take a snapshot of the present state and reply with ``SnapshotProvided``."""
+    """Take a snapshot of the current state and reply with the event ``SnapshotProvided``."""
 
 
 class ConfirmLeaderRevision(Effect, frozen=True):
-    """Request a read index from the node's own leading replica; the reply is ``ConfirmedRevision``."""
+    """Request a read index from this node's own replica, which leads. The reply is ``ConfirmedRevision``."""
 
     correlation_id: str
--- a/src/springmux/control/delivery/events.py
+++ b/src/springmux/control/delivery/events.py
@@ -1,6 +1,7 @@
 """Events of state delivery.
 
-It also handles messages, ticks, ``control.events.LeadershipKnown`` and membership's ``PeerUnreachable``.
+State delivery also handles messages, ticks, ``control.events.LeadershipKnown`` and, from membership,
+``ContactChanged`` and ``PeerUnreachable``.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 
 class CommandsCommitted(Event, frozen=True):
-    """The node's own replica committed entries (its ``Apply``), of every kind and in order."""
+    """The node's own replica committed entries (effect ``Apply``): of every kind, in log order."""
 
     entries: tuple[Entry, ...]
 
@@ -20,7 +21,7 @@
 class ReplicaRestored(Event, frozen=True):
     """The node's own replica recovered or installed a snapshot that covers the log up to ``index``.
 
-    It comes before the first :class:`CommandsCommitted` after that snapshot.
+    It precedes the first :class:`CommandsCommitted` with entries after ``index``.
     """
 
     index: LogIndex
@@ -28,7 +29,7 @@
 
 
 class PeerRevisionObserved(Event, frozen=True):
-    """A peer's message carried its term and revision in the envelope."""
+    """The envelope of a peer's message carried that peer's term and revision."""
 
     node: NodeId
     term: Term
--- a/src/springmux/control/delivery/fetching.py
+++ b/src/springmux/control/delivery/fetching.py
@@ -1,4 +1,4 @@
-"""Fetch missing control state from a peer that is ahead: choice of peer, reassembly, timeouts."""
+"""Fetches missing control state from peers that are ahead: choice of peer, reassembly and timeouts."""
 
 from __future__ import annotations
 
@@ -23,11 +23,14 @@
 
 
 class _ActiveTransfer(msgspec.Struct):
-    """A transfer being received. Those of one kind and target are equal byte for byte at every peer."""
+    """A transfer being received.
+
+    Transfers of one kind and target are equal byte for byte at every peer, so another peer can continue one.
+    """
 
     peer: NodeId
     first_request: int
-    """Replies from this request on are accepted: a peer that was abandoned may only be slow."""
+    """Replies to this request and to later ones are accepted, since an abandoned peer may only be slow."""
     request: int
     revision: Revision
     deadline: float
@@ -39,29 +42,29 @@
     window_end: int = 0
     content: bytearray = msgspec.field(default_factory=bytearray)
     out_of_order: dict[int, bytes] = msgspec.field(default_factory=dict)
-    """Chunks received before one that precedes them, by offset."""
+    """Chunks received before a chunk that precedes them, by offset."""
 
 
 class ChunkResult(msgspec.Struct, frozen=True):
-    """Outcome of a received chunk: the transfer if the chunk completed it, and the effects to execute."""
+    """Result of a received chunk: the transfer if the chunk completed it, and the effects to execute."""
 
     completed: CompletedTransfer | None = None
     effects: tuple[Effect, ...] = ()
 
 
 class StateFetcher:
-    """Fetch from the peers known to be ahead, one transfer at a time.
+    """Fetches from the peers known to be ahead, one transfer at a time.
 
     :param rng: jitters the start of transfers and chooses among equal peers.
-    :param is_near: returns whether a node is in the same zone.
+    :param is_same_zone: returns whether a node is in this node's zone.
     """
 
     def __init__(
-        self, rng: random.Random, settings: DeliverySettings, is_near: Callable[[NodeId], bool]
+        self, rng: random.Random, settings: DeliverySettings, is_same_zone: Callable[[NodeId], bool]
     ) -> None:
         self._rng = rng
         self._settings = settings
-        self._is_near = is_near
+        self._is_same_zone = is_same_zone
         self._peers_ahead: dict[NodeId, Revision] = {}
         self._cooldown_until: dict[NodeId, float] = {}
         self._active: _ActiveTransfer | None = None
@@ -69,24 +72,24 @@
         self._request = 0
 
     def next_deadline(self) -> float:
-        """Return when to start a transfer, or when the wait for a chunk times out."""
+        """Return the monotonic time at which a transfer starts, or the wait for a chunk times out."""
         return self._active.deadline if self._active is not None else self._start_at
 
     def observe_revision(self, node: NodeId, revision: Revision, own: Revision, now: float) -> None:
-        """Record that ``node`` has ``revision``; fetch it after a grace period for the push."""
+        """Record that ``node`` has ``revision``; fetch it if no push delivers it within the grace period."""
         self._peers_ahead[node] = max(revision, self._peers_ahead.get(node, revision))
         if revision > own and self._start_at == NEVER:
             jitter = self._rng.uniform(0.5, 1.0)
             self._start_at = now + self._settings.fetch_grace_s * jitter
 
     def fetch_immediately(self, node: NodeId, revision: Revision, own: Revision, now: float) -> list[Effect]:
-        """Fetch from ``node`` without a grace period, since no push will bring ``revision``."""
+        """Fetch from ``node`` without a grace period, since no push will deliver ``revision``."""
         self._peers_ahead[node] = max(revision, self._peers_ahead.get(node, revision))
         self._cooldown_until.pop(node, None)
         return [] if self._active is not None else self._start_next(own, now)
 
     def tick(self, own: Revision, now: float) -> list[Effect]:
-        """Start a transfer that is due; on a timeout, retry or go on at another peer."""
+        """Start a transfer that is due; after a timeout, retry or continue at another peer."""
         transfer = self._active
         if transfer is None:
             return self._start_next(own, now) if now >= self._start_at else []
@@ -94,28 +97,28 @@
             return []
         if transfer.revision != own:
             return self._start_next(own, now)
-        stalled = len(transfer.content) > 0 and self._has_alternative(transfer, own, now)
-        if transfer.attempts < self._settings.fetch_attempts and not stalled:
+        is_stalled = len(transfer.content) > 0 and self._has_alternative(transfer, own, now)
+        if transfer.attempts < self._settings.fetch_attempts and not is_stalled:
             transfer.attempts += 1
             return [self._request_chunks(transfer, now)]
-        return self._give_up(transfer, own, now)
+        return self._abandon_peer(transfer, own, now)
 
     def peer_unreachable(self, peer: NodeId, own: Revision, now: float) -> list[Effect]:
-        """Abandon a transfer from ``peer``, whose connection is lost."""
+        """Continue the active transfer at another peer if it came from ``peer``, whose connection is lost."""
         transfer = self._active
         if transfer is None or transfer.peer != peer:
             return []
-        return self._give_up(transfer, own, now)
+        return self._abandon_peer(transfer, own, now)
 
-    def _give_up(self, transfer: _ActiveTransfer, own: Revision, now: float) -> list[Effect]:
+    def _abandon_peer(self, transfer: _ActiveTransfer, own: Revision, now: float) -> list[Effect]:
         """Continue at another peer, keeping the bytes received so far."""
         self._cool_down(transfer.peer, now)
         fields = {"peer": transfer.peer, "revision": own, "received_bytes": len(transfer.content)}
-        given_up = LogLine("transfer_given_up", LogLevel.INFO, fields)
-        return [given_up, *self._start_next(own, now)]
+        log_line = LogLine("transfer_given_up", LogLevel.INFO, fields)
+        return [log_line, *self._start_next(own, now)]
 
     def _has_alternative(self, transfer: _ActiveTransfer, own: Revision, now: float) -> bool:
-        """Return whether another peer is ahead that isn't in its cooldown."""
+        """Return whether another peer that is ahead isn't in its cooldown."""
         return any(
             node != transfer.peer and revision > own and self._cooldown_until.get(node, 0.0) <= now
             for node, revision in self._peers_ahead.items()
@@ -124,7 +127,7 @@
     def receive_chunk(self, sender: NodeId, chunk: StateChunk, now: float) -> ChunkResult:
         """Add a chunk to the active transfer; request the next window or complete the transfer."""
         transfer = self._active
-        if transfer is None or not self._accepts(transfer, sender, chunk):
+        if transfer is None or not self._accepts_chunk(transfer, sender, chunk):
             return ChunkResult()
         if not _is_part_of(transfer, chunk):
             _restart(transfer, chunk)
@@ -137,8 +140,8 @@
             return ChunkResult(effects=(self._request_chunks(transfer, now),))
         return ChunkResult()
 
-    def _accepts(self, transfer: _ActiveTransfer, sender: NodeId, chunk: StateChunk) -> bool:
-        """Return whether a chunk replies to this transfer; only the newest request may change its content."""
+    def _accepts_chunk(self, transfer: _ActiveTransfer, sender: NodeId, chunk: StateChunk) -> bool:
+        """Return whether to accept a chunk. Only the newest request may switch to another transfer."""
         if not transfer.first_request <= chunk.request <= transfer.request:
             return False
         is_newest = (sender, chunk.request) == (transfer.peer, transfer.request)
@@ -164,7 +167,7 @@
         return self._start_next(own, now)
 
     def fetch_next(self, own: Revision, now: float) -> list[Effect]:
-        """Fetch what is still missing after a transfer."""
+        """Fetch the state that is still missing after a transfer."""
         return [] if self._active is not None else self._start_next(own, now)
 
     def back_off(self, peer: NodeId, now: float) -> None:
@@ -196,9 +199,9 @@
         return Send(transfer.peer, fetch)
 
     def _chunk_timeout_s(self, transfer: _ActiveTransfer) -> float:
-        """Return how long to wait for the next chunk of those in flight.
+        """Return how long to wait for the next chunk in flight.
 
-        The peer's link may carry the same chunks for ``fan_out`` nodes. A retry before a chunk can have
+        The peer's link may carry the same chunks for ``fan_out`` nodes. A retry before a chunk could have
         arrived would only congest the links with duplicates.
         """
         due_bytes = max(0, min(transfer.window_end, transfer.total_bytes) - len(transfer.content))
@@ -207,13 +210,13 @@
         return settings.fetch_timeout_s + min(due_bytes, settings.chunk_bytes) / shared_link_bytes_s
 
     def _choose_peer(self, own: Revision, now: float) -> NodeId | None:
-        """Return a peer that is ahead: preferably responsive, then near; at random among equals."""
+        """Return a random peer that is ahead, preferring responsive ones and then ones in the same zone."""
         self._peers_ahead = {node: revision for node, revision in self._peers_ahead.items() if revision > own}
         self._cooldown_until = {node: until for node, until in self._cooldown_until.items() if until > now}
         candidates = sorted(self._peers_ahead)
-        answering = [node for node in candidates if node not in self._cooldown_until] or candidates
-        near = [node for node in answering if self._is_near(node)] or answering
-        return self._rng.choice(near) if near else None
+        responsive = [node for node in candidates if node not in self._cooldown_until] or candidates
+        preferred = [node for node in responsive if self._is_same_zone(node)] or responsive
+        return self._rng.choice(preferred) if preferred else None
 
     def _cool_down(self, peer: NodeId, now: float) -> None:
         self._cooldown_until[peer] = now + self._settings.peer_cooldown_s
@@ -224,7 +227,7 @@
 
 
 def _restart(transfer: _ActiveTransfer, chunk: StateChunk) -> None:
-    """Start over with the transfer of ``chunk``, since the peer sends another one than before."""
+    """Start over with the transfer of ``chunk``, since the peer sends a different one than before."""
     transfer.kind = chunk.kind
     transfer.target = chunk.target
     transfer.total_bytes = chunk.total_bytes
--- a/src/springmux/control/delivery/messages.py
+++ b/src/springmux/control/delivery/messages.py
@@ -13,8 +13,8 @@
 class DeliveredCommand(msgspec.Struct, frozen=True, array_like=True):
     """A committed command with its log position.
 
-    Log indexes of commands have gaps (members, barriers), so each names its predecessor: a state at
-    ``previous_index`` may apply it, an older one lacks commands in between.
+    Membership and barrier entries leave gaps between the log indexes of commands, so each command names its
+    predecessor. A state at ``previous_index`` may apply the command; an older one lacks commands in between.
     """
 
     previous_index: Revision
@@ -32,9 +32,9 @@
 
 
 class PushCommands(PeerMessage, frozen=True, tag="PushCommands"):
-    """New commands from the leader, to be forwarded to ``relay_to``.
+    """New commands from the leader, which the receiver forwards to ``relay_to``.
 
-    Without ``commands`` it only announces that ``revision`` can be fetched.
+    Without ``commands`` the message only announces that ``revision`` can be fetched.
     """
 
     term: Term
@@ -44,7 +44,7 @@
 
 
 class FetchState(PeerMessage, frozen=True, tag="FetchState"):
-    """Request what follows ``revision``; with ``kind``, a transfer's bytes from ``offset`` on."""
+    """Requests the state after ``revision``; with ``kind``, the rest of a transfer from ``offset`` on."""
 
     request: int
     revision: Revision
@@ -56,7 +56,8 @@
 class StateChunk(PeerMessage, frozen=True, tag="StateChunk"):
     """Bytes of a transfer that brings the requester to ``target``.
 
-    ``checksum`` covers all of its bytes. After ``window_end`` the requester sends its next request.
+    ``checksum`` covers the whole transfer. The requester sends its next request when it has all bytes before
+    the offset ``window_end``.
     """
 
     request: int
@@ -70,20 +71,20 @@
 
 
 class NoNewerRevision(PeerMessage, frozen=True, tag="NothingNewer"):
-    """Reply to :class:`FetchState`: the node is at ``revision`` itself, no further than the requester."""
+    """Reply to :class:`FetchState`: the sender is at ``revision``, which the requester has already."""
 
     request: int
     revision: Revision
 
 
 class RevisionRequest(PeerMessage, frozen=True, tag="AskRevision"):
-    """Request the newest acknowledged revision from the leader, confirmed by a quorum after this request."""
+    """Requests the newest acknowledged revision from the leader, confirmed by a quorum after the request."""
 
     request: int
 
 
 class RevisionConfirmed(PeerMessage, frozen=True, tag="RevisionConfirmed"):
-    """Reply to :class:`RevisionRequest`: nothing newer than ``revision`` had been acknowledged then."""
+    """Reply to :class:`RevisionRequest`: at the time of the request no newer revision was acknowledged."""
 
     request: int
     revision: Revision
--- a/src/springmux/control/delivery/recent_log.py
+++ b/src/springmux/control/delivery/recent_log.py
@@ -1,4 +1,4 @@
-"""A bounded log of the newest committed commands, to bring peers up to date without a snapshot."""
+"""A bounded log of the newest committed commands, which brings peers up to date without a snapshot."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class RecentLog:
-    """Consecutive commands. The newest one is kept whatever its size."""
+    """The newest commands, consecutive and bounded in number and bytes; the newest one is always kept."""
 
     def __init__(self, max_commands: int, max_bytes: int) -> None:
         self._max_commands = max_commands
@@ -19,7 +19,7 @@
         self._size_bytes = 0
 
     def extend(self, commands: Iterable[DeliveredCommand]) -> None:
-        """Append commands that follow the newest one; evict the oldest beyond the bounds."""
+        """Append commands that follow the newest one; evict the oldest while the log exceeds its bounds."""
         for command in commands:
             self._commands.append(command)
             self._size_bytes += len(command.data)
@@ -27,16 +27,16 @@
             self._size_bytes -= len(self._commands.popleft().data)
 
     def clear(self) -> None:
-        """Remove all commands (the state was replaced)."""
+        """Remove all commands, because the state was replaced."""
         self._commands.clear()
         self._size_bytes = 0
 
     def after(self, revision: Revision, max_bytes: int) -> tuple[DeliveredCommand, ...] | None:
-        """Return the commands after ``revision``: at least one, and further ones up to ``max_bytes``.
+        """Return the commands after ``revision``: at least one, and more up to ``max_bytes`` in total.
 
-        Return ``None`` if the log doesn't reach back to ``revision``.
+        Return ``None`` if there are none, or the log doesn't reach back to ``revision``.
         """
-        later = self._later(revision)
+        later = self._commands_after(revision)
         if not later or later[0].previous_index > revision:
             return None
         size_bytes = 0
@@ -46,7 +46,7 @@
                 return tuple(later[:count])
         return tuple(later)
 
-    def _later(self, revision: Revision) -> list[DeliveredCommand]:
+    def _commands_after(self, revision: Revision) -> list[DeliveredCommand]:
         later: list[DeliveredCommand] = []
         for command in reversed(self._commands):
             if command.index <= revision:
--- a/src/springmux/control/delivery/relay_tree.py
+++ b/src/springmux/control/delivery/relay_tree.py
@@ -1,4 +1,4 @@
-"""The relay tree of a push: from the leader to a relay in each zone, from there through the zone."""
+"""The relay tree of a push: from the leader to one or two relays in each zone, and from them to the rest."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def branches_of_leader(view: MembershipView, settings: DeliverySettings) -> list[Branch]:
-    """Return the leader's branches: its own zone's nodes, and a relay (or two) of each other zone."""
+    """Return the leader's branches: nodes of its own zone, and one or two relays of each other zone."""
     zones: dict[ZoneName, list[NodeRecord]] = defaultdict(list)
     for record in view.present():
         if record.node != view.own:
@@ -30,31 +30,32 @@
     own_zone = view.zone_of(view.own)
     branches: list[Branch] = []
     for zone in sorted(zones):
-        ranked = _ranked(zone, zones[zone])
+        ranked = _rank_nodes(zone, zones[zone])
         if zone == own_zone:
-            branches += split(ranked, settings.fan_out)
+            branches += split_into_branches(ranked, settings.fan_out)
         else:
             relays = 2 if len(ranked) > settings.pair_zone_size else 1
-            branches += split(ranked, relays)
+            branches += split_into_branches(ranked, relays)
     return branches
 
 
-def split(nodes: tuple[NodeId, ...], branches: int) -> list[Branch]:
-    """Distribute ``nodes`` over at most ``branches`` branches; the first nodes are the heads."""
+def split_into_branches(nodes: tuple[NodeId, ...], branches: int) -> list[Branch]:
+    """Distribute ``nodes`` over at most ``branches`` branches, whose heads are the first nodes."""
     heads = nodes[:branches]
     rest = nodes[branches:]
     return [Branch(head, rest[number :: len(heads)]) for number, head in enumerate(heads)]
 
 
-def send_along(branches: list[Branch], push: PushCommands) -> list[Effect]:
-    """Return the effects that send a push along ``branches``."""
+def send_push(branches: list[Branch], push: PushCommands) -> list[Effect]:
+    """Return the effects that send a push to the head of each branch."""
     return [Send(branch.to, msgspec.structs.replace(push, relay_to=branch.relay_to)) for branch in branches]
 
 
-def _ranked(zone: ZoneName, records: list[NodeRecord]) -> tuple[NodeId, ...]:
-    """Order a zone's nodes: alive ones that stay first, then controllers, then by rendezvous hash.
+def _rank_nodes(zone: ZoneName, records: list[NodeRecord]) -> tuple[NodeId, ...]:
+    """Order a zone's nodes by their suitability as relays.
 
-    A relay sends a change several times over its link. Controllers have the capacity for that.
+    Nodes that are alive and not leaving come first, among those controllers, and then the highest rendezvous
+    hash. A relay sends each change several times over its link, and controllers have the capacity for that.
     """
 
     def rank(record: NodeRecord) -> tuple[bool, bool, int, NodeId]:
--- a/src/springmux/control/delivery/settings.py
+++ b/src/springmux/control/delivery/settings.py
@@ -6,19 +6,26 @@
 
 
 class DeliverySettings(msgspec.Struct, frozen=True):
-    """Bounds and times; the defaults bring a change to every node of 12 to 360 within 2 s.
+    """Bounds and times. With the defaults, a change reaches every node of 12 to 360 within 2 s.
 
-    ``fan_out``: most nodes that one node pushes to. ``pair_zone_size``: a larger zone gets two relays.
-    ``push_max_bytes``: larger batches are only announced, and fetched in chunks.
+    ``fan_out``: largest number of nodes in one zone that a node pushes to. ``pair_zone_size``: a larger zone
+    gets two relays.
+    ``push_max_bytes``: larger batches are only announced, and then fetched in chunks.
     ``chunk_bytes``: largest chunk of a transfer, so that heartbeats never queue long behind one.
+    ``first_chunk_bytes``: largest first chunk, small so that the requester soon learns the transfer's size.
     ``window_chunks``: chunks sent for one request, so that a far zone doesn't wait a round trip for each.
-    ``fetch_grace_s``: delay before a node fetches what a push may still bring, with random jitter.
-    ``first_chunk_bytes``: small, so that the requester soon learns the size of the transfer.
+    ``recent_commands``, ``recent_bytes``: bounds of the log of recent commands, from which deltas are made.
+    ``delta_max_bytes``: largest delta, unless a single command is larger.
+    ``fetch_grace_s``: delay, with jitter, before a node fetches commands that a push may still deliver.
     ``fetch_timeout_s``: timeout of the first chunk. For the next ones it grows by the time of one chunk over
-    the slowest link that a fleet may have (5 Mbit/s, less its frames), shared by ``fan_out`` requesters.
+    the slowest link that a fleet may have, shared by ``fan_out`` requesters.
+    ``slowest_link_bytes_s``: bytes per second of that link (5 Mbit/s, less the frames' overhead).
     ``fetch_attempts``: requests to a peer that sends nothing. A peer that stalls in the middle of a transfer
-    is abandoned at once if another one has the missing state.
-    ``peer_cooldown_s``: how long a peer that didn't answer is avoided while others are as far ahead.
+    is abandoned immediately if another one has the missing state.
+    ``peer_cooldown_s``: how long a peer that didn't reply is avoided while another one is ahead.
+    ``request_interval_s``: interval between requests for the confirmed revision, and the timeout of one
+    confirmation at the leader.
+    ``snapshot_keep_s``: how long cached transfers are kept after the last fetch.
     """
 
     fan_out: int = 8
--- a/src/springmux/control/delivery/state_delivery.py
+++ b/src/springmux/control/delivery/state_delivery.py
@@ -1,8 +1,8 @@
-"""Deliver committed commands to this node: in order, once, and never an older state after a newer one.
+"""Delivers committed commands to this node in order and once, and never an older state after a newer one.
 
-The own replica's entries, pushes through the relay tree and transfers from peers that are ahead all end in
-:meth:`AppliedCommands.apply`, which accepts only what follows the present revision. Committed commands
-can't differ between the three sources, so the first to arrive is applied.
+Commands come from this node's own replica, from pushes through the relay tree and from transfers of peers
+that are ahead. All pass :meth:`AppliedCommands.apply`, which accepts only commands that follow the current
+revision. Committed commands can't differ between the three sources, so the first to arrive is applied.
 """
 
 from __future__ import annotations
@@ -37,11 +37,11 @@
     TransferKind,
 )
 from springmux.control.delivery.recent_log import RecentLog
-from springmux.control.delivery.relay_tree import branches_of_leader, send_along, split
+from springmux.control.delivery.relay_tree import branches_of_leader, send_push, split_into_branches
 from springmux.control.delivery.serving import StateServer, decode_delta
 from springmux.control.delivery.settings import DeliverySettings
 from springmux.control.events import LeadershipKnown
-from springmux.control.state_image import UnreadableImageError
+from springmux.control.state_snapshot import UnreadableSnapshotError
 from springmux.coordination.identifiers import LogIndex, NodeId, Revision, Term
 from springmux.coordination.membership.events import ContactChanged, PeerUnreachable
 from springmux.coordination.membership.view import MembershipView
@@ -58,7 +58,7 @@
 
 
 class StateDelivery:
-    """State delivery in one node, controller or not.
+    """State machine of state delivery in one node, whether it is a controller or not.
 
     :param rng: jitters fetches in time and spreads them over peers.
     """
@@ -77,7 +77,7 @@
         self._applied = AppliedCommands(recent)
         self._arrivals = ArrivalTracker()
         self._server = StateServer(recent, self._settings)
-        self._fetcher = StateFetcher(rng, self._settings, self._is_near)
+        self._fetcher = StateFetcher(rng, self._settings, self._is_same_zone)
         self._requester = RevisionRequester(rng, self._settings)
         self._confirmer = RevisionConfirmer(self._settings)
         self._handlers: dict[type[Event], Callable[[Any, float], list[Effect]]] = {
@@ -104,17 +104,17 @@
 
     @property
     def revision(self) -> Revision:
-        """Index of the newest command handed to the agent; part of every message envelope."""
+        """Log index of the newest command passed to the agent. The envelope of every message carries it."""
         return self._applied.revision
 
     @property
     def newest_arrival(self) -> Arrival | None:
-        """How the newest commands reached this node; ``None`` before the first."""
+        """How the newest commands reached this node; ``None`` before the first ones."""
         return self._arrivals.newest
 
     @property
     def replica_index(self) -> LogIndex:
-        """Log index up to which the own replica's commands were handed to the agent."""
+        """Log index up to which commands of this node's own replica were passed to the agent."""
         return self._replica_index
 
     @property
@@ -125,20 +125,23 @@
     @property
     def confirmed(self) -> Revision | None:
         """The revision that a quorum confirmed since this process started, or ``None``."""
-        return self._requester.confirmed
+        return self._requester.confirmed_revision
 
     @property
     def confirming(self) -> bool:
-        """Whether the leader's reply since the start, or since contact was restored, is outstanding."""
+        """Whether no reply of the leader has arrived since the start, or since contact was restored."""
         return self._requester.awaiting_reply
 
     @property
     def ready(self) -> bool:
         """Whether the state includes everything acknowledged before this process started."""
-        return self._requester.confirmed is not None and self._applied.revision >= self._requester.confirmed
+        return (
+            self._requester.confirmed_revision is not None
+            and self._applied.revision >= self._requester.confirmed_revision
+        )
 
     def handle(self, event: Event, now: float) -> list[Effect]:
-        """Handle one event; return the effects to execute."""
+        """Handle one event and return the effects to execute, in order."""
         handler = self._handlers.get(type(event))
         return self._deliver_to_self(handler(event, now), now) if handler is not None else []
 
@@ -158,13 +161,15 @@
             self._replica_index = max(self._replica_index, event.entries[-1].index)
         if commands and self._leading:
             effects += self._push(commands)
-        effects += self._confirmer.applied(self._replica_index, self._applied.revision, now)
+        effects += self._confirmer.handle_applied_index(self._replica_index, self._applied.revision, now)
         return effects
 
     def _on_replica_restored(self, event: ReplicaRestored, now: float) -> list[Effect]:
         self._replica_index = max(self._replica_index, event.index)
         effects = self._record_arrival(DeliveryMethod.REPLICA, self._applied.replace(event.snapshot), now)
-        return effects + self._confirmer.applied(self._replica_index, self._applied.revision, now)
+        return effects + self._confirmer.handle_applied_index(
+            self._replica_index, self._applied.revision, now
+        )
 
     def _on_peer_revision(self, event: PeerRevisionObserved, now: float) -> list[Effect]:
         self._newest_observed = max(self._newest_observed, event.revision)
@@ -190,7 +195,7 @@
             self._confirmer.stop()
         self._leading = event.leading
         if is_new:
-            self._requester.leader_changed()
+            self._requester.handle_leader_change()
         return self._request_if_due(now)
 
     def _on_tick(self, _event: Tick, now: float) -> list[Effect]:
@@ -200,8 +205,8 @@
         return effects + self._request_if_due(now)
 
     def _on_contact(self, event: ContactChanged, now: float) -> list[Effect]:
-        """Request the revision once contact is restored: peers may lack what was acknowledged, too."""
-        if event.connected and self._requester.confirmed is not None:
+        """Request the revision again when contact is restored: peers may lack acknowledged commands, too."""
+        if event.connected and self._requester.confirmed_revision is not None:
             self._requester.restart()
         return self._request_if_due(now)
 
@@ -209,12 +214,12 @@
         return self._requester.tick(self._leader, now)
 
     def _on_confirmed_revision(self, event: ConfirmedRevision, now: float) -> list[Effect]:
-        return self._confirmer.confirmed(
+        return self._confirmer.handle_confirmation(
             event.correlation_id, event.index, self._replica_index, self._applied.revision, now
         )
 
     def _deliver_to_self(self, effects: list[Effect], now: float) -> list[Effect]:
-        """Handle messages that this node sends to itself (as the leader) without the network."""
+        """Handle the messages that this node sends to itself (as the leader) without the network."""
         rest: list[Effect] = []
         for effect in effects:
             if isinstance(effect, Send) and effect.to == self._own:
@@ -224,7 +229,7 @@
         return rest
 
     def _on_snapshot_provided(self, event: SnapshotProvided, now: float) -> list[Effect]:
-        return self._server.provide(event.revision, event.snapshot, now)
+        return self._server.handle_snapshot(event.revision, event.snapshot, now)
 
     def _on_message(self, event: MessageReceived, now: float) -> list[Effect]:
         handler = self._message_handlers.get(type(event.message))
@@ -243,7 +248,7 @@
         return effects
 
     def _relay(self, push: PushCommands) -> list[Effect]:
-        return send_along(split(push.relay_to, self._settings.fan_out), push)
+        return send_push(split_into_branches(push.relay_to, self._settings.fan_out), push)
 
     def _relay_pending_announcement(self) -> list[Effect]:
         """Forward an announcement once this node can serve the announced revision."""
@@ -254,7 +259,7 @@
         return self._relay(push)
 
     def _on_fetch(self, sender: NodeId, fetch: FetchState, now: float) -> list[Effect]:
-        return self._server.answer(sender, fetch, self._applied.revision, now)
+        return self._server.handle_fetch(sender, fetch, self._applied.revision, now)
 
     def _on_chunk(self, sender: NodeId, chunk: StateChunk, now: float) -> list[Effect]:
         result = self._fetcher.receive_chunk(sender, chunk, now)
@@ -276,7 +281,7 @@
             if transfer.kind is TransferKind.SNAPSHOT:
                 return self._applied.replace(transfer.content)
             return self._applied.apply(decode_delta(transfer.content))
-        except (msgspec.DecodeError, UnreadableImageError) as error:
+        except (msgspec.DecodeError, UnreadableSnapshotError) as error:
             fields = {"peer": sender, "kind": transfer.kind.value, "reason": str(error)}
             return [LogLine("transfer_unreadable", LogLevel.ERROR, fields)]
 
@@ -284,15 +289,15 @@
         return self._fetcher.receive_no_newer(sender, reply, self._applied.revision, now)
 
     def _on_revision_request(self, sender: NodeId, request: RevisionRequest, now: float) -> list[Effect]:
-        return self._confirmer.request(sender, request, now) if self._leading else []
+        return self._confirmer.add_request(sender, request, now) if self._leading else []
 
     def _on_revision_confirmed(self, sender: NodeId, reply: RevisionConfirmed, now: float) -> list[Effect]:
-        if self._requester.accept(reply) and reply.revision > self._applied.revision:
+        if self._requester.accept_reply(reply) and reply.revision > self._applied.revision:
             return self._fetcher.fetch_immediately(sender, reply.revision, self._applied.revision, now)
         return []
 
     def _record_arrival(self, method: DeliveryMethod, effects: list[Effect], now: float) -> list[Effect]:
-        """Record the delivery method if ``effects`` advance the state; return them unchanged."""
+        """Record the delivery method if ``effects`` advance the state; return ``effects`` unchanged."""
         if any(isinstance(effect, ApplyCommands | ReplaceState) for effect in effects):
             self._arrivals.record_arrival(method, self._applied.revision >= self._newest_observed, now)
         return effects
@@ -301,7 +306,7 @@
         size_bytes = sum(len(command.data) for command in commands)
         pushed = commands if size_bytes <= self._settings.push_max_bytes else ()
         push = PushCommands(self._term, self._applied.revision, pushed)
-        return send_along(branches_of_leader(self._members, self._settings), push)
+        return send_push(branches_of_leader(self._members, self._settings), push)
 
-    def _is_near(self, node: NodeId) -> bool:
+    def _is_same_zone(self, node: NodeId) -> bool:
         return self._members.zone_of(node) == self._members.zone_of(self._own)
--- a/src/springmux/control/events.py
+++ b/src/springmux/control/events.py
@@ -1,4 +1,4 @@
-"""Events that several state machines of ``control`` handle."""
+"""Events that several of the state machines in ``control`` handle."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 
 class LeadershipKnown(Event, frozen=True):
-    """The leader of the control log as far as this node knows.
+    """The leader of the control log and its term, as far as this node knows.
 
-    ``leading``: this node's own replica leads, confirmed by its barrier entry.
+    ``leading``: this node's own replica leads, and has committed the barrier entry of its term.
     """
 
     term: Term
--- a/src/springmux/control/freshness/__init__.py
+++ b/src/springmux/control/freshness/__init__.py
@@ -1,4 +1,4 @@
-"""How old the proof is that a node's control state is the newest: a lease without clocks in step.
+"""A lease on a node's control state being the newest, which doesn't need synchronised clocks.
 
 Pure. May import the rest of ``control`` and what ``control`` may import.
 """
--- a/src/springmux/control/freshness/events.py
+++ b/src/springmux/control/freshness/events.py
@@ -6,8 +6,8 @@
 from springmux.coordination.state_machine import Event
 
 
-class ProofWanted(Event, frozen=True):
-    """A client waits for a new proof; request one from the leader at once."""
+class ProofRequested(Event, frozen=True):
+    """A client waits for a new proof, which the monitor then requests from the leader immediately."""
 
 
 class QuorumConfirmed(Event, frozen=True):
--- a/src/springmux/control/freshness/messages.py
+++ b/src/springmux/control/freshness/messages.py
@@ -1,4 +1,4 @@
-"""Messages that pass proofs of freshness between nodes."""
+"""Messages by which nodes request and report the age of their proofs of freshness."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class FreshnessRequest(PeerMessage, frozen=True, tag="AskFreshness"):
-    """Request the age of a node's proof. ``request`` matches the reply."""
+    """Requests the age of a node's proof. The reply carries the same ``request`` number."""
 
     request: int
 
@@ -15,8 +15,8 @@
 class FreshnessReply(PeerMessage, frozen=True, tag="FreshnessTold"):
     """Reply to :class:`FreshnessRequest`.
 
-    Everything acknowledged up to ``age_ms`` before this was sent is in ``revision``. ``age_ms`` is -1 where
-    the node has no proof.
+    ``revision`` includes everything acknowledged up to ``age_ms`` milliseconds before the reply was sent.
+    ``age_ms`` is -1 if the sender has no proof.
     """
 
     request: int
--- a/src/springmux/control/freshness/settings.py
+++ b/src/springmux/control/freshness/settings.py
@@ -5,17 +5,19 @@
 import msgspec
 
 MIN_LEASE_S = 1.5
-"""A proof passes from the leader through a controller to a node, with two requests a second at each hop."""
+"""A proof reaches a node from the leader through a controller, with two requests a second at each hop."""
 CLOCK_RATE_MARGIN = 0.95
-"""Fraction of the allowed time that a lease uses, so that clock rates may differ by a twentieth."""
+"""Fraction of the allowed time that a lease lasts, so that clock rates may differ by a twentieth."""
 
 
 class FreshnessSettings(msgspec.Struct, frozen=True):
-    """Durations; the defaults keep proofs at every node younger than 1.5 s.
+    """Durations in seconds. With the defaults, the proofs at every node are younger than 1.5 s.
 
-    ``lease_s``: how long a proof is valid; ``None``: no lease, and nodes send requests only for a
-    ``ProofWanted``. ``request_interval_s``: from a reply to the next request. ``reply_timeout_s``: wait for a
-    reply before another node is asked. ``max_reported_age_s``: older proofs are reported as none.
+    ``lease_s``: how long a proof is valid. ``None`` means no lease: every state counts as current, and nodes
+    send requests only for a ``ProofRequested`` event.
+    ``request_interval_s``: delay from a reply with a newer proof to the next request.
+    ``reply_timeout_s``: wait for a reply before another node gets a request.
+    ``max_reported_age_s``: a node with an older proof reports that it has none.
     """
 
     lease_s: float | None = None
@@ -25,8 +27,9 @@
 
 
 def lease_for(allowed_s: float) -> FreshnessSettings:
-    """Return the settings under which no node relies on a state older than ``allowed_s``.
+    """Return the settings under which no node relies on a state older than ``allowed_s`` seconds.
 
-    An ``allowed_s`` too short for any proof gives the shortest lease: less would refuse every request.
+    If ``allowed_s`` is too short for any proof, the lease is :data:`MIN_LEASE_S`: with a shorter one, nodes
+    would reject every request.
     """
     return FreshnessSettings(lease_s=max(MIN_LEASE_S, CLOCK_RATE_MARGIN * allowed_s))
--- a/src/springmux/control/gateway_section.py
+++ b/src/springmux/control/gateway_section.py
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Present:
+class _CurrentState:
     """The configuration in force; replaced atomically."""
 
     items: _Items = field(default_factory=_Items)
@@ -70,17 +70,17 @@
 
     def __init__(self, max_document_bytes: int = MAX_DOCUMENT_BYTES) -> None:
         self._max_document_bytes = max_document_bytes
-        self._present = _Present()
+        self._current = _CurrentState()
         self._prepared: dict[bytes, GatewayChange] = {}
 
     @property
     def configuration(self) -> GatewayConfiguration:
         """The configuration in force; the same object until a change is accepted."""
-        return self._present.configuration
+        return self._current.configuration
 
     def document(self) -> bytes:
         """Return the whole configuration as JSON, each item as it was sent; empty if there is none."""
-        return self._present.document
+        return self._current.document
 
     def prepare(self, command: ApplyGateway) -> None:
         """Parse a command ahead for ``apply``, in a thread; change nothing else."""
@@ -103,7 +103,7 @@
             if command.base_version != present:
                 message = f"the change builds on version {command.base_version}, the present one is {present}"
                 return conflict(message, {"version": present})
-            self._present = self._next_state(change)
+            self._current = self._build_next_state(change)
         except ConfigurationTooLargeError as error:
             return invalid(FieldError("", str(error)))
         except InvalidConfigurationError as error:
@@ -119,7 +119,7 @@
         if document:
             change = parse_change(document, partial=False, max_bytes=len(document))
             items = _merge(_Items(), change)
-            section._present = _Present(items, _build_configuration(items, change.version), document)
+            section._current = _CurrentState(items, _build_configuration(items, change.version), document)
         return section
 
     def _parse(self, command: ApplyGateway) -> GatewayChange:
@@ -128,18 +128,18 @@
             return prepared
         return parse_change(command.document, command.partial, self._max_document_bytes)
 
-    def _next_state(self, change: GatewayChange) -> _Present:
+    def _build_next_state(self, change: GatewayChange) -> _CurrentState:
         present = self.configuration.version
         if change.version <= present:
             message = f"must be above the present version {present}"
             raise InvalidConfigurationError((FieldError("version", message),))
-        base = self._present.items if change.partial else _Items()
+        base = self._current.items if change.partial else _Items()
         items = _merge(base, change)
         configuration = _build_configuration(items, change.version)
-        document = _document(items, change.version)
+        document = _encode_document(items, change.version)
         if len(document) > self._max_document_bytes:
             raise ConfigurationTooLargeError(len(document), self._max_document_bytes)
-        return _Present(items, configuration, document)
+        return _CurrentState(items, configuration, document)
 
 
 def _merge(base: _Items, change: GatewayChange) -> _Items:
@@ -192,7 +192,7 @@
     )
 
 
-def _document(items: _Items, version: int) -> bytes:
+def _encode_document(items: _Items, version: int) -> bytes:
     value: dict[str, Any] = {
         "version": version,
         "routes": [item.raw for item in items.routes.values()],
--- a/src/springmux/control/order_coordinator.py
+++ b/src/springmux/control/order_coordinator.py
@@ -1,8 +1,8 @@
-"""Accept operators' orders at any node, forward them to the leader and return the results.
+"""Accepts operators' orders at any node, forwards them to the leader and returns the results.
 
-An order may be sent to several leaders, several times: the state machine decides an order id once and
-repeats the first result, so a retry is harmless. A client gets its reply when the command is applied at
-this node or the leader reports that it is applied there, whichever comes first.
+An order may be sent several times and to several leaders. A retry is harmless, since the state machine
+decides each order id once and returns the first result for a resent command. A client gets its reply when
+this node has applied the command or the leader reports that it has, whichever comes first.
 """
 
 from __future__ import annotations
@@ -44,9 +44,14 @@
 
 
 class OrderSettings(msgspec.Struct, frozen=True):
-    """Timeouts and bounds.
-
-    ``reply_timeout_s``: after it a client gets the error that there is no quorum.
+    """Timeouts and bounds of the coordinator.
+
+    ``reply_timeout_s``: time after which a client without a result gets the error ``no_quorum``.
+    ``resend_s``: interval at which an undecided order is proposed or forwarded again.
+    ``retry_after_s``: delay before a retry that error replies advise.
+    ``max_pending``: bound on the undecided orders accepted here, and separately on the leader's proposals and
+    on the orders forwarded before this node's leadership was confirmed.
+    ``max_command_bytes``: largest encoded command.
     """
 
     reply_timeout_s: float = 5.0
@@ -62,20 +67,20 @@
     def recall(self, data: bytes) -> CommandResult | None:
         """Return the first result of a resent command if its order was decided here, else ``None``.
 
-        :raises UnknownCommandError: if the bytes can't be read.
+        :raises UnknownCommandError: if the bytes can't be decoded.
         """
         ...
 
 
 class _WaitingClient(msgspec.Struct, frozen=True):
-    """A client's request for an order. ``deadline``: monotonic time at which it gets an error."""
+    """A client that waits for the result of an order. ``deadline``: monotonic time of the error reply."""
 
     correlation_id: str
     deadline: float
 
 
 class _PendingOrder(msgspec.Struct):
-    """An order accepted at this node that is not yet decided."""
+    """An order that this node accepted and that is not decided yet."""
 
     key: str
     order: OrderId
@@ -93,7 +98,10 @@
 
 
 class OrderCoordinator:
-    """The pure state machine of orders; one in every node."""
+    """State machine of the undecided orders of one node, without I/O. Every node has one.
+
+    :param decided: looks up the results of orders that this node's control state has decided.
+    """
 
     def __init__(self, own: NodeId, decided: DecidedOrders, settings: OrderSettings | None = None) -> None:
         self._own = own
@@ -102,7 +110,7 @@
         self._pending: dict[str, _PendingOrder] = {}
         self._proposals: dict[str, _Proposal] = {}
         self._early_forwards: dict[tuple[NodeId, str], bytes] = {}
-        """Orders that were forwarded here before this node's leadership was confirmed, by sender and key."""
+        """Orders forwarded to this node before its leadership was confirmed, by sender and key."""
         self._leadership = LeadershipKnown(Term(0), None)
         self._handlers: dict[type[Event], Callable[[Any, float], list[Effect]]] = {
             SubmitOrder: self._on_submit,
@@ -114,7 +122,7 @@
         }
 
     def handle(self, event: Event, now: float) -> list[Effect]:
-        """Handle one event; return the effects to execute."""
+        """Handle one event and return the effects to execute, in order."""
         handler = self._handlers.get(type(event))
         return handler(event, now) if handler is not None else []
 
@@ -132,7 +140,7 @@
         known = self._decided.recall(data)
         if known is not None:
             return [ReplyToOrder(event.correlation_id, known)]
-        key = _key(event.command)
+        key = _order_key(event.command)
         client = _WaitingClient(event.correlation_id, now + self._settings.reply_timeout_s)
         if key in self._pending:
             self._pending[key].clients.append(client)
@@ -154,10 +162,10 @@
         return None
 
     def _dispatch(self, pending: _PendingOrder, now: float) -> list[Effect]:
-        """Propose the order here or forward it to the leader; without a leader, wait for one."""
+        """Propose the order if this node leads, else forward it to the leader. Without a leader it waits."""
         pending.resend_at = now + self._settings.resend_s
         if self._leadership.leading:
-            # A proposal forwarded by another node counts as an attempt, too: it may be committed.
+            # A proposal that another node forwarded counts as an attempt, since it may be committed.
             if pending.key not in self._proposals or not pending.attempts:
                 pending.attempts += 1
             return self._propose(pending.key, pending.order, pending.data, None)
@@ -178,16 +186,16 @@
 
     def _on_decided(self, event: CommandDecided, _now: float) -> list[Effect]:
         order = event.result.order
-        if not self._concerns(order):
+        if not self._is_tracked(order):
             return []
-        key = _key(decode_command(event.data))
+        key = _order_key(decode_command(event.data))
         proposal = self._proposals.pop(key, None)
         senders = sorted(proposal.senders) if proposal is not None else ()
         effects: list[Effect] = [Send(sender, OrderDecided(key, event.result)) for sender in senders]
-        return effects + self._reply_with(key, event.result)
+        return effects + self._reply_with_result(key, event.result)
 
-    def _concerns(self, order: OrderId) -> bool:
-        """Return whether this node proposed or accepted the order (most commands are others')."""
+    def _is_tracked(self, order: OrderId) -> bool:
+        """Return whether this node accepted or proposed the order, which is false for most commands."""
         if any(proposal.order == order for proposal in self._proposals.values()):
             return True
         return any(pending.order == order for pending in self._pending.values())
@@ -216,7 +224,7 @@
             case ForwardOrder(key=key, data=data):
                 return self._on_forward(event.sender, key, data)
             case OrderDecided(key=key, result=result):
-                return self._reply_with(key, result)
+                return self._reply_with_result(key, result)
             case OrderRejected(key=key, code=code):
                 return self._give_up(key, code)
             case _:
@@ -231,17 +239,17 @@
             effects += self._on_forward(sender, key, data)
         return effects
 
-    def _defer(self, sender: NodeId, key: str, data: bytes) -> None:
+    def _defer_forward(self, sender: NodeId, key: str, data: bytes) -> None:
         """Keep an order that arrives between this node's election and its first commit.
 
-        Every node with pending orders forwards them as soon as it learns of an elected leader.
+        Such orders are common: every node forwards its pending orders as soon as it learns of a new leader.
         """
         if self._leadership.leader == self._own and len(self._early_forwards) < self._settings.max_pending:
             self._early_forwards[(sender, key)] = data
 
     def _on_forward(self, sender: NodeId, key: str, data: bytes) -> list[Effect]:
         if not self._leadership.leading:
-            self._defer(sender, key, data)
+            self._defer_forward(sender, key, data)
             return []
         try:
             known = self._decided.recall(data)
@@ -262,7 +270,7 @@
         return effects
 
     def _expire(self, pending: _PendingOrder, now: float) -> list[Effect]:
-        """Reply with an error to the clients whose deadline has passed."""
+        """Reply with an error to clients whose deadline has passed; drop an order without clients."""
         fate = Fate.UNKNOWN if pending.attempts else Fate.REFUSED
         error = self._unavailable(ErrorCode.NO_QUORUM, fate)
         expired = [client for client in pending.clients if client.deadline <= now]
@@ -271,13 +279,16 @@
             del self._pending[pending.key]
         return [ReplyToOrder(client.correlation_id, None, error) for client in expired]
 
-    def _reply_with(self, key: str, result: CommandResult) -> list[Effect]:
+    def _reply_with_result(self, key: str, result: CommandResult) -> list[Effect]:
         pending = self._pending.pop(key, None)
         clients = pending.clients if pending is not None else ()
         return [ReplyToOrder(client.correlation_id, result) for client in clients]
 
     def _give_up(self, key: str, code: ErrorCode) -> list[Effect]:
-        """Reply at once that the order was rejected; an earlier attempt may still have been committed."""
+        """Reply to the clients immediately that the order was rejected.
+
+        After more than one attempt the order's fate is unknown: an earlier one may have been committed.
+        """
         pending = self._pending.pop(key, None)
         if pending is None:
             return []
@@ -294,6 +305,6 @@
         )
 
 
-def _key(command: AnyCommand) -> str:
-    """Return a key of an order and its command, so that an id used for two commands gives two keys."""
+def _order_key(command: AnyCommand) -> str:
+    """Return the key of an order. An order id that was used for two different commands gives two keys."""
     return f"{command.order}/{command_digest(command).hex()}"
--- a/src/springmux/control/order_events.py
+++ b/src/springmux/control/order_events.py
@@ -22,7 +22,7 @@
 
 
 class ProposalEnded(Event, frozen=True):
-    """The replica dropped a proposal. ``unknown``: it may be committed all the same."""
+    """The replica dropped a proposal. ``unknown``: whether the command may be committed nevertheless."""
 
     correlation_id: str
     unknown: bool
@@ -30,14 +30,17 @@
 
 
 class ProposeCommand(Effect, frozen=True):
-    """Propose a command to the node's own leading replica."""
+    """Propose a command to this node's own replica, which leads. ``ProposalEnded`` reports a dropped one."""
 
     correlation_id: str
     data: bytes
 
 
 class ReplyToOrder(Effect, frozen=True):
-    """Reply to a client with the result, or with an error that says when to retry."""
+    """Reply to a client with the result, or with an error if there is none.
+
+    ``correlation_id`` is that of the client's :class:`SubmitOrder`.
+    """
 
     correlation_id: str
     result: CommandResult | None
--- a/src/springmux/control/order_messages.py
+++ b/src/springmux/control/order_messages.py
@@ -8,21 +8,24 @@
 
 
 class ForwardOrder(PeerMessage, frozen=True, tag="ForwardOrder"):
-    """Forward a command to the leader. ``key`` identifies order and command in the reply."""
+    """Forwards an encoded command to the leader. ``key`` identifies the order and command in the reply."""
 
     key: str
     data: bytes
 
 
 class OrderDecided(PeerMessage, frozen=True, tag="OrderDecided"):
-    """The leader's reply: the command is committed and applied there."""
+    """The leader's reply after it committed and applied the command."""
 
     key: str
     result: CommandResult
 
 
 class OrderRejected(PeerMessage, frozen=True, tag="OrderNotTaken"):
-    """The leader rejected this attempt (its disk is full, or it has too many orders)."""
+    """The leader's reply if it rejected this attempt.
+
+    Its disk is full, it has too many undecided orders, or it can't decode the command.
+    """
 
     key: str
     code: ErrorCode
--- a/src/springmux/control/order_window.py
+++ b/src/springmux/control/order_window.py
@@ -1,4 +1,4 @@
-"""A bounded window of the newest orders' results, so that a resent order gets its first result."""
+"""A bounded window of the results of the newest orders, so that a resent order gets its first result."""
 
 from __future__ import annotations
 
@@ -14,17 +14,18 @@
     ApplyGateway,
     CommandResult,
     PromoteRollout,
-    encode_plain,
+    encode_uncompressed,
 )
 from springmux.rollout.plan import RolloutPlan
 from springmux.vocabulary.names import OrderId, RolloutId, VersionName
 
 DEFAULT_MAX_ORDERS = 10_000
-"""At one order a second, a resent order is recognised for nearly three hours."""
+"""At one order per second, a resent order is recognised for nearly three hours."""
 DEFAULT_MAX_BYTES = 8 << 20
-"""Bounds the window in snapshots; a rejected configuration's errors may be some hundred KiB."""
+"""Bounds the window's size in snapshots: the errors of one rejected configuration can be hundreds of KiB."""
 DIGEST_BYTES = 16
 ENTRY_OVERHEAD_BYTES = 64
+"""Added to the size of each encoded result, so that the bound in bytes covers the whole entry."""
 
 
 class DecidedOrder(msgspec.Struct, frozen=True, array_like=True):
@@ -39,8 +40,8 @@
 def command_digest(command: AnyCommand) -> bytes:
     """Return the digest by which a command is recognised as resent.
 
-    It leaves out a rollout's id and stable version, which the node that accepts the order chooses (a client
-    may resend to another node), and the sender of a gateway change.
+    The digest leaves out a rollout's id and stable version: the node that accepts the order chooses them, and
+    a client may resend its order to another node. It also leaves out the sender of a gateway change.
     """
     if isinstance(command, PromoteRollout):
         command = msgspec.structs.replace(command, rollout=RolloutId(""), stable=VersionName(""))
@@ -50,11 +51,11 @@
             command = msgspec.structs.replace(command, plan=ordered)
     elif isinstance(command, ApplyGateway):
         command = msgspec.structs.replace(command, issued_by="")
-    return hashlib.blake2b(encode_plain(command), digest_size=DIGEST_BYTES).digest()
+    return hashlib.blake2b(encode_uncompressed(command), digest_size=DIGEST_BYTES).digest()
 
 
 class OrderWindow:
-    """The newest orders, bounded in number and bytes; the oldest are evicted first, alike on every node."""
+    """The newest orders, bounded in number and bytes. Every node evicts the same ones, the oldest first."""
 
     def __init__(self, max_orders: int = DEFAULT_MAX_ORDERS, max_bytes: int = DEFAULT_MAX_BYTES) -> None:
         self._max_orders = max_orders
@@ -63,19 +64,19 @@
         self._size_bytes = 0
 
     def find(self, order: OrderId) -> DecidedOrder | None:
-        """Return the decided order of that id, if it's still kept."""
+        """Return the decided order with this id, or ``None`` if it is undecided or was evicted."""
         return self._orders.get(order)
 
     def record(self, order: OrderId, digest: bytes, result: CommandResult) -> None:
-        """Store a result; evict the oldest beyond the bounds."""
+        """Store a result; evict the oldest orders while the window exceeds its bounds."""
         size_bytes = len(msgspec.msgpack.encode(result)) + ENTRY_OVERHEAD_BYTES
         self._add(DecidedOrder(order, digest, result, size_bytes))
         while len(self._orders) > self._max_orders or self._size_bytes > self._max_bytes:
             _, oldest = self._orders.popitem(last=False)
             self._size_bytes -= oldest.size_bytes
 
-    def decided(self) -> tuple[DecidedOrder, ...]:
-        """Return all, oldest first."""
+    def decided_orders(self) -> tuple[DecidedOrder, ...]:
+        """Return all orders in the window, oldest first."""
         return tuple(self._orders.values())
 
     def replace(self, decided: Iterable[DecidedOrder]) -> None:
--- a/src/springmux/control/state.py
+++ b/src/springmux/control/state.py
@@ -1,4 +1,4 @@
-"""The control state machine: committed commands in, results and immutable views out.
+"""The control state machine: applies committed commands, returns their results and provides immutable views.
 
 Deterministic: every node that applied the same commands holds the same state, byte for byte in
 :meth:`ControlState.snapshot`. Nothing here reads a clock or draws a random number.
@@ -38,7 +38,12 @@
 from springmux.control.gateway_section import GatewaySection
 from springmux.control.order_window import DEFAULT_MAX_BYTES, DEFAULT_MAX_ORDERS
 from springmux.control.rollout_section import EndedRollout, RolloutSection
-from springmux.control.state_image import StateImage, UnreadableImageError, decode_image, encode_image
+from springmux.control.state_snapshot import (
+    StateSnapshot,
+    UnreadableSnapshotError,
+    decode_snapshot,
+    encode_snapshot,
+)
 from springmux.control.templates_section import TemplatesSection
 from springmux.control.verdict import ACCEPTED, Verdict, conflict
 from springmux.control.view import EMPTY_VIEW, ControlView
@@ -49,7 +54,12 @@
 
 
 class ControlState:
-    """State machine of the control log."""
+    """The state machine that every node replicates by applying the commands of the control log.
+
+    :param max_document_bytes: largest accepted configuration document.
+    :param max_orders: operators' orders whose results are kept for resent orders.
+    :param max_order_bytes: total size of the kept results, of operators and of the leader separately.
+    """
 
     def __init__(
         self,
@@ -69,16 +79,16 @@
     def apply(self, index: Revision, data: bytes) -> CommandResult | None:
         """Apply the committed command at log index ``index``.
 
-        :returns: its result, or the first one if the order was decided before; ``None`` if the index
-            was applied already.
-        :raises UnknownCommandError: nothing changed.
+        :returns: the command's result, or the stored first result if the order was decided before; ``None``
+            if the index was applied already.
+        :raises UnknownCommandError: if the command can't be decoded. The state doesn't change.
         """
         if index <= self._view.revision:
             return None
         try:
             command = decode_command(data)
         except msgspec.DecodeError as error:
-            raise UnknownCommandError(f"command at index {index} can't be read: {error}") from error
+            raise UnknownCommandError(f"command at index {index} can't be decoded: {error}") from error
         result = self._orders.recall(command)
         if result is None:
             result = self._result(command, index, self._decide(command, index))
@@ -87,28 +97,28 @@
         return result
 
     def view(self) -> ControlView:
-        """Return the present state, immutable and shared."""
+        """Return the current state. The view is immutable, and shared by all callers."""
         return self._view
 
-    def decided(self, order: OrderId) -> CommandResult | None:
-        """Return the result of a decided order, as long as it's kept."""
+    def result_of_order(self, order: OrderId) -> CommandResult | None:
+        """Return the result of a decided order, or ``None`` if it is undecided or no longer kept."""
         found = self._orders.find(order)
         return found.result if found else None
 
     def recall(self, data: bytes) -> CommandResult | None:
-        """Return the first result of ``data`` if it is a resent command, else ``None``.
+        """Return the first result of the encoded command if it is a resent one, else ``None``.
 
-        :raises UnknownCommandError: if it can't be read.
+        :raises UnknownCommandError: if the command can't be decoded.
         """
         try:
             return self._orders.recall(decode_command(data))
         except msgspec.DecodeError as error:
-            raise UnknownCommandError(f"command can't be read: {error}") from error
+            raise UnknownCommandError(f"command can't be decoded: {error}") from error
 
     def prepare(self, data: bytes) -> None:
-        """Parse a command's configuration document ahead, possibly in a thread concurrent to ``apply``.
+        """Parse a command's configuration document before ``apply``, possibly concurrently in another thread.
 
-        An 8 MiB document takes about a second; ``apply`` then only installs the result.
+        Parsing an 8 MiB document takes about a second; ``apply`` then only installs the result.
         """
         try:
             command = decode_command(data)
@@ -120,15 +130,18 @@
             self._gateway.prepare(command)
 
     def check_configuration(self, document: bytes, partial: bool = False) -> tuple[FieldError, ...]:
-        """Return every error for which the document would be rejected now; change nothing."""
+        """Return every error for which the document would be rejected now. The state doesn't change."""
         parsed = self._configuration.parse(document, partial)
         constraints = self._rollouts.constraints()
         return parsed.errors or self._configuration.rollout_conflicts(parsed.configuration, constraints)
 
     def configuration_document(self, version: int | None = None) -> bytes | None:
-        """Return the canonical JSON document of a version (the present one by default), if kept."""
+        """Return the canonical JSON document of a version, by default the current one.
+
+        :returns: ``None`` if the version's document is no longer kept.
+        """
         if version is None or version == self._view.configuration.version:
-            return self._configuration.present.document
+            return self._configuration.current.document
         return self._configuration.document_of(version)
 
     def gateway_document(self) -> bytes | None:
@@ -136,21 +149,21 @@
         return self._gateway.document() or None
 
     def configuration_history(self) -> tuple[ConfigurationVersion, ...]:
-        """Return the newest versions, oldest first."""
+        """Return who made the newest versions of the configuration, oldest first."""
         return self._configuration.history
 
     def ended_rollouts(self, service: ServiceName | None = None) -> tuple[EndedRollout, ...]:
-        """Return the newest ended rollouts, oldest first, of one service or of all."""
+        """Return the most recently ended rollouts, oldest first, of one service or of all."""
         ended = self._rollouts.ended
-        return tuple(past for past in ended if service is None or past.record.service == service)
+        return tuple(rollout for rollout in ended if service is None or rollout.record.service == service)
 
     def snapshot(self) -> bytes:
-        """Return the whole state; equal states give equal bytes."""
+        """Return the whole state, encoded. Equal states give equal bytes."""
         accounts = self._accounts
-        image = StateImage(
+        snapshot = StateSnapshot(
             revision=self._view.revision,
-            configuration=self._configuration.present.configuration,
-            document=self._configuration.present.document,
+            configuration=self._configuration.current.configuration,
+            document=self._configuration.current.document,
             history=self._configuration.history,
             documents=self._configuration.documents,
             tenants=tuple(sorted(accounts.tenants.values(), key=lambda tenant: tenant.name)),
@@ -158,31 +171,33 @@
             templates=tuple(sorted(self._templates.documents.items())),
             rollouts=tuple(sorted(self._rollouts.records.values(), key=lambda record: record.service)),
             ended=self._rollouts.ended,
-            orders=self._orders.operators.decided(),
+            orders=self._orders.operators.decided_orders(),
             claim_ring=self._claim_ring,
-            system_orders=self._orders.system.decided(),
+            system_orders=self._orders.system.decided_orders(),
             gateway_document=self._gateway.document(),
         )
-        return encode_image(image)
+        return encode_snapshot(snapshot)
 
     def restore(self, data: bytes) -> None:
-        """Replace the whole state by a snapshot's.
+        """Replace the whole state by that of a snapshot.
 
-        :raises UnreadableImageError: nothing changed.
+        :raises UnreadableSnapshotError: if the snapshot can't be decoded. The state doesn't change.
         """
-        image = decode_image(data)
+        snapshot = decode_snapshot(data)
         try:
-            self._gateway = self._gateway.restored(image.gateway_document)
+            self._gateway = self._gateway.restored(snapshot.gateway_document)
         except InvalidConfigurationError as error:
-            raise UnreadableImageError(f"the gateway's configuration can't be read: {error}") from error
-        self._configuration.restore(image.configuration, image.document, image.history, image.documents)
-        self._accounts.restore(image.tenants, image.keys)
-        self._templates.documents = dict(image.templates)
-        self._rollouts.restore(image.rollouts, image.ended)
-        self._orders.operators.replace(image.orders)
-        self._orders.system.replace(image.system_orders)
-        self._claim_ring = image.claim_ring
-        self._view = self._build_view(image.revision)
+            raise UnreadableSnapshotError(f"the gateway's configuration can't be decoded: {error}") from error
+        self._configuration.restore(
+            snapshot.configuration, snapshot.document, snapshot.history, snapshot.documents
+        )
+        self._accounts.restore(snapshot.tenants, snapshot.keys)
+        self._templates.documents = dict(snapshot.templates)
+        self._rollouts.restore(snapshot.rollouts, snapshot.ended)
+        self._orders.operators.replace(snapshot.orders)
+        self._orders.system.replace(snapshot.system_orders)
+        self._claim_ring = snapshot.claim_ring
+        self._view = self._build_view(snapshot.revision)
 
     def _result(self, command: AnyCommand, index: Revision, verdict: Verdict) -> CommandResult:
         return CommandResult(
@@ -231,7 +246,7 @@
             case FinishRollout():
                 return self._rollouts.finish(command, index)
             case _:
-                raise UnknownCommandError(f"no rule for {type(command).__name__}")
+                raise UnknownCommandError(f"no handler for commands of type {type(command).__name__}")
 
     def _apply_configuration(self, command: ApplyConfiguration, index: Revision) -> Verdict:
         verdict = self._configuration.apply(command, index, self._rollouts.constraints())
@@ -246,11 +261,14 @@
         return verdict
 
     def _known_services(self) -> Set[ServiceName]:
-        chat = self._configuration.present.configuration.services
+        chat = self._configuration.current.configuration.services
         return chat.keys() | self._gateway.configuration.services.keys()
 
     def _stable_for(self, command: PromoteRollout) -> VersionName | None:
-        """Return the version released before a rollout; only a gateway's service may not have one yet."""
+        """Return the stable version that the rollout replaces, or ``None`` for an unknown service.
+
+        No version is recorded for a gateway's service before its first rollout; the command's is used then.
+        """
         service = command.plan.service
         if service not in self._known_services():
             return None
@@ -268,7 +286,7 @@
     def _build_view(self, revision: Revision) -> ControlView:
         return ControlView(
             revision=revision,
-            configuration=self._configuration.present.configuration,
+            configuration=self._configuration.current.configuration,
             tenants=self._accounts.tenants,
             keys=self._accounts.keys,
             rollouts=self._rollouts.records,
--- a/src/springmux/node/gateway/configuration_endpoints.py
+++ b/src/springmux/node/gateway/configuration_endpoints.py
@@ -6,7 +6,7 @@
 
 from springmux.agent.agent import NodeAgent
 from springmux.control.commands import ApplyGateway, gateway_order_id
-from springmux.control.freshness.events import ProofWanted
+from springmux.control.freshness.events import ProofRequested
 from springmux.node.driver import AgentDriver
 from springmux.node.gateway.control_responses import (
     ControlResponse,
@@ -59,7 +59,7 @@
         loop = asyncio.get_running_loop()
         deadline = loop.time() + PROOF_TIMEOUT_S
         if self._agent.state_proof_age_s(loop.time()) > self._proof_s:
-            self._driver.submit(ProofWanted())
+            self._driver.submit(ProofRequested())
         while self._agent.state_proof_age_s(loop.time()) > self._proof_s:
             if loop.time() >= deadline:
                 return False
--- a/tests/unit/compatibility/encoded_types.py
+++ b/tests/unit/compatibility/encoded_types.py
@@ -6,7 +6,7 @@
 
 from springmux.agent import wire
 from springmux.control.commands import AnyCommand
-from springmux.control.state_image import StateImage
+from springmux.control.state_snapshot import StateSnapshot
 from springmux.coordination.claims.journal import ClaimEntry
 from springmux.coordination.consensus.types import GroupMembers, SnapshotMeta
 from springmux.coordination.membership.remembered import RememberedPeer
@@ -19,7 +19,7 @@
     "log/batch": BatchRecord,
     "log/group-members": GroupMembers,
     "snapshot/meta": SnapshotMeta,
-    "snapshot/state": StateImage,
+    "snapshot/state": StateSnapshot,
     "claims/start": JournalStart,
     "peers/peer": RememberedPeer,
 }
--- a/tests/unit/compatibility/test_encoded_bytes.py
+++ b/tests/unit/compatibility/test_encoded_bytes.py
@@ -9,8 +9,8 @@
 import pytest
 
 from springmux.agent import wire
-from springmux.control.commands import AnyCommand, decode_command, encode_command, encode_plain
-from springmux.control.state_image import decode_image, encode_image
+from springmux.control.commands import AnyCommand, decode_command, encode_command, encode_uncompressed
+from springmux.control.state_snapshot import decode_snapshot, encode_snapshot
 from springmux.coordination.claims.journal import ClaimEntry
 from springmux.coordination.identifiers import NodeId, Revision, Term
 from springmux.node.peer.handshake import Handshake, decode_handshake, encode_handshake
@@ -65,7 +65,7 @@
 def test_a_command_is_read_from_the_union_of_all(name: str) -> None:
     command: AnyCommand = decode_command(bytes_of(name))
     assert type(command) is TYPES[name]
-    assert encode_plain(command) == bytes_of(name)
+    assert encode_uncompressed(command) == bytes_of(name)
     assert decode_command(encode_command(command)) == command
 
 
@@ -83,8 +83,8 @@
 
 def test_the_snapshot_of_the_state_is_written_again_byte_for_byte() -> None:
     image = msgspec.msgpack.decode(bytes_of("snapshot/state"), type=TYPES["snapshot/state"])
-    written = encode_image(image)  # type: ignore[arg-type]
-    assert decode_image(written) == image
+    written = encode_snapshot(image)  # type: ignore[arg-type]
+    assert decode_snapshot(written) == image
     assert written.startswith(b"SMCTL\x02")
 
 
--- a/tests/unit/control/delivery/test_delivery.py
+++ b/tests/unit/control/delivery/test_delivery.py
@@ -32,7 +32,7 @@
     TransferKind,
 )
 from springmux.control.delivery.recent_log import RecentLog
-from springmux.control.delivery.relay_tree import branches_of_leader, split
+from springmux.control.delivery.relay_tree import branches_of_leader, split_into_branches
 from springmux.control.delivery.serving import transfer_checksum
 from springmux.control.delivery.settings import DeliverySettings
 from springmux.control.delivery.state_delivery import StateDelivery
@@ -469,10 +469,10 @@
 
 def test_splitting_reaches_each_node_once() -> None:
     nodes = tuple(NodeId(f"n{i}") for i in range(21))
-    branches = split(nodes, 8)
+    branches = split_into_branches(nodes, 8)
     assert len(branches) == 8
     assert sorted(n for b in branches for n in (b.to, *b.relay_to)) == sorted(nodes)
-    assert split((), 8) == []
+    assert split_into_branches((), 8) == []
 
 
 def test_the_recent_log_is_bounded_and_says_when_it_does_not_reach_back() -> None:
--- a/tests/unit/control/freshness/test_freshness.py
+++ b/tests/unit/control/freshness/test_freshness.py
@@ -10,7 +10,7 @@
 from springmux.control.delivery.events import MembershipChanged
 from springmux.control.events import LeadershipKnown
 from springmux.control.freshness import freshness_monitor as part_module
-from springmux.control.freshness.events import ProofWanted
+from springmux.control.freshness.events import ProofRequested
 from springmux.control.freshness.freshness_monitor import FreshnessMonitor
 from springmux.control.freshness.messages import FreshnessReply, FreshnessRequest
 from springmux.control.freshness.settings import MIN_LEASE_S, FreshnessSettings, lease_for
@@ -27,7 +27,7 @@
 
 def _current(world: FreshnessWorld, name: str) -> bool:
     node = world.nodes[NodeId(name)]
-    return node.part.current(world.now + node.clock_offset_s)
+    return node.part.is_current(world.now + node.clock_offset_s)
 
 
 def test_every_node_of_a_calm_fleet_has_a_proof() -> None:
@@ -51,7 +51,7 @@
     )
     assert part.handle(Tick(), 5.0) == []
     assert part.next_deadline() == float("inf")
-    assert part.current(1e9)
+    assert part.is_current(1e9)
 
 
 def test_a_node_that_is_cut_off_stops_in_time_and_goes_on_when_it_is_back() -> None:
@@ -98,9 +98,9 @@
     node.revision = Revision(6)
     reply = FreshnessReply(asked.message.request, 100, Revision(7))
     node.part.handle(MessageReceived(asked.to, reply), 10.2)
-    assert not node.part.current(10.3)
+    assert not node.part.is_current(10.3)
     node.revision = Revision(7)
-    assert node.part.current(10.3)
+    assert node.part.is_current(10.3)
 
 
 def test_a_proof_is_dated_from_the_question_not_from_the_answer() -> None:
@@ -113,15 +113,15 @@
     reply = FreshnessReply(asked.message.request, 500, Revision(0))
     node.part.handle(MessageReceived(asked.to, reply), 13.0)
     lease_s = lease_for(REVOCATION_S).lease_s
-    assert node.part.current(9.5 + lease_s - 0.01)
-    assert not node.part.current(9.5 + lease_s)
+    assert node.part.is_current(9.5 + lease_s - 0.01)
+    assert not node.part.is_current(9.5 + lease_s)
 
 
 def test_an_answer_to_nobodys_question_is_no_proof() -> None:
     """Given an answer to a question of an earlier life, nothing is proven."""
     node = FleetNode("n0", False, 1, 0.0)
     node.part.handle(MessageReceived(NodeId("c0"), FreshnessReply(12345, 0, Revision(0))), 10.0)
-    assert not node.part.current(10.0)
+    assert not node.part.is_current(10.0)
 
 
 @pytest.mark.parametrize("allowed_s", [0.0, 0.5, 5.0, 39.28])
@@ -140,9 +140,9 @@
         lambda: Revision(3),
         lambda: (LogIndex(0), Revision(0)),
     )
-    assert part.handle(ProofWanted(), 10.0) == []  # nobody is known to lead
+    assert part.handle(ProofRequested(), 10.0) == []  # nobody is known to lead
     part.handle(LeadershipKnown(Term(1), NodeId("c0"), False), 10.0)
-    (asked,) = part.handle(ProofWanted(), 10.0)
+    (asked,) = part.handle(ProofRequested(), 10.0)
     assert isinstance(asked, Send) and isinstance(asked.message, FreshnessRequest) and asked.to == "c0"
     reply = FreshnessReply(asked.message.request, 300, Revision(3))
     part.handle(MessageReceived(asked.to, reply), 10.1)
@@ -202,7 +202,7 @@
 
 def test_the_check_catches_a_lease_that_never_ends(monkeypatch: pytest.MonkeyPatch) -> None:
     """Given a part that is always current, as it was before there were leases, a bad day shows it."""
-    monkeypatch.setattr(FreshnessMonitor, "current", lambda self, now: True)
+    monkeypatch.setattr(FreshnessMonitor, "is_current", lambda self, now: True)
     assert _bad_day(1).stale
 
 
--- a/tests/unit/control/freshness/world.py
+++ b/tests/unit/control/freshness/world.py
@@ -139,7 +139,7 @@
             self._check(node)
 
     def _check(self, node: FleetNode) -> None:
-        if not node.part.current(self.now + node.clock_offset_s):
+        if not node.part.is_current(self.now + node.clock_offset_s):
             self.refused += 1
             return
         self.served += 1
--- a/tests/unit/control/test_compression.py
+++ b/tests/unit/control/test_compression.py
@@ -12,15 +12,15 @@
 from springmux.control.compression import (
     COMPRESS_FROM_BYTES,
     MARKER,
-    MAX_PLAIN_BYTES,
+    MAX_UNCOMPRESSED_BYTES,
     compress,
     decompress,
-    plain_size_bytes,
+    uncompressed_size_bytes,
 )
 from springmux.control.delivery.effects import ApplyCommands
 from springmux.control.delivery.messages import DeliveredCommand
 from springmux.control.state import ControlState
-from springmux.control.state_image import FORMAT, FORMAT_PLAIN, decode_image
+from springmux.control.state_snapshot import FORMAT, FORMAT_UNCOMPRESSED, decode_snapshot
 from springmux.coordination.identifiers import Revision
 from springmux.vocabulary.names import OrderId
 from tests.unit.control.support import Log, put_tenant
@@ -41,7 +41,7 @@
 def test_what_was_compressed_comes_back(plain: bytes) -> None:
     data = compress(plain)
     assert decompress(data) == plain
-    assert plain_size_bytes(data) == len(plain)
+    assert uncompressed_size_bytes(data) == len(plain)
 
 
 def test_only_large_values_are_compressed() -> None:
@@ -58,7 +58,7 @@
         compress(LARGE)[:40] + b"\xff\xff" + compress(LARGE)[42:],
         MARKER + (len(LARGE) - 1).to_bytes(4, "big") + compress(LARGE)[5:],
         MARKER + (len(LARGE) + 1).to_bytes(4, "big") + compress(LARGE)[5:],
-        MARKER + (MAX_PLAIN_BYTES + 1).to_bytes(4, "big") + compress(LARGE)[5:],
+        MARKER + (MAX_UNCOMPRESSED_BYTES + 1).to_bytes(4, "big") + compress(LARGE)[5:],
     ],
 )
 def test_damaged_bytes_are_refused(data: bytes) -> None:
@@ -89,7 +89,7 @@
 
 def test_a_small_command_that_grows_large_is_parsed_off_the_event_loop() -> None:
     data = encode_command(gateway_change(1_000))
-    assert len(data) < 64 * 1024 < plain_size_bytes(data)
+    assert len(data) < 64 * 1024 < uncompressed_size_bytes(data)
     work = ApplyCommands((DeliveredCommand(Revision(0), Revision(1), data),))
     assert StateApplier().take(work) == ([], [PrepareCommands((data,))])
 
@@ -101,9 +101,9 @@
     image = log.state.snapshot()
     header = len(FORMAT) + 8
     assert image.startswith(FORMAT) and image[header : header + 1] == MARKER
-    earlier = FORMAT_PLAIN + image[len(FORMAT) : header] + decompress(image[header:])
+    earlier = FORMAT_UNCOMPRESSED + image[len(FORMAT) : header] + decompress(image[header:])
     assert len(earlier) > 2 * len(image)
-    assert decode_image(earlier) == decode_image(image)
+    assert decode_snapshot(earlier) == decode_snapshot(image)
     restored = ControlState()
     restored.restore(earlier)
     assert restored.snapshot() == image
--- a/tests/unit/control/test_gateway_section.py
+++ b/tests/unit/control/test_gateway_section.py
@@ -24,7 +24,7 @@
 from springmux.control.gateway_documents import normal_host
 from springmux.control.gateway_section import GatewaySection
 from springmux.control.state import ControlState
-from springmux.control.state_image import UnreadableImageError, decode_image, encode_image
+from springmux.control.state_snapshot import UnreadableSnapshotError, decode_snapshot, encode_snapshot
 from springmux.vocabulary.names import OrderId, RouteName, ServiceName, TenantName
 from tests.unit.control.gateway_support import change, patch, read_back, whole, with_gateway
 from tests.unit.control.support import Log, put_tenant
@@ -387,10 +387,10 @@
 def test_an_image_without_a_gateway_document_still_decodes() -> None:
     log = Log()
     log.run(put_tenant("t"))
-    image = decode_image(log.state.snapshot())
+    image = decode_snapshot(log.state.snapshot())
     assert image.gateway_document == b""
     restored = with_gateway().state
-    restored.restore(encode_image(image))
+    restored.restore(encode_snapshot(image))
     assert restored.gateway_document() is None
     assert restored.view().gateway is EMPTY_GATEWAY
 
@@ -399,7 +399,7 @@
     log = with_gateway()
     before = log.state.snapshot()
     broken = before.replace(b'"path_prefix"', b'"path_prefax"')
-    with pytest.raises(UnreadableImageError):
+    with pytest.raises(UnreadableSnapshotError):
         log.state.restore(broken)
     assert log.state.snapshot() == before
 
--- a/tests/unit/control/test_state.py
+++ b/tests/unit/control/test_state.py
@@ -26,7 +26,7 @@
 from springmux.control.decided_order_store import MAX_SYSTEM_ORDERS
 from springmux.control.persistent_map import PersistentMap
 from springmux.control.state import ControlState
-from springmux.control.state_image import UnreadableImageError
+from springmux.control.state_snapshot import UnreadableSnapshotError
 from springmux.coordination.claims.ring import ClaimRing, RingMember
 from springmux.coordination.identifiers import NodeId, Revision, ZoneName
 from springmux.rollout.plan import RolloutPhase
@@ -102,7 +102,7 @@
     restored.index = log.index
     assert restored.run(configure("again", 2, DOCUMENT)) == first
     assert restored.state.view().configuration.version == 3
-    assert restored.state.decided(OrderId("again")) == first
+    assert restored.state.result_of_order(OrderId("again")) == first
 
 
 def test_an_order_id_used_for_another_command_is_a_conflict() -> None:
@@ -125,10 +125,10 @@
     for log in (by_number, by_bytes):
         for number in range(20):
             log.run(put_tenant(f"o{number}"))
-        assert log.state.decided(OrderId("o0")) is None
-        assert log.state.decided(OrderId("o19")) is not None
-    assert by_number.state.decided(OrderId("o15")) is not None
-    assert by_number.state.decided(OrderId("o14")) is None
+        assert log.state.result_of_order(OrderId("o0")) is None
+        assert log.state.result_of_order(OrderId("o19")) is not None
+    assert by_number.state.result_of_order(OrderId("o15")) is not None
+    assert by_number.state.result_of_order(OrderId("o14")) is None
 
 
 def test_the_leaders_own_orders_push_no_operators_order_out_and_are_bounded_themselves() -> None:
@@ -138,9 +138,9 @@
     for ring in rings:
         log.run(SetClaimRing(order=OrderId(f"ring/{ring.version}"), issued_by="system", ring=ring))
     log.state.restore(log.state.snapshot())
-    assert log.state.decided(OrderId("operator")) is not None
-    assert log.state.decided(OrderId("ring/1")) is None
-    assert log.state.decided(OrderId("ring/2")) is not None
+    assert log.state.result_of_order(OrderId("operator")) is not None
+    assert log.state.result_of_order(OrderId("ring/1")) is None
+    assert log.state.result_of_order(OrderId("ring/2")) is not None
 
 
 def test_an_index_applied_before_changes_nothing_and_an_unknown_command_stops() -> None:
@@ -343,7 +343,7 @@
 def test_an_unreadable_snapshot_changes_nothing(data: bytes) -> None:
     log = configured()
     before = log.state.snapshot()
-    with pytest.raises(UnreadableImageError):
+    with pytest.raises(UnreadableSnapshotError):
         log.state.restore(data)
     assert log.state.snapshot() == before
 
--- a/tests/unit/node/gateway/test_configuration_reads.py
+++ b/tests/unit/node/gateway/test_configuration_reads.py
@@ -9,7 +9,7 @@
 import pytest
 
 from springmux.agent.agent import NodeAgent
-from springmux.control.freshness.events import ProofWanted
+from springmux.control.freshness.events import ProofRequested
 from springmux.coordination.state_machine import Event
 from springmux.node.driver import AgentDriver
 from springmux.node.gateway.configuration_endpoints import (
@@ -85,7 +85,7 @@
         agent.on_wanted = answered
         response = await _read(agent)
         assert (response.status, response.body) == (200, DOCUMENT)
-        assert [type(event) for event in agent.events] == [ProofWanted]
+        assert [type(event) for event in agent.events] == [ProofRequested]
 
     play(story())
 
