--- a/src/springmux/control/__init__.py
+++ b/src/springmux/control/__init__.py
@@ -1,4 +1,4 @@
-"""Control state machine and its delivery: configuration, tenants, keys, rollout orders.
+"""The control state machine and its delivery: configuration, tenants, keys and rollout orders.
 
 Pure. May import ``rollout``, ``vocabulary`` and ``coordination``.
 """
--- a/src/springmux/control/configuration.py
+++ b/src/springmux/control/configuration.py
@@ -1,7 +1,7 @@
-"""Parse the operators' configuration document: every error at once, each with its path.
+"""Parses the operators' configuration document and reports all its errors together, each with its path.
 
-A document of some MiB is checked object by object, so that a thread that parses it never holds the
-interpreter for long and heartbeats go on beside it.
+The objects of a document of some MiB are checked one by one, so that a thread that parses it never holds the
+interpreter lock for long and the node's heartbeats continue.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 import msgspec
 
 from springmux.control.name_pattern import NAME_PATTERN
-from springmux.control.nesting import MAX_DEPTH, is_shallow
+from springmux.control.nesting import MAX_DEPTH, is_within_max_depth
 from springmux.control.view import AdmissionLimits, Configuration
 from springmux.vocabulary.errors import FieldError, SpringmuxError
 from springmux.vocabulary.names import RouteName, ServiceName
@@ -22,11 +22,11 @@
     from springmux.control.documents import DocumentModel
 
 MAX_DOCUMENT_BYTES = 8 << 20
-"""Default bound of a configuration document (docs/API.md: larger ones are answered 413)."""
+"""Default size limit of a configuration document. Larger ones get status 413 (docs/API.md)."""
 MAX_REPORTED_ERRORS = 1000
-"""Bounds the response to a document that is wrong throughout."""
+"""Bounds the size of the response to a document with very many errors."""
 MAX_HINT_CANDIDATES = 200
-"""Comparing with thousands of names for each of thousands of errors would take minutes."""
+"""Most names to search for a similar one. With thousands of names and errors it would take minutes."""
 SECTIONS = ("services", "routes", "limits", "exceptions")
 
 Section = TypeVar("Section", bound="DocumentModel")
@@ -34,7 +34,7 @@
 
 
 class InvalidConfigurationError(SpringmuxError):
-    """The document is wrong; ``errors`` names every wrong field."""
+    """The document is invalid. ``errors`` lists every invalid field, up to :data:`MAX_REPORTED_ERRORS`."""
 
     def __init__(self, errors: tuple[FieldError, ...]) -> None:
         super().__init__("; ".join(f"{error.path}: {error.message}" for error in errors[:5]))
@@ -42,7 +42,7 @@
 
 
 class ConfigurationTooLargeError(SpringmuxError):
-    """The document is larger than the limit, both in bytes."""
+    """The document is larger than the limit. Both sizes are in bytes."""
 
     def __init__(self, size_bytes: int, limit_bytes: int) -> None:
         super().__init__(f"document has {size_bytes} bytes, the limit is {limit_bytes}")
@@ -55,8 +55,8 @@
 ) -> Configuration:
     """Return the configuration in a JSON document.
 
-    :raises ConfigurationTooLargeError: before anything is read.
-    :raises InvalidConfigurationError: with every wrong field.
+    :raises ConfigurationTooLargeError: before the document is parsed.
+    :raises InvalidConfigurationError: with every invalid field.
     """
     if len(document) > max_bytes:
         raise ConfigurationTooLargeError(len(document), max_bytes)
@@ -66,22 +66,22 @@
 def decode_document(document: bytes) -> Any:
     """Return the JSON value in ``document``.
 
-    :raises InvalidConfigurationError: if it is not JSON, or nested too deep.
+    :raises InvalidConfigurationError: if ``document`` isn't JSON, or is nested too deeply.
     """
     try:
         value = msgspec.json.decode(document)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise InvalidConfigurationError((FieldError("", f"not JSON: {error}"),)) from error
-    if not is_shallow(value):
+    if not is_within_max_depth(value):
         raise InvalidConfigurationError((FieldError("", f"nested deeper than {MAX_DEPTH} levels"),))
     return value
 
 
 def canonical_document(value: Any) -> bytes:
-    """Return the canonical JSON text of a value of bounded depth: members sorted by name, no blanks.
+    """Return the canonical JSON text of a value of bounded depth: members sorted by name, no whitespace.
 
-    The encoder could sort, but for a document of 8 MiB that is one call which holds the interpreter lock for
-    seconds, so that the node's heartbeats stop even if it runs in another thread.
+    The encoder could sort the members itself. But for a document of 8 MiB that is a single call that holds
+    the interpreter lock for seconds, and would stop the node's heartbeats even from another thread.
     """
     return msgspec.json.encode(_sorted_members(value))
 
@@ -97,19 +97,19 @@
 def build_configuration(value: Any, version: int) -> Configuration:
     """Return the configuration in a decoded document.
 
-    :raises InvalidConfigurationError: with every wrong field.
+    :raises InvalidConfigurationError: with every invalid field.
     """
     from springmux.control.documents import ExceptionsDocument, LimitsDocument, RouteDocument, ServiceDocument
 
     checker = _Checker()
     sections = checker.sections(value)
-    services = checker.named(sections, "services", ServiceDocument, ServiceDocument.to_service)
-    routes = checker.named(sections, "routes", RouteDocument, RouteDocument.to_route)
-    limits = checker.single(sections, "limits", LimitsDocument)
-    exceptions = checker.single(sections, "exceptions", ExceptionsDocument)
-    checker.check_routes(sections.get("routes"), sections.get("services"))
+    services = checker.parse_named(sections, "services", ServiceDocument, ServiceDocument.to_service)
+    routes = checker.parse_named(sections, "routes", RouteDocument, RouteDocument.to_route)
+    limits = checker.parse_single(sections, "limits", LimitsDocument)
+    exceptions = checker.parse_single(sections, "exceptions", ExceptionsDocument)
+    checker.check_route_services(sections.get("routes"), sections.get("services"))
     if limits is not None:
-        checker.check_limits(limits.to_limits())
+        checker.check_reserved_slots(limits.to_limits())
     if checker.errors or limits is None or exceptions is None:
         raise InvalidConfigurationError(bounded_errors(checker.errors))
     return Configuration(
@@ -122,7 +122,7 @@
 
 
 def bounded_errors(errors: list[FieldError]) -> tuple[FieldError, ...]:
-    """Return the first :data:`MAX_REPORTED_ERRORS` errors, with a note on how many more there are."""
+    """Return the first :data:`MAX_REPORTED_ERRORS` errors, and one that states how many were left out."""
     if len(errors) <= MAX_REPORTED_ERRORS:
         return tuple(errors)
     more = FieldError("", f"and {len(errors) - MAX_REPORTED_ERRORS} more errors")
@@ -130,7 +130,7 @@
 
 
 class _Checker:
-    """Collect errors while the sections are parsed."""
+    """Parses the sections of a document and collects their errors."""
 
     def __init__(self) -> None:
         self.errors: list[FieldError] = []
@@ -146,7 +146,7 @@
             self.add(name, _unknown_field(name, SECTIONS))
         return value
 
-    def named(
+    def parse_named(
         self,
         sections: Mapping[str, Any],
         section: str,
@@ -167,19 +167,19 @@
                 found[name] = convert(parsed, name)
         return found
 
-    def single(self, sections: Mapping[str, Any], section: str, model: type[Section]) -> Section | None:
+    def parse_single(self, sections: Mapping[str, Any], section: str, model: type[Section]) -> Section | None:
         return self._parse_object(sections.get(section, {}), section, model)
 
-    def check_routes(self, routes: Any, services: Any) -> None:
-        """Check the raw values, so that a route with another error is checked, too."""
+    def check_route_services(self, routes: Any, services: Any) -> None:
+        """Check that each route's service exists, using the raw values to include invalid routes."""
         known = services if isinstance(services, dict) else {}
         for name in sorted(routes) if isinstance(routes, dict) else ():
             service = routes[name].get("service") if isinstance(routes[name], dict) else None
             if isinstance(service, str) and service not in known:
-                hint = _nearest(service, tuple(known))
+                hint = _similar_name_hint(service, tuple(known))
                 self.add(f"routes.{name}.service", f"there is no service {service!r}{hint}")
 
-    def check_limits(self, limits: AdmissionLimits) -> None:
+    def check_reserved_slots(self, limits: AdmissionLimits) -> None:
         reserved = limits.interactive_reserved + limits.transaction_reserved
         if reserved > limits.max_in_flight:
             message = f"with transaction_reserved it is {reserved}, more than max_in_flight"
@@ -193,11 +193,11 @@
         except ValidationError as error:
             for detail in error.errors(include_url=False, include_input=False):
                 where = ".".join((path, *map(str, detail["loc"])))
-                self.add(where, _message(detail, model))
+                self.add(where, _error_message(detail, model))
             return None
 
 
-def _message(detail: Any, model: type[DocumentModel]) -> str:
+def _error_message(detail: Any, model: type[DocumentModel]) -> str:
     if detail["type"] == "extra_forbidden":
         fields = tuple(field.alias or name for name, field in model.model_fields.items())
         return _unknown_field(str(detail["loc"][-1]), fields)
@@ -207,15 +207,15 @@
 
 
 def _unknown_field(name: str, known: tuple[str, ...]) -> str:
-    hint = _nearest(name, known) or "; known are " + ", ".join(known)
+    hint = _similar_name_hint(name, known) or "; known are " + ", ".join(known)
     return f"unknown field{hint}"
 
 
-def _nearest(name: str, known: tuple[str, ...]) -> str:
-    """Return a hint at the most similar known name, or an empty string."""
+def _similar_name_hint(name: str, known: tuple[str, ...]) -> str:
+    """Return a hint with the most similar known name, or an empty string if none is similar."""
     if len(known) > MAX_HINT_CANDIDATES:
         return ""
-    import difflib  # needed for wrong documents only
+    import difflib  # needed for invalid documents only
 
     close = difflib.get_close_matches(name, known, n=1)
     return f"; did you mean {close[0]!r}?" if close else ""
--- a/src/springmux/control/documents.py
+++ b/src/springmux/control/documents.py
@@ -1,8 +1,8 @@
-"""Pydantic models of the operators' configuration document: one object of it each.
+"""Pydantic models of the objects in the operators' configuration document.
 
-Names, defaults and units are those of :mod:`springmux.control.view`. They say what is wrong with an
-object; :mod:`springmux.control.configuration` puts the whole together. Only the first document that is
-parsed imports this module: loading pydantic takes longer than all else of a node's start.
+Names, defaults and units are those of :mod:`springmux.control.view`. The models validate single objects;
+:mod:`springmux.control.configuration` combines them. This module is imported only when the first document is
+parsed, since importing pydantic takes longer than the rest of a node's start.
 """
 
 from __future__ import annotations
@@ -29,24 +29,24 @@
 
 
 class DocumentModel(BaseModel):
-    """Base: unknown fields are errors, numbers aren't taken from strings."""
+    """Base of the models. Unknown fields are errors, and strings aren't converted to numbers."""
 
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True, populate_by_name=False)
 
 
 class ServiceDocument(DocumentModel):
-    """One value of ``services``."""
+    """One member of the object ``services``."""
 
     stable: Name
     connect_timeout_s: Annotated[float, Field(gt=0, le=60, allow_inf_nan=False)] = 0.5
 
     def to_service(self, name: str) -> Service:
-        """Return the typed service."""
+        """Return the service as nodes use it."""
         return Service(ServiceName(name), VersionName(self.stable), self.connect_timeout_s)
 
 
 class RouteDocument(DocumentModel):
-    """One value of ``routes``. ``class`` is the traffic class."""
+    """One member of the object ``routes``. Its field ``class`` is the traffic class."""
 
     kind: Annotated[RouteKind, Field(strict=False)]
     service: Name
@@ -59,7 +59,7 @@
     max_tokens: Annotated[int, Field(gt=0, le=10_000_000)] = 2048
 
     def to_route(self, name: str) -> Route:
-        """Return the typed route."""
+        """Return the route as nodes use it."""
         return Route(
             name=RouteName(name),
             kind=self.kind,
@@ -89,7 +89,7 @@
     retry_window_s: Seconds = 10.0
 
     def to_limits(self) -> AdmissionLimits:
-        """Return the typed limits."""
+        """Return the limits as nodes use them."""
         return AdmissionLimits(**self.model_dump())
 
 
@@ -100,5 +100,5 @@
     minimum_ready_engines: Annotated[int, Field(ge=0, le=10_000)] = 1
 
     def to_exceptions(self) -> DeploymentExceptions:
-        """Return the typed exceptions."""
+        """Return the exceptions as nodes use them."""
         return DeploymentExceptions(**self.model_dump())
--- a/src/springmux/control/gateway_configuration.py
+++ b/src/springmux/control/gateway_configuration.py
@@ -1,8 +1,8 @@
-"""The gateway's configuration: routes by host and path, services, tenants and limits, parsed and immutable.
+"""The gateway's configuration, parsed and immutable: routes by host and path, services, tenants and limits.
 
 The gateway forwards any HTTP request, unlike the chat-completions interface, whose configuration is
-:class:`springmux.control.view.Configuration`. Items are lists with names, so that a change may name single
-items. Times are in the unit that a field's name ends with.
+:class:`springmux.control.view.Configuration`. Items are in lists and have names, so that a change may refer
+to single items. The suffix of a field's name states its unit.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 
 class GatewayRouteKind(enum.StrEnum):
-    """What may be done again on a route."""
+    """Whether requests of a route may run more than once."""
 
     SAFE = "safe"
-    """May run more than once."""
+    """Requests may run more than once."""
     UNSAFE = "unsafe"
-    """Runs at most once for each try of a client."""
+    """Requests run at most once for each attempt of the client."""
     STREAM = "stream"
-    """Answers with a series of events; runs at most once unless the route is resumable."""
+    """Responses are streams of events. Requests run at most once unless the route is resumable."""
 
 
 class Backend(msgspec.Struct, frozen=True):
@@ -34,11 +34,16 @@
 
 
 class GatewayRoute(msgspec.Struct, frozen=True):
-    """One way in: requests of ``host`` whose path begins with ``path_prefix`` (the longest one counts).
-
-    ``max_attempts``: engines that one request may be sent to. ``timeout_ms``: longest time to hold a request.
-    ``target_ms``: time within which an answer (or a stream's first event) is in time. ``gap_target_ms``: the
-    longest pause between two events that is in time, 0 if none is set. ``priority``: 0 is the most urgent.
+    """Matches requests to ``host`` whose path begins with ``path_prefix``; the longest match applies.
+
+    ``max_attempts``: most engines to which one request may be sent.
+    ``timeout_ms``: longest time that the gateway holds a request.
+    ``target_ms``: time within which a response, or the first event of a stream, is on time.
+    ``gap_target_ms``: longest pause between two events of a stream that is on time; 0 if none is set.
+    ``priority``: 0 is the most urgent.
+    ``public``: requests need no API key.
+    ``sticky``: requests with the same prompt prefix go to the same service.
+    ``resumable``: a stream may continue on another engine.
     """
 
     name: RouteName
@@ -62,7 +67,7 @@
 
 
 class ModelEngineShape(msgspec.Struct, frozen=True):
-    """What a service's model engines can hold: requests in a batch, tokens of cache, tokens of one event."""
+    """Capacity of a service's model engines: requests per batch, tokens in the cache, tokens per event."""
 
     slots: int = 1
     cache_tokens: int = 0
@@ -70,7 +75,7 @@
 
 
 class GatewayService(msgspec.Struct, frozen=True):
-    """A group of back ends. ``max_connections``: connections that one of them takes from all callers."""
+    """A group of back ends. ``max_connections``: connections that one of them accepts from all callers."""
 
     name: ServiceName
     health_path: str = "/health"
@@ -79,10 +84,10 @@
 
 
 class GatewayTenant(msgspec.Struct, frozen=True):
-    """A customer: its keys, its rank, and its quota (0: no limit).
+    """A customer with its API keys, priority and quota.
 
-    ``counts_tokens``: the quota counts tokens; a request that states none counts as ``uncounted_tokens``.
-    Otherwise each request counts as one.
+    ``rate_per_s`` and ``burst``: the quota; a rate of 0 means no limit. ``counts_tokens``: the quota counts
+    tokens, and a request that states none counts as ``uncounted_tokens``. Otherwise each request counts as 1.
     """
 
     name: TenantName
@@ -95,7 +100,7 @@
 
 
 class GatewayLimits(msgspec.Struct, frozen=True):
-    """Bounds on what a client may send and how long it may take or stay idle."""
+    """Bounds on the size of a client's requests, and on the time that it may take or stay idle."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4 << 20
@@ -104,10 +109,10 @@
 
 
 class GatewayConfiguration(msgspec.Struct, frozen=True):
-    """The whole, as of ``version``. Version 0 means that there is none yet: requests get 503.
+    """The whole configuration. Version 0 means that there is none yet, and requests get status 503.
 
     ``key_tenants`` maps each key to its tenant's name. ``requires_key``: the configuration has tenants, so
-    every request on a route that is not public needs a key.
+    every request on a route that isn't public needs a key.
     """
 
     version: int = 0
@@ -119,7 +124,7 @@
 
     @property
     def requires_key(self) -> bool:
-        """Whether requests need a key."""
+        """Whether requests on routes that aren't public need a key."""
         return bool(self.tenants)
 
 
--- a/src/springmux/control/gateway_documents.py
+++ b/src/springmux/control/gateway_documents.py
@@ -1,7 +1,7 @@
-"""Items of the operators' gateway document as msgspec structs, validated one by one.
+"""Items of the operators' gateway document as msgspec structs, each validated by itself.
 
 Names, defaults and units are those of :mod:`springmux.control.gateway_configuration`. Unknown fields are
-ignored here; :mod:`springmux.control.gateway_section` keeps the items as sent.
+ignored here, but :mod:`springmux.control.gateway_section` keeps the items as sent.
 """
 
 from __future__ import annotations
@@ -24,19 +24,19 @@
 from springmux.vocabulary.errors import FieldError
 from springmux.vocabulary.names import RouteName, ServiceName, TenantName
 
-LARGEST = sys.float_info.max
-"""An integer of hundreds of digits converts to infinity; this bound rejects it."""
-LARGEST_COUNT = 2**53
-"""Integers up to this one go through any JSON reader unchanged (RFC 8259, section 6)."""
+MAX_NUMBER = sys.float_info.max
+"""Largest number. The bound rejects integers of hundreds of digits, which would convert to infinity."""
+MAX_COUNT = 2**53
+"""Largest integer that any JSON parser reads exactly (RFC 8259, section 6)."""
 TOKENS_UNIT = "tokens"
 REQUESTS_UNIT = "requests"
 
 Text = Annotated[str, msgspec.Meta(min_length=1)]
-Positive = Annotated[float, msgspec.Meta(gt=0, le=LARGEST)]
-NotNegative = Annotated[float, msgspec.Meta(ge=0, le=LARGEST)]
-Count = Annotated[int, msgspec.Meta(ge=0, le=LARGEST_COUNT)]
-PositiveCount = Annotated[int, msgspec.Meta(ge=1, le=LARGEST_COUNT)]
-Rank = Annotated[int, msgspec.Meta(ge=-LARGEST_COUNT, le=LARGEST_COUNT)]
+Positive = Annotated[float, msgspec.Meta(gt=0, le=MAX_NUMBER)]
+NotNegative = Annotated[float, msgspec.Meta(ge=0, le=MAX_NUMBER)]
+Count = Annotated[int, msgspec.Meta(ge=0, le=MAX_COUNT)]
+PositiveCount = Annotated[int, msgspec.Meta(ge=1, le=MAX_COUNT)]
+Rank = Annotated[int, msgspec.Meta(ge=-MAX_COUNT, le=MAX_COUNT)]
 
 
 class BackendItem(msgspec.Struct, frozen=True):
@@ -47,7 +47,7 @@
 
 
 class RouteItem(msgspec.Struct, frozen=True):
-    """One member of ``routes``; gives either ``service`` or ``backends``."""
+    """One member of ``routes``. It has either ``service`` or ``backends``."""
 
     name: Text
     host: Text
@@ -65,7 +65,7 @@
     resumable: bool = False
 
     def field_errors(self) -> tuple[FieldError, ...]:
-        """Return the errors that involve several fields; paths are fields of the item."""
+        """Return the errors that involve several fields. Their paths are field names of the item."""
         field_errors: list[FieldError] = []
         if not (self.path_prefix.startswith("/") and self.path_prefix.endswith("/")):
             field_errors.append(FieldError("path_prefix", "must begin and end with '/'"))
@@ -76,11 +76,11 @@
             field_errors.append(FieldError("backends", "weights must add up to a finite number above 0"))
         return tuple(field_errors)
 
-    def typed(self) -> GatewayRoute:
-        """Return the route in the form that nodes use. Hosts compare in lower case and without a port."""
+    def to_typed(self) -> GatewayRoute:
+        """Return the route in the form that nodes use. Its host is normalized by :func:`normalize_host`."""
         return GatewayRoute(
             name=RouteName(self.name),
-            host=normal_host(self.host),
+            host=normalize_host(self.host),
             path_prefix=self.path_prefix,
             kind=self.kind,
             backends=self._typed_backends(),
@@ -101,7 +101,7 @@
 
 
 class EngineItem(msgspec.Struct, frozen=True):
-    """A service's ``engine``."""
+    """The object ``engine`` of a service."""
 
     slots: PositiveCount = 1
     cache_tokens: Count = 0
@@ -117,10 +117,10 @@
     engine: EngineItem | None = None
 
     def field_errors(self) -> tuple[FieldError, ...]:
-        """Return no errors: the fields are independent."""
+        """Return no errors, since no check involves several fields."""
         return ()
 
-    def typed(self) -> GatewayService:
+    def to_typed(self) -> GatewayService:
         """Return the service in the form that nodes use."""
         engine = self.engine
         shape = (
@@ -141,10 +141,10 @@
     burst: NotNegative = 0.0
 
     def field_errors(self) -> tuple[FieldError, ...]:
-        """Return no errors: the fields are independent."""
+        """Return no errors, since no check involves several fields."""
         return ()
 
-    def typed(self) -> GatewayTenant:
+    def to_typed(self) -> GatewayTenant:
         """Return the tenant in the form that nodes use."""
         return GatewayTenant(
             name=TenantName(self.name),
@@ -165,12 +165,12 @@
     header_timeout_ms: Positive = 5000.0
     idle_timeout_ms: Positive = 15_000.0
 
-    def typed(self) -> GatewayLimits:
+    def to_typed(self) -> GatewayLimits:
         """Return the limits in the form that nodes use."""
         return GatewayLimits(**msgspec.structs.asdict(self))
 
 
-def normal_host(host: str) -> str:
+def normalize_host(host: str) -> str:
     """Return ``host`` in lower case without its port (``"[::1]:80"`` gives ``"[::1]"``)."""
     lowered = host.lower()
     if lowered.startswith("["):
--- a/src/springmux/control/gateway_references.py
+++ b/src/springmux/control/gateway_references.py
@@ -1,4 +1,4 @@
-"""Consistency checks between the items of a gateway configuration, in time linear in their number."""
+"""Consistency checks between the items of a gateway configuration. They take time linear in their number."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 def unknown_services(
     routes: Mapping[str, GatewayItem[GatewayRoute]], services: Mapping[str, object]
 ) -> Iterator[FieldError]:
-    """Yield an error for each back end that names no service."""
+    """Yield an error for each back end whose service doesn't exist."""
     for name, item in routes.items():
         for number, backend in enumerate(item.typed.backends):
             if backend.service not in services:
@@ -36,7 +36,7 @@
 def duplicate_keys(
     tenants: Mapping[str, GatewayItem[GatewayTenant]], key_tenants: Mapping[str, TenantName]
 ) -> Iterator[FieldError]:
-    """Yield an error for each key of two tenants, without the key itself."""
+    """Yield an error for each key that two tenants share. The error doesn't contain the key."""
     for name, item in tenants.items():
         for number, key in enumerate(item.typed.api_keys):
             if key_tenants[key] != item.typed.name:
@@ -45,7 +45,7 @@
 
 
 def tenants_by_key(tenants: Mapping[str, GatewayItem[GatewayTenant]]) -> dict[str, TenantName]:
-    """Map each key to its tenant; to the first one if two share it."""
+    """Map each key to its tenant, or to the first one if two tenants share it."""
     owners: dict[str, TenantName] = {}
     for item in tenants.values():
         for key in item.typed.api_keys:
--- a/src/springmux/control/gateway_section.py
+++ b/src/springmux/control/gateway_section.py
@@ -1,4 +1,4 @@
-"""The gateway's configuration in the control state: items as sent, and parsed for the nodes."""
+"""The gateway's configuration in the control state: items as sent, and in the form that nodes use."""
 
 from __future__ import annotations
 
@@ -9,6 +9,7 @@
 
 import msgspec
 
+from springmux.control.command_decision import CommandDecision, conflict, invalid
 from springmux.control.commands import ApplyGateway, Outcome
 from springmux.control.configuration import (
     MAX_DOCUMENT_BYTES,
@@ -37,17 +38,16 @@
     tenants_by_key,
     unknown_services,
 )
-from springmux.control.verdict import Verdict, conflict, invalid
 from springmux.vocabulary.errors import FieldError
 from springmux.vocabulary.names import ServiceName, TenantName
 
-PREPARED_CHANGES = 4
+MAX_PREPARED_CHANGES = 4
 NO_DOCUMENT = b""
 
 
 @dataclass(frozen=True, slots=True)
 class _Items:
-    """All items in order. ``tenants`` is ``None`` if the list is absent."""
+    """All items in order. ``tenants`` is ``None`` if the document has no such list."""
 
     routes: Mapping[str, GatewayItem[GatewayRoute]] = field(default_factory=dict)
     services: Mapping[str, GatewayItem[GatewayService]] = field(default_factory=dict)
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _CurrentState:
-    """The configuration in force; replaced atomically."""
+    """The configuration in force, its items and its document. Replaced atomically."""
 
     items: _Items = field(default_factory=_Items)
     configuration: GatewayConfiguration = EMPTY_GATEWAY
@@ -66,7 +66,7 @@
 
 
 class GatewaySection:
-    """The newest gateway configuration. Deterministic: equal commands give equal sections."""
+    """The newest gateway configuration. Deterministic: equal commands produce equal sections."""
 
     def __init__(self, max_document_bytes: int = MAX_DOCUMENT_BYTES) -> None:
         self._max_document_bytes = max_document_bytes
@@ -75,7 +75,7 @@
 
     @property
     def configuration(self) -> GatewayConfiguration:
-        """The configuration in force; the same object until a change is accepted."""
+        """The configuration in force. It stays the same object until a change is accepted."""
         return self._current.configuration
 
     def document(self) -> bytes:
@@ -83,35 +83,36 @@
         return self._current.document
 
     def prepare(self, command: ApplyGateway) -> None:
-        """Parse a command ahead for ``apply``, in a thread; change nothing else."""
+        """Parse a command in advance for ``apply``, possibly in another thread. Nothing else changes."""
         try:
             change = parse_change(command.document, command.partial, self._max_document_bytes)
         except (InvalidConfigurationError, ConfigurationTooLargeError):
             return
-        if len(self._prepared) >= PREPARED_CHANGES:
+        if len(self._prepared) >= MAX_PREPARED_CHANGES:
             self._prepared.clear()
         self._prepared[_key(command)] = change
 
-    def apply(self, command: ApplyGateway) -> Verdict:
-        """Apply the change if it is based on the present version and the result is valid.
+    def apply(self, command: ApplyGateway) -> CommandDecision:
+        """Apply the change if it is based on the current version and the result is valid.
 
-        A change that can't be parsed is invalid whatever its base; otherwise a lost race is a conflict.
+        A change that can't be parsed is invalid, whatever its base version. Otherwise, a base version that
+        isn't the current one is a conflict.
         """
         try:
             change = self._parse(command)
-            present = self.configuration.version
-            if command.base_version != present:
-                message = f"the change builds on version {command.base_version}, the present one is {present}"
-                return conflict(message, {"version": present})
+            current = self.configuration.version
+            if command.base_version != current:
+                message = f"the change builds on version {command.base_version}, the present one is {current}"
+                return conflict(message, {"version": current})
             self._current = self._build_next_state(change)
         except ConfigurationTooLargeError as error:
             return invalid(FieldError("", str(error)))
         except InvalidConfigurationError as error:
             return invalid(*error.errors)
-        return Verdict(Outcome.ACCEPTED, version=change.version)
+        return CommandDecision(Outcome.ACCEPTED, version=change.version)
 
     def restored(self, document: bytes) -> GatewaySection:
-        """Return a section with a snapshot's document; this one doesn't change.
+        """Return a new section with a snapshot's document. This section doesn't change.
 
         :raises InvalidConfigurationError: if this program doesn't accept the document.
         """
@@ -129,9 +130,9 @@
         return parse_change(command.document, command.partial, self._max_document_bytes)
 
     def _build_next_state(self, change: GatewayChange) -> _CurrentState:
-        present = self.configuration.version
-        if change.version <= present:
-            message = f"must be above the present version {present}"
+        current = self.configuration.version
+        if change.version <= current:
+            message = f"must be above the present version {current}"
             raise InvalidConfigurationError((FieldError("version", message),))
         base = self._current.items if change.partial else _Items()
         items = _merge(base, change)
@@ -159,7 +160,7 @@
 def _apply_changes(
     items: Mapping[str, GatewayItem[Typed]], change: ItemChanges[Typed]
 ) -> Mapping[str, GatewayItem[Typed]]:
-    """Return the changed list; a replaced item keeps its position, a new one is appended."""
+    """Return the changed list. A replaced item keeps its position, and a new one is appended."""
     if not change.put and not change.removed:
         return items
     changed = {**items, **change.put}
@@ -169,9 +170,9 @@
 
 
 def _build_configuration(items: _Items, version: int) -> GatewayConfiguration:
-    """Validate the references between items; return their configuration.
+    """Validate the references between items and return the configuration.
 
-    :raises InvalidConfigurationError: with every wrong reference.
+    :raises InvalidConfigurationError: with every invalid reference.
     """
     tenants = items.tenants or {}
     key_tenants = tenants_by_key(tenants)
--- a/src/springmux/control/merge_patch.py
+++ b/src/springmux/control/merge_patch.py
@@ -1,4 +1,4 @@
-"""JSON Merge Patch (RFC 7396): the smallest way to say what changes in a document."""
+"""JSON Merge Patch (RFC 7396): describes a change of a document by its changed members only."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 def merge_patch(target: JsonValue, patch: JsonValue) -> JsonValue:
     """Return ``target`` changed by ``patch``; neither is modified (RFC 7396, section 2).
 
-    In objects ``null`` removes a member; any value that isn't an object replaces the whole.
+    In objects, ``null`` removes a member. A patch that isn't an object replaces the whole target.
     """
     if not isinstance(patch, dict):
         return patch
--- a/src/springmux/control/name_pattern.py
+++ b/src/springmux/control/name_pattern.py
@@ -1,6 +1,6 @@
-"""How the names in operators' documents are spelled."""
+"""The pattern of names in operators' documents."""
 
 from __future__ import annotations
 
 NAME_PATTERN = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,127}$"
-"""Names go into URLs, headers and metric labels as they are."""
+"""Names are used unescaped in URLs, headers and metric labels."""
--- a/src/springmux/control/nesting.py
+++ b/src/springmux/control/nesting.py
@@ -1,7 +1,7 @@
-"""Bound on how deep operators' JSON documents may be nested.
+"""Bound on the nesting depth of operators' JSON documents.
 
-The decoder's own limit differs with the depth of the caller's stack, so that one node could refuse what
-another takes; recursion over what it lets through could end a node.
+The decoder's own limit depends on the depth of the caller's stack, so one node could reject a document that
+another accepts. Recursion over a document that the decoder just accepts could crash a node.
 """
 
 from __future__ import annotations
@@ -10,18 +10,18 @@
 from typing import Any
 
 MAX_DEPTH = 32
-"""A template has three levels, a configuration document four."""
+"""Largest number of levels. A template has three, a configuration document four."""
 
 
-def is_shallow(value: Any) -> bool:
+def is_within_max_depth(value: Any) -> bool:
     """Return whether a decoded JSON value has at most :data:`MAX_DEPTH` levels."""
     level = [value]
     for _ in range(MAX_DEPTH):
-        level = [inner for outer in level for inner in _members(outer)]
+        level = [inner for outer in level for inner in _children(outer)]
     return not level
 
 
-def _members(value: Any) -> Iterable[Any]:
+def _children(value: Any) -> Iterable[Any]:
     if isinstance(value, dict):
         return value.values()
     return value if isinstance(value, list) else ()
--- a/src/springmux/control/persistent_map.py
+++ b/src/springmux/control/persistent_map.py
@@ -1,8 +1,8 @@
-"""An immutable mapping whose changed copies share what did not change.
+"""An immutable mapping whose changed copies share the unchanged entries.
 
 A change of one tenant among 17,000 must not copy the other 16,999 on each of hundreds of nodes, and a
-running request must keep the view that it began with. Keys are spread over buckets; a changed copy
-renews one bucket and the row of buckets.
+running request must keep the view with which it began. Keys are hashed into buckets; a changed copy has one
+new bucket and a new tuple of buckets.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 V = TypeVar("V")
 
 BUCKETS = 512
-"""A change copies a row of 512 and, at 17,000 keys, some 33 entries: a few microseconds."""
+"""A change copies a tuple of 512 and, at 17,000 keys, some 33 entries, in a few microseconds."""
 
 
 class PersistentMap(Mapping[K, V], Generic[K, V]):
-    """Mapping from strings; ``set`` and ``without`` return changed copies."""
+    """Immutable mapping from strings. ``set`` and ``without`` return changed copies."""
 
     __slots__ = ("_buckets", "_size")
 
@@ -35,7 +35,7 @@
         return self._with_bucket(_bucket_of(key), {**self._buckets[_bucket_of(key)], key: value})
 
     def without(self, key: K) -> PersistentMap[K, V]:
-        """Return a copy without ``key``; itself if it isn't there."""
+        """Return a copy without ``key``, or this mapping if it doesn't contain ``key``."""
         number = _bucket_of(key)
         if key not in self._buckets[number]:
             return self
@@ -66,5 +66,5 @@
 
 
 def _bucket_of(key: str) -> int:
-    """Spread keys alike in every process (``hash`` of a string differs from process to process)."""
+    """Return the bucket of a key, the same in every process (``hash`` of a string differs between them)."""
     return zlib.crc32(key.encode()) % BUCKETS
--- a/src/springmux/control/state.py
+++ b/src/springmux/control/state.py
@@ -11,6 +11,7 @@
 import msgspec
 
 from springmux.control.accounts_section import AccountsSection
+from springmux.control.command_decision import ACCEPTED, CommandDecision, conflict
 from springmux.control.commands import (
     AbortRollout,
     AnyCommand,
@@ -45,7 +46,6 @@
     encode_snapshot,
 )
 from springmux.control.templates_section import TemplatesSection
-from springmux.control.verdict import ACCEPTED, Verdict, conflict
 from springmux.control.view import EMPTY_VIEW, ControlView
 from springmux.coordination.claims.ring import ClaimRing
 from springmux.coordination.identifiers import Revision
@@ -199,18 +199,18 @@
         self._claim_ring = snapshot.claim_ring
         self._view = self._build_view(snapshot.revision)
 
-    def _result(self, command: AnyCommand, index: Revision, verdict: Verdict) -> CommandResult:
+    def _result(self, command: AnyCommand, index: Revision, decision: CommandDecision) -> CommandResult:
         return CommandResult(
             order=command.order,
-            outcome=verdict.outcome,
+            outcome=decision.outcome,
             revision=index,
-            message=verdict.message,
-            version=verdict.version,
-            errors=verdict.errors,
-            winner=verdict.winner,
+            message=decision.message,
+            version=decision.version,
+            errors=decision.errors,
+            winner=decision.winner,
         )
 
-    def _decide(self, command: AnyCommand, index: Revision) -> Verdict:
+    def _decide(self, command: AnyCommand, index: Revision) -> CommandDecision:
         match command:
             case ApplyConfiguration():
                 return self._apply_configuration(command, index)
@@ -231,7 +231,7 @@
             case _:
                 return self._decide_rollout(command, index)
 
-    def _decide_rollout(self, command: AnyCommand, index: Revision) -> Verdict:
+    def _decide_rollout(self, command: AnyCommand, index: Revision) -> CommandDecision:
         match command:
             case PromoteRollout():
                 return self._rollouts.promote(command, self._stable_for(command))
@@ -248,17 +248,17 @@
             case _:
                 raise UnknownCommandError(f"no handler for commands of type {type(command).__name__}")
 
-    def _apply_configuration(self, command: ApplyConfiguration, index: Revision) -> Verdict:
-        verdict = self._configuration.apply(command, index, self._rollouts.constraints())
-        if verdict.outcome is Outcome.ACCEPTED:
+    def _apply_configuration(self, command: ApplyConfiguration, index: Revision) -> CommandDecision:
+        decision = self._configuration.apply(command, index, self._rollouts.constraints())
+        if decision.outcome is Outcome.ACCEPTED:
             self._rollouts.forget_services(self._known_services())
-        return verdict
+        return decision
 
-    def _apply_gateway(self, command: ApplyGateway) -> Verdict:
-        verdict = self._gateway.apply(command)
-        if verdict.outcome is Outcome.ACCEPTED:
+    def _apply_gateway(self, command: ApplyGateway) -> CommandDecision:
+        decision = self._gateway.apply(command)
+        if decision.outcome is Outcome.ACCEPTED:
             self._rollouts.forget_services(self._known_services())
-        return verdict
+        return decision
 
     def _known_services(self) -> Set[ServiceName]:
         chat = self._configuration.current.configuration.services
@@ -274,7 +274,7 @@
             return None
         return self._view.stable_version(service) or command.stable
 
-    def _set_claim_ring(self, command: SetClaimRing) -> Verdict:
+    def _set_claim_ring(self, command: SetClaimRing) -> CommandDecision:
         version = self._claim_ring.version if self._claim_ring is not None else 0
         if command.ring.version != version + 1:
             return conflict(
--- a/src/springmux/control/templates_section.py
+++ b/src/springmux/control/templates_section.py
@@ -1,4 +1,4 @@
-"""Rollout templates in the control state, as the operators' documents."""
+"""Rollout templates in the control state, stored as the documents that operators sent."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 
 import msgspec
 
+from springmux.control.command_decision import ACCEPTED, CommandDecision, invalid
 from springmux.control.commands import PutTemplate
 from springmux.control.name_pattern import NAME_PATTERN
-from springmux.control.nesting import MAX_DEPTH, is_shallow
-from springmux.control.verdict import ACCEPTED, Verdict, invalid
+from springmux.control.nesting import MAX_DEPTH, is_within_max_depth
 from springmux.vocabulary.errors import FieldError
 
 MAX_TEMPLATE_BYTES = 256 << 10
 MAX_TEMPLATES = 1000
-"""Templates are few and small; every node holds them all."""
+"""Every node holds all templates, which are few and small."""
 _NAME = re.compile(NAME_PATTERN)
 
 
 class TemplatesSection:
-    """Templates by name. What a template says is checked by :mod:`springmux.rollout.planning.template`."""
+    """Templates by name. :mod:`springmux.rollout.planning.template` validates their content."""
 
     def __init__(self) -> None:
         self.documents: Mapping[str, bytes] = {}
 
-    def put(self, command: PutTemplate) -> Verdict:
+    def put(self, command: PutTemplate) -> CommandDecision:
         """Create or replace a template."""
         errors = self._errors(command)
         if errors:
@@ -47,9 +47,9 @@
 
 
 def _is_object(document: bytes) -> bool:
-    """Return whether it is a JSON object that every node can read, whatever its stack has room for."""
+    """Return whether ``document`` is a JSON object that every node can decode, whatever its stack depth."""
     try:
         value = msgspec.json.decode(document)
     except (msgspec.DecodeError, RecursionError):
         return False
-    return isinstance(value, dict) and is_shallow(value)
+    return isinstance(value, dict) and is_within_max_depth(value)
--- a/src/springmux/control/view.py
+++ b/src/springmux/control/view.py
@@ -1,4 +1,4 @@
-"""Immutable view of the control state at every node: configuration, tenants, keys, rollouts."""
+"""Immutable view of the control state, as every node has it: configuration, tenants, keys and rollouts."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class TrafficClass(enum.StrEnum):
-    """Class of service of a route, for admission."""
+    """Class of service of a route, which admission uses."""
 
     INTERACTIVE = "interactive"
-    """Short, latency-sensitive streams; has reserved slots."""
+    """Short, latency-sensitive streams. The class has reserved slots."""
     BULK = "bulk"
     """Long prompts with large shared prefixes."""
     TRANSACTION = "transaction"
@@ -26,16 +26,16 @@
 
 
 class RouteKind(enum.StrEnum):
-    """Shape of a route."""
+    """Form of a route's requests."""
 
     PROMPT = "prompt"
-    """Chat-completions shape to model engines."""
+    """Chat-completions requests to model engines."""
     CALL = "call"
-    """Plain JSON to a small service."""
+    """JSON requests to a small service."""
 
 
 class Route(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One entry point. Clients name a prompt route as ``model``, a call route in the path."""
+    """A named entry point. Clients select a prompt route by ``model``, and a call route by the path."""
 
     name: RouteName
     kind: RouteKind
@@ -50,7 +50,7 @@
 
 
 class Service(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A group of interchangeable back ends. ``stable`` is the version released at first."""
+    """A group of interchangeable back ends. ``stable`` is the released version before any rollout."""
 
     name: ServiceName
     stable: VersionName
@@ -58,7 +58,7 @@
 
 
 class AdmissionLimits(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Bounds of one node's data plane."""
+    """Bounds of the data plane of one node."""
 
     max_in_flight: int = 512
     interactive_reserved: int = 128
@@ -73,14 +73,14 @@
 
 
 class DeploymentExceptions(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Exceptions of one deployment from the standard rollout; docs/ROLLOUT.md lists them."""
+    """Deviations of one deployment from the standard rollout; docs/ROLLOUT.md lists them."""
 
     token_period_s: float | None = None
     minimum_ready_engines: int = 1
 
 
 class Configuration(msgspec.Struct, frozen=True, omit_defaults=True):
-    """The whole configuration document that operators send, parsed."""
+    """The parsed configuration document of the operators."""
 
     version: int = 0
     services: Mapping[ServiceName, Service] = {}
@@ -99,7 +99,7 @@
 
 
 class KeyRecord(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A client's key, by digest. A revoked key keeps its record so that error responses can say so."""
+    """A client's API key, by digest. A revoked key keeps its record, so that error responses can say so."""
 
     key: KeyId
     digest: KeyDigest
@@ -108,7 +108,7 @@
 
 
 class ControlView(msgspec.Struct, frozen=True):
-    """The control state as of ``revision``. Nodes never return to an older one."""
+    """The control state as of ``revision``. A node never returns to an older one."""
 
     revision: Revision
     configuration: Configuration
@@ -122,7 +122,8 @@
     def stable_version(self, service: ServiceName) -> VersionName | None:
         """Return the released version of ``service``, or ``None`` for an unknown service.
 
-        ``None`` also for a service of the gateway that never had a rollout: only its engines know.
+        It is also ``None`` for a service of the gateway that never had a rollout, since only the service's
+        engines know their version then.
         """
         record = self.rollouts.get(service)
         if record is not None:
--- a/tests/unit/control/test_gateway_section.py
+++ b/tests/unit/control/test_gateway_section.py
@@ -21,7 +21,7 @@
     GatewayTenant,
     ModelEngineShape,
 )
-from springmux.control.gateway_documents import normal_host
+from springmux.control.gateway_documents import normalize_host
 from springmux.control.gateway_section import GatewaySection
 from springmux.control.state import ControlState
 from springmux.control.state_snapshot import UnreadableSnapshotError, decode_snapshot, encode_snapshot
@@ -345,7 +345,7 @@
     ("host", "expected"), [("A.B:80", "a.b"), ("a", "a"), ("[::1]:80", "[::1]"), ("[FE::1]", "[fe::1]")]
 )
 def test_hosts_compare_in_lower_case_without_port(host: str, expected: str) -> None:
-    assert normal_host(host) == expected
+    assert normalize_host(host) == expected
 
 
 def test_a_resent_change_gets_its_first_answer_after_later_changes_and_a_snapshot() -> None:
