--- a/tests/unit/bad_days/test_operators_race.py
+++ b/tests/unit/bad_days/test_operators_race.py
@@ -13,7 +13,7 @@
 from springmux.control.commands import ApplyGateway, Outcome
 from springmux.control.gateway_section import GatewaySection
 from springmux.control.order_window import OrderWindow
-from springmux.control.state import Verdict
+from springmux.control.state import CommandDecision
 from tests.unit.control.gateway_support import change, read_back, whole
 from tests.unit.control.support import Log
 
@@ -99,7 +99,7 @@
 def test_the_checker_sees_two_winners(monkeypatch: pytest.MonkeyPatch) -> None:
     apply = GatewaySection.apply
 
-    def on_any_base(section: GatewaySection, command: ApplyGateway) -> Verdict:
+    def on_any_base(section: GatewaySection, command: ApplyGateway) -> CommandDecision:
         present = section.configuration.version
         document = msgspec.json.decode(command.document)
         document["version"] = present + 1
--- a/tests/unit/control/delivery/support.py
+++ b/tests/unit/control/delivery/support.py
@@ -1,4 +1,7 @@
-"""A small fleet of delivery parts in virtual time, with delays, losses, cuts and kills from one seed."""
+"""Simulates state delivery of a small fleet in virtual time.
+
+Delays, message losses, disconnections and kills all derive from one seed.
+"""
 
 from __future__ import annotations
 
@@ -32,7 +35,7 @@
 
 LEADER = NodeId("n00")
 FRAME_BYTES = 200
-"""Envelope and packet headers of a message, roughly."""
+"""Approximate size of a message's envelope and packet headers."""
 TERM = Term(3)
 
 
@@ -49,18 +52,21 @@
 
 
 class Node:
-    """One process: a delivery part and the state that it feeds."""
+    """One process: its state delivery and its control state."""
 
     def __init__(self, name: NodeId, seed: int, settings: DeliverySettings) -> None:
         self.name = name
-        self.part = StateDelivery(name, random.Random(f"{seed}/{name}"), settings)
+        self.delivery = StateDelivery(name, random.Random(f"{seed}/{name}"), settings)
         self.state = ControlState()
         self.revisions = [0]
-        self.replaced = 0
+        self.replacement_count = 0
 
 
 class Fleet:
-    """Nodes n00, n01, ... over zones by turns; n00 leads and holds the log."""
+    """Nodes n00, n01, ... distributed over zones in turn. n00 leads and holds the log.
+
+    ``loss`` is the fraction of messages that are lost.
+    """
 
     def __init__(
         self,
@@ -79,29 +85,29 @@
         self.sent: list[tuple[NodeId, NodeId, PeerMessage]] = []
         self.log: list[Entry] = []
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
-        self._number = 0
+        self._sequence = 0
         self.records = [member(f"n{i:02}", f"z{i % zones}", replica=i < controllers) for i in range(count)]
         self.links: dict[NodeId, float] = {}
-        """Bytes a second that a node's link carries each way; without an entry any number."""
+        """Bytes per second that a node's link carries in each direction; unlimited without an entry."""
         self._link_free_at: dict[tuple[NodeId, str], float] = {}
         self.nodes: dict[NodeId, Node] = {}
         for record in self.records:
             self.start(record.node)
 
     def start(self, name: NodeId) -> Node:
-        """Start a process with nothing on disk (again)."""
+        """Start or restart a node's process, with nothing on disk."""
         node = Node(name, self.seed, self.settings)
         self.nodes[name] = node
         self.down.discard(name)
-        self.give(node, MembershipChanged(view_of(name, self.records)))
+        self.handle_event(node, MembershipChanged(view_of(name, self.records)))
         if name == LEADER:
-            self.give(node, CommandsCommitted(tuple(self.log)))
-        self.give(node, LeadershipKnown(TERM, LEADER, leading=name == LEADER))
-        self._later(self.rng.uniform(0, 0.2), lambda: self._gossip(node))
+            self.handle_event(node, CommandsCommitted(tuple(self.log)))
+        self.handle_event(node, LeadershipKnown(TERM, LEADER, leading=name == LEADER))
+        self._schedule(self.rng.uniform(0, 0.2), lambda: self._send_revision(node))
         return node
 
     def commit(self, *commands: bytes) -> None:
-        """Commit commands at the leader, a barrier or members entry between them."""
+        """Commit commands at the leader, with barrier entries between some of them."""
         entries = []
         for data in commands:
             index = len(self.log) + 1
@@ -111,7 +117,7 @@
                 index += 1
             entries.append(Entry(LogIndex(index), TERM, EntryKind.COMMAND, data))
             self.log.append(entries[-1])
-        self.give(self.nodes[LEADER], CommandsCommitted(tuple(entries)))
+        self.handle_event(self.nodes[LEADER], CommandsCommitted(tuple(entries)))
 
     def run(self, seconds: float) -> None:
         until = self.now + seconds
@@ -121,26 +127,26 @@
         self.now = until
 
     def behind(self) -> list[NodeId]:
-        """Return running nodes whose state differs from the leader's."""
+        """Return the running nodes whose state differs from the leader's."""
         newest = self.nodes[LEADER].state.snapshot()
         return [
             n.name for n in self.nodes.values() if n.name not in self.down and n.state.snapshot() != newest
         ]
 
-    def give(self, node: Node, event: Event) -> None:
+    def handle_event(self, node: Node, event: Event) -> None:
         if self.nodes.get(node.name) is not node or node.name in self.down:
             return
-        for effect in node.part.handle(event, self.now):
-            self._do(node, effect)
-        deadline = node.part.next_deadline()
+        for effect in node.delivery.handle(event, self.now):
+            self._execute(node, effect)
+        deadline = node.delivery.next_deadline()
         if deadline != float("inf"):
-            self._later(max(0.0, deadline - self.now), lambda: self._tick(node, deadline))
+            self._schedule(max(0.0, deadline - self.now), lambda: self._tick(node, deadline))
 
     def _tick(self, node: Node, deadline: float) -> None:
-        if node.part.next_deadline() <= self.now:
-            self.give(node, Tick())
+        if node.delivery.next_deadline() <= self.now:
+            self.handle_event(node, Tick())
 
-    def _do(self, node: Node, effect: Effect) -> None:
+    def _execute(self, node: Node, effect: Effect) -> None:
         match effect:
             case Send(to=to, message=message):
                 self._send(node, to, message)
@@ -152,20 +158,20 @@
             case ReplaceState(snapshot=snapshot, revision=revision):
                 assert revision > node.state.view().revision
                 node.state.restore(snapshot)
-                node.replaced += 1
+                node.replacement_count += 1
                 node.revisions.append(revision)
             case ProvideSnapshot():
                 view = node.state.view()
-                provided = SnapshotProvided(view.revision, node.state.snapshot())
-                self._later(0.02, lambda: self.give(node, provided))
+                snapshot_provided = SnapshotProvided(view.revision, node.state.snapshot())
+                self._schedule(0.02, lambda: self.handle_event(node, snapshot_provided))
             case ConfirmLeaderRevision(correlation_id=correlation_id):
                 confirmed = ConfirmedRevision(correlation_id, LogIndex(len(self.log)))
-                self._later(0.01, lambda: self.give(node, confirmed))
-        assert node.part.revision >= node.state.view().revision
+                self._schedule(0.01, lambda: self.handle_event(node, confirmed))
+        assert node.delivery.revision >= node.state.view().revision
 
     def _send(self, node: Node, to: NodeId, message: PeerMessage) -> None:
         self.sent.append((node.name, to, message))
-        revision = node.part.revision
+        revision = node.delivery.revision
         if self.rng.random() < self.loss:
             return
 
@@ -173,34 +179,34 @@
             if node.name in self.down or to in self.down:
                 return
             target = self.nodes[to]
-            self.give(target, PeerRevisionObserved(node.name, TERM, revision))
-            self.give(target, MessageReceived(node.name, message))
+            self.handle_event(target, PeerRevisionObserved(node.name, TERM, revision))
+            self.handle_event(target, MessageReceived(node.name, message))
 
         for _ in range(2 if self.rng.random() < self.loss / 2 else 1):
-            self._later(self._transfer_s(node.name, to, message) + self.rng.uniform(0.001, 0.03), arrive)
+            self._schedule(self._transfer_s(node.name, to, message) + self.rng.uniform(0.001, 0.03), arrive)
 
     def _transfer_s(self, sender: NodeId, to: NodeId, message: PeerMessage) -> float:
-        """Return how long the message takes over both ends' links, behind what they carry already."""
+        """Return how long the message takes over both nodes' links, after the messages queued there."""
         if not self.links:
             return 0.0
         size_bytes = len(msgspec.msgpack.encode(message)) + FRAME_BYTES
         at = self.now
-        for node, way in ((sender, "out"), (to, "in")):
-            at = max(at, self._link_free_at.get((node, way), 0.0))
+        for node, direction in ((sender, "out"), (to, "in")):
+            at = max(at, self._link_free_at.get((node, direction), 0.0))
             at += size_bytes / self.links.get(node, float("inf"))
-            self._link_free_at[node, way] = at
+            self._link_free_at[node, direction] = at
         return at - self.now
 
-    def _gossip(self, node: Node) -> None:
-        """Some other part's message carries the revision in its envelope, to one node at a time."""
+    def _send_revision(self, node: Node) -> None:
+        """Report the node's revision to a random node, as the envelope of some other message would."""
         if self.nodes.get(node.name) is not node:
             return
         to = self.rng.choice([record.node for record in self.records])
         if node.name not in self.down and to not in self.down and self.rng.random() >= self.loss:
-            heard = PeerRevisionObserved(node.name, TERM, node.part.revision)
-            self.give(self.nodes[to], heard)
-        self._later(0.2, lambda: self._gossip(node))
+            observed = PeerRevisionObserved(node.name, TERM, node.delivery.revision)
+            self.handle_event(self.nodes[to], observed)
+        self._schedule(0.2, lambda: self._send_revision(node))
 
-    def _later(self, delay_s: float, action: Callable[[], None]) -> None:
-        self._number += 1
-        heapq.heappush(self._queue, (self.now + delay_s, self._number, action))
+    def _schedule(self, delay_s: float, action: Callable[[], None]) -> None:
+        self._sequence += 1
+        heapq.heappush(self._queue, (self.now + delay_s, self._sequence, action))
--- a/tests/unit/control/delivery/test_delivery.py
+++ b/tests/unit/control/delivery/test_delivery.py
@@ -1,4 +1,7 @@
-"""Delivery over a lossy network: in force soon, never backwards, repaired after cuts and kills."""
+"""Tests state delivery over a lossy network.
+
+Commands must arrive soon, states must never go back, and nodes must catch up after disconnections and kills.
+"""
 
 from __future__ import annotations
 
@@ -48,15 +51,17 @@
 from tests.unit.control.delivery.support import LEADER, Fleet, member, view_of
 from tests.unit.control.support import Log, put_tenant
 
-SMALL = DeliverySettings(recent_commands=20, chunk_bytes=500, push_max_bytes=2000, delta_max_bytes=1500)
+SMALL_LIMITS = DeliverySettings(
+    recent_commands=20, chunk_bytes=500, push_max_bytes=2000, delta_max_bytes=1500
+)
 
 
-def command(number: int) -> bytes:
+def tenant_command(number: int) -> bytes:
     return encode_command(put_tenant(f"o{number}", f"t{number % 7}", float(number)))
 
 
-def template(number: int, size_bytes: int) -> bytes:
-    """Return a command whose document compression can't shrink below three quarters."""
+def template_command(number: int, size_bytes: int) -> bytes:
+    """Return a command whose document can't be compressed below three quarters of its size."""
     text = "".join(random.Random(number).choices(string.ascii_letters + string.digits, k=size_bytes))
     document = b'{"x":"' + text.encode() + b'"}'
     return encode_command(PutTemplate(order=OrderId(f"t{number}"), name="big", document=document))
@@ -70,15 +75,15 @@
     return MessageReceived(LEADER, PushCommands(Term(3), commands[-1].index, commands))
 
 
-def plain_part(name: str = "n05") -> StateDelivery:
+def new_delivery(name: str = "n05") -> StateDelivery:
     return StateDelivery(NodeId(name), random.Random(1))
 
 
-def test_a_push_reaches_36_nodes_without_repair_and_with_bounded_fan_out() -> None:
+def test_a_push_reaches_36_nodes_without_fetches_and_with_bounded_fan_out() -> None:
     fleet = Fleet(36)
     fleet.run(2)
     fleet.sent.clear()
-    fleet.commit(command(1))
+    fleet.commit(tenant_command(1))
     fleet.run(0.1)
     assert fleet.behind() == []
     pushes = [(sender, to) for sender, to, message in fleet.sent if isinstance(message, PushCommands)]
@@ -87,66 +92,66 @@
     assert not any(isinstance(message, FetchState) for _, _, message in fleet.sent)
 
 
-def test_a_quiet_fleet_sends_nothing() -> None:
+def test_a_fleet_without_changes_sends_nothing() -> None:
     fleet = Fleet(12)
-    fleet.commit(command(1))
+    fleet.commit(tenant_command(1))
     fleet.run(2)
     fleet.sent.clear()
     fleet.run(60)
     assert fleet.sent == []
 
 
-def test_a_killed_relay_costs_its_zone_less_than_two_seconds() -> None:
+def test_the_zone_of_a_killed_relay_has_a_change_within_two_seconds() -> None:
     fleet = Fleet(12)
     fleet.run(2)
     branches = branches_of_leader(view_of(LEADER, fleet.records), fleet.settings)
     relay = next(branch.to for branch in branches if branch.relay_to)
     fleet.down.add(relay)
-    fleet.commit(command(1))
+    fleet.commit(tenant_command(1))
     fleet.run(0.1)
     assert fleet.behind() != []
     fleet.run(1.9)
     assert fleet.behind() == []
 
 
-def test_a_node_cut_off_catches_up_by_a_delta() -> None:
+def test_a_disconnected_node_catches_up_by_a_delta() -> None:
     fleet = Fleet(9)
     fleet.run(1)
     fleet.down.add(NodeId("n04"))
     for number in range(50):
-        fleet.commit(command(number))
+        fleet.commit(tenant_command(number))
         fleet.run(0.1)
     fleet.down.clear()
     fleet.run(2)
     node = fleet.nodes[NodeId("n04")]
     assert fleet.behind() == []
-    assert node.replaced == 0
+    assert node.replacement_count == 0
 
 
-def test_a_node_too_far_behind_takes_an_image_in_chunks() -> None:
-    fleet = Fleet(9, settings=SMALL)
+def test_a_node_too_far_behind_fetches_a_snapshot_in_chunks() -> None:
+    fleet = Fleet(9, settings=SMALL_LIMITS)
     fleet.run(1)
     fleet.down.add(NodeId("n04"))
     for number in range(60):
-        fleet.commit(command(number))
+        fleet.commit(tenant_command(number))
         fleet.run(0.1)
     fleet.down.clear()
     fleet.run(2)
     node = fleet.nodes[NodeId("n04")]
     assert fleet.behind() == []
-    assert node.replaced == 1
+    assert node.replacement_count == 1
     chunks = [m for _, to, m in fleet.sent if to == node.name and isinstance(m, StateChunk)]
     assert len(chunks) > 3
-    assert all(len(chunk.data) <= SMALL.chunk_bytes for chunk in chunks)
+    assert all(len(chunk.data) <= SMALL_LIMITS.chunk_bytes for chunk in chunks)
 
 
-def test_a_large_command_is_announced_fetched_in_chunks_and_in_force_within_two_seconds() -> None:
-    fleet = Fleet(24, settings=SMALL)
+def test_a_large_command_is_announced_and_fetched_in_chunks_within_two_seconds() -> None:
+    fleet = Fleet(24, settings=SMALL_LIMITS)
     fleet.run(1)
-    fleet.commit(template(1, 20_000))
+    fleet.commit(template_command(1, 20_000))
     fleet.run(2)
     assert fleet.behind() == []
-    assert all(node.replaced == 0 for node in fleet.nodes.values())
+    assert all(node.replacement_count == 0 for node in fleet.nodes.values())
     assert all(not m.commands for _, _, m in fleet.sent if isinstance(m, PushCommands))
 
 
@@ -154,16 +159,16 @@
 FAST_LINK_BYTES_S = 12_500_000.0
 
 
-def slow_fleet(seed: int) -> Fleet:
-    """Return ninety nodes of which only the six controllers have links above 5 Mbit/s."""
+def fleet_with_slow_links(seed: int) -> Fleet:
+    """Return a fleet of ninety nodes, of which only the six controllers have links above 5 Mbit/s."""
     fleet = Fleet(90, zones=3, seed=seed, controllers=6)
     for number, record in enumerate(fleet.records):
         fleet.links[record.node] = FAST_LINK_BYTES_S if number < 6 else SLOW_LINK_BYTES_S
     return fleet
 
 
-def many_routes(count: int) -> bytes:
-    """Return a gateway change with ``count`` routes, as an operator's program makes them."""
+def gateway_command(count: int) -> bytes:
+    """Return a gateway change with ``count`` routes, such as an operator's program generates."""
     rng = random.Random(count)
 
     def name() -> str:
@@ -193,28 +198,28 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_two_thousand_routes_are_in_force_at_ninety_nodes_with_slow_links_within_a_second(seed: int) -> None:
-    fleet = slow_fleet(seed)
+    fleet = fleet_with_slow_links(seed)
     fleet.run(2)
-    fleet.commit(many_routes(2000))
+    fleet.commit(gateway_command(2000))
     fleet.run(1)
     assert fleet.behind() == []
     assert fleet.nodes[LEADER].state.view().gateway.version == 1
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_links_that_are_slow_carry_a_large_change_to_all_without_a_flood_of_copies(seed: int) -> None:
-    """A change that can't be compressed is announced and fetched: one copy a node, hardly more."""
-    fleet = slow_fleet(seed)
+def test_a_large_change_reaches_all_nodes_over_slow_links_with_few_duplicate_bytes(seed: int) -> None:
+    """A change that can't be compressed is announced and fetched, with little more than one copy per node."""
+    fleet = fleet_with_slow_links(seed)
     fleet.run(2)
     size_bytes = 400_000
-    fleet.commit(template(1, size_bytes))
+    fleet.commit(template_command(1, size_bytes))
     fleet.run(20)
     assert fleet.behind() == []
     sent_bytes = sum(len(message.data) for _, _, message in fleet.sent if isinstance(message, StateChunk))
     assert sent_bytes < 1.5 * 90 * size_bytes
 
 
-def test_a_zone_s_relays_are_its_controllers_if_it_has_any() -> None:
+def test_the_controllers_of_a_zone_are_its_relays() -> None:
     records = [member("n00", "z0", replica=True)]
     records += [member(f"a{i:02}", "z1", replica=i in (7, 11)) for i in range(30)]
     branches = branches_of_leader(view_of("n00", records), DeliverySettings())
@@ -227,20 +232,22 @@
     fleet.loss = 0.1
     fleet.run(1)
     for number in range(20):
-        fleet.commit(command(number))
+        fleet.commit(tenant_command(number))
         fleet.run(2)
         assert fleet.behind() == []
 
 
 @settings(max_examples=15, derandomize=True, deadline=None)
 @given(st.integers(0, 10_000), st.floats(0, 0.3))
-def test_over_a_lossy_network_with_restarts_all_end_alike_and_none_goes_back(seed: int, loss: float) -> None:
-    fleet = Fleet(9, seed=seed, settings=SMALL)
+def test_over_a_lossy_network_with_restarts_all_states_converge_and_none_goes_back(
+    seed: int, loss: float
+) -> None:
+    fleet = Fleet(9, seed=seed, settings=SMALL_LIMITS)
     fleet.loss = loss
     rng = random.Random(seed)
     started = set(fleet.nodes.values())
     for number in range(40):
-        fleet.commit(*(command(number * 3 + i) for i in range(rng.randint(1, 3))))
+        fleet.commit(*(tenant_command(number * 3 + i) for i in range(rng.randint(1, 3))))
         fleet.run(rng.uniform(0, 0.3))
         victim = NodeId(f"n{rng.randint(1, 8):02}")
         if rng.random() < 0.2:
@@ -252,139 +259,139 @@
     assert fleet.behind() == []
     for node in started:
         assert node.revisions == sorted(set(node.revisions))
-    assert all(node.part.ready for node in fleet.nodes.values())
+    assert all(node.delivery.ready for node in fleet.nodes.values())
 
 
-def test_a_restarted_node_is_ready_only_with_what_was_acknowledged_before() -> None:
+def test_a_restarted_node_is_ready_only_with_everything_acknowledged_before() -> None:
     fleet = Fleet(6)
-    fleet.commit(*(command(number) for number in range(30)))
+    fleet.commit(*(tenant_command(number) for number in range(30)))
     fleet.run(1)
     acknowledged = fleet.nodes[LEADER].state.view().revision
     node = fleet.start(NodeId("n03"))
-    assert not node.part.ready
-    while not node.part.ready and fleet.now < 10:
+    assert not node.delivery.ready
+    while not node.delivery.ready and fleet.now < 10:
         fleet.run(0.005)
-    assert node.part.ready
+    assert node.delivery.ready
     assert node.state.view().revision >= acknowledged
 
 
 def test_without_a_leader_that_has_a_quorum_a_node_is_not_ready() -> None:
-    part = plain_part()
-    effects = part.handle(LeadershipKnown(Term(3), LEADER), 0.0)
+    delivery = new_delivery()
+    effects = delivery.handle(LeadershipKnown(Term(3), LEADER), 0.0)
     assert [type(effect) for effect in effects] == [Send]
-    part.handle(push(delivered(0, 4)), 0.1)
-    assert (part.revision, part.ready) == (4, False)
+    delivery.handle(push(delivered(0, 4)), 0.1)
+    assert (delivery.revision, delivery.ready) == (4, False)
 
 
-def test_an_answer_to_an_earlier_process_does_not_make_ready() -> None:
-    part = plain_part()
-    part.handle(LeadershipKnown(Term(3), LEADER), 0.0)
-    part.handle(MessageReceived(LEADER, RevisionConfirmed(17, Revision(0))), 0.1)
-    assert not part.ready
+def test_a_reply_to_an_earlier_process_does_not_make_a_node_ready() -> None:
+    delivery = new_delivery()
+    delivery.handle(LeadershipKnown(Term(3), LEADER), 0.0)
+    delivery.handle(MessageReceived(LEADER, RevisionConfirmed(17, Revision(0))), 0.1)
+    assert not delivery.ready
 
 
-def test_the_leader_answers_only_after_a_confirmation_begun_after_the_question() -> None:
-    part = plain_part("n00")
-    (own,) = part.handle(LeadershipKnown(Term(3), LEADER, leading=True), 0.0)
+def test_the_leader_replies_only_after_a_confirmation_that_began_after_the_request() -> None:
+    delivery = new_delivery("n00")
+    (own,) = delivery.handle(LeadershipKnown(Term(3), LEADER, leading=True), 0.0)
     assert isinstance(own, ConfirmLeaderRevision)
-    assert part.handle(MessageReceived(NodeId("n07"), RevisionRequest(5)), 0.0) == []
-    (second,) = part.handle(ConfirmedRevision(own.correlation_id, LogIndex(0)), 0.1)
+    assert delivery.handle(MessageReceived(NodeId("n07"), RevisionRequest(5)), 0.0) == []
+    (second,) = delivery.handle(ConfirmedRevision(own.correlation_id, LogIndex(0)), 0.1)
     assert isinstance(second, ConfirmLeaderRevision)
-    assert part.ready
-    part.handle(CommandsCommitted((Entry(LogIndex(1), Term(3), EntryKind.COMMAND, b"d"),)), 0.2)
-    assert part.handle(ConfirmedRevision(own.correlation_id, LogIndex(1)), 0.2) == []
-    assert part.handle(ConfirmedRevision(second.correlation_id, LogIndex(2)), 0.2) == []
+    assert delivery.ready
+    delivery.handle(CommandsCommitted((Entry(LogIndex(1), Term(3), EntryKind.COMMAND, b"d"),)), 0.2)
+    assert delivery.handle(ConfirmedRevision(own.correlation_id, LogIndex(1)), 0.2) == []
+    assert delivery.handle(ConfirmedRevision(second.correlation_id, LogIndex(2)), 0.2) == []
     barrier = Entry(LogIndex(2), Term(3), EntryKind.BARRIER, b"")
-    (answer,) = part.handle(CommandsCommitted((barrier,)), 0.3)
+    (answer,) = delivery.handle(CommandsCommitted((barrier,)), 0.3)
     assert answer == Send(NodeId("n07"), RevisionConfirmed(5, Revision(1)))
 
 
-def test_a_gap_is_seen_and_fetched_at_once_and_nothing_beyond_it_is_applied() -> None:
-    part = plain_part()
-    part.handle(push(delivered(0, 2)), 0.0)
-    effects = part.handle(push(delivered(4, 7)), 0.1)
-    assert part.revision == 2
-    (asked,) = [e for e in effects if isinstance(e, Send)]
-    assert isinstance(asked.message, FetchState)
-    assert asked.message.revision == 2
+def test_a_gap_is_fetched_immediately_and_no_command_after_it_is_applied() -> None:
+    delivery = new_delivery()
+    delivery.handle(push(delivered(0, 2)), 0.0)
+    effects = delivery.handle(push(delivered(4, 7)), 0.1)
+    assert delivery.revision == 2
+    (sent,) = [e for e in effects if isinstance(e, Send)]
+    assert isinstance(sent.message, FetchState)
+    assert sent.message.revision == 2
 
 
-def test_older_and_doubled_commands_are_dropped() -> None:
-    part = plain_part()
-    part.handle(push(delivered(0, 2), delivered(2, 5)), 0.0)
-    assert part.handle(push(delivered(0, 2)), 0.1) == []
-    assert part.handle(push(delivered(2, 5), delivered(5, 6)), 0.2) == [ApplyCommands((delivered(5, 6),))]
+def test_older_and_duplicate_commands_are_dropped() -> None:
+    delivery = new_delivery()
+    delivery.handle(push(delivered(0, 2), delivered(2, 5)), 0.0)
+    assert delivery.handle(push(delivered(0, 2)), 0.1) == []
+    assert delivery.handle(push(delivered(2, 5), delivered(5, 6)), 0.2) == [ApplyCommands((delivered(5, 6),))]
 
 
-def test_the_own_replica_and_a_push_converge_whichever_is_first() -> None:
+def test_commands_from_the_replica_and_from_a_push_are_applied_once() -> None:
     entries = tuple(
         Entry(LogIndex(i), Term(3), EntryKind.BARRIER if i == 2 else EntryKind.COMMAND, b"d")
         for i in (1, 2, 3, 4)
     )
-    part = plain_part()
-    part.handle(push(delivered(0, 1), delivered(1, 3)), 0.0)
-    assert part.handle(CommandsCommitted(entries), 0.1) == [ApplyCommands((delivered(3, 4),))]
-    assert part.handle(push(delivered(1, 3), delivered(3, 4)), 0.2) == []
+    delivery = new_delivery()
+    delivery.handle(push(delivered(0, 1), delivered(1, 3)), 0.0)
+    assert delivery.handle(CommandsCommitted(entries), 0.1) == [ApplyCommands((delivered(3, 4),))]
+    assert delivery.handle(push(delivered(1, 3), delivered(3, 4)), 0.2) == []
 
 
-def test_an_older_image_of_the_own_replica_does_not_replace_a_newer_state() -> None:
+def test_an_older_snapshot_of_the_replica_does_not_replace_a_newer_state() -> None:
     log = Log()
     log.run(put_tenant("a"))
     older, older_index = log.state.snapshot(), log.index
     log.run(put_tenant("b"))
-    part = plain_part()
-    part.handle(ReplicaRestored(LogIndex(log.index), log.state.snapshot()), 0.0)
-    assert part.handle(ReplicaRestored(LogIndex(older_index), older), 0.1) == []
-    assert part.revision == log.index
-
-
-def test_a_damaged_transfer_is_not_taken_and_asked_of_another_peer() -> None:
-    part = plain_part()
-    (asked,) = part.handle(push(delivered(4, 7)), 0.0)
-    assert isinstance(asked, Send) and isinstance(asked.message, FetchState)
-    part.handle(MessageReceived(NodeId("n02"), PushCommands(Term(3), Revision(7))), 0.0)
-    chunk = StateChunk(asked.message.request, TransferKind.SNAPSHOT, Revision(7), 3, 12345, 0, b"abc", 3)
-    assert part.handle(MessageReceived(LEADER, chunk), 0.1) == []
-    (again,) = part.handle(Tick(), part.next_deadline())
-    assert part.next_deadline() < 1.0
-    assert isinstance(again, Send) and isinstance(again.message, FetchState)
-    assert (again.to, again.message.revision, again.message.offset) == ("n02", 0, 0)
-
-
-def test_nodes_that_start_together_share_one_image() -> None:
+    delivery = new_delivery()
+    delivery.handle(ReplicaRestored(LogIndex(log.index), log.state.snapshot()), 0.0)
+    assert delivery.handle(ReplicaRestored(LogIndex(older_index), older), 0.1) == []
+    assert delivery.revision == log.index
+
+
+def test_a_damaged_transfer_is_dropped_and_requested_from_another_peer() -> None:
+    delivery = new_delivery()
+    (sent,) = delivery.handle(push(delivered(4, 7)), 0.0)
+    assert isinstance(sent, Send) and isinstance(sent.message, FetchState)
+    delivery.handle(MessageReceived(NodeId("n02"), PushCommands(Term(3), Revision(7))), 0.0)
+    chunk = StateChunk(sent.message.request, TransferKind.SNAPSHOT, Revision(7), 3, 12345, 0, b"abc", 3)
+    assert delivery.handle(MessageReceived(LEADER, chunk), 0.1) == []
+    (retry,) = delivery.handle(Tick(), delivery.next_deadline())
+    assert delivery.next_deadline() < 1.0
+    assert isinstance(retry, Send) and isinstance(retry.message, FetchState)
+    assert (retry.to, retry.message.revision, retry.message.offset) == ("n02", 0, 0)
+
+
+def test_nodes_that_start_together_share_one_snapshot() -> None:
     log = Log()
     log.run(put_tenant("a"))
-    part = plain_part()
-    part.handle(ReplicaRestored(LogIndex(log.index), log.state.snapshot()), 0.0)
+    delivery = new_delivery()
+    delivery.handle(ReplicaRestored(LogIndex(log.index), log.state.snapshot()), 0.0)
     fetch = FetchState(1, Revision(0))
-    (provide,) = part.handle(MessageReceived(NodeId("n01"), fetch), 0.0)
+    (provide,) = delivery.handle(MessageReceived(NodeId("n01"), fetch), 0.0)
     assert isinstance(provide, ProvideSnapshot)
-    assert part.handle(MessageReceived(NodeId("n02"), fetch), 0.1) == []
+    assert delivery.handle(MessageReceived(NodeId("n02"), fetch), 0.1) == []
     provided = SnapshotProvided(Revision(log.index), log.state.snapshot())
-    served = part.handle(provided, 0.2) + part.handle(MessageReceived(NodeId("n03"), fetch), 0.3)
+    served = delivery.handle(provided, 0.2) + delivery.handle(MessageReceived(NodeId("n03"), fetch), 0.3)
     assert [effect.to for effect in served if isinstance(effect, Send)] == ["n01", "n02", "n03"]
-    part.handle(Tick(), part.next_deadline())
-    assert part.handle(MessageReceived(NodeId("n04"), fetch), 99.0) == [ProvideSnapshot()]
+    delivery.handle(Tick(), delivery.next_deadline())
+    assert delivery.handle(MessageReceived(NodeId("n04"), fetch), 99.0) == [ProvideSnapshot()]
 
 
-def test_an_image_that_the_agent_never_makes_is_asked_for_again() -> None:
-    part = plain_part()
+def test_a_snapshot_that_the_agent_never_provides_is_requested_again() -> None:
+    delivery = new_delivery()
     log = Log()
     log.run(put_tenant("a"))
-    part.handle(ReplicaRestored(LogIndex(log.index), log.state.snapshot()), 0.0)
+    delivery.handle(ReplicaRestored(LogIndex(log.index), log.state.snapshot()), 0.0)
     fetch = MessageReceived(NodeId("n01"), FetchState(1, Revision(0)))
-    assert part.handle(fetch, 0.0) == [ProvideSnapshot()]
-    assert part.handle(fetch, 1.0) == []
-    assert part.handle(fetch, 6.0) == [ProvideSnapshot()]
+    assert delivery.handle(fetch, 0.0) == [ProvideSnapshot()]
+    assert delivery.handle(fetch, 1.0) == []
+    assert delivery.handle(fetch, 6.0) == [ProvideSnapshot()]
 
 
-def test_a_transfer_that_brings_nothing_is_not_asked_for_without_end() -> None:
-    part = plain_part()
-    (asked,) = part.handle(push(delivered(4, 7)), 0.0)
-    assert isinstance(asked, Send) and isinstance(asked.message, FetchState)
+def test_a_transfer_without_progress_is_not_requested_again_immediately() -> None:
+    delivery = new_delivery()
+    (sent,) = delivery.handle(push(delivered(4, 7)), 0.0)
+    assert isinstance(sent, Send) and isinstance(sent.message, FetchState)
     content = msgspec.msgpack.encode((delivered(4, 7),))
     chunk = StateChunk(
-        asked.message.request,
+        sent.message.request,
         TransferKind.DELTA,
         Revision(7),
         len(content),
@@ -393,11 +400,11 @@
         content,
         len(content),
     )
-    assert part.handle(MessageReceived(LEADER, chunk), 0.1) == []
-    assert part.next_deadline() == pytest.approx(0.5)
+    assert delivery.handle(MessageReceived(LEADER, chunk), 0.1) == []
+    assert delivery.next_deadline() == pytest.approx(0.5)
 
 
-def test_messages_come_through_the_wire_unchanged() -> None:
+def test_messages_survive_encoding_and_decoding() -> None:
     result = CommandResult(OrderId("o"), Outcome.CONFLICT, Revision(3), winner={"version": 2})
     examples: list[PeerMessage] = [
         PushCommands(Term(3), Revision(7), (delivered(4, 7),), (NodeId("n1"),)),
@@ -418,25 +425,25 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_a_peer_that_does_not_answer_is_left_for_another(seed: int) -> None:
-    part = StateDelivery(NodeId("n05"), random.Random(seed))
-    part.handle(push(delivered(4, 7)), 0.0)
-    part.handle(MessageReceived(NodeId("n02"), PushCommands(Term(3), Revision(7))), 0.0)
-    asked: list[NodeId] = []
+def test_a_peer_that_does_not_reply_is_abandoned_for_another(seed: int) -> None:
+    delivery = StateDelivery(NodeId("n05"), random.Random(seed))
+    delivery.handle(push(delivered(4, 7)), 0.0)
+    delivery.handle(MessageReceived(NodeId("n02"), PushCommands(Term(3), Revision(7))), 0.0)
+    sent: list[NodeId] = []
     for _ in range(3):
-        now = part.next_deadline()
-        asked += [effect.to for effect in part.handle(Tick(), now) if isinstance(effect, Send)]
-    assert asked == [LEADER, NodeId("n02"), NodeId("n02")]
+        now = delivery.next_deadline()
+        sent += [effect.to for effect in delivery.handle(Tick(), now) if isinstance(effect, Send)]
+    assert sent == [LEADER, NodeId("n02"), NodeId("n02")]
 
 
-def test_an_announcement_is_passed_on_once_the_node_has_what_it_announces() -> None:
-    part = plain_part()
+def test_an_announcement_is_forwarded_once_the_node_has_the_announced_revision() -> None:
+    delivery = new_delivery()
     announcement = PushCommands(Term(3), Revision(4), (), (NodeId("n07"), NodeId("n08")))
-    (asked,) = part.handle(MessageReceived(LEADER, announcement), 0.0)
-    assert isinstance(asked, Send) and isinstance(asked.message, FetchState)
+    (sent,) = delivery.handle(MessageReceived(LEADER, announcement), 0.0)
+    assert isinstance(sent, Send) and isinstance(sent.message, FetchState)
     content = msgspec.msgpack.encode((delivered(0, 4),))
     chunk = StateChunk(
-        asked.message.request,
+        sent.message.request,
         TransferKind.DELTA,
         Revision(4),
         len(content),
@@ -445,7 +452,7 @@
         content,
         len(content),
     )
-    assert part.handle(MessageReceived(LEADER, chunk), 0.1) == [
+    assert delivery.handle(MessageReceived(LEADER, chunk), 0.1) == [
         ApplyCommands((delivered(0, 4),)),
         Send(NodeId("n07"), PushCommands(Term(3), Revision(4))),
         Send(NodeId("n08"), PushCommands(Term(3), Revision(4))),
@@ -453,9 +460,7 @@
 
 
 @pytest.mark.parametrize(("zone_size", "relays"), [(12, 1), (13, 2), (90, 2)])
-def test_a_zone_larger_than_a_dozen_has_two_relays_chosen_among_the_alive(
-    zone_size: int, relays: int
-) -> None:
+def test_a_zone_of_more_than_twelve_nodes_has_two_relays_that_are_alive(zone_size: int, relays: int) -> None:
     records = [member("n00", "z0")]
     records += [
         member(f"a{i:02}", "z1", NodeStatus.SUSPECT if i < 5 else NodeStatus.ALIVE) for i in range(zone_size)
@@ -475,7 +480,7 @@
     assert split_into_branches((), 8) == []
 
 
-def test_the_recent_log_is_bounded_and_says_when_it_does_not_reach_back() -> None:
+def test_the_recent_log_is_bounded_and_returns_none_before_its_start() -> None:
     recent = RecentLog(max_commands=3, max_bytes=10)
     recent.extend([delivered(0, 2), delivered(2, 3), delivered(3, 7), delivered(7, 8)])
     assert recent.after(Revision(0), 100) is None
@@ -486,14 +491,14 @@
     assert recent.after(Revision(8), 1) == (delivered(8, 9, b"x" * 50),)
 
 
-def test_a_higher_term_of_a_peer_without_a_leader_does_not_hide_the_leader() -> None:
-    part = StateDelivery(NodeId("n01"), random.Random(1))
-    part.handle(PeerRevisionObserved(NodeId("n02"), Term(9), Revision(0)), 0.0)
-    (question,) = part.handle(LeadershipKnown(Term(1), LEADER), 0.1)
-    assert isinstance(question, Send) and question.to == LEADER
+def test_a_peers_higher_term_without_a_leader_does_not_hide_the_leader() -> None:
+    delivery = StateDelivery(NodeId("n01"), random.Random(1))
+    delivery.handle(PeerRevisionObserved(NodeId("n02"), Term(9), Revision(0)), 0.0)
+    (request,) = delivery.handle(LeadershipKnown(Term(1), LEADER), 0.1)
+    assert isinstance(request, Send) and request.to == LEADER
 
 
-def test_who_is_stopping_gets_pushes_but_passes_none_on() -> None:
+def test_a_leaving_node_receives_pushes_but_forwards_none() -> None:
     records = [member(f"n{number:02}", "north" if number < 4 else "south") for number in range(9)]
     leaving = {"n04", "n05"}
     records = [msgspec.structs.replace(record, leaving=record.node in leaving) for record in records]
--- a/tests/unit/control/freshness/world.py
+++ b/tests/unit/control/freshness/world.py
@@ -1,7 +1,8 @@
-"""A fleet of freshness parts in virtual time: random delays, cuts, freezes, restarts and a change of leader.
+"""Simulates the freshness monitors of a fleet in virtual time.
 
-The control log is played: a revision is acknowledged once a majority of the controllers has it, and reaches
-the other nodes late or, while they are cut off, not at all.
+Messages are delayed and lost, nodes are partitioned, frozen and restarted, and the leader changes. The
+control log is simulated, too: a revision is acknowledged if the leader has a quorum, and reaches the other
+nodes after a delay. Partitioned and frozen nodes get it some time after they are back.
 """
 
 from __future__ import annotations
@@ -23,27 +24,27 @@
 REVOCATION_S = 5.0
 STEP_S = 0.02
 QUORUM_PERIOD_S = 0.4
-MOST_DELAY_S = 0.25
+MAX_DELAY_S = 0.25
 CONTROLLERS = 3
 ELECTION_S = 1.0
 
 
 class FleetNode:
-    """One node: its part, its state and what holds it up."""
+    """One node: its monitor, the revision of its state, and its faults."""
 
     def __init__(self, name: str, replica: bool, seed: int, clock_offset_s: float) -> None:
         self.name = NodeId(name)
         self.replica = replica
         self.seed = seed
         self.clock_offset_s = clock_offset_s
-        """Monotonic clocks of different machines have nothing in common but their rate."""
+        """Offset of the node's monotonic clock. Clocks of different machines agree in their rate only."""
         self.revision = Revision(0)
-        self.cut = False
+        self.partitioned = False
         self.frozen = False
-        self.waiting: list[Event] = []
-        self.part = self._new_part()
+        self.deferred_events: list[Event] = []
+        self.monitor = self._new_monitor()
 
-    def _new_part(self) -> FreshnessMonitor:
+    def _new_monitor(self) -> FreshnessMonitor:
         return FreshnessMonitor(
             self.name,
             random.Random(self.seed),
@@ -53,20 +54,24 @@
         )
 
     def restart(self, view: MembershipView) -> None:
-        """Begin anew with the state that was there, and no proof."""
+        """Restart with the same state and no proof."""
         self.seed += 1000
-        self.part = self._new_part()
-        self.part.handle(MembershipChanged(view), 0.0)
+        self.monitor = self._new_monitor()
+        self.monitor.handle(MembershipChanged(view), 0.0)
 
 
 class FreshnessWorld:
-    """Runs the nodes; :attr:`stale` collects every moment at which a node relied on too old a state."""
+    """Runs the nodes.
+
+    :attr:`stale_uses` describes each time at which a node relied on a state that was too old. :attr:`served`
+    and :attr:`refused` count the checks of running nodes that were current and that were not.
+    """
 
     def __init__(self, seed: int, others: int = 4) -> None:
         self.random = random.Random(seed)
         self.now = 100.0
-        self._numbers = itertools.count()
-        self._mail: list[tuple[float, int, NodeId, Event]] = []
+        self._sequence = itertools.count()
+        self._event_queue: list[tuple[float, int, NodeId, Event]] = []
         names = [f"c{n}" for n in range(CONTROLLERS)] + [f"n{n}" for n in range(others)]
         self.nodes = {
             NodeId(name): FleetNode(name, name[0] == "c", seed * 100 + n, self.random.uniform(0, 1e5))
@@ -74,37 +79,37 @@
         }
         self.leader = NodeId("c0")
         self._term = 1
-        self._elect_at = float("inf")
-        self._quorum_at = self.now
+        self._election_at = float("inf")
+        self._next_quorum_at = self.now
         self.acknowledged: list[tuple[float, Revision]] = []
-        self.stale: list[str] = []
+        self.stale_uses: list[str] = []
         self.served = 0
         self.refused = 0
         self.view = MembershipView(NodeId(""), {node.name: _record(node) for node in self.nodes.values()})
         for node in self.nodes.values():
-            self.give(node, MembershipChanged(self.view_of(node)))
-        self._tell_leader()
+            self.handle_event(node, MembershipChanged(self.view_of(node)))
+        self._announce_leader()
 
     def view_of(self, node: FleetNode) -> MembershipView:
         """Return the fleet as ``node`` sees it."""
         return MembershipView(node.name, self.view.nodes)
 
-    def give(self, node: FleetNode, event: Event) -> None:
-        """Have a node handle an event by its own clock; a frozen one gets it when it wakes."""
+    def handle_event(self, node: FleetNode, event: Event) -> None:
+        """Let a node handle an event at the time of its own clock, or after its freeze."""
         if node.frozen:
-            node.waiting.append(event)
+            node.deferred_events.append(event)
             return
-        self._send(node, node.part.handle(event, self.now + node.clock_offset_s))
+        self._send(node, node.monitor.handle(event, self.now + node.clock_offset_s))
 
-    def wake(self, node: FleetNode) -> None:
-        """End a freeze; what waited is handled in the order in which it came."""
+    def unfreeze(self, node: FleetNode) -> None:
+        """End a freeze; the deferred events are handled in the order of their arrival."""
         node.frozen = False
-        waiting, node.waiting = node.waiting, []
-        for event in waiting:
-            self.give(node, event)
+        deferred_events, node.deferred_events = node.deferred_events, []
+        for event in deferred_events:
+            self.handle_event(node, event)
 
-    def change(self) -> None:
-        """Commit one change at a majority of the controllers, if they are there, and acknowledge it."""
+    def commit_change(self) -> None:
+        """Commit and acknowledge one change, if the leader has a quorum."""
         if not self._has_quorum():
             return
         revision = Revision(max(node.revision for node in self.nodes.values()) + 1)
@@ -112,100 +117,105 @@
         self.acknowledged.append((self.now, revision))
         for node in self.nodes.values():
             if node.name != self.leader:
-                self._deliver_state(node, revision, self.random.uniform(0.0, 1.0))
+                self._schedule_state(node, revision, self.random.uniform(0.0, 1.0))
 
-    def run(self, seconds: float, between: Callable[[], None] = lambda: None) -> None:
-        """Let time pass; ``between`` is called at each step."""
+    def run(self, seconds: float, on_step: Callable[[], None] = lambda: None) -> None:
+        """Advance the time in steps, and call ``on_step`` at each one."""
         end = self.now + seconds
         while self.now < end:
             self.now += STEP_S
-            between()
+            on_step()
             self._step()
 
     def _step(self) -> None:
-        while self._mail and self._mail[0][0] <= self.now:
-            _, _, to, event = heapq.heappop(self._mail)
+        while self._event_queue and self._event_queue[0][0] <= self.now:
+            _, _, to, event = heapq.heappop(self._event_queue)
             node = self.nodes[to]
-            if isinstance(event, _StateArrived):
-                self._take_state(node, event.revision)
-            elif not node.cut:
-                self.give(node, event)
-        self._lead()
+            if isinstance(event, _StateDelivered):
+                self._receive_state(node, event.revision)
+            elif not node.partitioned:
+                self.handle_event(node, event)
+        self._update_leadership()
         for node in self.nodes.values():
             if node.frozen:
                 continue
-            if node.part.next_deadline() <= self.now + node.clock_offset_s:
-                self.give(node, Tick())
-            self._check(node)
+            if node.monitor.next_deadline() <= self.now + node.clock_offset_s:
+                self.handle_event(node, Tick())
+            self._check_freshness(node)
 
-    def _check(self, node: FleetNode) -> None:
-        if not node.part.is_current(self.now + node.clock_offset_s):
+    def _check_freshness(self, node: FleetNode) -> None:
+        if not node.monitor.is_current(self.now + node.clock_offset_s):
             self.refused += 1
             return
         self.served += 1
         due = [revision for at, revision in self.acknowledged if at < self.now - REVOCATION_S]
         if due and node.revision < due[-1]:
-            self.stale.append(f"{self.now:.2f}: {node.name} at {node.revision}, due {due[-1]}")
+            self.stale_uses.append(f"{self.now:.2f}: {node.name} at {node.revision}, due {due[-1]}")
 
     def _has_quorum(self) -> bool:
         leader = self.nodes[self.leader]
-        up = [node for node in self.nodes.values() if node.replica and not node.cut and not node.frozen]
+        up = [
+            node for node in self.nodes.values() if node.replica and not node.partitioned and not node.frozen
+        ]
         return leader in up and 2 * len(up) > CONTROLLERS
 
-    def _lead(self) -> None:
+    def _update_leadership(self) -> None:
         if self._has_quorum():
-            self._elect_at = float("inf")
-            if self.now >= self._quorum_at:
-                self._quorum_at = self.now + QUORUM_PERIOD_S
+            self._election_at = float("inf")
+            if self.now >= self._next_quorum_at:
+                self._next_quorum_at = self.now + QUORUM_PERIOD_S
                 leader = self.nodes[self.leader]
                 index = LogIndex(leader.revision)
-                self.give(leader, QuorumConfirmed(self.now + leader.clock_offset_s, index))
+                self.handle_event(leader, QuorumConfirmed(self.now + leader.clock_offset_s, index))
             return
-        if self._elect_at == float("inf"):
-            self._elect_at = self.now + ELECTION_S
-        if self.now >= self._elect_at:
+        if self._election_at == float("inf"):
+            self._election_at = self.now + ELECTION_S
+        if self.now >= self._election_at:
             self._elect()
 
     def _elect(self) -> None:
-        able = [node for node in self.nodes.values() if node.replica and not node.cut and not node.frozen]
-        if 2 * len(able) <= CONTROLLERS:
+        candidates = [
+            node for node in self.nodes.values() if node.replica and not node.partitioned and not node.frozen
+        ]
+        if 2 * len(candidates) <= CONTROLLERS:
             return
-        # Only a replica that has all that was acknowledged can win; it has it, applied or not.
-        winner = max(able, key=lambda node: (node.revision, node.name))
+        # Only a replica whose log has everything acknowledged can win, even if it hasn't applied all of it.
+        winner = max(candidates, key=lambda node: (node.revision, node.name))
         winner.revision = Revision(max([winner.revision, *(revision for _, revision in self.acknowledged)]))
         self.leader, self._term = winner.name, self._term + 1
-        self._tell_leader()
+        self._announce_leader()
 
-    def _tell_leader(self) -> None:
+    def _announce_leader(self) -> None:
         for node in self.nodes.values():
-            if not node.cut:
+            if not node.partitioned:
                 known = LeadershipKnown(Term(self._term), self.leader, node.name == self.leader)
-                self.give(node, known)
+                self.handle_event(node, known)
 
-    def _deliver_state(self, node: FleetNode, revision: Revision, delay_s: float) -> None:
+    def _schedule_state(self, node: FleetNode, revision: Revision, delay_s: float) -> None:
         heapq.heappush(
-            self._mail, (self.now + delay_s, next(self._numbers), node.name, _StateArrived(revision))
+            self._event_queue,
+            (self.now + delay_s, next(self._sequence), node.name, _StateDelivered(revision)),
         )
 
-    def _take_state(self, node: FleetNode, revision: Revision) -> None:
-        if node.cut or node.frozen:  # fetched some time after it is back
-            self._deliver_state(node, revision, self.random.uniform(0.1, 2.0))
+    def _receive_state(self, node: FleetNode, revision: Revision) -> None:
+        if node.partitioned or node.frozen:  # it fetches the state some time later
+            self._schedule_state(node, revision, self.random.uniform(0.1, 2.0))
         elif revision > node.revision:
             node.revision = revision
 
     def _send(self, node: FleetNode, effects: list[Effect]) -> None:
         for effect in effects:
             assert isinstance(effect, Send)
-            if node.cut or self.nodes[effect.to].cut or self.random.random() < 0.05:
+            if node.partitioned or self.nodes[effect.to].partitioned or self.random.random() < 0.05:
                 continue
-            self._post(node.name, effect.to, effect.message)
+            self._schedule_message(node.name, effect.to, effect.message)
 
-    def _post(self, sender: NodeId, to: NodeId, message: PeerMessage) -> None:
-        at = self.now + self.random.uniform(0.001, MOST_DELAY_S)
-        heapq.heappush(self._mail, (at, next(self._numbers), to, MessageReceived(sender, message)))
+    def _schedule_message(self, sender: NodeId, to: NodeId, message: PeerMessage) -> None:
+        at = self.now + self.random.uniform(0.001, MAX_DELAY_S)
+        heapq.heappush(self._event_queue, (at, next(self._sequence), to, MessageReceived(sender, message)))
 
 
-class _StateArrived(Event, frozen=True):
+class _StateDelivered(Event, frozen=True):
     revision: Revision
 
 
--- a/tests/unit/control/gateway_support.py
+++ b/tests/unit/control/gateway_support.py
@@ -10,7 +10,7 @@
 
 
 def whole(version: int = 1, **changes: Any) -> dict[str, Any]:
-    """Return a whole document; ``changes`` replace its members, ``None`` removes one."""
+    """Return a whole document. ``changes`` replace its members; ``None`` removes a member."""
     document: dict[str, Any] = {
         "version": version,
         "routes": [
--- a/tests/unit/control/support.py
+++ b/tests/unit/control/support.py
@@ -1,4 +1,4 @@
-"""Builders for control tests: a state machine with a running log index."""
+"""Builders for tests of the control state."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class Log:
-    """Applies commands to a state at rising indexes, with gaps as members and barriers leave them."""
+    """Applies commands to a state at increasing indexes, with gaps as other kinds of entries leave them."""
 
     def __init__(self, state: ControlState | None = None) -> None:
         self.state = state or ControlState()
--- a/tests/unit/control/test_compression.py
+++ b/tests/unit/control/test_compression.py
@@ -1,4 +1,4 @@
-"""Compressed commands and images: what comes back, what is refused, what stays alike in every build."""
+"""Tests the compression of commands and snapshots: round trips, damaged bytes, and resent orders."""
 
 from __future__ import annotations
 
@@ -37,11 +37,11 @@
     return ApplyGateway(order=OrderId("o"), base_version=0, document=msgspec.json.encode(document))
 
 
-@pytest.mark.parametrize("plain", [b"", b"\x80", b"x" * (COMPRESS_FROM_BYTES - 1), LARGE])
-def test_what_was_compressed_comes_back(plain: bytes) -> None:
-    data = compress(plain)
-    assert decompress(data) == plain
-    assert uncompressed_size_bytes(data) == len(plain)
+@pytest.mark.parametrize("uncompressed", [b"", b"\x80", b"x" * (COMPRESS_FROM_BYTES - 1), LARGE])
+def test_decompression_restores_the_compressed_bytes(uncompressed: bytes) -> None:
+    data = compress(uncompressed)
+    assert decompress(data) == uncompressed
+    assert uncompressed_size_bytes(data) == len(uncompressed)
 
 
 def test_only_large_values_are_compressed() -> None:
@@ -61,22 +61,22 @@
         MARKER + (MAX_UNCOMPRESSED_BYTES + 1).to_bytes(4, "big") + compress(LARGE)[5:],
     ],
 )
-def test_damaged_bytes_are_refused(data: bytes) -> None:
+def test_damaged_bytes_are_rejected(data: bytes) -> None:
     with pytest.raises(msgspec.DecodeError):
         decompress(data)
     with pytest.raises(msgspec.DecodeError):
         decode_command(data)
 
 
-def test_a_large_command_is_the_same_after_the_log() -> None:
+def test_a_large_command_survives_encoding_and_decoding() -> None:
     command = gateway_change(500)
     data = encode_command(command)
     assert data.startswith(MARKER) and len(data) < 8_000
     assert decode_command(data) == command
 
 
-def test_an_order_is_recognized_whatever_its_compression(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Builds of zlib differ; replicas that count an order's digest differently would part."""
+def test_a_resent_order_is_recognized_whatever_its_compression(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Builds of zlib differ, so replicas that digest compressed bytes would disagree on resent orders."""
     command = gateway_change(500)
     data = encode_command(command)
     state = ControlState()
@@ -87,23 +87,23 @@
     assert first is not None and state.apply(Revision(2), resent) == first
 
 
-def test_a_small_command_that_grows_large_is_parsed_off_the_event_loop() -> None:
+def test_a_command_that_is_large_only_when_uncompressed_is_parsed_off_the_event_loop() -> None:
     data = encode_command(gateway_change(1_000))
     assert len(data) < 64 * 1024 < uncompressed_size_bytes(data)
     work = ApplyCommands((DeliveredCommand(Revision(0), Revision(1), data),))
     assert StateApplier().take(work) == ([], [PrepareCommands((data,))])
 
 
-def test_an_image_of_an_earlier_program_is_read() -> None:
+def test_a_snapshot_of_an_earlier_program_is_decoded() -> None:
     log = Log(ControlState())
     for number in range(400):
         log.run(put_tenant(f"order-{number}", f"tenant-{number}"))
-    image = log.state.snapshot()
+    snapshot = log.state.snapshot()
     header = len(FORMAT) + 8
-    assert image.startswith(FORMAT) and image[header : header + 1] == MARKER
-    earlier = FORMAT_UNCOMPRESSED + image[len(FORMAT) : header] + decompress(image[header:])
-    assert len(earlier) > 2 * len(image)
-    assert decode_snapshot(earlier) == decode_snapshot(image)
+    assert snapshot.startswith(FORMAT) and snapshot[header : header + 1] == MARKER
+    earlier_format = FORMAT_UNCOMPRESSED + snapshot[len(FORMAT) : header] + decompress(snapshot[header:])
+    assert len(earlier_format) > 2 * len(snapshot)
+    assert decode_snapshot(earlier_format) == decode_snapshot(snapshot)
     restored = ControlState()
-    restored.restore(earlier)
-    assert restored.snapshot() == image
+    restored.restore(earlier_format)
+    assert restored.snapshot() == snapshot
--- a/tests/unit/control/test_configuration.py
+++ b/tests/unit/control/test_configuration.py
@@ -1,4 +1,4 @@
-"""Configuration documents: merge patch, and every error at once with its path."""
+"""Tests configuration documents: merge patch, and all errors reported together with their paths."""
 
 from __future__ import annotations
 
@@ -38,19 +38,19 @@
 
 
 @pytest.mark.parametrize(("target", "patch", "result"), RFC_7396_EXAMPLES)
-def test_the_examples_of_rfc_7396_appendix_a(target: Any, patch: Any, result: Any) -> None:
+def test_merge_patch_gives_the_results_of_rfc_7396_appendix_a(target: Any, patch: Any, result: Any) -> None:
     before = json.dumps([target, patch])
     assert merge_patch(target, patch) == result
     assert json.dumps([target, patch]) == before
 
 
 def errors_of(document: Any) -> dict[str, str]:
-    with pytest.raises(InvalidConfigurationError) as caught:
+    with pytest.raises(InvalidConfigurationError) as raised:
         parse_configuration(json.dumps(document).encode())
-    return {error.path: error.message for error in caught.value.errors}
+    return {error.path: error.message for error in raised.value.errors}
 
 
-def test_a_whole_document_has_the_defaults_of_the_view() -> None:
+def test_missing_fields_have_the_defaults_of_the_view() -> None:
     document = {
         "services": {"text": {"stable": "v1"}},
         "routes": {"draft": {"kind": "prompt", "service": "text", "class": "bulk", "deadline_s": 20}},
@@ -63,7 +63,7 @@
     }
 
 
-def test_every_wrong_field_is_named_at_once() -> None:
+def test_all_invalid_fields_are_reported_together() -> None:
     found = errors_of(
         {
             "services": {"text": {"stable": 1}, "bad name": {"stable": "v1"}, "x": 3},
@@ -96,17 +96,17 @@
     assert "did you mean 'limits'" in found["limit"]
 
 
-def test_reserved_slots_must_fit() -> None:
+def test_reserved_slots_must_not_exceed_the_slots_in_flight() -> None:
     assert set(errors_of({"limits": {"max_in_flight": 100}})) == {"limits.interactive_reserved"}
 
 
 @pytest.mark.parametrize("document", [b"", b"{", b"\xff", b"[]", b"null", b'{"limits": NaN}', b"[" * 100_000])
-def test_what_is_no_document_is_refused(document: bytes) -> None:
+def test_bytes_that_are_no_document_are_rejected(document: bytes) -> None:
     with pytest.raises(InvalidConfigurationError):
         parse_configuration(document)
 
 
-def test_a_document_over_the_limit_is_refused_unread_and_one_below_it_is_taken() -> None:
+def test_a_document_over_the_size_limit_is_rejected_and_one_below_it_is_parsed() -> None:
     route = {"kind": "prompt", "service": "text", "class": "bulk", "deadline_s": 30}
     document: dict[str, Any] = {"services": {"text": {"stable": "v1"}}}
     document["routes"] = {f"route-{number}": route for number in range(90_000)}
@@ -117,15 +117,15 @@
         parse_configuration(b" " * (MAX_DOCUMENT_BYTES + 1))
 
 
-def test_a_document_wrong_throughout_is_answered_by_a_bounded_list() -> None:
+def test_the_errors_of_a_document_are_bounded_in_number() -> None:
     routes = {f"r{number}": {} for number in range(5_000)}
-    with pytest.raises(InvalidConfigurationError) as caught:
+    with pytest.raises(InvalidConfigurationError) as raised:
         parse_configuration(json.dumps({"routes": routes}).encode())
-    assert len(caught.value.errors) == MAX_REPORTED_ERRORS + 1
-    assert caught.value.errors[-1].message == "and 14000 more errors"
+    assert len(raised.value.errors) == MAX_REPORTED_ERRORS + 1
+    assert raised.value.errors[-1].message == "and 14000 more errors"
 
 
-def test_canonical_json_does_not_depend_on_order_or_blanks() -> None:
+def test_canonical_json_does_not_depend_on_order_or_whitespace() -> None:
     assert (
         canonical_document(json.loads('{"b": 1, "a": [1, {"d": 2, "c": 3}]}'))
         == b'{"a":[1,{"c":3,"d":2}],"b":1}'
--- a/tests/unit/control/test_gateway_rollouts.py
+++ b/tests/unit/control/test_gateway_rollouts.py
@@ -1,4 +1,4 @@
-"""Rollouts of the gateway's services: where their stable version comes from, and which records stay."""
+"""Tests rollouts of the gateway's services: the source of their stable version, and which records stay."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
     return AbortRollout(order=OrderId(order), service=TEXT)
 
 
-def without_text() -> dict[str, Any]:
+def members_without_text() -> dict[str, Any]:
     return {"routes": [], "services": [{"name": "pages"}]}
 
 
-def finished(candidate: str = "v2") -> Log:
+def log_with_finished_rollout(candidate: str = "v2") -> Log:
     """Return a log in which the gateway's service ``text`` went from v1 to ``candidate``."""
     log = with_gateway()
     for command in (promote_from("v1", "go", candidate=candidate), step(1, 0.5), step(2, 1.0), finish()):
@@ -42,7 +42,7 @@
     assert with_gateway().state.view().stable_version(TEXT) is None
 
 
-def test_its_first_rollout_begins_from_the_version_that_the_node_knows() -> None:
+def test_the_first_rollout_of_a_gateway_service_starts_from_the_version_that_the_node_reports() -> None:
     log = with_gateway()
     assert log.outcome(promote_from("v1", "go")) is Outcome.ACCEPTED
     record = log.state.view().rollouts[TEXT]
@@ -61,8 +61,8 @@
 
 
 @pytest.mark.parametrize("stable", ["", "v1", "v9"])
-def test_later_rollouts_begin_from_the_record_whatever_the_node_says(stable: str) -> None:
-    log = finished()
+def test_later_rollouts_start_from_the_record_whatever_the_node_reports(stable: str) -> None:
+    log = log_with_finished_rollout()
     assert log.outcome(promote_from(stable, "next", rollout="r2", candidate="v3")) is Outcome.ACCEPTED
     assert log.state.view().rollouts[TEXT].stable == "v2"
     assert log.outcome(abort("back")) is Outcome.ACCEPTED
@@ -70,15 +70,15 @@
     assert log.state.view().rollouts[TEXT].stable == "v2"
 
 
-def test_for_a_service_of_the_chat_configuration_the_nodes_word_does_not_count() -> None:
+def test_the_version_that_the_node_reports_is_ignored_for_a_service_of_the_chat_configuration() -> None:
     log = Log()
     log.run(configure("c1", 1, DOCUMENT))
     assert log.outcome(promote_from("v7", "go")) is Outcome.ACCEPTED
     assert log.state.view().rollouts[TEXT].stable == "v1"
 
 
-def test_promoting_what_a_done_rollout_released_is_accepted_without_change() -> None:
-    log = finished()
+def test_promoting_the_version_that_a_done_rollout_released_is_accepted_without_change() -> None:
+    log = log_with_finished_rollout()
     before = log.state.view().rollouts
     assert log.outcome(promote_from("v1", "resent under another id", rollout="r9")) is Outcome.ACCEPTED
     assert log.state.view().rollouts == before
@@ -93,7 +93,7 @@
     assert (result.outcome, result.errors[0].path) == (Outcome.INVALID, "plan.candidate")
 
 
-def test_a_resent_promotion_is_the_same_order_though_another_node_knows_another_stable_version() -> None:
+def test_a_resent_promotion_is_the_same_order_although_another_node_reports_another_stable_version() -> None:
     log = with_gateway()
     first = log.run(promote_from("v1", "go"))
     assert log.run(promote_from("v0", "go", rollout="made by another node")) == first
@@ -101,7 +101,7 @@
 
 
 def test_a_change_of_one_configuration_keeps_the_rollouts_of_the_others_services() -> None:
-    log = finished()
+    log = log_with_finished_rollout()
     chat = {"services": {"chat": {"stable": "c1"}}}
     assert log.outcome(configure("c1", 1, chat)) is Outcome.ACCEPTED
     chat_rollout = promote("chat", rollout="r2", service="chat", candidate="c2")
@@ -114,16 +114,16 @@
     assert set(log.state.view().rollouts) == {"text"}
 
 
-def test_a_running_rollout_of_a_gateway_service_does_not_hold_up_the_chat_configuration() -> None:
+def test_a_running_rollout_of_a_gateway_service_does_not_block_the_chat_configuration() -> None:
     log = with_gateway()
     log.run(promote_from("v1", "go"))
     assert log.outcome(configure("c1", 1, {"services": {"chat": {"stable": "c1"}}})) is Outcome.ACCEPTED
     assert log.state.view().rollouts[TEXT].phase is RolloutPhase.CANARY
 
 
-def test_a_dropped_service_loses_its_ended_record_and_begins_anew() -> None:
-    log = finished()
-    assert log.outcome(change(1, whole(2, **without_text()))) is Outcome.ACCEPTED
+def test_a_removed_service_loses_its_ended_record_and_may_start_anew() -> None:
+    log = log_with_finished_rollout()
+    assert log.outcome(change(1, whole(2, **members_without_text()))) is Outcome.ACCEPTED
     assert TEXT not in log.state.view().rollouts
     assert len(log.state.ended_rollouts(TEXT)) == 1
     assert log.run(promote_from("v5", "gone", rollout="r2")).errors[0].path == "plan.service"
@@ -132,10 +132,10 @@
     assert log.state.view().rollouts[TEXT].stable == "v5"
 
 
-def test_a_dropped_service_keeps_its_running_record_until_it_ends() -> None:
+def test_a_removed_service_keeps_its_running_record_until_the_rollout_ends() -> None:
     log = with_gateway()
     log.run(promote_from("v1", "go"))
-    assert log.outcome(change(1, whole(2, **without_text()))) is Outcome.ACCEPTED
+    assert log.outcome(change(1, whole(2, **members_without_text()))) is Outcome.ACCEPTED
     assert log.state.view().rollouts[TEXT].phase is RolloutPhase.CANARY
     restored = ControlState()
     restored.restore(log.state.snapshot())
@@ -146,8 +146,11 @@
     assert TEXT not in log.state.view().rollouts
 
 
-def test_an_order_made_from_its_content_is_recalled_whatever_canary_the_next_node_measures() -> None:
-    """Given the same order resent to a node that measures another traffic, it gets its first answer."""
+def test_an_order_id_from_content_gets_its_first_result_although_the_next_node_plans_another_canary() -> None:
+    """The node that accepts an order chooses the canary by its own measurement of the traffic.
+
+    The same order resent to another node then carries another plan, and must still get its first result.
+    """
     log = with_gateway()
     plans = [plan_for(TEXT, VersionName("v2"), 12.0, 0.1, 50, 5000, rate) for rate in (30.0, 31.0)]
     assert plans[0] != plans[1]
--- a/tests/unit/control/test_gateway_section.py
+++ b/tests/unit/control/test_gateway_section.py
@@ -1,4 +1,7 @@
-"""The gateway's configuration in the control state: validity, compare-and-set, exact read-back, resends."""
+"""Tests the gateway's configuration in the control state.
+
+It must be valid, change by compare-and-set, read back exactly as sent, and handle resent changes.
+"""
 
 from __future__ import annotations
 
@@ -34,7 +37,7 @@
     return {"name": name, "host": "new.example", "path_prefix": path_prefix, "service": "text", **fields}
 
 
-def paths(result: CommandResult) -> list[str]:
+def error_paths(result: CommandResult) -> list[str]:
     return [error.path for error in result.errors]
 
 
@@ -43,7 +46,7 @@
     assert Log().state.view().gateway is EMPTY_GATEWAY
 
 
-def test_a_whole_document_is_parsed_with_the_defaults_of_what_it_leaves_out() -> None:
+def test_a_whole_document_is_parsed_with_defaults_for_missing_fields() -> None:
     gateway = with_gateway().state.view().gateway
     assert gateway.version == 1
     assert gateway.routes == (
@@ -92,12 +95,12 @@
     assert read_back(log) == document
 
 
-def test_numbers_read_back_as_the_kind_that_was_put() -> None:
+def test_numbers_read_back_with_the_type_that_was_put() -> None:
     draft = read_back(with_gateway())["routes"][0]
     assert (repr(draft["timeout_ms"]), repr(draft["target_ms"])) == ("91668", "260000.0")
 
 
-def test_a_whole_document_leaves_nothing_of_the_one_before() -> None:
+def test_a_whole_document_replaces_everything() -> None:
     log = with_gateway()
     small = {"version": 2, "routes": [], "services": []}
     assert log.outcome(change(1, small)) is Outcome.ACCEPTED
@@ -148,7 +151,7 @@
     assert read_back(log) == {"version": 1, "routes": [], "services": services}
 
 
-def test_a_service_may_go_together_with_its_routes_and_a_path_may_change_hands() -> None:
+def test_a_service_may_be_removed_with_its_routes_and_a_path_may_move_to_another_route() -> None:
     log = with_gateway()
     moved = {**whole()["routes"][1], "name": "site", "backends": None, "service": "text"}
     result = log.run(
@@ -167,13 +170,13 @@
 
 
 @pytest.mark.parametrize("base_version", [0, 2, -1])
-def test_another_base_is_a_conflict_also_if_the_change_would_not_be_valid(base_version: int) -> None:
+def test_another_base_version_is_a_conflict_even_if_the_change_is_invalid(base_version: int) -> None:
     log = with_gateway()
     wrong = whole(1, services=[])
     assert log.outcome(change(base_version, wrong)) is Outcome.CONFLICT
 
 
-def test_what_cannot_be_parsed_is_invalid_on_any_base() -> None:
+def test_a_change_that_cannot_be_parsed_is_invalid_on_any_base_version() -> None:
     log = with_gateway()
     assert log.outcome(change(0, b"{")) is Outcome.INVALID
     assert log.outcome(change(0, {"version": 9, "routes": [], "services": {}})) is Outcome.INVALID
@@ -184,17 +187,17 @@
     [b"", b"[]", b"null", b'{"version": 2', b"\xff", b'{"a":' * 40 + b"1" + b"}" * 40, b'{"version": NaN}'],
 )
 @pytest.mark.parametrize("partial", [False, True])
-def test_what_is_no_json_object_is_invalid(document: bytes, partial: bool) -> None:
+def test_a_document_that_is_no_json_object_is_invalid(document: bytes, partial: bool) -> None:
     assert with_gateway().run(change(1, document, partial)).errors[0].path == ""
 
 
 @pytest.mark.parametrize("version", [1, 0, -3, 2.0, "2", True, None, 2**63])
-def test_a_version_must_be_an_integer_above_the_present_one(version: Any) -> None:
+def test_a_version_must_be_an_integer_above_the_current_one(version: Any) -> None:
     log = with_gateway()
     for partial in (False, True):
         document = {"version": version} if partial else {**whole(), "version": version}
         result = log.run(change(1, document, partial))
-        assert (result.outcome, paths(result)) == (Outcome.INVALID, ["version"])
+        assert (result.outcome, error_paths(result)) == (Outcome.INVALID, ["version"])
 
 
 WRONG_ROUTE_FIELDS: list[tuple[str, Any, str]] = [
@@ -225,13 +228,13 @@
 
 
 @pytest.mark.parametrize(("field", "value", "path"), WRONG_ROUTE_FIELDS)
-def test_a_wrong_field_of_a_route_is_named(field: str, value: Any, path: str) -> None:
+def test_the_error_names_an_invalid_field_of_a_route(field: str, value: Any, path: str) -> None:
     document = whole(2)
     document["routes"][0][field] = value
     log = with_gateway()
     before = log.state.gateway_document()
     result = log.run(change(1, document))
-    assert (result.outcome, paths(result)) == (Outcome.INVALID, [f"routes.{path}"])
+    assert (result.outcome, error_paths(result)) == (Outcome.INVALID, [f"routes.{path}"])
     assert log.state.gateway_document() == before
 
 
@@ -247,10 +250,10 @@
         ("text", "backends"),
     ],
 )
-def test_wrong_weights_and_back_ends_are_named(backends: Any, path: str) -> None:
+def test_the_error_names_invalid_weights_and_back_ends(backends: Any, path: str) -> None:
     document = whole(2)
     document["routes"][1]["backends"] = backends
-    assert paths(with_gateway().run(change(1, document))) == [f"routes.pages.{path}"]
+    assert error_paths(with_gateway().run(change(1, document))) == [f"routes.pages.{path}"]
 
 
 WRONG_ITEMS: list[tuple[str, Any, str]] = [
@@ -273,25 +276,25 @@
 
 @pytest.mark.parametrize("partial", [False, True])
 @pytest.mark.parametrize(("section", "items", "path"), WRONG_ITEMS)
-def test_wrong_items_are_named_in_whole_and_partial(
+def test_the_error_names_an_invalid_item_in_whole_and_partial_changes(
     section: str, items: Any, path: str, partial: bool
 ) -> None:
     log = with_gateway(tenants=[])
     document = {"version": 2, "upsert": {section: items}} if partial else whole(2, **{section: items})
-    (found,) = paths(log.run(change(1, document, partial)))
+    (found,) = error_paths(log.run(change(1, document, partial)))
     assert found.removeprefix("upsert.") == f"{section}.{path}"
 
 
 @pytest.mark.parametrize("member", ["routes", "services", "tenants", "limits"])
 @pytest.mark.parametrize("value", [5, "text"])
-def test_a_member_of_a_wrong_kind_is_named(member: str, value: Any) -> None:
-    assert member in paths(with_gateway().run(change(1, whole(2, **{member: value}))))
-    assert paths(with_gateway().run(patch(1, upsert={member: value}))) == [f"upsert.{member}"]
+def test_the_error_names_a_member_of_a_wrong_type(member: str, value: Any) -> None:
+    assert member in error_paths(with_gateway().run(change(1, whole(2, **{member: value}))))
+    assert error_paths(with_gateway().run(patch(1, upsert={member: value}))) == [f"upsert.{member}"]
 
 
 @pytest.mark.parametrize("member", ["routes", "services"])
 def test_a_whole_document_must_have_routes_and_services(member: str) -> None:
-    assert member in paths(with_gateway().run(change(1, whole(2, **{member: None}))))
+    assert member in error_paths(with_gateway().run(change(1, whole(2, **{member: None}))))
 
 
 @pytest.mark.parametrize(
@@ -308,19 +311,19 @@
         ({"remove": {"services": ["text"]}}, "routes.draft.service"),
     ],
 )
-def test_a_wrong_partial_change_is_named(members: dict[str, Any], path: str) -> None:
+def test_the_error_names_the_invalid_member_of_a_partial_change(members: dict[str, Any], path: str) -> None:
     result = with_gateway().run(patch(1, **members))
     assert (result.outcome, result.errors[0].path) == (Outcome.INVALID, path)
 
 
-def test_a_key_of_two_tenants_is_refused_without_telling_the_key() -> None:
+def test_the_error_for_a_key_of_two_tenants_does_not_contain_the_key() -> None:
     tenants = [{"name": "a", "api_keys": ["secret-7"]}, {"name": "b", "api_keys": ["secret-7"]}]
     result = Log().run(change(0, whole(1, tenants=tenants)))
     assert result.outcome is Outcome.INVALID
     assert "secret-7" not in result.message + str(result.errors)
 
 
-def test_a_number_that_no_float_holds_is_invalid() -> None:
+def test_a_number_beyond_the_range_of_floats_is_invalid() -> None:
     document = json.dumps(whole(2)).replace("91668", "1e999").encode()
     assert with_gateway().outcome(change(1, document)) is Outcome.INVALID
 
@@ -330,7 +333,7 @@
     assert len(Log().run(change(0, whole(1, routes=routes))).errors) == 1001
 
 
-def test_a_document_beyond_the_limit_is_invalid_also_if_it_grew_by_parts() -> None:
+def test_a_document_beyond_the_limit_is_invalid_also_after_partial_changes() -> None:
     log = Log(ControlState(max_document_bytes=400))
     assert log.outcome(change(0, {"version": 1, "routes": [], "services": []})) is Outcome.ACCEPTED
     for number in range(1, 3):
@@ -348,23 +351,23 @@
     assert normalize_host(host) == expected
 
 
-def test_a_resent_change_gets_its_first_answer_after_later_changes_and_a_snapshot() -> None:
+def test_a_resent_change_gets_its_first_result_after_later_changes_and_a_snapshot() -> None:
     log = with_gateway()
-    taken = patch(1, remove={"tenants": ["other"]})
-    first = log.run(taken)
+    accepted_change = patch(1, remove={"tenants": ["other"]})
+    first = log.run(accepted_change)
     assert log.outcome(patch(2, remove={"tenants": ["acme"]})) is Outcome.ACCEPTED
-    assert log.run(taken) == first
+    assert log.run(accepted_change) == first
     restored = Log(ControlState())
     restored.state.restore(log.state.snapshot())
     restored.index = log.index
-    assert restored.run(taken) == first
-    resent_by_another = change(1, taken.document, partial=True, issued_by="bob")
+    assert restored.run(accepted_change) == first
+    resent_by_another = change(1, accepted_change.document, partial=True, issued_by="bob")
     assert restored.state.recall(encode_command(resent_by_another)) == first
     assert read_back(restored) == read_back(log)
     assert restored.state.view().gateway.version == 3
 
 
-def test_a_refused_change_is_decided_anew() -> None:
+def test_a_rejected_change_is_decided_again_when_it_is_resent() -> None:
     log = with_gateway(tenants=[])
     early = change(2, whole(3))
     assert log.outcome(early) is Outcome.CONFLICT
@@ -384,18 +387,18 @@
     assert change(1, b"x").order == change(1, b"x", issued_by="bob").order
 
 
-def test_an_image_without_a_gateway_document_still_decodes() -> None:
+def test_a_snapshot_without_a_gateway_document_still_decodes() -> None:
     log = Log()
     log.run(put_tenant("t"))
-    image = decode_snapshot(log.state.snapshot())
-    assert image.gateway_document == b""
+    snapshot = decode_snapshot(log.state.snapshot())
+    assert snapshot.gateway_document == b""
     restored = with_gateway().state
-    restored.restore(encode_snapshot(image))
+    restored.restore(encode_snapshot(snapshot))
     assert restored.gateway_document() is None
     assert restored.view().gateway is EMPTY_GATEWAY
 
 
-def test_an_image_with_an_unreadable_gateway_document_changes_nothing() -> None:
+def test_a_snapshot_with_an_invalid_gateway_document_changes_nothing() -> None:
     log = with_gateway()
     before = log.state.snapshot()
     broken = before.replace(b'"path_prefix"', b'"path_prefax"')
@@ -406,16 +409,16 @@
 
 def test_a_view_keeps_its_gateway_object_until_a_change_is_accepted() -> None:
     log = with_gateway()
-    held = log.state.view().gateway
+    earlier_gateway = log.state.view().gateway
     log.run(put_tenant("t"))
     log.run(change(7, whole(8)))
-    assert log.state.view().gateway is held
+    assert log.state.view().gateway is earlier_gateway
     log.run(patch(1, remove={"tenants": ["other"]}))
-    assert set(held.tenants) == {"acme", "other"}
+    assert set(earlier_gateway.tenants) == {"acme", "other"}
     assert set(log.state.view().gateway.tenants) == {"acme"}
 
 
-def test_a_change_parsed_ahead_is_taken_on_whatever_base_it_is_decided() -> None:
+def test_a_change_parsed_in_advance_is_used_whatever_the_base_version() -> None:
     log = with_gateway()
     late = change(2, {"version": 9, "remove": {"tenants": ["acme"]}}, partial=True)
     as_whole = change(2, late.document)
@@ -456,7 +459,7 @@
     return st.lists(item, max_size=4, unique_by=lambda found: found["name"])
 
 
-lists = {
+list_strategies = {
     "routes": items(
         name=names,
         host=st.sampled_from(["h1", "H1:80", "h2"]),
@@ -467,35 +470,37 @@
     "services": items(name=names, max_connections=st.integers(1, 9)),
     "tenants": items(name=names, api_keys=st.lists(names, max_size=2), burst=numbers),
 }
-whole_documents = st.fixed_dictionaries(lists)
+whole_documents = st.fixed_dictionaries(list_strategies)
 partial_documents = st.fixed_dictionaries(
     {
-        "upsert": st.fixed_dictionaries({}, optional=lists),
-        "remove": st.fixed_dictionaries({}, optional={name: st.lists(names, max_size=2) for name in lists}),
+        "upsert": st.fixed_dictionaries({}, optional=list_strategies),
+        "remove": st.fixed_dictionaries(
+            {}, optional={name: st.lists(names, max_size=2) for name in list_strategies}
+        ),
     }
 )
 
 
-def merged(base: dict[str, Any], document: dict[str, Any]) -> dict[str, Any]:
-    """Merge the slow and obvious way."""
+def merge_expected(base: dict[str, Any], document: dict[str, Any]) -> dict[str, Any]:
+    """Return the expected result of a partial change, merged in the simplest way."""
     result = copy.deepcopy(base)
     result["version"] = document["version"]
     for section, put in document["upsert"].items():
         present = result.setdefault(section, [])
         for item in put:
-            places = [place for place, found in enumerate(present) if found["name"] == item["name"]]
-            if places:
-                present[places[0]] = item
+            positions = [position for position, found in enumerate(present) if found["name"] == item["name"]]
+            if positions:
+                present[positions[0]] = item
             else:
                 present.append(item)
-    for section, gone in document["remove"].items():
-        result[section] = [item for item in result[section] if item["name"] not in gone]
+    for section, removed_names in document["remove"].items():
+        result[section] = [item for item in result[section] if item["name"] not in removed_names]
     return result
 
 
 @settings(max_examples=120, derandomize=True, deadline=None)
 @given(st.lists(whole_documents | partial_documents, max_size=6))
-def test_every_accepted_change_reads_back_and_its_whole_put_again_is_the_same_configuration(
+def test_accepted_changes_read_back_and_putting_the_whole_again_gives_the_same_configuration(
     documents: list[dict[str, Any]],
 ) -> None:
     log = Log()
@@ -506,7 +511,7 @@
         numbered = {"version": version + 1, **document}
         partial = "upsert" in document
         if log.outcome(change(version, numbered, partial)) is Outcome.ACCEPTED:
-            expected = merged(expected, numbered) if partial else numbered
+            expected = merge_expected(expected, numbered) if partial else numbered
         assert read_back(log) == expected
     again = GatewaySection()
     renumbered = ApplyGateway(
@@ -516,10 +521,18 @@
     )
     assert again.apply(renumbered).outcome is Outcome.ACCEPTED
     gateway = log.state.view().gateway
-    twin = again.configuration
-    assert (twin.routes, twin.services, twin.tenants) == (gateway.routes, gateway.services, gateway.tenants)
-    assert (twin.limits, twin.key_tenants, twin.version) == (gateway.limits, gateway.key_tenants, 99)
-    assert list(twin.services) == list(gateway.services)
+    reapplied = again.configuration
+    assert (reapplied.routes, reapplied.services, reapplied.tenants) == (
+        gateway.routes,
+        gateway.services,
+        gateway.tenants,
+    )
+    assert (reapplied.limits, reapplied.key_tenants, reapplied.version) == (
+        gateway.limits,
+        gateway.key_tenants,
+        99,
+    )
+    assert list(reapplied.services) == list(gateway.services)
     restored = ControlState()
     restored.restore(log.state.snapshot())
     assert restored.snapshot() == log.state.snapshot()
--- a/tests/unit/control/test_state.py
+++ b/tests/unit/control/test_state.py
@@ -1,4 +1,4 @@
-"""The control state machine: compare-and-set, orders sent again, tenants and keys, rollouts."""
+"""Tests the control state machine: compare-and-set, resent orders, tenants and keys, rollouts, snapshots."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
     return AbortRollout(order=OrderId(order), service=TEXT, rollout=RolloutId(rollout))
 
 
-def test_of_two_operators_racing_under_one_number_one_wins_and_the_other_learns_who() -> None:
+def test_of_two_operators_with_the_same_next_version_one_wins_and_the_other_learns_of_it() -> None:
     log = configured()
     assert log.outcome(configure("first", 2, DOCUMENT)) is Outcome.ACCEPTED
     lost = log.run(configure("second", 2, {"services": {}}))
@@ -92,7 +92,7 @@
     assert log.state.check_configuration(b'{"x": 1}') != ()
 
 
-def test_an_order_sent_again_gets_its_first_answer_also_after_a_snapshot() -> None:
+def test_a_resent_order_gets_its_first_result_also_after_a_snapshot() -> None:
     log = configured()
     first = log.run(configure("again", 2, DOCUMENT))
     log.run(configure("next", 3, DOCUMENT))
@@ -113,7 +113,7 @@
     assert log.state.recall(encode_command(put_tenant("same", tokens_per_s=99.0))) is not None
 
 
-def test_a_promotion_sent_again_through_another_node_has_another_rollout_id_and_the_first_answer() -> None:
+def test_a_promotion_resent_through_another_node_with_another_rollout_id_gets_the_first_result() -> None:
     log = configured()
     first = log.run(promote("go", rollout="made-here"))
     assert log.run(promote("go", rollout="made-there")) == first
@@ -131,7 +131,7 @@
     assert by_number.state.result_of_order(OrderId("o14")) is None
 
 
-def test_the_leaders_own_orders_push_no_operators_order_out_and_are_bounded_themselves() -> None:
+def test_the_leaders_own_orders_are_bounded_and_evict_no_operators_order() -> None:
     log = Log(ControlState(max_orders=5))
     log.run(put_tenant("operator"))
     rings = [ClaimRing(version, ()) for version in range(1, MAX_SYSTEM_ORDERS + 2)]
@@ -143,7 +143,7 @@
     assert log.state.result_of_order(OrderId("ring/2")) is not None
 
 
-def test_an_index_applied_before_changes_nothing_and_an_unknown_command_stops() -> None:
+def test_an_index_applied_before_changes_nothing_and_an_unknown_command_raises() -> None:
     log = configured()
     revision = log.state.view().revision
     assert log.state.apply(revision, encode_command(put_tenant("t"))) is None
@@ -157,12 +157,12 @@
     for version in range(1, 251):
         log.run(configure(f"c{version}", version, {"limits": {"queue_length": version}}))
     history = log.state.configuration_history()
-    assert [made.version for made in history] == list(range(51, 251))
+    assert [entry.version for entry in history] == list(range(51, 251))
     assert log.state.configuration_document(231) == b'{"limits":{"queue_length":231}}'
     assert log.state.configuration_document(230) is None
 
 
-def test_a_document_parsed_ahead_is_taken_only_for_the_base_it_was_parsed_on() -> None:
+def test_a_document_parsed_in_advance_is_used_only_for_its_base_version() -> None:
     log = configured()
     patch = configure("p", 2, {"limits": {"queue_length": 9}}, partial=True)
     log.state.prepare(encode_command(patch))
@@ -182,11 +182,11 @@
     assert log.outcome(put_key("k again")) is Outcome.ACCEPTED
     assert log.outcome(put_key("other secret", secret="s2")) is Outcome.CONFLICT
     assert log.outcome(put_key("other id", key="k2")) is Outcome.CONFLICT
-    held = log.state.view()
+    earlier_view = log.state.view()
     assert log.outcome(RemoveTenant(order=OrderId("rm"), tenant=TenantName("acme"))) is Outcome.ACCEPTED
     (record,) = log.state.view().keys.values()
     assert record.revoked
-    assert [kept.revoked for kept in held.keys.values()] == [False]
+    assert [record.revoked for record in earlier_view.keys.values()] == [False]
     log.run(put_tenant("t2"))
     assert log.outcome(put_key("k back")) is Outcome.CONFLICT
 
@@ -201,11 +201,11 @@
 
 
 @pytest.mark.parametrize("name", ["", "a b", "x\n", "n" * 129])
-def test_names_that_do_not_fit_a_url_are_refused(name: str) -> None:
+def test_names_that_do_not_fit_a_url_are_invalid(name: str) -> None:
     assert Log().outcome(put_tenant("t", name=name)) is Outcome.INVALID
 
 
-def test_a_template_is_a_json_object() -> None:
+def test_a_template_must_be_a_json_object() -> None:
     log = Log()
     good = PutTemplate(order=OrderId("a"), name="weekly", document=b"{}")
     assert log.outcome(good) is Outcome.ACCEPTED
@@ -214,7 +214,7 @@
 
 
 @pytest.mark.parametrize("depth", [33, 900, 5000])
-def test_a_deeply_nested_document_is_refused_alike_on_every_node(depth: int) -> None:
+def test_a_deeply_nested_document_is_invalid_on_every_node(depth: int) -> None:
     document = b'{"a":' * depth + b"1" + b"}" * depth
     template = PutTemplate(order=OrderId("t"), name="deep", document=document)
     assert Log().outcome(template) is Outcome.INVALID
@@ -222,7 +222,7 @@
     assert Log().outcome(patch) is Outcome.INVALID
 
 
-def test_a_rollout_goes_step_by_step_to_done_and_its_candidate_is_stable() -> None:
+def test_a_rollout_advances_step_by_step_and_its_candidate_becomes_stable() -> None:
     log = configured()
     assert log.outcome(promote("go")) is Outcome.ACCEPTED
     assert log.outcome(finish()) is Outcome.CONFLICT
@@ -243,7 +243,7 @@
     assert log.outcome(abort("late")) is Outcome.CONFLICT
 
 
-def test_a_second_promotion_loses_and_learns_what_runs() -> None:
+def test_a_second_promotion_is_a_conflict_that_names_the_running_rollout() -> None:
     log = configured()
     log.run(promote("go"))
     lost = log.run(promote("go2", rollout="r2", candidate="v3"))
@@ -258,26 +258,26 @@
     assert log.run(promote("b", service="nothing")).errors[0].path == "plan.service"
 
 
-def test_a_leader_notes_the_time_used_without_raising_the_weight() -> None:
+def test_a_checkpoint_records_the_elapsed_time_without_raising_the_weight() -> None:
     log = configured()
     log.run(promote("go"))
     canary = log.state.view().rollouts[TEXT]
-    noted = msgspec.structs.replace(
+    checkpoint = msgspec.structs.replace(
         step(0, canary.weight), phase=RolloutPhase.CANARY, order=OrderId("r1/time/1"), elapsed_s=25.0
     )
-    assert log.outcome(noted) is Outcome.ACCEPTED
+    assert log.outcome(checkpoint) is Outcome.ACCEPTED
     record = log.state.view().rollouts[TEXT]
     assert (record.phase, record.weight, record.elapsed_s) == (RolloutPhase.CANARY, canary.weight, 25.0)
-    log.run(msgspec.structs.replace(noted, order=OrderId("r1/time/2"), elapsed_s=20.0))
+    log.run(msgspec.structs.replace(checkpoint, order=OrderId("r1/time/2"), elapsed_s=20.0))
     assert log.state.view().rollouts[TEXT].elapsed_s == 25.0
-    raised = msgspec.structs.replace(noted, step=1, order=OrderId("r1/up"), weight=0.5)
+    raised = msgspec.structs.replace(checkpoint, step=1, order=OrderId("r1/up"), weight=0.5)
     assert log.outcome(raised) is Outcome.CONFLICT
     log.run(step(1, 0.5))
     back = msgspec.structs.replace(step(1, 0.5), phase=RolloutPhase.CANARY, order=OrderId("r1/back"))
     assert log.outcome(back) is Outcome.CONFLICT
 
 
-def test_claim_rings_follow_one_another_and_go_through_a_snapshot() -> None:
+def test_claim_rings_follow_one_another_and_survive_a_snapshot() -> None:
     def set_ring(version: int) -> SetClaimRing:
         ring = ClaimRing(version, (RingMember(NodeId("n1"), ZoneName("z1")),))
         return SetClaimRing(order=OrderId(f"ring/{version}"), issued_by="system", ring=ring)
@@ -292,7 +292,7 @@
     assert restored.snapshot() == log.state.snapshot()
 
 
-def test_a_step_refused_in_a_pause_is_taken_after_it_under_the_same_order() -> None:
+def test_a_step_rejected_during_a_pause_is_accepted_after_it_under_the_same_order_id() -> None:
     log = configured()
     log.run(promote("go"))
     assert log.outcome(pause("p")) is Outcome.ACCEPTED
@@ -311,13 +311,13 @@
     assert log.outcome(abort("a", "r1")) is Outcome.ACCEPTED
     record = log.state.view().rollouts[TEXT]
     assert (record.phase, record.weight, record.decision is not None) == (RolloutPhase.ABORTED, 0.0, True)
-    for refused in (pause("p"), resume("r"), step(1, 0.5), finish()):
-        assert log.outcome(refused) is Outcome.CONFLICT
+    for rejected in (pause("p"), resume("r"), step(1, 0.5), finish()):
+        assert log.outcome(rejected) is Outcome.CONFLICT
     assert log.outcome(promote("reuse")) is Outcome.CONFLICT
     assert log.outcome(promote("new", rollout="r2")) is Outcome.ACCEPTED
 
 
-def test_orders_about_no_rollout_are_not_found() -> None:
+def test_orders_for_a_service_without_a_rollout_are_not_found() -> None:
     log = configured()
     for order in (pause("p"), resume("r"), abort("a"), finish()):
         assert log.outcome(order) is Outcome.NOT_FOUND
@@ -369,26 +369,26 @@
 
 @settings(max_examples=150, derandomize=True, deadline=None)
 @given(st.lists(commands, max_size=40), st.integers(0, 40))
-def test_equal_logs_give_equal_bytes_also_through_a_snapshot_on_the_way(
-    run: list[AnyCommand], cut: int
+def test_equal_logs_give_equal_bytes_with_and_without_an_intermediate_snapshot(
+    sequence: list[AnyCommand], snapshot_at: int
 ) -> None:
     log = configured()
-    middle = b""
-    for number, command in enumerate(run):
-        if number == cut:
-            middle = log.state.snapshot()
+    intermediate_snapshot = b""
+    for number, command in enumerate(sequence):
+        if number == snapshot_at:
+            intermediate_snapshot = log.state.snapshot()
         log.run(command)
-    straight, through = ControlState(), ControlState()
-    if middle:
-        through.restore(middle)
+    replayed, restored = ControlState(), ControlState()
+    if intermediate_snapshot:
+        restored.restore(intermediate_snapshot)
     for index, data in log.applied:
-        straight.apply(index, data)
-        through.apply(index, data)
-    assert log.state.snapshot() == straight.snapshot() == through.snapshot()
-    assert through.view() == log.state.view()
+        replayed.apply(index, data)
+        restored.apply(index, data)
+    assert log.state.snapshot() == replayed.snapshot() == restored.snapshot()
+    assert restored.view() == log.state.view()
 
 
-def test_equal_states_give_equal_bytes_whatever_order_led_there() -> None:
+def test_equal_states_give_equal_bytes_whatever_the_order_of_their_commands() -> None:
     log, other = Log(), Log()
     names = [f"t{number}" for number in range(2000)]
     for name, other_name in zip(names, reversed(names), strict=True):
@@ -401,16 +401,16 @@
 
 @settings(max_examples=100, derandomize=True, deadline=None)
 @given(st.lists(st.tuples(st.booleans(), st.text(max_size=3), st.integers())))
-def test_a_persistent_map_equals_a_dict_and_leaves_older_copies_alone(
+def test_a_persistent_map_equals_a_dict_and_does_not_change_earlier_copies(
     changes: list[tuple[bool, str, int]],
 ) -> None:
     expected: dict[str, int] = {}
     copy: PersistentMap[str, int] = PersistentMap()
-    older = []
+    earlier_maps = []
     for is_set, key, value in changes:
-        older.append((copy, dict(expected)))
+        earlier_maps.append((copy, dict(expected)))
         copy = copy.set(key, value) if is_set else copy.without(key)
         expected = {**expected, key: value} if is_set else {k: v for k, v in expected.items() if k != key}
-    for past, content in [*older, (copy, expected)]:
-        assert dict(past) == content
-        assert len(past) == len(content)
+    for earlier_map, content in [*earlier_maps, (copy, expected)]:
+        assert dict(earlier_map) == content
+        assert len(earlier_map) == len(content)
