--- a/src/springmux/control/freshness/freshness_monitor.py
+++ b/src/springmux/control/freshness/freshness_monitor.py
@@ -5,7 +5,7 @@
 controllers, and each reply states the age of the replying node's own proof. The requester subtracts that age
 from the time at which it *sent* the request. So neither network delay, nor a frozen process, nor differing
 clocks can make a proof seem younger than it is (Gray and Cheriton 1989, on leases and clock rates). A node
-that is partitioned, frozen or just started has an old proof or none, and can tell so.
+that is partitioned, frozen or just started has an old proof or none, and detects that by the proof's age.
 """
 
 from __future__ import annotations
--- a/src/springmux/control/rollout_section.py
+++ b/src/springmux/control/rollout_section.py
@@ -200,8 +200,8 @@
 
 def _is_checkpoint(command: SetRolloutStep, record: RolloutRecord) -> bool:
     """Return whether the command only records the elapsed time, from which the next leader continues."""
-    present = (record.phase, record.step, record.weight)
-    return (command.phase, command.step, command.weight) == present
+    current = (record.phase, record.step, record.weight)
+    return (command.phase, command.step, command.weight) == current
 
 
 def _is_next_step(command: SetRolloutStep, record: RolloutRecord) -> bool:
--- a/tests/unit/simulation/test_mutations.py
+++ b/tests/unit/simulation/test_mutations.py
@@ -161,7 +161,7 @@
     apply = ConfigurationSection.apply
 
     def apply_any(section: ConfigurationSection, command: Any, revision: Any, claims: Any) -> Any:
-        present = section.present.configuration.version
+        present = section.current.configuration.version
         if command.version == present:
             command = msgspec.structs.replace(command, version=present + 1)
         return apply(section, command, revision, claims)
