--- a/src/springmux/agent/__init__.py
+++ b/src/springmux/agent/__init__.py
@@ -1,1 +1,1 @@
-"""Composition of all pure components into one node; driven by node/ and by simulation/."""
+"""Composes the components of one node, which do no I/O; driven by ``node/`` and by ``simulation/``."""
--- a/src/springmux/agent/agent.py
+++ b/src/springmux/agent/agent.py
@@ -1,6 +1,6 @@
-"""One node's pure components, composed. The daemon (``node/``) and the simulation drive this same class.
+"""Composition of one node's components, driven by the daemon (``node/``) and by the simulation alike.
 
-It does no I/O and reads no clock. What one component requests of another goes through
+The agent does no I/O and reads no clock. Requests from one component to another go through
 :mod:`springmux.agent.effect_dispatcher`.
 """
 
@@ -72,14 +72,14 @@
 from springmux.vocabulary.names import ServiceName
 
 EventHandler = Callable[[Any, float], list[Effect]]
-"""Handles one event at a time; each handler takes its own event type."""
+"""Handles one event; each handler accepts its own event type."""
 
 
 class NodeAgent:
-    """All coordination of one node.
+    """Coordinates all components of one node.
 
-    :param recovered: what storage recovered, or ``None`` on a node without a data folder.
-    :param claims: the claim journal's content, or ``None`` where there is none.
+    :param recovered: the replica's state recovered from storage, or ``None`` on a node without a data folder.
+    :param claims: the content of the claim journal, or ``None`` on a node without one.
     :param remembered: the peers stored on disk before the restart.
     """
 
@@ -109,7 +109,7 @@
         self._now = 0.0
         self._handlers = self._make_handlers()
 
-    # State that the daemon reads
+    # State read by the daemon
 
     @property
     def router(self) -> Router:
@@ -133,12 +133,12 @@
 
     @property
     def membership(self) -> MembershipView:
-        """The fleet's nodes as seen from here."""
+        """The nodes of the fleet as known to this node."""
         return self._components.membership.view
 
     @property
     def engines(self) -> EnginesView:
-        """The directory of engines."""
+        """The engine directory as known to this node."""
         return self._components.directory.view
 
     @property
@@ -148,52 +148,52 @@
 
     @property
     def not_ready_reason(self) -> str:
-        """Why the node accepts no requests; empty while it does."""
+        """Why the node rejects requests; empty while it accepts them."""
         return self._readiness.reason
 
     @property
     def gateway_ready(self) -> bool:
-        """Whether the node accepts gateway requests, in contact with a majority or not."""
+        """Whether the node accepts gateway requests, which doesn't require contact with a majority."""
         return self._gateway_readiness.ready
 
     @property
     def gateway_reason(self) -> str:
-        """Why the node accepts no gateway requests; empty while it does."""
+        """Why the node rejects gateway requests; empty while it accepts them."""
         return self._gateway_readiness.reason
 
     @property
     def newest_arrival(self) -> Arrival | None:
-        """How the newest control state arrived; ``None`` before the first."""
+        """How the newest control state arrived; ``None`` before the first arrival."""
         return self._components.delivery.newest_arrival
 
     def state_proof_age_s(self, now: float) -> float:
-        """Return how long ago the state in force here was last proven the newest acknowledged one.
+        """Return the seconds since the state in force here was last proven to be the newest acknowledged one.
 
-        Give :class:`springmux.control.freshness.events.ProofWanted` to request a new proof.
+        Handle a :class:`springmux.control.freshness.events.ProofWanted` event to request a new proof.
         """
         return self._components.freshness.proof_age_s(now)
 
     @property
     def log_position(self) -> LogPosition:
-        """How far this node has followed the control log, for the envelope of every message."""
+        """Position of this node in the control log, sent in the envelope of every message."""
         known = self._leadership.known
         return LogPosition(known.term, known.leader, self._components.delivery.revision)
 
     def rollout_status(self, service: ServiceName) -> RolloutStatus | None:
-        """Return what this node knows of a service's newest rollout."""
+        """Return what this node knows of the newest rollout of ``service``, or ``None`` if it knows none."""
         return self._components.rollout.status(service, self._now)
 
     def status(self) -> NodeStatusReport:
-        """Return the status page's figures."""
+        """Return the node's report for the status page."""
         return build_status(self, self._components, self._leadership.known, self._revisions, self._now)
 
     # Events
 
     def start(self, now: float) -> list[Effect]:
-        """Return the first effects."""
+        """Start all components at ``now``; return the first effects for the driver to execute."""
         self._now = now
         effects = self._dispatcher.execute([MembershipChanged(self.membership)], now)
-        # Until it is in contact, a node that nobody's heartbeats reach mustn't find engines lost.
+        # A node without contact receives no heartbeats, so it must not mark engines lost.
         effects += self._dispatcher.deliver(self._components.directory, ContactChanged(False), now)
         recovered, self._recovered = self._recovered, None
         if recovered is not None and recovered.snapshot is not None:
--- a/src/springmux/agent/claim_ring_manager.py
+++ b/src/springmux/agent/claim_ring_manager.py
@@ -1,4 +1,4 @@
-"""Maintains the committed claim ring as the control leader: which nodes may hold at-most-once claims."""
+"""Maintains the committed claim ring on the control leader: the nodes that may hold at-most-once claims."""
 
 from __future__ import annotations
 
@@ -10,31 +10,32 @@
 from springmux.vocabulary.names import OrderId
 
 FIRST_RING_WAIT_S = 1.0
-"""Time for the nodes of a starting fleet to meet, so that the first ring contains most of them."""
+"""Time for the nodes of a starting fleet to discover each other, so that most are in the first ring."""
 
 FEW_DISKS_WAIT_S = 3.0
-"""Where fewer than three nodes with disks are seen, the first ring waits so long for more of them."""
+"""How long the first ring is delayed while fewer than three nodes with disks are known."""
 
 CHECK_PERIOD_S = 0.5
 """Period of membership checks."""
 
 CHANGE_PERIOD_S = 10.0
-"""Least time between two rings. Nodes learn a ring within 2 s and pull under it, so that a claim is known
-to the remaining members before another of its holders is removed."""
+"""Minimum time between two rings. Nodes receive a ring within 2 s and then pull claims from its members, so
+that a claim is known to the remaining members before another of its holders is removed."""
 
 UNCONFIGURED_CHANGE_PERIOD_S = 0.5
-"""Without a configuration there are no routes and so no claims that a change could lose. Only one change
-can follow a first claim so soon: the one already on its way when the configuration is committed."""
+"""The same while there is no configuration: without routes there are no claims that a change could lose. At
+most one change can follow a first claim so soon: one in flight when the configuration is committed."""
 
 GONE_AFTER_S = 600.0
-"""A node absent for so long leaves the ring; a restart or a partition never moves a holder set."""
+"""Absence after which a node is removed from the ring, so that a restart or a partition never moves a holder
+set."""
 
 LEFT_AFTER_S = 60.0
-"""A node that left gracefully and isn't back by then was not just restarted."""
+"""The same for a node that left gracefully: one that isn't back by then was not merely restarted."""
 
 
 class ClaimRingManager:
-    """Proposes the next ring while this node leads. Stateless across leaders: the ring is committed."""
+    """Proposes the next ring while this node leads. A new leader needs no state but the committed ring."""
 
     def __init__(self) -> None:
         self._due_at = NEVER
@@ -46,10 +47,10 @@
         """Return when the next check is due."""
         return self._due_at
 
-    def lead(self, leading: bool, now: float) -> None:
-        """Start or stop as this node becomes the leader or no longer is.
+    def set_leading(self, leading: bool, now: float) -> None:
+        """Start when this node becomes the leader; stop when it no longer leads.
 
-        The previous leader may have just changed the ring, so the least time between rings starts anew.
+        The previous leader may have just changed the ring, so the minimum time between rings starts again.
         """
         self._due_at = now + FIRST_RING_WAIT_S if leading else NEVER
         self._leading_since = now
@@ -61,7 +62,7 @@
     ) -> SetClaimRing | None:
         """Return the next change of the ring, if one is due.
 
-        :param configured: whether operators have given a configuration, so that there may be claims.
+        :param configured: whether a configuration is committed, so that there may be claims.
         """
         if now < self._due_at:
             return None
@@ -93,7 +94,7 @@
 
 
 def _left(absent_s: dict[NodeId, float], view: MembershipView) -> frozenset[NodeId]:
-    """Return the nodes that left gracefully and stayed away."""
+    """Return the nodes that left gracefully and have been absent for ``LEFT_AFTER_S``."""
     records = [record for node in absent_s if (record := view.nodes.get(node)) is not None]
     return frozenset(
         record.node
--- a/src/springmux/agent/components.py
+++ b/src/springmux/agent/components.py
@@ -1,4 +1,4 @@
-"""The pure components of one node, made from its settings."""
+"""The components of one node, none of which does I/O, built from the node's settings."""
 
 from __future__ import annotations
 
@@ -34,17 +34,19 @@
 """Less than a third of the shortest election timeout: two lost heartbeats in a row start no election."""
 ELECTION_TIMEOUT_MIN_S = 0.5
 ELECTION_TIMEOUT_MAX_S = 0.9
-"""A lost leader is to be replaced within about a second (docs/notes/agreement.md, "Measured")."""
+"""Bounds the election timeout so that a lost leader is replaced within about a second
+(docs/notes/agreement.md, "Measured")."""
 KNOWN_START_FOUNDING_RETRY_S = 0.25
 KNOWN_START_FOUNDING_PROMISE_S = 1.5
-"""Where the settings say whether this is the first start, nobody needs time to object."""
+"""Founding times where the settings state whether this is the first start: no node needs time to object."""
 VOTER_LOST_AFTER_S = 2.0
-"""A machine that is lost counts as replaced 4 s after its successor's start, which is 1 s after the loss."""
+"""A lost machine's successor starts 1 s after the loss, and the machine counts as replaced 4 s after that
+start."""
 
 
 @dataclass(slots=True)
 class NodeComponents:
-    """One of each. ``replica`` is ``None`` on a node without a data folder."""
+    """The components of one node. ``replica`` is ``None`` on a node without a data folder."""
 
     membership: Membership
     contact: ContactMonitor
@@ -95,9 +97,9 @@
 
 
 def consensus_settings(settings: AgentSettings, recovered: RecoveredState | None) -> ConsensusSettings:
-    """Return the control group's settings under a node's settings.
+    """Return the consensus settings that follow from a node's settings.
 
-    A replica made at the first start may help to found the group after a restart too: its identity and its
+    A replica created at the first start may help to found the group after a restart too: its identity and its
     promises are still on its disk.
     """
     first_start_known = settings.losses_tolerated is not None
@@ -118,7 +120,7 @@
 
 
 def _expects_peers(settings: AgentSettings) -> bool:
-    """Return whether a node without peers is partitioned rather than the complete fleet."""
+    """Return whether a node without peers must be partitioned, and can't be the complete fleet."""
     if settings.losses_tolerated:
         return True
     return any(seed != settings.peer_address for seed in settings.seeds)
@@ -128,20 +130,20 @@
     settings: AgentSettings,
     recovered: RecoveredState | None,
     state: ControlState,
-    source: random.Random,
+    generator_source: random.Random,
     claims: RecoveredClaims | None = None,
     remembered: tuple[RememberedPeer, ...] = (),
 ) -> NodeComponents:
-    """Build the components, each with a seeded generator of its own.
+    """Build the components, each with its own seeded random generator.
 
-    The generators are seeded in the order of the calls below: a different order is a different simulation.
+    The generators are seeded in the order of the calls below; a different order changes every simulation.
 
     :param claims: the recovered claim journal, or ``None`` on a node that keeps claims in memory only.
     :param remembered: the peers stored on disk; used only with ``recovered``.
     """
 
     def generator() -> random.Random:
-        return random.Random(source.getrandbits(64))
+        return random.Random(generator_source.getrandbits(64))
 
     own = NodeId(settings.node)
     contact = ContactMonitor(own, _expects_peers(settings), generator())
--- a/src/springmux/agent/control_handlers.py
+++ b/src/springmux/agent/control_handlers.py
@@ -1,4 +1,4 @@
-"""Executes effects on the control log and state: proposals, applied commands, snapshots, order replies."""
+"""Handlers for effects on the control log and state: proposals, commands, snapshots, order replies."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
     def commands_prepared(self, now: float) -> list[Effect]:
         """Continue with the commands that the driver has parsed."""
-        return self._publish(self._applier.prepared(), now)
+        return self._publish(self._applier.resume(), now)
 
     def snapshot_installed(self, event: raft.SnapshotInstalled, now: float) -> list[Effect]:
         """Restore the state from a stored snapshot before the replica applies the entries that follow it."""
@@ -61,7 +61,7 @@
         return effects + self._dispatcher.deliver_to_replica(event, now)
 
     def _publish(self, work: AppliedWork, now: float) -> list[Effect]:
-        """Publish the state after ``work``, then deliver the events that came of it."""
+        """Publish the state after ``work``, then deliver the events that it produced."""
         dispatcher, components = self._dispatcher, self._components
         outside = dispatcher.execute(work.effects, now)
         published = self._publisher.publish(self._applier.state.view(), now)
@@ -77,7 +77,7 @@
         return outside
 
     def _on_state_work(self, effect: StateWork, now: float) -> list[Effect]:
-        return self._publish(self._applier.take(effect), now)
+        return self._publish(self._applier.enqueue(effect), now)
 
     def _on_apply(self, effect: raft.Apply, now: float) -> list[Effect]:
         committed = delivery_events.CommandsCommitted(effect.entries)
@@ -88,7 +88,7 @@
         return [effect]
 
     def _on_proposal_committed(self, _effect: raft.ProposalCommitted, _now: float) -> list[Effect]:
-        # The client gets its reply once the command is applied (CommandDecided), not before.
+        # The client receives its reply only after the command is applied (CommandDecided).
         return []
 
     def _on_proposal_dropped(self, effect: raft.ProposalDropped, now: float) -> list[Effect]:
@@ -103,11 +103,11 @@
         return self._dispatcher.deliver_to_replica(raft.ConfirmRead(effect.correlation_id), now)
 
     def _on_propose(self, effect: ProposeCommand, now: float) -> list[Effect]:
-        """Propose a command, unless most nodes are out of contact, whatever the replicas' quorum.
+        """Propose a command unless most nodes are out of contact, even if the replicas have a quorum.
 
-        Those nodes go on serving the last state, so nothing may be acknowledged that they can't learn. The
-        same holds for nodes that this one knew before its restart and hasn't met again.
-        The order coordinator retries the order until its deadline.
+        Nodes out of contact keep serving the last state, so no change that they can't receive may be
+        acknowledged. The same applies to nodes that this one knew before its restart and hasn't contacted
+        since. The order coordinator retries the order until its deadline.
         """
         contact, membership = self._components.contact, self._components.membership
         if not contact.connected(now) or membership.awaits_remembered(now):
--- a/src/springmux/agent/control_view_publisher.py
+++ b/src/springmux/agent/control_view_publisher.py
@@ -23,7 +23,7 @@
 
 
 class ControlViewPublisher:
-    """Keeps the published view, so that each component is updated only with what changed."""
+    """Stores the last published view, so that each component is updated only with changes."""
 
     def __init__(self, components: NodeComponents) -> None:
         self._components = components
@@ -69,7 +69,7 @@
 
 
 def rollout_view(view: ControlView) -> ControlViewChanged:
-    """Return the rollout coordinator's event for a control state."""
+    """Return the event that updates the rollout coordinator to ``view``."""
     exceptions = view.configuration.exceptions
     settings = RolloutSettings(exceptions.token_period_s, exceptions.minimum_ready_engines)
     stable = {name: service.stable for name, service in view.configuration.services.items()}
--- a/src/springmux/agent/deadline_cache.py
+++ b/src/springmux/agent/deadline_cache.py
@@ -1,4 +1,4 @@
-"""Cache of the components' deadlines; only those that an event may have moved are computed again.
+"""Cache of the components' deadlines; only those that an event may have changed are computed again.
 
 A node reads its next deadline after every event, so computing all of them each time would be costly.
 """
@@ -14,7 +14,7 @@
     """Caches each component's deadline until it is invalidated.
 
     :param components: all components with deadlines, in the order of their ticks.
-    :param volatile: those of them whose deadline the data plane moves without an event; never cached.
+    :param volatile: components whose deadline the data plane changes without an event; never cached.
     """
 
     def __init__(self, components: Iterable[StateMachine], volatile: Iterable[StateMachine]) -> None:
@@ -37,7 +37,7 @@
         return min(self._deadlines.values())
 
     def due(self, now: float) -> list[StateMachine]:
-        """Return the components whose deadline is reached at ``now``."""
+        """Return the components whose deadline has passed at ``now``, in the order of their ticks."""
         self._refresh()
         return [component for component, deadline in self._deadlines.items() if deadline <= now]
 
--- a/src/springmux/agent/directory/__init__.py
+++ b/src/springmux/agent/directory/__init__.py
@@ -1,1 +1,1 @@
-"""Directory of back ends: who is there, seen by every node. Pure; may import vocabulary and coordination."""
+"""Replicated directory of back ends. Does no I/O; may import only vocabulary and coordination."""
--- a/src/springmux/agent/directory/anti_entropy.py
+++ b/src/springmux/agent/directory/anti_entropy.py
@@ -1,4 +1,4 @@
-"""Dissemination of entries: relay trees for new changes, anti-entropy for what the trees missed."""
+"""Dissemination of directory entries: relay trees spread changes, anti-entropy repairs what they missed."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     entries: list[DirectoryEntry],
     owners: OwnerNodes,
     own: NodeId,
-    source: random.Random,
+    generator: random.Random,
     settings: DirectorySettings,
 ) -> list[Effect]:
     """Return the first messages that relay changed entries to all nodes."""
@@ -32,66 +32,72 @@
     for start in range(0, len(entries), settings.entries_per_message):
         chunk = tuple(entries[start : start + settings.entries_per_message])
         for _ in range(settings.relay_trees):
-            salt = source.randrange(1 << 32)
+            salt = generator.randrange(1 << 32)
             targets = zone_targets(owners.zones, own, salt, settings.relay_fanout)
-            effects += _relay_to(targets, chunk, salt)
+            effects += _relay_messages(targets, chunk, salt)
     return effects
 
 
-def relay_on(
+def forward_relay(
     message: DirectoryRelay, owners: OwnerNodes, own: NodeId, settings: DirectorySettings
 ) -> list[Effect]:
-    """Return the messages to the own subtree of a relay."""
+    """Return the messages that forward a received relay within the node's own zone."""
     zone_peers = [node for node, zone in owners.zones.items() if zone == owners.own_zone]
     targets = range_targets(zone_peers, own, message.salt, message.low, message.high, settings.relay_fanout)
-    return _relay_to(targets, message.entries, message.salt)
+    return _relay_messages(targets, message.entries, message.salt)
 
 
-def _relay_to(targets: list[RelayTarget], entries: tuple[DirectoryEntry, ...], salt: int) -> list[Effect]:
+def _relay_messages(
+    targets: list[RelayTarget], entries: tuple[DirectoryEntry, ...], salt: int
+) -> list[Effect]:
     return [Send(t.node, DirectoryRelay(entries, salt, t.low, t.high)) for t in targets]
 
 
 class AntiEntropy:
-    """Digest exchange with a random node (Demers et al. 1987): root hash, buckets, then entries."""
+    """Digest exchange with a random node (Demers et al. 1987).
+
+    The nodes compare root hashes, then bucket hashes, then exchange the entries of differing buckets.
+    """
 
-    def __init__(self, table: DirectoryTable, settings: DirectorySettings, source: random.Random) -> None:
+    def __init__(self, table: DirectoryTable, settings: DirectorySettings, generator: random.Random) -> None:
         self._table = table
         self._settings = settings
-        self._random = source
+        self._random = generator
         self.due_at = 0.0
 
     def begin(self, nodes: list[NodeId], now: float) -> list[Effect]:
-        """Send the own root hash to a random node if the exchange is due."""
+        """Send this node's root hash to a random node if the exchange is due."""
         if now < self.due_at:
             return []
         self.due_at = now + self._settings.digest_period_s * self._random.uniform(0.9, 1.1)
         if not nodes:
             return []
-        return [Send(self._random.choice(nodes), DirectoryDigest(self._table.root()))]
+        return [Send(self._random.choice(nodes), DirectoryDigest(self._table.root_hash()))]
 
     def handle_digest(self, sender: NodeId, message: DirectoryDigest, complete: bool) -> list[Effect]:
-        """Reply to a digest that differs with the bucket hashes.
+        """Reply with the bucket hashes if the digest differs from this node's root hash.
 
-        :param complete: whether the own directory is known to be complete.
+        :param complete: whether this node's directory is known to be complete. Only then does it confirm an
+            equal digest.
         """
-        if message.root == self._table.root():
-            return [Send(sender, DirectoryInSync())] if message.answer_wanted and complete else []
-        return [Send(sender, DirectoryBuckets(self._table.hashes()))]
+        if message.root_hash == self._table.root_hash():
+            return [Send(sender, DirectoryInSync())] if message.reply_wanted and complete else []
+        return [Send(sender, DirectoryBuckets(self._table.bucket_hashes()))]
 
     def handle_buckets(self, sender: NodeId, message: DirectoryBuckets, now: float) -> list[Effect]:
-        """Send the own entries of the buckets that differ, and request newer ones."""
-        own = self._table.hashes()
-        if len(message.hashes) != len(own):
+        """Send this node's entries of the differing buckets, and request the sender's newer ones."""
+        own = self._table.bucket_hashes()
+        if len(message.bucket_hashes) != len(own):
             return []
-        buckets = self._table.differing(message.hashes)[: self._settings.buckets_per_exchange]
+        buckets = self._table.differing_buckets(message.bucket_hashes)[: self._settings.buckets_per_exchange]
         if not buckets:
             return []
         self.due_at = min(self.due_at, now + self._settings.repair_period_s)
-        entries = tuple(self._table.in_buckets(buckets))
-        return [Send(sender, DirectoryEntries(entries, tuple(buckets), answer_wanted=True))]
+        entries = tuple(self._table.entries_in_buckets(buckets))
+        return [Send(sender, DirectoryEntries(entries, tuple(buckets), reply_wanted=True))]
 
-    def newer_than(self, message: DirectoryEntries) -> list[DirectoryEntry]:
-        """Return the own entries of the message's buckets that its sender lacks."""
+    def entries_missing_at_sender(self, message: DirectoryEntries) -> list[DirectoryEntry]:
+        """Return this node's entries of the message's buckets that are missing or different at its sender."""
         theirs = {entry.record.engine: entry for entry in message.entries}
-        own = self._table.in_buckets(message.buckets)
+        own = self._table.entries_in_buckets(message.buckets)
         return [entry for entry in own if theirs.get(entry.record.engine) != entry]
--- a/src/springmux/agent/directory/catch_up.py
+++ b/src/springmux/agent/directory/catch_up.py
@@ -1,7 +1,7 @@
-"""Fast anti-entropy when a node is (again) in contact: fetch the missed directory changes at once.
+"""Fast anti-entropy after a node has established contact with the fleet, to fetch missed changes.
 
-Until a peer with a complete directory confirms that both are the same, engines that drained
-during the partition may still look ready here.
+Until a peer with a complete directory confirms that both directories are equal, engines that
+started draining during the partition may still appear ready at this node.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 class CatchUp:
     """Sends digests to a few known nodes every ``repair_period_s``, for at most ``catch_up_s``."""
 
-    def __init__(self, settings: DirectorySettings, source: random.Random) -> None:
+    def __init__(self, settings: DirectorySettings, generator: random.Random) -> None:
         self._settings = settings
-        self._random = source
+        self._random = generator
         self._peers: tuple[NodeId, ...] = ()
         self._until = -NEVER
         self.due_at = NEVER
@@ -29,7 +29,7 @@
         return now < self._until
 
     def begin(self, peers: tuple[NodeId, ...], now: float) -> None:
-        """Start after contact was established; without peers there is nothing to fetch."""
+        """Start after contact was established. Without peers there is nothing to fetch, so nothing starts."""
         if not peers:
             return
         self._peers = peers
@@ -37,12 +37,12 @@
         self.due_at = now
 
     def stop(self) -> None:
-        """Stop: a peer has the same directory, or contact is lost."""
+        """Stop because a peer confirmed an equal directory or contact was lost."""
         self._until = -NEVER
         self.due_at = NEVER
 
-    def digests(self, root: int, now: float) -> list[Effect]:
-        """Return the digests that are due."""
+    def digests(self, root_hash: int, now: float) -> list[Effect]:
+        """Return the digests to send to peers if they are due."""
         if now < self.due_at:
             return []
         if not self.running(now):
@@ -50,4 +50,4 @@
             return []
         self.due_at = now + self._settings.repair_period_s
         receivers = self._random.sample(self._peers, min(self._settings.catch_up_nodes, len(self._peers)))
-        return [Send(node, DirectoryDigest(root, answer_wanted=True)) for node in receivers]
+        return [Send(node, DirectoryDigest(root_hash, reply_wanted=True)) for node in receivers]
--- a/src/springmux/agent/directory/effects.py
+++ b/src/springmux/agent/directory/effects.py
@@ -1,4 +1,4 @@
-"""Effects of the directory beside ``Send`` and ``LogLine``."""
+"""Effects of the engine directory in addition to ``Send`` and ``LogLine``."""
 
 from __future__ import annotations
 
@@ -7,6 +7,6 @@
 
 
 class EnginesChanged(Effect, frozen=True):
-    """The directory or a load hint changed."""
+    """The directory or the load of an engine changed; ``view`` is the new state."""
 
     view: EnginesView
--- a/src/springmux/agent/directory/engine_directory.py
+++ b/src/springmux/agent/directory/engine_directory.py
@@ -1,7 +1,7 @@
 """Replicated directory of engines: every node's view of the back ends.
 
-Engines connect to any node. That node relays changes to all nodes at once and forwards heartbeats to
-the engine's owner nodes; owners that receive none vote the engine lost.
+An engine connects to any node. That node relays changes to all nodes immediately and forwards heartbeats
+to the engine's owner nodes. Owners that receive no heartbeat vote to mark the engine lost.
 """
 
 from __future__ import annotations
@@ -9,11 +9,11 @@
 import random
 
 from springmux.agent.directory import messages as wire
-from springmux.agent.directory.anti_entropy import AntiEntropy, relay_entries, relay_on
+from springmux.agent.directory.anti_entropy import AntiEntropy, forward_relay, relay_entries
 from springmux.agent.directory.catch_up import CatchUp
 from springmux.agent.directory.effects import EnginesChanged
 from springmux.agent.directory.engine_monitor import EngineMonitor, MonitorResult
-from springmux.agent.directory.entry import DirectoryEntry, bare, heard_again, stopped
+from springmux.agent.directory.entry import DirectoryEntry, refresh_entry, stop_entry, with_status_ready
 from springmux.agent.directory.forwarding import HeartbeatForwarder
 from springmux.agent.directory.log_lines import outdated_incarnation_log_line, status_log_line
 from springmux.agent.directory.owner_nodes import OwnerNodes
@@ -37,7 +37,7 @@
 
 
 class EngineDirectory:
-    """Directory of back ends at one node."""
+    """One node's replica of the directory: handles events of its engines and messages of its peers."""
 
     def __init__(self, own: NodeId, random: random.Random, settings: DirectorySettings | None = None) -> None:
         self._own = own
@@ -60,7 +60,7 @@
 
     @property
     def view(self) -> EnginesView:
-        """Return the present immutable view."""
+        """Return the current immutable view."""
         return self._table.view()
 
     def next_deadline(self) -> float:
@@ -82,7 +82,7 @@
         elif isinstance(event, MessageReceived):
             effects += self._handle_message(event.sender, event.message, now)
         elif isinstance(event, MembershipUpdated):
-            self._owners.set_view(event.view)
+            self._owners.update_view(event.view)
         elif isinstance(event, ContactChanged):
             effects += self._change_contact(event, now)
         else:
@@ -95,17 +95,17 @@
 
     def _change_contact(self, event: ContactChanged, now: float) -> list[Effect]:
         self._monitor.connected = event.connected
-        self._monitor.grant_grace(now)
+        self._monitor.restart_timeouts(now)
         if not event.connected:
             self._catch_up.stop()
             return []
         self._catch_up.begin(event.peers, now)
-        return self._catch_up.digests(self._table.root(), now)
+        return self._catch_up.digests(self._table.root_hash(), now)
 
     def _detect_pause(self, now: float) -> None:
         last, self._handled_at = self._handled_at, now
         if last is not None and now - last >= self._settings.pause_s:
-            self._monitor.grant_grace(now)
+            self._monitor.restart_timeouts(now)
 
     def _batch_s(self) -> float:
         engines = len(self._table)
@@ -153,15 +153,15 @@
         known = self._table.get(record.engine)
         draining = record.status is EngineStatus.DRAINING
         if known is None or record.incarnation > known.record.incarnation:
-            entry = DirectoryEntry(record=bare(record), intent=int(draining))
+            entry = DirectoryEntry(record=with_status_ready(record), intent=int(draining))
         elif record.incarnation < known.record.incarnation or known.left:
             return [outdated_incarnation_log_line(record.engine, record.incarnation)] if announced else []
         else:
             late = self._stops.is_late(record.engine, now)
-            entry = heard_again(known, record, draining, announced=announced and not late)
+            entry = refresh_entry(known, record, draining, announced=announced and not late)
         effects = self._apply_local_change(entry, now)
         incarnation_id = wire.EngineIncarnation(record.engine, record.incarnation)
-        if self._own in self._owners.of(incarnation_id.engine):
+        if self._own in self._owners.owners_of(incarnation_id.engine):
             self._monitor.record_heartbeat(incarnation_id, now)
         self._forwarder.add(incarnation_id, now)
         return effects
@@ -173,10 +173,10 @@
             return [LogLine("directory_early_stop", LogLevel.WARNING, {"engine": engine, "left": stop.left})]
         if not stop.applies_to(known.record.incarnation):
             return [outdated_incarnation_log_line(engine, stop.incarnation)]
-        return self._apply_local_change(stopped(known, stop.left), now)
+        return self._apply_local_change(stop_entry(known, stop.left), now)
 
     def _apply_local_change(self, entry: DirectoryEntry, now: float) -> list[Effect]:
-        """Merge a change that was made here and queue it for the relay."""
+        """Merge a change that originated at this node and queue it for the relay."""
         before = self._table.get(entry.record.engine)
         if not self._table.merge(entry, now):
             return []
@@ -196,8 +196,8 @@
         same_incarnation = before is not None and before.record.incarnation == incarnation
         if entry.intent % 2 and (before is None or not same_incarnation or before.intent < entry.intent):
             self._stops.record_drain(engine, now)
-        early = None if same_incarnation else self._stops.pop(engine, incarnation, now)
-        return [] if early is None else self._apply_local_change(stopped(entry, early.left), now)
+        early_stop = None if same_incarnation else self._stops.pop(engine, incarnation, now)
+        return [] if early_stop is None else self._apply_local_change(stop_entry(entry, early_stop.left), now)
 
     # --- owner nodes ---
 
@@ -208,7 +208,7 @@
         return effects + result.effects
 
     def _scan(self, now: float) -> None:
-        """Expire old state, and track engines that this node came to own, a few at a time."""
+        """Expire old state, and start tracking a few of the engines that this node now owns."""
         if now < self._scan_at:
             return
         self._scan_at = now + self._settings.scan_period_s
@@ -217,7 +217,7 @@
 
     def _expire(self, now: float) -> None:
         self._stops.expire(now)
-        for engine in self._table.forget_gone(now, self._settings):
+        for engine in self._table.remove_expired(now, self._settings):
             self._forwarder.forget(engine)
             self._monitor.forget(engine)
             self._owners.forget(engine)
@@ -229,12 +229,12 @@
         others = [node for node in self._owners.zones if node != self._own]
         effects = self._forwarder.send(now) + self._apply_result(self._monitor.vote(now), now)
         effects += self._anti_entropy.begin(others, now)
-        return effects + self._catch_up.digests(self._table.root(), now)
+        return effects + self._catch_up.digests(self._table.root_hash(), now)
 
     def _handle_message(self, sender: NodeId, message: object, now: float) -> list[Effect]:
         if isinstance(message, wire.DirectoryRelay):
             effects = self._merge_received(message.entries, now)
-            return effects + relay_on(message, self._owners, self._own, self._settings)
+            return effects + forward_relay(message, self._owners, self._own, self._settings)
         if isinstance(message, wire.EngineHeartbeatsRelay):
             return self._apply_result(self._monitor.handle_heartbeats(message.incarnations, now), now)
         if isinstance(message, wire.EngineTimeoutVote):
@@ -254,7 +254,7 @@
         return [effect for entry in entries for effect in self._merge_from_peer(entry, now)]
 
     def _reply_to_entries(self, sender: NodeId, message: wire.DirectoryEntries) -> list[Effect]:
-        newer = self._anti_entropy.newer_than(message) if message.answer_wanted else []
+        newer = self._anti_entropy.entries_missing_at_sender(message) if message.reply_wanted else []
         limit = self._settings.entries_per_message
         chunks = (newer[start : start + limit] for start in range(0, len(newer), limit))
         return [Send(sender, wire.DirectoryEntries(tuple(chunk))) for chunk in chunks]
--- a/src/springmux/agent/directory/engine_monitor.py
+++ b/src/springmux/agent/directory/engine_monitor.py
@@ -1,4 +1,4 @@
-"""Failure detector for engines: their owner nodes track heartbeats and vote an unresponsive engine lost."""
+"""Failure detector for engines: owner nodes track heartbeats and vote to mark an unresponsive engine lost."""
 
 from __future__ import annotations
 
@@ -24,7 +24,10 @@
 
 
 class EngineMonitor:
-    """Monitors the engines that this node owns. Only owners in contact with the fleet mark an engine lost."""
+    """Monitors the engines that this node owns.
+
+    An owner that is out of contact with the fleet neither votes nor marks an engine lost.
+    """
 
     def __init__(
         self, own: NodeId, table: DirectoryTable, owners: OwnerNodes, settings: DirectorySettings
@@ -35,16 +38,16 @@
         self._settings = settings
         self._heartbeats = HeartbeatTracker(settings)
         self._vote_at = 0.0
-        self._scan_left: list[EngineId] = []
+        self._scan_queue: list[EngineId] = []
         self.connected = True
 
     def next_deadline(self) -> float:
-        """Return when votes are due."""
+        """Return when the next votes are due."""
         return self._vote_at
 
-    def grant_grace(self, now: float) -> None:
-        """Restart every engine's timeout, after a time in which this node couldn't receive heartbeats."""
-        self._heartbeats.grant_grace(now)
+    def restart_timeouts(self, now: float) -> None:
+        """Restart every engine's timeout after a period in which this node couldn't receive heartbeats."""
+        self._heartbeats.restart_timeouts(now)
 
     def forget(self, engine: EngineId) -> None:
         """Stop monitoring a removed engine."""
@@ -57,7 +60,7 @@
     def handle_heartbeats(
         self, incarnations: tuple[wire.EngineIncarnation, ...], now: float
     ) -> MonitorResult:
-        """Record forwarded heartbeats; mark a lost engine alive again."""
+        """Record forwarded heartbeats, and mark lost engines among them alive again."""
         result = MonitorResult()
         for incarnation_id in incarnations:
             entry = self._table.get(incarnation_id.engine)
@@ -69,34 +72,35 @@
         return result
 
     def vote(self, now: float) -> MonitorResult:
-        """Send the other owners a vote on unresponsive engines; mark lost those with enough votes."""
+        """Send the other owners votes for unresponsive engines, and mark engines with enough votes lost."""
         result = MonitorResult()
         if now < self._vote_at:
             return result
         self._vote_at = now + self._settings.vote_period_s
         if not self.connected:
             return result
-        ballots: dict[NodeId, list[wire.EngineIncarnation]] = {}
+        votes_by_owner: dict[NodeId, list[wire.EngineIncarnation]] = {}
         for engine in self._heartbeats.unresponsive(now)[: self._settings.votes_per_message]:
             entry = self._table.get(engine)
-            owners = self._owners.of(engine)
+            owners = self._owners.owners_of(engine)
             if entry is None or entry.left or entry.health % 2 or self._own not in owners:
                 self._heartbeats.forget(engine)
                 continue
             incarnation_id = wire.EngineIncarnation(engine, entry.record.incarnation)
             for owner in owners:
                 if owner != self._own:
-                    ballots.setdefault(owner, []).append(incarnation_id)
+                    votes_by_owner.setdefault(owner, []).append(incarnation_id)
             self._count_vote(self._own, incarnation_id, entry, result, now)
         result.effects += [
-            Send(owner, wire.EngineTimeoutVote(tuple(each))) for owner, each in ballots.items()
+            Send(owner, wire.EngineTimeoutVote(tuple(incarnations)))
+            for owner, incarnations in votes_by_owner.items()
         ]
         return result
 
     def handle_votes(
         self, sender: NodeId, incarnations: tuple[wire.EngineIncarnation, ...], now: float
     ) -> MonitorResult:
-        """Count another owner's votes; reply with the engines whose heartbeats arrived here recently."""
+        """Count another owner's votes, and reply with the engines whose heartbeats recently arrived here."""
         result = MonitorResult()
         recent: list[wire.EngineIncarnation] = []
         unresponsive = set(self._heartbeats.unresponsive(now))
@@ -104,9 +108,11 @@
             entry = self._table.get(incarnation_id.engine)
             if entry is None or entry.record.incarnation != incarnation_id.incarnation or entry.health % 2:
                 continue
-            if incarnation_id.engine in unresponsive and sender in self._owners.of(incarnation_id.engine):
+            if incarnation_id.engine in unresponsive and sender in self._owners.owners_of(
+                incarnation_id.engine
+            ):
                 self._count_vote(sender, incarnation_id, entry, result, now)
-            elif self._heartbeats.heard_within(
+            elif self._heartbeats.received_within(
                 incarnation_id.engine, self._settings.heartbeat_timeout_s / 3, now
             ):
                 recent.append(incarnation_id)
@@ -115,15 +121,15 @@
         return result
 
     def scan(self, now: float) -> None:
-        """Start tracking owned engines whose heartbeat never arrived here, a few at a time."""
-        self._scan_left = self._scan_left or self._table.names()
-        for engine in self._scan_left[: self._settings.scan_engines]:
+        """Start tracking owned engines that sent no heartbeat here so far; checks a few engines per call."""
+        self._scan_queue = self._scan_queue or self._table.engine_ids()
+        for engine in self._scan_queue[: self._settings.scan_engines]:
             entry = self._table.get(engine)
             if entry is None or entry.status in (EngineStatus.LOST, EngineStatus.LEFT):
                 continue
-            if engine not in self._heartbeats and self._own in self._owners.of(engine):
+            if engine not in self._heartbeats and self._own in self._owners.owners_of(engine):
                 self._heartbeats.record(wire.EngineIncarnation(engine, entry.record.incarnation), now)
-        del self._scan_left[: self._settings.scan_engines]
+        del self._scan_queue[: self._settings.scan_engines]
 
     def _count_vote(
         self,
@@ -134,7 +140,7 @@
         now: float,
     ) -> None:
         votes = self._heartbeats.add_vote(voter, incarnation_id, now)
-        if votes < self._owners.needed_votes() or not self.connected:
+        if votes < self._owners.required_votes() or not self.connected:
             return
         self._heartbeats.forget(incarnation_id.engine)
         result.changes.append(_health_changed(entry))
--- a/src/springmux/agent/directory/entry.py
+++ b/src/springmux/agent/directory/entry.py
@@ -1,13 +1,15 @@
-"""One back end's entry: counters that only rise, so that any two replicas merge into the newest state.
+"""Entry of one back end: its counters only increase, so that any two replicas merge into the newest state.
 
 The entry of one incarnation is a join-semilattice (Shapiro et al. 2011, conflict-free replicated data
-types): each component has its own order, and a merge takes the larger of each. Who may raise which:
-
-* ``record``: the engine alone, by its ``sequence`` (version, capacity, address).
-* ``intent``: even is serving, odd is draining. The engine by drain, announcement, or heartbeat.
-* ``health``: even is heard, odd is lost. Owner nodes, by one step from what they know: two owners that
-  see the same write the same number; if one takes a further step, that one is the newer.
-* ``left``: the engine by leave; final for the incarnation.
+types): each component has its own order, and a merge takes the larger of each. Each component is
+changed by these parties only:
+
+* ``record`` (version, capacity, address): by the engine, which increases its ``sequence``.
+* ``intent``: even while serving, odd while draining. Increased by the engine's drain, announcement or
+  heartbeat.
+* ``health``: even while alive, odd while lost. Owner nodes increase the value that they know by one: two
+  owners that observe the same change write the same number, and a further change by either is newer.
+* ``left``: set when the engine leaves; final for the incarnation.
 """
 
 from __future__ import annotations
@@ -35,19 +37,19 @@
         return EngineStatus.DRAINING if self.intent % 2 else EngineStatus.READY
 
     def published(self) -> EngineRecord:
-        """Return the record for readers; its ``sequence`` rises with every change."""
+        """Return the record for readers; its ``sequence`` increases with every change."""
         sequence = self.record.sequence + self.intent + self.health + int(self.left)
         return msgspec.structs.replace(self.record, sequence=sequence, status=self.status)
 
 
-def bare(record: EngineRecord) -> EngineRecord:
+def with_status_ready(record: EngineRecord) -> EngineRecord:
     """Return ``record`` as entries store it, with status READY."""
     if record.status is EngineStatus.READY:
         return record
     return msgspec.structs.replace(record, status=EngineStatus.READY)
 
 
-def merged(one: DirectoryEntry, other: DirectoryEntry) -> DirectoryEntry:
+def merge_entries(one: DirectoryEntry, other: DirectoryEntry) -> DirectoryEntry:
     """Return the least upper bound of both entries; commutative, associative and idempotent."""
     if one.record.incarnation != other.record.incarnation:
         return one if one.record.incarnation > other.record.incarnation else other
@@ -64,26 +66,28 @@
     )
 
 
-def heard_again(
+def refresh_entry(
     known: DirectoryEntry, record: EngineRecord, draining: bool, announced: bool
 ) -> DirectoryEntry:
     """Return the entry after another announcement or heartbeat of the same incarnation.
 
-    Only an announcement reverts a drain; either reverts LOST.
+    Only an announcement reverts a drain; both revert LOST.
     """
     was_draining = known.intent % 2 == 1
     intent_changed = draining != was_draining and (draining or announced)
-    # A sequence that merely counts heartbeats is no change: only other fields are relayed.
-    same_fields = msgspec.structs.replace(bare(record), sequence=known.record.sequence) == known.record
+    # A sequence that only counts heartbeats is not a change: the record is relayed if other fields differ.
+    same_fields = (
+        msgspec.structs.replace(with_status_ready(record), sequence=known.record.sequence) == known.record
+    )
     newer = not same_fields and record.sequence >= known.record.sequence
     return DirectoryEntry(
-        record=bare(record) if newer else known.record,
+        record=with_status_ready(record) if newer else known.record,
         intent=known.intent + int(intent_changed),
         health=known.health + known.health % 2,
     )
 
 
-def stopped(entry: DirectoryEntry, left: bool) -> DirectoryEntry:
-    """Return the entry after the engine drained or left."""
+def stop_entry(entry: DirectoryEntry, left: bool) -> DirectoryEntry:
+    """Return the entry after the engine started draining or left."""
     intent = entry.intent + 1 - entry.intent % 2
     return msgspec.structs.replace(entry, intent=intent, left=entry.left or left)
--- a/src/springmux/agent/directory/forwarding.py
+++ b/src/springmux/agent/directory/forwarding.py
@@ -1,4 +1,4 @@
-"""Forwards heartbeats to the engines' owner nodes, batched and at most once a period each."""
+"""Forwards heartbeats to the engines' owner nodes in batches, at most one per engine and period."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 _BATCH_DELAY_S = 0.2
 _PERIOD_SLACK = 0.8
-"""Heartbeats jitter: one that comes a little early is still forwarded."""
+"""Fraction of the period after which a heartbeat is forwarded, because jitter makes some arrive early."""
 
 
 class HeartbeatForwarder:
-    """Batches the heartbeats that a node receives, for the owners of the engines."""
+    """Batches the heartbeats that this node receives from engines, per owner node."""
 
     def __init__(self, own: NodeId, owners: OwnerNodes, settings: DirectorySettings) -> None:
         self._own = own
@@ -31,11 +31,11 @@
         return self._due_at
 
     def add(self, incarnation_id: EngineIncarnation, now: float) -> None:
-        """Queue a heartbeat for the other owners: the engine sends it to this node only."""
+        """Queue a heartbeat for the other owners, because the engine sends it to this node only."""
         if now - self._forwarded_at.get(incarnation_id.engine, -NEVER) < self._period_s:
             return
         self._forwarded_at[incarnation_id.engine] = now
-        for owner in self._owners.of(incarnation_id.engine):
+        for owner in self._owners.owners_of(incarnation_id.engine):
             if owner != self._own:
                 self._pending.setdefault(owner, []).append(incarnation_id)
         if self._pending:
--- a/src/springmux/agent/directory/heartbeat_tracker.py
+++ b/src/springmux/agent/directory/heartbeat_tracker.py
@@ -1,4 +1,4 @@
-"""Heartbeat timeouts of the engines that a node owns, and the votes that decide them."""
+"""Heartbeat timeouts of the engines that a node owns, and the votes to mark them lost."""
 
 from __future__ import annotations
 
@@ -13,44 +13,48 @@
 
     def __init__(self, settings: DirectorySettings) -> None:
         self._settings = settings
-        self._heard_at: dict[EngineId, float] = {}
+        self._last_heartbeat_at: dict[EngineId, float] = {}
         self._votes: dict[EngineIncarnation, dict[NodeId, float]] = {}
 
     def __contains__(self, engine: EngineId) -> bool:
-        return engine in self._heard_at
+        return engine in self._last_heartbeat_at
 
     def record(self, incarnation_id: EngineIncarnation, now: float) -> None:
-        """Record a heartbeat."""
-        self._heard_at[incarnation_id.engine] = now
+        """Record a heartbeat; it discards all votes against this incarnation."""
+        self._last_heartbeat_at[incarnation_id.engine] = now
         self._votes.pop(incarnation_id, None)
 
-    def heard_within(self, engine: EngineId, within_s: float, now: float) -> bool:
+    def received_within(self, engine: EngineId, within_s: float, now: float) -> bool:
         """Return whether ``engine`` sent a heartbeat in the last ``within_s`` seconds.
 
-        Owners reply to a vote only where this is well under the timeout: otherwise two owners could
-        keep a dead engine alive by resetting each other's timer in turn.
+        An owner objects to a vote only if the last heartbeat is much more recent than the timeout: otherwise
+        two owners could keep a dead engine alive by resetting each other's timer in turn.
         """
-        heard_at = self._heard_at.get(engine)
-        return heard_at is not None and now - heard_at < within_s
+        last_heartbeat_at = self._last_heartbeat_at.get(engine)
+        return last_heartbeat_at is not None and now - last_heartbeat_at < within_s
 
-    def grant_grace(self, now: float) -> None:
-        """Restart every engine's timeout, after a time in which this node couldn't receive heartbeats."""
-        self._heard_at = dict.fromkeys(self._heard_at, now)
+    def restart_timeouts(self, now: float) -> None:
+        """Restart every engine's timeout after a period in which this node couldn't receive heartbeats."""
+        self._last_heartbeat_at = dict.fromkeys(self._last_heartbeat_at, now)
         self._votes.clear()
 
     def forget(self, engine: EngineId) -> None:
         """Stop tracking ``engine``."""
-        self._heard_at.pop(engine, None)
+        self._last_heartbeat_at.pop(engine, None)
         for voted in [each for each in self._votes if each.engine == engine]:
             del self._votes[voted]
 
     def unresponsive(self, now: float) -> list[EngineId]:
         """Return the engines whose last heartbeat is older than the timeout."""
         latest = now - self._settings.heartbeat_timeout_s
-        return [engine for engine, heard_at in self._heard_at.items() if heard_at <= latest]
+        return [
+            engine
+            for engine, last_heartbeat_at in self._last_heartbeat_at.items()
+            if last_heartbeat_at <= latest
+        ]
 
     def add_vote(self, voter: NodeId, incarnation_id: EngineIncarnation, now: float) -> int:
-        """Add a vote; return how many owners' votes are valid at ``now``."""
+        """Add a vote; return how many owners have a vote that is still valid at ``now``."""
         votes = self._votes.setdefault(incarnation_id, {})
         votes[voter] = now
         return sum(1 for voted_at in votes.values() if now - voted_at <= self._settings.vote_valid_s)
--- a/src/springmux/agent/directory/log_lines.py
+++ b/src/springmux/agent/directory/log_lines.py
@@ -1,4 +1,4 @@
-"""Log lines of the directory."""
+"""Log lines of the engine directory."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def status_log_line(before: DirectoryEntry | None, entry: DirectoryEntry) -> list[Effect]:
-    """Return the log line of a changed status; none if it is the same."""
+    """Return the log line of a status change; an empty list if the status is the same."""
     if before is not None and before.status is entry.status:
         return []
     level = LogLevel.WARNING if entry.status is EngineStatus.LOST else LogLevel.INFO
--- a/src/springmux/agent/directory/messages.py
+++ b/src/springmux/agent/directory/messages.py
@@ -10,7 +10,7 @@
 
 
 class EngineIncarnation(msgspec.Struct, frozen=True, array_like=True):
-    """One incarnation of an engine."""
+    """Identifies one incarnation of an engine, that is one run of its process."""
 
     engine: EngineId
     incarnation: int
@@ -38,28 +38,31 @@
 
 
 class DirectoryDigest(PeerMessage, frozen=True, tag="DirectoryDigest"):
-    """Hash of the sender's directory. ``answer_wanted``: reply also if the receiver's is the same."""
+    """Hash of the sender's directory. ``reply_wanted``: the receiver replies even if its hash is equal."""
 
-    root: int
-    answer_wanted: bool = False
+    root_hash: int
+    reply_wanted: bool = False
 
 
 class DirectoryInSync(PeerMessage, frozen=True, tag="DirectoryInStep"):
-    """Reply to a digest: the sender has the same directory, and isn't catching up itself."""
+    """Reply to an equal digest by a node whose directory is complete."""
 
 
 class DirectoryBuckets(PeerMessage, frozen=True, tag="DirectoryBuckets"):
-    """Reply to a digest that differs: the hash of each bucket, four bytes each."""
+    """Reply to a digest that differs: the concatenated hashes of all buckets, four bytes per bucket."""
 
-    hashes: bytes
+    bucket_hashes: bytes
 
 
 class DirectoryEntries(PeerMessage, frozen=True, tag="DirectoryEntries"):
-    """The sender's entries of ``buckets``; with ``answer_wanted`` the receiver returns its newer ones."""
+    """The sender's entries of ``buckets``.
+
+    With ``reply_wanted`` the receiver replies with its own entries of these buckets that differ.
+    """
 
     entries: tuple[DirectoryEntry, ...]
     buckets: tuple[int, ...] = ()
-    answer_wanted: bool = False
+    reply_wanted: bool = False
 
 
 MESSAGES: tuple[type[PeerMessage], ...] = (
--- a/src/springmux/agent/directory/owner_nodes.py
+++ b/src/springmux/agent/directory/owner_nodes.py
@@ -1,4 +1,4 @@
-"""Owner nodes: which nodes monitor an engine's heartbeats."""
+"""Assignment of engines to owner nodes, which monitor their heartbeats."""
 
 from __future__ import annotations
 
@@ -10,7 +10,10 @@
 
 
 class OwnerNodes:
-    """Owners of engines by rendezvous hash over the nodes that stay, in different zones; computed lazily."""
+    """Chooses owners in different zones by rendezvous hashing over the nodes that aren't leaving.
+
+    Owners are computed on first use and cached until the nodes change.
+    """
 
     def __init__(self, own: NodeId, settings: DirectorySettings) -> None:
         self._own = own
@@ -22,16 +25,16 @@
 
     @property
     def zones(self) -> dict[NodeId, ZoneName]:
-        """Return the present nodes with their zones."""
+        """Return the zone of each present node."""
         return self._zones
 
     @property
     def own_zone(self) -> ZoneName:
-        """Return the own zone; a node that has left isn't present any more but still relays."""
+        """Return this node's zone, also after it has left: it is no longer present but still relays."""
         return self._own_zone
 
-    def set_view(self, view: MembershipView) -> None:
-        """Set the present nodes. Only those that stay become owners, unless none does."""
+    def update_view(self, view: MembershipView) -> None:
+        """Update the present nodes. Nodes that are leaving become owners only if all nodes are leaving."""
         zones = {record.node: record.zone for record in view.present()}
         candidates = {record.node: record.zone for record in view.staying()} or zones
         if (zones, candidates) != (self._zones, self._candidates):
@@ -40,7 +43,7 @@
             self._own_zone = zones.get(self._own, self._own_zone)
             self._cache.clear()
 
-    def of(self, engine: EngineId) -> tuple[NodeId, ...]:
+    def owners_of(self, engine: EngineId) -> tuple[NodeId, ...]:
         """Return the owner nodes of ``engine``."""
         owners = self._cache.get(engine)
         if owners is None:
@@ -53,6 +56,6 @@
         """Drop the cached owners of a removed engine."""
         self._cache.pop(engine, None)
 
-    def needed_votes(self) -> int:
-        """Return how many owners must vote an engine unresponsive to mark it lost."""
+    def required_votes(self) -> int:
+        """Return how many owners must vote that an engine is unresponsive before it is marked lost."""
         return min(2, len(self._candidates))
--- a/src/springmux/agent/directory/settings.py
+++ b/src/springmux/agent/directory/settings.py
@@ -6,37 +6,40 @@
 
 
 class DirectorySettings(msgspec.Struct, frozen=True):
-    """Timing and bounds; a change reaches every node within 2 s."""
+    """Timing and bounds under which a change reaches every node within 2 s."""
 
     owners_per_engine: int = 3
     forward_period_s: float = 1.0
-    """Heartbeats come about once a second; at most one is forwarded per engine and period."""
+    """At most one heartbeat per engine is forwarded in this period; engines send about one per second."""
     heartbeat_timeout_s: float = 3.0
     vote_period_s: float = 0.5
     vote_valid_s: float = 1.5
-    """Three vote periods, so that one lost vote doesn't keep a lost engine ready."""
+    """How long a vote counts: three vote periods, so that one lost vote doesn't keep a lost engine ready."""
     votes_per_message: int = 100
     digest_period_s: float = 1.0
     repair_period_s: float = 0.15
-    """While an exchange found differences: a new node fills its directory bucket by bucket."""
+    """Delay of the next digest after an exchange that found differences, which is short because a new node
+    receives its directory bucket by bucket."""
     buckets_per_exchange: int = 64
     entries_per_message: int = 100
     relay_fanout: int = 6
     relay_trees: int = 2
-    """A second tree with another salt: at 5% loss one tree misses about an eighth of 360 nodes."""
+    """Each change is relayed over two trees with different salts, because at 5% message loss one tree misses
+    about an eighth of 360 nodes."""
     scan_period_s: float = 0.5
     scan_engines: int = 4
     """Engines whose owners are looked up per scan: 2,900 engines take about 6 minutes."""
     batch_from_engines: int = 256
-    """Up to this count every change is relayed and published at once."""
+    """Up to this number of engines every change is relayed and published immediately."""
     batch_s_per_engine: float = 5e-5
-    """Above it, changes are batched: building a view takes time in proportion to its engines.
-    At 2,900 engines this is 0.15 s, well within the 2 s."""
+    """Batching delay per engine above ``batch_from_engines``, because the time to build a view grows with the
+    number of engines. At 2,900 engines the delay is 0.15 s, well within the 2 s."""
     pause_s: float = 1.5
     loads_period_s: float = 1.0
     catch_up_s: float = 1.0
-    """After a partition a node isn't ready until its directory is in sync, or this has passed."""
+    """After a partition a node isn't ready until its directory is in sync or this time has passed."""
     catch_up_nodes: int = 3
     forget_left_s: float = 600.0
     forget_lost_s: float = 3600.0
-    """An engine away for longer announces itself again; names used once mustn't accumulate."""
+    """Engines that left or are lost are removed after these times, because names that are used once must not
+    accumulate. An engine that returns later announces itself again."""
--- a/src/springmux/agent/directory/stops.py
+++ b/src/springmux/agent/directory/stops.py
@@ -1,4 +1,4 @@
-"""Engine events out of order: a stop before its engine is known, an old announcement after a drain."""
+"""Reordering of engine events: a stop before its engine is known, an old announcement after a drain."""
 
 from __future__ import annotations
 
@@ -7,16 +7,17 @@
 from springmux.vocabulary.names import EngineId
 
 _EARLY_STOP_TTL_S = 5.0
-"""A drain or leave can reach a node before the announcement does; more than twice the relay time."""
+"""How long a stop that arrives before its announcement is buffered; more than twice the relay time."""
 _EARLY_STOPS_MAX = 1024
-"""Far above the engines that a node hears stop within that time; bounds what made-up names can fill."""
+"""Far more than the engines that stop within that time; bounds the memory that invented names can occupy."""
 _LATE_ANNOUNCEMENT_S = 10.0
-"""A node that froze with an announcement in its buffers learns of a later drain just before or after it.
-This is well above what TCP and a client's time limit can hold a request back."""
+"""How long after a drain an announcement may be an older one. A node that was paused with an announcement in
+its buffers receives a later drain shortly before or after it. The value is well above the time for which TCP
+and a client's timeout can delay a request."""
 
 
 class Stop(msgspec.Struct, frozen=True):
-    """A drain or leave. ``incarnation`` 0: the engine didn't name the incarnation."""
+    """A drain or leave. ``incarnation`` is 0 if the engine didn't state it; the stop then applies to any."""
 
     left: bool
     incarnation: int = 0
@@ -27,14 +28,14 @@
 
 
 class PendingStop(msgspec.Struct, frozen=True):
-    """A stop whose engine isn't known yet, valid until a time."""
+    """A stop whose engine isn't known yet, valid until the local time ``until``."""
 
     stop: Stop
     until: float
 
 
 class StopReorderBuffer:
-    """Buffers stops that came early and recent drains; both expire after seconds."""
+    """Buffers stops that arrived before their engine was known, and recent drains, for a few seconds."""
 
     def __init__(self) -> None:
         self._early: dict[EngineId, PendingStop] = {}
@@ -58,11 +59,11 @@
         return early.stop
 
     def record_drain(self, engine: EngineId, now: float) -> None:
-        """Record that this node just learned of a drain of ``engine``."""
+        """Record that this node received a drain of ``engine`` at ``now``."""
         self._drained_at[engine] = now
 
     def is_late(self, engine: EngineId, now: float) -> bool:
-        """Return whether an announcement may be older than the drain that this node just learned of."""
+        """Return whether an announcement may be older than a drain that this node received recently."""
         drained_at = self._drained_at.get(engine)
         return drained_at is not None and now - drained_at < _LATE_ANNOUNCEMENT_S
 
--- a/src/springmux/agent/directory/table.py
+++ b/src/springmux/agent/directory/table.py
@@ -1,4 +1,4 @@
-"""The table of entries with incremental bucket hashes, and the view over it."""
+"""Table of directory entries with incremental bucket hashes, and the immutable view that it publishes."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 import msgspec
 import xxhash
 
-from springmux.agent.directory.entry import DirectoryEntry, merged
+from springmux.agent.directory.entry import DirectoryEntry, merge_entries
 from springmux.agent.directory.settings import DirectorySettings
 from springmux.vocabulary.engines import EngineLoad, EngineRecord, EngineStatus, EnginesView
 from springmux.vocabulary.names import EngineId
 
 BUCKETS = 256
-"""1 KB of bucket hashes; at 2,900 engines a bucket has about 11 entries (1 KB)."""
+"""Number of hash buckets: the hashes take 1 KB, and at 2,900 engines a bucket has about 11 entries (1 KB)."""
 _HASH_BYTES = 4
-GONE = (EngineStatus.LEFT, EngineStatus.LOST)
+GONE_STATUSES = (EngineStatus.LEFT, EngineStatus.LOST)
 
 
 def bucket_of(engine: EngineId) -> int:
@@ -27,8 +27,8 @@
 class DirectoryTable:
     """All entries that a node knows.
 
-    Those of engines that left or are lost aren't hashed and aren't merged where they are unknown: they
-    expire at different times, and so die out.
+    Nodes expire the entries of engines that left or are lost at different times. Such entries aren't hashed,
+    and a node that doesn't know the engine ignores them, so that expired entries don't return.
     """
 
     def __init__(self) -> None:
@@ -41,7 +41,7 @@
         self._hashes_on_wire = bytes(_HASH_BYTES * BUCKETS)
         self._root = xxhash.xxh64_intdigest(self._hashes_on_wire)
         self._hashes_changed = False
-        self._members: list[set[EngineId]] = [set() for _ in range(BUCKETS)]
+        self._engines_by_bucket: list[set[EngineId]] = [set() for _ in range(BUCKETS)]
         self._view: EnginesView | None = None
         self.entries_changed = False
         self.loads_changed = False
@@ -53,17 +53,17 @@
         """Return the entry of ``engine``, if known."""
         return self._entries.get(engine)
 
-    def names(self) -> list[EngineId]:
-        """Return all known engines, those that left too."""
+    def engine_ids(self) -> list[EngineId]:
+        """Return all known engines, including those that left."""
         return list(self._entries)
 
     def merge(self, entry: DirectoryEntry, now: float) -> bool:
-        """Merge ``entry`` in; return whether that changed the table."""
+        """Merge ``entry`` into the table; return whether the table changed."""
         engine = entry.record.engine
         known = self._entries.get(engine)
-        if known is None and entry.status in GONE:
+        if known is None and entry.status in GONE_STATUSES:
             return False
-        newest = entry if known is None else merged(known, entry)
+        newest = entry if known is None else merge_entries(known, entry)
         if newest == known:
             return False
         if known is None or known.record.incarnation != newest.record.incarnation:
@@ -76,38 +76,40 @@
         bucket = bucket_of(engine)
         self._hashes[bucket] ^= _entry_hash(known) ^ _entry_hash(entry)
         self._hashes_changed = True
-        self._members[bucket].add(engine)
+        self._engines_by_bucket[bucket].add(engine)
         self._entries[engine] = entry
         self._published[engine] = entry.published()
-        if entry.status not in GONE:
+        if entry.status not in GONE_STATUSES:
             self._gone_at.pop(engine, None)
         elif known is None or known.status is not entry.status:
             self._gone_at[engine] = now
         self.entries_changed = True
 
     def put_load(self, load: EngineLoad) -> None:
-        """Store a load hint; it isn't relayed to other nodes."""
+        """Store the load that an engine reported; it isn't relayed to other nodes."""
         self._loads[load.engine] = load
         self.loads_changed = True
 
-    def forget_gone(self, now: float, settings: DirectorySettings) -> list[EngineId]:
-        """Drop engines that left or are lost for long; return them."""
+    def remove_expired(self, now: float, settings: DirectorySettings) -> list[EngineId]:
+        """Remove engines that left or were lost longer ago than the settings allow; return them."""
         keep_s = {EngineStatus.LEFT: settings.forget_left_s, EngineStatus.LOST: settings.forget_lost_s}
-        old = [e for e, gone_at in self._gone_at.items() if now - gone_at >= keep_s[self._entries[e].status]]
-        for engine in old:
+        expired = [
+            e for e, gone_at in self._gone_at.items() if now - gone_at >= keep_s[self._entries[e].status]
+        ]
+        for engine in expired:
             for mapping in (self._entries, self._published, self._first_seen_at, self._gone_at, self._loads):
                 mapping.pop(engine, None)
-            self._members[bucket_of(engine)].discard(engine)
+            self._engines_by_bucket[bucket_of(engine)].discard(engine)
             self.entries_changed = True
-        return old
+        return expired
 
-    def root(self) -> int:
-        """Return the hash of the complete directory."""
+    def root_hash(self) -> int:
+        """Return the hash of all bucket hashes."""
         self._refresh_hashes()
         return self._root
 
-    def hashes(self) -> bytes:
-        """Return the bucket hashes."""
+    def bucket_hashes(self) -> bytes:
+        """Return the concatenated bucket hashes in wire format."""
         self._refresh_hashes()
         return self._hashes_on_wire
 
@@ -118,23 +120,23 @@
         self._root = xxhash.xxh64_intdigest(self._hashes_on_wire)
         self._hashes_changed = False
 
-    def differing(self, theirs: bytes) -> list[int]:
+    def differing_buckets(self, theirs: bytes) -> list[int]:
         """Return the buckets whose hashes differ from ``theirs``."""
-        own = self.hashes()
+        own = self.bucket_hashes()
         slices = (slice(i * _HASH_BYTES, (i + 1) * _HASH_BYTES) for i in range(BUCKETS))
         return [index for index, bucket in enumerate(slices) if own[bucket] != theirs[bucket]]
 
-    def in_buckets(self, buckets: Iterable[int]) -> list[DirectoryEntry]:
+    def entries_in_buckets(self, buckets: Iterable[int]) -> list[DirectoryEntry]:
         """Return the entries of ``buckets``."""
         return [
             self._entries[engine]
             for bucket in buckets
             if 0 <= bucket < BUCKETS
-            for engine in sorted(self._members[bucket])
+            for engine in sorted(self._engines_by_bucket[bucket])
         ]
 
     def view(self) -> EnginesView:
-        """Return the view; the same object while nothing changed."""
+        """Return the immutable view; the same object as long as nothing changed."""
         if self._view is None or self.entries_changed or self.loads_changed:
             self._view = EnginesView(
                 engines=MappingProxyType(dict(self._published)),
@@ -146,6 +148,6 @@
 
 
 def _entry_hash(entry: DirectoryEntry | None) -> int:
-    if entry is None or entry.status in GONE:
+    if entry is None or entry.status in GONE_STATUSES:
         return 0
     return xxhash.xxh32_intdigest(msgspec.msgpack.encode(entry))
--- a/src/springmux/agent/effect_dispatcher.py
+++ b/src/springmux/agent/effect_dispatcher.py
@@ -1,4 +1,4 @@
-"""Routes each effect of a component: to another component of the same node, or out to the driver."""
+"""Routes the effects of components to other components of the same node or to the driver."""
 
 from __future__ import annotations
 
@@ -34,10 +34,10 @@
 from springmux.rollout import messages as rollout_messages
 
 OWN_CORRELATION_ID = ""
-"""Correlation id of the node's own orders; nobody waits for their replies."""
+"""Correlation id of orders that the node itself submits; their results are ignored."""
 
 EffectHandler = Callable[[Any, float], list[Effect]]
-"""Executes one effect at a time; returns effects for the driver. Each handler takes its own effect type."""
+"""Executes one effect and returns effects for the driver. Each handler accepts its own effect type."""
 
 
 class EffectDispatcher:
@@ -52,7 +52,7 @@
         self._receivers = _message_receivers(components)
 
     def register(self, handlers: Mapping[type[Effect], EffectHandler]) -> None:
-        """Add handlers of effects that concern this node itself."""
+        """Add handlers for effects that this node executes itself."""
         self._handlers.update(handlers)
 
     def deliver(self, component: StateMachine, event: Event, now: float) -> list[Effect]:
@@ -70,15 +70,15 @@
         if receiver is not None:
             return self.deliver(receiver, event, now)
         if isinstance(event.message, agent_messages.MESSAGES):
-            return self.execute(self.group.receive(event.message, now), now)
+            return self.execute(self.group.handle_message(event.message, now), now)
         return []
 
     def submit_order(self, command: AnyCommand, now: float) -> list[Effect]:
-        """Submit one of the node's own orders."""
+        """Submit an order of the node itself."""
         return self.deliver(self.components.orders, SubmitOrder(OWN_CORRELATION_ID, command), now)
 
     def execute(self, effects: list[Effect], now: float) -> list[Effect]:
-        """Execute the effects that concern components of this node; return the others, in order."""
+        """Execute the effects that have a handler; return the others in order, for the driver."""
         if not effects:
             return effects
         outside: list[Effect] = []
--- a/src/springmux/agent/effects.py
+++ b/src/springmux/agent/effects.py
@@ -1,4 +1,4 @@
-"""Effects of the whole node beside ``Send``, ``LogLine`` and the replica's storage effects."""
+"""Effects of the agent in addition to ``Send``, ``LogLine`` and the replica's storage effects."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class OrderAnswered(Effect, frozen=True):
-    """An operator's order was decided (``result``), or not (``error``, typed, with a time to retry)."""
+    """An operator's order was decided (``result``) or not (``error``, with a time after which to retry)."""
 
     correlation_id: str
     result: CommandResult | None
@@ -33,7 +33,7 @@
 
 
 class ClaimAnswered(Effect, frozen=True):
-    """A claim was decided."""
+    """The claim requested under ``correlation_id`` was decided."""
 
     correlation_id: str
     decision: ClaimDecision
@@ -42,7 +42,7 @@
 class ControlChanged(Effect, frozen=True):
     """A newer control state is in force at this node; read it from ``agent.view``.
 
-    ``gateway_version``: of the gateway's configuration in it. ``arrival``: how its newest command came here.
+    ``gateway_version``: version of its gateway configuration. ``arrival``: how its newest command arrived.
     """
 
     revision: Revision
@@ -51,26 +51,26 @@
 
 
 class FlowsRevoked(Effect, frozen=True):
-    """Give these running requests ``KeyRevoked``: their key or tenant is no longer valid."""
+    """Deliver ``KeyRevoked`` to these running requests: their key or tenant is no longer valid."""
 
     flows: tuple[RequestFlow, ...]
 
 
 class ReadinessChanged(Effect, frozen=True):
-    """The node became ready or not; ``reason`` says why not."""
+    """The node's readiness or its reason changed. ``reason`` is empty while the node is ready."""
 
     ready: bool
     reason: str
 
 
 class WriteSnapshot(Effect, frozen=True):
-    """Store a serialized control state as snapshot ``meta``, then give back ``SnapshotTaken``."""
+    """Store a serialized control state as snapshot ``meta``, then return the event ``SnapshotTaken``."""
 
     meta: SnapshotMeta
     data: bytes
 
 
 class PrepareCommands(Effect, frozen=True):
-    """Call ``agent.control.prepare`` for these off the event loop, then give back ``CommandsPrepared``."""
+    """Call ``agent.control.prepare`` for each off the event loop, then return ``CommandsPrepared``."""
 
     commands: tuple[bytes, ...]
--- a/src/springmux/agent/events.py
+++ b/src/springmux/agent/events.py
@@ -1,4 +1,4 @@
-"""Events of the whole node beside peer messages, ticks and the replica's storage events."""
+"""Events that the agent handles in addition to peer messages, ticks and the replica's storage events."""
 
 from __future__ import annotations
 
@@ -33,48 +33,48 @@
 
 
 class OrderSubmitted(Event, frozen=True):
-    """An operator's command came in at this node. ``correlation_id`` names it in ``OrderAnswered``."""
+    """An operator submitted a command at this node. ``OrderAnswered`` carries the same ``correlation_id``."""
 
     correlation_id: str
     command: AnyCommand
 
 
 class EngineAnnounced(Event, frozen=True):
-    """A back end said that it is there (first announce or again after a change)."""
+    """A back end announced itself: at its start, or again after a change."""
 
     record: EngineRecord
 
 
 class EngineHeartbeat(Event, frozen=True):
-    """A back end's heartbeat. The record's status and version may differ from what is known."""
+    """A back end sent a heartbeat. The record's status and version may differ from the known record."""
 
     record: EngineRecord
     load: EngineLoad
 
 
 class EngineDraining(Event, frozen=True):
-    """A back end takes no new requests; running ones finish. ``incarnation`` 0: not named."""
+    """A back end accepts no new requests; running ones finish. ``incarnation`` is 0 if it wasn't stated."""
 
     engine: EngineId
     incarnation: int = 0
 
 
 class EngineLeft(Event, frozen=True):
-    """A back end is gone for good. ``incarnation`` as in :class:`EngineDraining`."""
+    """A back end left permanently. ``incarnation`` as in :class:`EngineDraining`."""
 
     engine: EngineId
     incarnation: int = 0
 
 
 class ClaimRequested(Event, frozen=True):
-    """A request wants an at-most-once claim. ``correlation_id`` is unique to the attempt."""
+    """A request needs an at-most-once claim. ``correlation_id`` is unique to the attempt."""
 
     correlation_id: str
     claim_key: str
 
 
 class ClaimSettled(Event, frozen=True):
-    """A claimed request ended (see ``router.effects.SettleClaim``)."""
+    """A claimed request ended; for the fields see :class:`springmux.router.effects.SettleClaim`."""
 
     correlation_id: str
     claim_key: str
@@ -90,36 +90,36 @@
 
 
 class CommandsPrepared(Event, frozen=True):
-    """The large commands of ``PrepareCommands`` are parsed; applying them is quick now."""
+    """The large commands of ``PrepareCommands`` are parsed, so that they can be applied quickly."""
 
 
 class StopBegun(Event, frozen=True):
-    """The node is stopping: hand over leadership and duties.
+    """The node is stopping and transfers leadership and its other duties.
 
-    It finishes requests until :class:`StopFinished`, so it still receives all updates.
+    It finishes requests until :class:`StopFinished`, so it still needs all updates.
     """
 
 
 class StopFinished(Event, frozen=True):
-    """The node's requests are finished and its process is about to end: say LEFT to the fleet."""
+    """The node's requests are finished and its process is about to end; the fleet must learn that it left."""
 
 
 class ControllerRemovalRequested(Event, frozen=True):
-    """An operator removes a replica from the control group."""
+    """An operator requested the removal of a replica from the control group."""
 
     correlation_id: str
     replica: str
 
 
 class LeadershipTransferRequested(Event, frozen=True):
-    """An operator moves leadership."""
+    """An operator requested a leadership transfer, to any replica if ``target`` is empty."""
 
     correlation_id: str
     target: str = ""
 
 
 class AgentSettings(msgspec.Struct, frozen=True):
-    """What the agent needs of the node's settings. ``seeds``: peer addresses of other processes."""
+    """The node settings that the agent uses. ``seeds``: peer addresses of nodes to contact first."""
 
     node: NodeId
     zone: str
@@ -131,16 +131,16 @@
     controllers_expected: int = 3
     routes: bool = True
     losses_tolerated: int | None = None
-    """f: the control group keeps 2f + 1 voters, and is founded by as many, instead of by
-    ``controllers_expected``."""
+    """Number f of replicas that may be lost: the control group is founded by 2f + 1 voters and keeps as many,
+    instead of ``controllers_expected``."""
     first_start: bool = True
-    """Whether this is the first start of the whole system. Else an empty replica only joins, never founds."""
+    """Whether this is the first start of the whole system. If not, an empty replica only joins a group."""
     revocation_s: float | None = None
-    """Within this time of the acknowledgement a key that was taken away is refused everywhere, by nodes out
-    of contact too; ``None``: no such promise."""
+    """Maximum time from the acknowledgement of a key's removal until every node rejects the key, including
+    nodes out of contact; ``None`` if this isn't guaranteed."""
     contact_s: float = 3.0
-    """After this time without a disturbance a node counts as in contact with the fleet. So long a restarted
-    node that remembers peers waits to hear from them before it proposes orders."""
+    """After this time without a disturbance a node counts as in contact with the fleet. A restarted node that
+    remembers peers waits this long for messages from them before it proposes orders."""
 
     @property
     def voters(self) -> int:
--- a/src/springmux/agent/fleet_handlers.py
+++ b/src/springmux/agent/fleet_handlers.py
@@ -1,4 +1,4 @@
-"""Executes effects on the fleet's nodes, engines, claims and rollouts."""
+"""Handlers for effects on membership, engines, claims and rollouts."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class FleetHandlers:
-    """Distributes changes of the membership and of the directory; answers claims; orders rollout steps."""
+    """Distributes changes of membership and directory, returns claim decisions, and submits rollout steps."""
 
     def __init__(self, dispatcher: EffectDispatcher, leadership: LeadershipHandlers) -> None:
         self._dispatcher = dispatcher
--- a/src/springmux/agent/group_orders.py
+++ b/src/springmux/agent/group_orders.py
@@ -1,4 +1,7 @@
-"""Operators' requests to the control group: transfer leadership, remove a replica. Any node forwards them."""
+"""Operators' requests to the control group: transfer leadership, remove a replica.
+
+Any node accepts them and forwards them to the leader.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +21,7 @@
 
 
 class GroupOrders:
-    """Forwards requests to the leader's replica. The status page shows the outcome."""
+    """Forwards requests to the leader's replica. Operators see the outcome on the status page."""
 
     def __init__(self, own: NodeId, replica: Replica | None) -> None:
         self._own = own
@@ -32,8 +35,8 @@
         """Forward the request to remove a replica."""
         return self._forward(event.correlation_id, RemoveReplicaRequest(event.replica), leader, now)
 
-    def receive(self, message: PeerMessage, now: float) -> list[Effect]:
-        """Execute a request at the leader; elsewhere it is dropped, and the operator sees no change."""
+    def handle_message(self, message: PeerMessage, now: float) -> list[Effect]:
+        """Execute a request if this replica leads; otherwise drop it, and the operator sees no change."""
         replica = self._replica
         if replica is None or not replica.leading:
             return []
@@ -52,16 +55,16 @@
         self, correlation_id: str, message: PeerMessage, leader: NodeId | None, now: float
     ) -> list[Effect]:
         if leader is None:
-            text = "no leader is known; ask again shortly"
+            text = "no leader is known; retry shortly"
             error = ApiError(ErrorCode.NO_QUORUM, text, 503, retry_after_s=RETRY_AFTER_S)
             return [OrderAnswered(correlation_id, None, error)]
         accepted = CommandResult(
             order=OrderId(correlation_id),
             outcome=Outcome.ACCEPTED,
             revision=Revision(0),
-            message=f"handed to the leader {leader}",
+            message=f"forwarded to the leader {leader}",
         )
         answered = OrderAnswered(correlation_id, accepted)
         if leader == self._own:
-            return [*self.receive(message, now), answered]
+            return [*self.handle_message(message, now), answered]
         return [Send(leader, message), answered]
--- a/src/springmux/agent/leader_tasks.py
+++ b/src/springmux/agent/leader_tasks.py
@@ -1,4 +1,4 @@
-"""Periodic tasks of the leader's node: maintain the claim ring, have a quorum confirm its leadership."""
+"""Periodic tasks of the leader's node: maintain the claim ring, and have a quorum confirm the leadership."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from springmux.coordination.state_machine import NEVER
 
 BEACON_PERIOD_S = 0.4
-"""Pace at which a leader has a quorum confirm it for the contact rule (``ContactSettings``)."""
+"""Period at which a leader has a quorum confirm its leadership for the contact rule (``ContactSettings``)."""
 
 
 class BeaconReadId(str):
-    """Correlation id of a read point requested for the beacon; never leaves the node."""
+    """Correlation id of a read that is requested for the leader beacon; never sent to other nodes."""
 
     __slots__ = ()
 
 
 class LeaderTasks:
-    """Idle on every node but the leader's."""
+    """Schedules the tasks of the leader; does nothing on other nodes."""
 
     def __init__(self) -> None:
         self._ring_manager = ClaimRingManager()
@@ -31,12 +31,12 @@
         self._read_requested_at = 0.0
 
     def next_deadline(self) -> float:
-        """Return when a task is due."""
+        """Return when the next task is due."""
         return min(self._ring_manager.next_deadline(), self._beacon_at)
 
-    def lead(self, leading: bool, now: float) -> None:
-        """Start or stop the tasks as this node becomes the leader or no longer is."""
-        self._ring_manager.lead(leading, now)
+    def set_leading(self, leading: bool, now: float) -> None:
+        """Start the tasks when this node becomes the leader; stop them when it no longer leads."""
+        self._ring_manager.set_leading(leading, now)
         self._beacon_at = now if leading else NEVER
 
     def ring_change(self, control: ControlView, view: MembershipView, now: float) -> SetClaimRing | None:
@@ -45,7 +45,7 @@
         return self._ring_manager.step(control.claim_ring, view, now, configured)
 
     def beacon_read(self, now: float) -> ConfirmRead | None:
-        """Return the read request whose confirmation proves the quorum, if it is due."""
+        """Return a read request if one is due; its confirmation proves that a quorum follows this leader."""
         if now < self._beacon_at:
             return None
         self._beacon_at = now + BEACON_PERIOD_S
@@ -54,7 +54,7 @@
         return ConfirmRead(self._read_id)
 
     def beacon(self, read_id: BeaconReadId, term: Term, now: float) -> LeaderBeacon | None:
-        """Return the beacon of the newest confirmed read; ``None`` for older ones."""
+        """Return the beacon for a confirmed read; ``None`` if a newer read has been requested."""
         if read_id != self._read_id:
             return None
         return LeaderBeacon(term, now - self._read_requested_at)
--- a/src/springmux/agent/leadership_handlers.py
+++ b/src/springmux/agent/leadership_handlers.py
@@ -1,4 +1,4 @@
-"""Distributes to the components of a node who leads the control log and which controllers may found it."""
+"""Distributes the leader of the control log and the founding candidates to the components of a node."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class LeadershipHandlers:
-    """Owns what the node knows of the leader, and the tasks that it has while it leads."""
+    """Owns the node's knowledge of the leader, and the tasks that it runs while it leads."""
 
     def __init__(self, own: NodeId, dispatcher: EffectDispatcher) -> None:
         self.tasks = LeaderTasks()
@@ -27,7 +27,7 @@
         self._dispatcher = dispatcher
         self._components = dispatcher.components
         self._group_exists = False
-        """Some node has a control state, so a control group exists and none may be founded."""
+        """Whether some node has a control state, so that a control group exists and none may be founded."""
         self._candidates_announced = False
 
     @property
@@ -43,23 +43,23 @@
         }
 
     def observe_leader(self, term: Term, leader: NodeId, now: float) -> list[Effect]:
-        """Handle the leader that a peer's envelope names."""
+        """Handle the leader named in a peer's envelope."""
         if not self._knowledge.observe(term, leader):
             return []
         return self._announce_leadership(now)
 
     def observe_control_state(self, now: float) -> list[Effect]:
-        """Handle the first sign of a control state at any node."""
+        """Handle evidence that some node has a control state; only the first one has an effect."""
         if self._group_exists:
             return []
         self._group_exists = True
         return self.announce_candidates(now)
 
     def announce_candidates(self, now: float) -> list[Effect]:
-        """Give the own replica the present controllers, and whether a group exists.
+        """Announce the present controllers to the node's own replica, and whether a control group exists.
 
-        It gets none before this node was in contact with a majority of the known nodes, and none once the
-        node is partitioned: a wiped machine must not found a group with others like it.
+        No candidates are announced before this node was in contact with a majority of the known nodes, and
+        none while it is partitioned: a wiped machine must not found a group with others like it.
         """
         if self._components.replica is None:
             return []
@@ -79,7 +79,7 @@
 
     def _announce_leadership(self, now: float) -> list[Effect]:
         known, components, deliver = self.known, self._components, self._dispatcher.deliver
-        self.tasks.lead(known.leading, now)
+        self.tasks.set_leading(known.leading, now)
         effects = deliver(components.delivery, known, now)
         effects += deliver(components.freshness, known, now)
         effects += deliver(components.orders, known, now)
@@ -89,7 +89,7 @@
     def _on_replica_leadership(self, effect: raft.LeadershipChanged, now: float) -> list[Effect]:
         replica = self._components.replica
         leader = replica.leader_node() if replica is not None and effect.leader is not None else None
-        if not self._knowledge.from_replica(effect.term, leader, effect.leading):
+        if not self._knowledge.observe_replica(effect.term, leader, effect.leading):
             return []
         return self._announce_leadership(now)
 
--- a/src/springmux/agent/log_position.py
+++ b/src/springmux/agent/log_position.py
@@ -1,4 +1,4 @@
-"""How far a node has followed the control log; the envelope of every peer message carries it."""
+"""Position of a node in the control log, sent in the envelope of every peer message."""
 
 from __future__ import annotations
 
--- a/src/springmux/agent/messages.py
+++ b/src/springmux/agent/messages.py
@@ -1,4 +1,4 @@
-"""The agent's own peer messages: operators' requests to the control group, forwarded to the leader."""
+"""Peer messages of the agent itself: operators' requests to the control group, forwarded to the leader."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class TransferLeadershipRequest(PeerMessage, frozen=True, tag="TransferWish"):
-    """Transfer leadership to ``target`` (a replica's identity), or to any where it is empty."""
+    """Transfer leadership to the replica with the id ``target``, or to any replica if it is empty."""
 
     target: str
 
 
 class RemoveReplicaRequest(PeerMessage, frozen=True, tag="RemovalWish"):
-    """Remove a replica from the control group."""
+    """Remove the replica with the id ``replica`` from the control group."""
 
     replica: str
 
--- a/src/springmux/agent/readiness.py
+++ b/src/springmux/agent/readiness.py
@@ -1,4 +1,4 @@
-"""Whether a node accepts requests, and if not, why: stopping, partitioned, or without the newest state."""
+"""Readiness of a node: it isn't ready while it is stopping, partitioned or without the newest state."""
 
 from __future__ import annotations
 
@@ -14,12 +14,13 @@
 FETCHING = "fetching the newest control state and directory"
 UNREADABLE = "the control state needs a newer program"
 CATCH_UP_LIMIT_S = 2.0
-"""How long a node that was partitioned waits for the leader's confirmation and for a peer's newer state:
-there may be no leader, and the peer may be gone. A fleet without a leader continues with its last state."""
+"""Limit for how long a node waits after a partition for the leader's confirmation and for a peer's newer
+state: there may be no leader, and the peer may be gone. A fleet without a leader continues with its last
+state."""
 
 
 class Readiness:
-    """Readiness as of the last check."""
+    """Readiness at the time of the last check; ``reason`` is empty while the node is ready."""
 
     def __init__(self, components: NodeComponents, applier: StateApplier) -> None:
         self.stopping = False
@@ -58,19 +59,20 @@
     def _find_reason(self, now: float) -> str:
         if self.stopping:
             return STOPPING
-        if self._applier.unreadable:
+        if self._applier.unreadable_reason:
             return UNREADABLE
         if not self.connected:
             return CUT_OFF if self._was_connected else JOINING
         return "" if self._has_newest_state(now) else FETCHING
 
     def _has_newest_state(self, now: float) -> bool:
-        """Return whether the node has caught up with what it missed before this start or while partitioned.
+        """Return whether the node has caught up with what it missed before its start or while partitioned.
 
-        The missed state must be in force, not only received, and the directory complete.
+        The missed state must be in force, not only received, and the directory must be complete.
 
-        A large command that comes later doesn't count: it is parsed on all nodes at once, and
-        rejecting everything meanwhile would be worse than serving the last state a second longer.
+        A large command that arrives later doesn't make the node unready. All nodes parse it at the same
+        time, and rejecting requests meanwhile would be worse than serving the last state one second
+        longer.
         """
         confirmed = self._components.delivery.confirmed
         revision = self._applier.state.view().revision
--- a/src/springmux/agent/reporting.py
+++ b/src/springmux/agent/reporting.py
@@ -1,4 +1,4 @@
-"""Builds the status page's figures from the components."""
+"""Builds the report for the status page from the components."""
 
 from __future__ import annotations
 
@@ -13,33 +13,33 @@
 from springmux.coordination.identifiers import NodeId, Revision, ZoneName
 
 
-class Reported(Protocol):
-    """What is read of the agent itself."""
+class StatusSource(Protocol):
+    """The part of the agent that the report reads."""
 
     @property
     def ready(self) -> bool:
-        """Whether the node takes requests."""
+        """Whether the node accepts requests."""
         ...
 
     @property
     def not_ready_reason(self) -> str:
-        """Why it takes none."""
+        """Why the node rejects requests; empty while it accepts them."""
         ...
 
     @property
     def view(self) -> ControlView:
-        """Control state in force."""
+        """The control state in force at this node."""
         ...
 
 
 def build_status(
-    agent: Reported,
+    agent: StatusSource,
     components: NodeComponents,
     leadership: LeadershipKnown,
     revisions: Mapping[NodeId, Revision],
     now: float,
 ) -> NodeStatusReport:
-    """Return the figures at ``now``."""
+    """Return the report at ``now``."""
     membership = components.membership.view
     own = membership.nodes.get(membership.own)
     return NodeStatusReport(
--- a/src/springmux/agent/rollout_orders.py
+++ b/src/springmux/agent/rollout_orders.py
@@ -1,4 +1,4 @@
-"""Turns rollout proposals into commands whose order ids derive from rollout and step."""
+"""Converts rollout proposals into commands with order ids that are derived from rollout and step."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def command_for(proposal: RolloutProposal) -> AbortRollout | SetRolloutStep | FinishRollout:
-    """Return the command for ``proposal``; equal proposals make equal orders."""
+    """Return the command for ``proposal``; equal proposals have equal order ids."""
     if isinstance(proposal, ProposeAbort):
         return AbortRollout(
             order=OrderId(f"abort/{proposal.rollout}/{proposal.decision.decided_by}"),
--- a/src/springmux/agent/state_applier.py
+++ b/src/springmux/agent/state_applier.py
@@ -1,7 +1,7 @@
-"""Applies committed commands to the control state in order, without stalling the node.
+"""Applies committed commands to the control state in order without blocking the event loop.
 
 Parsing an 8 MiB configuration takes most of a second, longer than an election timeout. Large commands
-are therefore parsed off the event loop first; later work stays queued meanwhile.
+are therefore first parsed off the event loop; later work stays queued until then.
 """
 
 from __future__ import annotations
@@ -24,37 +24,37 @@
 from springmux.vocabulary.errors import SpringmuxError
 
 LARGE_COMMAND_BYTES = 64 * 1024
-"""Smaller documents parse within a few milliseconds."""
+"""Commands of this size or more are parsed off the event loop; smaller ones take a few milliseconds."""
 
 StateWork = ApplyCommands | ReplaceState | TakeSnapshot | ProvideSnapshot
 
 
 class AppliedWork(NamedTuple):
-    """Events for the other components, and effects for the driver."""
+    """Result of executed work: events for other components, and effects for the driver."""
 
     events: list[Event]
     effects: list[Effect]
 
 
 class StateApplier:
-    """Owns the control state; work on the complete state goes through its queue."""
+    """Owns the control state; work on the complete state is executed in order through one queue."""
 
     def __init__(self) -> None:
         self.state = ControlState()
         self._queue: deque[StateWork] = deque()
         self._preparing = False
         self._prepared = False
-        self.unreadable = ""
-        """Why nothing more is applied: a newer program wrote the next command. Empty otherwise."""
+        self.unreadable_reason = ""
+        """Why no more commands are applied: a newer program version wrote the next one. Empty otherwise."""
 
-    def take(self, work: StateWork) -> AppliedWork:
-        """Queue ``work`` and execute what is ready."""
-        if self.unreadable:
+    def enqueue(self, work: StateWork) -> AppliedWork:
+        """Queue ``work``, and execute all queued work that doesn't wait for parsing."""
+        if self.unreadable_reason:
             return AppliedWork([], [])
         self._queue.append(work)
         return self._drain_queue()
 
-    def prepared(self) -> AppliedWork:
+    def resume(self) -> AppliedWork:
         """Continue after the driver has parsed the commands at the head of the queue."""
         self._preparing = False
         self._prepared = True
@@ -63,7 +63,7 @@
     def _drain_queue(self) -> AppliedWork:
         events: list[Event] = []
         effects: list[Effect] = []
-        while self._queue and not self._preparing and not self.unreadable:
+        while self._queue and not self._preparing and not self.unreadable_reason:
             work = self._queue[0]
             large = () if self._prepared else _large_commands(work)
             if large:
@@ -79,10 +79,10 @@
         return AppliedWork(events, effects)
 
     def _stop_applying(self, error: SpringmuxError) -> Effect:
-        """Stop applying: skipping a command would make the state diverge from the other nodes'."""
-        self.unreadable = str(error)
+        """Stop applying: skipping a command would make the state diverge from that of other nodes."""
+        self.unreadable_reason = str(error)
         self._queue.clear()
-        return LogLine("control_state_unreadable", LogLevel.ERROR, {"reason": self.unreadable})
+        return LogLine("control_state_unreadable", LogLevel.ERROR, {"reason": self.unreadable_reason})
 
     def _execute(self, work: StateWork, events: list[Event], effects: list[Effect]) -> None:
         if isinstance(work, ApplyCommands):
--- a/src/springmux/agent/status.py
+++ b/src/springmux/agent/status.py
@@ -1,4 +1,4 @@
-"""What a node says of itself and of the fleet on its status page."""
+"""Report of a node about itself and the fleet, for its status page."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class PeerReport(msgspec.Struct, frozen=True):
-    """Another node as seen from here. ``revision``: the newest that it was heard to have."""
+    """Another node as known to the reporting node. ``revision``: its newest revision known here."""
 
     node: NodeId
     zone: ZoneName
@@ -26,7 +26,7 @@
 
 
 class ContactReport(msgspec.Struct, frozen=True):
-    """The contact rule's figures."""
+    """Result of the contact rule, and the numbers of known nodes and of those with fresh evidence."""
 
     connected: bool
     known_nodes: int
@@ -34,7 +34,7 @@
 
 
 class ClaimsReport(msgspec.Struct, frozen=True):
-    """The claim holder's figures. ``synchronized``: it may grant."""
+    """State of the node's claim holder. ``synchronized``: whether it may grant claims."""
 
     ring_version: int
     ring_size: int
@@ -43,13 +43,13 @@
 
 
 class EnginesReport(msgspec.Struct, frozen=True):
-    """Back ends in the directory, by status."""
+    """Number of back ends in the directory, by status."""
 
     counts: dict[EngineStatus, int]
 
 
 class NodeStatusReport(msgspec.Struct, frozen=True):
-    """Everything on the status page that the pure components know."""
+    """The part of the status page that comes from the components."""
 
     node: NodeId
     zone: ZoneName
--- a/src/springmux/agent/storage_effects.py
+++ b/src/springmux/agent/storage_effects.py
@@ -1,4 +1,4 @@
-"""The effects that a node's storage executes, in the order in which the agent returns them."""
+"""Union of the effects that a node's storage executes, in the order in which the agent returns them."""
 
 from __future__ import annotations
 
--- a/src/springmux/agent/wire.py
+++ b/src/springmux/agent/wire.py
@@ -1,4 +1,4 @@
-"""The peers' envelope: what every message carries beside itself, and the union of all messages."""
+"""Wire format between nodes: the envelope of every message, and the union of all message types."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 ALL_MESSAGES: tuple[type[PeerMessage], ...] = tuple(
     message for module in _MODULES for message in module.MESSAGES
 )
-"""Every message type of the fleet; their names are the wire's tags."""
+"""Every message type of the fleet, each with its own wire tag."""
 
 _AnyMessage: Any = functools.reduce(operator.or_, ALL_MESSAGES)
 
@@ -49,7 +49,7 @@
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
     """A message with the sender's log position: newest term, that term's leader (if known), state revision.
 
-    A node that is behind fetches from one that is ahead (:mod:`springmux.control.delivery`).
+    A node with an older revision fetches the newer state from the sender (:mod:`springmux.control.delivery`).
     """
 
     term: Term
@@ -70,6 +70,6 @@
 def decode(data: bytes) -> Envelope:
     """Return the envelope in ``data``.
 
-    :raises msgspec.DecodeError: if the bytes are no message of this fleet.
+    :raises msgspec.DecodeError: if the bytes are not a valid message.
     """
     return _decoder.decode(data)
--- a/src/springmux/vocabulary/__init__.py
+++ b/src/springmux/vocabulary/__init__.py
@@ -1,4 +1,4 @@
-"""Typed vocabulary shared above the coordination library: names, engine records, errors.
+"""Types shared by the packages above the coordination library: names, engine records, errors.
 
 May import :mod:`springmux.coordination` only.
 """
--- a/src/springmux/vocabulary/engines.py
+++ b/src/springmux/vocabulary/engines.py
@@ -1,4 +1,4 @@
-"""Back ends (engines and small services) as the fleet knows them."""
+"""Back ends (engines and small services) as known to the fleet."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class EngineStatus(enum.StrEnum):
-    """State of a back end."""
+    """Status of a back end. ``LOST``: its heartbeats stopped. ``LEFT``: it announced its end."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -23,8 +23,8 @@
 class EngineRecord(msgspec.Struct, frozen=True, array_like=True, omit_defaults=True):
     """One back end. The newer of two records is the one with the higher ``(incarnation, sequence)``.
 
-    ``incarnation`` is chosen by the engine process at its start (announce), ``sequence`` counts
-    changes within it. ``capacity`` is the number of requests that the engine runs at once.
+    The engine process chooses ``incarnation`` at its start, and ``sequence`` counts changes within an
+    incarnation. ``capacity`` is the number of requests that the engine runs concurrently.
     """
 
     engine: EngineId
@@ -39,12 +39,12 @@
 
     @property
     def age_key(self) -> tuple[int, int]:
-        """Ordering of records of one engine, oldest first."""
+        """Sort key of the records of one engine; the newer record has the larger key."""
         return (self.incarnation, self.sequence)
 
 
 class EngineLoad(msgspec.Struct, frozen=True, array_like=True, omit_defaults=True):
-    """Load that an engine reported; may be seconds old, so it is only a hint."""
+    """Load reported by an engine; it may be seconds old, so it is only a hint."""
 
     engine: EngineId
     running: int
@@ -54,7 +54,7 @@
 
 
 class EnginesView(msgspec.Struct, frozen=True):
-    """Immutable directory of back ends at one moment.
+    """Immutable snapshot of the directory of back ends.
 
     ``first_seen_at`` holds the local monotonic time at which each engine's present incarnation
     became known here, for slow start.
@@ -65,6 +65,6 @@
     loads: Mapping[EngineId, EngineLoad]
 
     def ready(self, service: ServiceName) -> list[EngineRecord]:
-        """Return the ready back ends of ``service``, by name."""
+        """Return the ready back ends of ``service``, sorted by id."""
         found = (r for r in self.engines.values() if r.service == service and r.status is EngineStatus.READY)
         return sorted(found, key=lambda record: record.engine)
--- a/src/springmux/vocabulary/errors.py
+++ b/src/springmux/vocabulary/errors.py
@@ -1,4 +1,4 @@
-"""Errors that callers and operators see, and the exception tree of the project."""
+"""Errors returned to callers and operators, and the base exceptions of the project."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 
 class Fate(enum.StrEnum):
-    """What became of a request that has no whole answer."""
+    """Outcome of a request that received no complete response."""
 
     REFUSED = "refused"
-    """It never ran and never will."""
+    """The request was not executed and will not be."""
     FAILED = "failed"
-    """An engine took it and it did not succeed; a repeatable request may be sent again."""
+    """An engine accepted the request and it failed; a request that is safe to repeat may be sent again."""
     UNKNOWN = "unknown"
-    """It may have run; resend only under the same ``Idempotency-Key``."""
+    """The request may have been executed; resend it only with the same ``Idempotency-Key``."""
 
 
 class ErrorCode(enum.StrEnum):
-    """Stable machine-readable codes of errors in answers."""
+    """Stable machine-readable codes of errors in responses."""
 
     MALFORMED_JSON = "malformed_json"
     INVALID_REQUEST = "invalid_request"
@@ -55,14 +55,14 @@
 
 
 class FieldError(msgspec.Struct, frozen=True):
-    """One wrong field of operator input: its JSON path and what is wrong."""
+    """One invalid field of operator input: its JSON path and a description of the error."""
 
     path: str
     message: str
 
 
 class ApiError(msgspec.Struct, frozen=True):
-    """A typed error answer: ``{"error": {...}}`` on the wire (docs/API.md)."""
+    """An error response: ``{"error": {...}}`` in the body (docs/API.md). ``status`` is the HTTP status."""
 
     code: ErrorCode
     message: str
@@ -77,11 +77,11 @@
 
 
 class SpringmuxError(Exception):
-    """Root of every exception that springmux raises on purpose."""
+    """Base class of the exceptions that springmux defines."""
 
 
 class ApiResponseError(SpringmuxError):
-    """Carries an :class:`ApiError` up to the boundary that answers it."""
+    """Carries an :class:`ApiError` to the server code that sends it as a response."""
 
     def __init__(self, error: ApiError) -> None:
         super().__init__(f"{error.code}: {error.message}")
@@ -89,7 +89,7 @@
 
 
 class SettingsError(SpringmuxError):
-    """The settings are wrong; every wrong field is named in ``errors``."""
+    """The settings are invalid; ``errors`` lists every invalid field."""
 
     def __init__(self, errors: tuple[FieldError, ...]) -> None:
         super().__init__("; ".join(f"{error.path}: {error.message}" for error in errors))
--- a/src/springmux/vocabulary/names.py
+++ b/src/springmux/vocabulary/names.py
@@ -9,7 +9,7 @@
 TenantName = NewType("TenantName", str)
 KeyId = NewType("KeyId", str)
 KeyDigest = NewType("KeyDigest", str)
-"""Hex SHA-256 of a caller's key; the key itself is never kept."""
+"""Hex SHA-256 digest of a caller's key; the key itself is never stored."""
 RequestId = NewType("RequestId", str)
 OrderId = NewType("OrderId", str)
 RolloutId = NewType("RolloutId", str)
--- a/tests/unit/agent/directory/test_batches.py
+++ b/tests/unit/agent/directory/test_batches.py
@@ -24,26 +24,26 @@
 
 
 def test_a_small_directory_publishes_every_change_at_once() -> None:
-    part = EngineDirectory(NodeId("a"), random.Random(1))
-    assert [views(part.handle(announced(number), 1.0)) for number in range(3)] == [[1], [2], [3]]
+    directory = EngineDirectory(NodeId("a"), random.Random(1))
+    assert [views(directory.handle(announced(number), 1.0)) for number in range(3)] == [[1], [2], [3]]
 
 
 def test_a_large_directory_publishes_changes_that_come_together_once() -> None:
     settings = DirectorySettings(batch_from_engines=2, batch_s_per_engine=0.1)
-    part = EngineDirectory(NodeId("a"), random.Random(1), settings)
+    directory = EngineDirectory(NodeId("a"), random.Random(1), settings)
     for number in range(3):
-        part.handle(announced(number), 1.0)
-    assert views(part.handle(announced(3), 1.1)) == []
-    assert views(part.handle(announced(4), 1.2)) == []
-    assert part.next_deadline() <= 1.31
-    assert views(part.handle(Tick(), 1.31)) == [5]
-    assert views(part.handle(Tick(), 1.32)) == []
+        directory.handle(announced(number), 1.0)
+    assert views(directory.handle(announced(3), 1.1)) == []
+    assert views(directory.handle(announced(4), 1.2)) == []
+    assert directory.next_deadline() <= 1.31
+    assert views(directory.handle(Tick(), 1.31)) == [5]
+    assert views(directory.handle(Tick(), 1.32)) == []
 
 
 def test_reading_the_view_meanwhile_loses_no_change() -> None:
     settings = DirectorySettings(batch_from_engines=0, batch_s_per_engine=0.1)
-    part = EngineDirectory(NodeId("a"), random.Random(1), settings)
-    part.handle(announced(0), 1.0)
-    part.handle(announced(1), 1.01)
-    assert len(part.view.engines) == 2
-    assert views(part.handle(Tick(), 1.5)) == [2]
+    directory = EngineDirectory(NodeId("a"), random.Random(1), settings)
+    directory.handle(announced(0), 1.0)
+    directory.handle(announced(1), 1.01)
+    assert len(directory.view.engines) == 2
+    assert views(directory.handle(Tick(), 1.5)) == [2]
--- a/tests/unit/agent/directory/test_engine_monitor.py
+++ b/tests/unit/agent/directory/test_engine_monitor.py
@@ -22,51 +22,53 @@
 VOTE = wire.EngineTimeoutVote((INCARNATION,))
 
 
-def owner(heard_at=1.0):
-    """Return one of three owners, whose last heartbeat of the engine came at ``heard_at``."""
-    part = EngineDirectory(OWN, random.Random(1))
+def owner_directory(last_heartbeat_at=1.0):
+    """Return one of three owners, whose last heartbeat of the engine came at ``last_heartbeat_at``."""
+    directory = EngineDirectory(OWN, random.Random(1))
     view = MembershipView(own=OWN, nodes={record.node: record for record in RECORDS})
-    part.handle(MembershipUpdated(view), heard_at)
-    part.handle(MessageReceived(SECOND, wire.DirectoryRelay((DirectoryEntry(ENGINE),), 1)), heard_at)
-    part.handle(MessageReceived(SECOND, wire.EngineHeartbeatsRelay((INCARNATION,))), heard_at)
-    return part
+    directory.handle(MembershipUpdated(view), last_heartbeat_at)
+    directory.handle(
+        MessageReceived(SECOND, wire.DirectoryRelay((DirectoryEntry(ENGINE),), 1)), last_heartbeat_at
+    )
+    directory.handle(MessageReceived(SECOND, wire.EngineHeartbeatsRelay((INCARNATION,))), last_heartbeat_at)
+    return directory
 
 
-def run(part, start, end):
+def run(directory, start, end):
     effects = []
     for step in range(int((end - start) * 10) + 1):
-        effects += part.handle(Tick(), start + step / 10)
+        effects += directory.handle(Tick(), start + step / 10)
     return [(e.to, e.message) for e in effects if isinstance(e, Send)]
 
 
-def status(part):
-    return part.view.engines[ENGINE.engine].status
+def status(directory):
+    return directory.view.engines[ENGINE.engine].status
 
 
 def test_one_owner_alone_votes_but_marks_nothing_until_another_agrees():
-    part = owner()
-    assert VOTE not in [message for _, message in run(part, 1.1, 3.9)]
-    assert {to for to, message in run(part, 4.0, 9.0) if message == VOTE} == {SECOND, THIRD}
-    assert status(part) is EngineStatus.READY
-    part.handle(MessageReceived(THIRD, VOTE), 9.1)
-    assert status(part) is EngineStatus.LOST
+    directory = owner_directory()
+    assert VOTE not in [message for _, message in run(directory, 1.1, 3.9)]
+    assert {to for to, message in run(directory, 4.0, 9.0) if message == VOTE} == {SECOND, THIRD}
+    assert status(directory) is EngineStatus.READY
+    directory.handle(MessageReceived(THIRD, VOTE), 9.1)
+    assert status(directory) is EngineStatus.LOST
 
 
 def test_vote_about_an_engine_that_was_just_heard_is_answered():
-    part = owner()
-    effects = part.handle(MessageReceived(SECOND, VOTE), 1.5)
+    directory = owner_directory()
+    effects = directory.handle(MessageReceived(SECOND, VOTE), 1.5)
     assert effects == [Send(SECOND, wire.EngineHeartbeatsRelay((INCARNATION,)))]
-    assert part.handle(MessageReceived(SECOND, VOTE), 2.5) == [], (
+    assert directory.handle(MessageReceived(SECOND, VOTE), 2.5) == [], (
         "else two owners could keep it alive in turn"
     )
 
 
 def test_old_votes_lapse():
-    part = owner()
-    run(part, 1.1, 3.9)
+    directory = owner_directory()
+    run(directory, 1.1, 3.9)
     other_incarnation = wire.EngineIncarnation(ENGINE.engine, incarnation=4)
-    part.handle(MessageReceived(THIRD, wire.EngineTimeoutVote((other_incarnation,))), 5.0)
-    assert status(part) is EngineStatus.READY, "a vote about an older incarnation is none"
+    directory.handle(MessageReceived(THIRD, wire.EngineTimeoutVote((other_incarnation,))), 5.0)
+    assert status(directory) is EngineStatus.READY, "a vote about an older incarnation is none"
     tracker = HeartbeatTracker(DirectorySettings())
     assert tracker.add_vote(SECOND, INCARNATION, 1.0) == 1
     assert tracker.add_vote(THIRD, INCARNATION, 2.0) == 2
@@ -74,42 +76,42 @@
 
 
 def test_paused_owner_restarts_the_timeout():
-    part = owner()
-    part.handle(Tick(), 1.1)
-    part.handle(MessageReceived(THIRD, VOTE), 20.0)
-    run(part, 20.0, 20.2)
-    part.handle(MessageReceived(THIRD, VOTE), 20.3)
-    assert status(part) is EngineStatus.READY
-    run(part, 20.3, 23.2)
-    part.handle(MessageReceived(THIRD, VOTE), 23.3)
-    assert status(part) is EngineStatus.LOST
+    directory = owner_directory()
+    directory.handle(Tick(), 1.1)
+    directory.handle(MessageReceived(THIRD, VOTE), 20.0)
+    run(directory, 20.0, 20.2)
+    directory.handle(MessageReceived(THIRD, VOTE), 20.3)
+    assert status(directory) is EngineStatus.READY
+    run(directory, 20.3, 23.2)
+    directory.handle(MessageReceived(THIRD, VOTE), 23.3)
+    assert status(directory) is EngineStatus.LOST
 
 
 def test_owner_without_contact_neither_votes_nor_marks():
     connected_again_at = 8.0
-    part = owner()
-    part.handle(ContactChanged(connected=False), 1.1)
-    assert VOTE not in [message for _, message in run(part, 1.2, connected_again_at)]
-    part.handle(MessageReceived(THIRD, VOTE), connected_again_at)
-    assert status(part) is EngineStatus.READY
-    part.handle(ContactChanged(connected=True), connected_again_at + 0.1)
-    assert VOTE not in [message for _, message in run(part, connected_again_at + 0.2, 11.0)]
-    assert VOTE in [message for _, message in run(part, 11.1, 12.0)]
+    directory = owner_directory()
+    directory.handle(ContactChanged(connected=False), 1.1)
+    assert VOTE not in [message for _, message in run(directory, 1.2, connected_again_at)]
+    directory.handle(MessageReceived(THIRD, VOTE), connected_again_at)
+    assert status(directory) is EngineStatus.READY
+    directory.handle(ContactChanged(connected=True), connected_again_at + 0.1)
+    assert VOTE not in [message for _, message in run(directory, connected_again_at + 0.2, 11.0)]
+    assert VOTE in [message for _, message in run(directory, 11.1, 12.0)]
 
 
 def test_any_heartbeat_of_a_lost_engine_makes_it_ready():
-    part = owner()
-    run(part, 1.1, 5.0)
-    part.handle(MessageReceived(THIRD, VOTE), 5.1)
-    before = part.view.engines[ENGINE.engine]
-    part.handle(MessageReceived(SECOND, wire.EngineHeartbeatsRelay((INCARNATION,))), 6.0)
-    after = part.view.engines[ENGINE.engine]
+    directory = owner_directory()
+    run(directory, 1.1, 5.0)
+    directory.handle(MessageReceived(THIRD, VOTE), 5.1)
+    before = directory.view.engines[ENGINE.engine]
+    directory.handle(MessageReceived(SECOND, wire.EngineHeartbeatsRelay((INCARNATION,))), 6.0)
+    after = directory.view.engines[ENGINE.engine]
     assert (before.status, after.status) == (EngineStatus.LOST, EngineStatus.READY)
     assert after.age_key > before.age_key
 
 
 def test_tombstone_of_an_unknown_engine_is_not_taken_and_so_dies_out():
-    part = owner()
+    directory = owner_directory()
     gone = DirectoryEntry(msgspec.structs.replace(ENGINE, engine="gone"), intent=1, left=True)
-    part.handle(MessageReceived(SECOND, wire.DirectoryEntries((gone,))), 1.1)
-    assert "gone" not in part.view.engines
+    directory.handle(MessageReceived(SECOND, wire.DirectoryEntries((gone,))), 1.1)
+    assert "gone" not in directory.view.engines
--- a/tests/unit/agent/directory/test_entry.py
+++ b/tests/unit/agent/directory/test_entry.py
@@ -4,7 +4,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from springmux.agent.directory.entry import DirectoryEntry, heard_again, merged, stopped
+from springmux.agent.directory.entry import DirectoryEntry, merge_entries, refresh_entry, stop_entry
 from springmux.vocabulary.engines import EngineRecord, EngineStatus
 
 RECORD = EngineRecord("e", "text", "v1", "10.0.0.1:1", 8, incarnation=5)
@@ -24,30 +24,30 @@
 @settings(derandomize=True, max_examples=300)
 @given(ENTRIES, ENTRIES, ENTRIES)
 def test_merge_is_commutative_associative_and_idempotent(one, two, three):
-    assert merged(one, two) == merged(two, one)
-    assert merged(one, merged(two, three)) == merged(merged(one, two), three)
-    assert merged(one, one) == one
+    assert merge_entries(one, two) == merge_entries(two, one)
+    assert merge_entries(one, merge_entries(two, three)) == merge_entries(merge_entries(one, two), three)
+    assert merge_entries(one, one) == one
 
 
 @settings(derandomize=True, max_examples=300)
 @given(ENTRIES, ENTRIES)
 def test_published_age_never_falls(one, two):
-    assert merged(one, two).published().age_key >= one.published().age_key
+    assert merge_entries(one, two).published().age_key >= one.published().age_key
 
 
 def test_only_an_announcement_takes_a_drain_back():
-    draining = stopped(DirectoryEntry(RECORD), left=False)
+    draining = stop_entry(DirectoryEntry(RECORD), left=False)
     assert draining.status is EngineStatus.DRAINING
-    beat = heard_again(draining, RECORD, draining=False, announced=False)
+    beat = refresh_entry(draining, RECORD, draining=False, announced=False)
     assert beat.status is EngineStatus.DRAINING
-    assert merged(DirectoryEntry(RECORD, health=2), beat).status is EngineStatus.DRAINING
-    announced = heard_again(draining, RECORD, draining=False, announced=True)
-    assert merged(draining, announced).status is EngineStatus.READY
+    assert merge_entries(DirectoryEntry(RECORD, health=2), beat).status is EngineStatus.DRAINING
+    announced = refresh_entry(draining, RECORD, draining=False, announced=True)
+    assert merge_entries(draining, announced).status is EngineStatus.READY
 
 
 def test_heartbeat_that_only_counts_is_no_news_but_another_version_is():
     known = DirectoryEntry(RECORD)
     counted = msgspec.structs.replace(RECORD, sequence=9)
-    assert heard_again(known, counted, draining=False, announced=False) == known
+    assert refresh_entry(known, counted, draining=False, announced=False) == known
     upgraded = msgspec.structs.replace(RECORD, sequence=1, version="v2")
-    assert heard_again(known, upgraded, False, False).published().version == "v2"
+    assert refresh_entry(known, upgraded, False, False).published().version == "v2"
--- a/tests/unit/bad_days/test_engine_reports.py
+++ b/tests/unit/bad_days/test_engine_reports.py
@@ -13,7 +13,7 @@
 
 from springmux.agent.directory import engine_directory as directory_module
 from springmux.agent.directory.engine_directory import EngineDirectory
-from springmux.agent.directory.entry import DirectoryEntry, heard_again
+from springmux.agent.directory.entry import DirectoryEntry, refresh_entry
 from springmux.agent.readiness import CUT_OFF, JOINING, STARTING, STOPPING
 from springmux.coordination.identifiers import NodeId
 from springmux.coordination.state_machine import Event
@@ -112,7 +112,7 @@
 
 
 def test_the_checker_sees_a_delete_that_is_not_heard(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(directory_module, "stopped", lambda entry, left: entry)
+    monkeypatch.setattr(directory_module, "stop_entry", lambda entry, left: entry)
     assert tried_after_it_left(engine_leaves(drains_first=False)) > 0
 
 
@@ -120,9 +120,9 @@
     def believe(
         known: DirectoryEntry, record: EngineRecord, draining: bool, announced: bool
     ) -> DirectoryEntry:
-        return heard_again(known, record, draining, announced=True)
+        return refresh_entry(known, record, draining, announced=True)
 
-    monkeypatch.setattr(directory_module, "heard_again", believe)
+    monkeypatch.setattr(directory_module, "refresh_entry", believe)
     assert tried_after_it_left(engine_leaves(drains_first=True)) > 0
 
 
@@ -150,9 +150,9 @@
         known: DirectoryEntry, record: EngineRecord, draining: bool, announced: bool
     ) -> DirectoryEntry:
         newer = msgspec.structs.replace(record, sequence=known.record.sequence + 1)
-        return heard_again(known, newer, draining, announced)
+        return refresh_entry(known, newer, draining, announced)
 
-    monkeypatch.setattr(directory_module, "heard_again", newest)
+    monkeypatch.setattr(directory_module, "refresh_entry", newest)
     assert capacity_after_a_late_heartbeat() != 8
 
 
--- a/tests/unit/claims/test_ring.py
+++ b/tests/unit/claims/test_ring.py
@@ -105,7 +105,7 @@
 
     def __init__(self, *records: NodeRecord) -> None:
         self.keeper = ClaimRingManager()
-        self.keeper.lead(True, 0.0)
+        self.keeper.set_leading(True, 0.0)
         self.view = view_of(*records)
         self.ring: ClaimRing | None = None
 
--- a/tests/unit/control/test_compression.py
+++ b/tests/unit/control/test_compression.py
@@ -91,7 +91,7 @@
     data = encode_command(gateway_change(1_000))
     assert len(data) < 64 * 1024 < plain_size_bytes(data)
     work = ApplyCommands((DeliveredCommand(Revision(0), Revision(1), data),))
-    assert StateApplier().take(work) == ([], [PrepareCommands((data,))])
+    assert StateApplier().enqueue(work) == ([], [PrepareCommands((data,))])
 
 
 def test_an_image_of_an_earlier_program_is_read() -> None:
