--- a/tests/unit/agent/directory/test_batches.py
+++ b/tests/unit/agent/directory/test_batches.py
@@ -1,4 +1,4 @@
-"""Large directories spread and publish changes that come together as one."""
+"""Large directories relay and publish changes in batches."""
 
 import random
 
@@ -19,31 +19,35 @@
     )
 
 
-def views(effects: list[Effect]) -> list[int]:
+def engine_counts(effects: list[Effect]) -> list[int]:
     return [len(effect.view.engines) for effect in effects if isinstance(effect, EnginesChanged)]
 
 
-def test_a_small_directory_publishes_every_change_at_once() -> None:
+def test_small_directory_publishes_every_change_immediately() -> None:
     directory = EngineDirectory(NodeId("a"), random.Random(1))
-    assert [views(directory.handle(announced(number), 1.0)) for number in range(3)] == [[1], [2], [3]]
+    assert [engine_counts(directory.handle(announced(number), 1.0)) for number in range(3)] == [
+        [1],
+        [2],
+        [3],
+    ]
 
 
-def test_a_large_directory_publishes_changes_that_come_together_once() -> None:
+def test_large_directory_publishes_changes_within_a_batch_together() -> None:
     settings = DirectorySettings(batch_from_engines=2, batch_s_per_engine=0.1)
     directory = EngineDirectory(NodeId("a"), random.Random(1), settings)
     for number in range(3):
         directory.handle(announced(number), 1.0)
-    assert views(directory.handle(announced(3), 1.1)) == []
-    assert views(directory.handle(announced(4), 1.2)) == []
+    assert engine_counts(directory.handle(announced(3), 1.1)) == []
+    assert engine_counts(directory.handle(announced(4), 1.2)) == []
     assert directory.next_deadline() <= 1.31
-    assert views(directory.handle(Tick(), 1.31)) == [5]
-    assert views(directory.handle(Tick(), 1.32)) == []
+    assert engine_counts(directory.handle(Tick(), 1.31)) == [5]
+    assert engine_counts(directory.handle(Tick(), 1.32)) == []
 
 
-def test_reading_the_view_meanwhile_loses_no_change() -> None:
+def test_reading_the_view_before_a_batch_is_due_loses_no_change() -> None:
     settings = DirectorySettings(batch_from_engines=0, batch_s_per_engine=0.1)
     directory = EngineDirectory(NodeId("a"), random.Random(1), settings)
     directory.handle(announced(0), 1.0)
     directory.handle(announced(1), 1.01)
     assert len(directory.view.engines) == 2
-    assert views(directory.handle(Tick(), 1.5)) == [2]
+    assert engine_counts(directory.handle(Tick(), 1.5)) == [2]
--- a/tests/unit/agent/directory/test_directory_network.py
+++ b/tests/unit/agent/directory/test_directory_network.py
@@ -1,4 +1,4 @@
-"""Back ends on the virtual network: every change is everywhere in time, whatever is lost."""
+"""Engine directory on the virtual network: every change reaches all nodes in time despite message loss."""
 
 import msgspec
 import pytest
@@ -9,9 +9,9 @@
 from springmux.vocabulary.engines import EngineLoad, EngineStatus
 from tests.support.gossip_harness import Network, VirtualEngine
 
-SPREAD_S = 2.0
-LOST_S = 5.5
-"""The 3 s timeout at two owners, a vote period, the forwarding delay, a heartbeat period, the relay."""
+SPREAD_WITHIN_S = 2.0
+LOST_WITHIN_S = 5.5
+"""The 3 s timeout at two owners, plus a vote period, the forwarding delay, a heartbeat period, the relay."""
 
 
 def fleet(nodes=12, engines=8, seed=1, loss=0.0):
@@ -36,44 +36,49 @@
     )
 
 
-def lost_notes(network):
+def lost_log_lines(network):
     notes = [note for node in network.nodes.values() for _, note in node.notes]
     return [n for n in notes if n.fields.get("status") == EngineStatus.LOST.value]
 
 
 @pytest.mark.parametrize("seed", range(5))
 @pytest.mark.parametrize("nodes", [12, 60])
-def test_change_at_any_node_is_everywhere_at_five_percent_loss(nodes, seed):
+def test_change_at_any_node_reaches_all_nodes_at_five_percent_loss(nodes, seed):
     network, engines = fleet(nodes, seed=seed, loss=0.05)
     for index, engine in enumerate(engines):
         engine.at_node = (index * 7 + seed) % nodes
         engine.tell(EngineDraining(engine.record.engine))
         took = network.run_until(lambda e=engine: all_see(network, [e], EngineStatus.DRAINING), 5)
-        assert took <= SPREAD_S
+        assert took <= SPREAD_WITHIN_S
     network.run(5)
-    assert all_see(network, engines, EngineStatus.DRAINING), "heartbeats that say ready take no drain back"
+    assert all_see(network, engines, EngineStatus.DRAINING), (
+        "heartbeats with status ready must not revert a drain"
+    )
 
 
-def test_drain_that_overtakes_the_announcement_holds():
+def test_drain_that_overtakes_the_announcement_is_applied():
     network, _ = fleet()
     engine = VirtualEngine(network, 99, at_node=3)
     network.node(8).give("directory", EngineDraining(engine.record.engine))
     engine.start()
-    network.run(SPREAD_S)
+    network.run(SPREAD_WITHIN_S)
     assert all_see(network, [engine], EngineStatus.DRAINING)
 
 
-def test_silent_engine_is_lost_and_ready_again_when_it_speaks():
+def test_engine_without_heartbeats_is_lost_and_ready_again_after_the_next_heartbeat():
     network, engines = fleet(loss=0.01)
     engines[2].speaks = False
-    assert network.run_until(lambda: all_see(network, engines[2:3], EngineStatus.LOST), 10) <= LOST_S
+    assert network.run_until(lambda: all_see(network, engines[2:3], EngineStatus.LOST), 10) <= LOST_WITHIN_S
     engines[2].speaks = True
-    assert network.run_until(lambda: all_see(network, engines[2:3], EngineStatus.READY), 10) <= 1.1 + SPREAD_S
+    assert (
+        network.run_until(lambda: all_see(network, engines[2:3], EngineStatus.READY), 10)
+        <= 1.1 + SPREAD_WITHIN_S
+    )
     assert all_see(network, engines, EngineStatus.READY)
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_no_engine_is_lost_falsely_while_nodes_die_freeze_and_return(seed):
+def test_no_engine_is_falsely_marked_lost_while_nodes_crash_pause_and_return(seed):
     network, engines = fleet(seed=seed, loss=0.01)
     holders = spread_holders(
         engines[0].record.engine, list(network.nodes), 3, lambda n: network.nodes[n].record.zone
@@ -85,11 +90,11 @@
     network.run(8)
     network.kill(owner)
     network.run(15)
-    assert lost_notes(network) == []
+    assert lost_log_lines(network) == []
     assert all_see(network, engines, EngineStatus.READY)
 
 
-def test_lost_engine_is_found_after_one_of_its_owners_was_killed():
+def test_lost_engine_is_detected_after_one_of_its_owners_was_killed():
     network, engines = fleet()
     engine = engines[0]
     owners = spread_holders(
@@ -97,10 +102,10 @@
     )
     network.kill(next(i for i, record in enumerate(network.records) if record.node == owners[0]))
     engine.speaks = False
-    assert network.run_until(lambda: all_see(network, [engine], EngineStatus.LOST), 12) <= LOST_S
+    assert network.run_until(lambda: all_see(network, [engine], EngineStatus.LOST), 12) <= LOST_WITHIN_S
 
 
-def test_partitioned_owner_marks_nothing_and_grants_a_grace():
+def test_partitioned_owner_marks_no_engine_lost_and_restarts_timeouts():
     network, _ = fleet()
     cut = list(range(0, 12, 4))
     network.cut_off(cut)
@@ -108,9 +113,9 @@
         network.run(0.1)
         for index in cut:
             node = network.node(index)
-            if getattr(node, "told", True) != node.connected():
-                node.told = node.connected()
-                node.give("directory", ContactChanged(node.told))
+            if getattr(node, "announced_contact", True) != node.connected():
+                node.announced_contact = node.connected()
+                node.give("directory", ContactChanged(node.announced_contact))
     inside = [network.node(index) for index in cut]
     assert not [
         note
@@ -120,24 +125,24 @@
     ]
 
 
-def test_restarted_engine_replaces_its_old_incarnation_and_late_messages_of_that_are_ignored():
+def test_restarted_engine_replaces_its_old_incarnation_whose_late_messages_are_ignored():
     network, engines = fleet()
     engine = engines[1]
     old = engine.record
     engine.speaks = False
     engine.tell(EngineLeft(old.engine))
     engine.tell(EngineHeartbeat(old, EngineLoad(old.engine, 0, 0)))
-    network.run(SPREAD_S)
+    network.run(SPREAD_WITHIN_S)
     assert all_see(network, [engine], EngineStatus.LEFT)
     engine.tell(EngineAnnounced(msgspec.structs.replace(old, incarnation=2, version="v2")))
     network.node(9).give("directory", EngineAnnounced(old))
     network.node(9).give("directory", EngineHeartbeat(old, EngineLoad(old.engine, 0, 0)))
-    network.run(SPREAD_S)
+    network.run(SPREAD_WITHIN_S)
     published = [node.engines.engines[old.engine] for node in network.nodes.values()]
     assert {(record.version, record.status) for record in published} == {("v2", EngineStatus.READY)}
 
 
-def test_tombstones_lapse_everywhere_and_new_node_learns_the_directory():
+def test_tombstones_expire_on_all_nodes_and_a_new_node_receives_the_directory():
     network, engines = fleet(nodes=4, engines=30)
     gone, kept = engines[0], engines[1:]
     gone.speaks = False
@@ -151,7 +156,7 @@
     assert all_see(network, [gone], None)
 
 
-def test_loads_stay_at_the_node_that_got_them():
+def test_loads_are_stored_only_at_the_node_that_received_them():
     network, engines = fleet()
     name = engines[3].record.engine
     holders = [n.record.node for n in network.nodes.values() if name in n.parts["directory"].view.loads]
--- a/tests/unit/agent/directory/test_engine_monitor.py
+++ b/tests/unit/agent/directory/test_engine_monitor.py
@@ -1,4 +1,4 @@
-"""Transcripts of one owner node: timeouts, votes, grace."""
+"""Timeouts and votes at one owner node, and the restart of timeouts after a pause or partition."""
 
 import random
 
@@ -23,7 +23,7 @@
 
 
 def owner_directory(last_heartbeat_at=1.0):
-    """Return one of three owners, whose last heartbeat of the engine came at ``last_heartbeat_at``."""
+    """Return the directory of one of three owners; its last heartbeat arrived at ``last_heartbeat_at``."""
     directory = EngineDirectory(OWN, random.Random(1))
     view = MembershipView(own=OWN, nodes={record.node: record for record in RECORDS})
     directory.handle(MembershipUpdated(view), last_heartbeat_at)
@@ -45,7 +45,7 @@
     return directory.view.engines[ENGINE.engine].status
 
 
-def test_one_owner_alone_votes_but_marks_nothing_until_another_agrees():
+def test_one_owner_votes_but_does_not_mark_an_engine_lost_until_another_agrees():
     directory = owner_directory()
     assert VOTE not in [message for _, message in run(directory, 1.1, 3.9)]
     assert {to for to, message in run(directory, 4.0, 9.0) if message == VOTE} == {SECOND, THIRD}
@@ -54,21 +54,21 @@
     assert status(directory) is EngineStatus.LOST
 
 
-def test_vote_about_an_engine_that_was_just_heard_is_answered():
+def test_owner_replies_to_a_vote_only_if_the_last_heartbeat_is_recent():
     directory = owner_directory()
     effects = directory.handle(MessageReceived(SECOND, VOTE), 1.5)
     assert effects == [Send(SECOND, wire.EngineHeartbeatsRelay((INCARNATION,)))]
     assert directory.handle(MessageReceived(SECOND, VOTE), 2.5) == [], (
-        "else two owners could keep it alive in turn"
+        "otherwise two owners could keep the engine alive in turn"
     )
 
 
-def test_old_votes_lapse():
+def test_votes_expire_and_votes_about_an_older_incarnation_are_ignored():
     directory = owner_directory()
     run(directory, 1.1, 3.9)
     other_incarnation = wire.EngineIncarnation(ENGINE.engine, incarnation=4)
     directory.handle(MessageReceived(THIRD, wire.EngineTimeoutVote((other_incarnation,))), 5.0)
-    assert status(directory) is EngineStatus.READY, "a vote about an older incarnation is none"
+    assert status(directory) is EngineStatus.READY, "a vote about an older incarnation must not count"
     tracker = HeartbeatTracker(DirectorySettings())
     assert tracker.add_vote(SECOND, INCARNATION, 1.0) == 1
     assert tracker.add_vote(THIRD, INCARNATION, 2.0) == 2
@@ -87,7 +87,7 @@
     assert status(directory) is EngineStatus.LOST
 
 
-def test_owner_without_contact_neither_votes_nor_marks():
+def test_owner_without_contact_neither_votes_nor_marks_engines_lost():
     connected_again_at = 8.0
     directory = owner_directory()
     directory.handle(ContactChanged(connected=False), 1.1)
@@ -110,7 +110,7 @@
     assert after.age_key > before.age_key
 
 
-def test_tombstone_of_an_unknown_engine_is_not_taken_and_so_dies_out():
+def test_tombstone_of_an_unknown_engine_is_ignored_so_that_it_disappears():
     directory = owner_directory()
     gone = DirectoryEntry(msgspec.structs.replace(ENGINE, engine="gone"), intent=1, left=True)
     directory.handle(MessageReceived(SECOND, wire.DirectoryEntries((gone,))), 1.1)
--- a/tests/unit/agent/directory/test_entry.py
+++ b/tests/unit/agent/directory/test_entry.py
@@ -1,4 +1,4 @@
-"""Entries merge into the newest facts in whatever order and how often they arrive."""
+"""Entries merge into the newest state regardless of the order in which, and how often, they arrive."""
 
 import msgspec
 from hypothesis import given, settings
@@ -31,21 +31,21 @@
 
 @settings(derandomize=True, max_examples=300)
 @given(ENTRIES, ENTRIES)
-def test_published_age_never_falls(one, two):
+def test_published_age_key_never_decreases(one, two):
     assert merge_entries(one, two).published().age_key >= one.published().age_key
 
 
-def test_only_an_announcement_takes_a_drain_back():
+def test_only_an_announcement_reverts_a_drain():
     draining = stop_entry(DirectoryEntry(RECORD), left=False)
     assert draining.status is EngineStatus.DRAINING
-    beat = refresh_entry(draining, RECORD, draining=False, announced=False)
-    assert beat.status is EngineStatus.DRAINING
-    assert merge_entries(DirectoryEntry(RECORD, health=2), beat).status is EngineStatus.DRAINING
+    after_heartbeat = refresh_entry(draining, RECORD, draining=False, announced=False)
+    assert after_heartbeat.status is EngineStatus.DRAINING
+    assert merge_entries(DirectoryEntry(RECORD, health=2), after_heartbeat).status is EngineStatus.DRAINING
     announced = refresh_entry(draining, RECORD, draining=False, announced=True)
     assert merge_entries(draining, announced).status is EngineStatus.READY
 
 
-def test_heartbeat_that_only_counts_is_no_news_but_another_version_is():
+def test_heartbeat_changes_the_entry_only_if_fields_other_than_the_sequence_differ():
     known = DirectoryEntry(RECORD)
     counted = msgspec.structs.replace(RECORD, sequence=9)
     assert refresh_entry(known, counted, draining=False, announced=False) == known
--- a/tests/unit/agent/directory/test_stops.py
+++ b/tests/unit/agent/directory/test_stops.py
@@ -1,4 +1,4 @@
-"""Drains, leaves and announcements that come late, early, or at a node that is leaving; bounded memory."""
+"""Drains, leaves and announcements that arrive late, early, or at a leaving node, with bounded memory."""
 
 import random
 
@@ -37,19 +37,19 @@
     return record.status if record else None
 
 
-def test_announcement_out_of_a_frozen_nodes_buffer_takes_no_drain_back():
-    """The engine announced here, got no answer, went to the next node, and drained there later."""
+def test_announcement_buffered_at_a_paused_node_does_not_revert_a_later_drain():
+    """The engine announced itself here, received no reply, switched to the next node and drained there."""
     directory = directory_of()
     directory.handle(EngineAnnounced(ENGINE), 1.0)
     directory.handle(MessageReceived(PEER.node, wire.DirectoryRelay((DRAINED,), 1)), 30.0)
     directory.handle(EngineAnnounced(ENGINE), 30.1)
     assert status(directory) is EngineStatus.DRAINING
     directory.handle(EngineAnnounced(ENGINE), 41.0)
-    assert status(directory) is EngineStatus.READY, "the engine changed its mind"
+    assert status(directory) is EngineStatus.READY, "a new announcement reverts the drain"
 
 
 @pytest.mark.parametrize("stop", [EngineDraining, EngineLeft])
-def test_late_stop_of_an_older_life_spares_the_new_one(stop):
+def test_late_stop_of_an_older_incarnation_does_not_affect_the_new_one(stop):
     directory = directory_of()
     directory.handle(EngineAnnounced(NEXT_INCARNATION), 1.0)
     directory.handle(stop(ENGINE.engine, ENGINE.incarnation), 1.1)
@@ -58,7 +58,7 @@
     assert status(directory) is not EngineStatus.READY
 
 
-def test_early_stop_waits_for_its_life_only():
+def test_early_stop_applies_only_to_its_incarnation():
     directory = directory_of()
     directory.handle(EngineDraining(ENGINE.engine, ENGINE.incarnation), 1.0)
     directory.handle(EngineAnnounced(NEXT_INCARNATION), 1.1)
@@ -69,7 +69,7 @@
     assert status(directory) is EngineStatus.DRAINING
 
 
-def test_stops_of_made_up_engines_are_forgotten():
+def test_stops_of_unknown_engines_are_bounded_and_expire():
     directory = directory_of()
     for index in range(3000):
         directory.handle(EngineDraining(f"nobody-{index}"), 1.0)
@@ -78,7 +78,7 @@
     assert len(directory._stops) == 0
 
 
-def test_lost_engine_that_never_returns_is_forgotten_and_dies_out():
+def test_lost_engine_that_does_not_return_is_removed_and_may_announce_itself_again():
     directory, lost = directory_of(), DirectoryEntry(ENGINE, health=1)
     directory.handle(EngineAnnounced(ENGINE), 1.0)
     directory.handle(MessageReceived(PEER.node, wire.DirectoryRelay((lost,), 1)), 5.0)
@@ -89,7 +89,9 @@
     directory.handle(EngineAnnounced(ENGINE), 4001.0)
     directory.handle(MessageReceived(PEER.node, wire.DirectoryEntries((lost,))), 4001.1)
     directory.handle(EngineAnnounced(ENGINE), 4002.0)
-    assert status(directory) is EngineStatus.READY, "where others still hold it as lost its next word counts"
+    assert status(directory) is EngineStatus.READY, (
+        "its next announcement must count although other nodes still have it as lost"
+    )
 
 
 def test_leaving_node_still_relays_to_its_zone():
--- a/tests/unit/agent/test_all_seeds_restarted.py
+++ b/tests/unit/agent/test_all_seeds_restarted.py
@@ -1,4 +1,7 @@
-"""All control machines, which are the seeds, restart at once while the other nodes run on."""
+"""All controllers, which are the seeds, restart at the same time while the other nodes keep running.
+
+Guards against running nodes that find the restarted controllers too late and miss changes meanwhile.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +14,7 @@
 from springmux.simulation.world.network import NetworkSettings
 from springmux.storage.peer_list import PeerList
 from tests.support.changing_operator import ChangingOperator, change
-from tests.unit.agent.test_gateway_readiness import serving
+from tests.unit.agent.test_gateway_readiness import serving_nodes
 
 DOWN_S = 0.7
 CHANGES_S = 10.0
@@ -20,20 +23,20 @@
 FIRST_NODE = NodeId("z1-1")
 
 
-def founded(zones: dict[str, int], disks: int, seed: int) -> HollowFleet:
+def founded_fleet(zones: dict[str, int], disks: int, seed: int) -> HollowFleet:
     fleet = HollowFleet(places_by_zone(zones, disks), seed, NetworkSettings(loss=0.003), losses_tolerated=1)
     fleet.world.start_all()
     assert fleet.run_until(lambda: fleet.leader() is not None, 10.0)
     fleet.first_start = False
     fleet.submit(FIRST_NODE, change(0))
-    assert fleet.run_until(lambda: len(serving(fleet)) == len(fleet.places()), 5.0)
+    assert fleet.run_until(lambda: len(serving_nodes(fleet)) == len(fleet.places()), 5.0)
     fleet.world.run_for(2.0)
     return fleet
 
 
-def late_after_restart(zones: dict[str, int], disks: int, seed: int) -> list[str]:
-    """Return what was late at nodes that ran on, while all control machines restarted at once."""
-    fleet = founded(zones, disks, seed)
+def versions_late_after_restart(zones: dict[str, int], disks: int, seed: int) -> list[str]:
+    """Return the versions that were in force too late while all controllers restarted at the same time."""
+    fleet = founded_fleet(zones, disks, seed)
     controllers = [place.node for place in fleet.places() if place.controller]
     for node in controllers:
         fleet.world.apply(Kill(at=fleet.world.now, node=node))
@@ -54,7 +57,7 @@
                 if version < due
             ]
     assert len(operator.acknowledged) > CHANGES_S
-    assert len(serving(fleet)) == len(fleet.places())
+    assert len(serving_nodes(fleet)) == len(fleet.places())
     return late
 
 
@@ -67,15 +70,16 @@
         ({"z1": 10, "z2": 10, "z3": 10}, 3),
     ],
 )
-def test_changes_are_in_force_in_time_after_all_seeds_restarted_at_once(
+def test_changes_are_in_force_in_time_after_all_seeds_restarted_together(
     zones: dict[str, int], disks: int, seed: int
 ) -> None:
-    assert late_after_restart(zones, disks, seed) == []
+    assert versions_late_after_restart(zones, disks, seed) == []
 
 
-def test_the_check_sees_suspects_that_are_not_told_the_address_of_who_asks(
+def test_check_detects_that_suspects_do_not_learn_the_address_of_the_asking_node(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(Disseminator, "_with_own_record", lambda disseminator, updates: updates)
-    monkeypatch.setattr(PeerList, "load", lambda peer_list: ())  # a second way to be found
-    assert late_after_restart({"z1": 3, "z2": 3, "z3": 3}, 3, 0)
+    # The stored peers would be another way to find the fleet.
+    monkeypatch.setattr(PeerList, "load", lambda peer_list: ())
+    assert versions_late_after_restart({"z1": 3, "z2": 3, "z3": 3}, 3, 0)
--- a/tests/unit/agent/test_changes_while_stopping.py
+++ b/tests/unit/agent/test_changes_while_stopping.py
@@ -1,4 +1,7 @@
-"""Nodes that are stopping finish requests for seconds; until they are gone they get every change in time."""
+"""Stopping nodes finish requests for seconds; until they have left they receive every change in time.
+
+Guards against nodes that leave too early, or are omitted from pushes, and then serve an old configuration.
+"""
 
 from __future__ import annotations
 
@@ -17,27 +20,27 @@
     CHANGE_PERIOD_S,
     FIRST_NODE,
     STEP_S,
-    founded,
+    founded_fleet,
 )
 
 ZONES = {"z1": 10, "z2": 10, "z3": 10}
 STOPPING = tuple(NodeId(f"z{zone}-{number}") for zone in (1, 2, 3) for number in (2, 4, 6, 8))
-SAID_S = 0.5
-"""Until all nodes know who is stopping."""
+STOP_ANNOUNCED_S = 0.5
+"""Time until all nodes know which nodes are stopping."""
 STOP_S = 8.0
-"""The platform kills a process this long after it asked it to stop."""
+"""Time between the platform's request to stop and its kill of the process."""
 
 
 def stopping_fleet(seed: int) -> HollowFleet:
-    fleet = founded(ZONES, 3, seed)
+    fleet = founded_fleet(ZONES, 3, seed)
     for node in STOPPING:
         fleet.world.give(node, StopBegun())
-    fleet.world.run_for(SAID_S)
+    fleet.world.run_for(STOP_ANNOUNCED_S)
     return fleet
 
 
-def late_while_stopping(fleet: HollowFleet) -> list[str]:
-    """Return what was late at the stopping nodes, with changes through one node that stays."""
+def versions_late_while_stopping(fleet: HollowFleet) -> list[str]:
+    """Return the versions that came into force too late at stopping nodes; a node that stays submits them."""
     operator = ChangingOperator(fleet, present=1)
     late: list[str] = []
     for _ in range(round(STOP_S / CHANGE_PERIOD_S)):
@@ -51,59 +54,59 @@
     return late
 
 
-def ways(fleet: HollowFleet) -> set[DeliveryMethod]:
-    """Return by which ways the newest changes came to the stopping nodes."""
+def delivery_methods(fleet: HollowFleet) -> set[DeliveryMethod]:
+    """Return the methods by which the newest changes arrived at the stopping nodes."""
     arrivals = [fleet.agents()[node].newest_arrival for node in STOPPING]
     return {arrival.method for arrival in arrivals if arrival is not None}
 
 
 @pytest.mark.parametrize("seed", [2, 3, 4])
-def test_a_stopping_node_has_each_change_in_time_until_it_is_gone(seed: int) -> None:
+def test_stopping_node_has_each_change_in_time_until_it_has_left(seed: int) -> None:
     fleet = stopping_fleet(seed)
-    assert late_while_stopping(fleet) == []
-    assert ways(fleet) == {DeliveryMethod.PUSH}
+    assert versions_late_while_stopping(fleet) == []
+    assert delivery_methods(fleet) == {DeliveryMethod.PUSH}
 
 
-def leave_at_once(agent: NodeAgent, event: StopBegun, now: float) -> list[Effect]:
+def leave_immediately(agent: NodeAgent, event: StopBegun, now: float) -> list[Effect]:
     return agent._dispatcher.deliver(agent._components.membership, LeaveBegun(), now)
 
 
-def test_the_check_sees_nodes_that_say_at_once_that_they_have_left(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(NodeAgent, "_on_stop", leave_at_once)
-    assert late_while_stopping(stopping_fleet(2))
-    assert late_while_stopping(stopping_fleet(4))
+def test_check_detects_nodes_that_leave_when_they_start_to_stop(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(NodeAgent, "_on_stop", leave_immediately)
+    assert versions_late_while_stopping(stopping_fleet(2))
+    assert versions_late_while_stopping(stopping_fleet(4))
 
 
-def test_the_check_sees_pushes_that_leave_out_who_is_stopping(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_check_detects_pushes_that_omit_stopping_nodes(monkeypatch: pytest.MonkeyPatch) -> None:
     present = MembershipView.present
     monkeypatch.setattr(
         MembershipView, "present", lambda view: [record for record in present(view) if not record.leaving]
     )
     fleet = stopping_fleet(3)
-    late_while_stopping(fleet)
-    assert DeliveryMethod.TRANSFER in ways(fleet)
+    versions_late_while_stopping(fleet)
+    assert DeliveryMethod.TRANSFER in delivery_methods(fleet)
 
 
-def test_who_is_stopping_gives_its_duties_away_at_once_and_is_present_until_it_has_finished() -> None:
-    fleet = founded({"z1": 3, "z2": 3, "z3": 3}, 3, 1)
+def test_stopping_node_gives_up_its_duties_immediately_and_is_present_until_it_has_finished() -> None:
+    fleet = founded_fleet({"z1": 3, "z2": 3, "z3": 3}, 3, 1)
     node, other = NodeId("z2-2"), NodeId("z3-3")
     fleet.world.give(node, StopBegun())
-    fleet.world.run_for(SAID_S)
+    fleet.world.run_for(STOP_ANNOUNCED_S)
     view = fleet.agents()[other].membership
     assert node in {record.node for record in view.present()}
     assert node not in {record.node for record in view.staying()}
 
     fleet.world.give(node, StopFinished())
-    fleet.world.run_for(SAID_S)
+    fleet.world.run_for(STOP_ANNOUNCED_S)
     view = fleet.agents()[other].membership
     assert view.nodes[node].status is NodeStatus.LEFT
     assert node not in {record.node for record in view.present()}
 
 
-def test_a_stopping_controller_is_no_longer_among_those_that_found_or_hold() -> None:
-    fleet = founded({"z1": 3, "z2": 3, "z3": 3}, 3, 1)
+def test_stopping_controller_neither_founds_a_group_nor_holds_claims() -> None:
+    fleet = founded_fleet({"z1": 3, "z2": 3, "z3": 3}, 3, 1)
     node = NodeId("z2-1")
     fleet.world.give(node, StopBegun())
-    fleet.world.run_for(SAID_S)
+    fleet.world.run_for(STOP_ANNOUNCED_S)
     for agent in fleet.agents().values():
         assert node not in {record.node for record in agent.membership.controllers()}
--- a/tests/unit/agent/test_control_border.py
+++ b/tests/unit/agent/test_control_state_at_node.py
@@ -1,4 +1,4 @@
-"""Where consensus, delivery and control state meet in a node: founding, large commands, readiness."""
+"""Interaction of consensus, delivery and control state at a node: founding, large commands, readiness."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from springmux.vocabulary.names import OrderId
 
 PARSE_S = 1.0
-MEET_S = 0.7
-"""Enough for membership to see everyone, and less than the replicas wait before they found."""
+DISCOVERY_S = 0.7
+"""Long enough for membership to discover all nodes, shorter than the delay before replicas found a group."""
 
 
 class SlowlyParsingFleet(HollowFleet):
-    """A large command takes a second to parse, as 8 MiB do."""
+    """A fleet whose nodes take a second to parse a large command, as for one of 8 MiB."""
 
     def _prepare(self, node: NodeId, effect: PrepareCommands) -> None:
         agent = self.agent(node)
@@ -47,7 +47,7 @@
     )
 
 
-def test_a_large_configuration_leaves_every_node_ready_while_it_is_parsed() -> None:
+def test_all_nodes_stay_ready_while_a_large_configuration_is_parsed() -> None:
     fleet = fleet_of("abc", "xy")
     assert fleet.run_until(fleet.all_ready, 20)
     fleet.submit(NodeId("x"), large_configuration())
@@ -59,7 +59,7 @@
     assert fleet.run_until(in_force, 5)
 
 
-def test_a_node_that_starts_is_not_ready_before_the_newest_state_is_in_force() -> None:
+def test_starting_node_is_not_ready_before_the_newest_state_is_in_force() -> None:
     fleet = fleet_of("abc", "x")
     fleet.run_until(fleet.all_ready, 20)
     fleet.submit(NodeId("a"), large_configuration())
@@ -76,7 +76,7 @@
     assert fleet.run_until(ready, 12)
 
 
-def cut(fleet: HollowFleet, some: str, others: str) -> None:
+def partition(fleet: HollowFleet, some: str, others: str) -> None:
     pairs = [(one, other) for one in some for other in others]
     for source, target in pairs + [(other, one) for one, other in pairs]:
         fleet.world.apply(CutPair(at=fleet.world.now, source=NodeId(source), target=NodeId(target)))
@@ -87,16 +87,16 @@
     return found - {None}
 
 
-def test_a_wiped_controller_cut_off_with_two_that_never_joined_founds_no_second_group() -> None:
+def test_wiped_controller_partitioned_with_two_that_never_joined_founds_no_second_group() -> None:
     fleet = fleet_of("abcde", "xy")
-    fleet.world.run_for(MEET_S)
+    fleet.world.run_for(DISCOVERY_S)
     assert groups(fleet) == set()
-    cut(fleet, "de", "abcxy")
+    partition(fleet, "de", "abcxy")
     assert fleet.run_until(lambda: fleet.leader() is not None, 20)
     fleet.world.run_for(3)
 
     fleet.world.apply(Heal(at=fleet.world.now))
-    cut(fleet, "cde", "abxy")
+    partition(fleet, "cde", "abxy")
     for fault in (Kill, Wipe, Restart):
         fleet.world.apply(fault(at=fleet.world.now, node=NodeId("c")))
     fleet.world.run_for(30)
@@ -108,10 +108,10 @@
     assert len(groups(fleet)) == 1
 
 
-def test_a_node_that_was_cut_off_is_not_ready_again_before_it_has_what_it_missed() -> None:
+def test_node_is_not_ready_after_a_partition_before_it_has_the_missed_changes() -> None:
     fleet = fleet_of("abc", "xy")
     assert fleet.run_until(fleet.all_ready, 20)
-    cut(fleet, "x", "abcy")
+    partition(fleet, "x", "abcy")
     fleet.world.run_for(5)
     fleet.submit(NodeId("a"), PutTemplate(order=OrderId("missed"), name="missed", document=b"{}"))
     fleet.world.run_for(5)
@@ -125,10 +125,10 @@
     assert fleet.run_until(ready, 5, step_s=0.005)
 
 
-def test_a_node_back_from_a_cut_asks_the_leader_since_restarted_peers_do_not_know_what_it_missed() -> None:
+def test_node_after_a_partition_asks_the_leader_because_restarted_peers_do_not_know_the_change() -> None:
     fleet = fleet_of("abc", "x")
     assert fleet.run_until(fleet.all_ready, 20)
-    cut(fleet, "x", "abc")
+    partition(fleet, "x", "abc")
     fleet.world.run_for(5)
     fleet.submit(NodeId("a"), PutTemplate(order=OrderId("missed"), name="missed", document=b"{}"))
     fleet.world.run_for(1)
--- a/tests/unit/agent/test_directory_after_a_cut.py
+++ b/tests/unit/agent/test_directory_after_partition.py
@@ -1,4 +1,4 @@
-"""A node that was cut off, or starts, knows the back ends' changes before it takes requests."""
+"""A node accepts requests after a partition only when it knows the missed changes of the directory."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from springmux.vocabulary.names import EngineId, ServiceName, VersionName
 
 ENGINE = EngineId("text-1")
-X = NodeId("x")
+PARTITIONED_NODE = NodeId("x")
 
 
 def fleet_with_an_engine() -> HollowFleet:
@@ -26,10 +26,10 @@
     return fleet
 
 
-def test_a_node_back_from_a_cut_knows_of_a_drain_before_it_is_ready() -> None:
+def test_node_knows_of_a_missed_drain_before_it_is_ready_after_a_partition() -> None:
     fleet = fleet_with_an_engine()
-    agent = fleet.agents()[X]
-    fleet.world.apply(CutNode(at=fleet.world.now, node=X))
+    agent = fleet.agents()[PARTITIONED_NODE]
+    fleet.world.apply(CutNode(at=fleet.world.now, node=PARTITIONED_NODE))
     fleet.world.run_for(5)
     assert not agent.ready
     fleet.world.give(NodeId("a"), EngineDraining(ENGINE))
@@ -44,7 +44,7 @@
     assert fleet.run_until(ready, 5, step_s=0.002)
 
 
-def test_a_node_that_was_cut_off_is_ready_though_nobody_is_in_step() -> None:
+def test_nodes_become_ready_after_a_partition_even_if_no_directory_is_known_to_be_complete() -> None:
     fleet = fleet_with_an_engine()
     agents = fleet.agents()
     for node in agents:
--- a/tests/unit/agent/test_fleet_found_again.py
+++ b/tests/unit/agent/test_fleet_found_again.py
@@ -1,4 +1,8 @@
-"""After a restart the nodes with a disk find the fleet that they knew, and acknowledge nothing before."""
+"""After a restart nodes with a disk rejoin the fleet that they knew, and acknowledge nothing before.
+
+Guards against controllers that restart together, reach no other node and still acknowledge changes, and
+against a fleet that can't rejoin because none of its seed addresses exists any more.
+"""
 
 from __future__ import annotations
 
@@ -12,17 +16,17 @@
 from springmux.storage.peer_list import PeerList
 from springmux.storage.replica_store import ReplicaStore
 from tests.support.changing_operator import ChangingOperator
-from tests.unit.agent.test_all_seeds_restarted import founded
-from tests.unit.agent.test_gateway_readiness import serving
+from tests.unit.agent.test_all_seeds_restarted import founded_fleet
+from tests.unit.agent.test_gateway_readiness import serving_nodes
 from unit.simulation.site import SITE_A, SITE_B, Site
 
 ZONES = {"z1": 3, "z2": 3, "z3": 3, "z4": 3}
 DISKS = 4
 DOWN_S = 0.7
 UNREACHED_S = 1.5
-"""Shorter than the time for which a restarted node looks for the peers that it knew."""
+"""Time without contact; shorter than the time for which a restarted node looks for the peers that it knew."""
 FOUND_WITHIN_S = 8.0
-NOBODY_LISTENS = (Address("10.9.9.1:7000"), Address("10.9.9.2:7000"), Address("10.9.9.3:7000"))
+UNUSED_SEEDS = (Address("10.9.9.1:7000"), Address("10.9.9.2:7000"), Address("10.9.9.3:7000"))
 
 
 def controllers_of(fleet: HollowFleet) -> list[NodeId]:
@@ -37,9 +41,9 @@
         fleet.world.apply(Restart(at=fleet.world.now, node=node))
 
 
-def acknowledged_while_alone(seed: int) -> int:
-    """Return how many changes controllers that restarted at once acknowledge while they reach nobody else."""
-    fleet = founded(ZONES, DISKS, seed)
+def acknowledged_without_contact(seed: int) -> int:
+    """Return how many changes controllers acknowledge that restarted together and reach no other node."""
+    fleet = founded_fleet(ZONES, DISKS, seed)
     controllers = controllers_of(fleet)
     others = [place.node for place in fleet.places() if not place.controller]
     for node in others:
@@ -49,10 +53,10 @@
     for _ in range(round(UNREACHED_S / 0.1)):
         operator.press(*controllers)
         fleet.world.run_for(0.1)
-    alone = len(operator.acknowledged)
+    acknowledged_alone = len(operator.acknowledged)
     fleet.world.apply(Heal(at=fleet.world.now))
-    assert fleet.run_until(lambda: _acknowledges(operator, controllers, alone), FOUND_WITHIN_S)
-    return alone
+    assert fleet.run_until(lambda: _acknowledges(operator, controllers, acknowledged_alone), FOUND_WITHIN_S)
+    return acknowledged_alone
 
 
 def _acknowledges(operator: ChangingOperator, controllers: list[NodeId], before: int) -> bool:
@@ -61,36 +65,36 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_controllers_that_all_restarted_acknowledge_nothing_by_themselves_alone(seed: int) -> None:
-    assert acknowledged_while_alone(seed) == 0
+def test_controllers_that_all_restarted_acknowledge_nothing_without_the_other_nodes(seed: int) -> None:
+    assert acknowledged_without_contact(seed) == 0
 
 
-def test_the_check_sees_controllers_that_do_not_wait(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_check_detects_controllers_that_do_not_wait_for_known_peers(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Membership, "awaits_remembered", lambda part, now: False)
-    assert acknowledged_while_alone(0) > 0
+    assert acknowledged_without_contact(0) > 0
 
 
-def whole_again(seed: int) -> bool:
-    """Restart everything with seeds that nobody listens at; return whether all nodes serve again in time."""
-    fleet = founded(ZONES, DISKS, seed)
-    fleet.seeds = NOBODY_LISTENS
+def serves_again_without_seeds(seed: int) -> bool:
+    """Restart all nodes with seed addresses that no node has; return whether all serve again in time."""
+    fleet = founded_fleet(ZONES, DISKS, seed)
+    fleet.seeds = UNUSED_SEEDS
     restart_all(fleet, [place.node for place in fleet.places()])
     found = fleet.run_until(fleet.all_ready, FOUND_WITHIN_S)
-    return found and len(serving(fleet)) == len(fleet.places())
+    return found and len(serving_nodes(fleet)) == len(fleet.places())
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_fleet_whose_seeds_are_all_gone_at_the_start_of_everything_is_whole_again(seed: int) -> None:
-    assert whole_again(seed)
+def test_fleet_without_any_reachable_seed_serves_again_after_all_nodes_restarted(seed: int) -> None:
+    assert serves_again_without_seeds(seed)
 
 
-def test_the_check_sees_a_fleet_that_remembers_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_check_detects_a_fleet_that_remembers_no_peers(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(PeerList, "load", lambda peer_list: ())
-    assert not whole_again(0)
+    assert not serves_again_without_seeds(0)
 
 
 def founded_after_an_early_restart(kind: tuple[dict[str, int], int, int], seed: int) -> bool:
-    """Restart a controller before its group was founded; return whether there is one group in time."""
+    """Restart a controller before its group is founded; return whether there is one group in time."""
     site = Site(kind, seed)
     early, *later = site.disks[: 2 * kind[2] + 1]
     site.world.apply(Restart(at=0.0, node=early))
@@ -107,13 +111,13 @@
 
 @pytest.mark.parametrize("kind", [SITE_A, SITE_B], ids=["four disks", "three disks"])
 @pytest.mark.parametrize("seed", range(5))
-def test_a_controller_restarted_before_its_group_was_founded_helps_to_found_it(
+def test_controller_restarted_before_its_group_was_founded_helps_to_found_it(
     kind: tuple[dict[str, int], int, int], seed: int
 ) -> None:
     assert founded_after_an_early_restart(kind, seed)
 
 
-def test_the_check_sees_a_controller_that_forgets_its_first_start(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_check_detects_a_controller_that_forgets_its_first_start(monkeypatch: pytest.MonkeyPatch) -> None:
     opened = ReplicaStore.open
     monkeypatch.setattr(
         ReplicaStore, "open", lambda store: msgspec.structs.replace(opened(store), first_start=False)
@@ -121,7 +125,7 @@
     assert not founded_after_an_early_restart(SITE_B, 0)
 
 
-def test_a_wiped_controller_is_none_of_the_first_start() -> None:
+def test_wiped_controller_does_not_count_as_part_of_the_first_start() -> None:
     site = Site(SITE_B, 1)
     site.found()
     node = site.disks[0]
--- a/tests/unit/agent/test_cut_off.py
+++ b/tests/unit/agent/test_partitioned_node.py
@@ -1,4 +1,4 @@
-"""What a node out of contact with most others doesn't do, whatever it knows."""
+"""A node out of contact with most others acknowledges no changes and marks no engine lost."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 )
 
 
-class Answers(FleetObserver):
-    """Collects operators' answers."""
+class AnswerRecorder(FleetObserver):
+    """Records the replies to operators' orders."""
 
     def __init__(self) -> None:
         self.all: list[OrderAnswered] = []
@@ -27,7 +27,7 @@
         self.all.append(answer)
 
 
-def fleet_of() -> HollowFleet:
+def ready_fleet() -> HollowFleet:
     places = [HollowPlace(NodeId(name), ZoneName(f"z{name}"), True) for name in CONTROLLERS]
     places += [HollowPlace(NodeId(name), ZoneName(f"z{name}"), False) for name in ROUTERS]
     fleet = HollowFleet(places, seed=1)
@@ -36,7 +36,7 @@
     return fleet
 
 
-def cut_off(fleet: HollowFleet, inside: str) -> None:
+def partition(fleet: HollowFleet, inside: str) -> None:
     outside = [name for name in CONTROLLERS + ROUTERS if name not in inside]
     for one in inside:
         for other in outside:
@@ -44,18 +44,18 @@
                 fleet.world.apply(CutPair(at=fleet.world.now, source=NodeId(source), target=NodeId(target)))
 
 
-def test_a_leader_whose_quorum_is_among_a_minority_of_nodes_acknowledges_nothing() -> None:
-    """The others go on serving the last state: what they can't learn must not be acknowledged."""
-    answers = Answers()
-    fleet = fleet_of()
-    fleet.observers.append(answers)
-    cut_off(fleet, "ab")
+def test_leader_whose_quorum_is_in_a_minority_of_the_nodes_acknowledges_nothing() -> None:
+    """The other nodes keep serving the last state: changes that can't reach them must not be acknowledged."""
+    recorder = AnswerRecorder()
+    fleet = ready_fleet()
+    fleet.observers.append(recorder)
+    partition(fleet, "ab")
     assert fleet.run_until(lambda: fleet.leader() in ("a", "b"), 10)
     fleet.world.run_for(3)
     for node in "ab":
         fleet.submit(NodeId(node), PutTemplate(order=OrderId(f"of-{node}"), name="late", document=b"{}"))
     fleet.world.run_for(8)
-    assert [answer.result for answer in answers.all] == [None, None]
+    assert [answer.result for answer in recorder.all] == [None, None]
     assert all("late" not in agent.view.templates for agent in fleet.agents().values())
     assert fleet.agents()[NodeId("x")].ready, "the majority serves the state that is still the newest"
 
@@ -66,10 +66,10 @@
     assert all("late" in agent.view.templates for agent in fleet.agents().values())
 
 
-def test_a_node_that_has_joined_nobody_finds_no_engine_lost() -> None:
-    fleet = fleet_of()
+def test_node_that_has_not_joined_the_fleet_marks_no_engine_lost() -> None:
+    fleet = ready_fleet()
     fleet.world.apply(Kill(at=fleet.world.now, node=NodeId("x")))
-    cut_off(fleet, "x")
+    partition(fleet, "x")
     fleet.world.apply(Restart(at=fleet.world.now, node=NodeId("x")))
     fleet.world.run_for(1)
     fleet.world.give(NodeId("x"), EngineAnnounced(ENGINE))
