--- a/src/springmux/agent/agent.py
+++ b/src/springmux/agent/agent.py
@@ -91,7 +91,7 @@
         claims: RecoveredClaims | None = None,
         remembered: tuple[RememberedPeer, ...] = (),
     ) -> None:
-        self._record = own_record(settings, recovered)
+        self._own_record = own_record(settings, recovered)
         self._recovered = recovered
         self._applier = StateApplier()
         self._components = build_components(
@@ -101,11 +101,11 @@
         self._leadership = LeadershipHandlers(NodeId(settings.node), self._dispatcher)
         self._control = ControlHandlers(self._dispatcher, self._applier)
         fleet = FleetHandlers(self._dispatcher, self._leadership)
-        for owner in (self._leadership, self._control, fleet):
-            self._dispatcher.register(owner.handlers())
+        for component_handlers in (self._leadership, self._control, fleet):
+            self._dispatcher.register(component_handlers.handlers())
         self._readiness = Readiness(self._components, self._applier)
         self._gateway_readiness = GatewayReadiness(self._components, self._applier)
-        self._revisions: dict[NodeId, Revision] = {}
+        self._peer_revisions: dict[NodeId, Revision] = {}
         self._now = 0.0
         self._handlers = self._make_handlers()
 
@@ -185,7 +185,7 @@
 
     def status(self) -> NodeStatusReport:
         """Return the node's report for the status page."""
-        return build_status(self, self._components, self._leadership.known, self._revisions, self._now)
+        return build_status(self, self._components, self._leadership.known, self._peer_revisions, self._now)
 
     # Events
 
@@ -236,11 +236,11 @@
             PeerUnreachable: self._on_peer_unreachable,
             SeedsChanged: to_membership,
             ProofWanted: self._deliver_to(self._components.freshness),
-            CommandsPrepared: self._on_prepared,
+            CommandsPrepared: self._on_commands_prepared,
             StopBegun: self._on_stop,
             StopFinished: self._on_stop_finished,
-            LeadershipTransferRequested: self._on_transfer,
-            ControllerRemovalRequested: self._on_removal,
+            LeadershipTransferRequested: self._on_leadership_transfer,
+            ControllerRemovalRequested: self._on_controller_removal,
             SnapshotInstalled: self._control.snapshot_installed,
         }
 
@@ -261,8 +261,8 @@
         return effects if beacon_read is None else effects + dispatcher.deliver_to_replica(beacon_read, now)
 
     def _on_peer_revision(self, event: PeerRevisionObserved, now: float) -> list[Effect]:
-        if event.revision > self._revisions.get(event.node, Revision(0)):
-            self._revisions[event.node] = event.revision
+        if event.revision > self._peer_revisions.get(event.node, Revision(0)):
+            self._peer_revisions[event.node] = event.revision
         effects: list[Effect] = []
         if event.revision > self._components.delivery.revision:
             effects = self._dispatcher.deliver(self._components.delivery, event, now)
@@ -291,13 +291,15 @@
         ended = ClaimEnded(event.correlation_id, event.claim_key, event.ran, event.answer)
         return self._dispatcher.deliver(self._components.claims, ended, now)
 
-    def _on_prepared(self, _event: CommandsPrepared, now: float) -> list[Effect]:
+    def _on_commands_prepared(self, _event: CommandsPrepared, now: float) -> list[Effect]:
         return self._control.commands_prepared(now)
 
     def _on_stop(self, _event: StopBegun, now: float) -> list[Effect]:
         self._readiness.stopping = True
-        self._record = msgspec.structs.replace(self._record, leaving=True)
-        effects = self._dispatcher.deliver(self._components.membership, OwnRecordChanged(self._record), now)
+        self._own_record = msgspec.structs.replace(self._own_record, leaving=True)
+        effects = self._dispatcher.deliver(
+            self._components.membership, OwnRecordChanged(self._own_record), now
+        )
         effects += self._dispatcher.deliver_to_replica(StopAnnounced(), now)
         if self._leadership.known.leading:
             effects += self._dispatcher.deliver_to_replica(TransferLeadership(), now)
@@ -306,13 +308,13 @@
     def _on_stop_finished(self, _event: StopFinished, now: float) -> list[Effect]:
         return self._dispatcher.deliver(self._components.membership, LeaveBegun(), now)
 
-    def _on_transfer(self, event: LeadershipTransferRequested, now: float) -> list[Effect]:
+    def _on_leadership_transfer(self, event: LeadershipTransferRequested, now: float) -> list[Effect]:
         leader = self._leadership.known.leader
-        return self._dispatcher.execute(self._dispatcher.group.transfer(event, leader, now), now)
+        return self._dispatcher.execute(self._dispatcher.group_orders.transfer(event, leader, now), now)
 
-    def _on_removal(self, event: ControllerRemovalRequested, now: float) -> list[Effect]:
+    def _on_controller_removal(self, event: ControllerRemovalRequested, now: float) -> list[Effect]:
         leader = self._leadership.known.leader
-        return self._dispatcher.execute(self._dispatcher.group.remove(event, leader, now), now)
+        return self._dispatcher.execute(self._dispatcher.group_orders.remove(event, leader, now), now)
 
     # Readiness, which any event may change
 
@@ -337,7 +339,7 @@
         self._components.router.update_readiness(ready, reason)
         effects: list[Effect] = [ReadinessChanged(ready, reason)]
         if ready != was_ready and not self._readiness.stopping:
-            self._record = msgspec.structs.replace(self._record, ready=ready)
-            changed = OwnRecordChanged(self._record)
+            self._own_record = msgspec.structs.replace(self._own_record, ready=ready)
+            changed = OwnRecordChanged(self._own_record)
             effects += self._dispatcher.deliver(self._components.membership, changed, now)
         return effects
--- a/src/springmux/agent/claim_ring_manager.py
+++ b/src/springmux/agent/claim_ring_manager.py
@@ -68,23 +68,23 @@
             return None
         self._due_at = now + CHECK_PERIOD_S
         if ring is None:
-            return self._begin(view, now)
+            return self._first_ring_command(view, now)
         absent_s = self._absent_s(ring, view, now)
         if now - self._changed_at < (CHANGE_PERIOD_S if configured else UNCONFIGURED_CHANGE_PERIOD_S):
             return None
         gone = frozenset(node for node, absent in absent_s.items() if absent >= GONE_AFTER_S)
-        changed = next_ring(ring, view, gone, _left(absent_s, view))
+        changed = next_ring(ring, view, gone, _departed_nodes(absent_s, view))
         if changed is None:
             return None
         self._changed_at = now
-        return _order(changed)
+        return _ring_command(changed)
 
-    def _begin(self, view: MembershipView, now: float) -> SetClaimRing | None:
+    def _first_ring_command(self, view: MembershipView, now: float) -> SetClaimRing | None:
         few = len(view.controllers()) < HOLDERS_PER_KEY
         if few and now < self._leading_since + FEW_DISKS_WAIT_S:
             return None
         self._changed_at = now
-        return _order(first_ring(view))
+        return _ring_command(first_ring(view))
 
     def _absent_s(self, ring: ClaimRing, view: MembershipView, now: float) -> dict[NodeId, float]:
         present = {record.node for record in view.present()}
@@ -93,7 +93,7 @@
         return {node: now - since for node, since in self._absent_since.items()}
 
 
-def _left(absent_s: dict[NodeId, float], view: MembershipView) -> frozenset[NodeId]:
+def _departed_nodes(absent_s: dict[NodeId, float], view: MembershipView) -> frozenset[NodeId]:
     """Return the nodes that left gracefully and have been absent for ``LEFT_AFTER_S``."""
     records = [record for node in absent_s if (record := view.nodes.get(node)) is not None]
     return frozenset(
@@ -103,5 +103,5 @@
     )
 
 
-def _order(ring: ClaimRing) -> SetClaimRing:
+def _ring_command(ring: ClaimRing) -> SetClaimRing:
     return SetClaimRing(order=OrderId(f"claim-ring/{ring.version}"), issued_by="system", ring=ring)
--- a/src/springmux/agent/components.py
+++ b/src/springmux/agent/components.py
@@ -130,7 +130,7 @@
     settings: AgentSettings,
     recovered: RecoveredState | None,
     state: ControlState,
-    generator_source: random.Random,
+    seed_source: random.Random,
     claims: RecoveredClaims | None = None,
     remembered: tuple[RememberedPeer, ...] = (),
 ) -> NodeComponents:
@@ -143,7 +143,7 @@
     """
 
     def generator() -> random.Random:
-        return random.Random(generator_source.getrandbits(64))
+        return random.Random(seed_source.getrandbits(64))
 
     own = NodeId(settings.node)
     contact = ContactMonitor(own, _expects_peers(settings), generator())
--- a/src/springmux/agent/control_handlers.py
+++ b/src/springmux/agent/control_handlers.py
@@ -63,18 +63,18 @@
     def _publish(self, work: AppliedWork, now: float) -> list[Effect]:
         """Publish the state after ``work``, then deliver the events that it produced."""
         dispatcher, components = self._dispatcher, self._components
-        outside = dispatcher.execute(work.effects, now)
+        driver_effects = dispatcher.execute(work.effects, now)
         published = self._publisher.publish(self._applier.state.view(), now)
         dispatcher.deadlines.invalidate_all()
-        outside += dispatcher.execute(published.effects, now)
+        driver_effects += dispatcher.execute(published.effects, now)
         for event in work.events:
             is_snapshot = isinstance(event, delivery_events.SnapshotProvided)
-            outside += dispatcher.deliver(
+            driver_effects += dispatcher.deliver(
                 components.delivery if is_snapshot else components.orders, event, now
             )
         if published.revoked_flows:
-            outside.append(FlowsRevoked(tuple(published.revoked_flows)))
-        return outside
+            driver_effects.append(FlowsRevoked(tuple(published.revoked_flows)))
+        return driver_effects
 
     def _on_state_work(self, effect: StateWork, now: float) -> list[Effect]:
         return self._publish(self._applier.enqueue(effect), now)
--- a/src/springmux/agent/directory/entry.py
+++ b/src/springmux/agent/directory/entry.py
@@ -75,7 +75,7 @@
     """
     was_draining = known.intent % 2 == 1
     intent_changed = draining != was_draining and (draining or announced)
-    # A sequence that only counts heartbeats is not a change: the record is relayed if other fields differ.
+    # A sequence that only counts heartbeats is not a change: only changes of other fields are relayed.
     same_fields = (
         msgspec.structs.replace(with_status_ready(record), sequence=known.record.sequence) == known.record
     )
--- a/src/springmux/agent/directory/settings.py
+++ b/src/springmux/agent/directory/settings.py
@@ -35,10 +35,12 @@
     """Batching delay per engine above ``batch_from_engines``, because the time to build a view grows with the
     number of engines. At 2,900 engines the delay is 0.15 s, well within the 2 s."""
     pause_s: float = 1.5
+    """A gap of this length between two events counts as a pause of this node and restarts all timeouts."""
     loads_period_s: float = 1.0
     catch_up_s: float = 1.0
     """After a partition a node isn't ready until its directory is in sync or this time has passed."""
     catch_up_nodes: int = 3
+    """Number of peers that receive each digest of a catch-up."""
     forget_left_s: float = 600.0
     forget_lost_s: float = 3600.0
     """Engines that left or are lost are removed after these times, because names that are used once must not
--- a/src/springmux/agent/directory/table.py
+++ b/src/springmux/agent/directory/table.py
@@ -33,7 +33,7 @@
 
     def __init__(self) -> None:
         self._entries: dict[EngineId, DirectoryEntry] = {}
-        self._published: dict[EngineId, EngineRecord] = {}
+        self._published_records: dict[EngineId, EngineRecord] = {}
         self._first_seen_at: dict[EngineId, float] = {}
         self._gone_at: dict[EngineId, float] = {}
         self._loads: dict[EngineId, EngineLoad] = {}
@@ -78,7 +78,7 @@
         self._hashes_changed = True
         self._engines_by_bucket[bucket].add(engine)
         self._entries[engine] = entry
-        self._published[engine] = entry.published()
+        self._published_records[engine] = entry.published()
         if entry.status not in GONE_STATUSES:
             self._gone_at.pop(engine, None)
         elif known is None or known.status is not entry.status:
@@ -94,10 +94,18 @@
         """Remove engines that left or were lost longer ago than the settings allow; return them."""
         keep_s = {EngineStatus.LEFT: settings.forget_left_s, EngineStatus.LOST: settings.forget_lost_s}
         expired = [
-            e for e, gone_at in self._gone_at.items() if now - gone_at >= keep_s[self._entries[e].status]
+            engine
+            for engine, gone_at in self._gone_at.items()
+            if now - gone_at >= keep_s[self._entries[engine].status]
         ]
         for engine in expired:
-            for mapping in (self._entries, self._published, self._first_seen_at, self._gone_at, self._loads):
+            for mapping in (
+                self._entries,
+                self._published_records,
+                self._first_seen_at,
+                self._gone_at,
+                self._loads,
+            ):
                 mapping.pop(engine, None)
             self._engines_by_bucket[bucket_of(engine)].discard(engine)
             self.entries_changed = True
@@ -139,7 +147,7 @@
         """Return the immutable view; the same object as long as nothing changed."""
         if self._view is None or self.entries_changed or self.loads_changed:
             self._view = EnginesView(
-                engines=MappingProxyType(dict(self._published)),
+                engines=MappingProxyType(dict(self._published_records)),
                 first_seen_at=MappingProxyType(dict(self._first_seen_at)),
                 loads=MappingProxyType(dict(self._loads)),
             )
--- a/src/springmux/agent/effect_dispatcher.py
+++ b/src/springmux/agent/effect_dispatcher.py
@@ -46,7 +46,7 @@
     def __init__(self, own: NodeId, components: NodeComponents) -> None:
         self.components = components
         self.deadlines = DeadlineCache(components.timed(), volatile=(components.quota, components.usage))
-        self.group = GroupOrders(own, components.replica)
+        self.group_orders = GroupOrders(own, components.replica)
         self._own = own
         self._handlers: dict[type[Effect], EffectHandler] = {Send: self._send}
         self._receivers = _message_receivers(components)
@@ -70,7 +70,7 @@
         if receiver is not None:
             return self.deliver(receiver, event, now)
         if isinstance(event.message, agent_messages.MESSAGES):
-            return self.execute(self.group.handle_message(event.message, now), now)
+            return self.execute(self.group_orders.handle_message(event.message, now), now)
         return []
 
     def submit_order(self, command: AnyCommand, now: float) -> list[Effect]:
@@ -81,16 +81,16 @@
         """Execute the effects that have a handler; return the others in order, for the driver."""
         if not effects:
             return effects
-        outside: list[Effect] = []
+        driver_effects: list[Effect] = []
         pending = deque(effects)
         while pending:
             effect = pending.popleft()
             handler = self._handlers.get(type(effect))
             if handler is None:
-                outside.append(effect)
+                driver_effects.append(effect)
             else:
-                outside += handler(effect, now)
-        return outside
+                driver_effects += handler(effect, now)
+        return driver_effects
 
     def _send(self, effect: Send, now: float) -> list[Effect]:
         if effect.to != self._own:
--- a/src/springmux/agent/gateway_readiness.py
+++ b/src/springmux/agent/gateway_readiness.py
@@ -1,8 +1,8 @@
 """Readiness of a node for gateway requests.
 
 Unlike in :mod:`springmux.agent.readiness`, contact with a majority isn't required: the gateway continues
-with the last configuration. A node is ready as soon as its state isn't known to be older than what peers
-announced, and it stays ready until it stops.
+with the last configuration. A node is ready as soon as it has one that isn't known to be older than what
+peers announced, and it stays ready until it stops.
 """
 
 from __future__ import annotations
--- a/src/springmux/agent/leadership_handlers.py
+++ b/src/springmux/agent/leadership_handlers.py
@@ -58,8 +58,9 @@
     def announce_candidates(self, now: float) -> list[Effect]:
         """Announce the present controllers to the node's own replica, and whether a control group exists.
 
-        No candidates are announced before this node was in contact with a majority of the known nodes, and
-        none while it is partitioned: a wiped machine must not found a group with others like it.
+        While no group is known to exist, no candidates are announced before this node was in contact with a
+        majority of the known nodes, nor while it is partitioned: a wiped machine must not found a group with
+        others like it.
         """
         if self._components.replica is None:
             return []
