--- a/tests/unit/agent/test_all_seeds_restarted.py
+++ b/tests/unit/agent/test_all_seeds_restarted.py
@@ -1,6 +1,6 @@
 """All controllers, which are the seeds, restart at the same time while the other nodes keep running.
 
-Guards against running nodes that find the restarted controllers too late and miss changes meanwhile.
+Guards against controllers and running nodes that rediscover each other too late, so that changes arrive late.
 """
 
 from __future__ import annotations
--- a/tests/unit/agent/test_control_state_at_node.py
+++ b/tests/unit/agent/test_control_state_at_node.py
@@ -18,7 +18,7 @@
 
 
 class SlowlyParsingFleet(HollowFleet):
-    """A fleet whose nodes take a second to parse a large command, as for one of 8 MiB."""
+    """A fleet whose nodes take a second to parse a large command, as they do for 8 MiB."""
 
     def _prepare(self, node: NodeId, effect: PrepareCommands) -> None:
         agent = self.agent(node)
