--- a/tests/unit/claims/test_ring.py
+++ b/tests/unit/claims/test_ring.py
@@ -105,7 +105,7 @@
 
     def __init__(self, *records: NodeRecord) -> None:
         self.manager = ClaimRingManager()
-        self.manager.lead(True, 0.0)
+        self.manager.set_leading(True, 0.0)
         self.view = view_of(*records)
         self.ring: ClaimRing | None = None
 
