--- a/src/springmux/lab/bench/routing_policies.py
+++ b/src/springmux/lab/bench/routing_policies.py
@@ -4,7 +4,7 @@
 
 from springmux.lab.bench.routing_simulation import SERVICE, VERSION, Policy, RoutingSimulation
 from springmux.lab.bench.routing_traces import TracedRequest
-from springmux.router.choice import ChoiceNeeds
+from springmux.router.choice import ChoiceConstraints
 from springmux.router.engine_table import EngineSlot
 from springmux.router.prefix_index import PromptPrefix
 from springmux.simulation.engine_model import BYTES_PER_TOKEN
@@ -15,7 +15,7 @@
 ) -> EngineSlot:
     """Return the choice of the router's own chooser."""
     tokens = len(request.prompt) // BYTES_PER_TOKEN
-    needs = ChoiceNeeds(prefix, tokens, frozenset(), probe=False)
+    needs = ChoiceConstraints(prefix, tokens, frozenset(), probe=False)
     choice = simulation.chooser.choose(simulation.table.pool(SERVICE, VERSION), needs, simulation.now)
     assert choice is not None
     return choice.slot
--- a/src/springmux/router/attempt.py
+++ b/src/springmux/router/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at one engine: its timeouts, and the evidence about the engine that its end gives."""
+"""One attempt at one engine: its timeouts, and what its ending shows about the engine."""
 
 from __future__ import annotations
 
@@ -6,21 +6,22 @@
 from springmux.coordination.state_machine import NEVER
 from springmux.rollout.outcome import Ending, PromptOutcome
 from springmux.router.core import RouterCore
+from springmux.router.engine_response import EngineResponse
 from springmux.router.parse import ParsedRequest
-from springmux.router.reply import Reply
-from springmux.router.selection import Selected
+from springmux.router.selection import AttemptTarget
 from springmux.vocabulary.names import VersionName
 
 MIN_BLAMED_WAIT_SHARE = 0.5
-"""Part of the first-chunk timeout that an engine must have had to be blamed for the request's deadline;
-otherwise earlier attempts or queues used the time up."""
+"""Share of the first-chunk timeout that an engine must have had to be blamed for a missed deadline; otherwise
+earlier attempts or queues used up the time."""
 
 
 class Attempt:
     """State of one attempt. Times are monotonic seconds; ``first_chunk_at`` is ``None`` until it arrives.
 
-    ``progress_at``: start of the running timeout. ``blocked``: the client's full socket holds the engine up.
-    ``timing_disturbed``: that, or a paused node process, took some of the attempt's time.
+    ``progress_at``: start of the current timeout. ``blocked``: the client's socket is full, so the engine's
+    bytes are not read. ``timing_disturbed``: a full socket or a paused node process took part of the
+    attempt's time, so its latencies are not measured.
     """
 
     __slots__ = (
@@ -38,9 +39,9 @@
         "number",
         "probe",
         "progress_at",
-        "reply",
-        "selected",
+        "response",
         "slot",
+        "target",
         "timing_disturbed",
     )
 
@@ -48,7 +49,7 @@
         self,
         core: RouterCore,
         number: int,
-        selected: Selected,
+        target: AttemptTarget,
         parsed: ParsedRequest,
         response_tokens: int,
         now: float,
@@ -57,28 +58,28 @@
         self._route = parsed.route
         self._buffered_response = parsed.route.kind is RouteKind.PROMPT and not parsed.stream
         self._prompt_bytes = len(parsed.body)
-        self._prefill_tokens = int(parsed.prompt_tokens * (1.0 - selected.choice.expected_hit))
+        self._prefill_tokens = int(parsed.prompt_tokens * (1.0 - target.choice.expected_hit))
         self._response_tokens = response_tokens
         self.number = number
-        self.selected = selected
-        self.slot = selected.choice.slot
+        self.target = target
+        self.slot = target.choice.slot
         self._in_flight_before = self.slot.in_flight
         self.began_at = now
         self.first_chunk_at: float | None = None
         self.progress_at = now
-        self.reply: Reply | None = None
+        self.response: EngineResponse | None = None
         self.blocked = False
         self.timing_disturbed = False
         self.ended = False
         self.slot.begin(self._prefill_tokens + response_tokens)
-        self.probe = core.ejector.dispatched(self.slot, now)
+        self.probe = core.ejector.record_dispatch(self.slot, now)
 
     def record_bytes(self, now: float) -> None:
         """Record that bytes of the response arrived."""
         slot = self.slot
-        slot.heard_at = now
-        if self.began_at > slot.heard_began_at:
-            slot.heard_began_at = self.began_at
+        slot.last_response_byte_at = now
+        if self.began_at > slot.responded_request_sent_at:
+            slot.responded_request_sent_at = self.began_at
 
     def record_progress(self, now: float) -> None:
         """Record a valid chunk; the first one ends the prefill."""
@@ -100,33 +101,34 @@
         if self.first_chunk_at is not None:
             return self.progress_at + self._route.idle_timeout_s
         if self._buffered_response:
-            # The complete response is computed before its first byte: only the deadline bounds it.
+            # The engine computes the complete response before its first byte, so only the deadline limits it.
             return NEVER
         return self.progress_at + self._route.first_piece_timeout_s
 
     def version(self) -> str:
         """Return the version that the engine reports, else the one it was chosen for."""
-        reported = self.reply.version if self.reply is not None else ""
-        return reported or self.selected.version
+        reported = self.response.version if self.response is not None else ""
+        return reported or self.target.version
 
-    def late_ending(self, deadline: bool, now: float) -> Ending:
-        """Return the ending after a timeout: slow, lost, or (at the request's deadline) no evidence.
+    def timeout_ending(self, at_deadline: bool, now: float) -> Ending:
+        """Return the ending after a timeout: timed out, engine lost, or (at the deadline) no evidence.
 
-        An engine that sent nothing at all in the second half of the wait counts as lost.
+        An engine that sent neither response bytes nor load reports in the second half of the wait counts as
+        lost.
 
-        :param deadline: whether the request's deadline passed, not the attempt's timeout.
+        :param at_deadline: whether the request's deadline passed, not the attempt's timeout.
         """
-        if deadline and (self.timing_disturbed or self.blocked):
+        if at_deadline and (self.timing_disturbed or self.blocked):
             return Ending.CALLER_GONE
         waited_s = now - self.began_at
         limit_s = self._route.first_piece_timeout_s * MIN_BLAMED_WAIT_SHARE
-        if deadline and self.first_chunk_at is None and waited_s < limit_s:
+        if at_deadline and self.first_chunk_at is None and waited_s < limit_s:
             return Ending.CALLER_GONE
         half_waited_at = (self.progress_at + now) / 2
-        return Ending.TIMED_OUT if self.slot.alive_at() > half_waited_at else Ending.ENGINE_LOST
+        return Ending.TIMED_OUT if self.slot.last_activity_at() > half_waited_at else Ending.ENGINE_LOST
 
     def finish(self, ending: Ending, now: float, refused: bool = False, reset: bool = False) -> None:
-        """End the attempt once: free the engine, notify the ejector and the version filter.
+        """End the attempt, once: release its load, notify the ejector and the version filter.
 
         :param refused: whether the engine refused the connection.
         :param reset: whether the connection was reset after bytes were sent.
@@ -140,29 +142,29 @@
         self._notify_ejector(ending, refused, now)
         outcome = self._outcome(ending)
         if reset:
-            self.slot.reset_began_at = max(self.slot.reset_began_at, self.began_at)
-            self._core.loss_classifier.suspect_reset(self.slot, outcome, now)
+            self.slot.reset_request_sent_at = max(self.slot.reset_request_sent_at, self.began_at)
+            self._core.loss_classifier.add_reset(self.slot, outcome, now)
         elif ending is Ending.ENGINE_LOST and not refused:
-            self._core.loss_classifier.suspect_unresponsive(self.slot, outcome, self.progress_at, now)
+            self._core.loss_classifier.add_unresponsive(self.slot, outcome, self.progress_at, now)
         else:
-            self._core.chooser.observe(outcome, now)
+            self._core.version_chooser.observe(outcome, now)
 
     def _notify_ejector(self, ending: Ending, refused: bool, now: float) -> None:
         ejector = self._core.ejector
         if ending in (Ending.WHOLE, Ending.REJECTED):
-            ejector.succeeded(self.slot, self.probe, self.began_at)
+            ejector.record_success(self.slot, self.probe, self.began_at)
         elif ending is Ending.CALLER_GONE:
-            ejector.neutral(self.slot, self.probe)
+            ejector.record_no_evidence(self.slot, self.probe)
         else:
-            ejector.failed(self.slot, ending, refused, self.probe, self.selected.pool, now)
+            ejector.record_failure(self.slot, ending, refused, self.probe, self.target.pool, now)
 
     def _outcome(self, ending: Ending) -> PromptOutcome:
         record = self.slot.record
         first_at = None if self.timing_disturbed else self.first_chunk_at
-        pieces = self.reply.pieces() if self.reply is not None else 0
+        chunk_count = self.response.chunk_count() if self.response is not None else 0
         gap_s = None
-        if first_at is not None and pieces > 1:
-            gap_s = (self.progress_at - first_at) / (pieces - 1)
+        if first_at is not None and chunk_count > 1:
+            gap_s = (self.progress_at - first_at) / (chunk_count - 1)
         return PromptOutcome(
             service=record.service,
             version=VersionName(self.version()),
@@ -170,9 +172,9 @@
             route=self._route.name,
             ending=ending,
             prompt_bytes=self._prompt_bytes,
-            expected_hit=self.selected.choice.expected_hit,
+            expected_hit=self.target.choice.expected_hit,
             first_token_s=None if first_at is None else first_at - self.began_at,
             token_gap_s=gap_s,
-            tokens=self.reply.tokens() if self.reply is not None else 0,
+            tokens=self.response.tokens() if self.response is not None else 0,
             engine_in_flight=self._in_flight_before,
         )
--- a/src/springmux/router/authentication.py
+++ b/src/springmux/router/authentication.py
@@ -10,7 +10,7 @@
 from springmux.vocabulary.errors import ErrorCode
 from springmux.vocabulary.names import KeyDigest
 
-BEARER = "bearer "
+BEARER_PREFIX = "bearer "
 
 
 def authenticate(headers: Mapping[str, str], view: ControlView) -> KeyRecord:
@@ -19,9 +19,9 @@
     :raises RefusalError: ``missing_key``, ``unknown_key`` or ``revoked_key`` (401).
     """
     value = headers.get("authorization", "")
-    if value[: len(BEARER)].lower() != BEARER or len(value) == len(BEARER):
+    if value[: len(BEARER_PREFIX)].lower() != BEARER_PREFIX or len(value) == len(BEARER_PREFIX):
         raise RefusalError(ErrorCode.MISSING_KEY, "send the header Authorization: Bearer KEY")
-    key = value[len(BEARER) :].strip()
+    key = value[len(BEARER_PREFIX) :].strip()
     digest = KeyDigest(hashlib.sha256(key.encode(errors="surrogateescape")).hexdigest())
     record = view.keys.get(digest)
     if record is None or record.tenant not in view.tenants:
--- a/src/springmux/router/claim.py
+++ b/src/springmux/router/claim.py
@@ -12,8 +12,8 @@
 
 
 def claim_key(parsed: ParsedRequest, key: KeyRecord, request_id: RequestId) -> str:
-    """Return the name of the action: a hash of tenant, route, and idempotency key (or request id)."""
-    name = f"{key.tenant}\0{parsed.route.name}\0{parsed.action(request_id)}"
+    """Return the key of the request's claim: a hash of tenant, route, and idempotency key (or request id)."""
+    name = f"{key.tenant}\0{parsed.route.name}\0{parsed.action_id(request_id)}"
     return xxhash.xxh3_128_hexdigest(name.encode(errors="surrogateescape"))
 
 
@@ -39,7 +39,7 @@
         return RequestClaim(self.key)
 
     def store_response(self, head: ResponseHead, body: bytes) -> None:
-        """Store the complete response for resent requests."""
+        """Keep the complete response, which answers a resent request."""
         self._stored_response = encode_response(
             StoredResponse(head.status, head.headers, body, self.body_digest)
         )
--- a/src/springmux/router/core.py
+++ b/src/springmux/router/core.py
@@ -24,15 +24,17 @@
 INITIAL_RESPONSE_TOKENS = 64.0
 """Assumed length of a response until one has been measured."""
 RESPONSE_LENGTH_SMOOTHING = 0.05
-PRESSED_REFRESH_S = 0.25
-"""Engines report once a second."""
+"""Weight of the latest response in the moving average of a route's response lengths."""
+PRESSURE_REFRESH_S = 0.25
+"""Interval at which the pressure on a service is computed again; engines report once a second."""
 
 
 class RouterStatus(msgspec.Struct, frozen=True):
     """Figures of the data plane since the start, for metrics and status.
 
-    ``retries``: requests sent again to another engine; ``reconnects``: attempts at another engine before
-    anything was sent.
+    ``sheds``: requests rejected by admission control. ``retries``: requests sent again to another engine.
+    ``reconnects``: attempts at another engine before anything was sent. ``retries_refused``: retries denied
+    by the retry budget.
     """
 
     in_flight: Mapping[TrafficClass, int]
@@ -50,7 +52,7 @@
 
 @dataclass(slots=True)
 class Counters:
-    """Counts of one node's data plane."""
+    """Counters of one node's data plane since the start."""
 
     requests: int = 0
     dispatches: int = 0
@@ -89,16 +91,16 @@
     ) -> None:
         self.node = node
         self.zone = zone
-        self.chooser = chooser
+        self.version_chooser = chooser
         self.quota = quota
         self.connected = connected
         self.view: ControlView = EMPTY_VIEW
         self.ready = False
         self.not_ready_reason = "starting"
-        self.table = EngineTable()
+        self.engine_table = EngineTable()
         self.ejector = Ejector()
-        self.index = PrefixIndex()
-        self.engine_chooser = EngineChooser(self.index, self.ejector, source)
+        self.prefix_index = PrefixIndex()
+        self.engine_chooser = EngineChooser(self.prefix_index, self.ejector, source)
         self.admission = Admission(AdmissionLimits())
         self.retry_budget = _retry_budget(AdmissionLimits())
         self.loss_classifier = LossClassifier(chooser.observe)
@@ -106,7 +108,7 @@
         self.counters = Counters()
         self.wake_listener: Callable[[RequestId], None] | None = None
         self.claims_running: set[str] = set()
-        self._pressed: dict[ServiceName, tuple[bool, float]] = {}
+        self._service_pressure: dict[ServiceName, tuple[bool, float]] = {}
 
     def update_limits(self, limits: AdmissionLimits) -> None:
         """Apply new limits; the retry budget is reset only if its own limits changed."""
@@ -121,12 +123,12 @@
         if self.wake_listener is not None:
             self.wake_listener(request_id)
 
-    def service_pressed(self, service: ServiceName, now: float) -> bool:
+    def service_under_pressure(self, service: ServiceName, now: float) -> bool:
         """Return whether most engines of a service report queues (cached for a short time)."""
-        known = self._pressed.get(service)
-        if known is None or now - known[1] >= PRESSED_REFRESH_S:
-            known = (self.table.service_pressed(service, now), now)
-            self._pressed[service] = known
+        known = self._service_pressure.get(service)
+        if known is None or now - known[1] >= PRESSURE_REFRESH_S:
+            known = (self.engine_table.service_under_pressure(service, now), now)
+            self._service_pressure[service] = known
         return known[0]
 
     def status(self) -> RouterStatus:
@@ -136,15 +138,15 @@
         return RouterStatus(
             in_flight={name: admission.in_flight(name) for name in TrafficClass},
             queued={name: admission.queued(name) for name in TrafficClass},
-            sheds=dict(admission.sheds),
+            sheds=dict(admission.rejections),
             requests=counters.requests,
             dispatches=counters.dispatches,
             retries=counters.retries,
             reconnects=counters.reconnects,
             retries_refused=counters.retries_refused,
             ejections=self.ejector.ejections,
-            prefix_entries=len(self.index),
-            engines_usable=sum(1 for slot in self.table.slots.values() if slot.usable),
+            prefix_entries=len(self.prefix_index),
+            engines_usable=sum(1 for slot in self.engine_table.slots.values() if slot.usable),
         )
 
 
--- a/src/springmux/router/dispatching.py
+++ b/src/springmux/router/dispatching.py
@@ -1,4 +1,4 @@
-"""Builds the request to an engine."""
+"""Builds the request that is sent to an engine."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from springmux.router.parse import ParsedRequest
 
 CONNECT_TIMEOUT_S = 0.5
-"""Used if the service has just left the configuration; the default of its schema."""
+"""Used if the service was just removed from the configuration; equal to the default of its schema."""
 
 
 def dispatch_effect(
@@ -21,14 +21,14 @@
     deadline: float,
     now: float,
 ) -> Dispatch:
-    """Return the effect that sends ``request`` to the attempt's engine, its body as it came."""
+    """Return the effect that sends ``request`` to the attempt's engine, with its body unchanged."""
     headers: Headers = (
         ("Content-Type", "application/json"),
         ("X-Request-Id", request.request_id),
         ("X-Deadline-S", f"{deadline - now:.3f}"),
     )
     if parsed.route.kind is RouteKind.CALL:
-        headers = (*headers, ("X-Idempotency-Key", parsed.action(request.request_id)))
+        headers = (*headers, ("X-Idempotency-Key", parsed.action_id(request.request_id)))
     service = core.view.configuration.services.get(parsed.route.service)
     return Dispatch(
         attempt=attempt.number,
--- a/src/springmux/router/effects.py
+++ b/src/springmux/router/effects.py
@@ -18,7 +18,7 @@
 class SettleClaim(Effect, frozen=True):
     """End the claim.
 
-    ``ran``: the request may have been executed. ``answer``: response for a resend (opaque).
+    ``ran``: the request may have been executed. ``answer``: encoded response for a resent request.
     """
 
     claim_key: str
@@ -54,7 +54,7 @@
 
 
 class ResponseData(Effect, frozen=True):
-    """Write bytes of the response to the client at once."""
+    """Write bytes of the response to the client immediately."""
 
     data: bytes
 
@@ -74,4 +74,4 @@
 
 
 class FlowDone(Effect, frozen=True):
-    """The flow is done; the driver drops it."""
+    """The flow has ended; the driver discards it."""
--- a/src/springmux/router/ejection.py
+++ b/src/springmux/router/ejection.py
@@ -1,9 +1,10 @@
 """Outlier ejection: engines that fail repeatedly or are unresponsive get no traffic for a while.
 
-An ejected engine returns half open: one real request probes it. Success closes the circuit, failure ejects
-for twice as long (circuit breaker: Nygard, "Release It!", 2007; limits as in Envoy's outlier detection). A
-version that fails everywhere is the rollout judge's concern. The gateway compares failure rates instead
-(:mod:`springmux.gateway.outlier_detection`): there an error status may be the request's own fault.
+After its ejection an engine is half open: one client request serves as its probe. Success closes the circuit,
+failure ejects the engine for twice as long (circuit breaker: Nygard, "Release It!", 2007; limits as in
+Envoy's outlier detection). A version that fails on all engines is left to the rollout judge. The gateway
+compares failure rates instead (:mod:`springmux.gateway.outlier_detection`): there an error status may be the
+request's own fault.
 """
 
 from __future__ import annotations
@@ -12,13 +13,15 @@
 from springmux.router.engine_table import EnginePool, EngineSlot
 
 FAILURES_TO_EJECT = 3
-"""Consecutive failures; three are rare for a healthy engine."""
+"""Consecutive failures that eject an engine; three are rare for a healthy engine."""
 REFUSED_EJECTION_S = 1.0
-"""After a refused connection: about the time in which the directory learns of the loss."""
+"""First ejection after a refused connection: about the time until the directory detects the loss."""
 FAILURE_EJECTION_S = 2.0
+"""First ejection after any other failure."""
 MAX_EJECTION_S = 30.0
 MAX_EJECTED_SHARE = 1 / 3
-"""Share of a version's engines; at least one, where there are two or more."""
+"""Maximum share of a version's engines that are ejected at the same time. If there are at least two engines,
+one may always be ejected."""
 
 
 class Ejector:
@@ -35,14 +38,14 @@
             return False
         return probe and not slot.probing
 
-    def dispatched(self, slot: EngineSlot, now: float) -> bool:
+    def record_dispatch(self, slot: EngineSlot, now: float) -> bool:
         """Record a dispatch; return whether it is the probe of a half-open engine."""
         if slot.ejected_until < 0.0 or now < slot.ejected_until:
             return False
         slot.probing = True
         return True
 
-    def succeeded(self, slot: EngineSlot, probe: bool, began_at: float) -> None:
+    def record_success(self, slot: EngineSlot, probe: bool, began_at: float) -> None:
         """Record the success of a request sent at ``began_at``.
 
         The success of a request sent before the ejection does not end it.
@@ -55,12 +58,12 @@
         slot.ejected_until = -1.0
         slot.ejections = 0
 
-    def neutral(self, slot: EngineSlot, probe: bool) -> None:
+    def record_no_evidence(self, slot: EngineSlot, probe: bool) -> None:
         """Record an ending that is no evidence about the engine; the next request may probe."""
         if probe:
             slot.probing = False
 
-    def failed(
+    def record_failure(
         self, slot: EngineSlot, ending: Ending, refused: bool, probe: bool, pool: EnginePool, now: float
     ) -> None:
         """Record a failure. ``pool``: all ready engines of the engine's version."""
--- a/src/springmux/router/reply.py
+++ b/src/springmux/router/engine_response.py
@@ -17,13 +17,21 @@
 EVENT_STREAM = "text/event-stream"
 
 
-class Reply:
-    """One reply. ``fault``: what is invalid, if anything; ``version``: the version that the engine reports.
+class EngineResponse:
+    """One response. ``fault``: what is invalid, or an empty string; ``version``: as reported by the engine.
 
-    Exactly one of ``stream`` and ``answer`` is set after a valid head.
+    Exactly one of ``stream_checker`` and ``buffered_checker`` is set after a valid head.
     """
 
-    __slots__ = ("_broke_off", "_headers", "answer", "fault", "status", "stream", "version")
+    __slots__ = (
+        "_ended_early",
+        "_headers",
+        "buffered_checker",
+        "fault",
+        "status",
+        "stream_checker",
+        "version",
+    )
 
     def __init__(
         self,
@@ -34,10 +42,10 @@
         node: NodeId,
     ) -> None:
         self.status = event.status
-        self.stream: StreamChecker | None = None
-        self.answer: ResponseChecker | None = None
+        self.stream_checker: StreamChecker | None = None
+        self.buffered_checker: ResponseChecker | None = None
         self.version = ""
-        self._broke_off = False
+        self._ended_early = False
         self._headers: Headers = ()
         self.fault = head_fault(event.headers, request_id, engine)
         if not self.fault and not (200 <= event.status < 300 or 400 <= event.status < 500):
@@ -50,76 +58,76 @@
             request_id, node, engine, self.version, event.headers, stream=as_stream
         )
         if as_stream:
-            self._begin_stream(event, request_id)
+            self._start_stream(event, request_id)
         else:
             completion = parsed.route.kind is RouteKind.PROMPT and event.status < 400
-            self.answer = ResponseChecker(event.headers, request_id if completion else "")
-            self.fault = self.answer.fault
+            self.buffered_checker = ResponseChecker(event.headers, request_id if completion else "")
+            self.fault = self.buffered_checker.fault
 
-    def _begin_stream(self, event: UpstreamHead, request_id: RequestId) -> None:
+    def _start_stream(self, event: UpstreamHead, request_id: RequestId) -> None:
         if not event.headers.get("content-type", "").startswith(EVENT_STREAM):
             self.fault = "the engine did not answer with a stream"
             return
-        self.stream = StreamChecker(request_id)
+        self.stream_checker = StreamChecker(request_id)
 
     def feed(self, data: bytes) -> bytes:
-        """Feed bytes of the body; return what may be forwarded now (nothing unless it is a stream)."""
-        if self.stream is not None:
-            forward = self.stream.feed(data)
-            self.fault = self.stream.fault
+        """Feed bytes of the body; return the bytes to forward now (none unless the response is a stream)."""
+        if self.stream_checker is not None:
+            forward = self.stream_checker.feed(data)
+            self.fault = self.stream_checker.fault
             return forward
-        if self.answer is not None:
-            self.answer.feed(data)
-            self.fault = self.answer.fault
+        if self.buffered_checker is not None:
+            self.buffered_checker.feed(data)
+            self.fault = self.buffered_checker.fault
         return b""
 
     def end(self) -> bytes:
-        """Handle the proper end; return the complete body, or nothing if it is invalid or a stream."""
-        if self.answer is None:
+        """Handle the proper end; return the complete body, or no bytes if it is invalid or a stream."""
+        if self.buffered_checker is None:
             self.fault = "the engine ended its stream before the last piece"
-            self._broke_off = True
+            self._ended_early = True
             return b""
-        self.answer.end()
-        self.fault = self.answer.fault
-        return self.answer.body
+        self.buffered_checker.end()
+        self.fault = self.buffered_checker.fault
+        return self.buffered_checker.body
 
     @property
     def finished(self) -> bool:
         """Whether a stream has ended properly."""
-        return self.stream is not None and self.stream.finished
+        return self.stream_checker is not None and self.stream_checker.finished
 
     @property
     def trailing(self) -> bool:
         """Whether bytes arrived after a stream's end."""
-        return self.stream is not None and self.stream.trailing
+        return self.stream_checker is not None and self.stream_checker.trailing
 
     def error_code(self) -> ErrorCode:
         """Return the error code of the fault."""
-        if self.stream is not None and self.stream.engine_error:
+        if self.stream_checker is not None and self.stream_checker.engine_error:
             return ErrorCode.ENGINE_ERROR
-        return ErrorCode.ENGINE_BROKE_OFF if self._broke_off else ErrorCode.ENGINE_PROTOCOL
+        return ErrorCode.ENGINE_BROKE_OFF if self._ended_early else ErrorCode.ENGINE_PROTOCOL
 
     def ending(self) -> Ending:
-        """Return the ending that the fault stands for."""
-        engine_error = self.stream is not None and self.stream.engine_error
+        """Return the ending of the attempt that matches the fault."""
+        engine_error = self.stream_checker is not None and self.stream_checker.engine_error
         return Ending.ERROR_STATUS if engine_error else Ending.BROKEN
 
     def head(self) -> ResponseHead:
-        """Return the head for the client; unless it is a stream, only after :meth:`end`."""
-        length = len(self.answer.body) if self.answer is not None else None
+        """Return the head for the client; may be called after :meth:`end` only, unless this is a stream."""
+        length = len(self.buffered_checker.body) if self.buffered_checker is not None else None
         return ResponseHead(self.status, self._headers, length)
 
-    def pieces(self) -> int:
+    def chunk_count(self) -> int:
         """Return the number of valid chunks of a stream."""
-        return self.stream.pieces if self.stream is not None else 0
+        return self.stream_checker.chunk_count if self.stream_checker is not None else 0
 
     def prompt_tokens(self) -> int:
-        """Return the prompt's tokens as reported by the engine, 0 if it did not."""
-        checker = self.stream or self.answer
+        """Return the number of prompt tokens reported by the engine, or 0 if it reported none."""
+        checker = self.stream_checker or self.buffered_checker
         return checker.prompt_tokens if checker is not None else 0
 
     def tokens(self) -> int:
-        """Return the response's tokens as reported by the engine, else the number of chunks."""
-        checker = self.stream or self.answer
+        """Return the number of response tokens reported by the engine, or else the number of chunks."""
+        checker = self.stream_checker or self.buffered_checker
         counted = checker.tokens if checker is not None else 0
-        return counted or self.pieces()
+        return counted or self.chunk_count()
--- a/src/springmux/router/engine_table.py
+++ b/src/springmux/router/engine_table.py
@@ -1,4 +1,4 @@
-"""Load and health of each back end as seen by this node: one mutable slot per engine incarnation.
+"""Load and health of each engine as seen by this node: one mutable slot per engine incarnation.
 
 A restarted engine gets a new slot: its cache is empty, its ejection is dropped, and index entries for the old
 slot are ignored.
@@ -18,23 +18,27 @@
 from springmux.vocabulary.names import EngineId, ServiceName, VersionName
 
 LOAD_REPORT_LIFETIME_S = 3.0
-"""Age at which a load report no longer counts; engines report about once a second, with some delay."""
+"""Age at which a load report is ignored; engines report about once a second, with some delay."""
 WEIGHTS_REFRESH_S = 0.25
-"""Interval at which the weights of a pool are summed again during a slow start."""
+"""Interval at which the sum of a pool's weights is recomputed while one of its engines is in slow start."""
 PLACEMENT_WINDOW = 24
-"""Engines considered for one prefix; a lost engine's prefixes move to as many others."""
+"""Maximum number of engines considered for one prefix; a lost engine's prefixes move to as many others."""
 
 
 @dataclass(eq=False, slots=True)
 class EngineSlot:
     """One engine incarnation as this node uses it. Owned by :class:`EngineTable`.
 
+    All times are monotonic seconds, negative if the event has not happened.
+
     ``outstanding_tokens``: estimated unfinished work of this node's requests.
-    ``heard_at``: when any response byte last arrived. ``failures``, ``ejections`` and
-    ``ejected_until`` belong to the ejector; ``probing``: a half-open engine's one request is running.
-    ``heard_began_at``: when the latest request with any response byte was sent;
-    ``reset_began_at``: when the latest request was sent that the engine accepted and reset;
-    ``refused_at``: when a connection was last refused; ``accepted_at``: when the latest accepted probe began.
+    ``last_response_byte_at``: when a response byte last arrived.
+    ``responded_request_sent_at``: when the latest request was sent for which a response byte arrived.
+    ``reset_request_sent_at``: when the latest request was sent that the engine accepted and then reset.
+    ``refused_at``: when a connection was last refused.
+    ``accepted_probe_began_at``: when the latest probe began whose connection the engine accepted.
+    ``failures``, ``ejections`` and ``ejected_until`` belong to the ejector.
+    ``probing``: the one request that probes a half-open engine is running.
     """
 
     record: EngineRecord
@@ -44,11 +48,11 @@
     in_flight: int = 0
     outstanding_tokens: int = 0
     load: EngineLoad | None = None
-    heard_at: float = -1.0
-    heard_began_at: float = -1.0
-    reset_began_at: float = -1.0
+    last_response_byte_at: float = -1.0
+    responded_request_sent_at: float = -1.0
+    reset_request_sent_at: float = -1.0
     refused_at: float = -1.0
-    accepted_at: float = -1.0
+    accepted_probe_began_at: float = -1.0
     failures: int = 0
     ejections: int = 0
     ejected_until: float = -1.0
@@ -60,12 +64,12 @@
         self.outstanding_tokens += tokens
 
     def end(self, tokens: int) -> None:
-        """Count a finished request; ``tokens`` as given to :meth:`begin`."""
+        """Count a finished request. ``tokens``: the part of its estimate that is still outstanding."""
         self.in_flight -= 1
         self.outstanding_tokens -= tokens
 
-    def foreign_requests(self, now: float) -> float:
-        """Return the estimated requests of other nodes: the engine's report, decayed by its age."""
+    def other_nodes_requests(self, now: float) -> float:
+        """Return the estimated requests of other nodes, from the engine's load report, decayed by its age."""
         load = self.load
         if load is None:
             return 0.0
@@ -75,12 +79,12 @@
         foreign = load.running + load.queued - self.in_flight
         return max(0, foreign) * (1.0 - age_s / LOAD_REPORT_LIFETIME_S)
 
-    def alive_at(self) -> float:
+    def last_activity_at(self) -> float:
         """Return when the engine last sent response bytes or a load report (monotonic s)."""
         reported_at = self.load.measured_at if self.load is not None else -1.0
-        return max(self.heard_at, reported_at)
+        return max(self.last_response_byte_at, reported_at)
 
-    def reports_queue(self, now: float) -> bool:
+    def reports_full_queue(self, now: float) -> bool:
         """Return whether a recent report shows a queue as long as the engine's capacity."""
         load = self.load
         if load is None or not 0.0 <= now - load.measured_at < LOAD_REPORT_LIFETIME_S:
@@ -103,11 +107,11 @@
         self._hashes = [slot.hash for slot in self.slots]
         self.members = frozenset(slot.record.engine for slot in self.slots)
 
-    def near(self, key: int) -> list[EngineSlot]:
+    def placement_candidates(self, key: int) -> list[EngineSlot]:
         """Return the engines considered for a prefix: all of a small pool, else a window.
 
-        The window is the next engines on the ring of hashes (Karger et al. 1997), so that placement in
-        a pool of hundreds costs no more than in one of tens.
+        The window is the next engines on the hash ring (Karger et al. 1997), so that placement in a pool of
+        hundreds of engines costs no more than in one of tens.
         """
         if len(self.slots) <= PLACEMENT_WINDOW:
             return self.slots
@@ -115,9 +119,9 @@
         window = self.slots[start : start + PLACEMENT_WINDOW]
         return window + self.slots[: PLACEMENT_WINDOW - len(window)]
 
-    def pressed(self, now: float) -> bool:
+    def under_pressure(self, now: float) -> bool:
         """Return whether most engines report a queue as long as their capacity."""
-        queueing = sum(1 for slot in self.slots if slot.reports_queue(now))
+        queueing = sum(1 for slot in self.slots if slot.reports_full_queue(now))
         return queueing * 2 > len(self.slots)
 
     def weight_sum(self, now: float) -> float:
@@ -129,7 +133,7 @@
         return self._weight_sum
 
     def total_in_flight(self) -> int:
-        """Return this node's requests on the pool's engines."""
+        """Return the number of this node's requests in flight on the pool's engines."""
         return sum(slot.in_flight for slot in self.slots)
 
 
@@ -143,18 +147,18 @@
 
     def __init__(self) -> None:
         self.slots: dict[EngineId, EngineSlot] = {}
-        self._engines: Mapping[EngineId, EngineRecord] = {}
+        self._records: Mapping[EngineId, EngineRecord] = {}
         self._pools: dict[tuple[ServiceName, VersionName], EnginePool] = {}
         self._subsets: dict[tuple[ServiceName, VersionName, int], EnginePool] = {}
 
     def update(self, view: EnginesView) -> None:
         """Apply a directory view; engines that are not ready get no more requests.
 
-        Views come with every round of load reports. Unchanged records are the same objects, so that
-        comparing whole directories costs a pointer an engine.
+        Views arrive with every round of load reports. Unchanged records are the same objects, so that
+        comparing whole directories costs one pointer comparison per engine.
         """
-        if view.engines != self._engines:
-            self._take_records(view)
+        if view.engines != self._records:
+            self._apply_records(view)
         for engine, load in view.loads.items():
             slot = self.slots.get(engine)
             if slot is not None:
@@ -164,10 +168,10 @@
         """Return the ready engines of a version (possibly none)."""
         return self._pools.get((service, version)) or _EMPTY_POOL
 
-    def service_pressed(self, service: ServiceName, now: float) -> bool:
+    def service_under_pressure(self, service: ServiceName, now: float) -> bool:
         """Return whether the engines of every version of a service are under pressure."""
         pools = [pool for (name, _), pool in self._pools.items() if name == service]
-        return bool(pools) and all(pool.pressed(now) for pool in pools)
+        return bool(pools) and all(pool.under_pressure(now) for pool in pools)
 
     def subset(self, service: ServiceName, version: VersionName, count: int) -> EnginePool:
         """Return the first ``count`` engines of a version, the same at every node.
@@ -185,23 +189,23 @@
             self._subsets[key] = subset
         return subset
 
-    def _take_records(self, view: EnginesView) -> None:
-        known = self._engines
+    def _apply_records(self, view: EnginesView) -> None:
+        previous = self._records
         for engine, record in view.engines.items():
-            if record is known.get(engine):
+            if record is previous.get(engine):
                 continue
             slot = self.slots.get(engine)
             if slot is None or slot.record.incarnation != record.incarnation:
-                self._replace(slot, record, view)
+                self._replace_slot(slot, record, view)
             else:
                 slot.record = record
                 slot.usable = record.status is EngineStatus.READY
-        for engine in known.keys() - view.engines.keys():
+        for engine in previous.keys() - view.engines.keys():
             self.slots.pop(engine).usable = False
-        self._engines = view.engines
+        self._records = view.engines
         self._build_pools()
 
-    def _replace(self, old: EngineSlot | None, record: EngineRecord, view: EnginesView) -> None:
+    def _replace_slot(self, old: EngineSlot | None, record: EngineRecord, view: EnginesView) -> None:
         if old is not None:
             old.usable = False
         self.slots[record.engine] = EngineSlot(
--- a/src/springmux/router/errors.py
+++ b/src/springmux/router/errors.py
@@ -45,7 +45,7 @@
 
 
 class RefusalError(Exception):
-    """The request is refused and never executed. Caught by the flow, which adds request and node."""
+    """The request is refused and never executed. The flow catches it and adds the request id and the node."""
 
     def __init__(
         self,
--- a/src/springmux/router/events.py
+++ b/src/springmux/router/events.py
@@ -13,7 +13,7 @@
 
 
 class ClientRequest(msgspec.Struct, frozen=True):
-    """A client's complete request as the listener read it; header names in lower case."""
+    """A client's complete request as read by the listener, with header names in lower case."""
 
     request_id: RequestId
     method: str
@@ -94,4 +94,4 @@
 
 
 class StopRequested(Event, frozen=True):
-    """The node's shutdown grace period has passed; end now with an error."""
+    """The node's shutdown grace period has passed; the request must end now with an error."""
--- a/src/springmux/router/exchange_state.py
+++ b/src/springmux/router/exchange_state.py
@@ -1,4 +1,4 @@
-"""State of one request's attempts: the open attempt, its credit, and how it is closed."""
+"""State of one request's attempts: the open attempt, its exposure credit, and how it is closed."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 from springmux.router.selection import Selection
 from springmux.vocabulary.errors import Fate
 
-PAUSED_PROCESS_S = 1.0
-"""A timer this late means that the node's process was paused, so bytes that arrived meanwhile are read first.
-A busy event loop is late by tenths of a second."""
+PROCESS_PAUSE_THRESHOLD_S = 1.0
+"""Delay of a timer from which the node's process must have been paused, so that bytes that arrived meanwhile
+are read before a timeout is decided. A busy event loop delays timers by tenths of a second."""
 
 
 class ExchangeState:
@@ -27,13 +27,13 @@
     """
 
     __slots__ = (
-        "_answered",
         "_attempt",
         "_core",
         "_deadline",
         "_parsed",
         "_prefix",
         "_request",
+        "_response_begun",
         "_response_tokens",
         "_retries",
         "_selection",
@@ -49,7 +49,7 @@
         self._parsed = parsed
         self._deadline = deadline
         self._attempt: Attempt | None = None
-        self._answered = False
+        self._response_begun = False
         self._retries = RetryPolicy(core, parsed.route, deadline)
         self.sent = False
         self.closed = True
@@ -61,7 +61,7 @@
             core,
             parsed.route.service,
             self._prefix,
-            self._prefix.key if self._prefix is not None else parsed.action_key(request.request_id),
+            self._prefix.key if self._prefix is not None else parsed.action_hash(request.request_id),
             parsed.prompt_tokens,
             parsed.route.repeatable,
             now,
@@ -74,9 +74,9 @@
     def deadline_ending(self, now: float) -> Ending:
         """Return the ending of the open attempt at the request's deadline."""
         attempt = self._attempt
-        if attempt is None or now - self._deadline > PAUSED_PROCESS_S:
+        if attempt is None or now - self._deadline > PROCESS_PAUSE_THRESHOLD_S:
             return Ending.CALLER_GONE
-        return attempt.late_ending(True, now)
+        return attempt.timeout_ending(True, now)
 
     def cancel(self, ending: Ending, now: float) -> list[Effect]:
         """Close the open attempt, if any, without reusing its connection."""
@@ -119,13 +119,13 @@
     def used_tokens(self) -> float:
         """Return the tokens to charge: prompt and response if an engine began to respond, else none."""
         attempt = self._attempt
-        if attempt is None or attempt.reply is None or attempt.first_chunk_at is None:
+        if attempt is None or attempt.response is None or attempt.first_chunk_at is None:
             return 0.0
-        reply = attempt.reply
-        return float((reply.prompt_tokens() or self._parsed.prompt_tokens) + reply.tokens())
+        response = attempt.response
+        return float((response.prompt_tokens() or self._parsed.prompt_tokens) + response.tokens())
 
-    def release_credit(self, now: float) -> None:
-        """Give back a credit that no sent attempt used."""
+    def return_unused_credit(self, now: float) -> None:
+        """Return the exposure credit to the version filter unless a sent attempt used it."""
         if self.sent:
-            self._selection.spent()
-        self._selection.give_back(now)
+            self._selection.use_credit()
+        self._selection.return_unused_credit(now)
--- a/src/springmux/router/flow.py
+++ b/src/springmux/router/flow.py
@@ -31,7 +31,7 @@
     UpstreamHead,
 )
 from springmux.router.exchange import Exchange
-from springmux.router.exchange_state import PAUSED_PROCESS_S
+from springmux.router.exchange_state import PROCESS_PAUSE_THRESHOLD_S
 from springmux.router.parse import ParsedRequest
 from springmux.router.progress import Progress
 from springmux.router.request_state import LATE_GRANT_WAIT_S, RequestState, Stage
@@ -41,11 +41,11 @@
 from springmux.vocabulary.errors import ErrorCode, Fate
 
 CLAIM_TIMEOUT_S = 1.5
-"""Longest wait for the claim's decision; the claimant decides UNAVAILABLE before that."""
+"""Maximum wait for the claim's decision; the claimant itself decides UNAVAILABLE before that."""
 
 QUOTA_TIMEOUT_S = 0.3
-"""Longest wait for the owner of a tenant's quota: a request delay of 30 ms and a round trip, or 0.2 s where
-the owner first reclaims tokens from other nodes."""
+"""Maximum wait for the reply of the owner of a tenant's quota. The reply takes a request delay of 30 ms and a
+round trip, or 0.2 s if the owner first reclaims tokens from other nodes."""
 
 _DIFFERENT_BODY = (
     "this Idempotency-Key named a request with another body, which ran; give each action its own key"
@@ -85,12 +85,12 @@
         if isinstance(event, RequestBegun):
             self._begin(now)
         elif isinstance(event, ClaimDecided):
-            self._take_claim(event, now)
+            self._handle_claim_decision(event, now)
         elif isinstance(event, ClientDisconnected):
-            self._client_disconnected(now)
+            self._handle_client_disconnected(now)
         elif isinstance(event, ClientBlocked | ClientReady):
             if self._exchange is not None and self.stage is Stage.RUNNING:
-                self._exchange.client_blocked(isinstance(event, ClientBlocked), now)
+                self._exchange.set_client_blocked(isinstance(event, ClientBlocked), now)
         elif isinstance(event, KeyRevoked):
             self._end_early(ErrorCode.REVOKED_KEY, "the key was revoked", None, now)
         elif isinstance(event, StopRequested):
@@ -104,16 +104,16 @@
             check_serving(core, now)
             parse.check_path(self.request)
             self.key = authenticate(self.request.headers, core.view)
-            if parse.plain_path(self.request.path) == parse.MODELS_PATH:
+            if parse.path_without_query(self.request.path) == parse.MODELS_PATH:
                 body = models_body(core.view.configuration)
-                self._answer(models_head(self.request.request_id, core.node, body), body, now)
+                self._respond(models_head(self.request.request_id, core.node, body), body, now)
                 return
             parsed = parse.parse_request(self.request, core.view.configuration)
             self._parsed = parsed
             self._deadline = now + parsed.route.deadline_s
             self._reservation = RequestReservation(core, self.request.request_id, parsed, self.key, now)
             if self._reservation.granted:
-                self._admitted(parsed, self._reservation, self.key, now)
+                self._handle_admission(parsed, self._reservation, self.key, now)
             else:
                 self.stage = Stage.QUEUED
                 wait_until = now + core.admission.limits.queue_timeout_s
@@ -121,12 +121,12 @@
         except RefusalError as refusal:
             self._refuse(refusal, now)
 
-    def _admitted(
+    def _handle_admission(
         self, parsed: ParsedRequest, reservation: RequestReservation, key: KeyRecord, now: float
     ) -> None:
-        """Continue with a slot: reserve quota, then claim, then dispatch."""
+        """Reserve quota for an admitted request; until the quota's owner has replied, the flow waits."""
         if reservation.reserve_quota(now):
-            self._quota_reserved(parsed, key, now)
+            self._handle_quota_reserved(parsed, key, now)
             return
         self.stage = Stage.AWAITING_QUOTA
         self._stage_until = now + QUOTA_TIMEOUT_S
@@ -137,26 +137,26 @@
             return
         try:
             if reservation.reserve_quota(now, again=True):
-                self._quota_reserved(parsed, key, now)
+                self._handle_quota_reserved(parsed, key, now)
             elif now >= self._stage_until:
                 raise reservation.quota_refusal(now)
         except RefusalError as refusal:
             self._refuse(refusal, now)
 
-    def _quota_reserved(self, parsed: ParsedRequest, key: KeyRecord, now: float) -> None:
+    def _handle_quota_reserved(self, parsed: ParsedRequest, key: KeyRecord, now: float) -> None:
         if parsed.route.repeatable:
-            self._run(parsed, now)
+            self._start_exchange(parsed, now)
             return
-        name = claim_key(parsed, key, self.request.request_id)
-        if name in self._core.claims_running:
-            self._duplicate("a request with this Idempotency-Key is running", now)
+        new_claim_key = claim_key(parsed, key, self.request.request_id)
+        if new_claim_key in self._core.claims_running:
+            self._fail_as_duplicate("a request with this Idempotency-Key is running", now)
             return
-        self._claim = Claim(name, parsed.body, self._core.claims_running)
+        self._claim = Claim(new_claim_key, parsed.body, self._core.claims_running)
         self.stage = Stage.CLAIMING
         self._stage_until = now + CLAIM_TIMEOUT_S
         self._effects.append(self._claim.request())
 
-    def _take_claim(self, event: ClaimDecided, now: float) -> None:
+    def _handle_claim_decision(self, event: ClaimDecided, now: float) -> None:
         verdict = event.decision.verdict
         if self._claim is None or self._parsed is None:
             return
@@ -169,9 +169,9 @@
         self.stage = Stage.RUNNING
         if verdict is ClaimVerdict.GRANTED:
             self._claim.granted = True
-            self._run(self._parsed, now)
+            self._start_exchange(self._parsed, now)
         elif verdict is ClaimVerdict.RUNNING:
-            self._duplicate("a request with this Idempotency-Key is running", now)
+            self._fail_as_duplicate("a request with this Idempotency-Key is running", now)
         elif verdict is ClaimVerdict.FINISHED:
             self._replay(self._claim, event.decision.answer, now)
         else:
@@ -180,21 +180,21 @@
     def _replay(self, claim: Claim, data: bytes, now: float) -> None:
         stored = decode_response(data)
         if stored is None:
-            self._duplicate("the request ran before; its answer is not kept", now)
+            self._fail_as_duplicate("the request ran before; its answer is not kept", now)
             return
         if stored.body_digest != claim.body_digest:
             self._fail(ErrorCode.INVALID_REQUEST, _DIFFERENT_BODY, Fate.UNKNOWN, None, now, status=422)
             return
         headers = replay_headers(self.request.request_id, self._core.node, stored)
-        self._answer(ResponseHead(stored.status, headers, len(stored.body)), stored.body, now)
+        self._respond(ResponseHead(stored.status, headers, len(stored.body)), stored.body, now)
 
-    def _duplicate(self, message: str, now: float) -> None:
+    def _fail_as_duplicate(self, message: str, now: float) -> None:
         self._fail(ErrorCode.DUPLICATE_REQUEST, message, Fate.UNKNOWN, RETRY_AFTER_S, now)
 
-    def _run(self, parsed: ParsedRequest, now: float) -> None:
+    def _start_exchange(self, parsed: ParsedRequest, now: float) -> None:
         self.stage = Stage.RUNNING
         if now >= self._deadline:
-            self._deadline_passed(now)
+            self._fail_at_deadline(now)
             return
         try:
             check_connected(self._core, now)
@@ -217,7 +217,7 @@
             self._apply(exchange.handle(event, now), now)
 
     def _apply(self, progress: Progress, now: float) -> None:
-        """Turn the progress of the attempts into effects."""
+        """Append the effects of the attempts' progress; end the request if it is complete or has failed."""
         effects = self._effects
         effects.extend(progress.effects)
         if progress.head is not None:
@@ -239,14 +239,14 @@
         if self.stage is Stage.QUEUED:
             self._check_slot(now)
         elif self.stage is Stage.LEAVING_CLAIM:
-            if now - self._stage_until > PAUSED_PROCESS_S:
+            if now - self._stage_until > PROCESS_PAUSE_THRESHOLD_S:
                 self._stage_until = now + LATE_GRANT_WAIT_S
             else:
                 self._close(now)
         elif self.stage is Stage.LEAVING_UPSTREAM:
             self._abandon()
         elif now >= self._deadline:
-            self._deadline_passed(now)
+            self._fail_at_deadline(now)
         elif self.stage is Stage.AWAITING_QUOTA:
             self._check_quota(now)
         elif self.stage is Stage.CLAIMING:
@@ -267,11 +267,11 @@
                 message = "no slot came free in time"
                 raise RefusalError(ErrorCode.OVERLOADED, message, retry_after_s=RETRY_AFTER_S)
             check_connected(self._core, now)
-            self._admitted(parsed, reservation, key, now)
+            self._handle_admission(parsed, reservation, key, now)
         except RefusalError as refusal:
             self._refuse(refusal, now)
 
-    def _client_disconnected(self, now: float) -> None:
+    def _handle_client_disconnected(self, now: float) -> None:
         if self.stage is Stage.LEAVING_UPSTREAM:
             self._abandon()
         elif self.stage is not Stage.LEAVING_CLAIM:
@@ -279,7 +279,7 @@
                 self._effects.extend(self._exchange.cancel(Ending.CALLER_GONE, now))
             self._conclude(now)
 
-    def _deadline_passed(self, now: float) -> None:
+    def _fail_at_deadline(self, now: float) -> None:
         self._end_early(ErrorCode.DEADLINE_EXCEEDED, "the route's deadline has passed", None, now)
 
     def _end_early(self, code: ErrorCode, message: str, retry_after_s: float | None, now: float) -> None:
@@ -288,8 +288,8 @@
         exchange = self._exchange
         fate = Fate.REFUSED
         if exchange is not None:
-            late = code is ErrorCode.DEADLINE_EXCEEDED
-            ending = exchange.deadline_ending(now) if late else Ending.CALLER_GONE
+            at_deadline = code is ErrorCode.DEADLINE_EXCEEDED
+            ending = exchange.deadline_ending(now) if at_deadline else Ending.CALLER_GONE
             self._effects.extend(exchange.cancel(ending, now))
             fate = exchange.fate()
         self._fail(code, message, fate, retry_after_s, now)
--- a/src/springmux/router/loss_classifier.py
+++ b/src/springmux/router/loss_classifier.py
@@ -8,8 +8,8 @@
 A timeout is ambiguous too. If the directory still has the engine ready well after it would have detected a
 loss, the version is at fault.
 
-The probe decides where the engine gets few requests, like a candidate in the canary: without it a version
-that breaks off its streams would look like lost engines.
+The probe is needed for an engine that gets few requests, such as a candidate in the canary: without it, a
+version that breaks off its streams would look like lost engines.
 """
 
 from __future__ import annotations
@@ -25,19 +25,19 @@
 from springmux.vocabulary.names import EngineId
 
 RESET_WAIT_S = 1.0
-"""Longest time that a reset is pending; short beside the judge's rollback time."""
+"""Maximum time that the outcome of a reset is pending; short compared with the judge's rollback time."""
 
-ACCEPTED_AFTER_S = 0.15
-"""Idle connections of a lost process are known to be closed well before this; later use reached a live
-one."""
+IDLE_CLOSE_DETECTION_S = 0.15
+"""Well within this time a node notices that the idle connections of a lost process are closed. A request that
+was sent later and accepted therefore reached a live process."""
 
 UNRESPONSIVE_WAIT_S = 4.5
 """Time by which the directory would list an unresponsive engine as lost: three seconds without a heartbeat, a
 vote, and the dissemination."""
 
 
-class _Suspect(msgspec.Struct, frozen=True):
-    """A pending outcome. ``reset_at``: when the reset came, or since when the engine is unresponsive."""
+class _PendingOutcome(msgspec.Struct, frozen=True):
+    """An outcome to classify. ``reset_at``: time of the reset, or since when the engine is unresponsive."""
 
     slot: EngineSlot
     outcome: PromptOutcome
@@ -51,82 +51,79 @@
 
 
 class LossClassifier:
-    """Pending outcomes of attempts that were reset or timed out."""
+    """Holds the outcomes of attempts that were reset or timed out until they can be classified."""
 
     def __init__(self, observe: Callable[[PromptOutcome, float], None]) -> None:
-        self.probe: Callable[[EngineRecord], None] | None = None
-        """Set by the driver: connects to an engine, then calls :meth:`probed`."""
+        self.probe_listener: Callable[[EngineRecord], None] | None = None
+        """Set by the driver: connects to an engine, then calls :meth:`handle_probe_result`."""
         self._observe = observe
-        self._suspects: deque[_Suspect] = deque()
+        self._pending: deque[_PendingOutcome] = deque()
         self._probes: dict[EngineId, _Probe] = {}
 
-    def suspect_reset(self, slot: EngineSlot, outcome: PromptOutcome, now: float) -> None:
+    def add_reset(self, slot: EngineSlot, outcome: PromptOutcome, now: float) -> None:
         """Record an attempt that was reset just now."""
-        self._suspects.append(_Suspect(slot, outcome, now))
+        self._pending.append(_PendingOutcome(slot, outcome, now))
         self._begin_probe(slot, now)
 
-    def suspect_unresponsive(
-        self, slot: EngineSlot, outcome: PromptOutcome, since: float, now: float
-    ) -> None:
+    def add_unresponsive(self, slot: EngineSlot, outcome: PromptOutcome, since: float, now: float) -> None:
         """Record an attempt without received bytes since ``since``."""
-        self._suspects.append(_Suspect(slot, outcome, since, unresponsive=True))
+        self._pending.append(_PendingOutcome(slot, outcome, since, unresponsive=True))
         self._begin_probe(slot, now)
         self.classify_pending(now)
 
-    def probed(self, record: EngineRecord, alive: bool, now: float) -> None:
-        """Record whether the engine accepted a probe's connection; a reset since then needs another probe."""
+    def handle_probe_result(self, record: EngineRecord, alive: bool, now: float) -> None:
+        """Record whether the engine accepted a probe's connection.
+
+        The probe is no evidence about a reset that came after the probe began; this needs another probe.
+        """
         probe = self._probes.pop(record.engine, None)
         if probe is None or probe.slot.record.incarnation != record.incarnation:
             return
         if alive:
-            probe.slot.accepted_at = probe.began_at
+            probe.slot.accepted_probe_began_at = probe.began_at
         else:
             probe.slot.refused_at = now
         self.classify_pending(now)
-        if any(suspect.slot is probe.slot and not suspect.unresponsive for suspect in self._suspects):
+        if any(entry.slot is probe.slot and not entry.unresponsive for entry in self._pending):
             self._begin_probe(probe.slot, now)
 
     def _begin_probe(self, slot: EngineSlot, now: float) -> None:
-        if self.probe is not None and slot.record.engine not in self._probes:
+        if self.probe_listener is not None and slot.record.engine not in self._probes:
             self._probes[slot.record.engine] = _Probe(slot, now)
-            self.probe(slot.record)
+            self.probe_listener(slot.record)
 
     def classify_pending(self, now: float) -> None:
-        """Report the pending outcomes that can be classified or whose time is up."""
-        if not self._suspects:
+        """Report the pending outcomes that can be classified or whose waiting time has passed."""
+        if not self._pending:
             return
-        pending: deque[_Suspect] = deque()
-        for suspect in self._suspects:
-            ending = (
-                _classify_unresponsive(suspect, now)
-                if suspect.unresponsive
-                else _classify_reset(suspect, now)
-            )
+        pending: deque[_PendingOutcome] = deque()
+        for entry in self._pending:
+            ending = _classify_unresponsive(entry, now) if entry.unresponsive else _classify_reset(entry, now)
             if ending is None:
-                pending.append(suspect)
+                pending.append(entry)
             else:
-                self._observe(msgspec.structs.replace(suspect.outcome, ending=ending), now)
-        self._suspects = pending
+                self._observe(msgspec.structs.replace(entry.outcome, ending=ending), now)
+        self._pending = pending
 
 
-def _classify_unresponsive(suspect: _Suspect, now: float) -> Ending | None:
-    slot = suspect.slot
-    if not slot.usable or slot.refused_at >= suspect.reset_at:
+def _classify_unresponsive(entry: _PendingOutcome, now: float) -> Ending | None:
+    slot = entry.slot
+    if not slot.usable or slot.refused_at >= entry.reset_at:
         return Ending.ENGINE_LOST
-    if slot.heard_began_at > suspect.reset_at or now - suspect.reset_at >= UNRESPONSIVE_WAIT_S:
+    if slot.responded_request_sent_at > entry.reset_at or now - entry.reset_at >= UNRESPONSIVE_WAIT_S:
         return Ending.TIMED_OUT
     return None
 
 
-def _classify_reset(suspect: _Suspect, now: float) -> Ending | None:
-    slot = suspect.slot
-    if not slot.usable or slot.refused_at >= suspect.reset_at:
+def _classify_reset(entry: _PendingOutcome, now: float) -> Ending | None:
+    slot = entry.slot
+    if not slot.usable or slot.refused_at >= entry.reset_at:
         return Ending.ENGINE_LOST
-    reported_at = slot.load.measured_at if slot.load is not None else -1.0
-    if max(slot.heard_began_at, min(reported_at, now)) > suspect.reset_at:
+    load_measured_at = slot.load.measured_at if slot.load is not None else -1.0
+    if max(slot.responded_request_sent_at, min(load_measured_at, now)) > entry.reset_at:
         return Ending.BROKEN
-    if slot.accepted_at >= suspect.reset_at:
+    if slot.accepted_probe_began_at >= entry.reset_at:
         return Ending.BROKEN
-    if slot.reset_began_at - suspect.reset_at > ACCEPTED_AFTER_S:
+    if slot.reset_request_sent_at - entry.reset_at > IDLE_CLOSE_DETECTION_S:
         return Ending.BROKEN
-    return Ending.ENGINE_LOST if now - suspect.reset_at >= RESET_WAIT_S else None
+    return Ending.ENGINE_LOST if now - entry.reset_at >= RESET_WAIT_S else None
--- a/src/springmux/router/parse.py
+++ b/src/springmux/router/parse.py
@@ -23,9 +23,10 @@
 CALLS_PREFIX = "/v1/calls/"
 MODELS_PATH = "/v1/models"
 MAX_IDEMPOTENCY_KEY_LENGTH = 200
-"""Characters; stated in docs/API.md."""
+"""Maximum number of characters; documented in docs/API.md."""
 BYTES_PER_TOKEN = 4
-"""Usual ratio for text of European languages; the estimate is corrected by the true count."""
+"""Usual ratio for text in European languages. If the engine reports the prompt's token count, this count is
+charged instead of the estimate."""
 
 
 class ContentPart(msgspec.Struct):
@@ -54,7 +55,7 @@
 class ParsedRequest(msgspec.Struct, frozen=True):
     """A request with a known route and a valid body.
 
-    ``prefix_text``: text that engines cache, in order (empty for calls). ``max_tokens``: of the response.
+    ``prefix_text``: text that engines cache, in order (empty for calls). ``max_tokens``: response limit.
     """
 
     route: Route
@@ -66,13 +67,13 @@
     max_tokens: int
     idempotency_key: str
 
-    def action(self, request_id: RequestId) -> str:
+    def action_id(self, request_id: RequestId) -> str:
         """Return the client's idempotency key, or the request id without one."""
         return self.idempotency_key or request_id
 
-    def action_key(self, request_id: RequestId) -> int:
-        """Return a 64-bit hash of :meth:`action`, for the version filter."""
-        return xxhash.xxh3_64_intdigest(self.action(request_id).encode(errors="surrogateescape"))
+    def action_hash(self, request_id: RequestId) -> int:
+        """Return a 64-bit hash of :meth:`action_id`, for the version filter."""
+        return xxhash.xxh3_64_intdigest(self.action_id(request_id).encode(errors="surrogateescape"))
 
 
 class _JsonObject(msgspec.Struct):
@@ -83,7 +84,7 @@
 _object_decoder = msgspec.json.Decoder(_JsonObject)
 
 
-def plain_path(path: str) -> str:
+def path_without_query(path: str) -> str:
     """Return ``path`` without its query."""
     return path.partition("?")[0]
 
@@ -93,7 +94,7 @@
 
     :raises RefusalError: ``not_found`` or ``method_not_allowed``.
     """
-    path = plain_path(request.path)
+    path = path_without_query(request.path)
     if path == MODELS_PATH:
         allowed = "GET"
     elif path == CHAT_PATH or path.startswith(CALLS_PREFIX):
@@ -105,11 +106,11 @@
 
 
 def parse_request(request: ClientRequest, configuration: Configuration) -> ParsedRequest:
-    """Return the parsed ``request``, whose path was checked before.
+    """Parse a request whose path was checked by :func:`check_path`.
 
-    :raises RefusalError: unknown route, wrong body, or a body over the route's limit.
+    :raises RefusalError: unknown route, invalid body, or a body over the route's limit.
     """
-    path = plain_path(request.path)
+    path = path_without_query(request.path)
     if path == CHAT_PATH:
         return _parse_chat(request, configuration)
     return _parse_call(request, path, configuration)
@@ -118,13 +119,13 @@
 def _parse_chat(request: ClientRequest, configuration: Configuration) -> ParsedRequest:
     _check_size(request.body, _largest_prompt_body(configuration))
     body = _decode(_chat_decoder, request.body)
-    route = _route(configuration, body.model, RouteKind.PROMPT)
+    route = _find_route(configuration, body.model, RouteKind.PROMPT)
     _check_size(request.body, route.max_body_bytes)
     if not body.messages:
-        raise _invalid("messages", "must hold at least one message")
+        raise _invalid_field("messages", "must hold at least one message")
     max_tokens = route.max_tokens if body.max_tokens is None else body.max_tokens
     if not 1 <= max_tokens <= route.max_tokens:
-        raise _invalid("max_tokens", f"must be 1 to {route.max_tokens} on this route")
+        raise _invalid_field("max_tokens", f"must be 1 to {route.max_tokens} on this route")
     prefix_text = _prefix_text(body.messages)
     return ParsedRequest(
         route=route,
@@ -139,7 +140,7 @@
 
 
 def _parse_call(request: ClientRequest, path: str, configuration: Configuration) -> ParsedRequest:
-    route = _route(configuration, path[len(CALLS_PREFIX) :], RouteKind.CALL)
+    route = _find_route(configuration, path[len(CALLS_PREFIX) :], RouteKind.CALL)
     _check_size(request.body, route.max_body_bytes)
     _decode(_object_decoder, request.body)
     _check_utf8(request.body)
@@ -160,7 +161,7 @@
         return decoder.decode(body)
     except msgspec.ValidationError as error:
         message, _, path = str(error).partition(" - at `$.")
-        raise _invalid(path.rstrip("`"), message) from None
+        raise _invalid_field(path.rstrip("`"), message) from None
     except (msgspec.DecodeError, RecursionError) as error:
         raise RefusalError(ErrorCode.MALFORMED_JSON, f"the body is not JSON: {error}") from None
 
@@ -172,7 +173,7 @@
         raise RefusalError(ErrorCode.MALFORMED_JSON, "the body is not UTF-8") from None
 
 
-def _invalid(path: str, message: str) -> RefusalError:
+def _invalid_field(path: str, message: str) -> RefusalError:
     text = f"{path}: {message}" if path else message
     return RefusalError(ErrorCode.INVALID_REQUEST, text, errors=(FieldError(path, message),))
 
@@ -189,7 +190,7 @@
     return max(sizes, default=0)
 
 
-def _route(configuration: Configuration, name: str, kind: RouteKind) -> Route:
+def _find_route(configuration: Configuration, name: str, kind: RouteKind) -> Route:
     route = configuration.routes.get(RouteName(name))
     if route is None or route.kind is not kind:
         raise RefusalError(ErrorCode.UNKNOWN_ROUTE, f"no {kind} route of that name in the configuration")
@@ -197,23 +198,23 @@
 
 
 def _prefix_text(messages: list[ChatMessage]) -> bytes:
-    pieces: list[str] = []
+    texts: list[str] = []
     for message in messages:
-        pieces.append(message.role)
+        texts.append(message.role)
         content = message.content
         if isinstance(content, str):
-            pieces.append(content)
+            texts.append(content)
         elif content is not None:
-            pieces.extend(part.text for part in content)
-    return "\0".join(pieces).encode()
+            texts.extend(part.text for part in content)
+    return "\0".join(texts).encode()
 
 
 def _idempotency_key(headers: Mapping[str, str]) -> str:
     key = headers.get("idempotency-key")
     if key is None:
         return ""
-    # It is sent to the engine in a header, which must be printable text.
+    # The key is sent to the engine in a header, whose value must be printable text.
     if not 1 <= len(key) <= MAX_IDEMPOTENCY_KEY_LENGTH or not key.isprintable():
         message = f"must have 1 to {MAX_IDEMPOTENCY_KEY_LENGTH} printable characters"
-        raise _invalid("Idempotency-Key", message)
+        raise _invalid_field("Idempotency-Key", message)
     return key
--- a/src/springmux/router/prefix_index.py
+++ b/src/springmux/router/prefix_index.py
@@ -16,15 +16,15 @@
 BLOCK_BYTES = 1024
 """About 256 tokens; shared prefixes are many blocks long."""
 MAX_BLOCKS = 64
-"""Hashed blocks of one prompt; the first 64 KiB distinguish prefixes."""
+"""Maximum number of hashed blocks of one prompt; the first 64 KiB distinguish prefixes."""
 MAX_ENTRIES = 65_536
-"""Limit of the index: 5,000 prefixes per node, with 13 blocks each."""
+"""Maximum number of blocks in the index: 5,000 prefixes per node, with 13 blocks each."""
 MAX_HOLDERS = 4
-"""Engines kept per block."""
+"""Maximum number of engines kept per block."""
 
 
 class PromptPrefix(msgspec.Struct, frozen=True):
-    """A prompt's identity for placement. ``blocks``: chained hashes; ``key``: of the first block(s).
+    """Hashes of a prompt for placement. ``blocks``: chained block hashes; ``key``: hash of the first block.
 
     A prompt shorter than one block has one block of its whole text. ``covered``: share (0..1) of the text
     that the blocks cover.
@@ -58,7 +58,7 @@
 
 
 class PrefixIndex:
-    """Maps each block hash to the engines that got it last, in order of use."""
+    """Maps each block hash to the engines that received the block most recently, the latest one last."""
 
     def __init__(self, max_entries: int = MAX_ENTRIES) -> None:
         self._max_entries = max_entries
@@ -81,12 +81,12 @@
         return [PrefixHolder(slot, depth * share_of_block) for slot, depth in depth_of.items()]
 
     def record(self, prefix: PromptPrefix, slot: EngineSlot) -> None:
-        """Record that ``slot`` got the prompt and caches all of its blocks."""
+        """Record a dispatch of the prompt to ``slot``, which then probably caches all of its blocks."""
         table = self._holders
         for block in prefix.blocks:
             holders = table.pop(block, ())
             if not holders or holders[-1] is not slot:
-                kept = tuple(h for h in holders if h is not slot and h.usable)
+                kept = tuple(holder for holder in holders if holder is not slot and holder.usable)
                 holders = (*kept[1 - MAX_HOLDERS :], slot)
             table[block] = holders
         while len(table) > self._max_entries:
--- a/src/springmux/router/progress.py
+++ b/src/springmux/router/progress.py
@@ -1,4 +1,4 @@
-"""Result of one event of the attempts: the interface between the exchange and the flow."""
+"""Result of an event of a request's attempts: the interface between the exchange and the flow."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     UpstreamCause.RESET: ErrorCode.ENGINE_BROKE_OFF,
     UpstreamCause.PROTOCOL: ErrorCode.ENGINE_PROTOCOL,
 }
-"""Error code for a request that may have been sent before its attempt failed."""
+"""Error code of a failed attempt that may have sent the request, by cause."""
 
 
 class ExchangeFailure(msgspec.Struct, frozen=True):
@@ -29,9 +29,9 @@
 
 
 class Progress(msgspec.Struct):
-    """Filled by the exchange, executed by the flow in the order of the fields.
+    """Result of one event, filled by the exchange and applied by the flow in the order of the fields.
 
-    ``effects``: towards engines. ``head`` and ``data``: to the client. ``complete``: the response is
+    ``effects``: sent to engines. ``head`` and ``data``: sent to the client. ``complete``: the response is
     complete.
     """
 
@@ -42,7 +42,7 @@
     failure: ExchangeFailure | None = None
 
 
-def no_engine() -> ExchangeFailure:
+def no_engine_failure() -> ExchangeFailure:
     """Return the failure of a request that reached no engine."""
     message = "no engine of the service could take the request"
     return ExchangeFailure(ErrorCode.NO_ENGINE, message, Fate.REFUSED, RETRY_AFTER_S)
--- a/src/springmux/router/request_state.py
+++ b/src/springmux/router/request_state.py
@@ -28,9 +28,10 @@
 from springmux.vocabulary.errors import ApiError, ErrorCode, Fate
 
 LATE_GRANT_WAIT_S = 5.0
-"""How long a finished request waits for a late grant, in order to release it."""
-PROPER_END_WAIT_S = 0.25
-"""How long the connection of a complete stream may take to end properly and be pooled."""
+"""Maximum time that a finished request waits for a late grant of its claim, in order to release it."""
+UPSTREAM_END_WAIT_S = 0.25
+"""Maximum time from a complete stream to the proper end of its HTTP response, so that the connection can be
+pooled."""
 
 
 class Stage(enum.Enum):
@@ -39,13 +40,13 @@
     NEW = "new"
     QUEUED = "queued"
     AWAITING_QUOTA = "awaiting_quota"
-    """Has its slot; awaits the reply of the owner of its tenant's quota."""
+    """Has its slot; waits for the reply of the owner of its tenant's quota."""
     CLAIMING = "claiming"
     RUNNING = "running"
     LEAVING_CLAIM = "leaving_claim"
     """Responded; waits for the claim's decision, to release a late grant."""
     LEAVING_UPSTREAM = "leaving_upstream"
-    """Responded; waits shortly for the attempt's proper end, so that its connection can be pooled."""
+    """Responded; waits briefly for the attempt's proper end, so that its connection can be pooled."""
     DONE = "done"
 
 
@@ -58,8 +59,8 @@
         "_deadline",
         "_effects",
         "_exchange",
-        "_forget",
         "_head_sent",
+        "_on_done",
         "_parsed",
         "_reservation",
         "_stage_until",
@@ -69,11 +70,11 @@
     )
 
     def __init__(
-        self, core: RouterCore, request: ClientRequest, forget: Callable[[RequestState], None]
+        self, core: RouterCore, request: ClientRequest, on_done: Callable[[RequestState], None]
     ) -> None:
-        """Start in :attr:`Stage.NEW`; ``forget`` is called once with this object at its end."""
+        """Start in :attr:`Stage.NEW`; ``on_done`` is called once with this object at its end."""
         self._core = core
-        self._forget = forget
+        self._on_done = on_done
         self.request = request
         self.key: KeyRecord | None = None
         self.stage = Stage.NEW
@@ -131,18 +132,18 @@
             self._effects.append(ResponseError(error))
         self._conclude(now)
 
-    def _answer(self, head: ResponseHead, body: bytes, now: float) -> None:
+    def _respond(self, head: ResponseHead, body: bytes, now: float) -> None:
         self._effects.extend((head, ResponseData(body), ResponseEnd()))
         self._conclude(now)
 
     def _conclude(self, now: float) -> None:
-        """Release the resources after the response; stay only for a claim or a connection."""
+        """Release the resources after the response; wait only for a pending claim or an open connection."""
         exchange = self._exchange
         if self._reservation is not None:
             self._reservation.release(exchange.used_tokens() if exchange is not None else 0.0, now)
             self._reservation = None
         if exchange is not None:
-            exchange.release_credit(now)
+            exchange.return_unused_credit(now)
         if self.stage is Stage.CLAIMING:
             self.stage = Stage.LEAVING_CLAIM
             self._stage_until = now + LATE_GRANT_WAIT_S
@@ -155,7 +156,7 @@
             self._effects.extend(self._claim.finish(ran=exchange is not None and exchange.sent))
         if exchange is not None and not exchange.closed:
             self.stage = Stage.LEAVING_UPSTREAM
-            self._stage_until = now + PROPER_END_WAIT_S
+            self._stage_until = now + UPSTREAM_END_WAIT_S
             return
         self._done()
 
@@ -167,4 +168,4 @@
     def _done(self) -> None:
         self.stage = Stage.DONE
         self._effects.append(FlowDone())
-        self._forget(self)
+        self._on_done(self)
--- a/src/springmux/router/reservation.py
+++ b/src/springmux/router/reservation.py
@@ -17,7 +17,7 @@
 """Interval at which a request retries its quota reservation while the owner has not replied."""
 
 CODE_OF_REASON = {"stopping": ErrorCode.STOPPING, "cut off": ErrorCode.CUT_OFF}
-"""Reasons given to ``Router.update_readiness`` that have their own error code."""
+"""Error codes of the reasons passed to ``Router.update_readiness``; all others are ``not_ready``."""
 
 
 def check_serving(core: RouterCore, now: float) -> None:
@@ -33,7 +33,9 @@
 
 
 def check_connected(core: RouterCore, now: float) -> None:
-    """Check that the node is not partitioned right now; its process may just have been resumed.
+    """Check that the node is not partitioned.
+
+    An earlier check may be out of date, since the node's process may just have been resumed after a pause.
 
     :raises RefusalError: ``cut_off``.
     """
@@ -58,7 +60,7 @@
     def __init__(
         self, core: RouterCore, request_id: RequestId, parsed: ParsedRequest, key: KeyRecord, now: float
     ) -> None:
-        """Take a slot or queue for one.
+        """Acquire a slot, or queue for one.
 
         :raises RefusalError: ``overloaded``.
         """
@@ -75,7 +77,7 @@
             route.traffic_class,
             key,
             core.view.tenants[key.tenant].weight,
-            core.service_pressed(route.service, now),
+            core.service_under_pressure(route.service, now),
             now,
         )
 
@@ -87,7 +89,7 @@
     def reserve_quota(self, now: float, again: bool = False) -> bool:
         """Reserve tokens for the prompt and the expected response; calls use none.
 
-        :param again: whether this repeats a reservation that awaits the quota's owner.
+        :param again: whether this repeats a reservation that waits for the quota's owner.
         :returns: ``False`` while the owner has not replied.
         :raises RefusalError: ``quota_exceeded``.
         """
@@ -136,7 +138,7 @@
         self._core.admission.count_rejection(self.admission_request.traffic_class)
 
     def release(self, used_tokens: float, now: float) -> None:
-        """Release the slot, charge the used tokens, and wake the request that gets the slot."""
+        """Release the slot, charge the used tokens, and wake the queued requests that get a slot."""
         granted = self._core.admission.release(self.admission_request, now)
         if self._reserved_tokens:
             self._core.quota.settle(self._key.tenant, self._reserved_tokens, used_tokens, now)
--- a/src/springmux/router/response_check.py
+++ b/src/springmux/router/response_check.py
@@ -14,7 +14,7 @@
 TokenCount = Annotated[int, msgspec.Meta(ge=0, le=1 << 31)]
 """A token count reported by an engine; bounded, since it is charged to the tenant's quota."""
 FORWARDED_HEADERS = ("x-engine-version", "content-type", "retry-after")
-"""Engine headers that appear in responses, stored responses and error messages."""
+"""Engine headers that are copied to responses, stored responses and error messages."""
 
 
 class Usage(msgspec.Struct):
@@ -31,13 +31,13 @@
 
 
 _decode_completion = msgspec.json.Decoder(_Completion).decode
-_decode_any = msgspec.json.Decoder(msgspec.Raw).decode
+_decode_json = msgspec.json.Decoder(msgspec.Raw).decode
 
 
 def head_fault(headers: Mapping[str, str], request_id: str, engine: str) -> str:
     """Return what is invalid about a response's headers, or an empty string.
 
-    The echoed request id keeps a late response from reaching another client; the engine's name excludes a
+    The echoed request id prevents that a late response reaches another client; the engine's name excludes a
     process that took over an engine's address.
     """
     if headers.get("x-request-id") != request_id:
@@ -54,7 +54,7 @@
 
 
 class ResponseChecker:
-    """Buffers one response. ``fault``: what is invalid, if anything; ``body``: complete after :meth:`end`."""
+    """Buffers one response. ``fault``: what is invalid, or an empty string; ``body``: set by :meth:`end`."""
 
     __slots__ = ("_chunks", "_completion_id", "_length", "_size", "body", "fault", "prompt_tokens", "tokens")
 
@@ -97,7 +97,7 @@
             if self._completion_id:
                 self._check_completion(text)
             else:
-                _decode_any(text)
+                _decode_json(text)
         except (msgspec.DecodeError, UnicodeDecodeError):
             self.fault = "the answer is not the JSON that was asked for"
 
--- a/src/springmux/router/responses.py
+++ b/src/springmux/router/responses.py
@@ -12,7 +12,7 @@
 from springmux.router.stored_response import StoredResponse
 from springmux.vocabulary.names import RequestId
 
-_OWN_HEADERS = frozenset({"x-request-id", "x-node"})
+_COMMON_HEADER_NAMES = frozenset({"x-request-id", "x-node"})
 
 
 class _Model(msgspec.Struct, frozen=True):
@@ -30,8 +30,8 @@
 _encoder = msgspec.json.Encoder()
 
 
-def own_headers(request_id: RequestId, node: NodeId) -> Headers:
-    """Return the headers of every response."""
+def common_headers(request_id: RequestId, node: NodeId) -> Headers:
+    """Return the headers that every response has."""
     return (("X-Request-Id", request_id), ("X-Node", node))
 
 
@@ -41,7 +41,7 @@
     """Return the headers of an engine's response for the client."""
     content_type = upstream.get("content-type", "application/json")
     headers = (
-        *own_headers(request_id, node),
+        *common_headers(request_id, node),
         ("X-Engine", engine),
         ("X-Engine-Version", version),
         ("Content-Type", content_type),
@@ -55,9 +55,9 @@
 
 
 def replay_headers(request_id: RequestId, node: NodeId, stored: StoredResponse) -> Headers:
-    """Return the headers of a stored response, with the resend's own request id."""
-    kept = tuple(pair for pair in stored.headers if pair[0].lower() not in _OWN_HEADERS)
-    return (*own_headers(request_id, node), *kept, ("X-Replayed", "true"))
+    """Return the headers for replaying a stored response, with the request id of the resent request."""
+    kept = tuple(pair for pair in stored.headers if pair[0].lower() not in _COMMON_HEADER_NAMES)
+    return (*common_headers(request_id, node), *kept, ("X-Replayed", "true"))
 
 
 def models_body(configuration: Configuration) -> bytes:
@@ -68,5 +68,5 @@
 
 def models_head(request_id: RequestId, node: NodeId, body: bytes) -> ResponseHead:
     """Return the head for :func:`models_body`."""
-    headers = (*own_headers(request_id, node), ("Content-Type", "application/json"))
+    headers = (*common_headers(request_id, node), ("Content-Type", "application/json"))
     return ResponseHead(200, headers, len(body))
--- a/src/springmux/router/retry_policy.py
+++ b/src/springmux/router/retry_policy.py
@@ -10,39 +10,41 @@
 from springmux.router.core import RouterCore
 
 MAX_SENT_ATTEMPTS = 3
-"""A request that fails on three engines would probably fail on others."""
+"""Maximum number of attempts that may have reached an engine: a request that fails on three engines would
+probably fail on others."""
 MAX_UNSENT_ATTEMPTS = 4
-"""Such attempts cost little, and a few engines lost at once must not fail a request."""
+"""Maximum number of attempts that reached no engine. They cost little, and the simultaneous loss of a few
+engines must not fail a request."""
 MIN_RETRY_TIME_S = 0.05
-"""With less time to the deadline another engine could not respond."""
+"""Minimum time to the deadline for another attempt; in less time no engine could respond."""
 
 
 class RetryPolicy:
-    """Counts the failed attempts of one request. ``sent``: how many may have reached an engine."""
+    """Counts the failed attempts of one request. ``sent_attempts``: how many may have reached an engine."""
 
-    __slots__ = ("_core", "_deadline", "_repeatable", "_unsent", "sent")
+    __slots__ = ("_core", "_deadline", "_repeatable", "_unsent_attempts", "sent_attempts")
 
     def __init__(self, core: RouterCore, route: Route, deadline: float) -> None:
         self._core = core
         self._repeatable = route.repeatable
         self._deadline = deadline
-        self._unsent = 0
-        self.sent = 0
+        self._unsent_attempts = 0
+        self.sent_attempts = 0
 
     def after_unsent(self, now: float) -> bool:
         """Count an attempt of which no byte was sent; return whether another is allowed."""
-        self._unsent += 1
-        return self._unsent < MAX_UNSENT_ATTEMPTS and self._may_dispatch(now)
+        self._unsent_attempts += 1
+        return self._unsent_attempts < MAX_UNSENT_ATTEMPTS and self._may_dispatch(now)
 
-    def after_sent(self, answered: bool, now: float) -> bool:
+    def after_sent(self, response_begun: bool, now: float) -> bool:
         """Count an attempt that may have reached an engine; return whether another is allowed.
 
-        :param answered: whether bytes went to the client.
+        :param response_begun: whether bytes went to the client.
         """
-        self.sent += 1
-        if answered or not self._repeatable:
+        self.sent_attempts += 1
+        if response_begun or not self._repeatable:
             return False
-        if self.sent >= MAX_SENT_ATTEMPTS or not self._may_dispatch(now):
+        if self.sent_attempts >= MAX_SENT_ATTEMPTS or not self._may_dispatch(now):
             return False
         if self._core.retry_budget.try_acquire(now):
             return True
--- a/src/springmux/router/router.py
+++ b/src/springmux/router/router.py
@@ -36,15 +36,15 @@
     ) -> None:
         """Start without views, not ready.
 
-        :param connected: called at each admission and dispatch; must itself detect that the process was
-        paused
-            (by the time of its last contact, not by a flag that a timer sets).
+        :param connected: called at each admission and dispatch; returns whether the node is connected to the
+            fleet. It must itself detect that the process was paused (by the time of its last contact, not by
+            a flag that a timer sets).
         """
         self._core = RouterCore(node, zone, source, chooser, quota, connected)
         self._flows: dict[RequestState, RequestFlow] = {}
 
     def update_control(self, view: ControlView, now: float) -> list[RequestFlow]:
-        """Apply a newer control state; return the flows that must get ``KeyRevoked`` at once."""
+        """Apply a newer control state; return the flows to which the driver must send ``KeyRevoked`` now."""
         core = self._core
         if view.revision < core.view.revision:
             return []
@@ -53,11 +53,11 @@
         core.update_limits(view.configuration.limits)
         if not keys_changed:
             return []
-        return [flow for flow in self._running() if _key_was_revoked(flow, view)]
+        return [flow for flow in self._running_flows() if _key_was_revoked(flow, view)]
 
     def update_engines(self, view: EnginesView, now: float) -> None:
-        """Apply a newer directory view; engines that drain, left or are lost get no more requests."""
-        self._core.table.update(view)
+        """Apply a newer directory view; draining, removed and lost engines get no more requests."""
+        self._core.engine_table.update(view)
         self._core.loss_classifier.classify_pending(now)
 
     def update_readiness(self, ready: bool, reason: str) -> None:
@@ -71,38 +71,38 @@
     def open(self, request: ClientRequest, now: float) -> RequestFlow:
         """Return a new flow for ``request``; the driver sends it ``RequestBegun`` next."""
         self._core.loss_classifier.classify_pending(now)
-        flow = RequestFlow(self._core, request, self._forget)
+        flow = RequestFlow(self._core, request, self._remove_flow)
         self._flows[flow] = flow
         return flow
 
     def set_wake_listener(self, listener: Callable[[RequestId], None]) -> None:
         """Set the callback for a queued request that gets a slot.
 
-        It must send that flow a ``Tick`` soon, but not from inside the call. Without a listener, queued
-        flows poll.
+        The callback must schedule a ``Tick`` for that flow, but not send it from inside the call. Without a
+        listener, queued flows poll.
         """
         self._core.wake_listener = listener
 
     def set_probe_listener(self, listener: Callable[[EngineRecord], None]) -> None:
         """Set the callback that connects to an engine whose stream was reset.
 
-        It reports the result to :meth:`engine_probed`, but not from inside the call. Without a listener,
-        an engine that sends nothing for a second after a reset counts as lost.
+        The callback reports the result to :meth:`engine_probed`, but not from inside the call. Without a
+        listener, an engine that sends nothing for a second after a reset counts as lost.
         """
-        self._core.loss_classifier.probe = listener
+        self._core.loss_classifier.probe_listener = listener
 
     def engine_probed(self, record: EngineRecord, alive: bool, now: float) -> None:
         """Handle the result of a probe: whether the engine accepted a connection."""
-        self._core.loss_classifier.probed(record, alive, now)
+        self._core.loss_classifier.handle_probe_result(record, alive, now)
 
     def status(self) -> RouterStatus:
         """Return figures for metrics and status."""
         return self._core.status()
 
-    def _running(self) -> list[RequestFlow]:
+    def _running_flows(self) -> list[RequestFlow]:
         return [flow for flow in self._flows.values() if flow.stage is not Stage.DONE]
 
-    def _forget(self, flow: RequestState) -> None:
+    def _remove_flow(self, flow: RequestState) -> None:
         self._flows.pop(flow, None)
 
 
--- a/src/springmux/router/stored_response.py
+++ b/src/springmux/router/stored_response.py
@@ -8,13 +8,14 @@
 from springmux.router.effects import Headers
 
 MAX_STORED_BYTES = ClaimSettings().max_answer_bytes
-"""Larger responses are not stored (a resend gets 409), since holders keep many in memory."""
+"""Maximum size; larger responses are not stored (a resent request gets 409), since holders keep many in
+memory."""
 
 
 class StoredResponse(msgspec.Struct, frozen=True, array_like=True):
     """An engine's complete response as sent to the client, and a digest of the request's body.
 
-    The digest distinguishes a resend from another request with the same key.
+    The digest distinguishes a resent request from a different request with the same idempotency key.
     """
 
     status: int
--- a/src/springmux/router/stream_check.py
+++ b/src/springmux/router/stream_check.py
@@ -1,6 +1,6 @@
 """Validation of an engine's stream, event by event; valid events are forwarded byte for byte.
 
-Server-sent events (WHATWG HTML, section 9.2) in the chat-completions shape: every chunk carries the
+Server-sent events (WHATWG HTML, section 9.2) in the chat-completions format: every chunk carries the
 request's id and counts ``seq`` from 0 without a gap, the last chunk has a ``finish_reason``, and
 ``data: [DONE]`` follows it. Bytes may be split anywhere. Complete events are forwarded with their original
 bytes; nothing is encoded again.
@@ -15,12 +15,12 @@
 from springmux.router.response_check import Usage
 
 MAX_EVENT_BYTES = 256 * 1024
-"""Limit of one event; a chunk has a few tokens at most."""
+"""Maximum size of one event; a chunk has a few tokens at most."""
 
 _EVENT_END = re.compile(rb"\r?\n\r?\n")
 _DATA = b"data:"
-_CHUNK_BEGIN = b"data: {"
-_PAYLOAD_AT = len(b"data: ")
+_CHUNK_START = b"data: {"
+_PAYLOAD_OFFSET = len(b"data: ")
 _DONE = b"[DONE]"
 _ERROR_EVENT = b"event: error"
 
@@ -42,20 +42,20 @@
 class StreamChecker:
     """State of one stream.
 
-    ``pieces``: number of valid chunks. ``finished``: ``[DONE]`` arrived in order. ``fault``: what is invalid,
-    if anything; ``engine_error``: the engine ended its stream with an error event. ``trailing``: bytes
-    arrived after the end. ``prompt_tokens`` and ``tokens``: of prompt and response, as reported by the
-    engine.
+    ``chunk_count``: number of valid chunks. ``finished``: ``[DONE]`` arrived in order. ``fault``: what is
+    invalid, or an empty string. ``engine_error``: the engine ended its stream with an error event.
+    ``trailing``: bytes arrived after the end. ``prompt_tokens`` and ``tokens``: token counts of prompt and
+    response, as reported by the engine.
     """
 
     __slots__ = (
         "_buffer",
         "_last_chunk_seen",
         "_request_id",
+        "chunk_count",
         "engine_error",
         "fault",
         "finished",
-        "pieces",
         "prompt_tokens",
         "tokens",
         "trailing",
@@ -65,7 +65,7 @@
         self._request_id = request_id
         self._buffer = b""
         self._last_chunk_seen = False
-        self.pieces = 0
+        self.chunk_count = 0
         self.finished = False
         self.fault = ""
         self.engine_error = False
@@ -76,32 +76,32 @@
     def feed(self, data: bytes) -> bytes:
         """Feed bytes; return the complete, valid events (may be empty) unchanged.
 
-        At a fault, the valid events before it are returned and :attr:`fault` is set.
+        If an event is invalid, the valid events before it are returned and :attr:`fault` is set.
         """
         if self.finished:
             self.trailing = True
             return b""
         if self.fault:
             return b""
-        if self.feed_one(data):
+        if self.feed_single_chunk(data):
             return data
         if self.fault:
             return b""
         buffer = self._buffer + data if self._buffer else data
-        events, self._buffer = _split(buffer)
+        events, self._buffer = _split_events(buffer)
         forward = self._check_all(events)
         if len(self._buffer) > MAX_EVENT_BYTES and not self.fault:
             self.fault = "an event of the stream is too large"
         return forward
 
-    def feed_one(self, data: bytes) -> bool:
+    def feed_single_chunk(self, data: bytes) -> bool:
         """Feed bytes if they are exactly one chunk, the usual case; return whether they were valid.
 
         ``False`` without a fault means that nothing was consumed and :meth:`feed` must handle them.
         """
         if self._buffer or self.finished or self.fault or not _is_one_chunk(data):
             return False
-        return self._check_payload(data[_PAYLOAD_AT:])
+        return self._check_payload(data[_PAYLOAD_OFFSET:])
 
     def _check_all(self, events: list[bytes]) -> bytes:
         forward: list[bytes] = []
@@ -109,7 +109,7 @@
             if self.finished:
                 self.trailing = True
                 break
-            if self._check(event):
+            if self._check_event(event):
                 forward.append(event)
             if self.fault:
                 break
@@ -118,7 +118,7 @@
             self._buffer = b""
         return b"".join(forward)
 
-    def _check(self, event: bytes) -> bool:
+    def _check_event(self, event: bytes) -> bool:
         """Check one complete event; return whether it is forwarded."""
         if not event.startswith(_DATA):
             return self._check_other(event)
@@ -142,10 +142,10 @@
         if chunk.id != self._request_id:
             self.fault = "a piece belongs to another request"
             return False
-        if chunk.seq != self.pieces:
-            self.fault = f"piece {chunk.seq} came where piece {self.pieces} was due"
+        if chunk.seq != self.chunk_count:
+            self.fault = f"piece {chunk.seq} came where piece {self.chunk_count} was due"
             return False
-        self.pieces += 1
+        self.chunk_count += 1
         for choice in chunk.choices:
             if choice.finish_reason is not None:
                 self._last_chunk_seen = True
@@ -173,11 +173,11 @@
 
 
 def _is_one_chunk(data: bytes) -> bool:
-    return data.startswith(_CHUNK_BEGIN) and data.find(b"\n\n") == len(data) - 2 and b"\r" not in data
+    return data.startswith(_CHUNK_START) and data.find(b"\n\n") == len(data) - 2 and b"\r" not in data
 
 
-def _split(buffer: bytes) -> tuple[list[bytes], bytes]:
-    """Return the complete events in ``buffer`` with their ends, and the rest."""
+def _split_events(buffer: bytes) -> tuple[list[bytes], bytes]:
+    """Return the complete events in ``buffer``, each with its blank line, and the remaining bytes."""
     if b"\r" not in buffer:
         parts = buffer.split(b"\n\n")
         rest = parts.pop()
--- a/tests/unit/router/test_ejection.py
+++ b/tests/unit/router/test_ejection.py
@@ -108,7 +108,7 @@
     playbook = Playbook(SIX, limits=GENEROUS)
     everything_fails(playbook, 200)
 
-    slots = playbook.router._core.table.slots.values()
+    slots = playbook.router._core.engine_table.slots.values()
     assert sum(slot.ejected_until >= 0.0 for slot in slots) == 2
 
 
--- a/tests/unit/router/test_engine_choice.py
+++ b/tests/unit/router/test_engine_choice.py
@@ -74,7 +74,7 @@
 def test_with_the_first_piece_the_prefill_is_no_longer_outstanding() -> None:
     playbook = Playbook([engine("e0")])
     scene = playbook.open(long_prompt(1))
-    slot = playbook.router._core.table.slots[EngineId("e0")]
+    slot = playbook.router._core.engine_table.slots[EngineId("e0")]
     before = slot.outstanding_tokens
     scene.head()
     scene.data(piece("r1", 0))
@@ -170,7 +170,7 @@
 def test_the_index_is_bounded() -> None:
     index = PrefixIndex(max_entries=10)
     playbook = Playbook(SIX)
-    slots = list(playbook.router._core.table.slots.values())
+    slots = list(playbook.router._core.engine_table.slots.values())
     for number in range(100):
         index.record(hash_prefix(str(number).encode()), slots[0])
     same = hash_prefix(b"same")
--- a/tests/unit/simulation/test_mutations.py
+++ b/tests/unit/simulation/test_mutations.py
@@ -44,9 +44,9 @@
 
 
 def test_double_claim(patch: pytest.MonkeyPatch) -> None:
-    take = RequestFlow._take_claim
+    take = RequestFlow._handle_claim_decision
     granted = ClaimDecided(ClaimDecision(ClaimVerdict.GRANTED))
-    patch.setattr(RequestFlow, "_take_claim", lambda flow, event, now: take(flow, granted, now))
+    patch.setattr(RequestFlow, "_handle_claim_decision", lambda flow, event, now: take(flow, granted, now))
     assert "at most once" in broken_rules(small_run())
 
 
@@ -92,7 +92,7 @@
 
     def finish_early(checker: StreamChecker, payload: bytes) -> bool:
         passed = check(checker, payload)
-        checker.finished = checker.finished or checker.pieces >= 2
+        checker.finished = checker.finished or checker.chunk_count >= 2
         return passed
 
     patch.setattr(StreamChecker, "_check_payload", finish_early)
@@ -176,14 +176,14 @@
 
 
 def test_draining_engines_stay_in_use(patch: pytest.MonkeyPatch) -> None:
-    take = EngineTable._take_records
+    take = EngineTable._apply_records
 
     def all_usable(table: EngineTable, view: Any) -> None:
         take(table, view)
         for slot in table.slots.values():
             slot.usable = True
 
-    patch.setattr(EngineTable, "_take_records", all_usable)
+    patch.setattr(EngineTable, "_apply_records", all_usable)
     faults = [EngineReplaced(at=14.0, version="v1", index=0, grace_s=4.0)]
     assert "drain" in broken_rules(small_run(faults=faults))
 
