--- a/tests/unit/router/__init__.py
+++ b/tests/unit/router/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the data plane: transcripts of events and effects."""
+"""Tests of the data plane: sequences of events and the effects that they cause."""
--- a/tests/unit/router/test_bad_input.py
+++ b/tests/unit/router/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Every bad-input row of docs/API.md: refused at once, with its typed error, and nothing is sent or held."""
+"""Every bad-input row of docs/API.md is refused with its typed error; nothing is sent, no slot is held."""
 
 from __future__ import annotations
 
@@ -40,7 +40,9 @@
 
 
 @pytest.mark.parametrize(("name", "request_changes", "status", "code"), REFUSALS)
-def test_refused_at_once(name: str, request_changes: dict[str, Any], status: int, code: str) -> None:
+def test_bad_request_is_refused_immediately(
+    name: str, request_changes: dict[str, Any], status: int, code: str
+) -> None:
     scene = Playbook().open(**request_changes)
 
     assert [type(effect) for effect in scene.effects] == [out.ResponseError, out.FlowDone]
@@ -48,14 +50,14 @@
     assert (scene.error.request_id, scene.error.node) == ("r1", "node-1")
 
 
-def test_a_wrong_field_is_named() -> None:
+def test_error_names_the_invalid_field() -> None:
     scene = Playbook().open(b'{"model":"caption","messages":[{"role":"user","content":5}]}')
 
     (field,) = scene.error.errors
     assert field.path == "messages[0].content"
 
 
-def test_a_revoked_key_is_refused_on_the_next_request() -> None:
+def test_revoked_key_is_refused_on_the_next_request() -> None:
     playbook = Playbook()
     playbook.revoke("ann")
 
@@ -72,7 +74,9 @@
         (True, "", False, "cut_off"),
     ],
 )
-def test_a_node_that_should_not_serve_refuses(ready: bool, reason: str, connected: bool, code: str) -> None:
+def test_node_that_is_not_ready_or_not_connected_refuses_requests(
+    ready: bool, reason: str, connected: bool, code: str
+) -> None:
     playbook = Playbook(connected=connected)
     playbook.router.update_readiness(ready, reason)
 
@@ -82,7 +86,7 @@
     assert error.retry_after_s is not None
 
 
-def test_quota_used_up_says_when_to_come_back() -> None:
+def test_refusal_for_a_used_up_quota_has_a_retry_delay() -> None:
     playbook = Playbook()
     playbook.quota.left = 10
 
@@ -92,7 +96,7 @@
     assert playbook.router.status().in_flight["interactive"] == 0
 
 
-def test_a_request_waits_shortly_for_the_quotas_owner_and_not_longer() -> None:
+def test_request_waits_briefly_for_the_quota_owner_and_then_is_refused() -> None:
     playbook = Playbook()
     playbook.quota.left, playbook.quota.owner_asked = 10, True
     early, late = playbook.open(), playbook.open()
@@ -109,7 +113,7 @@
     assert (late.error.status, late.error.code) == (429, "quota_exceeded")
 
 
-def test_the_owners_no_refuses_a_waiting_request_at_once() -> None:
+def test_denial_by_the_quota_owner_refuses_a_waiting_request_immediately() -> None:
     playbook = Playbook()
     playbook.quota.left, playbook.quota.owner_asked = 10, True
     scene = playbook.open()
@@ -118,13 +122,13 @@
     assert scene.error.code == "quota_exceeded"
 
 
-def test_a_service_without_engines_refuses() -> None:
+def test_service_without_engines_refuses_requests() -> None:
     error = Playbook(engines=[engine("p", service="pages")]).open().error
 
     assert (error.status, error.code, error.fate) == (503, "no_engine", "refused")
 
 
-def test_models_are_listed_in_the_ecosystems_shape() -> None:
+def test_models_are_listed_in_the_openai_format() -> None:
     scene = Playbook().open(path="/v1/models", method="GET")
 
     assert [model["id"] for model in json.loads(scene.body)["data"]] == ["caption", "draft"]
--- a/tests/unit/router/test_engine_choice.py
+++ b/tests/unit/router/test_engine_choice.py
@@ -1,4 +1,4 @@
-"""Choice of engines: affinity against load, bounds, slow start, versions, loss after loss, drain."""
+"""Engine choice: cache affinity against load, load bound, slow start, versions, repeated losses, draining."""
 
 from __future__ import annotations
 
@@ -15,32 +15,32 @@
 from springmux.vocabulary.names import EngineId
 from support.playbook import PAGES, TEXT, V1, V2, Playbook, Scene, chat, draining, engine, piece
 
-SIX = [engine(f"e{n}") for n in range(6)]
+SIX_ENGINES = [engine(f"e{n}") for n in range(6)]
 
 
 def long_prompt(number: int, tail: str = "") -> bytes:
     return chat("draft", content=f"dossier {number} " * 600 + tail)
 
 
-def where(scene: Scene) -> str:
+def chosen_engine(scene: Scene) -> str:
     return scene.dispatched().engine.engine
 
 
-def one_after_another(playbook: Playbook, numbers: range) -> dict[int, str]:
-    """Each prompt ends before the next one comes."""
-    found = {}
-    for number in numbers:
+def choose_sequentially(playbook: Playbook, prompt_numbers: range) -> dict[int, str]:
+    """Return the engine of each prompt; each request ends before the next one begins."""
+    engines_by_prompt = {}
+    for number in prompt_numbers:
         scene = playbook.open(long_prompt(number))
-        found[number] = where(scene)
+        engines_by_prompt[number] = chosen_engine(scene)
         scene.give(ClientDisconnected())
-    return found
+    return engines_by_prompt
 
 
-def test_a_prefix_returns_to_its_engine_and_says_so() -> None:
-    playbook = Playbook(SIX)
-    first = one_after_another(playbook, range(30))
+def test_resent_prefixes_return_to_their_engine_with_the_expected_hit() -> None:
+    playbook = Playbook(SIX_ENGINES)
+    first = choose_sequentially(playbook, range(30))
 
-    again = one_after_another(playbook, range(30))
+    again = choose_sequentially(playbook, range(30))
 
     assert again == first
     # The last, partial block is not indexed.
@@ -48,30 +48,34 @@
     assert len(set(first.values())) == 6
 
 
-def test_nodes_agree_on_the_place_of_a_new_prefix_without_a_message() -> None:
-    assert one_after_another(Playbook(SIX), range(40)) == one_after_another(Playbook(SIX), range(40))
+def test_nodes_place_new_prefixes_on_the_same_engines() -> None:
+    assert choose_sequentially(Playbook(SIX_ENGINES), range(40)) == choose_sequentially(
+        Playbook(SIX_ENGINES), range(40)
+    )
 
 
-def test_a_hot_prefix_spreads_within_the_bound() -> None:
-    playbook = Playbook(SIX)
+def test_hot_prefix_spreads_over_all_engines_within_the_load_bound() -> None:
+    playbook = Playbook(SIX_ENGINES)
     counts: Counter[str] = Counter()
     for number in range(120):
-        counts[where(playbook.open(long_prompt(1, str(number))))] += 1
+        counts[chosen_engine(playbook.open(long_prompt(1, str(number))))] += 1
         assert max(counts.values()) <= max(2, 1.25 * sum(counts.values()) / 6 + 1)
 
     assert len(counts) == 6
 
 
-def test_short_work_avoids_an_engine_that_prefills() -> None:
+def test_short_prompts_avoid_an_engine_that_prefills_a_long_one() -> None:
     playbook = Playbook([engine("e0"), engine("e1")])
-    busy = where(playbook.open(long_prompt(1)))
+    busy = chosen_engine(playbook.open(long_prompt(1)))
 
-    captions = {where(playbook.open(chat(content=str(number)))) for number in range(2)}
+    engines_of_short_prompts = {
+        chosen_engine(playbook.open(chat(content=str(number)))) for number in range(2)
+    }
 
-    assert busy not in captions
+    assert busy not in engines_of_short_prompts
 
 
-def test_with_the_first_piece_the_prefill_is_no_longer_outstanding() -> None:
+def test_prefill_is_no_longer_outstanding_after_the_first_chunk() -> None:
     playbook = Playbook([engine("e0")])
     scene = playbook.open(long_prompt(1))
     slot = playbook.router._core.engine_table.slots[EngineId("e0")]
@@ -84,62 +88,68 @@
     assert (slot.outstanding_tokens, slot.in_flight) == (0, 0)
 
 
-def test_reports_of_other_nodes_load_count_while_they_are_fresh() -> None:
-    playbook = Playbook(SIX)
-    home = one_after_another(playbook, range(1))[0]
-    busy = EngineLoad(EngineId(home), 8, 90, measured_at=playbook.now)
-    playbook.see(SIX, loads=[busy])
+def test_reported_load_of_other_nodes_counts_until_the_report_expires() -> None:
+    playbook = Playbook(SIX_ENGINES)
+    preferred = choose_sequentially(playbook, range(1))[0]
+    busy = EngineLoad(EngineId(preferred), 8, 90, measured_at=playbook.now)
+    playbook.see(SIX_ENGINES, loads=[busy])
 
-    assert one_after_another(playbook, range(1))[0] != home
+    assert choose_sequentially(playbook, range(1))[0] != preferred
     playbook.now += 5.0
-    fresh = Playbook(SIX, now=playbook.now)
-    fresh.see(SIX, loads=[busy])
-    assert one_after_another(fresh, range(1))[0] == home
+    fresh = Playbook(SIX_ENGINES, now=playbook.now)
+    fresh.see(SIX_ENGINES, loads=[busy])
+    assert choose_sequentially(fresh, range(1))[0] == preferred
 
 
-def test_a_stale_report_says_nothing() -> None:
-    playbook = Playbook(SIX)
-    home = one_after_another(playbook, range(1))[0]
-    others = [EngineLoad(record.engine, 8, 90, measured_at=10.0) for record in SIX if record.engine != home]
-    fresh = Playbook(SIX)
-    fresh.see(SIX, loads=others)
+def test_expired_load_reports_are_ignored() -> None:
+    playbook = Playbook(SIX_ENGINES)
+    preferred = choose_sequentially(playbook, range(1))[0]
+    others = [
+        EngineLoad(record.engine, 8, 90, measured_at=10.0)
+        for record in SIX_ENGINES
+        if record.engine != preferred
+    ]
+    fresh = Playbook(SIX_ENGINES)
+    fresh.see(SIX_ENGINES, loads=others)
 
-    assert one_after_another(fresh, range(1))[0] == home
+    assert choose_sequentially(fresh, range(1))[0] == preferred
 
 
-def test_a_cached_prefix_outweighs_some_waiting() -> None:
-    playbook = Playbook(SIX)
-    home = one_after_another(playbook, range(1))[0]
-    playbook.see(SIX, loads=[EngineLoad(EngineId(home), 2, 0, measured_at=playbook.now)])
+def test_cached_prefix_outweighs_a_short_wait() -> None:
+    playbook = Playbook(SIX_ENGINES)
+    preferred = choose_sequentially(playbook, range(1))[0]
+    playbook.see(SIX_ENGINES, loads=[EngineLoad(EngineId(preferred), 2, 0, measured_at=playbook.now)])
 
-    assert one_after_another(playbook, range(1))[0] == home
+    assert choose_sequentially(playbook, range(1))[0] == preferred
 
 
-def test_a_lost_engines_prefixes_spread_and_the_others_stay() -> None:
-    playbook = Playbook(SIX)
-    before = one_after_another(playbook, range(90))
+def test_only_the_prefixes_of_a_lost_engine_move_to_several_others() -> None:
+    playbook = Playbook(SIX_ENGINES)
+    before = choose_sequentially(playbook, range(90))
 
-    playbook.see(SIX[1:])
-    after = one_after_another(playbook, range(90))
+    playbook.see(SIX_ENGINES[1:])
+    after = choose_sequentially(playbook, range(90))
 
     moved = {number for number in before if before[number] == "e0"}
     assert {number for number in before if before[number] != after[number]} == moved
     assert len({after[number] for number in moved}) >= 4
 
 
-def test_a_second_loss_after_a_replacement_finds_no_cold_herd() -> None:
-    playbook = Playbook(SIX)
-    one_after_another(playbook, range(200))
-    replaced = [engine("e0", incarnation=2), *SIX[1:]]
-    playbook.see(replaced, first_seen={"e0": playbook.now})
-    early = Counter(one_after_another(playbook, range(200, 400)).values())
+def test_loss_during_slow_start_of_a_replacement_does_not_flood_it() -> None:
+    playbook = Playbook(SIX_ENGINES)
+    choose_sequentially(playbook, range(200))
+    records_with_replacement = [engine("e0", incarnation=2), *SIX_ENGINES[1:]]
+    playbook.see(records_with_replacement, first_seen={"e0": playbook.now})
+    early = Counter(choose_sequentially(playbook, range(200, 400)).values())
     playbook.now += 5.0
-    half = Counter(one_after_another(playbook, range(400, 600)).values())
+    half = Counter(choose_sequentially(playbook, range(400, 600)).values())
 
-    playbook.see([record for record in replaced if record.engine != "e1"], first_seen={"e0": 100.0})
-    second = Counter(one_after_another(playbook, range(600, 800)).values())
+    playbook.see(
+        [record for record in records_with_replacement if record.engine != "e1"], first_seen={"e0": 100.0}
+    )
+    second = Counter(choose_sequentially(playbook, range(600, 800)).values())
     playbook.now += 5.0
-    late = Counter(one_after_another(playbook, range(800, 1000)).values())
+    late = Counter(choose_sequentially(playbook, range(800, 1000)).values())
 
     assert early["e0"] < half["e0"] < late["e0"]
     assert early["e0"] <= 10
@@ -147,29 +157,29 @@
     assert 25 <= late["e0"] <= 60
 
 
-def test_a_restarted_engine_is_cold() -> None:
+def test_restarted_engine_has_an_empty_cache() -> None:
     playbook = Playbook([engine("e0")])
-    one_after_another(playbook, range(1))
+    choose_sequentially(playbook, range(1))
     playbook.see([engine("e0", incarnation=2)])
-    one_after_another(playbook, range(1))
+    choose_sequentially(playbook, range(1))
 
     assert [outcome.expected_hit for outcome in playbook.chooser.outcomes] == [0.0, 0.0]
 
 
-def test_a_draining_engine_gets_nothing_new_and_finishes_its_streams() -> None:
+def test_draining_engine_gets_no_new_requests_and_keeps_its_streams() -> None:
     playbook = Playbook([engine("e0"), engine("e1")])
     running = [playbook.open(long_prompt(number)) for number in range(4)]
     playbook.see([draining(engine("e0")), engine("e1")])
 
-    later = {where(playbook.open(long_prompt(number))) for number in range(4)}
+    later = {chosen_engine(playbook.open(long_prompt(number))) for number in range(4)}
 
     assert later == {"e1"}
     assert not any(scene.over for scene in running)
 
 
-def test_the_index_is_bounded() -> None:
+def test_prefix_index_is_bounded_in_blocks_and_holders() -> None:
     index = PrefixIndex(max_entries=10)
-    playbook = Playbook(SIX)
+    playbook = Playbook(SIX_ENGINES)
     slots = list(playbook.router._core.engine_table.slots.values())
     for number in range(100):
         index.record(hash_prefix(str(number).encode()), slots[0])
@@ -182,32 +192,32 @@
 
 
 CANDIDATE_FIRST = VersionChoice(versions=(V2, V1), candidate=True)
-BOTH = [*SIX[:3], *(engine(f"c{n}", V2) for n in range(3))]
+BOTH_VERSIONS = [*SIX_ENGINES[:3], *(engine(f"c{n}", V2) for n in range(3))]
 
 
-def rollout(engines: list[EngineRecord], choice: VersionChoice = CANDIDATE_FIRST) -> Playbook:
+def playbook_with_choice(engines: list[EngineRecord], choice: VersionChoice = CANDIDATE_FIRST) -> Playbook:
     playbook = Playbook(engines)
     playbook.chooser.choice = choice
     return playbook
 
 
-def test_a_credit_is_returned_where_the_candidate_has_no_engine() -> None:
-    playbook = rollout(SIX)
+def test_credit_is_returned_if_the_candidate_has_no_engine() -> None:
+    playbook = playbook_with_choice(SIX_ENGINES)
 
     assert playbook.open().dispatched().engine.version == V1
     assert playbook.chooser.given_back == [V2]
 
 
-def test_a_credit_is_returned_when_the_lease_is_gone_at_dispatch() -> None:
-    playbook = rollout(BOTH)
+def test_credit_is_returned_if_the_candidate_is_no_longer_allowed_at_dispatch() -> None:
+    playbook = playbook_with_choice(BOTH_VERSIONS)
     playbook.chooser.allowed = frozenset({V1})
 
     assert playbook.open().dispatched().engine.version == V1
     assert playbook.chooser.given_back == [V2]
 
 
-def test_a_sent_candidate_prompt_keeps_its_credit_and_is_retried_on_stable() -> None:
-    playbook = rollout(BOTH)
+def test_sent_candidate_prompt_uses_its_credit_and_is_retried_on_the_stable_version() -> None:
+    playbook = playbook_with_choice(BOTH_VERSIONS)
     scene = playbook.open()
     scene.head(500)
 
@@ -217,8 +227,8 @@
     assert playbook.chooser.chosen == 1
 
 
-def test_an_unsent_candidate_prompt_tries_the_candidate_again_then_returns_its_credit() -> None:
-    playbook = rollout([*SIX[:3], engine("c0", V2), engine("c1", V2)])
+def test_unsent_candidate_prompt_retries_the_candidate_before_returning_its_credit() -> None:
+    playbook = playbook_with_choice([*SIX_ENGINES[:3], engine("c0", V2), engine("c1", V2)])
     scene = playbook.open()
     scene.fail(UpstreamCause.REFUSED, sent=False)
     scene.fail(UpstreamCause.REFUSED, sent=False)
@@ -227,23 +237,27 @@
     assert playbook.chooser.given_back == [V2]
 
 
-def test_a_retry_never_leaks_to_a_version_that_was_not_preferred() -> None:
-    playbook = rollout([SIX[0], engine("c0", V2)], VersionChoice(versions=(V1, V2)))
+def test_retry_does_not_go_to_another_version_while_the_preferred_one_has_engines() -> None:
+    playbook = playbook_with_choice([SIX_ENGINES[0], engine("c0", V2)], VersionChoice(versions=(V1, V2)))
     scene = playbook.open()
     scene.head(500)
 
     assert [d.engine.version for d in scene.all(out.Dispatch)] == [V1]
     assert scene.error.code == "engine_error"
-    last = rollout([engine("c0", V2)], VersionChoice(versions=(V1, V2))).open()
+    last = playbook_with_choice([engine("c0", V2)], VersionChoice(versions=(V1, V2))).open()
     assert last.dispatched().engine.version == V2
 
 
-def test_the_canary_is_concentrated_on_as_many_engines_as_allowed() -> None:
-    playbook = rollout(BOTH, VersionChoice(versions=(V2, V1), candidate=True, engines_limit=1))
-    wider = rollout(BOTH, VersionChoice(versions=(V2, V1), candidate=True, engines_limit=2))
+def test_candidate_prompts_use_no_more_engines_than_the_limit() -> None:
+    playbook = playbook_with_choice(
+        BOTH_VERSIONS, VersionChoice(versions=(V2, V1), candidate=True, engines_limit=1)
+    )
+    wider = playbook_with_choice(
+        BOTH_VERSIONS, VersionChoice(versions=(V2, V1), candidate=True, engines_limit=2)
+    )
 
-    one = {where(playbook.open(long_prompt(number))) for number in range(9)}
-    two = {where(wider.open(long_prompt(number))) for number in range(9)}
+    one = {chosen_engine(playbook.open(long_prompt(number))) for number in range(9)}
+    two = {chosen_engine(wider.open(long_prompt(number))) for number in range(9)}
 
     assert len(one) == 1
     assert len(two) == 2
@@ -251,7 +265,7 @@
 
 
 @pytest.mark.parametrize("service", [TEXT, PAGES])
-def test_calls_and_prompts_use_only_their_services_engines(service: str) -> None:
+def test_calls_and_prompts_use_only_engines_of_their_service(service: str) -> None:
     playbook = Playbook(limits=AdmissionLimits())
     scene = playbook.open(call="lookup") if service == PAGES else playbook.open()
 
--- a/tests/unit/router/test_fates.py
+++ b/tests/unit/router/test_fates.py
@@ -1,4 +1,4 @@
-"""What becomes of a request when engines, nodes, claims or clients fail: one fate each, told truthfully."""
+"""Fates of requests when engines, nodes, claims or clients fail: each error reports the true fate."""
 
 from __future__ import annotations
 
@@ -13,38 +13,38 @@
 from support.playbook import Playbook, Scene, chat, piece
 
 
-def approval(playbook: Playbook, action: str = "a1") -> Scene:
+def open_approval(playbook: Playbook, action: str = "a1") -> Scene:
     return playbook.open(call="approve", headers={"idempotency-key": action})
 
 
-def granted(playbook: Playbook) -> Scene:
-    scene = approval(playbook)
+def open_granted_approval(playbook: Playbook) -> Scene:
+    scene = open_approval(playbook)
     scene.claim(ClaimVerdict.GRANTED)
     return scene
 
 
-def test_nothing_is_sent_before_the_claim_is_granted() -> None:
-    scene = approval(Playbook())
+def test_at_most_once_request_is_not_sent_before_its_claim_is_granted() -> None:
+    scene = open_approval(Playbook())
 
     assert [type(effect) for effect in scene.effects] == [out.RequestClaim]
 
 
-def test_one_action_is_one_claim_per_tenant_and_route() -> None:
+def test_claim_keys_differ_by_idempotency_key_and_tenant() -> None:
     playbook = Playbook()
-    keys = [approval(playbook, action).all(out.RequestClaim)[0].claim_key for action in ("a1", "a2")]
+    keys = [open_approval(playbook, action).all(out.RequestClaim)[0].claim_key for action in ("a1", "a2")]
     south = playbook.open(call="approve", key="cleo", headers={"idempotency-key": "a1"})
 
     assert len({*keys, south.all(out.RequestClaim)[0].claim_key}) == 3
 
 
-def test_a_whole_answer_is_kept_and_replayed_to_a_resend() -> None:
+def test_complete_response_is_stored_and_replayed_to_a_resent_request() -> None:
     playbook = Playbook()
-    first = granted(playbook)
+    first = open_granted_approval(playbook)
     first.answer(b'{"slot":7}')
     (settled,) = first.all(out.SettleClaim)
     assert settled.ran
 
-    second = approval(playbook)
+    second = open_approval(playbook)
     second.claim(ClaimVerdict.FINISHED, settled.answer)
 
     assert not second.all(out.Dispatch)
@@ -53,9 +53,9 @@
     assert (headers["X-Replayed"], headers["X-Request-Id"]) == ("true", "r2")
 
 
-def test_the_same_key_with_another_body_never_gets_the_first_ones_answer() -> None:
+def test_reused_idempotency_key_with_another_body_does_not_get_the_stored_response() -> None:
     playbook = Playbook()
-    first = granted(playbook)
+    first = open_granted_approval(playbook)
     first.answer(b'{"slot":7}')
 
     other = playbook.open(b'{"page":2}', call="approve", headers={"idempotency-key": "a1"})
@@ -65,12 +65,12 @@
     assert not other.all(out.Dispatch)
 
 
-@pytest.mark.parametrize(("size", "kept"), [(8_000, True), (8_300, False)])
-def test_an_answer_is_kept_up_to_what_the_claim_holders_take(size: int, kept: bool) -> None:
-    scene = granted(Playbook())
+@pytest.mark.parametrize(("size", "is_stored"), [(8_000, True), (8_300, False)])
+def test_response_is_stored_only_up_to_the_size_limit_of_claim_holders(size: int, is_stored: bool) -> None:
+    scene = open_granted_approval(Playbook())
     scene.answer(b'"' + b"x" * (size - 2) + b'"')
 
-    assert bool(scene.all(out.SettleClaim)[0].answer) is kept
+    assert bool(scene.all(out.SettleClaim)[0].answer) is is_stored
 
 
 @pytest.mark.parametrize(
@@ -81,8 +81,10 @@
         (ClaimVerdict.UNAVAILABLE, 503, "claim_unavailable", "refused"),
     ],
 )
-def test_no_claim_no_run(verdict: ClaimVerdict, status: int, code: str, fate: str) -> None:
-    scene = approval(Playbook())
+def test_request_without_a_granted_claim_is_not_sent(
+    verdict: ClaimVerdict, status: int, code: str, fate: str
+) -> None:
+    scene = open_approval(Playbook())
     scene.claim(verdict)
 
     assert (scene.error.status, scene.error.code, scene.error.fate) == (status, code, fate)
@@ -90,19 +92,19 @@
     assert not scene.all(out.SettleClaim)
 
 
-def test_a_resend_to_the_same_node_meets_the_running_one() -> None:
+def test_resent_request_is_rejected_while_the_first_one_runs_at_the_same_node() -> None:
     playbook = Playbook()
-    first = approval(playbook)
-    second = approval(playbook)
+    first = open_approval(playbook)
+    second = open_approval(playbook)
 
     assert (second.error.status, second.error.fate) == (409, "unknown")
     assert not second.all(out.RequestClaim)
     first.claim(ClaimVerdict.UNAVAILABLE)
-    assert approval(playbook).all(out.RequestClaim)
+    assert open_approval(playbook).all(out.RequestClaim)
 
 
-def test_a_late_grant_is_given_back() -> None:
-    scene = approval(Playbook())
+def test_late_grant_is_released() -> None:
+    scene = open_approval(Playbook())
     scene.tick()
     assert scene.error.code == "claim_unavailable"
 
@@ -113,8 +115,8 @@
     assert scene.over
 
 
-def test_a_thawed_node_still_waits_for_the_grant_that_it_must_give_back() -> None:
-    scene = approval(Playbook())
+def test_resumed_node_still_waits_for_a_late_grant_to_release_it() -> None:
+    scene = open_approval(Playbook())
     scene.give(ev.ClientDisconnected())
     scene.give(Tick(), after=60.0)
     assert not scene.over
@@ -124,9 +126,9 @@
     assert not scene.all(out.SettleClaim)[0].ran
 
 
-def test_a_grant_after_the_deadline_is_given_back_and_not_sent() -> None:
+def test_grant_after_the_deadline_is_released_and_the_request_is_not_sent() -> None:
     playbook = Playbook()
-    scene = approval(playbook)
+    scene = open_approval(playbook)
     playbook.now += 31.0
     scene.claim(ClaimVerdict.GRANTED)
 
@@ -135,8 +137,8 @@
     assert not scene.all(out.SettleClaim)[0].ran
 
 
-def test_an_unsent_approval_goes_to_another_engine() -> None:
-    scene = granted(Playbook())
+def test_unsent_at_most_once_request_goes_to_another_engine() -> None:
+    scene = open_granted_approval(Playbook())
     scene.fail(UpstreamCause.REFUSED, sent=False)
 
     first, second = scene.all(out.Dispatch)
@@ -144,8 +146,8 @@
     assert all(dispatch.fresh for dispatch in (first, second))
 
 
-def test_an_approval_that_reached_no_engine_is_refused_and_its_claim_free() -> None:
-    scene = granted(Playbook())
+def test_at_most_once_request_that_reached_no_engine_is_refused_and_its_claim_released() -> None:
+    scene = open_granted_approval(Playbook())
     while not scene.over:
         scene.fail(UpstreamCause.REFUSED, sent=False)
 
@@ -155,19 +157,19 @@
 
 
 @pytest.mark.parametrize(
-    "trouble", ["reset", "refused", "protocol", "500", "silence", "odd", "stop", "revoked"]
+    "failure", ["reset", "refused", "protocol", "500", "silence", "odd", "stop", "revoked"]
 )
-def test_a_sent_approval_without_an_answer_is_unknown_and_never_sent_again(trouble: str) -> None:
-    scene = granted(Playbook())
-    if trouble in ("reset", "refused", "protocol"):
-        scene.fail(UpstreamCause(trouble), sent=True)
-    elif trouble == "500":
+def test_sent_at_most_once_request_without_a_response_is_unknown_and_not_retried(failure: str) -> None:
+    scene = open_granted_approval(Playbook())
+    if failure in ("reset", "refused", "protocol"):
+        scene.fail(UpstreamCause(failure), sent=True)
+    elif failure == "500":
         scene.head(500)
-    elif trouble == "silence":
+    elif failure == "silence":
         scene.tick()
-    elif trouble == "odd":
+    elif failure == "odd":
         scene.head(x_request_id="r77")
-    elif trouble == "stop":
+    elif failure == "stop":
         scene.give(ev.StopRequested())
     else:
         scene.give(ev.KeyRevoked())
@@ -180,9 +182,9 @@
     assert scene.over
 
 
-def test_a_frozen_node_that_wakes_with_a_granted_claim_does_not_send() -> None:
+def test_resumed_node_without_a_majority_does_not_send_a_request_with_a_granted_claim() -> None:
     playbook = Playbook()
-    scene = approval(playbook)
+    scene = open_approval(playbook)
     playbook.connected = False
     scene.claim(ClaimVerdict.GRANTED)
 
@@ -191,10 +193,10 @@
     assert not scene.all(out.SettleClaim)[0].ran
 
 
-def test_a_client_error_of_the_engine_is_its_answer_and_evidence_but_no_fault_of_its_health() -> None:
+def test_client_error_of_an_engine_is_forwarded_and_recorded_but_does_not_eject_it() -> None:
     playbook = Playbook()
     for number in range(9):
-        scene = approval(playbook, f"a{number}")
+        scene = open_approval(playbook, f"a{number}")
         scene.claim(ClaimVerdict.GRANTED)
         scene.answer(b'{"error":"no such page"}', status=422)
         assert scene.all(out.ResponseHead)[0].status == 422
@@ -221,11 +223,11 @@
         (b'{"a":"\xff"}', {}),
     ],
 )
-def test_an_answer_that_is_not_proven_whole_is_not_passed_on(
+def test_response_that_is_not_verifiably_complete_is_not_forwarded(
     body_and_headers: tuple[bytes, dict[str, str]],
 ) -> None:
     body, headers = body_and_headers
-    scene = granted(Playbook())
+    scene = open_granted_approval(Playbook())
     scene.head(**{"content_type": "application/json", "content_length": str(len(body))} | headers)
     scene.data(body)
     scene.end()
@@ -235,7 +237,7 @@
     assert not any(close.reusable for close in scene.all(out.CloseUpstream))
 
 
-def test_a_whole_completion_must_carry_the_request_id() -> None:
+def test_complete_response_with_another_request_id_is_not_forwarded() -> None:
     scene = Playbook(limits=AdmissionLimits(retry_floor=0)).open(chat(stream=False))
     scene.answer(b'{"id":"r5","choices":[]}')
     assert not scene.all(out.ResponseHead)
@@ -246,7 +248,7 @@
     assert right.playbook.quota.settled == [(67.0, 13.0)]
 
 
-def test_a_repeatable_prompt_is_retried_until_its_first_byte() -> None:
+def test_repeatable_prompt_is_retried_until_its_first_byte_is_forwarded() -> None:
     scene = Playbook().open()
     scene.head(503)
     assert len({dispatch.engine.engine for dispatch in scene.all(out.Dispatch)}) == 2
@@ -259,7 +261,7 @@
     assert scene.all(out.ResponseAborted)
 
 
-def test_a_node_cut_off_between_two_attempts_does_not_retry() -> None:
+def test_node_partitioned_between_two_attempts_does_not_retry() -> None:
     playbook = Playbook()
     sent, unsent = playbook.open(), playbook.open()
     playbook.connected = False
@@ -285,7 +287,7 @@
 
 
 @pytest.mark.parametrize(("call", "fate"), [("", "failed"), ("approve", "unknown")])
-def test_at_the_deadline_the_answer_comes_at_once(call: str, fate: str) -> None:
+def test_request_ends_with_an_error_at_its_deadline(call: str, fate: str) -> None:
     playbook = Playbook()
     scene = playbook.open(chat(stream=False) if not call else b"", call=call)
     if call:
@@ -302,25 +304,28 @@
     assert (scene.error.status, scene.error.code, scene.error.fate) == (504, "deadline_exceeded", fate)
 
 
-def test_a_client_who_leaves_frees_everything() -> None:
+def test_client_disconnect_releases_all_resources() -> None:
     playbook = Playbook()
     prompt = playbook.open()
-    sale = granted(playbook)
-    asking = approval(playbook, "a2")
-    for scene in (prompt, sale, asking):
+    granted_approval = open_granted_approval(playbook)
+    claiming_approval = open_approval(playbook, "a2")
+    for scene in (prompt, granted_approval, claiming_approval):
         scene.give(ev.ClientDisconnected())
-    asking.claim(ClaimVerdict.GRANTED)
+    claiming_approval.claim(ClaimVerdict.GRANTED)
 
     assert prompt.all(out.CloseUpstream) == [out.CloseUpstream(1, reusable=False)]
-    assert [sale.all(out.SettleClaim)[0].ran, asking.all(out.SettleClaim)[0].ran] == [True, False]
+    assert [granted_approval.all(out.SettleClaim)[0].ran, claiming_approval.all(out.SettleClaim)[0].ran] == [
+        True,
+        False,
+    ]
     assert playbook.quota.settled == [(67.0, 0.0)]
     assert set(playbook.router.status().in_flight.values()) == {0}
-    assert all(scene.over for scene in (prompt, sale, asking))
+    assert all(scene.over for scene in (prompt, granted_approval, claiming_approval))
     assert "caller_gone" in playbook.chooser.endings()
     assert not playbook.router._flows
 
 
-def test_a_revoked_key_ends_its_running_streams_only() -> None:
+def test_revoked_key_ends_only_its_own_streams() -> None:
     playbook = Playbook()
     ann, ben = playbook.open(), playbook.open(key="ben")
     for scene in (ann, ben):
--- a/tests/unit/router/test_streams.py
+++ b/tests/unit/router/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams: whatever an engine or the network does, the client gets its own pieces in order, or an error."""
+"""Streams: whatever an engine or the network does, the client gets its own chunks in order, or an error."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 from springmux.router.events import UpstreamCause
 from support.playbook import DONE, Playbook, Scene, piece, whole_stream
 
-RIGHT = whole_stream("r1", 5)
+VALID_STREAM = whole_stream("r1", 5)
 NO_RETRY = AdmissionLimits(retry_floor=0, retry_share=0.0)
 PROPERTY = settings(derandomize=True, deadline=None, max_examples=150)
 
 
-def begun(limits: AdmissionLimits = NO_RETRY) -> Scene:
+def open_stream(limits: AdmissionLimits = NO_RETRY) -> Scene:
     scene = Playbook(limits=limits).open()
     scene.head()
     return scene
 
 
-def played(stream: bytes, cuts: list[int]) -> Scene:
-    """Give the stream cut at ``cuts``, then the exchange's proper end."""
-    scene = begun()
+def play_stream(stream: bytes, cuts: list[int]) -> Scene:
+    """Feed the stream, split at ``cuts``, then the proper end of the response."""
+    scene = open_stream()
     edges = [0, *sorted(cut % (len(stream) + 1) for cut in cuts), len(stream)]
     for start, stop in itertools.pairwise(edges):
         if start < stop:
@@ -39,16 +39,16 @@
     return scene
 
 
-def passed_pieces(scene: Scene) -> list[int]:
+def forwarded_sequence(scene: Scene) -> list[int]:
     events = [event for event in scene.body.split(b"\n\n") if event.startswith(b"data: {")]
     return [json.loads(event[6:])["seq"] for event in events]
 
 
 @PROPERTY
 @given(st.lists(st.integers(0, 4000), max_size=40), st.booleans())
-def test_splits_never_change_what_the_client_gets(cuts: list[int], crlf: bool) -> None:
-    stream = RIGHT.replace(b"\n\n", b"\r\n\r\n") if crlf else RIGHT
-    scene = played(stream, cuts)
+def test_client_gets_the_same_bytes_however_the_stream_is_split(cuts: list[int], crlf: bool) -> None:
+    stream = VALID_STREAM.replace(b"\n\n", b"\r\n\r\n") if crlf else VALID_STREAM
+    scene = play_stream(stream, cuts)
 
     assert scene.body == stream
     assert scene.whole
@@ -57,14 +57,14 @@
 
 @PROPERTY
 @given(st.data())
-def test_a_damaged_stream_is_never_complete(data: st.DataObject) -> None:
+def test_damaged_stream_is_never_complete(data: st.DataObject) -> None:
     pieces = [piece("r1", seq, seq == 4) for seq in range(5)]
     kind = data.draw(
         st.sampled_from(["truncated", "dropped", "doubled", "swapped", "crossed", "early", "after"])
     )
     at = data.draw(st.integers(0, 3))
     if kind == "truncated":
-        stream = RIGHT[: data.draw(st.integers(0, len(RIGHT) - 2))]
+        stream = VALID_STREAM[: data.draw(st.integers(0, len(VALID_STREAM) - 2))]
     else:
         if kind == "dropped":
             del pieces[at]
@@ -81,13 +81,13 @@
         stream = b"".join(pieces) + DONE
     cuts = data.draw(st.lists(st.integers(0, 4000), max_size=10))
     if data.draw(st.booleans()):
-        # As engines really send: one event at a time.
+        # Engines usually send one event at a time.
         cuts = [match.end() for match in re.finditer(b"\n\n", stream)]
-    scene = played(stream, cuts)
+    scene = play_stream(stream, cuts)
 
     assert not scene.whole
     assert b"[DONE]" not in scene.body
-    assert passed_pieces(scene) == list(range(len(passed_pieces(scene))))
+    assert forwarded_sequence(scene) == list(range(len(forwarded_sequence(scene))))
     assert b'"r2"' not in scene.body
     assert scene.over
     assert scene.all(out.ResponseError) or b"event: error" in scene.body
@@ -99,21 +99,21 @@
     [b"data: {]\n\n", b"data: {}\n\n", b"hello\n\n", b'event: error\ndata: {"error":1}\n\n', DONE,
      piece("r1", 1), piece("r9", 0), b"data: \xff\n\n", b"x" * 300_000],
 )  # fmt: skip
-def test_the_first_bytes_go_out_only_with_a_valid_piece(first: bytes) -> None:
-    scene = begun(AdmissionLimits())
+def test_no_byte_is_forwarded_before_the_first_valid_chunk(first: bytes) -> None:
+    scene = open_stream(AdmissionLimits())
     scene.data(first)
     assert not scene.all(out.ResponseHead)
     assert len(scene.all(out.Dispatch)) == 2
 
     scene.head()
-    scene.data(RIGHT)
+    scene.data(VALID_STREAM)
 
-    assert scene.body == RIGHT
+    assert scene.body == VALID_STREAM
     assert scene.whole
 
 
-def test_events_of_an_earlier_attempt_are_ignored() -> None:
-    scene = begun(AdmissionLimits())
+def test_events_of_an_earlier_attempt_are_ignored_after_a_retry() -> None:
+    scene = open_stream(AdmissionLimits())
     scene.data(b"data: {}\n\n")
     scene.give(ev.UpstreamData(1, piece("r1", 0)))
     scene.give(ev.UpstreamFailed(1, UpstreamCause.RESET, True))
@@ -126,16 +126,16 @@
     assert scene.body == piece("r1", 0)
 
 
-def test_line_ends_of_both_kinds_may_come_together() -> None:
-    scene = begun()
+def test_stream_may_mix_both_line_endings() -> None:
+    scene = open_stream()
     mixed = piece("r1", 0).replace(b"\n", b"\r\n") + piece("r1", 1)
     scene.data(mixed)
 
     assert scene.body == mixed
 
 
-def test_several_pieces_at_once_are_passed_on_together_with_their_bytes() -> None:
-    scene = begun()
+def test_several_chunks_read_together_are_forwarded_unchanged_in_one_effect() -> None:
+    scene = open_stream()
     together = piece("r1", 0) + piece("r1", 1)
     effects = scene.data(together + b"data: {")
 
@@ -144,26 +144,26 @@
     ]
 
 
-def test_comments_are_dropped() -> None:
-    scene = begun()
-    scene.data(b": still here\n\n" + RIGHT)
+def test_comments_of_a_stream_are_dropped() -> None:
+    scene = open_stream()
+    scene.data(b": still here\n\n" + VALID_STREAM)
 
-    assert scene.body == RIGHT
+    assert scene.body == VALID_STREAM
 
 
-@pytest.mark.parametrize("more", [piece("r2", 0), b"dat"])
-def test_bytes_after_the_end_are_dropped_and_the_connection_is_closed(more: bytes) -> None:
-    scene = begun()
-    scene.data(RIGHT + more)
+@pytest.mark.parametrize("trailing_bytes", [piece("r2", 0), b"dat"])
+def test_bytes_after_the_end_are_dropped_and_the_connection_is_closed(trailing_bytes: bytes) -> None:
+    scene = open_stream()
+    scene.data(VALID_STREAM + trailing_bytes)
 
-    assert scene.body == RIGHT
+    assert scene.body == VALID_STREAM
     assert scene.all(out.CloseUpstream) == [out.CloseUpstream(1, reusable=False)]
     assert scene.over
 
 
-def test_a_connection_that_does_not_end_properly_is_closed() -> None:
-    scene = begun()
-    scene.data(RIGHT)
+def test_connection_without_a_proper_end_after_the_stream_is_closed() -> None:
+    scene = open_stream()
+    scene.data(VALID_STREAM)
     assert scene.whole
     assert not scene.over
     scene.tick()
@@ -173,21 +173,21 @@
 
 
 @pytest.mark.parametrize(
-    "late",
+    "late_event",
     [ev.UpstreamData(1, b"more"), ev.UpstreamFailed(1, UpstreamCause.RESET, True), ev.ClientDisconnected()],
 )
-def test_anything_but_the_proper_end_closes_the_connection(late: Event) -> None:
-    scene = begun()
-    scene.data(RIGHT)
-    scene.give(late)
+def test_any_event_but_the_proper_end_after_the_stream_closes_the_connection(late_event: Event) -> None:
+    scene = open_stream()
+    scene.data(VALID_STREAM)
+    scene.give(late_event)
 
     assert scene.all(out.CloseUpstream) == [out.CloseUpstream(1, reusable=False)]
-    assert scene.body == RIGHT
+    assert scene.body == VALID_STREAM
     assert scene.over
 
 
-def test_an_engine_that_falls_silent_within_its_answer_is_an_error_event() -> None:
-    scene = begun()
+def test_stalled_stream_ends_with_an_error_event() -> None:
+    scene = open_stream()
     scene.data(piece("r1", 0))
     scene.data(piece("r1", 1), after=4.9)
     scene.tick()
@@ -198,8 +198,8 @@
     assert not scene.all(out.ResponseEnd)
 
 
-def test_a_client_who_reads_slowly_is_no_silence_of_the_engine() -> None:
-    scene = begun()
+def test_slow_client_does_not_time_out_the_engine() -> None:
+    scene = open_stream()
     scene.data(piece("r1", 0))
     scene.give(ev.ClientBlocked(), after=1.0)
     assert scene.flow.next_deadline() == pytest.approx(130.0)
@@ -214,8 +214,8 @@
 
 
 @pytest.mark.parametrize("ready_again", [False, True])
-def test_a_deadline_that_a_slow_client_used_up_is_not_the_engines(ready_again: bool) -> None:
-    scene = begun()
+def test_deadline_used_up_by_a_slow_client_is_no_evidence_against_the_engine(ready_again: bool) -> None:
+    scene = open_stream()
     scene.data(piece("r1", 0))
     scene.give(ev.ClientBlocked())
     if ready_again:
@@ -226,8 +226,8 @@
     assert scene.playbook.chooser.endings() == ["caller_gone"]
 
 
-def test_an_engine_silent_after_its_client_reads_again_is_to_blame() -> None:
-    scene = begun()
+def test_engine_that_stalls_after_its_client_reads_again_times_out() -> None:
+    scene = open_stream()
     scene.data(piece("r1", 0))
     scene.give(ev.ClientBlocked())
     scene.give(ev.ClientReady(), after=9.0)
@@ -237,21 +237,21 @@
     assert scene.playbook.chooser.endings() == ["timed_out"]
 
 
-@pytest.mark.parametrize("answered", [False, True])
-def test_a_thawed_node_reads_what_came_meanwhile_before_it_blames_the_engine(answered: bool) -> None:
-    scene = begun()
-    if answered:
+@pytest.mark.parametrize("first_chunk_read", [False, True])
+def test_resumed_node_reads_the_buffered_bytes_before_it_times_out_the_engine(first_chunk_read: bool) -> None:
+    scene = open_stream()
+    if first_chunk_read:
         scene.data(piece("r1", 0))
     assert scene.give(Tick(), after=20.0) == []
 
-    scene.data(whole_stream("r1", 2)[len(piece("r1", 0)) if answered else 0 :])
+    scene.data(whole_stream("r1", 2)[len(piece("r1", 0)) if first_chunk_read else 0 :])
 
     assert scene.whole
     assert scene.playbook.chooser.outcomes[0].first_token_s is None
 
 
-def test_a_thawed_node_that_goes_on_hearing_nothing_ends_the_stream() -> None:
-    scene = begun()
+def test_resumed_node_ends_a_stream_that_stays_silent() -> None:
+    scene = open_stream()
     scene.data(piece("r1", 0))
     scene.give(Tick(), after=20.0)
     scene.tick()
@@ -260,8 +260,8 @@
     assert b"engine_broke_off" in scene.body
 
 
-def test_a_deadline_that_passed_while_the_node_was_frozen_is_not_the_engines() -> None:
-    scene = begun()
+def test_deadline_passed_while_the_node_was_paused_is_no_evidence_against_the_engine() -> None:
+    scene = open_stream()
     scene.give(Tick(), after=60.0)
 
     assert scene.error.code == "deadline_exceeded"
@@ -269,8 +269,8 @@
 
 
 @pytest.mark.parametrize("tokens", [-5, 1 << 40, 10**400])
-def test_an_impossible_token_count_is_a_malformed_piece(tokens: int) -> None:
-    scene = begun()
+def test_chunk_with_an_impossible_token_count_is_malformed(tokens: int) -> None:
+    scene = open_stream()
     usage = json.dumps({"prompt_tokens": 1, "completion_tokens": tokens})
     scene.data(piece("r1", 0)[:-3] + b', "usage": ' + usage.encode() + b"}\n\n")
 
@@ -278,15 +278,15 @@
     assert scene.playbook.quota.settled == [(67.0, 0.0)]
 
 
-def test_a_stream_asked_for_must_be_a_stream() -> None:
+def test_response_to_a_stream_request_must_be_a_stream() -> None:
     scene = Playbook(limits=NO_RETRY).open()
     scene.head(content_type="application/json")
 
     assert scene.error.code == "engine_protocol"
 
 
-def test_pieces_are_measured() -> None:
-    scene = begun()
+def test_first_token_time_and_token_gap_are_measured() -> None:
+    scene = open_stream()
     scene.data(piece("r1", 0), after=0.5)
     scene.data(piece("r1", 1), after=0.2)
     scene.data(piece("r1", 2, last=True) + DONE, after=0.4)
