--- a/src/springmux/lab/bench/routing_policies.py
+++ b/src/springmux/lab/bench/routing_policies.py
@@ -15,7 +15,7 @@
 ) -> EngineSlot:
     """Return the choice of the router's own chooser."""
     tokens = len(request.prompt) // BYTES_PER_TOKEN
-    needs = ChoiceConstraints(prefix, tokens, frozenset(), probe=False)
+    needs = ChoiceConstraints(prefix, tokens, frozenset(), may_probe=False)
     choice = simulation.chooser.choose(simulation.table.pool(SERVICE, VERSION), needs, simulation.now)
     assert choice is not None
     return choice.slot
--- a/src/springmux/router/attempt.py
+++ b/src/springmux/router/attempt.py
@@ -19,8 +19,8 @@
 class Attempt:
     """State of one attempt. Times are monotonic seconds; ``first_chunk_at`` is ``None`` until it arrives.
 
-    ``progress_at``: start of the current timeout. ``blocked``: the client's socket is full, so the engine's
-    bytes are not read. ``timing_disturbed``: a full socket or a paused node process took part of the
+    ``progress_at``: start of the current timeout. ``client_blocked``: the client's socket is full, so the
+    engine's bytes are not read. ``timing_disturbed``: a full socket or a paused node process took part of the
     attempt's time, so its latencies are not measured.
     """
 
@@ -33,11 +33,11 @@
         "_response_tokens",
         "_route",
         "began_at",
-        "blocked",
+        "client_blocked",
         "ended",
         "first_chunk_at",
+        "is_probe",
         "number",
-        "probe",
         "progress_at",
         "response",
         "slot",
@@ -68,11 +68,11 @@
         self.first_chunk_at: float | None = None
         self.progress_at = now
         self.response: EngineResponse | None = None
-        self.blocked = False
+        self.client_blocked = False
         self.timing_disturbed = False
         self.ended = False
         self.slot.begin(self._prefill_tokens + response_tokens)
-        self.probe = core.ejector.record_dispatch(self.slot, now)
+        self.is_probe = core.ejector.record_dispatch(self.slot, now)
 
     def record_bytes(self, now: float) -> None:
         """Record that bytes of the response arrived."""
@@ -96,7 +96,7 @@
 
     def timeout_at(self) -> float:
         """Return when the engine times out (monotonic s), or never."""
-        if self.blocked:
+        if self.client_blocked:
             return NEVER
         if self.first_chunk_at is not None:
             return self.progress_at + self._route.idle_timeout_s
@@ -118,7 +118,7 @@
 
         :param at_deadline: whether the request's deadline passed, not the attempt's timeout.
         """
-        if at_deadline and (self.timing_disturbed or self.blocked):
+        if at_deadline and (self.timing_disturbed or self.client_blocked):
             return Ending.CALLER_GONE
         waited_s = now - self.began_at
         limit_s = self._route.first_piece_timeout_s * MIN_BLAMED_WAIT_SHARE
@@ -152,11 +152,11 @@
     def _notify_ejector(self, ending: Ending, refused: bool, now: float) -> None:
         ejector = self._core.ejector
         if ending in (Ending.WHOLE, Ending.REJECTED):
-            ejector.record_success(self.slot, self.probe, self.began_at)
+            ejector.record_success(self.slot, self.is_probe, self.began_at)
         elif ending is Ending.CALLER_GONE:
-            ejector.record_no_evidence(self.slot, self.probe)
+            ejector.record_no_evidence(self.slot, self.is_probe)
         else:
-            ejector.record_failure(self.slot, ending, refused, self.probe, self.target.pool, now)
+            ejector.record_failure(self.slot, ending, refused, self.is_probe, self.target.pool, now)
 
     def _outcome(self, ending: Ending) -> PromptOutcome:
         record = self.slot.record
--- a/src/springmux/router/choice.py
+++ b/src/springmux/router/choice.py
@@ -49,14 +49,14 @@
 class ChoiceConstraints(msgspec.Struct, frozen=True):
     """Constraints of one choice.
 
-    ``prefix``: ``None`` for calls. ``excluded``: engines already tried. ``probe``: the request may be a
-    half-open engine's probe.
+    ``prefix``: ``None`` for calls. ``excluded``: engines already tried. ``may_probe``: the request may
+    be the probe of a half-open engine.
     """
 
     prefix: PromptPrefix | None
     prompt_tokens: int
     excluded: Set[EngineId]
-    probe: bool
+    may_probe: bool
 
 
 def placement_score(prefix_key: int, engine_hash: int) -> int:
@@ -164,7 +164,7 @@
     def _allowed(self, slot: EngineSlot, constraints: ChoiceConstraints, now: float) -> bool:
         if not slot.usable or slot.record.engine in constraints.excluded:
             return False
-        return slot.ejected_until < 0.0 or self._ejector.allows(slot, now, constraints.probe)
+        return slot.ejected_until < 0.0 or self._ejector.allows(slot, now, constraints.may_probe)
 
 
 def _cost(slot: EngineSlot, relative_weight: float, uncached_tokens: float, now: float) -> float:
--- a/src/springmux/router/core.py
+++ b/src/springmux/router/core.py
@@ -125,11 +125,11 @@
 
     def service_under_pressure(self, service: ServiceName, now: float) -> bool:
         """Return whether most engines of a service report queues (cached for a short time)."""
-        known = self._service_pressure.get(service)
-        if known is None or now - known[1] >= PRESSURE_REFRESH_S:
-            known = (self.engine_table.service_under_pressure(service, now), now)
-            self._service_pressure[service] = known
-        return known[0]
+        cached = self._service_pressure.get(service)
+        if cached is None or now - cached[1] >= PRESSURE_REFRESH_S:
+            cached = (self.engine_table.service_under_pressure(service, now), now)
+            self._service_pressure[service] = cached
+        return cached[0]
 
     def status(self) -> RouterStatus:
         """Return the current figures."""
--- a/src/springmux/router/ejection.py
+++ b/src/springmux/router/ejection.py
@@ -30,13 +30,13 @@
     def __init__(self) -> None:
         self.ejections = 0
 
-    def allows(self, slot: EngineSlot, now: float, probe: bool) -> bool:
-        """Return whether the engine may be chosen. ``probe``: the request may be its half-open probe."""
+    def allows(self, slot: EngineSlot, now: float, may_probe: bool) -> bool:
+        """Return whether the engine may be chosen. ``may_probe``: the request may be its probe."""
         if slot.ejected_until < 0.0:
             return True
         if now < slot.ejected_until:
             return False
-        return probe and not slot.probing
+        return may_probe and not slot.probing
 
     def record_dispatch(self, slot: EngineSlot, now: float) -> bool:
         """Record a dispatch; return whether it is the probe of a half-open engine."""
@@ -45,12 +45,12 @@
         slot.probing = True
         return True
 
-    def record_success(self, slot: EngineSlot, probe: bool, began_at: float) -> None:
+    def record_success(self, slot: EngineSlot, was_probe: bool, began_at: float) -> None:
         """Record the success of a request sent at ``began_at``.
 
         The success of a request sent before the ejection does not end it.
         """
-        if probe:
+        if was_probe:
             slot.probing = False
         if slot.ejected_until >= 0.0 and began_at < slot.ejected_until:
             return
@@ -58,21 +58,21 @@
         slot.ejected_until = -1.0
         slot.ejections = 0
 
-    def record_no_evidence(self, slot: EngineSlot, probe: bool) -> None:
+    def record_no_evidence(self, slot: EngineSlot, was_probe: bool) -> None:
         """Record an ending that is no evidence about the engine; the next request may probe."""
-        if probe:
+        if was_probe:
             slot.probing = False
 
     def record_failure(
-        self, slot: EngineSlot, ending: Ending, refused: bool, probe: bool, pool: EnginePool, now: float
+        self, slot: EngineSlot, ending: Ending, refused: bool, was_probe: bool, pool: EnginePool, now: float
     ) -> None:
         """Record a failure. ``pool``: all ready engines of the engine's version."""
-        if probe:
+        if was_probe:
             slot.probing = False
         slot.failures += 1
         unresponsive = ending is Ending.ENGINE_LOST and not refused
         if not (
-            refused or probe or (unresponsive and slot.failures > 1) or slot.failures >= FAILURES_TO_EJECT
+            refused or was_probe or (unresponsive and slot.failures > 1) or slot.failures >= FAILURES_TO_EJECT
         ):
             return
         if 0.0 <= now < slot.ejected_until or not _may_eject(slot, pool):
--- a/src/springmux/router/exchange.py
+++ b/src/springmux/router/exchange.py
@@ -1,6 +1,6 @@
 """The attempts of one request: events from engines, retries, and what is forwarded to the client.
 
-A retry requires that nothing went to the client, and either that no byte was sent (any route) or that the
+A retry requires that nothing was sent to the client, and either that no byte was sent (any route) or that the
 route is repeatable and the node's retry budget allows it. An at-most-once request that may have reached
 an engine is never sent again, and its fate is unknown, never refused.
 """
@@ -91,7 +91,7 @@
         """Record whether the client's full socket stops the node from reading the engine's bytes."""
         attempt = self._attempt
         if attempt is not None and not self.closed:
-            attempt.blocked = blocked
+            attempt.client_blocked = blocked
             attempt.restart_timeout(now)
 
     def _dispatch(self, progress: Progress, now: float) -> bool:
--- a/src/springmux/router/loss_classifier.py
+++ b/src/springmux/router/loss_classifier.py
@@ -74,7 +74,7 @@
     def handle_probe_result(self, record: EngineRecord, alive: bool, now: float) -> None:
         """Record whether the engine accepted a probe's connection.
 
-        The probe is no evidence about a reset that came after the probe began; this needs another probe.
+        The probe is no evidence about a later reset, which needs another probe.
         """
         probe = self._probes.pop(record.engine, None)
         if probe is None or probe.slot.record.incarnation != record.incarnation:
--- a/src/springmux/router/prefix_index.py
+++ b/src/springmux/router/prefix_index.py
@@ -26,8 +26,8 @@
 class PromptPrefix(msgspec.Struct, frozen=True):
     """Hashes of a prompt for placement. ``blocks``: chained block hashes; ``key``: hash of the first block.
 
-    A prompt shorter than one block has one block of its whole text. ``covered``: share (0..1) of the text
-    that the blocks cover.
+    A prompt shorter than one block has one block with its complete text. ``covered``: share (0..1) of the
+    text that the blocks cover.
     """
 
     key: int
--- a/src/springmux/router/retry_policy.py
+++ b/src/springmux/router/retry_policy.py
@@ -39,7 +39,7 @@
     def after_sent(self, response_begun: bool, now: float) -> bool:
         """Count an attempt that may have reached an engine; return whether another is allowed.
 
-        :param response_begun: whether bytes went to the client.
+        :param response_begun: whether bytes were sent to the client.
         """
         self.sent_attempts += 1
         if response_begun or not self._repeatable:
