--- a/src/springmux/router/choice.py
+++ b/src/springmux/router/choice.py
@@ -1,11 +1,11 @@
 """Engine choice for one request among the ready engines of a version.
 
-Two costs are compared, both in tokens: the work queued at an engine, and the prefill of the prompt, part of
-which an engine saves if it probably caches the prompt's prefix. No engine may exceed its share of the load by
-more than :data:`LOAD_BOUND_RATIO` (Mirrokni, Thorup and Zadimoghaddam, "Consistent hashing with bounded
-loads", 2018), so a hot prefix spreads to further engines. A prefix that no engine is known to cache is placed
-by rendezvous hash: nodes agree on its engines without messages, and the prefixes of a lost engine are
-distributed over several others.
+Two costs are compared, both in tokens: the work queued at an engine, and the prefill of the part of the
+prompt that the engine probably has not cached. No engine may exceed its share of the load by more than
+:data:`LOAD_BOUND_RATIO` (Mirrokni, Thorup and Zadimoghaddam, "Consistent hashing with bounded loads", 2018),
+so a hot prefix spreads to further engines. A prefix that no engine is known to cache is placed by rendezvous
+hash: nodes agree on its engines without messages, and the prefixes of a lost engine are distributed over
+several others.
 """
 
 from __future__ import annotations
--- a/src/springmux/router/core.py
+++ b/src/springmux/router/core.py
@@ -124,7 +124,7 @@
             self.wake_listener(request_id)
 
     def service_under_pressure(self, service: ServiceName, now: float) -> bool:
-        """Return whether most engines of a service report queues (cached for a short time)."""
+        """Return whether most engines of each version of a service report queues (cached briefly)."""
         cached = self._service_pressure.get(service)
         if cached is None or now - cached[1] >= PRESSURE_REFRESH_S:
             cached = (self.engine_table.service_under_pressure(service, now), now)
--- a/src/springmux/router/dispatching.py
+++ b/src/springmux/router/dispatching.py
@@ -10,7 +10,7 @@
 from springmux.router.parse import ParsedRequest
 
 CONNECT_TIMEOUT_S = 0.5
-"""Used if the service was just removed from the configuration; equal to the default of its schema."""
+"""Connect timeout if the service was just removed from the configuration; the default of its schema."""
 
 
 def dispatch_effect(
--- a/src/springmux/router/ejection.py
+++ b/src/springmux/router/ejection.py
@@ -48,7 +48,7 @@
     def record_success(self, slot: EngineSlot, was_probe: bool, began_at: float) -> None:
         """Record the success of a request sent at ``began_at``.
 
-        The success of a request sent before the ejection does not end it.
+        The success of a request sent before the ejection does not end the ejection.
         """
         if was_probe:
             slot.probing = False
--- a/src/springmux/router/loss_classifier.py
+++ b/src/springmux/router/loss_classifier.py
@@ -5,8 +5,8 @@
 an accepted probe shows that the engine is up (the stream was *broken*). A refused connection or probe, the
 directory, or a timeout shows that the engine is *lost*, which is no evidence against its version.
 
-A timeout is ambiguous too. If the directory still has the engine ready well after it would have detected a
-loss, the version is at fault.
+A timeout is ambiguous too. If the directory still lists the engine as ready well after it would have detected
+a loss, the version is at fault.
 
 The probe is needed for an engine that gets few requests, such as a candidate in the canary: without it, a
 version that breaks off its streams would look like lost engines.
--- a/src/springmux/router/prefix_index.py
+++ b/src/springmux/router/prefix_index.py
@@ -14,7 +14,7 @@
 from springmux.router.engine_table import EngineSlot
 
 BLOCK_BYTES = 1024
-"""About 256 tokens; shared prefixes are many blocks long."""
+"""Size of one block, about 256 tokens; shared prefixes are many blocks long."""
 MAX_BLOCKS = 64
 """Maximum number of hashed blocks of one prompt; the first 64 KiB distinguish prefixes."""
 MAX_ENTRIES = 65_536
--- a/src/springmux/router/response_check.py
+++ b/src/springmux/router/response_check.py
@@ -37,8 +37,8 @@
 def head_fault(headers: Mapping[str, str], request_id: str, engine: str) -> str:
     """Return what is invalid about a response's headers, or an empty string.
 
-    The echoed request id prevents that a late response reaches another client; the engine's name excludes a
-    process that took over an engine's address.
+    The echoed request id prevents a late response from reaching another client; the engine's name excludes
+    a process that took over an engine's address.
     """
     if headers.get("x-request-id") != request_id:
         return "the answer does not echo the request id"
--- a/src/springmux/router/retry_policy.py
+++ b/src/springmux/router/retry_policy.py
@@ -1,7 +1,8 @@
 """Decides whether one request may be tried on another engine.
 
-An attempt that reached no engine is limited per request only. A retry after one that may have reached an
-engine requires a repeatable route, nothing forwarded to the client yet, and the node's retry budget.
+Attempts that reached no engine are limited per request only. A retry after an attempt that may have reached
+an engine requires a repeatable route, a response of which nothing was forwarded yet, and the node's retry
+budget.
 """
 
 from __future__ import annotations
