--- a/src/springmux/node/http/__init__.py
+++ b/src/springmux/node/http/__init__.py
@@ -1,5 +1,6 @@
-"""HTTP/1.1 over asyncio with httptools' parser: a small server and a client with one exchange at a time.
+"""A small HTTP/1.1 server and client over asyncio, which parse heads with httptools.
 
-Importing it takes a tenth of the time and memory of the large HTTP library; nodes are started thousands of
-times a day. Knows nothing of routes, engines or the agent.
+Each connection runs one exchange at a time. Importing this package takes a tenth of the time and memory of
+importing aiohttp, which matters because nodes are started thousands of times a day. The package does not
+depend on routes, engines or the agent.
 """
--- a/src/springmux/node/http/bodies.py
+++ b/src/springmux/node/http/bodies.py
@@ -1,4 +1,4 @@
-"""Decoders of message bodies: by length, chunked, or until the connection's end (RFC 9112, section 6)."""
+"""Decoders of message bodies: by length, chunked, or until the connection closes (RFC 9112, section 6)."""
 
 from __future__ import annotations
 
@@ -10,19 +10,20 @@
 from springmux.node.http.types import RequestHead
 
 _HEX_DIGITS = b"0123456789abcdefABCDEF"
-# 2^60 bytes is beyond any body; more digits would overflow the 64-bit sizes of other implementations.
+# A size of 2^60 bytes exceeds any body; more digits would overflow the 64-bit sizes of other
+# implementations.
 _MAX_SIZE_DIGITS = 15
 _MAX_LINE_BYTES = 4096
 _MAX_TRAILER_BYTES = 16_384
 
 
 class BodyDecoder(Protocol):
-    """Extracts the bytes of a body from those of a connection."""
+    """Extracts the bytes of one body from the bytes that a connection receives."""
 
     done: bool
     """Whether the body is complete."""
     rest: bytes
-    """The bytes after the end of the body, once done."""
+    """The received bytes after the end of the body; set once ``done``."""
 
     def feed(self, data: bytes) -> bytes:
         """Return the body's bytes in ``data``.
@@ -52,15 +53,15 @@
         return part
 
 
-class UntilEndDecoder:
-    """Decodes a body that ends with the connection."""
+class UntilCloseDecoder:
+    """Decodes a body whose end is the close of the connection."""
 
     def __init__(self) -> None:
         self.done = False
         self.rest = b""
 
     def feed(self, data: bytes) -> bytes:
-        """Return ``data``: all of it is body."""
+        """Return ``data``, all of which belongs to the body."""
         return data
 
 
@@ -72,14 +73,14 @@
 
 
 class ChunkedDecoder:
-    """Decodes a chunked body (RFC 9112, section 7.1). Trailers are dropped."""
+    """Decodes a chunked body (RFC 9112, section 7.1). Trailers are discarded."""
 
     def __init__(self) -> None:
         self.done = False
         self.rest = b""
         self._state = _State.SIZE
         self._remaining = 0
-        self._carry = b""
+        self._partial_line = b""
         self._trailer_bytes = 0
 
     def feed(self, data: bytes) -> bytes:
@@ -87,8 +88,8 @@
 
         :raises MalformedMessageError: the framing is not valid.
         """
-        data = self._carry + data
-        self._carry = b""
+        data = self._partial_line + data
+        self._partial_line = b""
         chunks: list[bytes] = []
         position = 0
         while not self.done and position < len(data):
@@ -100,7 +101,7 @@
                 continue
             end = data.find(b"\r\n", position)
             if end < 0:
-                self._carry_over(data[position:])
+                self._store_partial_line(data[position:])
                 break
             self._consume_line(data[position:end])
             position = end + 2
@@ -113,16 +114,16 @@
         if self._remaining == 0:
             self._state = _State.AFTER_DATA
 
-    def _carry_over(self, part: bytes) -> None:
+    def _store_partial_line(self, part: bytes) -> None:
         if self._state is _State.AFTER_DATA and part != b"\r":
             raise MalformedMessageError("a chunk is longer than its size")
         if len(part) > _MAX_LINE_BYTES or b"\n" in part:
-            raise MalformedMessageError("a line of the chunked body has no proper end")
-        self._carry = part
+            raise MalformedMessageError("a line of the chunked body is too long or does not end with CRLF")
+        self._partial_line = part
 
     def _consume_line(self, line: bytes) -> None:
         if len(line) > _MAX_LINE_BYTES or b"\n" in line:
-            raise MalformedMessageError("a line of the chunked body is not valid")
+            raise MalformedMessageError("a line of the chunked body is too long or contains a bare LF")
         if self._state is _State.AFTER_DATA:
             if line:
                 raise MalformedMessageError("a chunk is longer than its size")
@@ -134,25 +135,26 @@
         else:
             self._trailer_bytes += len(line)
             if self._trailer_bytes > _MAX_TRAILER_BYTES:
-                raise MalformedMessageError("the trailers are too long")
+                raise MalformedMessageError("the trailers of the chunked body are too long")
 
     def _consume_size(self, line: bytes) -> None:
         digits = line.split(b";", 1)[0].rstrip(b" \t")
         if not digits or len(digits) > _MAX_SIZE_DIGITS or digits.strip(_HEX_DIGITS):
-            raise MalformedMessageError("a chunk's size is not a number")
+            raise MalformedMessageError("a chunk's size is not a valid hexadecimal number")
         self._remaining = int(digits, 16)
         self._state = _State.DATA if self._remaining else _State.TRAILER
 
 
 def request_body_decoder(head: RequestHead) -> tuple[BodyDecoder, int | None]:
-    """Return the decoder of a request's body, and its announced length if any.
+    """Return the decoder of a request's body, and the length that Content-Length announces, if any.
 
-    :raises MalformedMessageError: its framing is not valid, or its transfer coding is not ``chunked``.
+    :raises MalformedMessageError: the framing headers are not valid, or the transfer coding is not
+        ``chunked``.
     """
     codings = transfer_codings(head.headers)
     if codings:
         if codings != [b"chunked"] or head.header(b"content-length") is not None:
-            raise MalformedMessageError("the body's framing is not valid")
+            raise MalformedMessageError("the transfer coding is not chunked, or comes with a Content-Length")
         return ChunkedDecoder(), None
     try:
         length = content_length(head.headers)
--- a/src/springmux/node/http/client.py
+++ b/src/springmux/node/http/client.py
@@ -12,16 +12,17 @@
 from springmux.node.http.types import ExchangeFailedError, FailureKind, RequestHead, ResponseHead
 
 _DEFAULT_IDLE_TIMEOUT_S = 10.0
-# An engine closes at its own timeout; the margin avoids sending a request into that close.
+# An idle connection closes this long before the engine's own timeout, so that no request is sent on a
+# connection that the engine is closing.
 _IDLE_MARGIN_S = 0.5
 _MIN_KEEP_ALIVE_TIMEOUT_S = 1
 _KEEP_ALIVE_TIMEOUT = re.compile(rb"(?:^|[,\s])timeout\s*=\s*\"?(\d{1,9})", re.IGNORECASE)
 
 
 class PooledEngineClient:
-    """Implements :class:`~springmux.node.http.types.EngineClient`.
+    """Implements :class:`~springmux.node.http.types.EngineClient` with a pool of idle connections.
 
-    :param max_idle_per_address: idle connections kept per engine; the oldest is closed first.
+    :param max_idle_per_address: number of idle connections kept per engine; the oldest is closed first.
     """
 
     def __init__(self, max_idle_per_address: int = 16) -> None:
@@ -44,12 +45,12 @@
         :raises ExchangeFailedError: ``CONNECT`` or ``NOT_SENT``; nothing was sent.
         """
         request = encode_request(head, body)
-        # The framing of a late response to HEAD is unknown, so HEAD requests never share a connection.
+        # The framing of a late response to HEAD is unknown, so a HEAD request uses a connection of its own.
         connection = None if head.method == b"HEAD" else self._take_idle(address)
         while True:
             if connection is None:
                 connection = await self._connect(address, connect_timeout_s)
-            # Nothing awaits from here to the return, so a cancellation can't lose the connection.
+            # There is no await from here to the return, so a cancellation can't leak the connection.
             exchange = HttpEngineExchange(connection, head.method, accept, self._return_idle)
             connection.exchange = exchange
             if connection.write(request):
@@ -61,7 +62,7 @@
             connection = self._take_idle(address)
 
     def close(self) -> None:
-        """Close every connection; exchanges in flight fail."""
+        """Close every connection; exchanges in flight fail, and later requests too."""
         self._closed = True
         self._idle.clear()
         for connection in tuple(self._connections):
@@ -87,7 +88,7 @@
             async with asyncio.timeout(timeout_s):
                 await loop.create_connection(lambda: connection, host, port)
         except TimeoutError:
-            raise ExchangeFailedError(FailureKind.CONNECT, "timeout") from None
+            raise ExchangeFailedError(FailureKind.CONNECT, "the connection attempt timed out") from None
         except (OSError, ValueError) as error:
             raise ExchangeFailedError(FailureKind.CONNECT, str(error)) from None
         if self._closed:
@@ -128,7 +129,7 @@
 
 
 def _idle_timeout_s(response: ResponseHead) -> float | None:
-    """Return the idle timeout by the ``Keep-Alive`` header, or ``None`` to close the connection."""
+    """Return how long the connection may stay idle by the ``Keep-Alive`` header; ``None``: close it now."""
     match = _KEEP_ALIVE_TIMEOUT.search(response.header(b"keep-alive") or b"")
     if match is None:
         return _DEFAULT_IDLE_TIMEOUT_S
--- a/src/springmux/node/http/client_connection.py
+++ b/src/springmux/node/http/client_connection.py
@@ -1,4 +1,4 @@
-"""A connection to an engine: it serves one exchange at a time, and ends at any unsolicited byte."""
+"""A connection to an engine. It serves one exchange at a time; unsolicited bytes from the engine end it."""
 
 from __future__ import annotations
 
@@ -10,23 +10,26 @@
 
 
 class ConnectionExchange(Protocol):
-    """The exchange that a connection serves at present."""
+    """Interface of the exchange that a connection is serving."""
 
     def data_received(self, data: bytes) -> None:
         """Handle bytes from the engine."""
         ...
 
     def eof_received(self) -> None:
-        """Handle the end of the engine's side."""
+        """Handle the engine's EOF."""
         ...
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Handle the end of the connection; ``error`` is ``None`` after a proper close."""
+        """Handle the end of the connection; ``error`` is ``None`` after a regular close."""
         ...
 
 
 class EngineConnection(asyncio.Protocol):
-    """One connection to an engine."""
+    """One connection to an engine, idle in the pool while ``exchange`` is ``None``.
+
+    :param on_lost: called once when the connection has ended.
+    """
 
     def __init__(self, address: str, on_lost: Callable[[EngineConnection], None]) -> None:
         self.address = address
@@ -40,26 +43,26 @@
         self._reading = True
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Set the transport up."""
+        """Store the transport and set its socket options."""
         self._transport = cast(asyncio.Transport, transport)
         send_without_delay(self._transport)
         detect_unresponsive_peer(self._transport)
 
     def data_received(self, data: bytes) -> None:
-        """Pass bytes to the exchange; without one they are unsolicited, and the connection ends."""
+        """Pass bytes to the exchange, or abort the connection if there is none: the bytes are unsolicited."""
         if self.exchange is None:
             self.abort()
         else:
             self.exchange.data_received(data)
 
     def eof_received(self) -> bool:
-        """Report that the engine ended its side; the transport closes."""
+        """Report the engine's EOF to the exchange; the transport closes."""
         if self.exchange is not None:
             self.exchange.eof_received()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Report the end of the connection."""
+        """Report the end of the connection to the exchange and to ``on_lost``."""
         self.stop_idle_timer()
         self.lost = True
         exchange, self.exchange = self.exchange, None
@@ -78,9 +81,9 @@
         return self._transport.get_write_buffer_size()
 
     def reusable(self) -> bool:
-        """Return whether an idle connection can serve a request: open, in time, and without pending input."""
-        in_time = asyncio.get_running_loop().time() < self.idle_until
-        return in_time and not self.closing and not has_pending_input(self._transport)
+        """Return whether an idle connection can serve a request: open, not expired, without pending input."""
+        not_expired = asyncio.get_running_loop().time() < self.idle_until
+        return not_expired and not self.closing and not has_pending_input(self._transport)
 
     def write(self, data: bytes) -> bool:
         """Write a request; return ``False`` if the kernel refused its first byte, so nothing was sent."""
@@ -98,7 +101,7 @@
             self._transport.pause_reading()
 
     def set_idle(self, idle_timeout_s: float) -> None:
-        """Wait for the next exchange, and close after ``idle_timeout_s``."""
+        """End the current exchange; the connection closes after ``idle_timeout_s`` unless it is reused."""
         loop = asyncio.get_running_loop()
         self.exchange = None
         self.fresh = False
@@ -113,6 +116,6 @@
             self._idle_timer = None
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close immediately, without sending what is still buffered."""
         self.stop_idle_timer()
         self._transport.abort()
--- a/src/springmux/node/http/client_exchange.py
+++ b/src/springmux/node/http/client_exchange.py
@@ -6,23 +6,24 @@
 from collections import deque
 from collections.abc import Callable
 
-from springmux.node.http.bodies import BodyDecoder, ChunkedDecoder, LengthDecoder, UntilEndDecoder
+from springmux.node.http.bodies import BodyDecoder, ChunkedDecoder, LengthDecoder, UntilCloseDecoder
 from springmux.node.http.client_connection import EngineConnection
 from springmux.node.http.framing import has_no_body
 from springmux.node.http.heads import MalformedMessageError, ResponseHeadReader
 from springmux.node.http.sockets import UNRESPONSIVE_PEER_ERRNOS
 from springmux.node.http.types import ExchangeFailedError, FailureKind, ResponseHead
 
-# Received bytes that may wait to be consumed before reading from the engine pauses.
+# Received bytes that may be buffered for the consumer before reading from the engine pauses.
 _MAX_UNREAD_BYTES = 256 * 1024
-# Engines' heads are a few hundred bytes; one longer than this is not a valid response.
+# A response's head has a few hundred bytes; a head over this limit is rejected as malformed.
 _MAX_HEAD_BYTES = 65_536
 
 
 class HttpEngineExchange:
     """Implements :class:`~springmux.node.http.types.EngineExchange` on one connection.
 
-    :param return_connection: called with the connection and the response's head if it may be reused.
+    :param return_connection: called with the connection and the response's head if the connection may be
+        reused.
     """
 
     def __init__(
@@ -46,7 +47,7 @@
         self._unread_bytes = 0
         self._waiter: asyncio.Future[None] | None = None
 
-    # For the user of the exchange.
+    # Called by the user of the exchange.
 
     async def head(self) -> ResponseHead:
         """Return the response's head; responses that ``accept`` rejects are skipped completely.
@@ -60,7 +61,7 @@
         return self._head
 
     async def read(self) -> bytes:
-        """Return the next bytes of the body as they arrive; empty at its proper end.
+        """Return the next bytes of the body as they arrive; empty at the end of a complete body.
 
         :raises ExchangeFailedError: ``TRUNCATED`` or ``MALFORMED``.
         """
@@ -90,14 +91,14 @@
         self._fail(FailureKind.RESET, "released")
 
     def abort(self) -> None:
-        """Close the connection at once; the engine drops the request."""
+        """Close the connection immediately, so that the engine drops the request."""
         connection, self._connection = self._connection, None
         if connection is not None:
             connection.exchange = None
             connection.abort()
             self._fail(FailureKind.RESET, "aborted")
 
-    # For the connection.
+    # Called by the connection.
 
     def data_received(self, data: bytes) -> None:
         """Handle bytes from the engine."""
@@ -109,22 +110,22 @@
             self._drop_connection()
 
     def eof_received(self) -> None:
-        """Handle the end of the engine's side, which completes only an unframed body."""
+        """Handle the engine's EOF, which completes only an unframed body; otherwise the exchange fails."""
         self._reusable = False
-        if self._head is not None and isinstance(self._decoder, UntilEndDecoder):
+        if self._head is not None and isinstance(self._decoder, UntilCloseDecoder):
             self._complete = True
             self._wake()
         else:
-            self._fail(self._close_failure(None), "the engine closed the connection")
+            self._fail(self._disconnect_kind(None), "the engine closed the connection")
 
     def connection_lost(self, error: Exception | None) -> None:
         """Handle the end of the connection."""
         self._reusable = False
-        self._fail(self._close_failure(error), type(error).__name__ if error else "closed")
+        self._fail(self._disconnect_kind(error), type(error).__name__ if error else "closed")
 
-    def _close_failure(self, error: Exception | None) -> FailureKind:
-        begun = self._reader is not None and self._reader.size_bytes > 0
-        if self._head is not None or begun:
+    def _disconnect_kind(self, error: Exception | None) -> FailureKind:
+        head_begun = self._reader is not None and self._reader.size_bytes > 0
+        if self._head is not None or head_begun:
             return FailureKind.TRUNCATED
         if isinstance(error, OSError) and error.errno in UNRESPONSIVE_PEER_ERRNOS:
             return FailureKind.UNRESPONSIVE
@@ -133,7 +134,7 @@
     # Reading a response.
 
     def _receive(self, data: bytes) -> bytes:
-        """Consume the next part of ``data``; return the rest."""
+        """Consume the next part of ``data``, a head or a piece of a body; return the rest."""
         if self._complete:
             self._reusable = False  # unsolicited bytes
             return b""
@@ -160,13 +161,15 @@
             self._reusable = False
         try:
             accepted = self._accept(head)
-        except Exception as error:  # noqa: BLE001 - a fault of ``accept`` is raised to whoever awaits the head
+        except Exception as error:  # noqa: BLE001 - an exception of ``accept`` is raised to the caller that awaits the head
             self._failure = error
             self._wake()
             self._drop_connection()
             return
         if not accepted and self._method == b"HEAD":
-            raise MalformedMessageError("a response of unknown framing in place of one to HEAD")
+            raise MalformedMessageError(
+                "a response to another request arrived for HEAD; its framing is unknown"
+            )
         self._reader = None
         self._decoder = self._make_decoder(head)
         if accepted:
@@ -183,7 +186,7 @@
         if head.length is not None:
             return LengthDecoder(head.length)
         self._reusable = False
-        return UntilEndDecoder()
+        return UntilCloseDecoder()
 
     def _receive_body(self, data: bytes) -> bytes:
         decoder = self._decoder
@@ -211,7 +214,7 @@
         else:
             self._reader = ResponseHeadReader()  # the skipped response belongs to another request
 
-    # Waiting, failing, closing.
+    # Waiting, failure and close.
 
     async def _wait(self) -> None:
         self._waiter = asyncio.get_running_loop().create_future()
--- a/src/springmux/node/http/connection_owner.py
+++ b/src/springmux/node/http/connection_owner.py
@@ -1,4 +1,4 @@
-"""Interfaces between a client's connection and the server that owns it."""
+"""Interfaces between a client's connection and the server that owns the connection."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
         ...
 
     def abort(self) -> None:
-        """Reset the connection, also with a request in flight."""
+        """Reset the connection, even with a request in flight."""
         ...
 
 
@@ -34,7 +34,7 @@
         ...
 
     def request_refused(self, refusal: ServerRefusal, head: RequestHead | None) -> None:
-        """Report that a request was refused or aborted. ``head``: the request's, if it was read."""
+        """Report that a request was refused or aborted; ``head`` is ``None`` if its head was not read."""
         ...
 
     def connection_closed(self, connection: OwnedConnection) -> None:
--- a/src/springmux/node/http/framing.py
+++ b/src/springmux/node/http/framing.py
@@ -17,7 +17,7 @@
 
 
 def encode_response_head(status: int, headers: Iterable[Header], framing: Iterable[Header]) -> bytes:
-    """Return a response's head: the headers as given, then those that the server adds."""
+    """Return a response's head: ``headers`` unchanged, then the ``framing`` headers of the server."""
     parts = [_STATUS_LINES.get(status) or b"HTTP/1.1 %d \r\n" % status]
     parts.extend(b"%b: %b\r\n" % header for header in headers)
     parts.extend(b"%b: %b\r\n" % header for header in framing)
@@ -26,7 +26,7 @@
 
 
 def encode_request(head: RequestHead, body: bytes) -> bytes:
-    """Return a complete request; its framing headers are replaced by those of ``body``."""
+    """Return a complete request, with its framing headers replaced by those that fit ``body``."""
     parts = [b"%b %b HTTP/1.1\r\n" % (head.method, head.target)]
     for name, value in head.headers:
         if name not in _FRAMING_HEADERS:
@@ -52,21 +52,21 @@
 
 
 def transfer_codings(headers: Sequence[Header]) -> list[bytes]:
-    """Return the transfer codings in order and in lower case; empty without the header."""
+    """Return the transfer codings in order and in lower case; empty without Transfer-Encoding."""
     values = [value for name, value in headers if name == b"transfer-encoding"]
     return [coding.strip().lower() for value in values for coding in value.split(b",")]
 
 
 def content_length(headers: Sequence[Header]) -> int | None:
-    """Return Content-Length, or ``None`` without it.
+    """Return the value of Content-Length, or ``None`` without this header.
 
-    :raises ValueError: it is not a plain number, or there are several.
+    :raises ValueError: the value is not a plain number, or the header is repeated.
     """
     values = [value for name, value in headers if name == b"content-length"]
     if not values:
         return None
     if len(values) > 1 or not values[0].isdigit():
-        raise ValueError("content-length is not one plain number")
+        raise ValueError("Content-Length is repeated or not a plain number")
     return int(values[0])
 
 
--- a/src/springmux/node/http/heads.py
+++ b/src/springmux/node/http/heads.py
@@ -1,7 +1,7 @@
-"""Incremental readers of one message head each. The bytes after a head are never consumed.
+"""Incremental readers of message heads. Each reads one head and consumes no byte after it.
 
-Only the head goes through ``httptools``. It has no way to stop at a message's end or to skip the body of an
-response to HEAD, so bodies are framed in :mod:`springmux.node.http.bodies`.
+``httptools`` parses the heads only. It has no way to stop at the end of a message, or to skip the body of a
+response to HEAD, so bodies are decoded in :mod:`springmux.node.http.bodies`.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class _HeadReader:
-    """Common part of the readers of request and response heads."""
+    """Base class of the readers of request and response heads."""
 
     def __init__(self) -> None:
         self.size_bytes = 0
@@ -37,18 +37,18 @@
         :raises MalformedMessageError: the bytes can't begin a valid head.
         """
         joined = self._tail + data
-        found = joined.find(_HEAD_END)
-        if found < 0:
+        end = joined.find(_HEAD_END)
+        if end < 0:
             self._tail = joined[-(len(_HEAD_END) - 1) :]
             self._parse(data)
             if self._complete:
-                raise MalformedMessageError("the head has no proper end")
+                raise MalformedMessageError("the head does not end with an empty CRLF line")
             return None
-        used = found + len(_HEAD_END) - len(self._tail)
+        used = end + len(_HEAD_END) - len(self._tail)
         self._parse(data[:used])
         self._parser = None
         if not self._complete:
-            raise MalformedMessageError("the head is not complete at its end")
+            raise MalformedMessageError("the head is incomplete at its empty line")
         return used
 
     def _parse(self, data: bytes) -> None:
@@ -57,7 +57,7 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            # Upgrades are ignored: the message is read as if none had been offered (RFC 9110, section 7.8).
+            # Upgrades are ignored: the message is read as if it offered none (RFC 9110, section 7.8).
             return
         except httptools.HttpParserError as error:
             raise MalformedMessageError(str(error)) from None
@@ -70,7 +70,7 @@
         """Record the end of the head (called by the parser)."""
         assert self._parser is not None
         if self._complete:
-            raise MalformedMessageError("two heads in one")
+            raise MalformedMessageError("a second head begins before the first ends with an empty CRLF line")
         self._complete = True
         self.keep_alive = self._parser.should_keep_alive()
         self.version = self._parser.get_http_version()
@@ -96,13 +96,13 @@
         super().on_headers_complete()
 
     def head(self) -> RequestHead:
-        """Return the head, once complete.
+        """Return the complete head; may be called once.
 
         :raises MalformedMessageError: its version is neither HTTP/1.0 nor HTTP/1.1.
         """
         del self._request_parser
         if self.version not in ("1.0", "1.1"):
-            raise MalformedMessageError("not HTTP/1.0 or HTTP/1.1")
+            raise MalformedMessageError("the version is neither HTTP/1.0 nor HTTP/1.1")
         return RequestHead(method=self._method, target=self._target, headers=tuple(self._headers))
 
 
@@ -121,7 +121,7 @@
         super().on_headers_complete()
 
     def head(self) -> ResponseHead:
-        """Return the head, once complete.
+        """Return the complete head; may be called once.
 
         :raises MalformedMessageError: its framing is not valid, or it switches protocols.
         """
--- a/src/springmux/node/http/server.py
+++ b/src/springmux/node/http/server.py
@@ -23,12 +23,12 @@
 _log = logging.getLogger(__name__)
 
 _BACKLOG = 1024
-# Iterations of the event loop from an accepted socket to its first bytes (asyncio of Python 3.11).
+# Event loop iterations from accepting a socket to reading its first bytes (asyncio of Python 3.11).
 _ITERATIONS_TO_READ = 4
 
 
 class HttpServer:
-    """Serves requests of clients, each in a task of its own.
+    """Serves the requests of clients, each in its own task.
 
     :param limits: called for each request, so that a change applies to open connections too.
     :param on_refused: called for every request that the server itself refuses or aborts.
@@ -58,7 +58,7 @@
         return self._open_requests
 
     async def listen(self, host: str, port: int) -> int:
-        """Listen and return the port (useful with port 0).
+        """Listen, and return the port, which the kernel chooses if ``port`` is 0.
 
         :raises OSError: the address can't be bound.
         """
@@ -69,16 +69,16 @@
         return int(self._listener.sockets[0].getsockname()[1])
 
     def stop_accepting(self) -> None:
-        """Accept no new connections; responses from now on carry ``Connection: close``."""
+        """Accept no new connections; later responses have the header ``Connection: close``."""
         self.stopping = True
         if self._listener is not None:
             self._listener.close()
             self._listener = None
 
     async def finish(self, grace_s: float) -> None:
-        """Close idle connections, finish requests in flight for at most ``grace_s``, then close the rest."""
+        """Close idle connections, wait at most ``grace_s`` for requests in flight, then reset the rest."""
         self.stop_accepting()
-        # Bytes that wait in the kernel are read first, so that fewer requests meet a closed connection.
+        # Reads the bytes that wait in the kernel first, so that fewer requests fail on a closed connection.
         for _ in range(_ITERATIONS_TO_READ):
             await asyncio.sleep(0)
         for connection in tuple(self._connections):
@@ -98,7 +98,7 @@
         for task in tuple(self._tasks):
             task.cancel()
 
-    # For the connections.
+    # Called by the connections.
 
     def limits_now(self) -> ServerLimits:
         """Return the current limits."""
@@ -153,11 +153,11 @@
         except asyncio.CancelledError:
             exchange.abort()
             raise
-        except Exception as error:  # noqa: BLE001 - whatever a handler raises, its client must not wait for a response
+        except Exception as error:  # noqa: BLE001 - whatever a handler raises, its client must not wait forever
             _log.error("http_handler_failed error=%s", describe_exception(error))
             self._fail(exchange)
         else:
-            # A handler that returns without ending its response is at fault too.
+            # A handler that returned without ending its response has failed too.
             self._fail(exchange)
 
     def _fail(self, exchange: HttpServerExchange) -> None:
--- a/src/springmux/node/http/server_connection.py
+++ b/src/springmux/node/http/server_connection.py
@@ -1,4 +1,4 @@
-"""A client's connection at the server: its requests in sequence, their timeouts, and how it closes."""
+"""The server's side of a client's connection: sequential requests, their timeouts, and the close."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 # Time that a body may take in addition to the header timeout.
 _BODY_TIMEOUT_MARGIN_S = 10.0
-# How long received bytes are discarded before closing: unread bytes would turn the close into a reset, which
-# may destroy the response on its way (RFC 9112, section 9.6).
+# How long received bytes are discarded before closing: unread bytes would turn the close into a reset,
+# and the client may lose the response (RFC 9112, section 9.6).
 _LINGERING_TIMEOUT_S = 1.0
 _WRITE_HIGH_WATER_BYTES = 64 * 1024
-# Pipelined bytes buffered before reading pauses. Reading goes on until then to detect a disconnection.
+# Pipelined bytes buffered before reading pauses. Reading continues until then to detect a disconnection.
 _MAX_BUFFERED_BYTES = 64 * 1024
 _CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 _REFUSAL_STATUSES = {
@@ -42,7 +42,7 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """A connection of a client. At any time it is in one phase and has at most one timer."""
+    """One connection of a client, which is always in one phase and has at most one timer."""
 
     def __init__(self, owner: ConnectionOwner) -> None:
         self._owner = owner
@@ -62,12 +62,12 @@
     # Called by the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Set the transport up; respond 503 if there are too many connections."""
+        """Store the transport and set its options; respond 503 if there are too many connections."""
         self._transport = cast(asyncio.Transport, transport)
         send_without_delay(self._transport)
         self._transport.set_write_buffer_limits(high=_WRITE_HIGH_WATER_BYTES)
         if self._owner.connection_opened(self):
-            # The header timeout: no request has shown yet that the client reuses the connection.
+            # Not the idle timeout: no request has shown yet that the client reuses the connection.
             self._set_timer(self._limits.header_timeout_s, self._close)
         else:
             self._refuse(ServerRefusal.TOO_MANY_CONNECTIONS, headers=((b"retry-after", b"1"),))
@@ -80,14 +80,14 @@
             self._receive_head(data)
 
     def eof_received(self) -> bool:
-        """Abort the connection if a request is in flight: the client ended its side."""
+        """Handle the client's EOF, which aborts the connection if a request is in flight."""
         if self._phase is _Phase.EXCHANGE:
             self._transport.abort()
             self._disconnect_exchange()
         return False
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Release everything that waits for the connection."""
+        """Wake everything that waits for the connection, and unregister it."""
         self._phase = _Phase.CLOSING
         self._set_timer(None)
         self._disconnect_exchange()
@@ -106,7 +106,7 @@
     # Called by the exchange.
 
     def send(self, data: bytes) -> None:
-        """Write bytes now."""
+        """Write bytes without waiting."""
         self._transport.write(data)
 
     async def drain(self) -> None:
@@ -131,7 +131,7 @@
         return not self._keep_alive
 
     def response_complete(self, exchange: HttpServerExchange) -> None:
-        """Go on to the next request, or close: the exchange's response is written."""
+        """Continue with the next request, or close, after the exchange's response was written."""
         self._exchange = None
         self._set_timer(None)
         self._owner.request_ended()
@@ -140,7 +140,7 @@
         elif not self._keep_alive or (self._owner.stopping and not self._buffered):
             self._close_lingering() if self._buffered else self._close()
         else:
-            # Not at once: the next handler's response would be nested in this call.
+            # Deferred by one loop iteration, or the next handler's response would be nested in this call.
             self._phase = _Phase.IDLE
             self._set_timer(self._owner.limits_now().idle_timeout_s, self._close)
             if self._buffered:
@@ -161,7 +161,7 @@
         self.reset()
 
     def close_if_idle(self) -> None:
-        """Close if no byte of a request has been received."""
+        """Close unless a byte of a request has been received."""
         if self._phase is _Phase.IDLE and not self._buffered:
             self._close()
 
@@ -268,7 +268,7 @@
             self._abort_exchange(self._exchange, ServerRefusal.TOO_SLOW)
 
     def _abort_exchange(self, exchange: HttpServerExchange, refusal: ServerRefusal) -> None:
-        """End an exchange for a fault of the client; to its handler the client has disconnected."""
+        """End an exchange for a fault of the client; its handler gets ClientDisconnectedError."""
         if exchange.begun:
             self._owner.request_refused(refusal, exchange.head)
             self.reset()
@@ -292,7 +292,7 @@
         self._close_lingering()
 
     def _close_lingering(self) -> None:
-        """End this side, and discard for a while what the client still sends."""
+        """Send EOF, then discard what the client still sends until the lingering timeout."""
         self._phase = _Phase.LINGERING
         self._buffered = b""
         self._set_reading(True)
@@ -302,16 +302,16 @@
         self._set_timer(_LINGERING_TIMEOUT_S, self._close)
 
     def _close(self) -> None:
-        """Close once everything is written, or abort if the client doesn't read that in time."""
+        """Close once everything is written, or abort if the client doesn't read it in time."""
         self._phase = _Phase.CLOSING
         self._transport.close()
         self._set_timer(self._limits.idle_timeout_s, self._transport.abort)
 
     def _set_timer(
-        self, delay_s: float | None, call: Callable[..., None] = lambda: None, *args: ServerRefusal
+        self, delay_s: float | None, callback: Callable[..., None] = lambda: None, *args: ServerRefusal
     ) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
         if delay_s is not None:
-            self._timer = self._loop.call_later(delay_s, call, *args)
+            self._timer = self._loop.call_later(delay_s, callback, *args)
--- a/src/springmux/node/http/server_exchange.py
+++ b/src/springmux/node/http/server_exchange.py
@@ -1,4 +1,4 @@
-"""One request on a client's connection and its response: the server's side of an exchange."""
+"""The server's side of an exchange: one request on a client's connection, and its response."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 
 class ExchangeConnection(Protocol):
-    """What an exchange needs of the connection that it runs on."""
+    """Interface of the connection, as an exchange uses it."""
 
     def send(self, data: bytes) -> None:
         """Write bytes of the response."""
         ...
 
     async def drain(self) -> None:
-        """Wait until the client takes more bytes.
+        """Wait until the client's socket accepts more bytes.
 
         :raises ClientDisconnectedError: the client has disconnected.
         """
@@ -45,7 +45,7 @@
         ...
 
     def response_complete(self, exchange: HttpServerExchange) -> None:
-        """Go on to the next request: the response is complete."""
+        """Continue with the next request after the complete response."""
         ...
 
     def reset(self) -> None:
@@ -56,7 +56,8 @@
 class HttpServerExchange:
     """Implements :class:`~springmux.node.http.types.ServerExchange` on one connection.
 
-    A handler's headers are sent as given; they must not hold Content-Length, Transfer-Encoding or Connection.
+    A handler's headers are sent unchanged; they must not include Content-Length, Transfer-Encoding or
+    Connection.
     """
 
     def __init__(
@@ -89,7 +90,7 @@
         self._chunked = False
         self._remaining_bytes: int | None = None
 
-    # For the handler.
+    # Called by the handler.
 
     @property
     def begun(self) -> bool:
@@ -104,8 +105,8 @@
     async def body(self) -> bytes:
         """Return the complete body.
 
-        :raises BodyTooLargeError: it is over the limit; respond 413.
-        :raises ClientDisconnectedError: the client disconnected before its end.
+        :raises BodyTooLargeError: the body is over the limit; respond 413.
+        :raises ClientDisconnectedError: the client disconnected before the end of the body.
         """
         while True:
             if self.body_too_large:
@@ -139,14 +140,14 @@
         self._connection.send(self._encode_head(status, headers, length))
 
     async def write(self, data: bytes) -> None:
-        """Send a part of the body at once; waits while the client's socket is full.
+        """Send a part of the body immediately, then wait while the client's socket is full.
 
         :raises ClientDisconnectedError: the client has disconnected.
         """
         if self.disconnected or self.finished:
             raise ClientDisconnectedError
         if not self._begun:
-            raise RuntimeError("write before begin")
+            raise RuntimeError("write() was called before begin()")
         if not data or self._without_body:
             return
         if self._remaining_bytes is not None:
@@ -159,11 +160,11 @@
             raise ClientDisconnectedError
 
     def end(self) -> None:
-        """End the body; one shorter than announced resets the connection."""
+        """End the body; resets the connection if the body is shorter than announced."""
         if self.disconnected or self.finished:
             return
         if not self._begun:
-            raise RuntimeError("end before begin")
+            raise RuntimeError("end() was called before begin()")
         if self._remaining_bytes and not self._without_body:
             self.abort()
             return
@@ -180,16 +181,16 @@
     def on_disconnect(self, callback: Callable[[], None]) -> None:
         """Call ``callback`` once if the client disconnects before the end of the response."""
         if self.disconnected:
-            asyncio.get_running_loop().call_soon(_call, callback)
+            asyncio.get_running_loop().call_soon(_run_callback, callback)
         elif not self.finished:
             self._disconnect_callbacks.append(callback)
 
-    # For the connection.
+    # Called by the connection.
 
     def feed(self, data: bytes) -> bytes:
-        """Consume bytes of the body; return those after its end.
+        """Consume bytes of the request's body; return those after its end.
 
-        :raises MalformedMessageError: its framing is not valid.
+        :raises MalformedMessageError: the body's framing is not valid.
         """
         part = self._decoder.feed(data)
         self._size_bytes += len(part)
@@ -216,14 +217,14 @@
         return True
 
     def client_disconnected(self) -> None:
-        """Record the disconnection; whoever waits gets ClientDisconnectedError."""
+        """Record the disconnection; waiting handlers get ClientDisconnectedError."""
         if self.disconnected or self.finished:
             return
         self.disconnected = True
         self._wake()
         callbacks, self._disconnect_callbacks = self._disconnect_callbacks, []
         for callback in callbacks:
-            _call(callback)
+            _run_callback(callback)
 
     def _ended(self) -> bool:
         return self.disconnected or self.finished
@@ -257,8 +258,8 @@
         return encode_response_head(status, headers, framing)
 
 
-def _call(callback: Callable[[], None]) -> None:
+def _run_callback(callback: Callable[[], None]) -> None:
     try:
         callback()
-    except Exception as error:  # noqa: BLE001 - one callback's fault must not keep the others from running
+    except Exception as error:  # noqa: BLE001 - an exception in one callback must not prevent the others
         _log.error("http_gone_callback_failed error=%s", describe_exception(error))
--- a/src/springmux/node/http/sockets.py
+++ b/src/springmux/node/http/sockets.py
@@ -9,13 +9,13 @@
 import struct
 from typing import cast
 
-# A machine without power sends nothing, and must be detected within two seconds.
+# A machine that lost power sends nothing; these values detect it within two seconds.
 _KEEPALIVE_IDLE_S = 1
 _KEEPALIVE_INTERVAL_S = 1
 _KEEPALIVE_PROBES = 2
 _USER_TIMEOUT_MS = 1500
 
-# What Linux reports of an unresponsive machine; the last three if ARP or a router detected it first.
+# Errors that Linux reports for an unresponsive machine; the last three if ARP or a router detects it first.
 UNRESPONSIVE_PEER_ERRNOS = frozenset(
     (errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH, errno.EHOSTDOWN)
 )
@@ -26,14 +26,14 @@
 
 
 def send_without_delay(transport: asyncio.Transport) -> None:
-    """Set TCP_NODELAY."""
+    """Set TCP_NODELAY, so that the kernel sends small writes immediately."""
     sock = _socket_of(transport)
     if sock is not None:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
 def detect_unresponsive_peer(transport: asyncio.Transport) -> None:
-    """Let the kernel end the connection (ETIMEDOUT) when the peer's machine doesn't acknowledge."""
+    """Let the kernel end the connection (ETIMEDOUT) if the peer's machine acknowledges nothing."""
     sock = _socket_of(transport)
     if sock is None:
         return
@@ -45,7 +45,7 @@
 
 
 def reset(transport: asyncio.Transport) -> None:
-    """Reset the connection, and drop what the kernel has not sent yet."""
+    """Reset the connection, and discard what the kernel has not sent yet."""
     sock = _socket_of(transport)
     if sock is not None and sock.fileno() >= 0:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
--- a/src/springmux/node/http/types.py
+++ b/src/springmux/node/http/types.py
@@ -9,11 +9,11 @@
 import msgspec
 
 Header = tuple[bytes, bytes]
-"""Name in lower case, and value, as they were on the wire."""
+"""Name in lower case, and the value unchanged."""
 
 
 class RequestHead(msgspec.Struct, frozen=True):
-    """A request line and its headers. ``target``: path and query, unchanged. Hop-by-hop headers included."""
+    """A request line and its headers, including the hop-by-hop ones. ``target``: unchanged path and query."""
 
     method: bytes
     target: bytes
@@ -44,7 +44,7 @@
 
 
 class BodyTooLargeError(Exception):
-    """A client's body is over the limit. It is discarded; the connection closes after the response."""
+    """A request's body is over the limit. It is discarded; the connection closes after the response."""
 
 
 class ClientDisconnectedError(Exception):
@@ -52,17 +52,17 @@
 
 
 class ServerExchange(Protocol):
-    """One request on a client's connection, for its handler. It gets one response."""
+    """One request on a client's connection, as its handler uses it. The handler sends one response."""
 
     head: RequestHead
     received_at: float
-    """Time of the event loop's clock at which the head was complete."""
+    """Event loop time, in seconds, at which the head was complete."""
 
     async def body(self) -> bytes:
         """Return the complete body.
 
-        :raises BodyTooLargeError: it is over the limit; respond 413.
-        :raises ClientDisconnectedError: the client disconnected before its end.
+        :raises BodyTooLargeError: the body is over the limit; respond 413.
+        :raises ClientDisconnectedError: the client disconnected before the end of the body.
         """
         ...
 
@@ -75,14 +75,14 @@
         ...
 
     async def write(self, data: bytes) -> None:
-        """Send a part of the body at once; waits while the client's socket is full.
+        """Send a part of the body immediately, then wait while the client's socket is full.
 
         :raises ClientDisconnectedError: the client has disconnected.
         """
         ...
 
     def end(self) -> None:
-        """End the body."""
+        """End the body; resets the connection if the body is shorter than announced."""
         ...
 
     def abort(self) -> None:
@@ -120,7 +120,7 @@
 
 
 RefusalListener = Callable[[ServerRefusal, RequestHead | None], None]
-"""Called for each refusal of the server, with the request's head if it was read."""
+"""Called for each request that the server itself refuses or aborts, with its head if that was read."""
 
 
 class ServerLimits(msgspec.Struct, frozen=True):
@@ -151,7 +151,7 @@
 
 
 class ExchangeFailedError(Exception):
-    """An exchange with an engine failed; ``kind`` says how."""
+    """An exchange with an engine failed in the way that ``kind`` names."""
 
     def __init__(self, kind: FailureKind, reason: str = "") -> None:
         super().__init__(f"{kind}: {reason}")
@@ -169,7 +169,7 @@
         ...
 
     async def read(self) -> bytes:
-        """Return the next bytes of the body as they arrive; empty at its proper end.
+        """Return the next bytes of the body as they arrive; empty at the end of a complete body.
 
         :raises ExchangeFailedError: ``TRUNCATED`` or ``MALFORMED``.
         """
@@ -180,7 +180,7 @@
         ...
 
     def abort(self) -> None:
-        """Close the connection at once; the engine drops the request."""
+        """Close the connection immediately, so that the engine drops the request."""
         ...
 
 
@@ -197,8 +197,8 @@
     ) -> EngineExchange:
         """Connect or reuse a connection, write the request, and return the exchange.
 
-        :param accept: returns whether a response belongs to this request, by its echoed id. One that doesn't
-            is a late response to another request: it is discarded, and the next one is awaited.
+        :param accept: returns whether a response belongs to this request, by its echoed id. A response that
+            does not is a late response to another request: it is discarded, and the next one is awaited.
         :raises ExchangeFailedError: ``CONNECT`` or ``NOT_SENT``; nothing was sent.
         """
         ...
--- a/src/springmux/node/http/write_gate.py
+++ b/src/springmux/node/http/write_gate.py
@@ -1,4 +1,4 @@
-"""Backpressure of a connection's writes."""
+"""Backpressure for the writers of a connection."""
 
 from __future__ import annotations
 
@@ -25,5 +25,5 @@
     async def wait_open(self) -> None:
         """Wait until the gate is open."""
         if self._waiter is not None:
-            # Shielded: a cancelled writer must not end the wait of the others.
+            # Shielded, because cancelling one writer must not end the wait of the others.
             await asyncio.shield(self._waiter)
