--- a/src/springmux/node/admin/__init__.py
+++ b/src/springmux/node/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The admin listener: endpoints for operators and engines, orders and their results."""
+"""The admin listener: endpoints for operators and engines, and the submission of orders."""
--- a/src/springmux/node/admin/control_endpoints.py
+++ b/src/springmux/node/admin/control_endpoints.py
@@ -21,22 +21,22 @@
 from springmux.control.name_pattern import NAME_PATTERN
 from springmux.control.state import ControlState
 from springmux.control.view import ControlView, Tenant
-from springmux.node.admin.errors import bad_field, invalid
+from springmux.node.admin.errors import invalid_field_error, validation_error
 from springmux.node.admin.json_bodies import decode_body, json_response
-from springmux.node.admin.order_submission import OrderSubmitter, operator, order_id
+from springmux.node.admin.order_submission import OrderSubmitter, operator_name, order_id
 from springmux.vocabulary.errors import ApiError, ApiResponseError, ErrorCode, FieldError
 from springmux.vocabulary.names import KeyDigest, KeyId, TenantName
 
 _NAME = re.compile(NAME_PATTERN)
 _DIGEST = re.compile(r"[0-9a-f]{64}")
 _VERSION = re.compile(r"[0-9]{1,15}")
-"""Below 2**53, so that every JSON reader keeps it exact."""
+"""Up to 15 digits, which stay below 2**53, so that every JSON reader represents the version exactly."""
 MINIMUM_KEY_LENGTH = 16
-"""A key must not be guessable; generated ones have 43 characters."""
+"""Minimum length of a key in characters, so that it can't be guessed; generated keys have 43."""
 
 
 class ConfigurationEntry(msgspec.Struct, frozen=True):
-    """One line of the configuration's history."""
+    """One entry of ``GET /v1/configuration/history``: a configuration that was applied."""
 
     version: int
     order: str
@@ -45,19 +45,19 @@
 
 
 class ControlAgent(Protocol):
-    """What these endpoints read of the agent."""
+    """Interface of the agent, as these endpoints read it."""
 
     @property
     def view(self) -> ControlView:
-        """Control state in force."""
+        """The control state in force."""
 
     @property
     def control(self) -> ControlState:
-        """The state machine, for documents and history; never applied to from here."""
+        """The state machine, read for documents and history; the endpoints apply no command to it."""
 
 
 class TenantBody(msgspec.Struct, frozen=True):
-    """Body of a tenant."""
+    """Body of ``PUT /v1/tenants/{tenant}``."""
 
     tokens_per_s: float
     burst_tokens: float
@@ -65,7 +65,7 @@
 
 
 class KeyBody(msgspec.Struct, frozen=True):
-    """Body of a key: the key, or its digest."""
+    """Body of ``PUT /v1/keys/{key}``; it has either the key or the key's digest."""
 
     tenant: str
     key: str | None = None
@@ -73,13 +73,13 @@
 
 
 class TransferBody(msgspec.Struct, frozen=True):
-    """Body of a leadership transfer."""
+    """Body of ``POST /v1/controllers/transfer``. An empty ``target`` means any replica."""
 
     target: str = ""
 
 
 class RemoveBody(msgspec.Struct, frozen=True):
-    """Body of a removal of a replica."""
+    """Body of ``POST /v1/controllers/remove``."""
 
     replica: str
 
@@ -93,13 +93,13 @@
 
 
 class ValidBody(msgspec.Struct, frozen=True):
-    """Response of a validation that found nothing wrong."""
+    """Response of ``POST /v1/configuration/validate`` to a valid document."""
 
     valid: bool = True
 
 
 class TenantEntry(msgspec.Struct, frozen=True):
-    """One tenant with every field, defaults too: readers should not have to know them."""
+    """One tenant of ``GET /v1/tenants``, with its defaults, which readers should not have to know."""
 
     name: TenantName
     tokens_per_s: float
@@ -108,7 +108,7 @@
 
 
 class KeyEntry(msgspec.Struct, frozen=True):
-    """One key, without anything that lets one use it."""
+    """One key of ``GET /v1/keys``, without the key itself and its digest."""
 
     key: str
     tenant: str
@@ -116,7 +116,10 @@
 
 
 class ControlEndpoints:
-    """Submit operators' requests as orders. ``max_configuration_bytes`` bounds a document."""
+    """Submits operators' requests as orders.
+
+    :param max_configuration_bytes: largest configuration document that is accepted.
+    """
 
     def __init__(self, agent: ControlAgent, orders: OrderSubmitter, max_configuration_bytes: int) -> None:
         self._agent = agent
@@ -124,7 +127,7 @@
         self._max_bytes = max_configuration_bytes
 
     def add_routes(self, router: web.UrlDispatcher) -> None:
-        """Register the paths."""
+        """Register the endpoints' paths at ``router``."""
         router.add_get("/v1/configuration", self._show)
         router.add_get("/v1/configuration/history", self._history)
         router.add_post("/v1/configuration/validate", self._validate)
@@ -154,11 +157,11 @@
         )
 
     async def _validate(self, request: web.Request) -> web.Response:
-        await self._check(await request.read(), partial=False)
+        await self._check_document(await request.read(), partial=False)
         return json_response(ValidBody())
 
-    async def _check(self, document: bytes, partial: bool) -> None:
-        """Check a document in a thread; a patch's effect is checked where it is applied."""
+    async def _check_document(self, document: bytes, partial: bool) -> None:
+        """Check a document in a thread. A patch is only decoded here; its effect is checked when applied."""
 
         def parse() -> object:
             return decode_document(document) if partial else parse_configuration(document, 0, self._max_bytes)
@@ -172,7 +175,7 @@
         except InvalidConfigurationError as error:
             count = len(error.errors)
             text = f"the configuration has {count} wrong field{'s' if count != 1 else ''}"
-            raise invalid(ErrorCode.INVALID_CONFIGURATION, text, error.errors) from None
+            raise validation_error(ErrorCode.INVALID_CONFIGURATION, text, error.errors) from None
 
     async def _put(self, request: web.Request) -> web.Response:
         return await self._change(request, partial=False)
@@ -181,12 +184,12 @@
         return await self._change(request, partial=True)
 
     async def _change(self, request: web.Request, partial: bool) -> web.Response:
-        version = _version(request)
+        version = _requested_version(request)
         document = await request.read()
-        await self._check(document, partial)
+        await self._check_document(document, partial)
         command = ApplyConfiguration(
             order=order_id(request),
-            issued_by=operator(request),
+            issued_by=operator_name(request),
             version=version,
             document=document,
             partial=partial,
@@ -205,25 +208,25 @@
             "burst_tokens": body.burst_tokens,
             "weight": body.weight,
         }
-        wrong = tuple(
+        field_errors = tuple(
             FieldError(field, "must be a positive number")
             for field, number in numbers.items()
             if not 0 < number < math.inf
         )
-        if wrong:
-            raise invalid(ErrorCode.INVALID_ORDER, "the tenant is wrong", wrong)
+        if field_errors:
+            raise validation_error(ErrorCode.INVALID_ORDER, "the tenant is wrong", field_errors)
         tenant = Tenant(
             name=TenantName(name),
             tokens_per_s=body.tokens_per_s,
             burst_tokens=body.burst_tokens,
             weight=body.weight,
         )
-        command = PutTenant(order=order_id(request), issued_by=operator(request), tenant=tenant)
+        command = PutTenant(order=order_id(request), issued_by=operator_name(request), tenant=tenant)
         return await self._orders.submit(command, ErrorCode.VERSION_CONFLICT)
 
     async def _remove_tenant(self, request: web.Request) -> web.Response:
         tenant = TenantName(_checked_name(request.match_info["tenant"], "tenant"))
-        command = RemoveTenant(order=order_id(request), issued_by=operator(request), tenant=tenant)
+        command = RemoveTenant(order=order_id(request), issued_by=operator_name(request), tenant=tenant)
         return await self._orders.submit(command, ErrorCode.VERSION_CONFLICT)
 
     async def _list_keys(self, _: web.Request) -> web.Response:
@@ -234,16 +237,16 @@
         body = decode_body(await request.read(), KeyBody)
         command = PutKey(
             order=order_id(request),
-            issued_by=operator(request),
+            issued_by=operator_name(request),
             key=KeyId(_checked_name(request.match_info["key"], "key_id")),
-            digest=_digest(body),
+            digest=_key_digest(body),
             tenant=TenantName(_checked_name(body.tenant, "tenant")),
         )
         return await self._orders.submit(command, ErrorCode.VERSION_CONFLICT)
 
     async def _revoke_key(self, request: web.Request) -> web.Response:
         key = KeyId(_checked_name(request.match_info["key"], "key_id"))
-        command = RevokeKey(order=order_id(request), issued_by=operator(request), key=key)
+        command = RevokeKey(order=order_id(request), issued_by=operator_name(request), key=key)
         return await self._orders.submit(command, ErrorCode.VERSION_CONFLICT)
 
     async def _transfer(self, request: web.Request) -> web.Response:
@@ -269,29 +272,29 @@
     )
 
 
-def _version(request: web.Request) -> int:
+def _requested_version(request: web.Request) -> int:
     text = request.query.get("version", "")
     if not _VERSION.fullmatch(text) or int(text) == 0:
-        raise bad_field("version", "give ?version=N, the present version plus 1")
+        raise invalid_field_error("version", "give ?version=N, the present version plus 1")
     return int(text)
 
 
 def _checked_name(value: str, path: str) -> str:
     if not _NAME.fullmatch(value):
-        raise invalid(
+        raise validation_error(
             ErrorCode.INVALID_ORDER, "the name is wrong", (FieldError(path, f"must match {NAME_PATTERN}"),)
         )
     return value
 
 
-def _digest(body: KeyBody) -> KeyDigest:
+def _key_digest(body: KeyBody) -> KeyDigest:
     if (body.key is None) == (body.digest is None):
-        raise bad_field("key", "give the key or its digest, one of them")
+        raise invalid_field_error("key", "give the key or its digest, one of them")
     if body.key is not None:
         if len(body.key) < MINIMUM_KEY_LENGTH:
-            raise bad_field("key", f"must have at least {MINIMUM_KEY_LENGTH} characters")
+            raise invalid_field_error("key", f"must have at least {MINIMUM_KEY_LENGTH} characters")
         return KeyDigest(hashlib.sha256(body.key.encode()).hexdigest())
     digest = (body.digest or "").lower()
     if not _DIGEST.fullmatch(digest):
-        raise bad_field("digest", "must be a SHA-256 of 64 hex digits")
+        raise invalid_field_error("digest", "must be a SHA-256 of 64 hex digits")
     return KeyDigest(digest)
--- a/src/springmux/node/admin/engine_endpoints.py
+++ b/src/springmux/node/admin/engine_endpoints.py
@@ -1,4 +1,4 @@
-"""Admin endpoints of the engines: announce, heartbeat, drain, leave, and the directory."""
+"""Admin endpoints of engines: announce, heartbeat, drain, leave, and the directory."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from springmux.coordination.identifiers import Address, ZoneName
 from springmux.coordination.state_machine import Event
 from springmux.node.addresses import check_address
-from springmux.node.admin.errors import bad_field
+from springmux.node.admin.errors import invalid_field_error
 from springmux.node.admin.json_bodies import decode_body, json_response
 from springmux.node.health import NodeHealth
 from springmux.node.settings import NAME_PATTERN
@@ -24,39 +24,39 @@
 
 _NAME = re.compile(NAME_PATTERN)
 MAX_CAPACITY = 1_000_000
-"""Far above any engine; sums of many stay exact."""
+"""Upper bound of an engine's capacity, far above any engine; sums over many engines stay exact."""
 _MAX_COUNT = (1 << 63) - 1
-"""Peer messages hold no larger integers."""
-Count = Annotated[int, msgspec.Meta(ge=0, le=_MAX_COUNT)]
+"""Largest integer that a peer message can hold."""
+NonNegativeInteger = Annotated[int, msgspec.Meta(ge=0, le=_MAX_COUNT)]
 
 
 class AnnounceBody(msgspec.Struct, frozen=True, kw_only=True):
-    """Body of an announcement (docs/API.md)."""
+    """Body of ``POST /v1/engines/announce`` (docs/API.md)."""
 
     engine: str
     service: str
     version: str
     address: str
     capacity: Annotated[int, msgspec.Meta(ge=1, le=MAX_CAPACITY)]
-    incarnation: Count
+    incarnation: NonNegativeInteger
     zone: str = ""
 
 
 class HeartbeatBody(AnnounceBody, frozen=True, kw_only=True):
-    """Body of a heartbeat: an announcement with a sequence number, status and load."""
+    """Body of ``POST /v1/engines/heartbeat``: an announcement with a sequence number, status and load."""
 
-    sequence: Count
+    sequence: NonNegativeInteger
     status: Literal["ready", "draining"] = "ready"
-    running: Count = 0
-    queued: Count = 0
+    running: NonNegativeInteger = 0
+    queued: NonNegativeInteger = 0
     cache_used: Annotated[float, msgspec.Meta(ge=0.0, le=1.0)] = 0.0
 
 
 class EngineBody(msgspec.Struct, frozen=True):
-    """Body of drain and leave. Its incarnation keeps a late duplicate from stopping the next incarnation."""
+    """Body of drain and leave. ``incarnation`` keeps a late duplicate from stopping the next incarnation."""
 
     engine: str
-    incarnation: Count = 0
+    incarnation: NonNegativeInteger = 0
 
 
 class EngineEntry(msgspec.Struct, frozen=True):
@@ -73,7 +73,7 @@
 
 
 class EngineEndpoints:
-    """Submit the engines' reports to the agent as events."""
+    """Submits the reports of engines to the agent as events."""
 
     def __init__(
         self, submit: Callable[[Event], None], engines: Callable[[], EnginesView], health: NodeHealth
@@ -83,7 +83,7 @@
         self._health = health
 
     def add_routes(self, router: web.UrlDispatcher) -> None:
-        """Register the paths."""
+        """Register the endpoints' paths at ``router``."""
         router.add_post("/v1/engines/announce", self._announce)
         router.add_post("/v1/engines/heartbeat", self._heartbeat)
         router.add_post("/v1/engines/drain", self._drain)
@@ -115,7 +115,7 @@
         return self._accept(EngineLeft(EngineId(_checked_name("engine", body.engine)), body.incarnation))
 
     def _accept(self, event: Event) -> web.Response:
-        """Submit a report, or reject it where it would reach no other node: the engine tries another one."""
+        """Submit a report, or reject one that would reach no other node, so that the engine tries another."""
         rejection = self._health.report_rejection()
         if rejection is not None:
             raise ApiResponseError(rejection)
@@ -133,7 +133,7 @@
 
 def _checked_name(path: str, name: str) -> str:
     if not _NAME.fullmatch(name):
-        raise bad_field(path, f"must match {NAME_PATTERN}")
+        raise invalid_field_error(path, f"must match {NAME_PATTERN}")
     return name
 
 
@@ -146,7 +146,7 @@
     try:
         check_address(body.address)
     except ValueError as error:
-        raise bad_field("address", str(error)) from None
+        raise invalid_field_error("address", str(error)) from None
     return EngineRecord(
         engine=EngineId(body.engine),
         service=ServiceName(body.service),
@@ -161,5 +161,5 @@
 
 
 def _fields(record: EngineRecord | EngineLoad) -> dict[str, object]:
-    """Return a record's values by field name: encoded itself, it would be an array as between peers."""
+    """Return a record's values by field name; the record itself is encoded as an array, as for peers."""
     return msgspec.structs.asdict(record)
--- a/src/springmux/node/admin/errors.py
+++ b/src/springmux/node/admin/errors.py
@@ -11,8 +11,8 @@
 from springmux.vocabulary.errors import ApiError, ApiResponseError, ErrorCode, FieldError
 
 
-def bad_field(path: str, message: str) -> ApiResponseError:
-    """Return a 400 that names one wrong field."""
+def invalid_field_error(path: str, message: str) -> ApiResponseError:
+    """Return a 400 error that names one invalid field."""
     return ApiResponseError(
         ApiError(
             code=ErrorCode.INVALID_REQUEST,
@@ -24,20 +24,20 @@
 
 
 def decode_failure(error: msgspec.DecodeError | RecursionError) -> ApiResponseError:
-    """Return a 400 for a body that is not JSON, or not of the right shape."""
+    """Return a 400 error for a body that is not JSON or does not match the expected type."""
     if isinstance(error, RecursionError):
-        return bad_field("$", "is nested too deeply")
+        return invalid_field_error("$", "is nested too deeply")
     text = str(error)
     if isinstance(error, msgspec.ValidationError):
         message, _, path = text.partition(" - at `$.")
-        return bad_field(path.rstrip("`") or "$", message)
+        return invalid_field_error(path.rstrip("`") or "$", message)
     return ApiResponseError(
         ApiError(code=ErrorCode.MALFORMED_JSON, message=f"the body is not JSON: {text}", status=400)
     )
 
 
-def invalid(code: ErrorCode, message: str, errors: tuple[FieldError, ...]) -> ApiResponseError:
-    """Return a 422 with every wrong field."""
+def validation_error(code: ErrorCode, message: str, errors: tuple[FieldError, ...]) -> ApiResponseError:
+    """Return a 422 error with every invalid field."""
     return ApiResponseError(ApiError(code=code, message=message, status=422, errors=errors))
 
 
@@ -47,7 +47,7 @@
 
 
 def error_middleware(node: str, log: EventLog) -> Middleware:
-    """Return the middleware that turns exceptions into typed error responses with the node's name."""
+    """Return a middleware that turns exceptions into typed error responses with the node's name."""
 
     @web.middleware
     async def respond_to_errors(request: web.Request, handler: Handler) -> web.StreamResponse:
--- a/src/springmux/node/admin/listener.py
+++ b/src/springmux/node/admin/listener.py
@@ -1,4 +1,4 @@
-"""The listener for operators and engines: all endpoint groups, health, status and metrics."""
+"""The admin listener, for operators and engines: all endpoint groups, health, status and metrics."""
 
 from __future__ import annotations
 
@@ -28,19 +28,19 @@
 from springmux.node.settings import NodeSettings
 
 BODY_MARGIN_BYTES = 64 << 10
-"""Bodies a little over the configuration's limit are read, so that the error response can name it."""
+"""Bodies up to this much over the configuration's limit are read, so that the error can name the limit."""
 CLOSE_TIMEOUT_S = 1.0
 
 
 class AdminAgent(RolloutsAgent, ControlAgent, ReadyAgent, Protocol):
-    """What the admin listener reads of the node's agent."""
+    """Interface of the node's agent, as the admin listener reads it."""
 
     def status(self) -> NodeStatusReport:
         """Return the agent's part of ``GET /v1/status``."""
 
 
 class StatusBody(msgspec.Struct, frozen=True):
-    """Response of ``GET /v1/status``: the agent's report and what only this process knows."""
+    """Response of ``GET /v1/status``: the agent's report, and state that only this process knows."""
 
     node: Any
     ready: bool
@@ -50,7 +50,7 @@
 
 
 class AdminListener:
-    """Serve the admin interface of docs/API.md."""
+    """Serves the admin interface that docs/API.md describes."""
 
     def __init__(
         self,
@@ -87,32 +87,32 @@
 
     def _add_own_routes(self) -> None:
         router = self._application.router
-        router.add_get(HEALTH_PATH, self._alive)
+        router.add_get(HEALTH_PATH, self._liveness)
         router.add_get(READY_PATH, self._ready)
-        router.add_get("/metrics", self._exposition)
+        router.add_get("/metrics", self._metrics_exposition)
         router.add_get("/v1/status", self._status)
 
     async def listen(self) -> None:
         """Accept operators and engines.
 
-        :raises OSError: if the address can't be bound.
+        :raises OSError: the address can't be bound.
         """
         await self._runner.setup()
         host, port = split_address(self._settings.admin_address)
         await web.TCPSite(self._runner, host, port, reuse_address=True).start()
 
     async def close(self) -> None:
-        """Stop listening."""
+        """Stop listening, and close open connections."""
         await self._runner.cleanup()
 
-    async def _alive(self, _: web.Request) -> web.Response:
+    async def _liveness(self, _: web.Request) -> web.Response:
         return web.Response(body=HEALTH_BODY, content_type="text/plain")
 
     async def _ready(self, _: web.Request) -> web.Response:
         readiness = self._health.readiness()
         return json_response(readiness, status=200 if readiness.ready else 503)
 
-    async def _exposition(self, _: web.Request) -> web.Response:
+    async def _metrics_exposition(self, _: web.Request) -> web.Response:
         return web.Response(body=self._metrics.exposition(), headers={"Content-Type": EXPOSITION_TYPE})
 
     async def _status(self, _: web.Request) -> web.Response:
--- a/src/springmux/node/admin/order_submission.py
+++ b/src/springmux/node/admin/order_submission.py
@@ -1,4 +1,4 @@
-"""Submit operators' orders to the agent and turn their results into HTTP responses."""
+"""Submission of operators' orders to the agent, and HTTP responses for their results."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from springmux.agent.effects import OrderAnswered
 from springmux.control.commands import AnyCommand, CommandResult, Outcome
-from springmux.node.admin.errors import bad_field
+from springmux.node.admin.errors import invalid_field_error
 from springmux.node.admin.json_bodies import json_response
 from springmux.node.client.error_responses import error_headers
 from springmux.node.driver import AgentDriver, OrderCallback
@@ -37,38 +37,41 @@
 
 
 class ConflictBody(msgspec.Struct, frozen=True):
-    """Response to an order that lost: the typed error, and what is in force instead."""
+    """Response to an order that lost a conflict: the typed error, and what is in force instead."""
 
     error: ApiError
     winner: dict[str, Any] | None
 
 
 def order_id(request: web.Request) -> OrderId:
-    """Return the client's order id, or a new one.
+    """Return the order id that the client sent, or a new one.
 
-    :raises ApiResponseError: if it is not 1 to 200 printable characters.
+    :raises ApiResponseError: the order id is not 1 to 200 printable characters.
     """
     value = request.headers.get(ORDER_HEADER)
     if value is None:
         return OrderId(str(uuid.uuid4()))
     if not _PRINTABLE_TEXT.match(value):
-        raise bad_field(ORDER_HEADER, "must be 1 to 200 printable characters without spaces")
+        raise invalid_field_error(ORDER_HEADER, "must be 1 to 200 printable characters without spaces")
     return OrderId(value)
 
 
-def operator(request: web.Request) -> str:
-    """Return the operator's name, for the history.
+def operator_name(request: web.Request) -> str:
+    """Return the operator's name, which the history shows.
 
-    :raises ApiResponseError: if it is not 1 to 200 printable characters.
+    :raises ApiResponseError: the name is not 1 to 200 printable characters.
     """
     value = request.headers.get(OPERATOR_HEADER, "operator")
     if not _PRINTABLE_TEXT.match(value):
-        raise bad_field(OPERATOR_HEADER, "must be 1 to 200 printable characters without spaces")
+        raise invalid_field_error(OPERATOR_HEADER, "must be 1 to 200 printable characters without spaces")
     return value
 
 
 class OrderSubmitter:
-    """Submit orders and wait for their results; after ``timeout_s`` an order's fate is unknown here."""
+    """Submits orders and waits for their results.
+
+    :param timeout_s: an order without a result after this time gets an error with an unknown fate.
+    """
 
     def __init__(self, driver: AgentDriver, metrics: NodeMetrics, timeout_s: float, node: str) -> None:
         self._node = node
@@ -77,19 +80,19 @@
         self._timeout_s = timeout_s
 
     async def submit(self, command: AnyCommand, conflict: ErrorCode) -> web.Response:
-        """Submit a command and return the response to it; ``conflict`` is the error code if it lost."""
-        answered = await self._wait(lambda callback: self._driver.submit_order(command, callback))
-        return self._response(answered, conflict)
+        """Submit a command and return the response; ``conflict`` is the error code if another order won."""
+        reply = await self._wait(lambda callback: self._driver.submit_order(command, callback))
+        return self._response(reply, conflict)
 
     async def transfer(self, target: str) -> web.Response:
-        """Transfer leadership; to any replica if ``target`` is empty."""
-        answered = await self._wait(lambda callback: self._driver.submit_transfer(target, callback))
-        return self._response(answered, ErrorCode.INVALID_ORDER)
+        """Transfer leadership to ``target``, or to any replica if it is empty."""
+        reply = await self._wait(lambda callback: self._driver.submit_transfer(target, callback))
+        return self._response(reply, ErrorCode.INVALID_ORDER)
 
     async def remove(self, replica: str) -> web.Response:
         """Remove a replica from the control group."""
-        answered = await self._wait(lambda callback: self._driver.submit_removal(replica, callback))
-        return self._response(answered, ErrorCode.INVALID_ORDER)
+        reply = await self._wait(lambda callback: self._driver.submit_removal(replica, callback))
+        return self._response(reply, ErrorCode.INVALID_ORDER)
 
     async def _wait(self, submit: Callable[[OrderCallback], str]) -> OrderAnswered | None:
         return await wait_for_order(self._driver, submit, self._timeout_s)
@@ -103,10 +106,10 @@
             retry_after_s=1.0,
         )
 
-    def _response(self, answered: OrderAnswered | None, conflict: ErrorCode) -> web.Response:
-        result = answered.result if answered is not None else None
+    def _response(self, reply: OrderAnswered | None, conflict: ErrorCode) -> web.Response:
+        result = reply.result if reply is not None else None
         if result is None:
-            error = (answered.error if answered is not None else None) or self._timed_out()
+            error = (reply.error if reply is not None else None) or self._timed_out()
             self._metrics.count("orders_total", error.code)
             raise ApiResponseError(error)
         self._metrics.count("orders_total", result.outcome)
--- a/src/springmux/node/admin/rollout_endpoints.py
+++ b/src/springmux/node/admin/rollout_endpoints.py
@@ -11,9 +11,9 @@
 from springmux.control.commands import AbortRollout, PauseRollout, PromoteRollout, PutTemplate, ResumeRollout
 from springmux.control.view import ControlView
 from springmux.coordination.membership.view import MembershipView
-from springmux.node.admin.errors import bad_field, invalid
+from springmux.node.admin.errors import invalid_field_error, validation_error
 from springmux.node.admin.json_bodies import json_response
-from springmux.node.admin.order_submission import OrderSubmitter, operator, order_id
+from springmux.node.admin.order_submission import OrderSubmitter, operator_name, order_id
 from springmux.node.admin.rollout_history import RolloutHistory
 from springmux.node.service_rates import ServiceRates
 from springmux.rollout.plan import RolloutPlan, RolloutRecord
@@ -32,26 +32,26 @@
 from springmux.vocabulary.names import RolloutId, ServiceName
 
 MAX_PROMPTS_PER_S = 1e9
-"""Far above any fleet; sums over the longest rollout (a day) stay exact."""
+"""Upper bound of a requested rate, far above any fleet; sums over the longest rollout (a day) stay exact."""
 
 
 class RolloutsAgent(Protocol):
-    """What these endpoints read of the agent."""
+    """Interface of the agent, as these endpoints read it."""
 
     @property
     def view(self) -> ControlView:
-        """Control state in force."""
+        """The control state in force."""
 
     @property
     def membership(self) -> MembershipView:
-        """Nodes of the fleet."""
+        """The nodes of the fleet."""
 
     @property
     def engines(self) -> EnginesView:
-        """Directory of engines."""
+        """The directory of engines."""
 
     def rollout_status(self, service: ServiceName) -> RolloutStatus | None:
-        """Status of a rollout as this node knows it."""
+        """Return the status of a service's rollout as this node knows it, or ``None``."""
 
 
 class RolloutReport(msgspec.Struct, frozen=True):
@@ -62,7 +62,7 @@
 
 
 class RolloutEndpoints:
-    """Submit operators' rollout requests as orders, and report rollouts."""
+    """Submits operators' rollout requests as orders, and reports rollouts."""
 
     def __init__(
         self, agent: RolloutsAgent, orders: OrderSubmitter, history: RolloutHistory, rates: ServiceRates
@@ -73,7 +73,7 @@
         self._rates = rates
 
     def add_routes(self, router: web.UrlDispatcher) -> None:
-        """Register the paths."""
+        """Register the endpoints' paths at ``router``."""
         router.add_get("/v1/templates", self._list_templates)
         router.add_put("/v1/templates/{name}", self._put_template)
         router.add_post("/v1/rollouts/preview", self._preview)
@@ -95,7 +95,7 @@
         document = await request.read()
         _check_template(name, document)
         command = PutTemplate(
-            order=order_id(request), issued_by=operator(request), name=name, document=document
+            order=order_id(request), issued_by=operator_name(request), name=name, document=document
         )
         return await self._orders.submit(command, ErrorCode.ROLLOUT_CONFLICT)
 
@@ -105,11 +105,11 @@
         document = self._agent.view.templates.get(name)
         if document is None:
             known = sorted({STANDARD_TEMPLATE.name, *self._agent.view.templates})
-            wrong = FieldError("template", f"no template {name!r}; there are {known}")
-            raise invalid(ErrorCode.INVALID_ORDER, "the order is wrong", (wrong,))
+            field_error = FieldError("template", f"no template {name!r}; there are {known}")
+            raise validation_error(ErrorCode.INVALID_ORDER, "the order is wrong", (field_error,))
         return parse_template(document)
 
-    async def _planned(self, request: web.Request, service: str) -> RolloutPlan:
+    async def _parse_plan(self, request: web.Request, service: str) -> RolloutPlan:
         try:
             body = parse_promote_body(await request.read())
             parameters = dict(body.parameters)
@@ -117,16 +117,18 @@
                 parameters.setdefault("service", service)
             plan = instantiate(self._template(body.template), parameters)
         except TemplateError as error:
-            raise invalid(ErrorCode.INVALID_ORDER, "the plan is wrong", error.errors) from None
+            raise validation_error(ErrorCode.INVALID_ORDER, "the plan is wrong", error.errors) from None
         if service and plan.service != service:
-            wrong = FieldError("parameters.service", f"is {plan.service!r}, the path says {service!r}")
-            raise invalid(ErrorCode.INVALID_ORDER, "the plan is wrong", (wrong,))
+            field_error = FieldError("parameters.service", f"is {plan.service!r}, the path says {service!r}")
+            raise validation_error(ErrorCode.INVALID_ORDER, "the plan is wrong", (field_error,))
         if plan.service not in self._agent.view.configuration.services:
-            wrong = FieldError("parameters.service", f"the configuration has no service {plan.service!r}")
-            raise invalid(ErrorCode.INVALID_ORDER, "the plan is wrong", (wrong,))
+            field_error = FieldError(
+                "parameters.service", f"the configuration has no service {plan.service!r}"
+            )
+            raise validation_error(ErrorCode.INVALID_ORDER, "the plan is wrong", (field_error,))
         return plan
 
-    def _outlook(self, plan: RolloutPlan, requested_rate: str | None) -> Preview:
+    def _preview_plan(self, plan: RolloutPlan, requested_rate: str | None) -> Preview:
         if requested_rate is not None:
             prompts_per_s = _parse_rate(requested_rate)
         else:
@@ -146,18 +148,20 @@
         )
 
     async def _preview(self, request: web.Request) -> web.Response:
-        outlook = self._outlook(await self._planned(request, ""), request.query.get("prompts_per_s"))
-        _check_feasible(outlook)
-        return json_response(outlook)
+        plan_preview = self._preview_plan(
+            await self._parse_plan(request, ""), request.query.get("prompts_per_s")
+        )
+        _check_feasible(plan_preview)
+        return json_response(plan_preview)
 
     async def _promote(self, request: web.Request) -> web.Response:
         service = request.match_info["service"]
-        plan = await self._planned(request, service)
+        plan = await self._parse_plan(request, service)
         order = order_id(request)
         command = PromoteRollout(
             order=order,
-            issued_by=operator(request),
-            # Derived from the order, so that a resent one means the same rollout.
+            issued_by=operator_name(request),
+            # Derived from the order id, so that a resent order names the same rollout.
             rollout=RolloutId(uuid.uuid5(uuid.NAMESPACE_OID, order).hex),
             plan=plan,
         )
@@ -165,19 +169,19 @@
 
     async def _pause(self, request: web.Request) -> web.Response:
         command = PauseRollout(
-            order=order_id(request), issued_by=operator(request), service=_service(request)
+            order=order_id(request), issued_by=operator_name(request), service=_service(request)
         )
         return await self._orders.submit(command, ErrorCode.ROLLOUT_CONFLICT)
 
     async def _resume(self, request: web.Request) -> web.Response:
         command = ResumeRollout(
-            order=order_id(request), issued_by=operator(request), service=_service(request)
+            order=order_id(request), issued_by=operator_name(request), service=_service(request)
         )
         return await self._orders.submit(command, ErrorCode.ROLLOUT_CONFLICT)
 
     async def _abort(self, request: web.Request) -> web.Response:
         command = AbortRollout(
-            order=order_id(request), issued_by=operator(request), service=_service(request)
+            order=order_id(request), issued_by=operator_name(request), service=_service(request)
         )
         return await self._orders.submit(command, ErrorCode.ROLLOUT_CONFLICT)
 
@@ -203,13 +207,13 @@
     try:
         template = parse_template(document)
     except TemplateError as error:
-        raise invalid(ErrorCode.INVALID_ORDER, "the template is wrong", error.errors) from None
+        raise validation_error(ErrorCode.INVALID_ORDER, "the template is wrong", error.errors) from None
     if template.name != name:
-        wrong = FieldError("name", f"is {template.name!r}, the path says {name!r}")
-        raise invalid(ErrorCode.INVALID_ORDER, "the template is wrong", (wrong,))
+        field_error = FieldError("name", f"is {template.name!r}, the path says {name!r}")
+        raise validation_error(ErrorCode.INVALID_ORDER, "the template is wrong", (field_error,))
     if name == STANDARD_TEMPLATE.name:
-        wrong = FieldError("name", "this name belongs to the built-in template")
-        raise invalid(ErrorCode.INVALID_ORDER, "the template is wrong", (wrong,))
+        field_error = FieldError("name", "this name belongs to the built-in template")
+        raise validation_error(ErrorCode.INVALID_ORDER, "the template is wrong", (field_error,))
 
 
 def _service(request: web.Request) -> ServiceName:
@@ -220,13 +224,13 @@
     try:
         rate = float(text)
     except ValueError:
-        raise bad_field("prompts_per_s", "must be a number") from None
+        raise invalid_field_error("prompts_per_s", "must be a number") from None
     if not 0 <= rate <= MAX_PROMPTS_PER_S:
-        raise bad_field("prompts_per_s", f"must be a number from 0 to {MAX_PROMPTS_PER_S:.0e}")
+        raise invalid_field_error("prompts_per_s", f"must be a number from 0 to {MAX_PROMPTS_PER_S:.0e}")
     return rate
 
 
-def _check_feasible(outlook: Preview) -> None:
-    if outlook.refusal:
-        wrong = FieldError("plan", outlook.refusal)
-        raise invalid(ErrorCode.INVALID_ORDER, "the plan can't keep its promises", (wrong,))
+def _check_feasible(plan_preview: Preview) -> None:
+    if plan_preview.refusal:
+        field_error = FieldError("plan", plan_preview.refusal)
+        raise validation_error(ErrorCode.INVALID_ORDER, "the plan can't keep its promises", (field_error,))
--- a/src/springmux/node/client/__init__.py
+++ b/src/springmux/node/client/__init__.py
@@ -1,1 +1,1 @@
-"""The clients' listener: complete requests, one request runner each, exchanges with engines."""
+"""The listener for clients: it reads requests, runs each in a request runner, and calls engines."""
--- a/src/springmux/node/client/error_responses.py
+++ b/src/springmux/node/client/error_responses.py
@@ -1,4 +1,4 @@
-"""Typed error responses as bytes: the one place that turns an :class:`ApiError` into HTTP."""
+"""Encoding of typed errors as HTTP responses; the only module that turns an :class:`ApiError` into HTTP."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ErrorBody(msgspec.Struct, frozen=True):
-    """``{"error": {...}}`` of docs/API.md."""
+    """Body of an error response, ``{"error": {...}}`` in docs/API.md."""
 
     error: ApiError
 
@@ -26,7 +26,7 @@
 
 
 def error_headers(error: ApiError) -> list[tuple[str, str]]:
-    """Return the headers that go with a typed error; ``Retry-After`` is rounded up to whole seconds."""
+    """Return the headers of a typed error's response; ``Retry-After`` is rounded up to whole seconds."""
     headers = [("Content-Type", JSON_TYPE)]
     if error.request_id:
         headers.append(("X-Request-Id", error.request_id))
@@ -41,8 +41,8 @@
     return headers
 
 
-def refusal(code: ErrorCode, message: str, status: int, node: str, request_id: str = "") -> ApiError:
-    """Return an error for a request that never ran."""
+def refused_error(code: ErrorCode, message: str, status: int, node: str, request_id: str = "") -> ApiError:
+    """Return the error for a request that was refused before it ran."""
     return ApiError(
         code=code, message=message, status=status, fate=Fate.REFUSED, request_id=request_id, node=node
     )
--- a/src/springmux/node/client/listener.py
+++ b/src/springmux/node/client/listener.py
@@ -1,4 +1,4 @@
-"""The clients' listener: read complete requests under limits and run a flow for each."""
+"""The listener for clients: reads complete requests within limits and runs a request flow for each."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from springmux.coordination.state_machine import Tick
 from springmux.node.addresses import split_address
-from springmux.node.client.error_responses import JSON_TYPE, refusal
+from springmux.node.client.error_responses import JSON_TYPE, refused_error
 from springmux.node.client.protocol import ClientProtocol
 from springmux.node.client.request_runner import RequestRunner, RunnerServices
 from springmux.node.client.response_writer import ResponseWriter
@@ -23,20 +23,20 @@
 
 LISTEN_BACKLOG = 1024
 STOP_MARGIN_S = 1.0
-"""Time for the last bytes of aborted streams once the grace period is over."""
+"""Time to send the last bytes of aborted streams after the grace period."""
 
 
 class _SentResponse:
-    """Stands for a response that :class:`ResponseWriter` has sent already, towards the HTTP library."""
+    """Placeholder that aiohttp gets for a response that :class:`ResponseWriter` has already sent."""
 
     def __init__(self, keep_alive: bool) -> None:
         self.keep_alive = keep_alive
 
     async def prepare(self, _: web.BaseRequest) -> None:
-        """Do nothing: the head was sent."""
+        """Do nothing, as the head was sent."""
 
     async def write_eof(self) -> None:
-        """Do nothing: the body was sent."""
+        """Do nothing, as the body was sent."""
 
 
 class _ClientServer(web.Server):
@@ -52,7 +52,7 @@
 
 
 class ClientListener:
-    """Accept clients at one address, and run their requests."""
+    """Accepts clients at one address, and runs their requests."""
 
     def __init__(self, settings: NodeSettings, services: RunnerServices, health: NodeHealth) -> None:
         self.node = settings.node
@@ -69,7 +69,7 @@
         self._idle.set()
         self._protocols: _ClientServer | None = None
         self._server: asyncio.Server | None = None
-        # A random prefix for the process and a counter are cheaper than a UUID for each request.
+        # Request ids are a random prefix of the process and a counter, which is cheaper than a UUID for each.
         self._id_prefix = uuid.uuid4().hex[:16]
         self._next_id = 0
         services.router.set_wake_listener(self._wake)
@@ -77,7 +77,7 @@
     async def listen(self) -> None:
         """Accept clients.
 
-        :raises OSError: if the address can't be bound.
+        :raises OSError: the address can't be bound.
         """
         host, port = split_address(self._settings.client_address)
         self._protocols = _ClientServer(self._serve, self, self._settings.keep_alive_s)
@@ -86,13 +86,13 @@
         )
 
     def stop_accepting(self) -> None:
-        """Close the listening socket; open connections get one last response."""
+        """Close the listening socket; each open connection closes after its next response."""
         self._stopping = True
         if self._server is not None:
             self._server.close()
 
     async def finish(self, grace_s: float) -> None:
-        """Wait for running requests, at most ``grace_s``; then end them with an error."""
+        """Wait at most ``grace_s`` for running requests, then end the remaining ones with an error."""
         if not await self._wait_idle(grace_s):
             for runner in list(self._runners.values()):
                 runner.deliver(StopRequested())
@@ -129,12 +129,12 @@
         return True
 
     def connection_ended(self) -> None:
-        """Count one connection less."""
+        """Record the end of an admitted connection."""
         self._connections -= 1
         self._metrics.set("client_connections", self._connections)
 
     def count_error(self, error: ApiError) -> None:
-        """Count an error response sent outside a flow."""
+        """Count an error response that was sent outside a request flow."""
         self._metrics.count("request_errors_total", error.code)
         self._metrics.count("requests_total", str(error.status))
 
@@ -163,7 +163,7 @@
         return cast(web.StreamResponse, _SentResponse(writer.keep_alive))
 
     def _health_response(self, request: web.BaseRequest, writer: ResponseWriter) -> web.StreamResponse:
-        """Respond to the platform's health check, without a key and uncounted."""
+        """Respond to the platform's health check, which needs no key and is not counted as a request."""
         if not request.content.is_eof():
             writer.keep_alive = False
         if request.path == HEALTH_PATH:
@@ -186,12 +186,12 @@
         client_request = ClientRequest(
             request_id=request_id, method=request.method, path=request.path, headers=headers, body=body
         )
-        runner = RequestRunner(self._services, client_request, writer, self._finished)
+        runner = RequestRunner(self._services, client_request, writer, self._runner_finished)
         protocol.runner = runner
         self._runners[request_id] = runner
         self._idle.clear()
         self._metrics.set("requests_in_flight", len(self._runners))
-        if protocol.transport is None:  # the client left while its body was read
+        if protocol.transport is None:  # the client disconnected while its body was read
             protocol.runner = None
             runner.abandon()
             raise ConnectionResetError("the client has disconnected")
@@ -201,28 +201,28 @@
             protocol.runner = None
 
     def _wake(self, request_id: RequestId) -> None:
-        # Not at once: the router is in the middle of another flow's step.
-        asyncio.get_running_loop().call_soon(self._tick, request_id)
+        # Deferred by one loop iteration: the router is still handling an event of another flow.
+        asyncio.get_running_loop().call_soon(self._deliver_tick, request_id)
 
-    def _tick(self, request_id: RequestId) -> None:
+    def _deliver_tick(self, request_id: RequestId) -> None:
         runner = self._runners.get(request_id)
         if runner is not None:
             runner.deliver(Tick())
 
-    def _finished(self, runner: RequestRunner) -> None:
+    def _runner_finished(self, runner: RequestRunner) -> None:
         self._runners.pop(runner.request.request_id, None)
         self._metrics.set("requests_in_flight", len(self._runners))
         if not self._runners:
             self._idle.set()
 
-    def _raise(self, code: ErrorCode, status: int, message: str, request_id: str) -> None:
-        raise ApiResponseError(refusal(code, message, status, self.node, request_id))
+    def _raise_refusal(self, code: ErrorCode, status: int, message: str, request_id: str) -> None:
+        raise ApiResponseError(refused_error(code, message, status, self.node, request_id))
 
     def _check_head(self, request: web.BaseRequest, request_id: str) -> None:
-        size = sum(len(name) + len(value) + 4 for name, value in request._message.raw_headers)  # noqa: SLF001 - no public way to the size as sent
+        size = sum(len(name) + len(value) + 4 for name, value in request._message.raw_headers)  # noqa: SLF001 - aiohttp has no public access to the size as sent
         if size > self.max_header_bytes:
             text = f"the headers are larger than {self.max_header_bytes} bytes"
-            self._raise(ErrorCode.HEADERS_TOO_LARGE, 431, text, request_id)
+            self._raise_refusal(ErrorCode.HEADERS_TOO_LARGE, 431, text, request_id)
         if self._stopping:
             raise ApiResponseError(
                 ApiError(
@@ -238,7 +238,7 @@
     async def _read_body(self, request: web.BaseRequest, request_id: str) -> bytes:
         limit = self._settings.max_body_bytes
         if (request.content_length or 0) > limit:
-            self._raise(ErrorCode.BODY_TOO_LARGE, 413, f"the body is over {limit} bytes", request_id)
+            self._raise_refusal(ErrorCode.BODY_TOO_LARGE, 413, f"the body is over {limit} bytes", request_id)
         if request.headers.get("Expect", "").lower() == "100-continue" and request.transport is not None:
             request.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         if not request.body_exists:
@@ -257,10 +257,10 @@
                     size += len(chunk)
                     if size > limit:
                         text = f"the body is over {limit} bytes"
-                        self._raise(ErrorCode.BODY_TOO_LARGE, 413, text, request_id)
+                        self._raise_refusal(ErrorCode.BODY_TOO_LARGE, 413, text, request_id)
                     chunks.append(chunk)
         except TimeoutError:
-            self._raise(ErrorCode.REQUEST_TIMEOUT, 408, "the body came too slowly", request_id)
+            self._raise_refusal(ErrorCode.REQUEST_TIMEOUT, 408, "the body came too slowly", request_id)
         except (web.RequestPayloadError, ValueError):
-            self._raise(ErrorCode.INVALID_REQUEST, 400, "the body's framing is broken", request_id)
+            self._raise_refusal(ErrorCode.INVALID_REQUEST, 400, "the body's framing is broken", request_id)
         return chunks[0] if len(chunks) == 1 else b"".join(chunks)
--- a/src/springmux/node/client/protocol.py
+++ b/src/springmux/node/client/protocol.py
@@ -1,4 +1,4 @@
-"""A client's connection: limits on headers and on the time they take, typed errors, disconnects."""
+"""A client's connection: it limits headers in size and time, sends typed errors, reports disconnections."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from aiohttp.http_exceptions import LineTooLong
 from aiohttp.web_protocol import RequestHandler
 
-from springmux.node.client.error_responses import error_body, error_headers, refusal
+from springmux.node.client.error_responses import error_body, error_headers, refused_error
 from springmux.node.client.response_writer import ResponseWriter
 from springmux.router.events import ClientDisconnected
 from springmux.vocabulary.errors import ApiError, ErrorCode
@@ -20,14 +20,14 @@
     from springmux.node.client.request_runner import RequestRunner
 
 WRITE_BUFFER_BYTES = 512 << 10
-"""More than the longest ordinary stream (2048 tokens at about 200 bytes), so that a slow client
-does not delay reading from its engine and make that engine look slow."""
+"""Write buffer of a connection. It holds more than the longest ordinary stream (2048 tokens at about 200
+bytes), so that a slow client does not delay reading from its engine and make that engine look slow."""
 LINGER_S = 1.0
-"""Time for reading the rest of the body after an early error response, so that the response arrives."""
+"""Time for reading the rest of a body after an early error response, so that the response arrives."""
 MAX_HEADERS = 100
 
 quiet_logger = logging.getLogger("springmux.http")
-"""The HTTP library's own log lines may quote headers, and so keys: they are not written."""
+"""Discards the log lines of aiohttp, which may quote headers and therefore keys."""
 quiet_logger.addHandler(logging.NullHandler())
 quiet_logger.propagate = False
 
@@ -50,7 +50,7 @@
 
 
 class ClientProtocol(RequestHandler):
-    """One client's connection. ``runner`` is the running request, if any."""
+    """One client's connection. ``runner`` runs the current request, if any."""
 
     __slots__ = ("_admitted", "_header_timer", "_owner", "_received_bytes", "runner")
 
@@ -74,7 +74,7 @@
         self.runner: RequestRunner | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Admit the connection, or respond that the node is full."""
+        """Admit the connection, or respond 503 if the node has too many connections."""
         super().connection_made(transport)
         assert isinstance(transport, asyncio.Transport)
         transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
@@ -96,14 +96,14 @@
             runner.deliver(ClientDisconnected())
 
     def data_received(self, data: bytes) -> None:
-        """Count bytes until a request's headers are complete."""
-        idle, requests_before = self._awaits_headers(), self._request_count
-        if idle:
+        """Count the bytes of a request's headers, and reject headers over the limit."""
+        awaits_headers, requests_before = self._awaits_headers(), self._request_count
+        if awaits_headers:
             self._received_bytes += len(data)
             if self._header_timer is None:
                 self._arm_header_timer()
         super().data_received(data)
-        if not idle:
+        if not awaits_headers:
             return
         if self._request_count > requests_before:
             self._stop_header_timer()
@@ -112,10 +112,10 @@
             self.reject(ErrorCode.HEADERS_TOO_LARGE, 431, self._too_large_text())
 
     def _awaits_headers(self) -> bool:
-        """Return whether the next bytes belong to headers. The rest of a body must never count as such.
+        """Return whether the next bytes belong to headers; bytes of a body must never be counted as headers.
 
-        The library waits for a request's headers before the first one, and later on ``_waiter``. Its other
-        flags leave a gap of a loop's turn between the headers and the handler's start.
+        aiohttp waits for headers before the first request, and later while ``_waiter`` is pending. Its other
+        flags don't cover the loop iteration between the end of the headers and the handler's start.
         """
         return self._request_count == 0 or (self._waiter is not None and not self._waiter.done())
 
@@ -138,7 +138,7 @@
         self.reject(ErrorCode.REQUEST_TIMEOUT, 408, "the headers came too slowly")
 
     def reject(self, code: ErrorCode, status: int, message: str, retry_after_s: float | None = None) -> None:
-        """Send an error outside any request and close the connection."""
+        """Send an error response that belongs to no request, and close the connection."""
         self._stop_header_timer()
         error = ApiError(
             code=code, message=message, status=status, node=self._owner.node, retry_after_s=retry_after_s
@@ -154,7 +154,7 @@
         exc: BaseException | None = None,
         message: str | None = None,
     ) -> web.StreamResponse:
-        """Turn the HTTP library's errors into typed ones, which quote no header."""
+        """Turn aiohttp's errors into typed errors, which quote no header."""
         if self.runner is not None or request.writer.output_size > 0:
             raise ConnectionError("the response has begun")
         error = self._typed_error(status, exc, message or "")
@@ -166,7 +166,7 @@
     def _typed_error(self, status: int, exc: BaseException | None, message: str) -> ApiError:
         node = self._owner.node
         if isinstance(exc, LineTooLong) or "Too many headers" in message:
-            return refusal(ErrorCode.HEADERS_TOO_LARGE, self._too_large_text(), 431, node)
+            return refused_error(ErrorCode.HEADERS_TOO_LARGE, self._too_large_text(), 431, node)
         if status == HTTPStatus.BAD_REQUEST:
-            return refusal(ErrorCode.INVALID_REQUEST, "the request is not HTTP/1.1", 400, node)
+            return refused_error(ErrorCode.INVALID_REQUEST, "the request is not HTTP/1.1", 400, node)
         return ApiError(code=ErrorCode.INTERNAL, message="the node failed", status=500, node=node)
--- a/src/springmux/node/client/request_runner.py
+++ b/src/springmux/node/client/request_runner.py
@@ -1,7 +1,7 @@
-"""Run one :class:`RequestFlow`: events in, effects out to the client's socket and the engines'.
+"""Runs one :class:`RequestFlow`: passes it events, and executes its effects on the client and the engines.
 
-Everything is synchronous between an engine's bytes and the write to the client; re-entrant events
-are queued.
+Between the arrival of an engine's bytes and the write to the client everything is synchronous. Events that
+occur while another one is being handled are queued.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
         """Handle one event; return the effects to execute."""
 
     def next_deadline(self) -> float:
-        """Return when the next Tick is due (event loop time)."""
+        """Return the event loop time at which the next Tick is due, or ``NEVER``."""
 
 
 class FlowOpener(Protocol):
@@ -62,11 +62,11 @@
         """Return the flow of a new request."""
 
     def set_wake_listener(self, listener: Callable[[RequestId], None]) -> None:
-        """Call ``listener`` when a waiting request gets a slot."""
+        """Set the callback for a queued request that gets a slot."""
 
 
 class RunnerServices(msgspec.Struct, frozen=True):
-    """What all runners of a node share."""
+    """Services that all request runners of a node share."""
 
     node: str
     router: FlowOpener
@@ -77,9 +77,9 @@
 
 
 class RequestRunner:
-    """One request from its body's end to its flow's end, which may come after the response's end.
+    """Runs one request from its complete body to the end of its flow, which may outlast the response.
 
-    ``on_finished`` is called once when the flow has ended.
+    :param on_finished: called once when the flow has ended.
     """
 
     def __init__(
@@ -116,11 +116,11 @@
         self._services.metrics.observe("request_seconds", self._clock() - begun_at)
 
     def abandon(self) -> None:
-        """End a flow that has not begun: its client has disconnected."""
+        """End a flow that has not begun, because its client has disconnected."""
         self.deliver(ClientDisconnected())
 
     async def drain(self) -> None:
-        """Wait until the client's socket accepts more; meanwhile the engine's speed can't be judged."""
+        """Wait until the client's socket accepts more; until then the engine's speed can't be judged."""
         self.deliver(ClientBlocked())
         try:
             await self._writer.drain()
@@ -128,11 +128,11 @@
             self.deliver(ClientReady())
 
     def upstream_event(self, event: UpstreamEvent) -> None:
-        """Handle an engine's event (hot path)."""
+        """Handle an event of an exchange with an engine (hot path)."""
         self.deliver(event)
 
     def deliver(self, event: Event) -> None:
-        """Have the flow handle one event, and execute its effects."""
+        """Pass one event to the flow and execute its effects, or queue it while another is being handled."""
         if self._finished:
             return
         if self._handling:
@@ -148,7 +148,7 @@
             if deadline < self._timer_at and not self._finished:
                 self._set_timer(deadline)
         except Exception as error:  # noqa: BLE001 - a fault in one flow must not end the node or leak its slot
-            self._crashed(error)
+            self._handle_crash(error)
         finally:
             self._handling = False
         if type(event) is not UpstreamData or self._finished:
@@ -169,7 +169,7 @@
         self._timer = self._loop.call_at(deadline, self._timer_fired)
 
     def _timer_fired(self) -> None:
-        # Each chunk moves the deadline; the timer follows only when it fires.
+        # Each chunk moves the deadline to later; the timer is not moved with it but checks it when it fires.
         self._timer, self._timer_at = None, NEVER
         deadline = self._flow.next_deadline()
         if deadline > self._clock():
@@ -199,7 +199,7 @@
             self._writer.abort()
             self._finish_response()
         elif isinstance(effect, FlowDone):
-            self._end()
+            self._end_flow()
         else:
             self._execute_other(effect)
 
@@ -225,7 +225,7 @@
         if not self._responded.done():
             self._responded.set_result(None)
 
-    def _end(self) -> None:
+    def _end_flow(self) -> None:
         if self._finished:
             return
         self._finished = True
@@ -238,12 +238,12 @@
             self._services.driver.forget_claim(correlation_id)
         self._on_finished(self)
 
-    def _crashed(self, error: Exception) -> None:
-        """Respond to an internal fault; what an engine did with the request is unknown."""
+    def _handle_crash(self, error: Exception) -> None:
+        """Respond to an exception in the flow. If the request was dispatched, its fate is unknown."""
         self._services.log.crash("request_flow_crashed", error)
         self._crashes += 1
         if self._crashes > 1:
-            self._end()
+            self._end_flow()
             return
         if self._writer.begun:
             self._writer.abort()
@@ -260,6 +260,6 @@
                 )
             )
         self._finish_response()
-        # The flow releases what the request holds (slot, quota, claim).
+        # On this event the flow releases what the request holds (slot, quota, claim).
         self._handling = False
         self.deliver(ClientDisconnected())
--- a/src/springmux/node/client/response_writer.py
+++ b/src/springmux/node/client/response_writer.py
@@ -1,7 +1,7 @@
-"""Write one response to a client's connection: head, chunks, end. Synchronous, so that chunks keep order.
+"""Writes one response to a client's connection, synchronously, so that chunks keep their order.
 
-Framing is HTTP/1.1 (RFC 9112): ``Content-Length`` or chunked; a client of HTTP/1.0 gets a stream
-that ends with its connection.
+Framing is HTTP/1.1 (RFC 9112): ``Content-Length`` or chunked. An HTTP/1.0 client gets a stream that ends when
+the connection closes.
 """
 
 from __future__ import annotations
@@ -30,9 +30,10 @@
 
 
 class ResponseWriter:
-    """The response to one request. ``keep_alive`` may turn false, never true again.
+    """The response to one request. ``keep_alive`` may become false, and then stays so.
 
-    Head, chunks and end of one event are sent together at :meth:`flush`: one system call, one packet.
+    Head, chunks and end that one event causes are sent together by :meth:`flush`: one system call, one
+    packet.
     """
 
     def __init__(self, connection: Connection, keep_alive: bool, http_1_1: bool, head_only: bool) -> None:
@@ -46,14 +47,14 @@
         self.status = 0
 
     def head(self, status: int, headers: Headers | list[tuple[str, str]], length: int | None) -> None:
-        """Begin the response; ``length`` ``None`` means a stream."""
+        """Begin the response; it is a stream if ``length`` is ``None``."""
         self._write(self._head_bytes(status, headers, length))
 
     def _head_bytes(self, status: int, headers: Headers | list[tuple[str, str]], length: int | None) -> bytes:
         self.begun = True
         self.status = status
         lines = [f"HTTP/1.1 {status} {_REASONS.get(status, 'Status')}"]
-        lines.extend(f"{name}: {_one_line(value)}" for name, value in headers)
+        lines.extend(f"{name}: {_replace_line_breaks(value)}" for name, value in headers)
         if length is not None:
             lines.append(f"Content-Length: {length}")
         elif self._http_1_1:
@@ -82,9 +83,9 @@
             self._write(b"0\r\n\r\n")
 
     def abort(self) -> None:
-        """Stop without an end: the connection closes, so the client sees that the response is incomplete.
+        """Stop without ending the body, and close, so that the client sees that the response is incomplete.
 
-        What was written before, such as an error event, is still sent.
+        Data written before, such as an error event, is still sent.
         """
         self.keep_alive = False
         self.flush()
@@ -95,7 +96,7 @@
         self.complete(error.status, error_headers(error), body)
 
     def complete(self, status: int, headers: Headers | list[tuple[str, str]], body: bytes) -> None:
-        """Write a complete response at once."""
+        """Write a complete response and flush it."""
         self._write(self._head_bytes(status, headers, len(body)))
         if not self._head_only:
             self._write(body)
@@ -116,7 +117,7 @@
         self._pending.append(data)
 
     def flush(self) -> None:
-        """Pass what was written so far to the socket."""
+        """Pass the data written so far to the socket."""
         pending = self._pending
         if not pending:
             return
@@ -126,6 +127,6 @@
         pending.clear()
 
 
-def _one_line(value: str) -> str:
-    """Remove line breaks: a value from an engine or a client must not begin another header."""
+def _replace_line_breaks(value: str) -> str:
+    """Replace line breaks, so that a value from an engine or a client can't begin another header."""
     return value.replace("\r", " ").replace("\n", " ")
--- a/src/springmux/node/client/upstream.py
+++ b/src/springmux/node/client/upstream.py
@@ -1,7 +1,8 @@
-"""HTTP client of the engines: one exchange per dispatch, its outcome as the flow's events.
+"""HTTP client for engines: runs one exchange per dispatch, and reports it to the flow as events.
 
-No retries, redirects or decompression. A connection is reused only after ``CloseUpstream`` confirmed
-that its response ended properly. ``sent`` is exact: false only if no connection was established.
+It does not retry, follow redirects or decompress. A connection is reused only after ``CloseUpstream``
+confirmed that its response ended properly. ``UpstreamFailed.sent`` is exact: it is false only if no
+connection was established.
 """
 
 from __future__ import annotations
@@ -31,12 +32,13 @@
 MAX_ENGINE_LINE_BYTES = 8190
 """Longest status or header line accepted from an engine (the HTTP library's own default)."""
 POOL_IDLE_S = 15.0
-"""Idle connections are closed before ordinary servers (20 s and more) close them."""
+"""Idle connections are closed after this time, before ordinary servers (20 s and more) close them."""
 OMITTED_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
+"""Headers that aiohttp would otherwise add to each request."""
 
 
 class UpstreamEventSink(Protocol):
-    """Receiver of an exchange's events, with backpressure."""
+    """Receives an exchange's events, and applies backpressure."""
 
     def upstream_event(self, event: UpstreamEvent) -> None:
         """Handle one event; synchronous."""
@@ -49,40 +51,40 @@
 
 
 class _Progress(msgspec.Struct):
-    """Progress of the HTTP library; shared with its trace callbacks."""
+    """State of an exchange that aiohttp's trace callbacks update."""
 
     connected: bool = False
 
 
-async def _connected(_: aiohttp.ClientSession, context: SimpleNamespace, __: object) -> None:
+async def _record_connection(_: aiohttp.ClientSession, context: SimpleNamespace, __: object) -> None:
     progress = context.trace_request_ctx
     if isinstance(progress, _Progress):
         progress.connected = True
 
 
-def _trace() -> aiohttp.TraceConfig:
+def _trace_config() -> aiohttp.TraceConfig:
     trace = aiohttp.TraceConfig()
-    trace.on_connection_create_end.append(_connected)
-    trace.on_connection_reuseconn.append(_connected)
+    trace.on_connection_create_end.append(_record_connection)
+    trace.on_connection_reuseconn.append(_record_connection)
     return trace
 
 
 class _ConnectionEndedError(aiohttp.ClientPayloadError):
-    """The connection ended inside a body that the library's parser had rejected."""
+    """The connection ended inside a body that aiohttp's parser had rejected."""
 
 
 class _DeferredReleaseResponse(aiohttp.ClientResponse):
-    """A response that keeps its connection at the body's end until the flow has checked all of it.
+    """A response that keeps its connection after the end of the body, until the flow has checked all of it.
 
-    The library would return the connection to the pool at once, also after a malformed response.
+    aiohttp would return the connection to the pool at the end of the body, even of a malformed response.
     """
 
     def _response_eof(self) -> None:
-        """Do nothing: :meth:`Exchange.close` releases or closes."""
+        """Do nothing, as :meth:`Exchange.close` releases or closes the connection."""
 
 
 class UpstreamClient:
-    """The node's connections to engines: one session with a pool, one that reuses no connection."""
+    """The node's connections to engines, in two sessions: one pools connections, the other reuses none."""
 
     def __init__(self, metrics: NodeMetrics) -> None:
         self._metrics = metrics
@@ -100,7 +102,7 @@
             auto_decompress=False,
             response_class=_DeferredReleaseResponse,
             cookie_jar=aiohttp.DummyCookieJar(),
-            trace_configs=[_trace()],
+            trace_configs=[_trace_config()],
             skip_auto_headers=OMITTED_HEADERS,
             max_line_size=MAX_ENGINE_LINE_BYTES,
             max_field_size=MAX_ENGINE_LINE_BYTES,
@@ -108,7 +110,7 @@
         )
 
     def begin(self, dispatch: Dispatch, sink: UpstreamEventSink) -> Exchange:
-        """Start an exchange that sends its events to ``sink``."""
+        """Start an exchange that reports its events to ``sink``."""
         self._metrics.count("upstream_attempts_total", dispatch.engine.service, dispatch.engine.version)
         self.rates.dispatched(dispatch.engine.service)
         session = self._unpooled if dispatch.fresh else self._pooled
@@ -147,7 +149,7 @@
         if self._closed:
             return
         self._closed = True
-        self._unwatch()
+        self._stop_observing_connection()
         if self._response is not None:
             if reusable and self._ended:
                 self._response.release()
@@ -160,15 +162,15 @@
         try:
             await self._exchange()
         except asyncio.CancelledError:
-            self._unwatch()
+            self._stop_observing_connection()
             if self._response is not None:
                 self._response.close()
             raise
-        except Exception as error:  # noqa: BLE001 - whatever the library raises is a failed attempt, not the node's end
-            self._unwatch()
+        except Exception as error:  # noqa: BLE001 - any exception of aiohttp is a failed attempt and must not end the node
+            self._stop_observing_connection()
             if self._response is not None:
                 self._response.close()
-            self._failed(_cause(error))
+            self._report_failure(_failure_cause(error))
 
     async def _exchange(self) -> None:
         dispatch = self._dispatch
@@ -185,15 +187,15 @@
         if self._closed:
             response.close()
             return
-        self._watch(response)
+        self._observe_connection_end(response)
         headers = {name.lower(): value for name, value in response.headers.items()}
         self._emit(UpstreamHead(attempt=self._attempt, status=response.status, headers=headers))
         await self._read_body(response.content)
         if not self._closed:
-            self._end(response)
+            self._report_end(response)
 
-    def _watch(self, response: aiohttp.ClientResponse) -> None:
-        """Observe the connection's end: after a malformed chunk the library leaves readers waiting."""
+    def _observe_connection_end(self, response: aiohttp.ClientResponse) -> None:
+        """Observe the connection's end, because aiohttp leaves readers waiting after a malformed chunk."""
         protocol = response.connection.protocol if response.connection is not None else None
         end = protocol.closed if protocol is not None else None
         if end is None:
@@ -202,7 +204,7 @@
         self._connection_end = end
         end.add_done_callback(self._connection_ended)
 
-    def _unwatch(self) -> None:
+    def _stop_observing_connection(self) -> None:
         if self._connection_end is not None:
             self._connection_end.remove_done_callback(self._connection_ended)
             self._connection_end = None
@@ -212,13 +214,13 @@
         if content is not None and not content.is_eof() and content.exception() is None:
             content.set_exception(_ConnectionEndedError("the body's framing is malformed"))
 
-    def _end(self, response: aiohttp.ClientResponse) -> None:
+    def _report_end(self, response: aiohttp.ClientResponse) -> None:
         self._ended = True
         chunked = "chunked" in response.headers.get("Transfer-Encoding", "").lower()
         if not chunked and "Content-Length" not in response.headers:
-            # The body ended with the connection, so its length can't be verified.
+            # The end of the connection ended the body, so its length can't be verified.
             response.close()
-            self._failed(UpstreamCause.PROTOCOL)
+            self._report_failure(UpstreamCause.PROTOCOL)
             return
         self._emit(UpstreamEnd(attempt=self._attempt))
 
@@ -240,14 +242,14 @@
         if not self._closed:
             self._sink.upstream_event(event)
 
-    def _failed(self, cause: UpstreamCause) -> None:
+    def _report_failure(self, cause: UpstreamCause) -> None:
         self._metrics.count("upstream_failures_total", cause)
         self._ended = True
         self._emit(UpstreamFailed(attempt=self._attempt, cause=cause, sent=self._progress.connected))
 
 
-def _cause(error: Exception) -> UpstreamCause:
-    """Return why an exchange failed. Any unknown error is a protocol fault of the engine."""
+def _failure_cause(error: Exception) -> UpstreamCause:
+    """Return why an exchange failed; any unknown error counts as a protocol fault of the engine."""
     if isinstance(error, aiohttp.ConnectionTimeoutError):
         return UpstreamCause.CONNECT_TIMEOUT
     if isinstance(error, aiohttp.ClientConnectorError):
@@ -256,6 +258,6 @@
         return UpstreamCause.RESET
     if isinstance(error, aiohttp.ClientPayloadError) and not isinstance(error, _ConnectionEndedError):
         # Closed before the announced length or the last chunk; a malformed chunk is not a reset.
-        early = "Not enough data" in repr(error.__cause__) or error.__cause__ is None
-        return UpstreamCause.RESET if early else UpstreamCause.PROTOCOL
+        ended_early = "Not enough data" in repr(error.__cause__) or error.__cause__ is None
+        return UpstreamCause.RESET if ended_early else UpstreamCause.PROTOCOL
     return UpstreamCause.PROTOCOL
--- a/src/springmux/node/metrics/exposition.py
+++ b/src/springmux/node/metrics/exposition.py
@@ -1,4 +1,4 @@
-"""Render the metrics in the text exposition format. Only a scrape imports this module and its library."""
+"""Text exposition of the metrics. This module and prometheus_client are imported only for a scrape."""
 
 from __future__ import annotations
 
@@ -21,7 +21,11 @@
     values: Mapping[tuple[str, ...], float],
     histograms: Mapping[str, HistogramState],
 ) -> bytes:
-    """Return the exposition of the table's metrics. ``values``: by name and label values."""
+    """Return the text exposition of the metrics that ``specs`` defines.
+
+    :param values: counters and gauges by metric name and label values.
+    :param histograms: by metric name.
+    """
     registry = CollectorRegistry(auto_describe=False)
     registry.register(_Snapshot(tuple(specs), values, histograms))
     return generate_latest(registry)
@@ -43,11 +47,11 @@
             if spec.kind is MetricKind.HISTOGRAM:
                 yield self._histogram(spec)
             else:
-                yield self._numbers(spec)
+                yield self._counter_or_gauge(spec)
 
-    def _numbers(self, spec: MetricSpec) -> Metric:
-        make = CounterMetricFamily if spec.kind is MetricKind.COUNTER else GaugeMetricFamily
-        family = make(PREFIX + spec.name, spec.help, labels=spec.labels)
+    def _counter_or_gauge(self, spec: MetricSpec) -> Metric:
+        family_type = CounterMetricFamily if spec.kind is MetricKind.COUNTER else GaugeMetricFamily
+        family = family_type(PREFIX + spec.name, spec.help, labels=spec.labels)
         for series, value in self._values.items():
             if series[0] == spec.name:
                 family.add_metric(series[1:], value)
--- a/src/springmux/node/metrics/registry.py
+++ b/src/springmux/node/metrics/registry.py
@@ -1,4 +1,4 @@
-"""The present values of a node's metrics, plain numbers until a scrape."""
+"""Current values of a node's metrics, kept as plain numbers and encoded only for a scrape."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 _SPECS = {spec.name: spec for spec in METRICS}
 _Series = tuple[str, ...]
-"""A time series: the metric's name, then its label values."""
+"""Key of a time series: the metric's name, then its label values."""
 MetricsSource = Callable[[], Mapping[_Series, float]]
-"""Returns the present values of metrics that are counted elsewhere, by series."""
+"""Returns the current values, by series, of metrics that are counted elsewhere."""
 
 
 class _Observations:
-    """A histogram: number of observations in each bucket, the last one unbounded, and their sum."""
+    """A histogram: the number of observations in each bucket, the last one unbounded, and their sum."""
 
     def __init__(self, bounds: tuple[float, ...]) -> None:
         self.bounds = bounds
@@ -30,9 +30,9 @@
 
 
 class NodeMetrics:
-    """The node's metrics, plain numbers until a scrape.
+    """The node's metrics, kept as plain numbers and encoded only for a scrape.
 
-    Threads other than the event loop's may count only under labels that no other thread uses.
+    A thread other than the event loop's may count only under labels that no other thread uses.
     """
 
     def __init__(self) -> None:
@@ -46,38 +46,44 @@
                 self._values[(spec.name,)] = 0.0
 
     def add_source(self, source: MetricsSource) -> None:
-        """Read counters and gauges of the table from ``source`` at each exposition."""
+        """Read counters and gauges of the table from ``source`` at each scrape."""
         self._sources.append(source)
 
     def count(self, name: str, *labels: str, amount: float = 1) -> None:
         """Add ``amount`` to a counter of the table.
 
-        :raises KeyError, ValueError: if the table has no such counter, or it has other labels.
+        :raises KeyError, ValueError: the table has no such counter, or the counter has other labels.
         """
         series = (name, *labels)
-        before = self._values.get(series)
-        if before is None:
-            before = self._initial_value(series)
-        self._values[series] = before + amount
+        previous = self._values.get(series)
+        if previous is None:
+            previous = self._initial_value(series)
+        self._values[series] = previous + amount
 
     def set(self, name: str, value: float) -> None:
-        """Set a gauge of the table."""
+        """Set a gauge of the table, which must be one without labels.
+
+        :raises KeyError, ValueError: the table has no such gauge.
+        """
         if _SPECS[name].kind is not MetricKind.GAUGE:
-            raise ValueError(f"{name} is no gauge")
+            raise ValueError(f"{name} is not a gauge")
         self._values[(name,)] = value
 
     def observe(self, name: str, value: float) -> None:
-        """Add one observation to a histogram of the table."""
+        """Add one observation to a histogram of the table.
+
+        :raises KeyError: the table has no such histogram.
+        """
         self._histograms[name].add(value)
 
     def value(self, name: str, *labels: str) -> float:
-        """Return a counter's or gauge's present value (for status pages and tests)."""
+        """Return the current value of a counter or gauge (for status pages and tests)."""
         series = (name, *labels)
-        found = self._values.get(series)
-        return self._initial_value(series) if found is None else found
+        current = self._values.get(series)
+        return self._initial_value(series) if current is None else current
 
     def exposition(self) -> bytes:
-        """Return the text exposition format. The library is loaded at the first scrape."""
+        """Return all metrics in the text exposition format; the first call imports prometheus_client."""
         from springmux.node.metrics.exposition import render
 
         values = dict(self._values)
@@ -90,10 +96,10 @@
         return HistogramState(tuple(accumulate(observations.counts)), observations.sum)
 
     def _initial_value(self, series: _Series) -> float:
-        """Return the value of a series that has none yet."""
+        """Return the value of a series that was not counted or set yet."""
         spec = _SPECS[series[0]]
         if spec.kind is MetricKind.HISTOGRAM:
             raise ValueError(f"{spec.name} is a histogram")
         if len(series) - 1 != len(spec.labels):
-            raise ValueError(f"{spec.name} has the labels {spec.labels}, given were {series[1:]}")
+            raise ValueError(f"{spec.name} has the labels {spec.labels}, but got {series[1:]}")
         return 0.0
--- a/src/springmux/node/metrics/table.py
+++ b/src/springmux/node/metrics/table.py
@@ -1,4 +1,4 @@
-"""The one table of the metrics; docs/REFERENCE.md is generated from it."""
+"""The table of all metrics, from which docs/REFERENCE.md is generated."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class MetricSpec(msgspec.Struct, frozen=True):
-    """One metric: name without prefix, type, help text, label names, histogram buckets."""
+    """One metric: name without prefix, type, help text, label names, upper bounds of histogram buckets."""
 
     name: str
     kind: MetricKind
@@ -26,7 +26,7 @@
 
 
 class HistogramState(msgspec.Struct, frozen=True):
-    """A histogram at one moment: cumulative counts of its buckets, the unbounded one last, and the sum."""
+    """A histogram at a scrape: cumulative bucket counts, the unbounded bucket last, and the sum."""
 
     cumulative: tuple[int, ...]
     sum: float
