--- a/tests/unit/node/admin/test_listener.py
+++ b/tests/unit/node/admin/test_listener.py
@@ -1,4 +1,4 @@
-"""The admin listener: back ends' reports, operators' orders, health."""
+"""The admin listener: reports of engines, orders of operators, health."""
 
 import asyncio
 import io
@@ -46,29 +46,31 @@
 }
 
 
-class Admin:
-    """A running admin listener and a client for it."""
+class RunningAdmin:
+    """A running admin listener, and an HTTP client for it."""
 
     def __init__(self, agent: FakeAgent, base: str, session: aiohttp.ClientSession) -> None:
         self.agent, self._base, self._session = agent, base, session
         self.health = NodeHealth(agent)
 
-    async def ask(
+    async def send(
         self, method: str, path: str, body: Any = None, **headers: str
     ) -> tuple[int, Any, dict[str, str]]:
         data = body if isinstance(body, bytes) or body is None else json.dumps(body).encode()
-        named = {name.replace("_", "-"): value for name, value in headers.items()}
-        async with self._session.request(method, self._base + path, data=data, headers=named) as answer:
-            raw = await answer.read()
-            is_json = answer.content_type == "application/json"
-            return answer.status, json.loads(raw) if is_json else raw, dict(answer.headers)
+        header_fields = {name.replace("_", "-"): value for name, value in headers.items()}
+        async with self._session.request(
+            method, self._base + path, data=data, headers=header_fields
+        ) as response:
+            raw = await response.read()
+            is_json = response.content_type == "application/json"
+            return response.status, json.loads(raw) if is_json else raw, dict(response.headers)
 
     def commands(self) -> list[AnyCommand]:
         return [event.command for event in self.agent.events if isinstance(event, OrderSubmitted)]
 
 
 @asynccontextmanager
-async def admin_node(**settings_values: Any) -> AsyncIterator[Admin]:
+async def admin_node(**settings_values: Any) -> AsyncIterator[RunningAdmin]:
     settings = make_settings(**settings_values)
     agent = FakeAgent(make_view())
     log, metrics = EventLog("n1", output=io.StringIO()), NodeMetrics()
@@ -77,14 +79,14 @@
     listener = AdminListener(settings, agent, driver, metrics, log, RolloutHistory(), ServiceRates(), health)
     await listener.listen()
     async with aiohttp.ClientSession() as session:
-        admin = Admin(agent, f"http://{settings.admin_address}", session)
+        admin = RunningAdmin(agent, f"http://{settings.admin_address}", session)
         admin.health = health
         yield admin
     await listener.close()
     driver.stop()
 
 
-def answering(outcome: Outcome, **values: Any) -> Any:
+def respond_with(outcome: Outcome, **values: Any) -> Any:
     def on_order(event: OrderSubmitted) -> list[Effect]:
         result = CommandResult(event.command.order, outcome, Revision(9), **values)
         return [OrderAnswered(event.correlation_id, result)]
@@ -92,18 +94,25 @@
     return on_order
 
 
-async def test_announce_heartbeat_and_drain_become_events() -> None:
+async def test_announce_heartbeat_and_drain_are_submitted_as_events() -> None:
     async with admin_node() as admin:
-        assert (await admin.ask("POST", "/v1/engines/announce", ENGINE))[0] == 204
-        beat = {**ENGINE, "sequence": 3, "status": "draining", "running": 2, "queued": 1, "cache_used": 0.5}
-        assert (await admin.ask("POST", "/v1/engines/heartbeat", beat))[0] == 204
-        assert (await admin.ask("POST", "/v1/engines/drain", {"engine": "e1"}))[0] == 204
-        announced, heard, draining = admin.agent.events
+        assert (await admin.send("POST", "/v1/engines/announce", ENGINE))[0] == 204
+        heartbeat_body = {
+            **ENGINE,
+            "sequence": 3,
+            "status": "draining",
+            "running": 2,
+            "queued": 1,
+            "cache_used": 0.5,
+        }
+        assert (await admin.send("POST", "/v1/engines/heartbeat", heartbeat_body))[0] == 204
+        assert (await admin.send("POST", "/v1/engines/drain", {"engine": "e1"}))[0] == 204
+        announced, heartbeat, draining = admin.agent.events
         assert isinstance(announced, EngineAnnounced)
         assert announced.record.incarnation == 7
-        assert isinstance(heard, EngineHeartbeat)
-        assert heard.record.status is EngineStatus.DRAINING
-        assert (heard.record.sequence, heard.load.running, heard.load.queued) == (3, 2, 1)
+        assert isinstance(heartbeat, EngineHeartbeat)
+        assert heartbeat.record.status is EngineStatus.DRAINING
+        assert (heartbeat.record.sequence, heartbeat.load.running, heartbeat.load.queued) == (3, 2, 1)
         assert isinstance(draining, EngineDraining)
 
 
@@ -124,19 +133,21 @@
         (b'{"x": ' + b"[" * 100_000, "$"),
     ],
 )
-async def test_a_wrong_announcement_names_its_field_and_changes_nothing(body: Any, field: str) -> None:
+async def test_invalid_announcement_gets_an_error_with_its_field_and_is_not_submitted(
+    body: Any, field: str
+) -> None:
     async with admin_node() as admin:
-        status, document, _ = await admin.ask("POST", "/v1/engines/announce", body)
+        status, document, _ = await admin.send("POST", "/v1/engines/announce", body)
         assert (status, document["error"]["errors"][0]["path"]) == (400, field)
         assert admin.agent.events == []
 
 
 @pytest.mark.parametrize("field", ["sequence", "running", "queued", "cache_used"])
-async def test_a_heartbeat_of_absurd_figures_is_refused(field: str) -> None:
+async def test_heartbeat_with_a_number_out_of_range_is_refused(field: str) -> None:
     async with admin_node() as admin:
         for value in (-1, 1 << 64):
             body = {**ENGINE, "sequence": 1, field: value}
-            status, document, _ = await admin.ask("POST", "/v1/engines/heartbeat", body)
+            status, document, _ = await admin.send("POST", "/v1/engines/heartbeat", body)
             assert (status, document["error"]["errors"][0]["path"]) == (400, field)
         assert admin.agent.events == []
 
@@ -151,12 +162,19 @@
         (FETCHING, None),
     ],
 )
-async def test_a_node_that_reaches_nobody_sends_engines_to_another_one(reason: str, code: str | None) -> None:
+async def test_node_that_reaches_no_other_node_refuses_reports_of_engines(
+    reason: str, code: str | None
+) -> None:
     async with admin_node() as admin:
         admin.agent.ready, admin.agent.not_ready_reason = False, reason
-        name, beat = {"engine": "e1"}, {**ENGINE, "sequence": 1}
-        for path, body in (("announce", ENGINE), ("heartbeat", beat), ("drain", name), ("leave", name)):
-            status, document, headers = await admin.ask("POST", f"/v1/engines/{path}", body)
+        name, heartbeat_body = {"engine": "e1"}, {**ENGINE, "sequence": 1}
+        for path, body in (
+            ("announce", ENGINE),
+            ("heartbeat", heartbeat_body),
+            ("drain", name),
+            ("leave", name),
+        ):
+            status, document, headers = await admin.send("POST", f"/v1/engines/{path}", body)
             if code is None:
                 assert status == 204
                 continue
@@ -179,17 +197,19 @@
         ("PUT", "/v1/tenants/t1", b'{"x": ' + b"[" * 100_000),
     ],
 )
-async def test_an_order_of_absurd_values_is_refused_here(method: str, path: str, body: Any) -> None:
+async def test_order_with_invalid_values_is_refused_and_not_submitted(
+    method: str, path: str, body: Any
+) -> None:
     async with admin_node() as admin:
-        status, document, _ = await admin.ask(method, path, body)
+        status, document, _ = await admin.send(method, path, body)
         assert (status in (400, 422), document["error"]["fate"]) == (True, "refused")
         assert admin.agent.events == []
 
 
-async def test_an_accepted_order_carries_its_id_operator_and_result() -> None:
+async def test_accepted_order_is_submitted_with_id_and_operator_and_returns_its_result() -> None:
     async with admin_node() as admin:
-        admin.agent.on_order = answering(Outcome.ACCEPTED, version=2)
-        status, document, _ = await admin.ask(
+        admin.agent.on_order = respond_with(Outcome.ACCEPTED, version=2)
+        status, document, _ = await admin.send(
             "PUT", "/v1/configuration?version=2", CONFIGURATION, X_Order_Id="o-1", X_Operator="ada"
         )
         assert (status, document) == (
@@ -205,135 +225,141 @@
         )
 
 
-async def test_outcomes_become_their_statuses() -> None:
-    lost = {"version": 2, "order": "other"}
-    wrong = (FieldError("a.b", "bad"),)
+async def test_order_outcomes_have_their_http_statuses() -> None:
+    winner = {"version": 2, "order": "other"}
+    field_errors = (FieldError("a.b", "bad"),)
     cases = [
-        (answering(Outcome.CONFLICT, winner=lost), 409, "version_conflict"),
-        (answering(Outcome.INVALID, errors=wrong), 422, "invalid_order"),
-        (answering(Outcome.NOT_FOUND), 404, "not_found"),
+        (respond_with(Outcome.CONFLICT, winner=winner), 409, "version_conflict"),
+        (respond_with(Outcome.INVALID, errors=field_errors), 422, "invalid_order"),
+        (respond_with(Outcome.NOT_FOUND), 404, "not_found"),
     ]
     async with admin_node() as admin:
         for on_order, status, code in cases:
             admin.agent.on_order = on_order
-            got, document, _ = await admin.ask("PATCH", "/v1/configuration?version=2", {"limits": {}})
-            assert (got, document["error"]["code"]) == (status, code)
+            received_status, document, _ = await admin.send(
+                "PATCH", "/v1/configuration?version=2", {"limits": {}}
+            )
+            assert (received_status, document["error"]["code"]) == (status, code)
             if status == 409:
-                assert document["winner"] == lost
+                assert document["winner"] == winner
             if status == 422:
                 assert document["error"]["errors"] == [{"path": "a.b", "message": "bad"}]
 
 
-async def test_a_refused_order_says_when_to_come_back() -> None:
+async def test_refused_order_has_a_retry_after_header() -> None:
     async with admin_node() as admin:
         error = ApiError(ErrorCode.NO_QUORUM, "no quorum", 503, retry_after_s=0.4)
         admin.agent.on_order = lambda event: [OrderAnswered(event.correlation_id, None, error)]
-        status, document, headers = await admin.ask("POST", "/v1/keys/k1/revoke")
+        status, document, headers = await admin.send("POST", "/v1/keys/k1/revoke")
         assert (status, document["error"]["code"], headers["Retry-After"]) == (503, "no_quorum", "1")
         assert document["error"]["node"] == "n1"
 
 
-async def test_an_order_without_answer_is_unknown_and_the_same_id_may_be_resent() -> None:
+async def test_order_without_a_result_in_time_has_an_unknown_fate() -> None:
     async with admin_node(order_timeout_s=0.05) as admin:
-        status, document, _ = await admin.ask("POST", "/v1/keys/k1/revoke", X_Order_Id="o-2")
+        status, document, _ = await admin.send("POST", "/v1/keys/k1/revoke", X_Order_Id="o-2")
         assert (status, document["error"]["fate"]) == (504, "unknown")
 
 
-async def test_an_invalid_configuration_names_every_error_and_is_not_submitted() -> None:
-    wrong = {"services": {"text": {"stable": ""}}, "routes": {"chat": {"kind": "pony"}}, "typo": {}}
+async def test_invalid_configuration_gets_every_error_and_is_not_submitted() -> None:
+    invalid_configuration = {
+        "services": {"text": {"stable": ""}},
+        "routes": {"chat": {"kind": "pony"}},
+        "typo": {},
+    }
     async with admin_node() as admin:
         for method, path in (("PUT", "/v1/configuration?version=2"), ("POST", "/v1/configuration/validate")):
-            status, document, _ = await admin.ask(method, path, wrong)
+            status, document, _ = await admin.send(method, path, invalid_configuration)
             paths = {error["path"] for error in document["error"]["errors"]}
             assert (status, document["error"]["code"]) == (422, "invalid_configuration")
             assert {"services.text.stable", "routes.chat.kind", "typo"} <= paths
         assert admin.commands() == []
 
 
-async def test_too_large_malformed_and_unnumbered_configurations_are_refused() -> None:
+async def test_too_large_or_malformed_configuration_or_one_without_version_is_refused() -> None:
     async with admin_node(max_configuration_bytes=1024) as admin:
         for size in (1025, 1 << 20):
-            status, document, _ = await admin.ask("PUT", "/v1/configuration?version=2", b" " * size)
+            status, document, _ = await admin.send("PUT", "/v1/configuration?version=2", b" " * size)
             assert (status, document["error"]["code"]) == (413, "body_too_large")
-        assert (await admin.ask("PUT", "/v1/configuration?version=2", b"{"))[0] == 422
-        assert (await admin.ask("PUT", "/v1/configuration", CONFIGURATION))[0] == 400
+        assert (await admin.send("PUT", "/v1/configuration?version=2", b"{"))[0] == 422
+        assert (await admin.send("PUT", "/v1/configuration", CONFIGURATION))[0] == 400
         assert admin.commands() == []
 
 
-async def test_parsing_a_configuration_does_not_hold_up_the_loop(monkeypatch: pytest.MonkeyPatch) -> None:
-    entered, go_on = threading.Event(), threading.Event()
+async def test_parsing_a_configuration_does_not_block_the_event_loop(monkeypatch: pytest.MonkeyPatch) -> None:
+    entered, resume = threading.Event(), threading.Event()
 
     def slow_parse(document: bytes, version: int, max_bytes: int) -> None:
         entered.set()
-        assert go_on.wait(LONG_S)
+        assert resume.wait(LONG_S)
 
     monkeypatch.setattr(admin_control, "parse_configuration", slow_parse)
     async with admin_node() as admin:
-        admin.agent.on_order = answering(Outcome.ACCEPTED)
-        order = asyncio.ensure_future(admin.ask("PUT", "/v1/configuration?version=2", CONFIGURATION))
+        admin.agent.on_order = respond_with(Outcome.ACCEPTED)
+        order = asyncio.ensure_future(admin.send("PUT", "/v1/configuration?version=2", CONFIGURATION))
         await until(entered.is_set)
-        assert (await admin.ask("GET", "/healthz"))[0] == 200
-        go_on.set()
+        assert (await admin.send("GET", "/healthz"))[0] == 200
+        resume.set()
         assert (await order)[0] == 200
 
 
-async def test_a_key_is_kept_as_digest_only_and_listed_without_it() -> None:
+async def test_key_is_submitted_as_a_digest_and_listed_without_it() -> None:
     async with admin_node() as admin:
-        admin.agent.on_order = answering(Outcome.ACCEPTED)
+        admin.agent.on_order = respond_with(Outcome.ACCEPTED)
         body = {"tenant": "t1", "key": "sixteen-characters"}
-        assert (await admin.ask("PUT", "/v1/keys/k2", body))[0] == 200
+        assert (await admin.send("PUT", "/v1/keys/k2", body))[0] == 200
         (command,) = admin.commands()
         assert isinstance(command, PutKey)
         assert len(command.digest) == 64
-        assert (await admin.ask("PUT", "/v1/keys/k3", {"tenant": "t1", "key": "short"}))[0] == 400
-        _, listed, _ = await admin.ask("GET", "/v1/keys")
+        assert (await admin.send("PUT", "/v1/keys/k3", {"tenant": "t1", "key": "short"}))[0] == 400
+        _, listed, _ = await admin.send("GET", "/v1/keys")
         assert listed == [{"key": "k1", "tenant": "t1", "revoked": False}]
 
 
-async def test_promote_stamps_the_plan_and_names_wrong_parameters() -> None:
+async def test_resent_promote_names_the_same_rollout_and_invalid_parameters_are_named() -> None:
     async with admin_node() as admin:
-        admin.agent.on_order = answering(Outcome.ACCEPTED)
+        admin.agent.on_order = respond_with(Outcome.ACCEPTED)
         body = {"parameters": {"candidate": "v2", "by_s": 60}}
         for _ in range(2):
-            assert (await admin.ask("POST", "/v1/rollouts/text/promote", body, X_Order_Id="o-3"))[0] == 200
+            assert (await admin.send("POST", "/v1/rollouts/text/promote", body, X_Order_Id="o-3"))[0] == 200
         first, second = admin.commands()
         assert isinstance(first, PromoteRollout)
         assert first == second
         assert (first.plan.service, first.plan.candidate) == ("text", "v2")
-        wrong = {"parameters": {"candidate": "v2", "expose_share": 0.9, "pony": 1}}
-        status, document, _ = await admin.ask("POST", "/v1/rollouts/text/promote", wrong)
+        invalid_body = {"parameters": {"candidate": "v2", "expose_share": 0.9, "pony": 1}}
+        status, document, _ = await admin.send("POST", "/v1/rollouts/text/promote", invalid_body)
         paths = {error["path"] for error in document["error"]["errors"]}
         assert (status, paths) == (422, {"parameters.expose_share", "parameters.pony"})
-        assert (await admin.ask("POST", "/v1/rollouts/none/promote", body))[0] == 422
+        assert (await admin.send("POST", "/v1/rollouts/none/promote", body))[0] == 422
 
 
-async def test_preview_refuses_what_the_engines_cannot_carry() -> None:
+async def test_preview_refuses_a_rate_over_the_engines_capacity() -> None:
     async with admin_node() as admin:
         body = {"parameters": {"service": "text", "candidate": "v2"}}
         admin.agent.add_engine("127.0.0.1:9000")
-        status, document, _ = await admin.ask("POST", "/v1/rollouts/preview?prompts_per_s=100", body)
+        status, document, _ = await admin.send("POST", "/v1/rollouts/preview?prompts_per_s=100", body)
         assert status == 422
         assert "too few" in document["error"]["errors"][0]["message"]
         for rate in ("nan", "-1", "1e308", "x"):
-            status, document, _ = await admin.ask("POST", f"/v1/rollouts/preview?prompts_per_s={rate}", body)
+            status, document, _ = await admin.send("POST", f"/v1/rollouts/preview?prompts_per_s={rate}", body)
             assert (status, document["error"]["errors"][0]["path"]) == (400, "prompts_per_s")
         assert admin.commands() == []
 
 
-async def test_readiness_health_metrics_and_errors() -> None:
+async def test_readiness_health_metrics_status_and_errors_are_served() -> None:
     async with admin_node() as admin:
-        assert (await admin.ask("GET", "/readyz"))[:2] == (200, {"ready": True, "reason": ""})
+        assert (await admin.send("GET", "/readyz"))[:2] == (200, {"ready": True, "reason": ""})
         admin.agent.ready, admin.agent.not_ready_reason = False, "cut off"
-        assert (await admin.ask("GET", "/readyz"))[:2] == (503, {"ready": False, "reason": "cut off"})
+        assert (await admin.send("GET", "/readyz"))[:2] == (503, {"ready": False, "reason": "cut off"})
         admin.health.stopping = True
-        assert (await admin.ask("GET", "/readyz"))[1]["reason"] == "stopping"
-        assert (await admin.ask("GET", "/healthz"))[0] == 200
-        assert b"springmux_ready" in (await admin.ask("GET", "/metrics"))[1]
-        assert (await admin.ask("GET", "/v1/status"))[1]["node"] == {"node": "n1"}
+        assert (await admin.send("GET", "/readyz"))[1]["reason"] == "stopping"
+        assert (await admin.send("GET", "/healthz"))[0] == 200
+        assert b"springmux_ready" in (await admin.send("GET", "/metrics"))[1]
+        assert (await admin.send("GET", "/v1/status"))[1]["node"] == {"node": "n1"}
         for method, path, status, code in (
             ("GET", "/nothing", 404, "not_found"),
             ("DELETE", "/v1/configuration", 405, "method_not_allowed"),
             ("GET", "/v1/rollouts/text", 404, "not_found"),
         ):
-            got, document, _ = await admin.ask(method, path)
-            assert (got, document["error"]["code"]) == (status, code)
+            received_status, document, _ = await admin.send(method, path)
+            assert (received_status, document["error"]["code"]) == (status, code)
--- a/tests/unit/node/admin/test_rollout_history.py
+++ b/tests/unit/node/admin/test_rollout_history.py
@@ -1,4 +1,4 @@
-"""The history of rollouts: a bounded series of samples."""
+"""The history of rollouts is a bounded series of samples."""
 
 import msgspec
 
--- a/tests/unit/node/client/test_bad_requests.py
+++ b/tests/unit/node/client/test_bad_requests.py
@@ -1,4 +1,4 @@
-"""Each bad input at the client listener gets its typed error, and nothing reaches an engine."""
+"""Bad input at the client listener gets a typed error and reaches no engine."""
 
 import asyncio
 import json
@@ -21,7 +21,7 @@
 @pytest.mark.parametrize(
     ("reason", "status"), [("", 200), ("cut off", 503), ("stopping", 503)], ids=["ready", "cut off", "stop"]
 )
-async def test_the_platform_checks_readiness_where_it_sends_clients(reason: str, status: int) -> None:
+async def test_client_listener_serves_readiness_and_health_checks(reason: str, status: int) -> None:
     async with running_node() as bench:
         bench.agent.ready, bench.agent.not_ready_reason = not reason, reason
         bench.health.stopping = reason == "stopping"
@@ -41,8 +41,8 @@
         )
 
 
-class Wire(asyncio.Transport):
-    """Keeps what a connection writes."""
+class RecordingTransport(asyncio.Transport):
+    """A transport that records what a connection writes."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -66,24 +66,25 @@
     def resume_reading(self) -> None: ...
 
 
-@pytest.mark.parametrize("turns", range(6))
-async def test_a_body_that_follows_its_headers_is_never_taken_for_headers(turns: int) -> None:
+@pytest.mark.parametrize("loop_iterations", range(6))
+async def test_bytes_of_a_body_are_never_counted_as_headers(loop_iterations: int) -> None:
+    """Guards against a body that arrives before its handler starts and is refused as too large headers."""
     async with running_node() as bench:
         assert bench.listener._protocols is not None
-        protocol, wire = bench.listener._protocols(), Wire()
-        protocol.connection_made(wire)
+        protocol, transport = bench.listener._protocols(), RecordingTransport()
+        protocol.connection_made(transport)
         await asyncio.sleep(0)
         request = chat_request(json.dumps({"model": "x", "messages": [], "fill": "x" * 40_000}).encode())
         head_end = request.index(b"\r\n\r\n") + 4
         protocol.data_received(request[:head_end])
-        for _ in range(turns):
+        for _ in range(loop_iterations):
             await asyncio.sleep(0)
         protocol.data_received(request[head_end : head_end + 20_000])
-        assert wire.written == b""
+        assert transport.written == b""
         assert protocol._header_timer is None
         protocol.data_received(request[head_end + 20_000 :])
-        await until(lambda: bool(wire.written))
-        assert b"unknown_route" in wire.written
+        await until(lambda: bool(transport.written))
+        assert b"unknown_route" in transport.written
         protocol.connection_lost(None)
 
 
@@ -131,31 +132,31 @@
         assert KEY not in bench.log_lines.getvalue()
 
 
-async def test_headers_without_end_are_cut_off_at_the_limit() -> None:
+async def test_headers_without_end_are_refused_at_the_size_limit() -> None:
     async with running_node(max_header_bytes=1024, header_timeout_s=300) as bench:
-        # Few lines, each within the limit: only their sum is too large.
+        # Each line is within the limit; only their sum is over it.
         endless = b"GET / HTTP/1.1\r\n" + b"X-A: " + b"b" * 900 + b"\r\nX-B: " + b"b" * 900
         check(await ask(bench, endless), 431, "headers_too_large")
 
 
-async def test_half_sent_headers_time_out() -> None:
+async def test_incomplete_headers_time_out() -> None:
     async with running_node(header_timeout_s=0.05) as bench:
         check(await ask(bench, b"POST /v1/calls/sale HTTP/1.1\r\nHost:"), 408, "request_timeout")
 
 
-async def test_half_sent_headers_on_a_kept_connection_time_out() -> None:
+async def test_incomplete_headers_on_a_reused_connection_time_out() -> None:
     async with running_node(header_timeout_s=0.05) as bench, caller_at(bench.settings.client_address) as c:
         check(await c.ask(b"GET /nothing HTTP/1.1\r\nHost: n\r\n\r\n"), 404, "not_found")
         check(await c.ask(b"GET /"), 408, "request_timeout")
 
 
-async def test_half_sent_body_times_out_and_closes() -> None:
+async def test_incomplete_body_times_out_and_closes_the_connection() -> None:
     async with running_node(body_timeout_s=0.05) as bench, caller_at(bench.settings.client_address) as caller:
         check(await caller.ask(call_request()[:-1]), 408, "request_timeout")
         assert await caller.reader.read() == b""
 
 
-async def test_a_silent_connection_is_closed_without_an_answer() -> None:
+async def test_connection_without_a_request_is_closed_without_a_response() -> None:
     async with (
         running_node(header_timeout_s=0.05) as bench,
         caller_at(bench.settings.client_address) as caller,
@@ -163,7 +164,7 @@
         assert await caller.reader.read() == b""
 
 
-async def test_connections_over_the_limit_are_refused_and_slots_come_back() -> None:
+async def test_connection_over_the_limit_is_refused_until_another_one_ends() -> None:
     async with running_node(max_connections=1) as bench:
         async with caller_at(bench.settings.client_address) as first:
             check(await first.ask(b"GET /x HTTP/1.1\r\nHost: n\r\n\r\n"), 404, "not_found")
@@ -174,7 +175,7 @@
         check(await ask(bench, b"GET /x HTTP/1.1\r\nHost: n\r\n\r\n"), 404, "not_found")
 
 
-async def test_a_client_that_leaves_while_sending_costs_nothing() -> None:
+async def test_client_disconnect_within_a_request_leaves_nothing_in_flight() -> None:
     async with running_node() as bench:
         async with caller_at(bench.settings.client_address) as caller:
             caller.writer.write(call_request()[:-1])
@@ -183,7 +184,7 @@
         assert bench.metrics.value("requests_in_flight") == 0
 
 
-async def test_expect_continue_is_answered_before_the_body() -> None:
+async def test_100_continue_is_sent_before_the_body_arrives() -> None:
     async with running_node() as bench, caller_at(bench.settings.client_address) as caller:
         request = call_request(extra="Expect: 100-continue\r\n")
         caller.writer.write(request[:-2])
@@ -193,7 +194,7 @@
         assert (await caller.answer()).error["code"] == "no_engine"
 
 
-async def test_models_lists_prompt_routes_only() -> None:
+async def test_list_of_models_has_prompt_routes_only() -> None:
     async with running_node(make_view()) as bench:
         request = f"GET /v1/models HTTP/1.1\r\nHost: n\r\nAuthorization: Bearer {KEY}\r\n\r\n"
         answer = await ask(bench, request.encode())
@@ -209,7 +210,7 @@
         assert [first.error["code"], second.error["code"]] == ["not_found", "malformed_json"]
 
 
-async def test_stopping_node_refuses_on_kept_connections_and_closes_them() -> None:
+async def test_stopping_node_refuses_requests_on_open_connections_and_closes_them() -> None:
     async with running_node() as bench, caller_at(bench.settings.client_address) as caller:
         await caller.ask(b"GET /a HTTP/1.1\r\nHost: n\r\n\r\n")
         bench.listener.stop_accepting()
--- a/tests/unit/node/client/test_published_client.py
+++ b/tests/unit/node/client/test_published_client.py
@@ -1,4 +1,4 @@
-"""The published client library for the chat-completions shape, tried against the client listener."""
+"""The published client library of the chat completions API works against the client listener."""
 
 import asyncio
 import json
@@ -20,7 +20,7 @@
 MESSAGES = [{"role": "user", "content": "a caption, please"}]
 
 
-def client_of(bench: Bench, key: str = KEY) -> openai.AsyncOpenAI:
+def openai_client(bench: Bench, key: str = KEY) -> openai.AsyncOpenAI:
     address = bench.settings.client_address
     return openai.AsyncOpenAI(base_url=f"http://{address}/v1", api_key=key, max_retries=0)
 
@@ -40,7 +40,7 @@
     writer.close()
 
 
-async def whole(request: EngineRequest, writer: asyncio.StreamWriter) -> None:
+async def complete_response(request: EngineRequest, writer: asyncio.StreamWriter) -> None:
     message = {"role": "assistant", "content": "done"}
     usage = {"prompt_tokens": 3, "completion_tokens": 1, "total_tokens": 4}
     choice = {"index": 0, "message": message, "finish_reason": "stop"}
@@ -57,8 +57,8 @@
     writer.write(engine_head(request.request_id, head) + body)
 
 
-async def test_a_stream_comes_whole() -> None:
-    async with running_node() as bench, scripted_engine(stream) as engine, client_of(bench) as client:
+async def test_stream_is_received_completely() -> None:
+    async with running_node() as bench, scripted_engine(stream) as engine, openai_client(bench) as client:
         bench.agent.add_engine(engine.address)
         answer = await client.chat.completions.create(model="chat", messages=MESSAGES, stream=True)
         pieces = [piece async for piece in answer]
@@ -66,8 +66,12 @@
     assert [piece.choices[0].finish_reason for piece in pieces] == [None, None, None, "stop"]
 
 
-async def test_an_answer_in_one_piece() -> None:
-    async with running_node() as bench, scripted_engine(whole) as engine, client_of(bench) as client:
+async def test_response_without_streaming_is_received() -> None:
+    async with (
+        running_node() as bench,
+        scripted_engine(complete_response) as engine,
+        openai_client(bench) as client,
+    ):
         bench.agent.add_engine(engine.address)
         answer = await client.chat.completions.create(model="chat", messages=MESSAGES)
     assert answer.choices[0].message.content == "done"
@@ -75,36 +79,40 @@
     assert answer.usage.total_tokens == 4
 
 
-async def test_a_broken_stream_is_an_error_of_the_client_and_not_an_end() -> None:
-    seen = 0
+async def test_broken_stream_raises_an_error_in_the_client_library() -> None:
+    received_pieces = 0
     failed = False
-    async with running_node() as bench, scripted_engine(broken_stream) as engine, client_of(bench) as client:
+    async with (
+        running_node() as bench,
+        scripted_engine(broken_stream) as engine,
+        openai_client(bench) as client,
+    ):
         bench.agent.add_engine(engine.address)
         answer = await client.chat.completions.create(model="chat", messages=MESSAGES, stream=True)
         try:
             async for piece in answer:
-                seen += 1
+                received_pieces += 1
                 assert piece.choices[0].finish_reason is None
         except openai.APIError as error:
             failed = True
             assert error.code == "engine_broke_off"
-    assert (seen, failed) == (2, True)
+    assert (received_pieces, failed) == (2, True)
 
 
-async def test_refusals_are_the_clients_own_exceptions() -> None:
+async def test_refusals_raise_the_exceptions_of_the_client_library() -> None:
     async with running_node() as bench:
-        async with client_of(bench, key="wrong") as stranger:
+        async with openai_client(bench, key="wrong") as client_with_unknown_key:
             try:
-                await stranger.chat.completions.create(model="chat", messages=MESSAGES)
+                await client_with_unknown_key.chat.completions.create(model="chat", messages=MESSAGES)
             except openai.AuthenticationError as error:
                 assert error.code == "unknown_key"
             else:
-                raise AssertionError("a wrong key was taken")
-        async with client_of(bench) as client:
+                raise AssertionError("a wrong key was accepted")
+        async with openai_client(bench) as client:
             try:
                 await client.chat.completions.create(model="nothing", messages=MESSAGES)
             except openai.NotFoundError as error:
                 assert error.code == "unknown_route"
             else:
-                raise AssertionError("an unknown route was taken")
+                raise AssertionError("an unknown route was accepted")
             assert [model.id for model in (await client.models.list()).data]
--- a/tests/unit/node/client/test_request_runner.py
+++ b/tests/unit/node/client/test_request_runner.py
@@ -1,4 +1,4 @@
-"""The runner tells the flow what its client does; what a request holds is given back, also out of turn."""
+"""The request runner reports the client's state to the flow; an abnormal end releases slot and claim."""
 
 from __future__ import annotations
 
@@ -32,36 +32,36 @@
 )
 
 
-class GoneConnection:
+class ClosedConnection:
     transport = None
     writing_paused = False
 
     async def _drain_helper(self) -> None: ...
 
 
-async def test_a_client_who_left_before_its_flow_began_leaves_nothing_behind() -> None:
+async def test_flow_abandoned_before_it_began_is_removed() -> None:
     async with running_node() as bench:
         request = ClientRequest(RequestId("r1"), "POST", "/v1/chat/completions", {}, b"{}")
-        writer = ResponseWriter(GoneConnection(), keep_alive=True, http_1_1=True, head_only=False)
-        over: list[RequestRunner] = []
-        runner = RequestRunner(bench.listener._services, request, writer, over.append)
+        writer = ResponseWriter(ClosedConnection(), keep_alive=True, http_1_1=True, head_only=False)
+        finished: list[RequestRunner] = []
+        runner = RequestRunner(bench.listener._services, request, writer, finished.append)
         runner.abandon()
 
-        assert over == [runner]
+        assert finished == [runner]
         assert not bench.agent.router._flows
 
 
 @pytest.mark.parametrize("where", ["dispatch", "flow"])
-async def test_a_crash_gives_slot_and_claim_back(where: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    def broken(*_: object) -> None:
+async def test_crash_releases_slot_and_claim(where: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    def raise_error(*_: object) -> None:
         raise RuntimeError("broken on purpose")
 
     async with running_node() as bench:
         bench.agent.add_engine(free_address())
         if where == "dispatch":
-            monkeypatch.setattr(UpstreamClient, "begin", broken)
+            monkeypatch.setattr(UpstreamClient, "begin", raise_error)
         else:
-            monkeypatch.setattr(RequestFlow, "_handle_upstream", broken)
+            monkeypatch.setattr(RequestFlow, "_handle_upstream", raise_error)
         for _ in range(2):
             answer = await ask(bench, call_request(extra="Idempotency-Key: a1\r\n"))
             assert (answer.status, answer.error["fate"]) == (500, "unknown")
@@ -71,7 +71,9 @@
         assert not bench.agent.router._flows
 
 
-async def test_a_share_that_ran_out_is_asked_for_at_once_and_pieces_cost_no_look() -> None:
+async def test_agent_timer_is_refreshed_after_a_reservation_but_not_for_each_chunk() -> None:
+    """Guards against a late request for quota after a reservation, and against a timer check per chunk."""
+
     async def stream(request: EngineRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(engine_head(request.request_id, STREAM))
         for event in stream_events(request.request_id, 200):
@@ -83,10 +85,10 @@
     async with running_node() as bench, scripted_engine(stream) as engine:
         bench.agent.add_engine(engine.address)
 
-        def wants_tick_now() -> None:
+        def request_immediate_tick() -> None:
             bench.agent.deadline = 0.0
 
-        bench.agent.quota.on_reserve = wants_tick_now
+        bench.agent.quota.on_reserve = request_immediate_tick
         async with caller_at(bench.settings.client_address) as caller:
             caller.writer.write(chat_request())
             await caller.read_head()
@@ -97,7 +99,7 @@
             assert bench.agent.looks - looks < 10
 
 
-async def test_while_the_client_does_not_read_only_the_deadline_counts() -> None:
+async def test_only_the_deadline_applies_while_the_client_does_not_read() -> None:
     async def long_stream(request: EngineRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(engine_head(request.request_id, STREAM))
         for event in stream_events(request.request_id, 2000, "a" * 8000):
--- a/tests/unit/node/client/test_upstream.py
+++ b/tests/unit/node/client/test_upstream.py
@@ -1,4 +1,4 @@
-"""Streams and calls through the listener against an engine that behaves, and against ones that don't."""
+"""Streams and calls through the client listener, with engines that respond correctly and faulty ones."""
 
 import asyncio
 import json
@@ -26,29 +26,29 @@
 )
 
 
-async def whole_stream(request: EngineRequest, writer: asyncio.StreamWriter) -> None:
+async def complete_stream(request: EngineRequest, writer: asyncio.StreamWriter) -> None:
     writer.write(engine_head(request.request_id, STREAM))
     for event in stream_events(request.request_id):
         writer.write(chunk(event))
     writer.write(b"0\r\n\r\n")
 
 
-def call_answer(request_id: str, body: bytes, length: int | None = None) -> bytes:
+def call_response(request_id: str, body: bytes, length: int | None = None) -> bytes:
     size = len(body) if length is None else length
     head = f"Content-Type: application/json\r\nContent-Length: {size}\r\n"
     return engine_head(request_id, head) + body
 
 
-async def whole_call(request: EngineRequest, writer: asyncio.StreamWriter) -> None:
-    writer.write(call_answer(request.request_id, b'{"done": 1}'))
+async def complete_call(request: EngineRequest, writer: asyncio.StreamWriter) -> None:
+    writer.write(call_response(request.request_id, b'{"done": 1}'))
 
 
-async def never_answers(request: EngineRequest, writer: asyncio.StreamWriter) -> None:
+async def never_respond(request: EngineRequest, writer: asyncio.StreamWriter) -> None:
     return None
 
 
-async def test_a_whole_stream_reaches_the_client_unchanged() -> None:
-    async with running_node() as bench, scripted_engine(whole_stream) as engine:
+async def test_complete_stream_reaches_the_client_unchanged() -> None:
+    async with running_node() as bench, scripted_engine(complete_stream) as engine:
         bench.agent.add_engine(engine.address)
         answer = await ask(bench, chat_request())
         request_id = engine.requests[0].request_id
@@ -59,37 +59,37 @@
         assert "authorization" not in engine.requests[0].headers
 
 
-async def test_connections_are_kept_after_whole_answers_only_for_repeatable_routes() -> None:
-    async with running_node() as bench, scripted_engine(whole_stream) as engine:
+async def test_connections_are_reused_after_complete_responses_of_repeatable_routes_only() -> None:
+    async with running_node() as bench, scripted_engine(complete_stream) as engine:
         bench.agent.add_engine(engine.address)
         for _ in range(3):
             assert (await ask(bench, chat_request())).whole
             await until(lambda: bench.metrics.value("requests_in_flight") == 0)
         assert engine.connections == 1
-    async with running_node() as bench, scripted_engine(whole_call) as engine:
+    async with running_node() as bench, scripted_engine(complete_call) as engine:
         bench.agent.add_engine(engine.address)
         for _ in range(3):
             assert (await ask(bench, call_request())).whole
         assert engine.connections == 3
 
 
-async def test_pieces_pass_one_by_one_before_the_stream_ends() -> None:
-    go_on = asyncio.Event()
+async def test_chunks_are_forwarded_before_the_stream_ends() -> None:
+    resume = asyncio.Event()
 
-    async def in_two_parts(request: EngineRequest, writer: asyncio.StreamWriter) -> None:
+    async def stream_in_two_parts(request: EngineRequest, writer: asyncio.StreamWriter) -> None:
         events = stream_events(request.request_id)
         writer.write(engine_head(request.request_id, STREAM) + chunk(events[0]))
-        await go_on.wait()
+        await resume.wait()
         writer.write(b"".join(chunk(event) for event in events[1:]) + b"0\r\n\r\n")
 
-    async with running_node() as bench, scripted_engine(in_two_parts) as engine:
+    async with running_node() as bench, scripted_engine(stream_in_two_parts) as engine:
         bench.agent.add_engine(engine.address)
         async with caller_at(bench.settings.client_address) as caller:
             caller.writer.write(chat_request())
             await caller.read_head()
             first = await caller.read_chunk()
             assert b'"seq": 0' in first
-            go_on.set()
+            resume.set()
             rest = b""
             while piece := await caller.read_chunk():
                 rest += piece
@@ -97,7 +97,7 @@
 
 
 async def test_call_is_claimed_runs_once_and_is_settled() -> None:
-    async with running_node() as bench, scripted_engine(whole_call) as engine:
+    async with running_node() as bench, scripted_engine(complete_call) as engine:
         bench.agent.add_engine(engine.address)
         answer = await ask(bench, call_request(extra="Idempotency-Key: sale-1\r\n"))
         assert (answer.status, json.loads(answer.body)) == (200, {"done": 1})
@@ -106,18 +106,18 @@
         assert len(engine.requests) == 1
 
 
-def breaking(kind: str) -> Script:
-    """Return a call engine that answers wrongly in one way."""
+def faulty_call(kind: str) -> Script:
+    """Return the script of an engine whose response to a call has one fault."""
 
     async def script(request: EngineRequest, writer: asyncio.StreamWriter) -> None:
         answer = {
             "garbage": b"\x00\x01\x02 no http\r\n\r\n",
             "early close in head": b"HTTP/1.1 200 OK\r\nX-Req",
-            "early close in body": call_answer(request.request_id, b'{"do', length=11),
+            "early close in body": call_response(request.request_id, b'{"do', length=11),
             "no answer": b"",
             "no length": engine_head(request.request_id, "") + b'{"done": 1}',
-            "another's id": call_answer("someone-else", b'{"done": 1}'),
-            "not JSON": call_answer(request.request_id, b"[[[["),
+            "another's id": call_response("someone-else", b'{"done": 1}'),
+            "not JSON": call_response(request.request_id, b"[[[["),
             "redirect": b"HTTP/1.1 302 Found\r\nLocation: /x\r\nContent-Length: 0\r\n\r\n",
             "server error": b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n",
         }[kind]
@@ -134,8 +134,8 @@
         "another's id", "not JSON", "redirect", "server error",
     ],
 )  # fmt: skip
-async def test_wrong_answers_to_a_call_are_never_passed_on_nor_sent_again(kind: str) -> None:
-    async with running_node() as bench, scripted_engine(breaking(kind)) as engine:
+async def test_faulty_response_to_a_call_is_not_forwarded_and_the_call_is_not_retried(kind: str) -> None:
+    async with running_node() as bench, scripted_engine(faulty_call(kind)) as engine:
         bench.agent.add_engine(engine.address)
         bench.agent.add_engine(engine.address, "e2")
         answer = await ask(bench, call_request())
@@ -145,18 +145,18 @@
         assert len(engine.requests) == 1
 
 
-async def test_a_complete_answer_for_another_request_costs_its_connection() -> None:
-    async def of_another(request: EngineRequest, writer: asyncio.StreamWriter) -> None:
+async def test_connection_is_not_reused_after_a_response_to_another_request() -> None:
+    async def response_to_another_request(request: EngineRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(engine_head("someone-else", STREAM) + b"0\r\n\r\n")
 
-    async with running_node() as bench, scripted_engine(of_another) as engine:
+    async with running_node() as bench, scripted_engine(response_to_another_request) as engine:
         bench.agent.add_engine(engine.address)
         for _ in range(2):
             assert (await ask(bench, chat_request())).error["code"] == "engine_protocol"
         assert engine.connections == 2
 
 
-async def test_refused_connections_leave_the_request_unsent() -> None:
+async def test_call_is_refused_if_the_engine_refuses_the_connection() -> None:
     async with running_node() as bench:
         bench.agent.add_engine(free_address())
         answer = await ask(bench, call_request())
@@ -165,13 +165,13 @@
         assert [settled.ran for settled in bench.agent.settled()] == [False]
 
 
-def breaking_stream(kind: str, go_on: asyncio.Event) -> Script:
-    """Return a prompt engine whose stream breaks after its first piece has reached the client."""
+def faulty_stream(kind: str, resume: asyncio.Event) -> Script:
+    """Return the script of an engine whose stream fails after its first piece has reached the client."""
 
     async def script(request: EngineRequest, writer: asyncio.StreamWriter) -> None:
         events = stream_events(request.request_id, pieces=4)
         writer.write(engine_head(request.request_id, STREAM) + chunk(events[0]))
-        await go_on.wait()
+        await resume.wait()
         rest = {
             "cut": b"",
             "malformed chunk": b"zz\r\n",
@@ -201,15 +201,17 @@
         ("early end", "engine_broke_off"),
     ],
 )
-async def test_a_broken_stream_ends_with_an_error_and_without_the_marker(kind: str, code: str) -> None:
-    go_on = asyncio.Event()
-    async with running_node() as bench, scripted_engine(breaking_stream(kind, go_on)) as engine:
+async def test_faulty_stream_ends_with_an_error_event_and_without_the_end_marker(
+    kind: str, code: str
+) -> None:
+    resume = asyncio.Event()
+    async with running_node() as bench, scripted_engine(faulty_stream(kind, resume)) as engine:
         bench.agent.add_engine(engine.address)
         async with caller_at(bench.settings.client_address) as caller:
             caller.writer.write(chat_request())
             await caller.read_head()
             first = await caller.read_chunk()
-            go_on.set()
+            resume.set()
             rest = await caller.reader.read()
         assert b'"seq": 0' in first
         assert b'"seq": 0' not in rest
@@ -220,12 +222,12 @@
         assert len(engine.requests) == 1
 
 
-async def test_bytes_after_a_whole_answer_reach_nobody() -> None:
-    async def too_much(request: EngineRequest, writer: asyncio.StreamWriter) -> None:
-        await whole_stream(request, writer)
-        writer.write(call_answer("late", b'{"late": 1}'))
+async def test_bytes_after_a_complete_response_are_not_forwarded() -> None:
+    async def bytes_after_response(request: EngineRequest, writer: asyncio.StreamWriter) -> None:
+        await complete_stream(request, writer)
+        writer.write(call_response("late", b'{"late": 1}'))
 
-    async with running_node() as bench, scripted_engine(too_much) as engine:
+    async with running_node() as bench, scripted_engine(bytes_after_response) as engine:
         bench.agent.add_engine(engine.address)
         for _ in range(3):
             answer = await ask(bench, chat_request())
@@ -233,9 +235,9 @@
             assert not answer.whole or answer.body.endswith(b"data: [DONE]\n\n")
 
 
-async def test_an_engine_that_never_answers_ends_by_the_routes_limit_and_loses_its_connection() -> None:
+async def test_route_timeout_ends_a_call_without_response_and_closes_its_connection() -> None:
     view = make_view(first_piece_timeout_s=0.05, deadline_s=0.2)
-    async with running_node(view) as bench, scripted_engine(never_answers) as engine:
+    async with running_node(view) as bench, scripted_engine(never_respond) as engine:
         bench.agent.add_engine(engine.address)
         answer = await ask(bench, call_request())
         assert answer.error["fate"] == "unknown"
@@ -243,7 +245,7 @@
         assert len(engine.requests) == 1
 
 
-async def test_a_client_that_does_not_read_holds_up_its_engine_not_the_nodes_memory() -> None:
+async def test_client_that_does_not_read_pauses_its_engine_instead_of_filling_memory() -> None:
     pieces, sent = 2000, 0
 
     async def long_stream(request: EngineRequest, writer: asyncio.StreamWriter) -> None:
@@ -274,9 +276,9 @@
             assert size > pieces * 8000
 
 
-async def test_a_client_that_leaves_ends_the_exchange() -> None:
+async def test_client_disconnect_ends_the_exchange() -> None:
     patient = make_view(first_piece_timeout_s=300.0, deadline_s=300.0)
-    async with running_node(patient) as bench, scripted_engine(never_answers) as engine:
+    async with running_node(patient) as bench, scripted_engine(never_respond) as engine:
         bench.agent.add_engine(engine.address)
         async with caller_at(bench.settings.client_address) as caller:
             caller.writer.write(chat_request())
@@ -286,7 +288,7 @@
         await until(lambda: bench.metrics.value("requests_in_flight") == 0)
 
 
-async def test_a_revoked_key_ends_a_running_stream_with_an_error_event() -> None:
+async def test_revoked_key_ends_a_running_stream_with_an_error_event() -> None:
     async def first_piece_only(request: EngineRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(engine_head(request.request_id, STREAM) + chunk(stream_events(request.request_id)[0]))
 
@@ -304,8 +306,8 @@
         assert (await ask(bench, chat_request())).error["code"] == "revoked_key"
 
 
-async def test_the_stop_grace_ends_running_streams_with_an_error() -> None:
-    async with running_node() as bench, scripted_engine(never_answers) as engine:
+async def test_running_request_ends_with_an_error_after_the_stop_grace_period() -> None:
+    async with running_node() as bench, scripted_engine(never_respond) as engine:
         bench.agent.add_engine(engine.address)
         async with caller_at(bench.settings.client_address) as caller:
             caller.writer.write(chat_request())
@@ -315,13 +317,13 @@
             assert (await caller.answer()).error["code"] == "stopping"
 
 
-async def test_a_crash_in_a_flow_answers_500_and_logs_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    def broken(*_: object) -> None:
+async def test_crash_in_a_flow_responds_500_and_is_logged(monkeypatch: pytest.MonkeyPatch) -> None:
+    def raise_error(*_: object) -> None:
         raise RuntimeError("broken on purpose")
 
     async with running_node() as bench:
         bench.agent.add_engine(free_address())
-        monkeypatch.setattr(UpstreamClient, "begin", broken)
+        monkeypatch.setattr(UpstreamClient, "begin", raise_error)
         answer = await ask(bench, call_request())
         assert (answer.status, answer.error["code"], answer.error["fate"]) == (500, "internal", "unknown")
         assert "request_flow_crashed" in bench.log_lines.getvalue()
