--- a/src/springmux/node/admin/rollout_endpoints.py
+++ b/src/springmux/node/admin/rollout_endpoints.py
@@ -200,7 +200,7 @@
         return json_response(self._report(record))
 
     async def _show_history(self, request: web.Request) -> web.Response:
-        return json_response(self._history.of(_service(request)))
+        return json_response(self._history.samples_of(_service(request)))
 
 
 def _check_template(name: str, document: bytes) -> None:
--- a/src/springmux/node/admin/rollout_history.py
+++ b/src/springmux/node/admin/rollout_history.py
@@ -49,7 +49,7 @@
             return
         series.append(RolloutSample(at_s=now, wall_time=time.time(), status=fields))
 
-    def of(self, service: str) -> RolloutSamples:
+    def samples_of(self, service: str) -> RolloutSamples:
         """Return the samples of a service, oldest first."""
         return RolloutSamples(service=service, samples=tuple(self._samples.get(service, ())))
 
--- a/src/springmux/node/client/protocol.py
+++ b/src/springmux/node/client/protocol.py
@@ -22,7 +22,7 @@
 WRITE_BUFFER_BYTES = 512 << 10
 """Write buffer of a connection. It holds more than the longest ordinary stream (2048 tokens at about 200
 bytes), so that a slow client does not delay reading from its engine and make that engine look slow."""
-LINGER_S = 1.0
+LINGERING_TIMEOUT_S = 1.0
 """Time for reading the rest of a body after an early error response, so that the response arrives."""
 MAX_HEADERS = 100
 
@@ -64,7 +64,7 @@
             max_line_size=owner.max_header_bytes,
             max_field_size=owner.max_header_bytes,
             max_headers=MAX_HEADERS,
-            lingering_time=LINGER_S,
+            lingering_time=LINGERING_TIMEOUT_S,
             auto_decompress=False,
         )
         self._owner = owner
--- a/src/springmux/node/client/request_runner.py
+++ b/src/springmux/node/client/request_runner.py
@@ -169,7 +169,7 @@
         self._timer = self._loop.call_at(deadline, self._timer_fired)
 
     def _timer_fired(self) -> None:
-        # Each chunk moves the deadline to later; the timer is not moved with it but checks it when it fires.
+        # Each chunk moves the deadline to later; the timer is set to the new deadline only when it fires.
         self._timer, self._timer_at = None, NEVER
         deadline = self._flow.next_deadline()
         if deadline > self._clock():
--- a/src/springmux/node/client/upstream.py
+++ b/src/springmux/node/client/upstream.py
@@ -30,8 +30,8 @@
 
 READ_BUFFER_BYTES = 64 << 10
 MAX_ENGINE_LINE_BYTES = 8190
-"""Longest status or header line accepted from an engine (the HTTP library's own default)."""
-POOL_IDLE_S = 15.0
+"""Longest status or header line accepted from an engine (aiohttp's own default)."""
+POOL_IDLE_TIMEOUT_S = 15.0
 """Idle connections are closed after this time, before ordinary servers (20 s and more) close them."""
 OMITTED_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 """Headers that aiohttp would otherwise add to each request."""
@@ -96,7 +96,9 @@
         if force_close:
             connector = aiohttp.TCPConnector(limit=0, force_close=True, use_dns_cache=False)
         else:
-            connector = aiohttp.TCPConnector(limit=0, keepalive_timeout=POOL_IDLE_S, use_dns_cache=False)
+            connector = aiohttp.TCPConnector(
+                limit=0, keepalive_timeout=POOL_IDLE_TIMEOUT_S, use_dns_cache=False
+            )
         return aiohttp.ClientSession(
             connector=connector,
             auto_decompress=False,
--- a/src/springmux/node/http/server_connection.py
+++ b/src/springmux/node/http/server_connection.py
@@ -35,10 +35,15 @@
 
 class _Phase(enum.Enum):
     IDLE = enum.auto()
+    """No byte of the next request has been received."""
     HEAD = enum.auto()
+    """A part of a request's head has been received."""
     EXCHANGE = enum.auto()
+    """A request is in flight."""
     LINGERING = enum.auto()
+    """The server has sent EOF, and discards what it receives."""
     CLOSING = enum.auto()
+    """The connection is closed, or closes once everything is written."""
 
 
 class ServerConnection(asyncio.Protocol):
--- a/src/springmux/node/http/types.py
+++ b/src/springmux/node/http/types.py
@@ -100,6 +100,7 @@
 
 
 Handler = Callable[[ServerExchange], Awaitable[None]]
+"""Handles one request; an exception, or a return without a response, becomes a 500 or a reset."""
 
 
 class ServerRefusal(enum.StrEnum):
--- a/tests/unit/node/admin/test_rollout_history.py
+++ b/tests/unit/node/admin/test_rollout_history.py
@@ -33,7 +33,7 @@
     done = msgspec.structs.replace(RUNNING, phase=RolloutPhase.DONE, weight=1.0)
     for number in range(3):
         history.add("text", msgspec.structs.replace(done, lease_age_s=float(number)), 9000.0 + number)
-    samples = history.of("text").samples
+    samples = history.samples_of("text").samples
     assert len(samples) == MAX_SAMPLES
     assert [sample.status["phase"] for sample in samples[-2:]] == ["canary", "done"]
-    assert history.of("none").samples == ()
+    assert history.samples_of("none").samples == ()
