--- a/tests/unit/node/client/test_bad_requests.py
+++ b/tests/unit/node/client/test_bad_requests.py
@@ -88,12 +88,12 @@
         protocol.connection_lost(None)
 
 
-def check(answer: RawAnswer, status: int, code: str) -> None:
-    assert (answer.status, answer.error["code"]) == (status, code)
-    assert answer.error["status"] == status
-    assert answer.error["fate"] == "refused"
-    assert answer.error["node"] == "n1"
-    assert answer.headers["content-type"] == "application/json"
+def check(response: RawAnswer, status: int, code: str) -> None:
+    assert (response.status, response.error["code"]) == (status, code)
+    assert response.error["status"] == status
+    assert response.error["fate"] == "refused"
+    assert response.error["node"] == "n1"
+    assert response.headers["content-type"] == "application/json"
 
 
 @pytest.mark.parametrize(
@@ -197,10 +197,10 @@
 async def test_list_of_models_has_prompt_routes_only() -> None:
     async with running_node(make_view()) as bench:
         request = f"GET /v1/models HTTP/1.1\r\nHost: n\r\nAuthorization: Bearer {KEY}\r\n\r\n"
-        answer = await ask(bench, request.encode())
-        assert answer.status == 200
-        assert b'"chat"' in answer.body
-        assert b'"sale"' not in answer.body
+        response = await ask(bench, request.encode())
+        assert response.status == 200
+        assert b'"chat"' in response.body
+        assert b'"sale"' not in response.body
 
 
 async def test_pipelined_requests_are_answered_in_order() -> None:
@@ -214,8 +214,8 @@
     async with running_node() as bench, caller_at(bench.settings.client_address) as caller:
         await caller.ask(b"GET /a HTTP/1.1\r\nHost: n\r\n\r\n")
         bench.listener.stop_accepting()
-        answer = await caller.ask(call_request())
-        check(answer, 503, "stopping")
-        assert answer.headers["connection"] == "close"
+        response = await caller.ask(call_request())
+        check(response, 503, "stopping")
+        assert response.headers["connection"] == "close"
         async with asyncio.timeout(30):
             assert await caller.reader.read() == b""
--- a/tests/unit/node/client/test_published_client.py
+++ b/tests/unit/node/client/test_published_client.py
@@ -44,7 +44,7 @@
     message = {"role": "assistant", "content": "done"}
     usage = {"prompt_tokens": 3, "completion_tokens": 1, "total_tokens": 4}
     choice = {"index": 0, "message": message, "finish_reason": "stop"}
-    answer = {
+    response = {
         "id": request.request_id,
         "object": "chat.completion",
         "created": 1,
@@ -52,7 +52,7 @@
         "choices": [choice],
         "usage": usage,
     }
-    body = json.dumps(answer).encode()
+    body = json.dumps(response).encode()
     head = f"Content-Type: application/json\r\nContent-Length: {len(body)}\r\n"
     writer.write(engine_head(request.request_id, head) + body)
 
@@ -60,8 +60,8 @@
 async def test_stream_is_received_completely() -> None:
     async with running_node() as bench, scripted_engine(stream) as engine, openai_client(bench) as client:
         bench.agent.add_engine(engine.address)
-        answer = await client.chat.completions.create(model="chat", messages=MESSAGES, stream=True)
-        pieces = [piece async for piece in answer]
+        response = await client.chat.completions.create(model="chat", messages=MESSAGES, stream=True)
+        pieces = [piece async for piece in response]
     assert [piece.choices[0].delta.content for piece in pieces] == ["ab "] * 4
     assert [piece.choices[0].finish_reason for piece in pieces] == [None, None, None, "stop"]
 
@@ -73,10 +73,10 @@
         openai_client(bench) as client,
     ):
         bench.agent.add_engine(engine.address)
-        answer = await client.chat.completions.create(model="chat", messages=MESSAGES)
-    assert answer.choices[0].message.content == "done"
-    assert answer.usage is not None
-    assert answer.usage.total_tokens == 4
+        response = await client.chat.completions.create(model="chat", messages=MESSAGES)
+    assert response.choices[0].message.content == "done"
+    assert response.usage is not None
+    assert response.usage.total_tokens == 4
 
 
 async def test_broken_stream_raises_an_error_in_the_client_library() -> None:
@@ -88,9 +88,9 @@
         openai_client(bench) as client,
     ):
         bench.agent.add_engine(engine.address)
-        answer = await client.chat.completions.create(model="chat", messages=MESSAGES, stream=True)
+        response = await client.chat.completions.create(model="chat", messages=MESSAGES, stream=True)
         try:
-            async for piece in answer:
+            async for piece in response:
                 received_pieces += 1
                 assert piece.choices[0].finish_reason is None
         except openai.APIError as error:
--- a/tests/unit/node/client/test_request_runner.py
+++ b/tests/unit/node/client/test_request_runner.py
@@ -63,8 +63,8 @@
         else:
             monkeypatch.setattr(RequestFlow, "_handle_upstream", raise_error)
         for _ in range(2):
-            answer = await ask(bench, call_request(extra="Idempotency-Key: a1\r\n"))
-            assert (answer.status, answer.error["fate"]) == (500, "unknown")
+            response = await ask(bench, call_request(extra="Idempotency-Key: a1\r\n"))
+            assert (response.status, response.error["fate"]) == (500, "unknown")
 
         assert [settled.ran for settled in bench.agent.settled()] == [True, True]
         assert bench.agent.router.status().in_flight[TrafficClass.TRANSACTION] == 0
@@ -93,10 +93,10 @@
             caller.writer.write(chat_request())
             await caller.read_head()
             await until(lambda: Tick() in bench.agent.events)
-            looks = bench.agent.looks
+            deadline_reads = bench.agent.looks
             while await caller.read_chunk():
                 pass
-            assert bench.agent.looks - looks < 10
+            assert bench.agent.looks - deadline_reads < 10
 
 
 async def test_only_the_deadline_applies_while_the_client_does_not_read() -> None:
--- a/tests/unit/node/client/test_upstream.py
+++ b/tests/unit/node/client/test_upstream.py
@@ -50,12 +50,12 @@
 async def test_complete_stream_reaches_the_client_unchanged() -> None:
     async with running_node() as bench, scripted_engine(complete_stream) as engine:
         bench.agent.add_engine(engine.address)
-        answer = await ask(bench, chat_request())
+        response = await ask(bench, chat_request())
         request_id = engine.requests[0].request_id
-        assert answer.whole
-        assert answer.body == b"".join(stream_events(request_id))
-        assert answer.headers["x-request-id"] == request_id
-        assert answer.headers["x-engine"] == "e1"
+        assert response.whole
+        assert response.body == b"".join(stream_events(request_id))
+        assert response.headers["x-request-id"] == request_id
+        assert response.headers["x-engine"] == "e1"
         assert "authorization" not in engine.requests[0].headers
 
 
@@ -99,8 +99,8 @@
 async def test_call_is_claimed_runs_once_and_is_settled() -> None:
     async with running_node() as bench, scripted_engine(complete_call) as engine:
         bench.agent.add_engine(engine.address)
-        answer = await ask(bench, call_request(extra="Idempotency-Key: sale-1\r\n"))
-        assert (answer.status, json.loads(answer.body)) == (200, {"done": 1})
+        response = await ask(bench, call_request(extra="Idempotency-Key: sale-1\r\n"))
+        assert (response.status, json.loads(response.body)) == (200, {"done": 1})
         await until(lambda: bool(bench.agent.settled()))
         assert [settled.ran for settled in bench.agent.settled()] == [True]
         assert len(engine.requests) == 1
@@ -110,7 +110,7 @@
     """Return the script of an engine whose response to a call has one fault."""
 
     async def script(request: EngineRequest, writer: asyncio.StreamWriter) -> None:
-        answer = {
+        response = {
             "garbage": b"\x00\x01\x02 no http\r\n\r\n",
             "early close in head": b"HTTP/1.1 200 OK\r\nX-Req",
             "early close in body": call_response(request.request_id, b'{"do', length=11),
@@ -121,7 +121,7 @@
             "redirect": b"HTTP/1.1 302 Found\r\nLocation: /x\r\nContent-Length: 0\r\n\r\n",
             "server error": b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n",
         }[kind]
-        writer.write(answer)
+        writer.write(response)
         writer.close()
 
     return script
@@ -138,10 +138,10 @@
     async with running_node() as bench, scripted_engine(faulty_call(kind)) as engine:
         bench.agent.add_engine(engine.address)
         bench.agent.add_engine(engine.address, "e2")
-        answer = await ask(bench, call_request())
-        assert answer.status == 502, answer.body
-        assert answer.error["fate"] in ("unknown", "failed")
-        assert b"done" not in answer.body
+        response = await ask(bench, call_request())
+        assert response.status == 502, response.body
+        assert response.error["fate"] in ("unknown", "failed")
+        assert b"done" not in response.body
         assert len(engine.requests) == 1
 
 
@@ -159,8 +159,8 @@
 async def test_call_is_refused_if_the_engine_refuses_the_connection() -> None:
     async with running_node() as bench:
         bench.agent.add_engine(free_address())
-        answer = await ask(bench, call_request())
-        assert answer.error["fate"] == "refused", answer.body
+        response = await ask(bench, call_request())
+        assert response.error["fate"] == "refused", response.body
         await until(lambda: bool(bench.agent.settled()))
         assert [settled.ran for settled in bench.agent.settled()] == [False]
 
@@ -230,17 +230,17 @@
     async with running_node() as bench, scripted_engine(bytes_after_response) as engine:
         bench.agent.add_engine(engine.address)
         for _ in range(3):
-            answer = await ask(bench, chat_request())
-            assert b"late" not in answer.body
-            assert not answer.whole or answer.body.endswith(b"data: [DONE]\n\n")
+            response = await ask(bench, chat_request())
+            assert b"late" not in response.body
+            assert not response.whole or response.body.endswith(b"data: [DONE]\n\n")
 
 
 async def test_route_timeout_ends_a_call_without_response_and_closes_its_connection() -> None:
     view = make_view(first_piece_timeout_s=0.05, deadline_s=0.2)
     async with running_node(view) as bench, scripted_engine(never_respond) as engine:
         bench.agent.add_engine(engine.address)
-        answer = await ask(bench, call_request())
-        assert answer.error["fate"] == "unknown"
+        response = await ask(bench, call_request())
+        assert response.error["fate"] == "unknown"
         await engine.closed.wait()
         assert len(engine.requests) == 1
 
@@ -277,8 +277,8 @@
 
 
 async def test_client_disconnect_ends_the_exchange() -> None:
-    patient = make_view(first_piece_timeout_s=300.0, deadline_s=300.0)
-    async with running_node(patient) as bench, scripted_engine(never_respond) as engine:
+    long_timeouts = make_view(first_piece_timeout_s=300.0, deadline_s=300.0)
+    async with running_node(long_timeouts) as bench, scripted_engine(never_respond) as engine:
         bench.agent.add_engine(engine.address)
         async with caller_at(bench.settings.client_address) as caller:
             caller.writer.write(chat_request())
@@ -324,6 +324,10 @@
     async with running_node() as bench:
         bench.agent.add_engine(free_address())
         monkeypatch.setattr(UpstreamClient, "begin", raise_error)
-        answer = await ask(bench, call_request())
-        assert (answer.status, answer.error["code"], answer.error["fate"]) == (500, "internal", "unknown")
+        response = await ask(bench, call_request())
+        assert (response.status, response.error["code"], response.error["fate"]) == (
+            500,
+            "internal",
+            "unknown",
+        )
         assert "request_flow_crashed" in bench.log_lines.getvalue()
