--- a/tests/unit/node/http/test_client.py
+++ b/tests/unit/node/http/test_client.py
@@ -90,9 +90,9 @@
         b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\na: b\r\n\r\n" + OK,
     ],
 )
-@pytest.mark.parametrize("cut", [False, True])
-async def test_responses_of_every_framing_are_read_completely(response: bytes, cut: bool) -> None:
-    parts = [response[at : at + 1] for at in range(len(response))] if cut else [response]
+@pytest.mark.parametrize("byte_by_byte", [False, True])
+async def test_responses_of_every_framing_are_read_completely(response: bytes, byte_by_byte: bool) -> None:
+    parts = [response[at : at + 1] for at in range(len(response))] if byte_by_byte else [response]
     async with engine(respond_once(*parts)) as server:
         assert await fetch(PooledEngineClient(), server.address) == b"ok"
 
