--- a/src/springmux/cli/reference.py
+++ b/src/springmux/cli/reference.py
@@ -39,7 +39,7 @@
 EXCHANGE_CALLS = frozenset({"_end_early", "_attempt_failed"})
 """Helpers for which the same holds."""
 BY_WHAT_WAS_SENT = "by what was sent"
-STATUS_OF_CALL = {"invalid": 422, "submit": 409, "_unavailable": 503, "_give_up": 503}
+STATUS_OF_CALL = {"validation_error": 422, "submit": 409, "_unavailable": 503, "_give_up": 503}
 """Helpers that give their code a status of their own."""
 SIMPLE_TYPES = {bool: "true or false", int: "whole number", float: "number", str: "text", Path: "path"}
 
