--- a/src/springmux/node/__init__.py
+++ b/src/springmux/node/__init__.py
@@ -1,4 +1,4 @@
-"""The daemon: settings, listeners, transport, storage threads, lifecycle.
+"""The daemon: settings, listeners, peer transport, storage threads and lifecycle.
 
-All network I/O of the daemon is here.
+This package does all network I/O of the daemon.
 """
--- a/src/springmux/node/addresses.py
+++ b/src/springmux/node/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses of listeners and peers: an IP address and a port, without DNS names."""
+"""Addresses of listeners and peers: an IP address and a port. DNS names are not supported."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
     :raises ValueError: if the host is not an IP address or the port is not 1..65535.
     """
-    import ipaddress  # costs some ms at start, and a running node rarely needs it
+    import ipaddress  # the import takes some milliseconds at start, and a running node rarely needs it
 
     host, separator, port = value.rpartition(":")
     if not separator:
@@ -27,6 +27,6 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return host and port of an address that :func:`check_address` accepted."""
+    """Return the host, without brackets, and the port of an address that :func:`check_address` accepted."""
     host, _, port = address.rpartition(":")
     return host.removeprefix("[").removesuffix("]"), int(port)
--- a/src/springmux/node/admin/listener.py
+++ b/src/springmux/node/admin/listener.py
@@ -119,7 +119,7 @@
         readiness = self._health.readiness()
         stopped = self._driver.replica_stopped_reason
         action = "none: the node is about to begin anew as a new replica"
-        if not self._driver.replica_given_up.is_set():
+        if not self._driver.replica_abandoned.is_set():
             action = "move the data folder away and restart the node: it rejoins as a new replica"
         body = StatusBody(
             node=self._agent.status(),
--- a/src/springmux/node/client/upstream.py
+++ b/src/springmux/node/client/upstream.py
@@ -110,7 +110,7 @@
     def begin(self, dispatch: Dispatch, sink: UpstreamEventSink) -> Exchange:
         """Start an exchange that sends its events to ``sink``."""
         self._metrics.count("upstream_attempts_total", dispatch.engine.service, dispatch.engine.version)
-        self.rates.dispatched(dispatch.engine.service)
+        self.rates.record_dispatch(dispatch.engine.service)
         session = self._unpooled if dispatch.fresh else self._pooled
         return Exchange(session, dispatch, sink, self._metrics)
 
--- a/src/springmux/node/daemon.py
+++ b/src/springmux/node/daemon.py
@@ -1,4 +1,4 @@
-"""Construction and lifecycle of one node process: start, readiness, orderly stop, exit codes."""
+"""Construction and lifecycle of one node process: start, readiness, graceful stop, exit codes."""
 
 from __future__ import annotations
 
@@ -31,13 +31,13 @@
 from springmux.node.storage.worker import StorageWorker
 from springmux.storage.real_disk import RealDisk
 
-STORAGE_STOP_S = 2.0
-LEAVE_MESSAGES_S = 0.2
-"""Time for sending the messages that announce this node's leave."""
+STORAGE_STOP_TIMEOUT_S = 2.0
+LEAVE_DELAY_S = 0.2
+"""Time for sending the messages by which this node leaves the fleet, before its connections close."""
 
 
 class NodeProcess:
-    """All components of one running node. Setting ``stop_requested`` begins the orderly stop."""
+    """All components of one running node. Setting ``stop_requested`` starts the graceful stop."""
 
     def __init__(
         self,
@@ -137,14 +137,14 @@
         self._log.write("node_started", zone=self._settings.zone, fleet=self._settings.fleet)
 
     async def wait(self) -> int:
-        """Wait for a stop or a crash, and stop. Returns the exit code, or :data:`RESTART_AS_NEW`."""
+        """Wait for a stop request or a crash, then stop. Return the exit code or :data:`RESTART_AS_NEW`."""
         if await wait_for_end(self.driver, self.stop_requested) == EXIT_CRASHED:
             return EXIT_CRASHED
         await self.stop()
         return exit_code(self.driver, self.stop_requested)
 
     async def stop(self) -> None:
-        """Stop in order: not ready, leave, stop accepting, finish streams, close."""
+        """Stop gracefully: report not ready, stop accepting, leave, finish running streams, close."""
         self._log.write("node_stopping", grace_s=self._settings.stop_grace_s)
         self._health.stopping = True
         # Clients are still accepted until the platform's readiness checks see that the node is not ready.
@@ -153,12 +153,12 @@
         self.driver.submit(StopBegun())
         await self._clients.finish(self._settings.stop_grace_s)
         self.driver.submit(StopFinished())
-        await asyncio.sleep(LEAVE_MESSAGES_S)
+        await asyncio.sleep(LEAVE_DELAY_S)
         await self.close()
         self._log.write("node_stopped")
 
     async def close(self) -> None:
-        """Close listeners, connections and storage at once."""
+        """Close listeners, connections and storage without waiting for running requests."""
         self._sampler.cancel()
         self.driver.stop()
         self._prober.stop()
@@ -167,7 +167,7 @@
         await self._upstream.close()
         await self._transport.close()
         if self._storage is not None:
-            await asyncio.to_thread(self._storage.stop, STORAGE_STOP_S)
+            await asyncio.to_thread(self._storage.stop, STORAGE_STOP_TIMEOUT_S)
 
     def _sample(self) -> None:
         loop = asyncio.get_running_loop()
@@ -187,7 +187,10 @@
 
 
 async def run_until_stopped(settings: NodeSettings, log: EventLog, stop_requested: asyncio.Event) -> int:
-    """Run node after node until one stops; all but the first with a new replica. Returns the exit code."""
+    """Run one node after another until one is stopped, and return the exit code.
+
+    Each node after the first starts with a new replica.
+    """
     injector = FaultInjector() if settings.fault_injection else None
     make_disk = injector.disk if injector is not None else RealDisk
 
@@ -211,9 +214,9 @@
 
 
 def run_node(settings: NodeSettings) -> int:
-    """Run a node until it is stopped. Returns the exit code."""
+    """Run a node until it is stopped, and return the exit code of the process."""
     code = asyncio.run(_run(settings))
     if code == EXIT_CRASHED:
-        # Threads may hang on a stalled disk; the process must end now.
+        # Threads may hang on a stalled disk, and the process must not wait for them.
         os._exit(code)
     return code
--- a/src/springmux/node/driver.py
+++ b/src/springmux/node/driver.py
@@ -1,7 +1,7 @@
-"""Run the pure agent: events in, effects out to I/O, a timer at the agent's next deadline.
+"""Drive the agent, which does no I/O: pass events in, execute its effects, and tick it at its next deadline.
 
-All of it happens on the event loop, one event after another. An exception in the agent ends the
-process (exit 70): a state machine that failed once may be inconsistent.
+Everything runs on the event loop, one event after another. An exception in the agent ends the process
+(exit code 70), because a state machine that failed once may be inconsistent.
 """
 
 from __future__ import annotations
@@ -44,9 +44,9 @@
 from springmux.vocabulary.names import RequestId
 
 LAG_PROBE_S = 0.25
-"""Period of checks of the loop's lag and of the disk's oldest wait."""
+"""Period at which the event loop's lag and the age of the oldest disk operation are checked."""
 LAG_WARNING_S = 0.25
-"""A longer lag disturbs failure detection (probe periods are about a second)."""
+"""A longer event loop lag is logged, as it disturbs failure detection (probe periods are about a second)."""
 
 
 OrderCallback = Callable[[OrderAnswered], None]
@@ -54,7 +54,7 @@
 
 
 class AgentDriver:
-    """Owns the agent. Listeners submit events, orders and claims; their callbacks receive the results."""
+    """Owns the agent. Listeners submit events, orders and claims, and receive results through callbacks."""
 
     def __init__(self, agent: DrivenAgent, log: EventLog, metrics: NodeMetrics) -> None:
         self._agent = agent
@@ -76,33 +76,33 @@
         self._preparing: set[asyncio.Task[None]] = set()
         self.revocation_listeners: list[Callable[[tuple[RequestId, ...]], None]] = []
         self.replica_stopped_reason = ""
-        self.replica_given_up = asyncio.Event()
-        """Set once the data folder is unusable: the process runs a new node with an empty one."""
+        self.replica_abandoned = asyncio.Event()
+        """Set when the data folder is unusable; the process then runs a new node with an empty folder."""
 
     def attach(self, transport: PeerSender, storage: StorageWorker | None) -> None:
-        """Set the I/O that executes effects; to be called before :meth:`start`."""
+        """Set the I/O that executes effects. Must be called before :meth:`start`."""
         self._transport = transport
         self._storage = storage
 
     def start(self) -> None:
-        """Start the agent and its timers."""
+        """Start the agent, its deadline timer and the periodic lag check."""
         self._execute(lambda: self._agent.start(self._loop.time()))
         self._set_timer()
         self._schedule_probe()
 
     def stop(self) -> None:
-        """Stop timers; later events are dropped."""
+        """Stop the timers. Events submitted later are dropped."""
         self._stopped = True
         for handle in (self._timer, self._probe):
             if handle is not None:
                 handle.cancel()
 
     def submit(self, event: Event) -> None:
-        """Have the agent handle one event, and execute its effects. Re-entrant events are queued."""
+        """Pass one event to the agent and execute its effects. Events submitted meanwhile are queued."""
         self.submit_all((event,))
 
     def submit_all(self, events: Iterable[Event]) -> None:
-        """Have the agent handle several events; the timer is set once, after the last."""
+        """Pass several events to the agent. The timer is set once, after the last event."""
         self._inbox.extend(events)
         if self._handling:
             return
@@ -116,57 +116,61 @@
         self._set_timer()
 
     def refresh_timer(self) -> None:
-        """Set the timer anew after a flow's work: quota may need a tick sooner than before."""
+        """Reschedule the timer after work on a request, whose quota reservation may need an earlier tick."""
         if not self._handling:
             self._set_timer()
 
     def new_correlation_id(self, kind: str) -> str:
-        """Return a correlation_id that is unique in this process."""
+        """Return a correlation id that is unique in this process and begins with ``kind``."""
         self._correlation_ids += 1
         return f"{kind}-{self._correlation_ids}"
 
     def submit_order(self, command: AnyCommand, callback: OrderCallback) -> str:
-        """Submit an operator's command; ``callback`` gets its result once. Return its correlation_id."""
+        """Submit an operator's command and return its correlation id. ``callback`` gets the result once."""
         correlation_id = self.new_correlation_id("order")
         self._orders[correlation_id] = callback
         self.submit(OrderSubmitted(correlation_id=correlation_id, command=command))
         return correlation_id
 
     def submit_transfer(self, target: str, callback: OrderCallback) -> str:
-        """Request a leadership transfer; its result comes as an order's does."""
+        """Request a leadership transfer to ``target``, with the callback of :meth:`submit_order`."""
         correlation_id = self.new_correlation_id("transfer")
         self._orders[correlation_id] = callback
         self.submit(LeadershipTransferRequested(correlation_id=correlation_id, target=target))
         return correlation_id
 
     def submit_removal(self, replica: str, callback: OrderCallback) -> str:
-        """Request a replica's removal; its result comes as an order's does."""
+        """Request the removal of a replica, with the callback of :meth:`submit_order`."""
         correlation_id = self.new_correlation_id("removal")
         self._orders[correlation_id] = callback
         self.submit(ControllerRemovalRequested(correlation_id=correlation_id, replica=replica))
         return correlation_id
 
     def forget_order(self, correlation_id: str) -> None:
-        """Drop the callback of an order that nobody waits for any more."""
+        """Drop the callback of an order whose caller no longer waits for the result."""
         self._orders.pop(correlation_id, None)
 
     def request_claim(self, claim_key: str, callback: ClaimCallback) -> str:
-        """Request an at-most-once claim. Return the correlation_id that :meth:`settle_claim` needs."""
+        """Request an at-most-once claim and return the correlation id that :meth:`settle_claim` needs."""
         correlation_id = self.new_correlation_id("claim")
         self._claims[correlation_id] = callback
         self.submit(ClaimRequested(correlation_id=correlation_id, claim_key=claim_key))
         return correlation_id
 
     def forget_claim(self, correlation_id: str) -> None:
-        """Drop a claim's callback whose request ended before the decision."""
+        """Drop the callback of a claim whose request ended before the decision."""
         self._claims.pop(correlation_id, None)
 
     def settle_claim(self, correlation_id: str, claim_key: str, ran: bool, answer: bytes) -> None:
-        """Report how a claimed request ended."""
+        """Report how a claimed request ended.
+
+        :param ran: whether the request may have been executed.
+        :param answer: response to return if the request is sent again (opaque).
+        """
         self.submit(ClaimSettled(correlation_id=correlation_id, claim_key=claim_key, ran=ran, answer=answer))
 
     def abandon_waiters(self) -> None:
-        """Decide pending claims as unavailable: the process ends, and no decision will come."""
+        """Resolve pending claims as unavailable: the process is ending, and no decision will arrive."""
         for correlation_id in list(self._claims):
             callback = self._claims.pop(correlation_id)
             callback(ClaimDecision(verdict=ClaimVerdict.UNAVAILABLE))
@@ -185,9 +189,10 @@
             self.crashed.set_result(error)
 
     def _set_timer(self) -> None:
-        """Schedule a tick at the agent's deadline. A timer that is due earlier stays, and schedules the next.
+        """Schedule a tick at the agent's deadline, unless the present timer is due earlier.
 
-        Most events move the deadline later; a new timer costs more than one that fires too early.
+        A timer that fires before the deadline schedules the next one. Most events move the deadline later,
+        and a new timer costs more than one that fires too early.
         """
         deadline = NEVER if self._stopped else self._deadline()
         if deadline >= self._timer_at:
@@ -206,10 +211,10 @@
             self._set_timer()
 
     def _deadline(self) -> float:
-        """Return the agent's deadline. A fault in it ends the process: without ticks nothing happens."""
+        """Return the agent's next deadline. An exception ends the process: nothing works without ticks."""
         try:
             return self._agent.next_deadline()
-        except Exception as error:  # noqa: BLE001 - as in handling an event
+        except Exception as error:  # noqa: BLE001 - same as in _execute
             self._crash(error)
             return NEVER
 
@@ -252,7 +257,7 @@
         elif isinstance(effect, ReplicaStopped):
             self._replica_stopped(effect)
         else:
-            raise TypeError(f"no I/O for effect {type(effect).__name__}")
+            raise TypeError(f"the driver has no handler for the effect {type(effect).__name__}")
 
     def _order_answered(self, effect: OrderAnswered) -> None:
         callback = self._orders.pop(effect.correlation_id, None)
@@ -297,7 +302,7 @@
         self._metrics.set("replica_stopped", 1)
         if effect.restart_as_new:
             self._log.write("replica_given_up", LogLevel.WARNING, reason=effect.reason)
-            self.replica_given_up.set()
+            self.replica_abandoned.set()
             return
         self._log.write(
             "replica_stopped",
--- a/src/springmux/node/driver_protocols.py
+++ b/src/springmux/node/driver_protocols.py
@@ -1,4 +1,4 @@
-"""Interfaces of the driver to the agent and to the peers' transport."""
+"""Interfaces that the driver needs of the agent and of the peer transport."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     """Interface to :class:`springmux.control.state.ControlState`."""
 
     def prepare(self, data: bytes) -> None:
-        """Parse a large command in advance; may run in a thread."""
+        """Parse a large command before it is applied. May be called from another thread."""
 
 
 class DrivenAgent(Protocol):
@@ -23,13 +23,13 @@
         """The control state machine."""
 
     def start(self, now: float) -> list[Effect]:
-        """Begin at time ``now``; return the first effects to execute."""
+        """Start at ``now`` (event loop time) and return the first effects to execute."""
 
     def handle(self, event: Event, now: float) -> list[Effect]:
-        """Handle one event; return the effects to execute."""
+        """Handle one event at ``now`` (event loop time) and return the effects to execute."""
 
     def next_deadline(self) -> float:
-        """Return when the next Tick is due (event loop time)."""
+        """Return the time at which the next Tick is due (event loop time)."""
 
 
 class PeerSender(Protocol):
--- a/src/springmux/node/fault_injection.py
+++ b/src/springmux/node/fault_injection.py
@@ -1,6 +1,7 @@
-"""Faults that experiments inject into a node: a partition, a faulty disk, a wall clock that jumps.
+"""Faults that experiments inject into a node: a network partition, a faulty disk, a wall clock that jumps.
 
-Only with the setting ``fault_injection``; :mod:`springmux.node.admin.fault_endpoint` sets them.
+They are available only with the setting ``fault_injection``, and set by
+:mod:`springmux.node.admin.fault_endpoint`.
 """
 
 from __future__ import annotations
@@ -17,10 +18,11 @@
 
 
 class NodeFaults(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """Faults in force in one node. ``disk_delay_s``: delay of each write, sync and rename.
+    """Active faults of one node.
 
-    ``cut``: messages from and to peers are dropped silently. ``disk_full``: no space except what
-    removed files free. ``clock_offset_s``: added to the process's wall clock.
+    ``cut``: whether messages from and to peers are dropped silently. ``disk_delay_s``: delay of each write,
+    sync and rename. ``disk_full``: whether writes have only the space that removed files free.
+    ``clock_offset_s``: offset added to the process's wall clock.
     """
 
     cut: bool = False
@@ -30,7 +32,7 @@
 
 
 class FaultInjector:
-    """Holds the faults in force; read by the event loop and by the storage thread."""
+    """Holds the active faults. The event loop and the storage thread read them."""
 
     def __init__(self) -> None:
         self._faults = NodeFaults()
@@ -39,35 +41,35 @@
         self._real_time = time.time
 
     def partitioned(self) -> bool:
-        """Return whether the node is partitioned from its peers."""
+        """Return whether messages from and to peers are to be dropped."""
         return self._faults.cut
 
     def set(self, faults: NodeFaults) -> None:
-        """Replace the faults in force; a stalled disk continues at once when its delay ends."""
+        """Replace the active faults. Waiting disk operations continue as soon as their delay is removed."""
         with self._changed:
             self._faults = faults
             self._space_bytes = 0
             self._changed.notify_all()
         real_time = self._real_time
         offset_s = faults.clock_offset_s
-        # The jump must affect the entire process, libraries too; the monotonic clock stays.
+        # The offset must affect the whole process, libraries included; the monotonic clock is unchanged.
         time.time = lambda: real_time() + offset_s
 
     def disk(self, root: Path) -> Disk:
-        """Return a disk below ``root`` with these faults."""
+        """Return a disk below ``root`` that is subject to the active faults."""
         return FaultyDisk(root, self)
 
     def wait_for_disk(self) -> None:
-        """Wait for the disk's present delay (blocking)."""
+        """Block for the disk delay that is active."""
         began_at = time.monotonic()
         with self._changed:
             while (remaining_s := began_at + self._faults.disk_delay_s - time.monotonic()) > 0:
                 self._changed.wait(remaining_s)
 
     def use_space(self, path: str, size_bytes: int) -> None:
-        """Use ``size_bytes`` of space.
+        """Reserve ``size_bytes`` of disk space.
 
-        :raises DiskFullError: if the disk is full and removed files freed less.
+        :raises DiskFullError: if the disk is full and removed files have freed less.
         """
         with self._changed:
             if not self._faults.disk_full:
@@ -82,7 +84,7 @@
             self._space_bytes += size_bytes
 
     def space_bytes(self, real_bytes: int) -> int:
-        """Return the free space that the node sees."""
+        """Return the free space to report to the node, given ``real_bytes`` on the real disk."""
         with self._changed:
             return self._space_bytes if self._faults.disk_full else real_bytes
 
@@ -120,7 +122,7 @@
 
 
 class FaultyDisk(Disk):
-    """The operating system's disk with the injector's faults before its writes."""
+    """The operating system's disk, with the injector's faults applied before each write."""
 
     def __init__(self, root: Path, injector: FaultInjector) -> None:
         self._root = root
@@ -132,7 +134,7 @@
         self._after_delay(lambda: self._disk.make_folder(path))
 
     def list_folder(self, path: str) -> list[str]:
-        """Return the names of files."""
+        """Return the names of the folder's files."""
         return self._disk.list_folder(path)
 
     def exists(self, path: str) -> bool:
@@ -140,7 +142,7 @@
         return self._disk.exists(path)
 
     def open(self, path: str) -> DiskFile:
-        """Open for appending."""
+        """Open a file for appending."""
         return FaultyFile(path, self._disk.open(path), self._injector)
 
     def read(self, path: str) -> bytes:
--- a/src/springmux/node/gateway/__main__.py
+++ b/src/springmux/node/gateway/__main__.py
@@ -8,11 +8,11 @@
 
 
 def main() -> int:
-    """Run the node of the settings file that the command line names."""
+    """Run the node with the settings file given on the command line, and return the exit code."""
     if len(sys.argv) != 2:
         sys.stderr.write("usage: python -m springmux.node.gateway SETTINGS\n")
         return 2
-    # A hang-up before the node listens for it would end the process; it reads the settings only later anyway.
+    # Without a handler SIGHUP would end the process. The settings are read later, so it can be ignored.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     from springmux.node.gateway.process import run_gateway
 
--- a/src/springmux/node/gateway/admission.py
+++ b/src/springmux/node/gateway/admission.py
@@ -14,7 +14,7 @@
 
 
 class Admission:
-    """Checks requests against the configuration in force."""
+    """Checks requests against the active configuration."""
 
     def __init__(self, core: GatewayCore, names: HeaderNames) -> None:
         self._core = core
@@ -27,8 +27,8 @@
     def admit(self, head: RequestHead) -> Admitted | Refusal:
         """Return the request's route and tenant, or why it is refused.
 
-        The lease on the keys is checked after the key: what was revoked before the lease began is in force
-        here. Once the lease has expired, an unknown key may be a new one.
+        The lease on the keys is checked after the key: revocations from before the lease began are already
+        applied here. Once the lease has expired, an unknown key may be a new one.
         """
         if not self._core.configured:
             return refusal_responses.NO_CONFIGURATION
@@ -47,7 +47,7 @@
         return admitted
 
     def charge_quota(self, admitted: Admitted, head: RequestHead) -> float | None:
-        """Charge the request to its tenant's quota; return the seconds to wait if it is exceeded."""
+        """Charge the request to its tenant's quota. If the quota is exceeded, return the seconds to wait."""
         tenant = admitted.tenant
         if tenant is None or tenant.rate_per_s <= 0:
             return None
@@ -55,7 +55,7 @@
         return self._core.usage.admit(tenant.name, tokens, asyncio.get_running_loop().time())
 
     def refund_quota(self, admitted: Admitted, head: RequestHead) -> None:
-        """Refund the charge of a request that was not executed."""
+        """Refund the quota charge of a request that was not executed."""
         tenant = admitted.tenant
         if tenant is None or tenant.rate_per_s <= 0:
             return
--- a/src/springmux/node/gateway/attempt.py
+++ b/src/springmux/node/gateway/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a forwarded request at one engine: send it, check the response, and forward that."""
+"""One attempt of a forwarded request at one engine: send the request, check and forward the response."""
 
 from __future__ import annotations
 
@@ -32,19 +32,19 @@
 from springmux.vocabulary.engines import EngineRecord
 
 CONNECT_TIMEOUT_S = 0.4
-"""Several round trips within a region; less than the second after which a lost SYN is sent again."""
+"""Several round trips within a region, and less than the 1 s after which TCP retransmits a lost SYN."""
 DECLINE_BODY_TIMEOUT_S = 0.05
-"""Longer than a short body needs; a new connection costs less than the wait."""
+"""Enough to read a short body of a decline. A longer wait would cost more than a new connection."""
 NOT_EXECUTED_STATUSES = frozenset({408, 421, 429, 503})
-"""Statuses that promise the client that its request has not been executed and never will be."""
+"""Statuses that guarantee to the client that its request was not executed and will not be."""
 EVENT_TERMINATORS = (b"\n\n", b"\r\n\r\n")
-"""A blank line ends an event of a stream (HTML standard, server-sent events)."""
+"""Endings of an event in a stream: a blank line (HTML standard, server-sent events)."""
 MAX_BUFFERED_RESPONSE_BYTES = 1 << 20
-"""A response that is no stream is read completely up to this size before the client gets any of it."""
+"""A response that is not a stream is buffered up to this size before any of it is sent to the client."""
 
 
 class Attempt:
-    """Send the request once, and report the outcome to placement and to the rollout's judge."""
+    """Sends the request once, and reports the outcome to placement and to the rollout's judge."""
 
     def __init__(self, request: ForwardedRequest, record: EngineRecord, selection: VersionSelection) -> None:
         self._request = request
@@ -61,7 +61,7 @@
         self._watchdog: ResponseWatchdog | None = None
 
     async def run(self) -> AttemptResult:
-        """Run the attempt. However it ends, the dispatch is ended and its outcome reported."""
+        """Run the attempt. In every case, the dispatch is ended and its outcome reported."""
         try:
             return await self._run()
         except ExchangeFailedError as failure:
@@ -110,7 +110,7 @@
         )
 
     def _is_own_response(self, head: ResponseHead) -> bool:
-        """Return whether a response echoes this request's id. An engine may decline without naming it."""
+        """Return whether a response echoes this request's id. A response that declines may omit the id."""
         name = self._services.headers.names.request_id
         echoed = head.header(name)
         if echoed is None:
@@ -118,18 +118,21 @@
         return echoed == self._request.exchange.head.header(name)
 
     def _check_head(self, head: ResponseHead) -> None:
-        """Reject a response that the client must not get.
+        """Reject a response that must not be forwarded to the client.
 
-        :raises ExchangeFailedError: it is a success without the engine's seal, or its status would promise
-            the client of a request that may not be repeated that it has not been executed.
+        :raises ExchangeFailedError: if it is a success without the engine's seal, or if its status would
+            guarantee to the client that a request that may not be repeated was not executed.
         """
         if 200 <= head.status < 300 and head.header(self._services.headers.names.seal) is None:
-            raise ExchangeFailedError(FailureKind.MALFORMED, "a success without a seal")
+            raise ExchangeFailedError(FailureKind.MALFORMED, "successful response has no seal header")
         if not self._request.route.repeatable and head.status in NOT_EXECUTED_STATUSES:
-            raise ExchangeFailedError(FailureKind.MALFORMED, "a promise without the engine's word")
+            raise ExchangeFailedError(
+                FailureKind.MALFORMED,
+                "status implies that the request was not executed, but the engine did not decline it",
+            )
 
     async def _declined(self, upstream: EngineExchange, head: ResponseHead) -> AttemptResult:
-        """End a declined attempt; the body is read only so that the connection can be reused."""
+        """End a declined attempt. The body is read only so that the connection can be reused."""
         with contextlib.suppress(ExchangeFailedError, TimeoutError):
             async with asyncio.timeout(DECLINE_BODY_TIMEOUT_S):
                 await self._discard_body(upstream)
@@ -143,9 +146,9 @@
             pass
 
     async def _relay_response(self, upstream: EngineExchange, head: ResponseHead) -> AttemptResult:
-        """Forward a response that is no stream, once it is complete unless it is large."""
+        """Forward a response that is not a stream; unless it is large, only once it is complete."""
         exchange = self._request.exchange
-        if exchange.begun:  # a stream that this engine was to resume
+        if exchange.begun:  # the request was to resume a stream at this engine
             self._outcome, self._ending = ExchangeOutcome.ERROR_STATUS, Ending.ERROR_STATUS
             return AttemptResult(AttemptEnd.MAY_HAVE_RUN)
         headers = self._services.headers.response_headers(head)
@@ -180,7 +183,7 @@
         return AttemptResult(None)
 
     async def _relay_stream(self, upstream: EngineExchange, head: ResponseHead) -> AttemptResult:
-        """Forward a stream as it arrives. Nothing is sent before its first event, so it may be retried."""
+        """Forward a stream as it arrives. Nothing is sent before the first event, so a retry is possible."""
         exchange, events = self._request.exchange, self._request.events
         tail = b""
         while data := await upstream.read():
@@ -235,14 +238,14 @@
         return AttemptResult(AttemptEnd.MAY_HAVE_RUN)
 
     def _record_cancellation(self) -> None:
-        """Count a request cancelled at its deadline as the engine's timeout; else the client disconnected."""
+        """Count a cancellation at the deadline as the engine's timeout; otherwise the client disconnected."""
         if self._loop.time() >= self._request.deadline:
             self._outcome, self._ending = ExchangeOutcome.TIMED_OUT, Ending.TIMED_OUT
 
     def _timed_out(self) -> AttemptResult:
         """End an attempt that its watchdog cancelled, so that another engine can serve the request."""
         self._outcome = ExchangeOutcome.TIMED_OUT
-        self._ending = Ending.WHOLE  # counts as a slow response, not as a broken one
+        self._ending = Ending.WHOLE  # counts as slow, not as broken
         self._evidence.timed_out(self._loop.time())
         if self._request.events is not None:
             self._request.events.discard_incomplete_event()
@@ -263,7 +266,7 @@
         self._evidence.report(self._ending, now)
 
     def _start_watchdog(self) -> ResponseWatchdog | None:
-        """Return a watchdog if another engine could serve the request after a timeout."""
+        """Start and return a watchdog if another engine could serve the request after a timeout."""
         rules = self._request.rules
         if not rules.has_spare_attempt:
             return None
--- a/src/springmux/node/gateway/attempt_loop.py
+++ b/src/springmux/node/gateway/attempt_loop.py
@@ -1,4 +1,4 @@
-"""Attempts of one forwarded request at engine after engine, until the client has a response."""
+"""The attempts of one forwarded request at successive engines, until the client has a response."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 async def run_attempts(request: ForwardedRequest) -> Refusal | None:
-    """Try engines until the client has a response; return the refusal to send if none gave one."""
+    """Try engines until the client has a response. Return the refusal to send if no engine provides one."""
     services, route, prompt = request.services, request.route, request.prompt
     core = services.core
     loop = asyncio.get_running_loop()
     core.retry_budget.record_request(loop.time())
     service = choose_service(route, prompt, services.randomness)
-    services.rates.dispatched(service)
+    services.rates.record_dispatch(service)
     await services.startup_gate.wait_for(lambda: core.placement.knows_engines(service))
     now = loop.time()
     key = prefix_key(prompt, services.randomness)
@@ -78,7 +78,10 @@
 def _final_refusal(
     request: ForwardedRequest, last: AttemptResult | None, not_executed: Refusal
 ) -> Refusal | None:
-    """Forward the engine's own error response, or return a refusal that promises no more than is certain."""
+    """Forward the last engine's error response if there is one, else return the refusal to send.
+
+    The refusal says that the request was not executed only if that is certain.
+    """
     if request.exchange.begun:
         return refusal_responses.FAILED
     if last is not None and last.forward_error is not None:
--- a/src/springmux/node/gateway/attempt_result.py
+++ b/src/springmux/node/gateway/attempt_result.py
@@ -1,4 +1,4 @@
-"""Result of one attempt at an engine, and what a failed exchange says of the engine and of its version."""
+"""Result of one attempt at an engine, and how failed exchanges count for the engine and its version."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
     FailureKind.MALFORMED: ExchangeOutcome.MALFORMED,
     FailureKind.TRUNCATED: ExchangeOutcome.TRUNCATED,
 }
-"""The outcome for the engine's health of each way in which an exchange fails."""
+"""Outcome that each kind of failure counts as for the engine's health."""
 ENDINGS = {
     FailureKind.MALFORMED: Ending.BROKEN,
     FailureKind.TRUNCATED: Ending.BROKEN,
 }
-"""The ending for the rollout's judge; any other failure after sending means that the engine was lost."""
+"""Ending that a failure after sending counts as for the rollout's judge; ``ENGINE_LOST`` if not listed."""
 UNSENT_FAILURES = frozenset({FailureKind.CONNECT, FailureKind.NOT_SENT})
-"""Failures before any byte of the request was sent."""
+"""Kinds of failures before any byte of the request was sent."""
 REUSABLE_OUTCOMES = frozenset(
     {
         ExchangeOutcome.OK,
@@ -35,13 +35,13 @@
         ExchangeOutcome.ERROR_STATUS,
     }
 )
-"""Outcomes after which the connection to the engine may serve another exchange."""
+"""Outcomes after which the connection to the engine can be reused."""
 
 
 class AttemptResult(msgspec.Struct):
-    """How an attempt ended. ``end`` is ``None`` once the client has a response.
+    """How an attempt ended. ``end`` is ``None`` if the client has a response.
 
-    ``forward_error``: sends the engine's own error response to the client, if no other engine is tried.
+    ``forward_error``: sends the engine's error response to the client; called if no other engine is tried.
     """
 
     end: AttemptEnd | None
--- a/src/springmux/node/gateway/backend_choice.py
+++ b/src/springmux/node/gateway/backend_choice.py
@@ -1,4 +1,4 @@
-"""Choice of the service that a request goes to, among a route's weighted backends."""
+"""Choice of a request's service among the weighted backends of its route."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def prefix_key(prompt: PromptMetadata, randomness: random.Random) -> int:
-    """Return a 64-bit hash of the prompt's last shared part, or a random key if it states none."""
+    """Return a 64-bit hash of the prompt's last shared prefix part, or a random key if there is none."""
     prefix = prompt.prefix
     if len(prefix) >= 2:
         return xxhash.xxh3_64_intdigest(prefix[-2][0].encode("latin-1"))
@@ -24,7 +24,7 @@
 
 
 def choose_service(route: GatewayRoute, prompt: PromptMetadata, randomness: random.Random) -> ServiceName:
-    """Return one of the route's services by weight; a sticky route sends a shared prefix to the same one."""
+    """Choose one of the route's services by weight; on a sticky route, the same for a shared prefix."""
     backends = route.backends
     if len(backends) == 1:
         return backends[0].service
--- a/src/springmux/node/gateway/configuration_endpoints.py
+++ b/src/springmux/node/gateway/configuration_endpoints.py
@@ -1,4 +1,4 @@
-"""Reading and changing the gateway's configuration over HTTP."""
+"""HTTP endpoints that read and change the gateway's configuration."""
 
 from __future__ import annotations
 
@@ -21,14 +21,17 @@
 BASE_VERSION_HEADER = b"if-match"
 PRECONDITION_FAILED = 412
 PROOF_TIMEOUT_S = 0.7
-"""Operators' clients wait a second for a response."""
+"""Time to wait for a proof; operators' clients wait 1 s for the response."""
 POLL_INTERVAL_S = 0.02
 
 
 class ConfigurationEndpoints:
-    """``GET``, ``PUT`` (complete) and ``PATCH`` (items by name). ``If-Match`` names the base version.
+    """Handles ``GET``, ``PUT`` (whole document) and ``PATCH`` (items by name).
 
-    :param proof_s: a state may be shown if a proof at most this old says that it was the newest.
+    The header ``If-Match`` states the version that a change is based on.
+
+    :param timeout_s: how long to wait for the outcome of a change, in seconds.
+    :param proof_s: maximum age in seconds of a proof that the shown configuration was the newest.
     """
 
     def __init__(self, agent: NodeAgent, driver: AgentDriver, timeout_s: float, proof_s: float) -> None:
@@ -55,7 +58,7 @@
         return ControlResponse(200, document)
 
     async def _prove_newest(self) -> bool:
-        """Request a proof from the leader unless there is a recent one; return whether it arrives in time."""
+        """Request a proof from the leader unless there is a recent one. Return whether it arrives in time."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + PROOF_TIMEOUT_S
         if self._agent.state_proof_age_s(loop.time()) > self._proof_s:
--- a/src/springmux/node/gateway/control_interface.py
+++ b/src/springmux/node/gateway/control_interface.py
@@ -1,4 +1,4 @@
-"""The gateway's control listener: engine reports, configuration, rollouts, readiness, status, metrics."""
+"""Handler of the control listener: engine reports, configuration, rollouts, readiness, status, metrics."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 class Readiness(Protocol):
-    """Source of the node's readiness."""
+    """Interface to the readiness of :class:`springmux.node.gateway.gateway_node.GatewayNode`."""
 
     def readiness(self) -> ReadyBody:
         """Return whether clients should be sent to this node, and why not."""
@@ -52,7 +52,7 @@
 
 
 class ControlInterface:
-    """Routes requests of the control listener to their endpoints."""
+    """Dispatches requests to the control listener to their endpoints."""
 
     def __init__(
         self,
--- a/src/springmux/node/gateway/control_responses.py
+++ b/src/springmux/node/gateway/control_responses.py
@@ -16,11 +16,11 @@
 TEXT_HEADERS: tuple[Header, ...] = ((b"content-type", b"text/plain; charset=utf-8"),)
 METRICS_HEADERS: tuple[Header, ...] = ((b"content-type", EXPOSITION_TYPE.encode()),)
 RETRY_AFTER_S = 0.3
-"""An operator's client tries the next node at once; this one may have a leader again by then."""
+"""Retry-After in seconds. An operator's client tries the next node first; by then a leader may be elected."""
 
 
 class ControlResponse(msgspec.Struct, frozen=True):
-    """A complete response."""
+    """A complete response of the control listener."""
 
     status: int
     body: bytes
@@ -28,7 +28,7 @@
 
 
 class ErrorBody(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Body of an error response: a stable code, a sentence, and every invalid field."""
+    """Body of an error response: a stable code, a readable message, and every invalid field."""
 
     code: str
     message: str
@@ -38,18 +38,18 @@
 def error_response(
     status: int, code: str, message: str, errors: tuple[FieldError, ...] = ()
 ) -> ControlResponse:
-    """Return an error response."""
+    """Return an error response with an :class:`ErrorBody`."""
     return ControlResponse(status, msgspec.json.encode(ErrorBody(code, message, errors)))
 
 
 def retry_later(code: str, message: str) -> ControlResponse:
-    """Return a 503 that says when to retry."""
+    """Return a 503 response with a ``Retry-After`` header."""
     body = msgspec.json.encode(ErrorBody(code, message))
     return ControlResponse(503, body, (*JSON_HEADERS, (b"retry-after", b"%.1f" % RETRY_AFTER_S)))
 
 
 async def submit_command(driver: AgentDriver, command: AnyCommand, timeout_s: float) -> OrderAnswered | None:
-    """Submit a command and wait for its outcome; ``None`` if it is unknown when the timeout expires."""
+    """Submit a command and wait for its outcome. Returns ``None`` if it is unknown after ``timeout_s``."""
     return await wait_for_order(driver, lambda callback: driver.submit_order(command, callback), timeout_s)
 
 
--- a/src/springmux/node/gateway/engine_endpoints.py
+++ b/src/springmux/node/gateway/engine_endpoints.py
@@ -1,4 +1,4 @@
-"""Reports of engines over HTTP: heartbeats, with a state of ready or draining, and departures."""
+"""HTTP endpoints for engines' reports: heartbeats (ready or draining) and departures."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 from springmux.vocabulary.names import EngineId, ServiceName, VersionName
 
 ISOLATED_REASONS = frozenset({STARTING, JOINING, CUT_OFF, STOPPING})
-"""Reasons for which an engine's report may reach no other node, so that the engine is sent to another one.
+"""Reasons for not being ready for which a report might reach no other node; the engine then gets a 503.
 
-The report is applied here all the same, so this node knows engines before it knows its fleet.
+The report is still applied here, so that this node knows engines before it is in contact with its fleet.
 """
 ONLY_INCARNATION = 1
-"""An engine gets a new identity at each start, so each identity has one incarnation."""
+"""Incarnation of every engine. An engine gets a new identity at each start, so each has one incarnation."""
 MAX_NAME_LENGTH = 200
 
 
 class HeartbeatBody(msgspec.Struct, frozen=True):
-    """Body of a heartbeat. ``sequence`` increases with each, so that a late one is detected."""
+    """Body of a heartbeat. ``sequence`` increases with each heartbeat, so that a late one is detected."""
 
     service: str
     address: str
@@ -42,14 +42,14 @@
 
 
 class EngineEndpoints:
-    """Translates engines' reports into events of the directory."""
+    """Translates engines' reports into events of the engine directory."""
 
     def __init__(self, agent: NodeAgent, submit: Callable[[Event], None]) -> None:
         self._agent = agent
         self._submit = submit
 
     async def handle(self, method: str, engine: str, exchange: ServerExchange) -> ControlResponse:
-        """Apply one report of ``engine``; return the response."""
+        """Apply one report of ``engine`` and return the response."""
         body = await exchange.body()
         if not engine or "/" in engine or len(engine) > MAX_NAME_LENGTH:
             return error_response(
--- a/src/springmux/node/gateway/evidence.py
+++ b/src/springmux/node/gateway/evidence.py
@@ -9,14 +9,14 @@
 from springmux.vocabulary.engines import EngineRecord
 
 BYTES_PER_TOKEN = 4
-"""The judge compares prompts of similar length in bytes; clients of the gateway state tokens."""
+"""Converts the tokens that clients of the gateway state to bytes, by which the judge compares prompts."""
 
 
 class AttemptEvidence:
-    """Records the times of one attempt's events. Does almost nothing where the service has no rollout.
+    """Records when the events of one attempt arrive. Does almost nothing if the service has no rollout.
 
-    A prompt of the candidate is watched: a first token that is far overdue counts before it arrives, since a
-    slow version's responses may arrive only after the end of the rollout.
+    A prompt at the candidate version is watched, so that a first token that is far overdue counts before it
+    arrives: the responses of a slow version may arrive only after the end of the rollout.
     """
 
     __slots__ = (
@@ -35,7 +35,7 @@
     def __init__(
         self, request: ForwardedRequest, record: EngineRecord, uncached_tokens: float, sent_at: float
     ) -> None:
-        """Start watching a prompt of a rollout's candidate.
+        """Start recording, and watch the first token if the engine runs a rollout's candidate.
 
         :param uncached_tokens: prompt tokens that the engine probably has to prefill.
         :param sent_at: in seconds of the event loop's clock.
@@ -59,7 +59,7 @@
             self._start_watch()
 
     def record_event(self, now: float) -> bool:
-        """Record the arrival of response bytes; return whether they are the first."""
+        """Record the arrival of response bytes at ``now``. Return whether they are the first."""
         self._events += 1
         self._last_at = now
         if self._first_at is not None:
@@ -69,7 +69,7 @@
         return True
 
     def timed_out(self, now: float) -> None:
-        """Record a timeout as an event: the real one would have been at least this late."""
+        """Record a timeout as an event: the missing event would have been at least this late."""
         self.record_event(now)
 
     def report(self, ending: Ending | None, now: float) -> None:
--- a/src/springmux/node/gateway/forwarded_request.py
+++ b/src/springmux/node/gateway/forwarded_request.py
@@ -1,4 +1,4 @@
-"""State of one forwarded request over its attempts at engines."""
+"""State that the attempts of one forwarded request share."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 class ForwardedRequest:
-    """What the attempts of one request share.
+    """One client request that is forwarded to engines.
 
-    ``deadline``: in seconds of the event loop's clock. ``events``: the response so far, where a stream may be
-    resumed at another engine.
+    ``deadline``: in seconds of the event loop's clock. ``events``: the stream received so far, if it may be
+    resumed at another engine, else ``None``.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         self.rules = AttemptRules(admitted.route, services.core.retry_budget, deadline)
         self.events = self._event_stream()
         self.in_doubt = False
-        """Whether the running attempt has been sent, so that the engine may execute it."""
+        """Whether the current attempt has been sent, so that the engine may have executed the request."""
 
     def timeout_refusal(self) -> Refusal:
         """Return the response to a request whose deadline has passed."""
--- a/src/springmux/node/gateway/forwarder.py
+++ b/src/springmux/node/gateway/forwarder.py
@@ -1,4 +1,4 @@
-"""Handler of the front listener: admits a client's request, reads its body, and forwards it to engines."""
+"""Handler of the front listener: admits a client's request, reads its body and forwards it to engines."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from springmux.node.http.types import BodyTooLargeError, ClientDisconnectedError, ServerExchange
 
 DEADLINE_MARGIN_S = 0.1
-"""The engine gets the deadline too and responds at it; the gateway's own response comes just after."""
+"""The engine is sent the deadline and responds at it. The gateway's own response follows this much later."""
 
 
 class _ErrorBody(msgspec.Struct, frozen=True):
@@ -28,7 +28,7 @@
 
 
 class Forwarder:
-    """The front listener's handler."""
+    """Handles the requests of the front listener."""
 
     def __init__(self, services: ForwarderServices) -> None:
         self._services = services
@@ -36,7 +36,7 @@
         self._admission = Admission(services.core, services.headers.names)
 
     async def handle(self, exchange: ServerExchange) -> None:
-        """Respond to one request. Returns early if the client disconnects."""
+        """Handle one request until it has a response or its client disconnects."""
         self._services.core.counters.requests += 1
         task = asyncio.current_task()
         client_gone = False
@@ -107,7 +107,7 @@
         self._refuse(exchange, refusal, trace)
 
     def _timeout_s(self, exchange: ServerExchange, admitted: Admitted) -> float:
-        """Return the route's timeout, or the client's if that is shorter."""
+        """Return the shorter of the route's and the client's timeout, in seconds."""
         timeout_ms = admitted.route.timeout_ms
         requested = exchange.head.header(self._headers.names.deadline_ms)
         if requested is not None and requested.isdigit():
@@ -124,7 +124,7 @@
         trace.request_id = (exchange.head.header(self._headers.names.request_id) or b"").decode("latin-1")
 
     def _refuse(self, exchange: ServerExchange, refusal: Refusal, trace: RequestTrace) -> None:
-        """Send a refusal, or reset the connection if a response has begun."""
+        """Send a refusal, or reset the connection if part of a response has been sent."""
         reason = RefusalReason.ANSWER_CUT if exchange.begun else refusal.reason
         not_executed = refusal.retry_after_s is not None or refusal.status < 500
         refused = not_executed and not exchange.begun
--- a/src/springmux/node/gateway/gateway_node.py
+++ b/src/springmux/node/gateway/gateway_node.py
@@ -1,4 +1,4 @@
-"""A gateway node: wiring of agent, listeners and storage, readiness, and the order of its stop."""
+"""A gateway node: construction of agent, listeners and storage, readiness, and the graceful stop."""
 
 from __future__ import annotations
 
@@ -38,22 +38,22 @@
 
 STORAGE_STOP_TIMEOUT_S = 1.0
 STOP_ACCEPTING_DELAY_S = 2.5
-"""After a stop is requested clients still come until the platform's readiness checks have noticed."""
+"""Time for the platform's readiness checks to notice a stop. Clients are still accepted until then."""
 LOADS_INTERVAL_S = 0.1
-"""Half the interval of usage reports, so that a report carries current loads."""
+"""Half the interval of usage reports, so that each report contains current loads."""
 RATES_INTERVAL_S = 0.5
 LEAVE_DELAY_S = 0.1
-"""Time for the agent's last messages to leave."""
+"""Time for sending the agent's last messages before the connections close."""
 CLOSE_MARGIN_S = 1.5
-"""Part of the stop's grace that is left for closing."""
+"""Part of the stop's grace period that is reserved for closing."""
 KEYS_NOT_CURRENT = "out of contact: a key may have been taken away"
-"""A node that would refuse nearly everything gets no clients while others can serve them."""
+"""Reason of a node that would refuse nearly every request, so that clients are sent to other nodes."""
 CONTROL_BODY_BYTES = 16 << 20
 CONTROL_LIMITS = ServerLimits(max_body_bytes=CONTROL_BODY_BYTES, idle_timeout_s=30.0)
 
 
 class GatewayNode:
-    """A running gateway node, from its start until it stops or has to start over with a new replica."""
+    """A running gateway node, until it stops or has to be replaced by one with a new replica."""
 
     def __init__(
         self,
@@ -97,14 +97,14 @@
         return ReadyBody(self.agent.gateway_ready, self.agent.gateway_reason)
 
     def reload(self, settings: GatewaySettings) -> None:
-        """Apply the settings that may change while running: the seeds and the grace of a stop."""
+        """Apply the settings that may change while running: the seeds and the grace period of a stop."""
         self._settings = settings
         self.driver.submit(SeedsChanged(settings.peer_seeds))
 
     async def start(self) -> None:
         """Open the listeners, then start the agent.
 
-        :raises OSError: an address can't be bound.
+        :raises OSError: if an address can't be bound.
         """
         settings = self._settings
         await self._transport.listen(settings.peer_address)
@@ -120,7 +120,7 @@
         self._log.write("node_started", zone=settings.zone, fleet=settings.fleet)
 
     async def wait(self) -> int:
-        """Wait for a stop or a crash, and stop; return the exit code or :data:`RESTART_AS_NEW`."""
+        """Wait for a stop request or a crash, then stop. Return the exit code or :data:`RESTART_AS_NEW`."""
         ending = await wait_for_end(self.driver, self._stop_requested)
         if ending == EXIT_CRASHED:
             return EXIT_CRASHED
@@ -131,7 +131,7 @@
         return exit_code(self.driver, self._stop_requested)
 
     async def _stop(self) -> None:
-        """Stop in order: not ready, hand over leadership, finish every request that was read, close."""
+        """Stop gracefully: report not ready, transfer leadership, finish all requests read so far, close."""
         settings = self._settings
         self._log.write("node_stopping", grace_s=settings.stop_grace_s)
         self._stopping = True
@@ -145,7 +145,7 @@
         self._log.write("node_stopped")
 
     async def close(self) -> None:
-        """Close everything at once."""
+        """Close listeners, connections and storage without waiting for running requests."""
         for timer in (self._loads_timer, self._rates_timer):
             if timer is not None:
                 timer.cancel()
@@ -204,7 +204,7 @@
             rates=self._rates,
             refusals=self._refusals,
             startup_gate=StartupGate(asyncio.get_running_loop().time() + STARTUP_S),
-            request_log=RequestLog(self._log) if self._log.writes(LogLevel.DEBUG) else None,
+            request_log=RequestLog(self._log) if self._log.is_enabled_for(LogLevel.DEBUG) else None,
         )
 
     def _make_transport(self, randomness: random.Random) -> PeerTransport:
--- a/src/springmux/node/gateway/headers.py
+++ b/src/springmux/node/gateway/headers.py
@@ -1,4 +1,4 @@
-"""Rules for the headers that are forwarded to an engine, and for those that are returned to the client."""
+"""Rules for the headers that are forwarded to an engine and for those that are returned to the client."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
         b"content-length",
     }
 )
-"""Valid for one connection only (RFC 9110, section 7.6.1), or recomputed from the forwarded body."""
+"""Headers of one connection (RFC 9110, section 7.6.1), and those derived from the forwarded body."""
 CONNECTION = b"connection"
 
 
 class HeaderRules:
-    """Filter and add headers, by the names of one deployment."""
+    """Filters and adds headers, with the header names of one deployment."""
 
     def __init__(self, names: HeaderNames) -> None:
         self.names = names
@@ -49,7 +49,7 @@
         time_left_s: float,
         last_event_id: bytes | None,
     ) -> RequestHead:
-        """Return the head for an engine: the client's, without its key and with the gateway's headers."""
+        """Return the head for an engine: the client's without its key, plus the gateway's headers."""
         dropped = self._not_to_engine | _named_by_connection(head.headers)
         if last_event_id is not None:
             dropped = dropped | {self.names.last_event_id}
@@ -64,12 +64,12 @@
         return RequestHead(method=head.method, target=head.target, headers=tuple(kept))
 
     def response_headers(self, head: ResponseHead) -> list[Header]:
-        """Return the headers of an engine's response that are returned to the client."""
+        """Return the headers of an engine's response that the client receives."""
         dropped = HOP_BY_HOP | _named_by_connection(head.headers)
         return [header for header in head.headers if header[0] not in dropped]
 
     def refusal_headers(self, refusal: Refusal, request_id: bytes | None) -> list[Header]:
-        """Return the headers of an error response of the gateway itself."""
+        """Return the headers of an error response that the gateway itself sends."""
         headers: list[Header] = [(b"content-type", b"application/json")]
         if request_id is not None:
             headers.append((self.names.request_id, request_id))
--- a/src/springmux/node/gateway/process.py
+++ b/src/springmux/node/gateway/process.py
@@ -1,4 +1,4 @@
-"""The process of a gateway node: settings, signals, and starting over with a new replica."""
+"""The process of a gateway node: settings, signals, and the restart with a new replica."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from springmux.gateway.dialect import OWN_HEADERS, HeaderNames
 from springmux.node.gateway.gateway_node import GatewayNode
 from springmux.node.gateway.settings import GatewaySettings, load_gateway_settings
-from springmux.node.lifecycle import EXIT_CRASHED, EXIT_WRONG_SETTINGS, run_nodes
+from springmux.node.lifecycle import EXIT_CRASHED, EXIT_INVALID_SETTINGS, run_nodes
 from springmux.node.logs import EventLog
 from springmux.node.storage.opening import OpenedStorage
 from springmux.vocabulary.errors import SettingsError
@@ -21,7 +21,7 @@
 
 
 class GatewayRunner:
-    """Runs one node after another in this process; all but the first start with a new replica."""
+    """Runs one node after another in this process. Each node after the first starts with a new replica."""
 
     def __init__(self, file: Path, settings: GatewaySettings, names: HeaderNames) -> None:
         self._file = file
@@ -32,7 +32,7 @@
         self._node: GatewayNode | None = None
 
     async def run(self) -> int:
-        """Run until stopped; return the exit code."""
+        """Run until a stop is requested, and return the exit code."""
         self._handle_signals()
         folder = Path(self._settings.data_folder) if self._settings.data_folder else None
         try:
@@ -46,14 +46,14 @@
         return self._node
 
     def _handle_signals(self) -> None:
-        """Handle signals, not by the loop's handlers: removing one of those restores the default action."""
+        """Install signal handlers, but not the event loop's, whose removal restores the default action."""
         loop = asyncio.get_running_loop()
         for number in STOP_SIGNALS:
             signal.signal(number, lambda *_: loop.call_soon_threadsafe(self._stop_requested.set))
         signal.signal(signal.SIGHUP, lambda *_: loop.call_soon_threadsafe(self._reload))
 
     def _ignore_signals(self) -> None:
-        """Ignore signals until the process has ended."""
+        """Ignore signals from now until the process has ended."""
         for number in HANDLED_SIGNALS:
             signal.signal(number, signal.SIG_IGN)
 
@@ -70,17 +70,17 @@
 
 
 def run_gateway(file: Path, names: HeaderNames = OWN_HEADERS) -> int:
-    """Run a gateway node until it is stopped; return the exit code."""
+    """Run a gateway node until it is stopped, and return the exit code."""
     try:
         settings = load_gateway_settings(file)
     except SettingsError as error:
         EventLog("unnamed").write("settings_wrong", LogLevel.ERROR, reason=str(error))
-        return EXIT_WRONG_SETTINGS
+        return EXIT_INVALID_SETTINGS
 
     async def main() -> int:
         return await GatewayRunner(file, settings, names).run()
 
     exit_code = asyncio.run(main())
     if exit_code == EXIT_CRASHED:
-        os._exit(exit_code)  # threads may hang on a stalled disk; the process must end now
+        os._exit(exit_code)  # threads may hang on a stalled disk, and the process must not wait for them
     return exit_code
--- a/src/springmux/node/gateway/refusal_log.py
+++ b/src/springmux/node/gateway/refusal_log.py
@@ -11,7 +11,7 @@
 
 SUMMARY_PERIOD_S = 1.0
 MAX_ID_LENGTH = 100
-"""A longer request id, which the client chooses, is truncated in the log."""
+"""Length to which a request id, which the client chooses, is truncated in the log."""
 
 _SERVER_REFUSAL_REASONS = {
     ServerRefusal.MALFORMED: RefusalReason.MALFORMED_REQUEST,
@@ -24,7 +24,7 @@
 
 
 class RefusalLog:
-    """Writes summaries while there are refusals. The timer runs only between a refusal and its summary."""
+    """Counts refusals and logs summaries. The timer runs only between a refusal and its summary."""
 
     def __init__(self, counters: GatewayCounters, log: EventLog, request_id_header: bytes) -> None:
         self._counters = counters
@@ -36,8 +36,8 @@
     def record(self, reason: RefusalReason, head: RequestHead | None, route: str = "") -> None:
         """Count one refusal.
 
-        :param head: the request's, if it was read.
-        :param route: empty if none matched.
+        :param head: the head of the request, if it was read.
+        :param route: name of the route; empty if none matched.
         """
         refusals = self._counters.refusals
         refusals[reason] = refusals.get(reason, 0) + 1
@@ -47,11 +47,11 @@
             self._timer = asyncio.get_running_loop().call_later(SUMMARY_PERIOD_S, self.flush)
 
     def record_server_refusal(self, refusal: ServerRefusal, head: RequestHead | None) -> None:
-        """Count a refusal of the HTTP server, which the forwarder doesn't see."""
+        """Count a refusal that the HTTP server made without the forwarder."""
         self.record(_SERVER_REFUSAL_REASONS[refusal], head)
 
     def flush(self) -> None:
-        """Write the summaries of the period; also at the end of the process."""
+        """Write the summaries that are due. Must also be called at the end of the process."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
--- a/src/springmux/node/gateway/request_log.py
+++ b/src/springmux/node/gateway/request_log.py
@@ -12,7 +12,7 @@
 
 
 class RequestLog:
-    """Writes the traces of requests. Each line costs processor time, so they are off by default."""
+    """Writes the traces of requests. The lines are off by default, because each one costs processor time."""
 
     def __init__(self, log: EventLog) -> None:
         self._log = log
@@ -20,7 +20,7 @@
     def write(self, trace: RequestTrace) -> None:
         """Write the trace of a request that has ended.
 
-        The line's times are in ms; ``first_ms`` is the time to the first bytes of the response.
+        Times are in ms; ``first_ms`` is the time until the first bytes of the response.
         """
         first_at = trace.first_at
         self._log.write(
--- a/src/springmux/node/gateway/response_watchdog.py
+++ b/src/springmux/node/gateway/response_watchdog.py
@@ -1,4 +1,4 @@
-"""Timeout of an attempt whose engine sends nothing: cancels the attempt's task at an await."""
+"""Timeout of an attempt whose engine sends nothing. Cancels the attempt's task at its next await."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ResponseWatchdog:
-    """Watches the time since the last event of a response, with one timer per attempt."""
+    """Monitors the time since the last event of a response, with one timer per attempt."""
 
     def __init__(
         self,
@@ -19,10 +19,10 @@
         engine_unresponsive: Callable[[float], bool],
         reserve_retry: Callable[[], bool],
     ) -> None:
-        """Start watching for the first event; to be called from the task to cancel.
+        """Start the timeout of the first event. Must be called from the task that is to be cancelled.
 
         :param engine_unresponsive: returns whether the engine has sent this node nothing since a given time.
-        :param reserve_retry: called only after the timeout; reserves a retry, and returns whether it could.
+        :param reserve_retry: reserves a retry and returns whether it could; called only after the timeout.
         """
         self._timeouts = timeouts
         self._engine_unresponsive = engine_unresponsive
@@ -40,12 +40,12 @@
         self._last_event_at = now
 
     def resume(self) -> None:
-        """Start watching again after a pause that was not the engine's."""
+        """Restart the timeout after a pause that the engine did not cause."""
         self.record_event(self._loop.time())
         self._timer = self._loop.call_later(self._timeouts.shortest_s(False), self._check)
 
     def stop(self) -> None:
-        """Stop watching."""
+        """Stop the timeout."""
         self._timer.cancel()
 
     def _check(self) -> None:
--- a/src/springmux/node/gateway/rollout_endpoints.py
+++ b/src/springmux/node/gateway/rollout_endpoints.py
@@ -1,4 +1,4 @@
-"""Starting rollouts of the gateway's services over HTTP, and reading their state."""
+"""HTTP endpoints that start rollouts of the gateway's services and read their state."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 CONFLICT = 409
 RATE_WINDOW_S = 3.0
-"""Window of the request rate that the plan is made for; a longer one would include time without traffic."""
+"""Window of the request rate that a plan is based on. A longer one could include time without traffic."""
 
 
 class RolloutBody(msgspec.Struct, frozen=True):
@@ -86,7 +86,7 @@
             int(settings.rollback_ms),
             self._rates.per_s(service, RATE_WINDOW_S) * max(1, len(self._agent.membership.present())),
         )
-        # Derived from the body, so that the same command sent again to any node means the same rollout.
+        # Derived from the body, so that a retry of the command at any node identifies the same rollout.
         identity = xxhash.xxh3_128_hexdigest(msgspec.json.encode(requested))
         command = PromoteRollout(
             order=OrderId(f"{CONTENT_ORDER_PREFIX}{identity}"),
--- a/src/springmux/node/gateway/services.py
+++ b/src/springmux/node/gateway/services.py
@@ -1,4 +1,4 @@
-"""What the handling of forwarded requests needs of the node."""
+"""Components of the node that the handling of forwarded requests uses."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class ForwarderServices:
-    """What the handling of requests needs of the node."""
+    """Components that all requests of one node share."""
 
     core: GatewayCore
     client: EngineClient
--- a/src/springmux/node/gateway/setting_texts.py
+++ b/src/springmux/node/gateway/setting_texts.py
@@ -1,8 +1,8 @@
-"""Settings written as strings, as templates and environment variables give them for any type.
+"""Parses settings that are written as strings whatever their type, as templates and variables produce them.
 
 A template that fills ``name = "{{value}}"`` doesn't know whether there is a value, or its type. An empty
-string is an absent setting; any other is parsed as the setting's type. What can't be parsed is left as it is,
-so that the validation of the settings reports it.
+string therefore counts as an absent setting, and any other string is parsed as the setting's type. A string
+that can't be parsed is left unchanged, so that the validation of the settings reports it.
 """
 
 from __future__ import annotations
@@ -10,41 +10,41 @@
 from collections.abc import Collection, Mapping
 from typing import Annotated, Any, get_args, get_origin
 
-_FLAGS = {"true": True, "false": False}
+_BOOLEANS = {"true": True, "false": False}
 
 
-def base_kind(kind: Any) -> tuple[Any, tuple[Any, ...]]:
-    """Return a field's type without its annotations, and these."""
-    if get_origin(kind) is not Annotated:
-        return kind, ()
-    base, *metadata = get_args(kind)
+def base_type(field_type: Any) -> tuple[Any, tuple[Any, ...]]:
+    """Return a field's type without its annotations, and the annotations."""
+    if get_origin(field_type) is not Annotated:
+        return field_type, ()
+    base, *metadata = get_args(field_type)
     return base, tuple(metadata)
 
 
 def parse_strings(
-    table: Mapping[str, Any], kinds: Mapping[str, Any], required: Collection[str]
+    table: Mapping[str, Any], types: Mapping[str, Any], required: Collection[str]
 ) -> dict[str, Any]:
-    """Return the table with its strings parsed as their settings' types, without the optional empty ones."""
+    """Return ``table`` with its strings parsed as the types in ``types``, without empty optional settings."""
     parsed: dict[str, Any] = {}
     for name, value in table.items():
-        if isinstance(value, str) and name in kinds:
+        if isinstance(value, str) and name in types:
             if not value.strip() and name not in required:
                 continue
-            value = _parse(value, base_kind(kinds[name])[0])
+            value = _parse(value, base_type(types[name])[0])
         parsed[name] = value
     return parsed
 
 
-def _parse(text: str, kind: Any) -> Any:
-    if kind is bool:
-        return _FLAGS.get(text.strip().lower(), text)
-    if kind is int or kind is float:
-        return _number(text, kind)
+def _parse(text: str, field_type: Any) -> Any:
+    if field_type is bool:
+        return _BOOLEANS.get(text.strip().lower(), text)
+    if field_type is int or field_type is float:
+        return _number(text, field_type)
     return text
 
 
-def _number(text: str, kind: type[int] | type[float]) -> Any:
+def _number(text: str, field_type: type[int] | type[float]) -> Any:
     try:
-        return kind(text)
+        return field_type(text)
     except ValueError:
         return text
--- a/src/springmux/node/gateway/settings.py
+++ b/src/springmux/node/gateway/settings.py
@@ -1,7 +1,7 @@
-"""Settings of a gateway node: one TOML file, checked field by field, without the large settings library.
+"""Settings of a gateway node: one TOML file, validated field by field, without the large settings library.
 
-The daemon with the chat-completions interface has :mod:`springmux.node.settings`; a gateway node is started
-far more often, on small machines, and reads its file with the standard library alone.
+The daemon with the chat-completions interface uses :mod:`springmux.node.settings`. A gateway node is started
+far more often, on small machines, and parses its file with the standard library alone.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 from springmux.agent.events import AgentSettings
 from springmux.coordination.identifiers import Address, NodeId
 from springmux.node.addresses import MAX_PORT, check_address
-from springmux.node.gateway.setting_texts import base_kind, parse_strings
+from springmux.node.gateway.setting_texts import base_type, parse_strings
 from springmux.vocabulary.errors import FieldError, SettingsError
 
 MAX_SHOWN_LENGTH = 80
-"""Characters of a wrong value that its message repeats."""
-_KINDS = {
+"""Number of characters of an invalid value that its error message quotes."""
+_TYPE_DESCRIPTIONS = {
     str: "text",
     bool: "true or false",
     int: "a whole number",
@@ -32,9 +32,9 @@
 Name = Annotated[str, msgspec.Meta(min_length=1)]
 Port = Annotated[int, msgspec.Meta(ge=1, le=MAX_PORT)]
 Losses = Annotated[int, msgspec.Meta(ge=0, le=10)]
-"""With 10 the control group has 21 voters; a larger one is only slower."""
+"""Number of lost controllers. With 10 the control group has 21 voters; more would only be slower."""
 Amount = Annotated[float, msgspec.Meta(ge=0, le=1_000_000)]
-"""A bound on a count; it may be a fraction, for instance after scaling with the fleet."""
+"""Limit on a count. It may be a fraction, for instance after scaling with the size of the fleet."""
 Share = Annotated[float, msgspec.Meta(ge=0, le=1)]
 Milliseconds = Annotated[float, msgspec.Meta(ge=0, le=3_600_000)]
 Seconds = Annotated[float, msgspec.Meta(ge=0, le=3600)]
@@ -44,17 +44,19 @@
 class GatewaySettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """Settings of a gateway node. Addresses are ``IP:port``.
 
-    ``front_address``: clients. ``ready_address``: readiness checks. ``control_address``: operators and
-    engines. ``seeds``: addresses of three or fewer other nodes; only the host counts, since peers listen
-    on ``peer_port`` everywhere. ``first_start``: the fleet starts for the first time, with empty disks.
-    ``losses_tolerated``: controllers that may be lost at once.
+    ``front_address``: listener for clients. ``ready_address``: listener for readiness checks.
+    ``control_address``: listener for operators and engines. ``seeds``: addresses of three or fewer other
+    nodes; only the host is used, since all nodes listen to peers on ``peer_port``. ``first_start``: whether
+    the fleet starts for the first time, with empty disks. ``losses_tolerated``: number of controllers that
+    may be lost at the same time.
     ``fleet_retries``: retries that the fleet may send in ``retry_window_s`` in addition to ``retry_share`` of
     its requests. ``strict_revocation``: a node that can't tell whether its keys are current refuses keyed
     requests, so that a key is rejected everywhere ``revocation_ms`` after its removal was acknowledged.
-    ``contact_ms``: after this time without a disturbance a node counts as in contact with the fleet.
-    ``change_in_force_ms``: within this time an acknowledged change is in force at every node in contact.
+    ``contact_ms``: time without a disturbance after which a node counts as in contact with the fleet.
+    ``change_in_force_ms``: time within which an acknowledged change is active at every node in contact.
 
-    A value may also be written as text, as in an environment variable; an empty one means the default.
+    Any value may also be written as a string, as in an environment variable. An empty string means the
+    default.
     """
 
     node: Name
@@ -97,10 +99,10 @@
 
     @property
     def read_proof_s(self) -> float:
-        """Maximum age in seconds of a proof by which a node presents its state as the newest one.
+        """Maximum age in seconds of a proof with which a node returns its state as the newest one.
 
-        Half of the time within which a change must be in force everywhere: a change acknowledged since the
-        proof is then shown in time, however long the response takes to reach the reader.
+        It is half of the time within which a change must be active everywhere, so that a change acknowledged
+        since the proof is shown in time, however long the response takes to reach the reader.
         """
         return self.change_in_force_ms / 1000.0 / 2.0
 
@@ -122,9 +124,9 @@
 
 
 def load_gateway_settings(file: Path) -> GatewaySettings:
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
-    :raises SettingsError: naming every wrong field at once.
+    :raises SettingsError: lists every invalid field.
     """
     try:
         table = tomllib.loads(file.read_text(encoding="utf-8"))
@@ -133,8 +135,8 @@
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         raise SettingsError((FieldError("--settings", f"{file} is not TOML: {error}"),)) from None
     fields = msgspec.structs.fields(GatewaySettings)
-    kinds = {field.name: field.type for field in fields}
-    table = parse_strings(table, kinds, {field.name for field in fields if field.required})
+    types = {field.name: field.type for field in fields}
+    table = parse_strings(table, types, {field.name for field in fields if field.required})
     errors = _invalid_fields(table)
     if errors:
         raise SettingsError(tuple(errors))
@@ -149,20 +151,20 @@
             if field.required:
                 errors.append(FieldError(name, "is missing"))
             continue
-        reason = _problem(name, table[name], field.type)
+        reason = _validation_error(name, table[name], field.type)
         if reason:
             errors.append(FieldError(name, reason))
     return errors
 
 
-def _problem(name: str, value: Any, kind: Any) -> str:
-    """Return what is wrong with a setting's value and what is allowed; empty if it is valid."""
+def _validation_error(name: str, value: Any, field_type: Any) -> str:
+    """Return why a setting's value is invalid and what is allowed; empty if it is valid."""
     try:
-        converted = msgspec.convert(value, kind, strict=True)
+        converted = msgspec.convert(value, field_type, strict=True)
     except msgspec.ValidationError:
-        return f"{_abbreviated(value)} is not allowed; it must be {_allowed(kind)}"
+        return f"{_abbreviated(value)} is not allowed; it must be {_describe_allowed(field_type)}"
     if isinstance(converted, float) and not math.isfinite(converted):
-        return f"{_abbreviated(value)} is not allowed; it must be {_allowed(kind)}"
+        return f"{_abbreviated(value)} is not allowed; it must be {_describe_allowed(field_type)}"
     for address in _addresses(name, converted):
         try:
             check_address(address)
@@ -172,7 +174,7 @@
 
 
 def _addresses(name: str, value: Any) -> tuple[str, ...]:
-    """Return the addresses in a setting. The port of ``host`` is another setting."""
+    """Return the addresses in a setting; ``host`` with a placeholder port, as its port is another setting."""
     if name == "host":
         return (f"{value}:{MAX_PORT}",)
     if name == "seeds":
@@ -185,19 +187,19 @@
     return text if len(text) <= MAX_SHOWN_LENGTH else f"{text[:MAX_SHOWN_LENGTH]}..."
 
 
-def _allowed(kind: Any) -> str:
-    """Describe the type and the range of a setting."""
-    if get_origin(kind) is Literal:
-        return " or ".join(get_args(kind))
-    base, metadata = base_kind(kind)
-    words = _KINDS[base]
+def _describe_allowed(field_type: Any) -> str:
+    """Return a description of a setting's type and range."""
+    if get_origin(field_type) is Literal:
+        return " or ".join(get_args(field_type))
+    base, metadata = base_type(field_type)
+    description = _TYPE_DESCRIPTIONS[base]
     for meta in metadata:
         if meta.min_length is not None:
-            words += " that is not empty"
+            description += " that is not empty"
         if meta.ge is not None:
-            words += f" from {meta.ge:g}"
+            description += f" from {meta.ge:g}"
         if meta.gt is not None:
-            words += f" above {meta.gt:g}"
+            description += f" above {meta.gt:g}"
         if meta.le is not None:
-            words += f" to {meta.le:g}"
-    return words
+            description += f" to {meta.le:g}"
+    return description
--- a/src/springmux/node/gateway/startup_gate.py
+++ b/src/springmux/node/gateway/startup_gate.py
@@ -1,7 +1,7 @@
-"""Gate at which requests wait right after a node's start, until it can serve them.
+"""Holds requests right after a node's start until the node can serve them.
 
-Clients are sent to a node as soon as it listens, some tenths of a second before it has the configuration and
-the engines. Refused then, a client retries after a second or gives up.
+Clients are sent to a node as soon as it listens, which is some tenths of a second before it has the
+configuration and the engines. If it refused them, they would retry after a second or give up.
 """
 
 from __future__ import annotations
@@ -10,24 +10,24 @@
 from collections.abc import Callable
 
 STARTUP_S = 2.0
-"""How long after its start a node lets requests wait."""
+"""Time after a node's start in which it holds requests."""
 MAX_WAITING = 256
-"""Requests that wait at once; the queue is bounded, and longer than a start needs."""
+"""Limit on the number of held requests. A start needs fewer."""
 POLL_INTERVAL_S = 0.02
-"""Well below the duration of a request."""
+"""Interval at which a held request checks its condition; well below the duration of a request."""
 
 
 class StartupGate:
-    """Lets requests wait until ``open_at``, in seconds of the event loop's clock."""
+    """Holds requests until ``open_at`` at the latest, in seconds of the event loop's clock."""
 
     def __init__(self, open_at: float) -> None:
         self._open_at = open_at
         self._waiting = 0
 
     async def wait_for(self, condition: Callable[[], bool]) -> bool:
-        """Wait until ``condition`` holds or the startup is over, unless too many wait.
+        """Wait until ``condition`` holds or the startup is over, and return whether it holds.
 
-        Returns the condition.
+        Returns immediately if ``MAX_WAITING`` requests are waiting.
         """
         loop = asyncio.get_running_loop()
         if condition() or self._waiting >= MAX_WAITING:
@@ -42,5 +42,5 @@
 
 
 def open_gate() -> StartupGate:
-    """Return a gate at which nothing waits."""
+    """Return a gate that holds no requests."""
     return StartupGate(0.0)
--- a/src/springmux/node/gateway/status_endpoint.py
+++ b/src/springmux/node/gateway/status_endpoint.py
@@ -26,11 +26,11 @@
     VOTER = "voter"
     """It replicates the control state and votes."""
     LEADER = "leader"
-    """It is the voter that commits commands."""
+    """It is the voter that leads the group and commits commands."""
 
 
 class EngineCount(msgspec.Struct, frozen=True):
-    """Number of a service's engines with this version and state. Engines that left don't count."""
+    """Number of a service's engines with one version and state. Engines that left are not counted."""
 
     service: ServiceName
     version: VersionName
@@ -47,7 +47,11 @@
 
 
 class ContactSummary(msgspec.Struct, frozen=True):
-    """Nodes that this node is in contact with, itself included; with a majority it is connected."""
+    """Contact with the fleet.
+
+    ``known_nodes``: number of known nodes. ``heard_nodes``: number of those that are in contact with this
+    node. Both include this node, which is ``connected`` if the latter are a majority.
+    """
 
     connected: bool
     known_nodes: int
--- a/src/springmux/node/lifecycle.py
+++ b/src/springmux/node/lifecycle.py
@@ -1,4 +1,4 @@
-"""Lifecycle common to the processes of all kinds of nodes: their end, and a new run with a new replica."""
+"""Process lifecycle of all kinds of nodes: why a node ends, and its restart with a new replica."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 
 EXIT_STOPPED = 0
 EXIT_CANNOT_START = 1
-EXIT_WRONG_SETTINGS = 2
+EXIT_INVALID_SETTINGS = 2
 EXIT_CRASHED = 70
-"""``EX_SOFTWARE`` of sysexits.h: an internal fault; a supervisor should start the process again."""
+"""Internal fault (``EX_SOFTWARE`` of sysexits.h); a supervisor should restart the process."""
 EXIT_KILLED = 130
 RESTART_AS_NEW = -1
-"""Not an exit code: the replica's folder is unusable, run again in this process with an empty one."""
+"""Not an exit code: the replica's folder is unusable, so the process runs a new node with an empty one."""
 
 
 class RunnableNode(Protocol):
-    """One running node, from its start to its end."""
+    """Interface to one node that :func:`run_nodes` starts and waits for."""
 
     async def start(self) -> None:
         """Open the listeners, then start the agent.
@@ -35,31 +35,31 @@
         ...
 
     async def wait(self) -> int:
-        """Wait for a stop or a crash, and stop. Returns the exit code, or :data:`RESTART_AS_NEW`."""
+        """Wait for a stop request or a crash, then stop. Return the exit code or :data:`RESTART_AS_NEW`."""
         ...
 
     async def close(self) -> None:
-        """Close everything at once."""
+        """Close listeners, connections and storage without waiting for running requests."""
         ...
 
 
 async def wait_for_end(driver: AgentDriver, stop_requested: asyncio.Event) -> int:
-    """Wait for a requested stop, a crash or an abandoned replica; return :func:`exit_code`."""
+    """Wait for a stop request, a crash or an abandoned replica, and return :func:`exit_code`."""
     stopping = asyncio.ensure_future(stop_requested.wait())
-    given_up = asyncio.ensure_future(driver.replica_given_up.wait())
+    abandoned = asyncio.ensure_future(driver.replica_abandoned.wait())
     awaited: set[asyncio.Future[Literal[True]] | asyncio.Future[BaseException]] = {
         stopping,
-        given_up,
+        abandoned,
         driver.crashed,
     }
     await asyncio.wait(awaited, return_when=asyncio.FIRST_COMPLETED)
     stopping.cancel()
-    given_up.cancel()
+    abandoned.cancel()
     return exit_code(driver, stop_requested)
 
 
 def exit_code(driver: AgentDriver, stop_requested: asyncio.Event) -> int:
-    """Return the exit code of a node that ends now, or :data:`RESTART_AS_NEW`."""
+    """Return the exit code of a node that is ending, or :data:`RESTART_AS_NEW`."""
     if driver.crashed.done():
         return EXIT_CRASHED
     return EXIT_STOPPED if stop_requested.is_set() else RESTART_AS_NEW
@@ -72,9 +72,11 @@
     make_disk: Callable[[Path], Disk] = RealDisk,
     first_start: bool = False,
 ) -> int:
-    """Run node after node until one stops, all but the first with a new replica; return the exit code.
+    """Run one node after another until one is stopped, and return the exit code.
 
-    ``first_start``: this is the first start of the whole system.
+    Each node after the first starts with a new replica.
+
+    :param first_start: whether this is the first start of the whole fleet.
     """
     code = RESTART_AS_NEW
     try:
--- a/src/springmux/node/logs.py
+++ b/src/springmux/node/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one JSON line per event with a stable name; never a key or a prompt's text."""
+"""Structured logs: one JSON line per event, with a stable event name and never an API key or prompt text."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from springmux.coordination.state_machine import LogLevel, LogLine
 
 FORBIDDEN_FIELDS = frozenset({"key", "body", "prompt", "authorization", "secret", "peer_secret"})
-"""Field names whose values are redacted as a last resort; no component should log them at all."""
+"""Field names whose values are redacted as a last resort. No component should log such fields at all."""
 
 _SEVERITIES = {
     LogLevel.DEBUG: 10,
@@ -21,10 +21,13 @@
     LogLevel.WARNING: 30,
     LogLevel.ERROR: 40,
 }
-"""Ranks of the levels, as in the standard library's logging."""
+"""Numeric severities, as in the standard library's logging."""
 
-_RENAMED = {"node": "about_node", "event": "about_event", "name": "about_name", "level": "about_level"}
-"""Fields that would hide a line's own: ``node`` is the writer, ``about_node`` the subject of the line."""
+_RENAMED_FIELDS = {"node": "about_node", "event": "about_event", "name": "about_name", "level": "about_level"}
+"""New names of fields that would overwrite a line's own fields.
+
+``node`` is the node that writes the line, ``about_node`` the node that the line is about.
+"""
 
 
 def _json_line(line: Mapping[str, object]) -> str:
@@ -32,7 +35,7 @@
 
 
 def _console_renderer() -> Callable[[Mapping[str, object]], str]:
-    """Return a human-readable renderer; imported late, because nodes in production don't need it."""
+    """Return a human-readable renderer. Imports its library here because it is not needed in production."""
     import structlog
 
     renderer = structlog.dev.ConsoleRenderer(colors=False)
@@ -40,7 +43,7 @@
 
 
 class EventLog:
-    """Writes events of one node as lines. Wall-clock times only label lines."""
+    """Writes the events of one node as lines. The wall clock is used for timestamps only."""
 
     def __init__(
         self, node: str, level: str = "info", line_format: str = "json", output: TextIO | None = None
@@ -51,30 +54,30 @@
         self._threshold = _SEVERITIES[LogLevel(level)]
         self._lock = threading.Lock()
 
-    def writes(self, level: LogLevel) -> bool:
+    def is_enabled_for(self, level: LogLevel) -> bool:
         """Return whether lines of this level are written."""
         return _SEVERITIES[level] >= self._threshold
 
     def write(self, name: str, level: LogLevel = LogLevel.INFO, **fields: object) -> None:
-        """Write one line named ``name``."""
+        """Write one line for the event ``name`` if ``level`` is at or above the threshold."""
         if _SEVERITIES[level] >= self._threshold:
             self._write(name, level, fields, {})
 
     def write_line(self, line: LogLine) -> None:
         """Write a state machine's :class:`LogLine`."""
         if _SEVERITIES[line.level] >= self._threshold:
-            fields = {_RENAMED.get(name, name): value for name, value in line.fields.items()}
+            fields = {_RENAMED_FIELDS.get(name, name): value for name, value in line.fields.items()}
             self._write(line.name, line.level, fields, {})
 
     def crash(self, name: str, error: BaseException) -> None:
-        """Write an unexpected exception with its traceback (no local values)."""
+        """Write an unexpected exception with its traceback, without the values of local variables."""
         import traceback
 
         text = "".join(traceback.format_exception(error)).rstrip("\n")
         self._write(name, LogLevel.ERROR, {}, {"exception": text})
 
     def _write(
-        self, name: str, level: LogLevel, fields: Mapping[str, object], after: Mapping[str, object]
+        self, name: str, level: LogLevel, fields: Mapping[str, object], trailing: Mapping[str, object]
     ) -> None:
         now = datetime.now(UTC).isoformat().replace("+00:00", "Z")
         line = {
@@ -83,12 +86,12 @@
             "event": name,
             "level": level.value,
             "timestamp": now,
-            **after,
+            **trailing,
         }
         for forbidden in FORBIDDEN_FIELDS & line.keys():
             line[forbidden] = "[removed]"
         text = self._render(line) + "\n"
-        # A full disk or a closed pipe must not end the node.
+        # A failed write (full disk, closed pipe) must not end the node.
         with contextlib.suppress(OSError), self._lock:
             self._output.write(text)
             self._output.flush()
--- a/src/springmux/node/order_wait.py
+++ b/src/springmux/node/order_wait.py
@@ -12,9 +12,11 @@
 async def wait_for_order(
     driver: AgentDriver, submit: Callable[[OrderCallback], str], timeout_s: float
 ) -> OrderAnswered | None:
-    """Submit an order and wait for its result; ``None`` if none came in time: its fate is unknown here.
+    """Submit an order and wait for its result.
 
-    :param submit: submits the order to ``driver`` with the callback, and returns its correlation_id.
+    Returns ``None`` if no result arrives in time; whether the order takes effect is then unknown.
+
+    :param submit: submits the order to ``driver`` with the callback, and returns its correlation id.
     """
     result: asyncio.Future[OrderAnswered] = asyncio.get_running_loop().create_future()
 
--- a/src/springmux/node/peer/__init__.py
+++ b/src/springmux/node/peer/__init__.py
@@ -1,1 +1,1 @@
-"""Connections between peers: framing, handshake, channels, and the envelope of messages."""
+"""Connections between peers: frames, handshake, channels, and the encoding of messages."""
--- a/src/springmux/node/peer/agent_codec.py
+++ b/src/springmux/node/peer/agent_codec.py
@@ -15,7 +15,7 @@
 
 
 class LogFollower(Protocol):
-    """Interface to the agent: the position that the envelope carries."""
+    """Interface to the agent: the log position that is sent in each envelope."""
 
     @property
     def log_position(self) -> LogPosition:
@@ -23,21 +23,21 @@
 
 
 class AgentCodec:
-    """Codec of one node's peer transport."""
+    """Codec of one node's peer transport. Remembers the last revision that each peer reported."""
 
     def __init__(self, agent: LogFollower) -> None:
         self._agent = agent
         self._reported: dict[NodeId, Revision] = {}
 
     def encode(self, message: PeerMessage) -> bytes:
-        """Return the wire bytes, with this node's present log position."""
+        """Return the encoded message, with this node's current log position in its envelope."""
         position = self._agent.log_position
         return wire.encode(position.term, position.leader, position.revision, message)
 
     def decode(self, sender: NodeId, data: bytes) -> list[Event]:
-        """Return the message's event, preceded by events of changes in its sender's log position.
+        """Return the message's event, preceded by events about changes in its sender's log position.
 
-        :raises ValueError: if ``data`` is no message of this fleet.
+        :raises ValueError: if ``data`` can't be decoded as a peer message.
         """
         try:
             envelope = wire.decode(data)
@@ -47,7 +47,7 @@
         events: list[Event] = []
         if envelope.leader and (envelope.term > position.term or position.leader is None):
             events.append(LeaderObserved(envelope.term, envelope.leader))
-        # Every message of a peer that is ahead is reported: the fetch from it may have been lost.
+        # Every message from a peer that is ahead is reported, because the fetch from it may have been lost.
         if envelope.revision > position.revision or self._reported.get(sender) != envelope.revision:
             self._reported[sender] = envelope.revision
             events.append(PeerRevisionObserved(sender, envelope.term, envelope.revision))
--- a/src/springmux/node/peer/channel.py
+++ b/src/springmux/node/peer/channel.py
@@ -1,4 +1,4 @@
-"""One outgoing connection to a peer's address: bounded queue, reconnect with jitter, hello."""
+"""One outgoing connection to a peer's address: bounded queue, handshake, reconnect with jitter."""
 
 from __future__ import annotations
 
@@ -17,31 +17,31 @@
 from springmux.node.peer.link import CONNECT_TIMEOUT_S, FIRST_CONNECT_TIMEOUT_S, PeerLink
 
 ATTEMPT_TIMEOUT_S = 1.0
-"""Connection and handshake together."""
+"""Limit on establishing the connection and completing the handshake together."""
 SEND_TIMEOUT_S = 5.0
-"""A peer that accepts nothing for so long is frozen or partitioned; a new connection finds out which."""
+"""A peer that accepts no data for this time is frozen or partitioned; reconnecting shows which."""
 BACKOFF_FIRST_S = 0.1
 BACKOFF_LIMIT_S = 0.5
-"""A peer that returns must be reachable again within about 0.5 s."""
+"""Longest backoff: a peer that returns must be reachable again within about 0.5 s."""
 IDLE_CLOSE_S = 60.0
 MAX_QUEUED_MESSAGES = 512
 MAX_QUEUED_BYTES = 32 << 20
-"""Room for two of the largest messages (12 MiB) and the small ones beside them."""
+"""Room for two of the largest messages (12 MiB each) and the small messages queued with them."""
 URGENT_BYTES = 4096
-"""Heartbeats, votes, probes and tokens are smaller; a full queue drops larger messages first."""
+"""A full queue drops larger messages first. Heartbeats, votes, probes and tokens are smaller than this."""
 MAX_WRITE_BYTES = 256 << 10
-"""Size of a write that joins queued messages (several socket buffers)."""
+"""Size from which no further queued message is joined to a write (several socket buffers)."""
 
 
 class OutgoingMessage(msgspec.Struct, frozen=True):
-    """One encoded message and its type's name for metrics."""
+    """One encoded message, and the name of its type for metrics."""
 
     name: str
     data: bytes
 
 
 class SendQueue:
-    """Bounded queue: when full, the oldest message that is not urgent is dropped, else the oldest."""
+    """Bounded queue. When full, it drops the oldest message over ``URGENT_BYTES``, or else the oldest."""
 
     def __init__(self, on_drop: Callable[[], None]) -> None:
         self._messages: deque[OutgoingMessage] = deque()
@@ -52,7 +52,7 @@
         return len(self._messages)
 
     def put(self, message: OutgoingMessage) -> None:
-        """Append a message, dropping older ones if there is no room."""
+        """Append a message, dropping older ones while the queue is over its limits."""
         self._messages.append(message)
         self._size_bytes += len(message.data)
         while len(self._messages) > 1 and self._is_over_limit():
@@ -65,7 +65,7 @@
         return message
 
     def clear(self) -> None:
-        """Drop everything."""
+        """Drop all messages."""
         while self._messages:
             self.pop()
             self._on_drop()
@@ -82,9 +82,9 @@
 
 
 class PeerChannel:
-    """Sends to one address on one lane. Connects on demand and closes when idle.
+    """Sends the messages of one lane to one address. Connects on demand and closes the connection when idle.
 
-    ``on_connected(node)`` and ``on_lost(node)`` name the node that answered at the address.
+    ``on_connected(node)`` and ``on_lost(node)`` receive the name from the peer's last handshake.
     """
 
     def __init__(
@@ -112,13 +112,13 @@
         self._replacing: asyncio.Task[None] | None = None
         self._replacement: PeerLink | None = None
         self._connection: FrameConnection | None = None
-        """Set while messages may be sent: from the welcome to the connection's end."""
+        """Set while messages may be sent: from the completed handshake to the end of the connection."""
         self._flush_scheduled = False
         self._unsent_bytes = 0
         self._progress_at = 0.0
-        """When data was last written to, or accepted by, the other side (event loop time)."""
+        """Time at which data was last written, or accepted by the kernel (event loop time)."""
         self.node = ""
-        """Node that last completed a handshake at this address, empty before the first."""
+        """Node that last completed a handshake at this address; empty before the first handshake."""
 
     @property
     def active(self) -> bool:
@@ -126,7 +126,7 @@
         return self._task is not None and not self._task.done()
 
     def send(self, message: OutgoingMessage) -> None:
-        """Queue a message; connect if there is no connection."""
+        """Queue a message, and connect if there is no connection."""
         self._queue.put(message)
         if self._connection is not None:
             self._schedule_flush()
@@ -134,10 +134,10 @@
             self._task = self._loop.create_task(self._run(), name=f"peer {self._address}")
 
     def check(self, now: float) -> None:
-        """Check the connection; to be called several times a second.
+        """Check the connection at ``now`` (event loop time). Must be called several times a second.
 
-        A connection without progress is aborted, an idle one closed, and one whose messages are not
-        acknowledged replaced as soon as a second one is established.
+        A connection without progress is aborted, and an idle one is closed. A connection whose data is not
+        acknowledged is replaced as soon as a second connection is established.
         """
         connection = self._connection
         if connection is None:
@@ -148,13 +148,13 @@
         elif unsent_bytes and now - self._progress_at >= SEND_TIMEOUT_S:
             connection.abort()
         elif not unsent_bytes and not self._queue and now - self._progress_at >= IDLE_CLOSE_S:
-            self._connection = None  # messages queued from here on need a new connection
+            self._connection = None  # messages that are queued from now on need a new connection
             connection.close()
         elif connection.unacknowledged and (self._replacing is None or self._replacing.done()):
             self._replacing = self._loop.create_task(self._replace(connection), name=f"peer {self._address}")
 
     async def close(self) -> None:
-        """Close the connection; queued messages are lost."""
+        """Close the connection. Queued messages are lost."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -173,7 +173,7 @@
                     link = await self._serve(link)
                 if not self._queue:
                     return
-                continue  # something was queued while the idle connection was closing
+                continue  # a message was queued while the idle connection was closing
             except HandshakeError as error:
                 self._metrics.count("peer_refused_hellos_total", error.reason)
             except (TimeoutError, OSError) as error:
@@ -181,23 +181,23 @@
                     self._log.write("peer_unreachable", address=self._address, error=type(error).__name__)
             self._on_lost(self.node)
             failures += 1
-            # Messages queued during a failed attempt are stale; their senders repeat what matters.
+            # Messages queued during a failed attempt are stale; their senders repeat those that still matter.
             self._queue.clear()
-            # The backoff is the time between the starts of attempts, so an attempt's own time counts.
-            spent_s = 0.0 if connected else self._loop.time() - began_at
-            await asyncio.sleep(self._backoff(failures) - spent_s)
+            # The backoff separates the starts of two attempts, so an attempt's duration is part of it.
+            elapsed_s = 0.0 if connected else self._loop.time() - began_at
+            await asyncio.sleep(self._backoff(failures) - elapsed_s)
             if not self._queue:
                 return
 
     def _backoff(self, failures: int) -> float:
-        longest = min(BACKOFF_LIMIT_S, BACKOFF_FIRST_S * 2.0 ** min(failures, 8))
-        return self._random.uniform(0.5, 1.0) * longest
+        max_backoff_s = min(BACKOFF_LIMIT_S, BACKOFF_FIRST_S * 2.0 ** min(failures, 8))
+        return self._random.uniform(0.5, 1.0) * max_backoff_s
 
     async def _connect(self, connect_timeout_s: float = CONNECT_TIMEOUT_S) -> PeerLink:
         """Return a connection whose handshake is complete.
 
-        :raises HandshakeError: if the other side is no peer.
-        :raises OSError: if it can't be reached in time.
+        :raises HandshakeError: if the handshake fails.
+        :raises OSError: if the address can't be reached in time.
         """
         link = PeerLink(self._address)
         try:
@@ -210,9 +210,9 @@
         return link
 
     async def _serve(self, link: PeerLink) -> PeerLink | None:
-        """Send messages until the connection ends; return the one that replaces it, if any.
+        """Send messages until the connection ends, and return the connection that replaces it, if any.
 
-        :raises OSError: if it was neither replaced nor closed as idle.
+        :raises OSError: if the connection ended without being replaced or closed as idle.
         """
         self._metrics.set("peer_connections", self._metrics.value("peer_connections") + 1)
         self._connection = link.connection
@@ -236,7 +236,7 @@
             self._metrics.set("peer_connections", self._metrics.value("peer_connections") - 1)
 
     async def _replace(self, stalled: FrameConnection) -> None:
-        """Replace a connection without acknowledgements if a second one can be established."""
+        """Replace a connection whose data is not acknowledged if a second connection can be established."""
         try:
             link = await self._connect()
         except (HandshakeError, TimeoutError, OSError):
@@ -248,7 +248,7 @@
             link.end()
 
     def _schedule_flush(self) -> None:
-        """Write at the loop's next iteration, together with what else is queued until then."""
+        """Schedule a write at the loop's next iteration, which joins the messages queued until then."""
         if not self._flush_scheduled:
             self._flush_scheduled = True
             self._loop.call_soon(self._flush)
@@ -259,7 +259,7 @@
         if connection is None or not connection.open or not self._queue:
             return
         self._progress_at = self._loop.time()
-        while self._queue and not connection.full:
+        while self._queue and not connection.writing_paused:
             payloads: list[bytes] = []
             size_bytes = 0
             while self._queue and size_bytes < MAX_WRITE_BYTES:
@@ -272,5 +272,5 @@
 
 
 def connect_timeout_s(failures: int) -> float:
-    """Return an attempt's connect timeout (seconds): doubled by each failure, up to a bound."""
+    """Return the connect timeout of an attempt in seconds. Each failure doubles it, up to a limit."""
     return min(CONNECT_TIMEOUT_S, FIRST_CONNECT_TIMEOUT_S * 2.0 ** min(failures, 8))
--- a/src/springmux/node/peer/frames.py
+++ b/src/springmux/node/peer/frames.py
@@ -1,6 +1,6 @@
-"""Frames of the peers' channel over TCP: a length of 4 bytes (big-endian), then the payload.
+"""Frames of a peer connection over TCP: the payload's length in 4 bytes (big-endian), then the payload.
 
-The first frames of a connection are the handshake (:mod:`springmux.node.peer.handshake`).
+The first frames of a connection carry the handshake (:mod:`springmux.node.peer.handshake`).
 """
 
 from __future__ import annotations
@@ -17,20 +17,20 @@
 HEADER_BYTES = 4
 MAX_MESSAGE_BYTES = 64 << 20
 MAX_HANDSHAKE_BYTES = 4096
-"""A hello holds a few names and digests. An unauthenticated peer may use no more memory."""
+"""Limit for unauthenticated peers, to bound their memory use. A hello holds a few names and digests."""
 USER_TIMEOUT_MS = 3000
-"""A peer that acknowledges nothing for so long has lost power or is partitioned."""
+"""A peer that acknowledges no data for this time has lost power or is partitioned."""
 KEEP_ALIVE_IDLE_S = 1
 KEEP_ALIVE_INTERVAL_S = 1
 KEEP_ALIVE_COUNT = 2
 UNACKNOWLEDGED_RETRANSMITS = 2
-"""Retransmissions that rule out a single lost packet; the second follows after about 0.6 s."""
+"""Number of retransmissions that rules out a single lost packet. The second follows after about 0.6 s."""
 
 
 class _SocketOption(NamedTuple):
     level: int
     option: int | None
-    """``None`` where the operating system has no such option."""
+    """``None`` if the operating system does not have the option."""
     value: int
 
 
@@ -43,25 +43,25 @@
     _SocketOption(socket.IPPROTO_TCP, getattr(socket, "TCP_KEEPCNT", None), KEEP_ALIVE_COUNT),
 )
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
-"""``struct linger`` with a time of 0: closing drops unsent data and sends RST."""
+"""``struct linger`` with a timeout of 0: closing the socket drops unsent data and sends RST."""
 
 
 class FrameTooLargeError(SpringmuxError):
-    """The other side announced a frame over the limit, both in bytes."""
+    """The header of a received frame states a size over the limit. Both are in bytes."""
 
     def __init__(self, size_bytes: int, limit_bytes: int) -> None:
-        super().__init__(f"frame of {size_bytes} bytes, the limit is {limit_bytes}")
+        super().__init__(f"frame of {size_bytes} bytes exceeds the limit of {limit_bytes} bytes")
         self.size_bytes = size_bytes
         self.limit_bytes = limit_bytes
 
 
 def frame_header(size_bytes: int) -> bytes:
-    """Return the header of a payload of that size."""
+    """Return the frame header of a payload of ``size_bytes``."""
     return size_bytes.to_bytes(HEADER_BYTES, "big")
 
 
 class FrameReader:
-    """Split a stream of bytes into payloads. ``limit_bytes`` may change between two frames."""
+    """Splits a stream of bytes into payloads. ``limit_bytes`` may be changed between two frames."""
 
     def __init__(self, limit_bytes: int) -> None:
         self.limit_bytes = limit_bytes
@@ -72,10 +72,10 @@
         """Append received bytes."""
         self._buffer += data
 
-    def next(self) -> bytes | None:
-        """Return the next complete payload, or ``None`` until more bytes are fed.
+    def next_payload(self) -> bytes | None:
+        """Return the next complete payload, or ``None`` if more bytes are needed.
 
-        :raises FrameTooLargeError: as soon as the header is read.
+        :raises FrameTooLargeError: as soon as the header states a size over the limit.
         """
         begin = self._begin + HEADER_BYTES
         if begin > len(self._buffer):
@@ -93,7 +93,7 @@
             return bytes(view[begin:end])
 
     def _drop_consumed(self) -> None:
-        """Drop consumed bytes; once a chunk, because moving the rest costs its length."""
+        """Drop consumed bytes. Done once per chunk, because the remaining bytes have to be moved."""
         if self._begin:
             del self._buffer[: self._begin]
             self._begin = 0
@@ -102,27 +102,27 @@
 class FrameConnection(asyncio.Protocol):
     """One TCP connection that carries frames. The callbacks are called on the event loop.
 
-    :param made: the connection is established.
-    :param received: one payload; not called after :meth:`close` or :meth:`abort`.
-    :param lost: the connection ended, whoever ended it; called once.
-    :param writable: the transport accepts frames again after it was full.
+    :param on_payload: called with each received payload, but not after :meth:`close` or :meth:`abort`.
+    :param on_lost: called once when the connection has ended, whichever side ended it.
+    :param on_connected: called when the connection is established.
+    :param on_writable: called when the transport accepts frames again after writing was paused.
     """
 
     def __init__(
         self,
-        received: Callable[[bytes], None],
-        lost: Callable[[Exception | None], None],
-        made: Callable[[], None] = lambda: None,
-        writable: Callable[[], None] = lambda: None,
+        on_payload: Callable[[bytes], None],
+        on_lost: Callable[[Exception | None], None],
+        on_connected: Callable[[], None] = lambda: None,
+        on_writable: Callable[[], None] = lambda: None,
     ) -> None:
-        self._received = received
-        self._lost = lost
-        self._made = made
-        self._writable = writable
+        self._on_payload = on_payload
+        self._on_lost = on_lost
+        self._on_connected = on_connected
+        self._on_writable = on_writable
         self._reader = FrameReader(MAX_HANDSHAKE_BYTES)
         self._transport: asyncio.Transport | None = None
-        self.full = False
-        """Whether the transport accepts no more frames for now."""
+        self.writing_paused = False
+        """Whether the transport's write buffer is full, so that no frames should be sent."""
 
     @property
     def open(self) -> bool:
@@ -131,20 +131,20 @@
 
     @property
     def remote_host(self) -> str:
-        """Host of the other side, empty if it is no longer known."""
+        """IP address of the other side; empty if it is not known."""
         name = self._transport.get_extra_info("peername") if self._transport is not None else None
         return str(name[0]) if name else ""
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes that the transport holds and the kernel has not accepted yet."""
+        """Bytes in the transport's write buffer that the kernel has not accepted yet."""
         return self._transport.get_write_buffer_size() if self._transport is not None else 0
 
     @property
     def unacknowledged(self) -> bool:
         """Whether the kernel retransmits without acknowledgement (``tcpi_retransmits``, ``linux/tcp.h``).
 
-        A partitioned connection recovers late after the partition, because the interval doubles.
+        Such a connection recovers late after a partition, because each retransmission doubles the interval.
         """
         option = getattr(socket, "TCP_INFO", None)
         if option is None or self._transport is None or not self.open:
@@ -157,7 +157,7 @@
         return retransmits >= UNACKNOWLEDGED_RETRANSMITS
 
     def finish_handshake(self) -> None:
-        """Accept frames of the size of messages: the handshake is complete."""
+        """Raise the frame size limit to that of messages, once the handshake is complete."""
         self._reader.limit_bytes = MAX_MESSAGE_BYTES
 
     def send(self, payloads: Sequence[bytes]) -> None:
@@ -171,12 +171,12 @@
         self._transport.write(b"".join(buffers))
 
     def close(self) -> None:
-        """Close the connection after sending what was written."""
+        """Close the connection after the written data is sent."""
         if self._transport is not None:
             self._transport.close()
 
     def abort(self) -> None:
-        """Reset the connection at once; unacknowledged data is dropped."""
+        """Reset the connection immediately. Unacknowledged data is dropped."""
         if self._transport is None:
             return
         with contextlib.suppress(OSError):
@@ -189,34 +189,34 @@
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         _set_options(transport.get_extra_info("socket"))
-        self._made()
+        self._on_connected()
 
     def data_received(self, data: bytes) -> None:
         """See :class:`asyncio.Protocol`."""
         self._reader.feed(data)
         try:
-            while self.open and (payload := self._reader.next()) is not None:
-                self._received(payload)
+            while self.open and (payload := self._reader.next_payload()) is not None:
+                self._on_payload(payload)
         except FrameTooLargeError:
             self.abort()
 
     def pause_writing(self) -> None:
         """See :class:`asyncio.Protocol`."""
-        self.full = True
+        self.writing_paused = True
 
     def resume_writing(self) -> None:
         """See :class:`asyncio.Protocol`."""
-        self.full = False
-        self._writable()
+        self.writing_paused = False
+        self._on_writable()
 
     def connection_lost(self, error: Exception | None) -> None:
         """See :class:`asyncio.Protocol`."""
-        self._lost(error)
+        self._on_lost(error)
 
 
 def _set_options(connected: socket.socket) -> None:
     for level, option, value in _SOCKET_OPTIONS:
         if option is not None:
-            # Systems without an option still have the channel's own limits.
+            # Without an option the timeouts of PeerChannel still apply.
             with contextlib.suppress(OSError):
                 connected.setsockopt(level, option, value)
--- a/src/springmux/node/peer/handshake.py
+++ b/src/springmux/node/peer/handshake.py
@@ -1,8 +1,8 @@
 """Authentication of peer connections: challenge, hello, welcome.
 
-With a shared secret both sides prove that they know it: HMAC-SHA-256 (RFC 2104) over the other
-side's nonce and one's own names, compared in constant time. Without a secret the names alone are
-checked, which guards against a wrong address, not against an attacker.
+With a shared secret, each side proves that it knows the secret by an HMAC-SHA-256 (RFC 2104) over the other
+side's nonce and its own names, which is compared in constant time. Without a secret only the names are
+checked, which guards against a wrong address but not against an attacker.
 """
 
 from __future__ import annotations
@@ -19,21 +19,27 @@
 
 
 class HandshakeError(SpringmuxError):
-    """The other side is not a peer of this fleet. ``reason`` is a stable label for metrics."""
+    """The handshake failed: the other side is no valid peer of this fleet.
+
+    ``reason`` is a stable label for metrics and logs.
+    """
 
     def __init__(self, reason: str) -> None:
-        super().__init__(f"peer refused: {reason}")
+        super().__init__(f"handshake with the peer failed: {reason}")
         self.reason = reason
 
 
 class Challenge(msgspec.Struct, frozen=True, tag="Challenge"):
-    """First message, from the accepting side."""
+    """First message, sent by the accepting side."""
 
     nonce: bytes
 
 
 class Hello(msgspec.Struct, frozen=True, tag="Hello"):
-    """The connecting side's names. ``boot`` differs at each start of its process."""
+    """Response to the challenge: names and proof of the connecting side, and its own nonce.
+
+    ``boot`` identifies one run of the process and changes at each start.
+    """
 
     fleet: str
     node: str
@@ -44,7 +50,7 @@
 
 
 class Welcome(msgspec.Struct, frozen=True, tag="Welcome"):
-    """The accepting side's names."""
+    """Response to the hello: names and proof of the accepting side."""
 
     fleet: str
     node: str
@@ -58,14 +64,14 @@
 
 
 def encode_handshake(message: Handshake) -> bytes:
-    """Return a handshake message's bytes."""
+    """Return the MessagePack encoding of a handshake message."""
     return _encoder.encode(message)
 
 
 def decode_handshake(data: bytes) -> Handshake:
     """Return the handshake message in ``data``.
 
-    :raises HandshakeError: if ``data`` is no such message.
+    :raises HandshakeError: with the reason ``malformed`` if ``data`` can't be decoded.
     """
     try:
         return _decoder.decode(data)
@@ -74,7 +80,7 @@
 
 
 class HandshakeAuthenticator:
-    """Create and verify one node's handshake messages."""
+    """Creates and verifies the handshake messages of one node."""
 
     def __init__(self, fleet: str, node: str, boot: str, secret: str | None) -> None:
         self._fleet = fleet
@@ -83,11 +89,11 @@
         self._secret = secret.encode() if secret is not None else None
 
     def challenge(self) -> Challenge:
-        """Return a fresh challenge."""
+        """Return a challenge with a new nonce."""
         return Challenge(nonce=os.urandom(NONCE_BYTES))
 
     def hello(self, challenge: Challenge, lane: str) -> Hello:
-        """Return the hello that answers a challenge, with a challenge of its own."""
+        """Return the hello in response to a challenge. Its nonce challenges the other side."""
         nonce = os.urandom(NONCE_BYTES)
         proof = self._proof("hello", challenge.nonce, self._fleet, self._node, self._boot, lane)
         return Hello(self._fleet, self._node, self._boot, lane, nonce, proof)
@@ -95,7 +101,7 @@
     def welcome(self, challenge: Challenge, hello: Hello) -> Welcome:
         """Verify a hello and return the welcome.
 
-        :raises HandshakeError: if it is of another fleet, of this node's name, or does not know the secret.
+        :raises HandshakeError: if the hello has another fleet, this node's own name, or no valid proof.
         """
         if hello.fleet != self._fleet:
             raise HandshakeError("fleet")
@@ -110,7 +116,7 @@
     def check_welcome(self, hello: Hello, welcome: Welcome) -> None:
         """Verify the accepting side's welcome.
 
-        :raises HandshakeError: if it is of another fleet, of this node's name, or does not know the secret.
+        :raises HandshakeError: if the welcome has another fleet, this node's own name, or no valid proof.
         """
         if welcome.fleet != self._fleet:
             raise HandshakeError("fleet")
@@ -125,5 +131,5 @@
             return b""
         # A length before each field distinguishes ("ab", "c") from ("a", "bc").
         fields = [purpose.encode(), nonce, *(name.encode() for name in names)]
-        text = b"".join(len(field).to_bytes(4, "big") + field for field in fields)
-        return hmac.digest(self._secret, text, hashlib.sha256)
+        message = b"".join(len(field).to_bytes(4, "big") + field for field in fields)
+        return hmac.digest(self._secret, message, hashlib.sha256)
--- a/src/springmux/node/peer/reception.py
+++ b/src/springmux/node/peer/inbound_connection.py
@@ -1,4 +1,4 @@
-"""One accepted peer connection: challenge, hello, welcome, then messages until it ends."""
+"""The accepting side of a peer connection: handshake, then messages until the connection ends."""
 
 from __future__ import annotations
 
@@ -20,29 +20,32 @@
 )
 
 HELLO_TIMEOUT_S = 3.0
-PARTITION_CHECK_S = 0.1
-"""How soon a handshake delayed by an injected partition continues after it, as by TCP's retransmission."""
+PARTITION_CHECK_PERIOD_S = 0.1
+"""Period at which a handshake checks whether the injected partition that delays it is over.
 
+After a real partition, TCP retransmission would continue the handshake.
+"""
 
-class PeerReception:
-    """Authenticate a connecting peer and pass on its messages. Close connections that violate the protocol.
 
-    :param receive: gets the reception, the sender's name and one message's bytes.
-    :param ended: gets the reception once its connection is over.
+class InboundConnection:
+    """Authenticates a connecting peer and delivers its messages. A protocol violation ends the connection.
+
+    :param on_message: called with this object, the sender's name and the bytes of one message.
+    :param on_end: called with this object when the connection has ended.
     """
 
     def __init__(
         self,
         authenticator: HandshakeAuthenticator,
-        receive: Callable[[PeerReception, NodeId, bytes], None],
-        ended: Callable[[PeerReception], None],
+        on_message: Callable[[InboundConnection, NodeId, bytes], None],
+        on_end: Callable[[InboundConnection], None],
         log: EventLog,
         metrics: NodeMetrics,
         partitioned: Callable[[], bool],
     ) -> None:
         self._authenticator = authenticator
-        self._receive = receive
-        self._ended = ended
+        self._on_message = on_message
+        self._on_end = on_end
         self._log = log
         self._metrics = metrics
         self._partitioned = partitioned
@@ -50,25 +53,25 @@
         self._challenge: Challenge | None = None
         self._sender: NodeId | None = None
         self._hello_timer: asyncio.TimerHandle | None = None
-        self._begin_timer: asyncio.TimerHandle | None = None
+        self._challenge_timer: asyncio.TimerHandle | None = None
         self._rejected = False
-        self.connection = FrameConnection(self._received, self._lost, made=self._made)
-        self.reported = False
-        """Whether an undecodable message of this connection was logged."""
+        self.connection = FrameConnection(self._on_payload, self._on_lost, on_connected=self._on_connected)
+        self.undecodable_logged = False
+        """Whether an undecodable message of this connection has been logged."""
 
     def close(self) -> None:
-        """End the connection."""
+        """Reset the connection."""
         self._rejected = True
         self.connection.abort()
 
-    def _made(self) -> None:
+    def _on_connected(self) -> None:
         self._hello_timer = self._loop.call_later(HELLO_TIMEOUT_S, self._hello_timed_out)
-        self._begin()
+        self._send_challenge()
 
-    def _begin(self) -> None:
+    def _send_challenge(self) -> None:
         if self._partitioned():
-            # Send nothing, as over a broken network: the other side's own timeout ends the attempt.
-            self._begin_timer = self._loop.call_later(PARTITION_CHECK_S, self._begin)
+            # Send nothing, as a broken network would: the other side ends the attempt by its own timeout.
+            self._challenge_timer = self._loop.call_later(PARTITION_CHECK_PERIOD_S, self._send_challenge)
             return
         self._challenge = self._authenticator.challenge()
         self.connection.send((encode_handshake(self._challenge),))
@@ -78,13 +81,13 @@
         self._metrics.count("peer_refused_hellos_total", "timeout")
         self.connection.abort()
 
-    def _received(self, payload: bytes) -> None:
+    def _on_payload(self, payload: bytes) -> None:
         if self._sender is None:
             self._finish_handshake(payload)
         elif self._partitioned():
             self._metrics.count("peer_dropped_messages_total", "injected_cut")
         else:
-            self._receive(self, self._sender, payload)
+            self._on_message(self, self._sender, payload)
 
     def _finish_handshake(self, payload: bytes) -> None:
         try:
@@ -108,12 +111,12 @@
         self._log.write("peer_refused", LogLevel.WARNING, reason=reason, address=address)
 
     def _cancel_timers(self) -> None:
-        for timer in (self._hello_timer, self._begin_timer):
+        for timer in (self._hello_timer, self._challenge_timer):
             if timer is not None:
                 timer.cancel()
 
-    def _lost(self, _: Exception | None) -> None:
+    def _on_lost(self, _: Exception | None) -> None:
         self._cancel_timers()
         if self._sender is None and self._challenge is not None and not self._rejected:
             self._reject("closed")
-        self._ended(self)
+        self._on_end(self)
--- a/src/springmux/node/peer/link.py
+++ b/src/springmux/node/peer/link.py
@@ -1,4 +1,4 @@
-"""The connecting side of a peer connection as coroutines: connect, handshake, wait for its end."""
+"""The connecting side of a peer connection: connect, handshake, wait for the end (coroutines)."""
 
 from __future__ import annotations
 
@@ -19,27 +19,35 @@
 )
 
 FIRST_CONNECT_TIMEOUT_S = 0.15
-"""Several round trips between regions. The other machine may be starting, as all do after a power failure:
-packets that reached it too early were lost."""
+"""Timeout of the first attempt: several round trips between regions.
+
+The other machine may still be starting, as all machines do after a power failure, and packets that reach it
+too early are lost.
+"""
 CONNECT_TIMEOUT_S = 0.5
-"""Even a busy machine's kernel responds within this time. A later response is taken as lost, and TCP itself
-retries only after 1 s (RFC 6298): a new attempt detects the end of a partition sooner."""
+"""Longest timeout of an attempt. Even the kernel of a busy machine responds within this time.
+
+A packet without a response by then counts as lost. TCP itself retransmits only after 1 s (RFC 6298), so a new
+attempt detects the end of a partition sooner.
+"""
 
 
 class PeerLink:
-    """The connecting side of one connection. Its creator must call :meth:`end`."""
+    """The connecting side of one connection. The creator must call :meth:`end`."""
 
     def __init__(self, address: Address) -> None:
         self._address = address
         self._loop = asyncio.get_running_loop()
         self._frames: deque[bytes] = deque()
-        self._woken = asyncio.Event()
+        self._changed = asyncio.Event()
         self._ended = False
         self._in_handshake = True
         self._on_writable: Callable[[], None] = lambda: None
-        self.connection = FrameConnection(self._received, self._lost, writable=lambda: self._on_writable())
+        self.connection = FrameConnection(
+            self._on_payload, self._on_lost, on_writable=lambda: self._on_writable()
+        )
         self.node = ""
-        """Node at the other end, known after the handshake."""
+        """Name of the node at the other end; empty before the handshake is complete."""
 
     def end(self) -> None:
         """Close the connection if it is still open; unsent data is dropped."""
@@ -60,7 +68,7 @@
     async def perform_handshake(self, authenticator: HandshakeAuthenticator, lane: str) -> None:
         """Perform the connecting side's handshake.
 
-        :raises HandshakeError: if the other side is no peer, or ended the connection.
+        :raises HandshakeError: if the other side is no valid peer, or closed the connection.
         """
         challenge = decode_handshake(await self._receive())
         if not isinstance(challenge, Challenge):
@@ -80,24 +88,24 @@
         if self._frames:
             self.connection.abort()
         while not self._ended:
-            self._woken.clear()
-            await self._woken.wait()
+            self._changed.clear()
+            await self._changed.wait()
 
     async def _receive(self) -> bytes:
         while not self._frames:
             if self._ended:
                 raise HandshakeError("closed")
-            self._woken.clear()
-            await self._woken.wait()
+            self._changed.clear()
+            await self._changed.wait()
         return self._frames.popleft()
 
-    def _received(self, payload: bytes) -> None:
+    def _on_payload(self, payload: bytes) -> None:
         if not self._in_handshake:
             self.connection.abort()  # the accepting side sends nothing after the handshake
             return
         self._frames.append(payload)
-        self._woken.set()
+        self._changed.set()
 
-    def _lost(self, _: Exception | None) -> None:
+    def _on_lost(self, _: Exception | None) -> None:
         self._ended = True
-        self._woken.set()
+        self._changed.set()
--- a/src/springmux/node/peer/transport.py
+++ b/src/springmux/node/peer/transport.py
@@ -1,7 +1,7 @@
-"""The peers' transport: length-prefixed frames over TCP between nodes, each connection one-way.
+"""Transport of peer messages: length-prefixed frames over TCP, in one direction per connection.
 
-A node sends over connections that it opened and receives over those that others opened. Large messages
-have a connection of their own, so that a 12 MiB configuration delays no heartbeat.
+A node sends over the connections that it opened and receives over those that other nodes opened. Large
+messages use a separate connection, so that a 12 MiB configuration does not delay heartbeats.
 """
 
 from __future__ import annotations
@@ -21,43 +21,43 @@
 from springmux.node.peer.channel import OutgoingMessage, PeerChannel
 from springmux.node.peer.frames import MAX_MESSAGE_BYTES
 from springmux.node.peer.handshake import HandshakeAuthenticator
-from springmux.node.peer.reception import PeerReception
+from springmux.node.peer.inbound_connection import InboundConnection
 from springmux.node.peer.unknown_peers import UnknownPeerLog
 
 LARGE_MESSAGE_BYTES = 64 << 10
-"""Messages from this size (about one socket buffer) use the second connection."""
+"""Messages of at least this size (about one socket buffer) use the connection for large messages."""
 CHECK_PERIOD_S = 0.25
-"""Period of checks of all connections. A timer for each message would cost more."""
+"""Period at which all connections are checked. A timer per message would cost more."""
 BACKLOG = 1024
-"""All nodes of a fleet may connect at once, twice each."""
+"""Listen backlog: all nodes of a fleet may connect at the same time, each with two connections."""
 MAX_CHANNELS = 2048
-"""Limit on channels to addresses that gossip no longer knows; idle ones are dropped."""
+"""Number of channels from which idle ones are dropped, to bound those to addresses of departed nodes."""
 
 
 _ChannelKey = tuple[Address, str]
-"""A channel's address and lane."""
+"""Address and lane of a channel."""
 
 
 class Codec(Protocol):
     """Encodes and decodes peer messages in this node's envelope."""
 
     def encode(self, message: PeerMessage) -> bytes:
-        """Return the wire bytes, with this node's present term and revision.
+        """Return the encoded message, with this node's current term and revision in its envelope.
 
-        :raises OverflowError, UnicodeError: if a value in it has no form on the wire.
+        :raises OverflowError, UnicodeError: if a value in the message can't be encoded.
         """
 
     def decode(self, sender: NodeId, data: bytes) -> list[Event]:
         """Return the events of the message in ``data``.
 
-        :raises ValueError: if it is no message of this fleet.
+        :raises ValueError: if ``data`` can't be decoded as a peer message.
         """
 
 
 class PeerTransport:
     """Sends and receives peer messages. ``membership`` maps node names to addresses.
 
-    While ``partitioned()`` is true (fault injection), messages are dropped in both directions.
+    While ``partitioned()`` returns true (fault injection), messages are dropped in both directions.
     """
 
     def __init__(
@@ -82,7 +82,7 @@
         self._unknown = UnknownPeerLog(log)
         self._channels: dict[_ChannelKey, PeerChannel] = {}
         self._server: asyncio.Server | None = None
-        self._receptions: set[PeerReception] = set()
+        self._inbound_connections: set[InboundConnection] = set()
         self._check_timer: asyncio.TimerHandle | None = None
 
     async def listen(self, address: str) -> None:
@@ -96,20 +96,20 @@
         )
 
     async def close(self) -> None:
-        """Close every connection."""
+        """Close the listener and every connection."""
         if self._check_timer is not None:
             self._check_timer.cancel()
         if self._server is not None:
             self._server.close()
-        for reception in list(self._receptions):
-            reception.close()
+        for inbound in list(self._inbound_connections):
+            inbound.close()
         await asyncio.gather(*(channel.close() for channel in self._channels.values()))
         if self._server is not None:
             await self._server.wait_closed()
-        await asyncio.sleep(0)  # the connections' last callbacks
+        await asyncio.sleep(0)  # lets the connections run their last callbacks
 
     def send(self, to: NodeId, message: PeerMessage) -> None:
-        """Queue a message for a node; dropped and counted if its address is unknown."""
+        """Queue a message for a node. If its address is unknown, the message is dropped and counted."""
         record = self._membership().nodes.get(to)
         if record is None:
             self._metrics.count("peer_dropped_messages_total", "unknown_node")
@@ -125,7 +125,7 @@
         try:
             data = self._codec.encode(message)
         except (OverflowError, UnicodeError) as error:
-            # The value may come from a peer, so it must not end this node.
+            # The value may originate from a peer, so it must not end this node.
             self._metrics.count("peer_dropped_messages_total", "unencodable")
             name = message_name(type(message))
             self._log.write("peer_message_unencodable", LogLevel.ERROR, message=name, error=str(error))
@@ -176,24 +176,26 @@
             self._deliver(PeerUnreachable(node=NodeId(node)))
 
     def _accept(self) -> asyncio.Protocol:
-        reception = PeerReception(
+        inbound = InboundConnection(
             self._authenticator,
             self._receive,
-            self._receptions.discard,
+            self._inbound_connections.discard,
             self._log,
             self._metrics,
             self._partitioned,
         )
-        self._receptions.add(reception)
-        return reception.connection
+        self._inbound_connections.add(inbound)
+        return inbound.connection
 
-    def _receive(self, reception: PeerReception, sender: NodeId, data: bytes) -> None:
+    def _receive(self, inbound: InboundConnection, sender: NodeId, data: bytes) -> None:
         try:
             events = self._codec.decode(sender, data)
         except (ValueError, RecursionError) as error:
             self._metrics.count("peer_dropped_messages_total", "undecodable")
-            if not reception.reported:  # a peer of a newer version sends many: one line for each connection
-                reception.reported = True
+            if (
+                not inbound.undecodable_logged
+            ):  # one line per connection, as a peer of a newer version sends many
+                inbound.undecodable_logged = True
                 self._log.write("peer_message_undecodable", LogLevel.WARNING, sender=sender, error=str(error))
             return
         for event in events:
--- a/src/springmux/node/peer/unknown_peers.py
+++ b/src/springmux/node/peer/unknown_peers.py
@@ -7,12 +7,13 @@
 from springmux.node.logs import EventLog
 
 LINE_PERIOD_S = 5.0
-"""Period of one unknown node's lines; such messages come several times a second."""
+"""Minimum time between two lines about one unknown node. Such messages occur several times a second."""
 MAX_NODES = 256
+"""Number of unknown nodes that are tracked. Messages to further ones are neither counted nor logged here."""
 
 
 class UnknownPeerLog:
-    """Count dropped messages; log the first at once, then one line for each period with further ones."""
+    """Counts dropped messages per node. Logs the first immediately, then at most one line per period."""
 
     def __init__(self, log: EventLog) -> None:
         self._log = log
@@ -20,7 +21,7 @@
         self._next_line_at: dict[NodeId, float] = {}
 
     def dropped(self, node: NodeId, message: str, now: float) -> None:
-        """Count a message to ``node`` that was dropped at monotonic time ``now``."""
+        """Count a message of type ``message`` to ``node``, dropped at ``now`` (event loop time)."""
         if len(self._next_line_at) >= MAX_NODES and node not in self._next_line_at:
             return
         self._dropped[node] = self._dropped.get(node, 0) + 1
--- a/src/springmux/node/service_rates.py
+++ b/src/springmux/node/service_rates.py
@@ -1,4 +1,4 @@
-"""Prompts per second of each service at this node: the basis of a rollout preview's traffic estimate."""
+"""Dispatches per second of each service at this node, from which a rollout preview estimates its traffic."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import msgspec
 
 WINDOW_S = 30.0
-"""Long enough to smooth bursts of a few seconds, short enough to follow a daily rise."""
+"""Length of the sliding window: smooths bursts of a few seconds and still follows a daily rise in traffic."""
 
 
 class _Sample(msgspec.Struct, frozen=True):
@@ -16,24 +16,24 @@
 
 
 class ServiceRates:
-    """Count dispatches, and sample the counts over a sliding window."""
+    """Counts dispatches per service, and samples the counts over a sliding window."""
 
     def __init__(self) -> None:
         self._counts: Counter[str] = Counter()
         self._samples: deque[_Sample] = deque()
 
-    def dispatched(self, service: str) -> None:
-        """Count one dispatch."""
+    def record_dispatch(self, service: str) -> None:
+        """Count one request that is sent to an engine of ``service``."""
         self._counts[service] += 1
 
     def sample(self, now: float) -> None:
-        """Sample the counts; to be called about twice a second."""
+        """Sample the counts at ``now``, in seconds. Must be called about twice a second."""
         self._samples.append(_Sample(now, dict(self._counts)))
         while self._samples[0].at < now - WINDOW_S:
             self._samples.popleft()
 
     def per_s(self, service: str, window_s: float = WINDOW_S) -> float:
-        """Return this node's dispatches per second over the last ``window_s``, 0 without two samples."""
+        """Return this node's dispatches per second over the last ``window_s``; 0 without two samples."""
         if len(self._samples) < 2:
             return 0.0
         last = self._samples[-1]
--- a/src/springmux/node/settings.py
+++ b/src/springmux/node/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one node: TOML file, environment ``SPRINGMUX_*`` and flags, in ascending precedence."""
+"""Settings of one node from a TOML file, ``SPRINGMUX_*`` variables and flags, in ascending precedence."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 from springmux.vocabulary.errors import FieldError, SettingsError
 
 NAME_PATTERN = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$"
-"""Names appear in headers, metrics and log lines, which need no escaping with these characters."""
+"""Allowed names. They appear in headers, metrics and log lines, where these characters need no escaping."""
 
 
 def _split_list(value: object) -> object:
-    """Return ``a,b,c`` of the environment or a flag as a tuple, any other value unchanged."""
+    """Split a string ``a,b,c`` from the environment or a flag into a tuple; return other values unchanged."""
     if isinstance(value, str):
         return tuple(part.strip() for part in value.split(",") if part.strip())
     return value
@@ -42,31 +42,46 @@
     model_config = SettingsConfigDict(env_prefix="SPRINGMUX_", extra="forbid", frozen=True)
 
     node: NameField = Field(description="name of this node, unique in the fleet")
-    zone: NameField = Field(description="zone that the node stands in")
+    zone: NameField = Field(description="zone in which the node runs")
     region: str = Field(default="", description="region of the zone")
     fleet: NameField = Field(default="springmux", description="name that all nodes of a fleet share")
-    client_address: AddressField = Field(description="IP:port for callers")
-    peer_address: AddressField = Field(description="IP:port for other nodes")
-    admin_address: AddressField = Field(description="IP:port for operators and back ends")
+    client_address: AddressField = Field(description="IP:port of the listener for clients")
+    peer_address: AddressField = Field(description="IP:port of the listener for other nodes")
+    admin_address: AddressField = Field(description="IP:port of the listener for operators and engines")
     seeds: Annotated[tuple[AddressField, ...], NoDecode, BeforeValidator(_split_list)] = Field(
-        default=(), description="peer addresses of other processes; may include the own one"
+        default=(), description="peer addresses of other nodes; may include the node's own address"
+    )
+    data_folder: Path | None = Field(
+        default=None, description="folder on a disk; makes the node a controller"
+    )
+    controllers_expected: int = Field(
+        default=3, ge=1, le=9, description="number of voters that found the control group"
+    )
+    peer_secret: SecretStr | None = Field(
+        default=None, description="shared secret of the handshake between peers"
     )
-    data_folder: Path | None = Field(default=None, description="folder on a disk; makes it a controller")
-    controllers_expected: int = Field(default=3, ge=1, le=9, description="voters that found the group")
-    peer_secret: SecretStr | None = Field(default=None, description="shared secret of the peers' hello")
     log_level: Literal["debug", "info", "warning", "error"] = "info"
     log_format: Literal["json", "console"] = "json"
-    max_connections: int = Field(default=4096, ge=1, description="callers' connections at once")
+    max_connections: int = Field(default=4096, ge=1, description="simultaneous client connections")
     max_header_bytes: int = Field(default=16_384, ge=1024, le=1 << 20)
-    max_body_bytes: int = Field(default=8 << 20, ge=1024, description="largest caller body of any route")
+    max_body_bytes: int = Field(
+        default=8 << 20, ge=1024, description="largest request body of a client on any route"
+    )
     max_configuration_bytes: int = Field(default=8 << 20, ge=1024)
     header_timeout_s: float = Field(default=5.0, gt=0, le=300)
     body_timeout_s: float = Field(default=10.0, gt=0, le=300)
     keep_alive_s: float = Field(default=75.0, gt=0, le=3600)
     order_timeout_s: float = Field(default=10.0, gt=0, le=300)
-    fault_injection: bool = Field(default=False, description="let experiments cause faults; never in service")
-    stop_delay_s: float = Field(default=1.5, ge=0, le=60, description="not ready, but still accepting")
-    stop_grace_s: float = Field(default=20.0, ge=0, le=3600, description="time for running streams")
+    fault_injection: bool = Field(
+        default=False, description="let experiments inject faults; never enable in production"
+    )
+    stop_delay_s: float = Field(
+        default=1.5,
+        ge=0,
+        le=60,
+        description="time in which the node reports not ready but still accepts requests",
+    )
+    stop_grace_s: float = Field(default=20.0, ge=0, le=3600, description="time for running streams to finish")
 
     def agent_settings(self) -> AgentSettings:
         """Return the settings of the agent. The node's own address is removed from the seeds."""
@@ -111,15 +126,15 @@
 
 
 def load_settings(file: Path | None, flags: Mapping[str, Any]) -> NodeSettings:
-    """Merge the sources and validate every field; flags that are ``None`` were not given.
+    """Merge the sources and validate every field. Flags that are ``None`` are ignored.
 
-    :raises SettingsError: names every invalid field at once, and never holds a secret's value.
+    :raises SettingsError: lists every invalid field, without the values of secrets.
     """
     if file is not None:
         _check_file(file)
-    given = {name: value for name, value in flags.items() if value is not None}
+    flags_set = {name: value for name, value in flags.items() if value is not None}
     try:
-        return _loader(file)(**given)
+        return _loader(file)(**flags_set)
     except ValidationError as error:
         invalid_fields = tuple(
             FieldError(".".join(str(part) for part in item["loc"]), _message(item["msg"]))
--- a/src/springmux/node/storage/opening.py
+++ b/src/springmux/node/storage/opening.py
@@ -1,4 +1,4 @@
-"""Open a node's data folder; handle damage, a wiped folder, and a failing disk."""
+"""Open a node's data folder, and handle a damaged replica, a wiped folder and a failing disk."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 
 REPLICA_FOLDER = "replica"
 FLEET_FOLDER = "fleet"
-"""Folder of what a node keeps even if its replica is set aside."""
+"""Folder of the files that a node keeps even if its replica is set aside."""
 
 
 class OpenedStorage(msgspec.Struct, frozen=True):
-    """A usable store with what it recovered, or the reason why there is none."""
+    """A usable store and the state recovered from it, or the reason why there is no store."""
 
     store: ReplicaStore | None
     recovered: RecoveredState | None
@@ -42,14 +42,14 @@
     make_disk: Callable[[Path], Disk] = RealDisk,
     first_start: bool = False,
 ) -> OpenedStorage:
-    """Open the replica in ``data_folder`` (blocking); ``make_disk`` returns the disk below it.
+    """Open the replica in ``data_folder`` (blocking).
 
-    ``first_start``: this is the first start of the whole system, for a replica that has to be created.
+    A damaged or wiped replica is set aside and replaced by one with a new identity. With a failing disk the
+    node routes without a replica.
 
-    A damaged or wiped replica is set aside and replaced by one with a new identity; with a failing disk
-    the node routes without a replica.
-
-    :raises FolderLockedError: another process uses the folder.
+    :param make_disk: returns the disk whose root is the data folder.
+    :param first_start: whether this is the first start of the whole fleet; matters for a new replica.
+    :raises FolderLockedError: if another process uses the folder.
     """
     disk = make_disk(data_folder)
     store = ReplicaStore(disk, REPLICA_FOLDER, first_start=first_start)
@@ -60,7 +60,7 @@
             "replica_damaged",
             LogLevel.ERROR,
             reason=str(damage),
-            action="its files were kept with the ending .damaged; it rejoins as a new replica",
+            action="its files are kept with the suffix .damaged; the node rejoins as a new replica",
         )
     except FolderLockedError:
         raise
@@ -68,25 +68,27 @@
         return _unusable(error, log)
     try:
         store.set_aside()
-        # Not a first start: what the damaged replica had acknowledged is lost.
+        # This does not count as a first start: entries that the damaged replica acknowledged are lost.
         return _opened(disk, ReplicaStore(disk, REPLICA_FOLDER), log)
     except (StorageDamagedError, DiskError) as error:
         return _unusable(error, log)
 
 
 def set_aside_replica(data_folder: Path, log: EventLog, make_disk: Callable[[Path], Disk] = RealDisk) -> None:
-    """Set a closed replica's files aside (blocking), so that the next opening begins a new one.
+    """Set the files of a closed replica aside (blocking), so that the next opening creates a new replica.
 
-    A failing disk is only logged: the replica will be asked again to restart as a new one.
+    A disk error is only logged: the replica will be asked again to restart as a new one.
 
-    :raises FolderLockedError: the folder is still in use.
+    :raises FolderLockedError: if the folder is still in use.
     """
     try:
         ReplicaStore(make_disk(data_folder), REPLICA_FOLDER).set_aside()
     except FolderLockedError:
         raise
     except DiskError as error:
-        log.write("replica_not_set_aside", LogLevel.ERROR, reason=str(error), action="mend the disk")
+        log.write(
+            "replica_not_set_aside", LogLevel.ERROR, reason=str(error), action="repair or replace the disk"
+        )
 
 
 def _opened(disk: Disk, store: ReplicaStore, log: EventLog) -> OpenedStorage:
@@ -114,7 +116,7 @@
 
 
 def _load_peers(peer_list: PeerList, log: EventLog) -> tuple[RememberedPeer, ...]:
-    """Return the peers known before the restart; without them the node has its seeds only."""
+    """Return the peers known before the restart. Without them the node has only its seeds."""
     try:
         peers = peer_list.load()
     except DiskError as error:
@@ -126,7 +128,7 @@
 
 
 def _open_claims(journal: ClaimJournal, new_replica: bool, log: EventLog) -> RecoveredClaims | None:
-    """Open the claim journal; without it the node holds claims in memory only."""
+    """Open the claim journal. Without it (``None``) the node keeps claims in memory only."""
     try:
         claims = journal.open(new_replica)
     except DiskError as error:
@@ -147,6 +149,6 @@
         "replica_unusable",
         LogLevel.ERROR,
         reason=str(error),
-        action="the node routes without a replica; mend or replace the disk and restart it",
+        action="the node routes without a replica; repair or replace the disk and restart the node",
     )
     return OpenedStorage(store=None, recovered=None, reason=str(error))
--- a/src/springmux/node/storage/worker.py
+++ b/src/springmux/node/storage/worker.py
@@ -1,6 +1,6 @@
-"""One thread that executes storage effects in their order, off the event loop.
+"""A thread that executes storage effects in order, off the event loop.
 
-Each result is delivered on the loop as an event.
+Each result is delivered on the event loop as an event.
 """
 
 from __future__ import annotations
@@ -35,39 +35,42 @@
 from springmux.storage.peer_list import PeerList
 
 STALL_AFTER_S = 0.25
-"""A longer wait is reported; well below an election timeout, so that a leader can transfer leadership."""
+"""Age from which an unfinished operation counts as a disk stall.
+
+It is well below an election timeout, so that a leader can transfer its leadership first.
+"""
 
 FAILURE_KINDS: dict[type[Event], str] = {
     PersistFailed: "PersistFailed",
     SnapshotFailed: "SnapshotFailed",
     ClaimsPersistFailed: "ClaimsPersistFailed",
 }
-"""Metric labels of the failures."""
+"""Values of the metric label of failures, by the event that reports the failure."""
 
 
 class Store(Protocol):
-    """Blocking storage of one replica (:class:`springmux.storage.replica_store.ReplicaStore`)."""
+    """Interface to the blocking store :class:`springmux.storage.replica_store.ReplicaStore`."""
 
     def persist(self, batch: Persist) -> None:
-        """Write and fsync a batch."""
+        """Write a batch and sync it to disk."""
 
     def take_snapshot(self, meta: SnapshotMeta, data: bytes) -> SnapshotMeta:
         """Write a snapshot durably; return its metadata with the size."""
 
     def install_snapshot(self, meta: SnapshotMeta, data: bytes) -> None:
-        """Replace snapshot and log durably."""
+        """Replace the snapshot and the log durably."""
 
     def compact(self, first_kept: LogIndex) -> None:
-        """Drop entries before ``first_kept``."""
+        """Drop the log entries before ``first_kept``."""
 
     def close(self) -> None:
         """Close the files and release the folder."""
 
 
 class StorageWorker:
-    """Owns store, claim journal and peer list: nothing else calls them after the start.
+    """Owns the store, the claim journal and the peer list. Nothing else may use them while it runs.
 
-    :param deliver: receives the results on the event loop.
+    :param deliver: called on the event loop with the event of each result.
     """
 
     def __init__(
@@ -86,21 +89,21 @@
         self._loop = asyncio.get_running_loop()
         self._work: queue.SimpleQueue[StorageEffect | None] = queue.SimpleQueue()
         self._waiting_since: deque[float] = deque()
-        # A daemon thread: a stalled disk must not keep a stopped process alive.
+        # A daemon thread, so that a stalled disk does not keep a stopped process alive.
         self._thread = threading.Thread(target=self._run, name="storage", daemon=True)
         self._thread.start()
 
     def submit(self, effect: StorageEffect) -> None:
-        """Queue an effect."""
+        """Queue an effect for the thread. Must be called on the event loop."""
         self._waiting_since.append(self._loop.time())
         self._work.put(effect)
 
     def oldest_wait_s(self) -> float:
-        """Return the age of the oldest unfinished operation, 0 if there is none."""
+        """Return the age of the oldest unfinished operation in seconds; 0 if there is none."""
         return self._loop.time() - self._waiting_since[0] if self._waiting_since else 0.0
 
     def stop(self, timeout_s: float) -> None:
-        """Finish queued effects and close the store, within ``timeout_s`` (blocking)."""
+        """Execute the queued effects, close the store, and block until then or for ``timeout_s``."""
         self._work.put(None)
         self._thread.join(timeout_s)
 
@@ -115,7 +118,7 @@
             if self._journal is not None:
                 self._journal.close()
             self._store.close()
-        except Exception:  # noqa: BLE001 - everything acknowledged is durable already
+        except Exception:  # noqa: BLE001 - all acknowledged data is already durable
             self._metrics.count("storage_failures_total", "close")
 
     def _finished(self, event: Event | None) -> None:
@@ -145,7 +148,7 @@
             self._store.persist(effect)
         except DiskFullError as error:
             return PersistFailed(batch=effect.batch, full=True, reason=str(error))
-        except Exception as error:  # noqa: BLE001 - whatever it was, the batch is not known to be durable
+        except Exception as error:  # noqa: BLE001 - after any error the batch may not be durable
             return PersistFailed(batch=effect.batch, full=False, reason=_describe(error))
         return Persisted(batch=effect.batch)
 
@@ -156,21 +159,21 @@
             self._journal.append(effect.records)
         except DiskFullError as error:
             return ClaimsPersistFailed(batch=effect.batch, full=True, reason=str(error))
-        except Exception as error:  # noqa: BLE001 - whatever it was, the batch is not known to be durable
+        except Exception as error:  # noqa: BLE001 - after any error the batch may not be durable
             return ClaimsPersistFailed(batch=effect.batch, full=False, reason=_describe(error))
         return ClaimsPersisted(batch=effect.batch)
 
     def _take_snapshot(self, effect: WriteSnapshot) -> Event:
         try:
             meta = self._store.take_snapshot(effect.meta, effect.data)
-        except Exception as error:  # noqa: BLE001 - whatever it was, the snapshot is not known to be durable
+        except Exception as error:  # noqa: BLE001 - after any error the snapshot may not be durable
             return SnapshotFailed(index=effect.meta.index, reason=_describe(error))
         return SnapshotTaken(meta=meta, data=effect.data)
 
     def _install_snapshot(self, effect: InstallSnapshot) -> Event:
         try:
             self._store.install_snapshot(effect.meta, effect.data)
-        except Exception as error:  # noqa: BLE001 - whatever it was, the snapshot is not known to be durable
+        except Exception as error:  # noqa: BLE001 - after any error the snapshot may not be durable
             return SnapshotFailed(index=effect.meta.index, reason=_describe(error))
         return SnapshotInstalled(meta=effect.meta)
 
@@ -179,15 +182,15 @@
             if self._peer_list is not None:
                 self._peer_list.save(effect.peers)
         except Exception:  # noqa: BLE001
-            # Whatever it was, the older list stays; a disk that really fails shows at the next batch.
+            # After any error the previous list remains. A disk failure is reported by the next batch.
             self._metrics.count("storage_failures_total", "peer_list")
 
     def _compact(self, effect: CompactLog) -> Event | None:
         try:
             self._store.compact(effect.first_kept)
         except Exception:  # noqa: BLE001
-            # Whatever it was, only space is lost, and the next snapshot compacts again; a disk that
-            # really fails shows at the next batch.
+            # Any error costs only disk space, and the next snapshot compacts again. A disk failure is
+            # reported by the next batch.
             self._metrics.count("storage_failures_total", "compaction")
         return None
 
--- a/tests/unit/node/peer/test_transport.py
+++ b/tests/unit/node/peer/test_transport.py
@@ -285,7 +285,7 @@
     async with two_peers() as (_, b):
         b.cut = True
         async with raw_peer(b.address) as peer:
-            await until(lambda: len(b.transport._receptions) == 1)
+            await until(lambda: len(b.transport._inbound_connections) == 1)
             b.cut = False
             await peer.greet(HandshakeAuthenticator("f", "a", "boot", None))
 
@@ -295,9 +295,9 @@
         a.transport.send(NodeId("b"), TransportProbe(1))
         await until(lambda: len(b.received()) == 1)
         (channel,) = a.transport._channels.values()
-        (reception,) = b.transport._receptions
+        (inbound,) = b.transport._inbound_connections
         assert channel._connection is not None
-        for connection in (channel._connection, reception.connection):
+        for connection in (channel._connection, inbound.connection):
             assert connection._transport is not None
             ends = connection._transport.get_extra_info("socket")
             level = socket.IPPROTO_TCP
@@ -402,7 +402,7 @@
         await until(lambda: channel._connection not in (first, None))
         a.transport.send(NodeId("b"), TransportProbe(2))
         await until(lambda: len(b.received()) == 2)
-        await until(lambda: len(b.transport._receptions) == 1)
+        await until(lambda: len(b.transport._inbound_connections) == 1)
         assert a.metrics.value("peer_connections") == 1
         assert PeerUnreachable(NodeId("b")) not in a.events
 
@@ -436,7 +436,7 @@
         assert channel._replacing is not None
         await channel._replacing
         assert channel._connection is first
-        await until(lambda: len(b.transport._receptions) == 1)
+        await until(lambda: len(b.transport._inbound_connections) == 1)
 
 
 async def test_a_peer_that_speaks_after_its_welcome_is_dropped() -> None:
@@ -472,7 +472,7 @@
         reader, found = FrameReader(300), []
         for place in range(0, len(stream), step):
             reader.feed(stream[place : place + step])
-            while (payload := reader.next()) is not None:
+            while (payload := reader.next_payload()) is not None:
                 found.append(payload)
         assert found == payloads
 
@@ -480,9 +480,9 @@
 def test_a_reader_refuses_a_frame_over_its_limit_by_the_header_alone() -> None:
     reader = FrameReader(3)
     reader.feed(frame_header(3) + b"abc" + frame_header(4))
-    assert reader.next() == b"abc"
+    assert reader.next_payload() == b"abc"
     with pytest.raises(FrameTooLargeError):
-        reader.next()
+        reader.next_payload()
 
 
 async def test_a_peer_that_comes_back_is_reached_again() -> None:
--- a/tests/unit/node/test_driver.py
+++ b/tests/unit/node/test_driver.py
@@ -204,7 +204,7 @@
 async def test_a_replica_that_may_begin_anew_asks_for_it() -> None:
     driver, _ = make_driver(RecordingAgent(lambda _: [ReplicaStopped("no group", restart_as_new=True)]))
     driver.submit(Persisted(1))
-    assert driver.replica_given_up.is_set()
+    assert driver.replica_abandoned.is_set()
     assert not driver.crashed.done()
     driver.stop()
 
--- a/tests/unit/node/test_lifecycle.py
+++ b/tests/unit/node/test_lifecycle.py
@@ -108,7 +108,7 @@
     if what == "stop":
         stop_requested.set()
     elif what == "given up":
-        driver.replica_given_up.set()
+        driver.replica_abandoned.set()
     else:
         stop_requested.set()
         driver.crashed.set_result(ValueError("a fault"))
--- a/tests/unit/node/test_service_rates.py
+++ b/tests/unit/node/test_service_rates.py
@@ -8,7 +8,7 @@
     for second in range(200):
         rates.sample(float(second))
         for _ in range(10 if second >= 100 else 1):
-            rates.dispatched("text")
+            rates.record_dispatch("text")
     assert 9.9 < rates.per_s("text") < 10.1
     assert rates.per_s("none") == 0.0
     assert WINDOW_S < 100
