--- a/src/springmux/node/daemon.py
+++ b/src/springmux/node/daemon.py
@@ -67,7 +67,7 @@
         self._history = RolloutHistory()
         self._admin = self._make_admin_listener()
         self._connect_listeners()
-        self._sampler = asyncio.get_running_loop().call_later(SAMPLE_PERIOD_S, self._sample)
+        self._sample_timer = asyncio.get_running_loop().call_later(SAMPLE_PERIOD_S, self._sample)
 
     def _make_driver(self, opened: OpenedStorage) -> AgentDriver:
         driver = AgentDriver(self.agent, self._log, self.metrics)
@@ -159,7 +159,7 @@
 
     async def close(self) -> None:
         """Close listeners, connections and storage without waiting for running requests."""
-        self._sampler.cancel()
+        self._sample_timer.cancel()
         self.driver.stop()
         self._prober.stop()
         self.driver.abandon_waiters()
@@ -176,7 +176,7 @@
             status = self.agent.rollout_status(service)
             if status is not None:
                 self._history.add(service, status, loop.time())
-        self._sampler = loop.call_later(SAMPLE_PERIOD_S, self._sample)
+        self._sample_timer = loop.call_later(SAMPLE_PERIOD_S, self._sample)
 
 
 async def _run(settings: NodeSettings) -> int:
--- a/src/springmux/node/gateway/attempt.py
+++ b/src/springmux/node/gateway/attempt.py
@@ -160,7 +160,7 @@
             size_bytes += len(data)
             if size_bytes > MAX_BUFFERED_RESPONSE_BYTES:
                 return await self._relay_large(upstream, head, b"".join(chunks))
-        self._judge_status(head.status)
+        self._classify_status(head.status)
         if head.status >= 500:
             return AttemptResult(
                 AttemptEnd.ERROR_RESPONSE, lambda: exchange.respond(head.status, headers, b"".join(chunks))
@@ -179,7 +179,7 @@
         while data := await upstream.read():
             await exchange.write(data)
         exchange.end()
-        self._judge_status(head.status)
+        self._classify_status(head.status)
         return AttemptResult(None)
 
     async def _relay_stream(self, upstream: EngineExchange, head: ResponseHead) -> AttemptResult:
@@ -219,7 +219,7 @@
         if self._watchdog is not None:
             self._watchdog.record_event(now)
 
-    def _judge_status(self, status: int) -> None:
+    def _classify_status(self, status: int) -> None:
         if status >= 500:
             self._outcome, self._ending = ExchangeOutcome.ERROR_STATUS, Ending.ERROR_STATUS
         elif status >= 400:
--- a/src/springmux/node/gateway/headers.py
+++ b/src/springmux/node/gateway/headers.py
@@ -7,7 +7,7 @@
 from springmux.node.http.types import Header, RequestHead, ResponseHead
 from springmux.vocabulary.engines import EngineRecord
 
-HOP_BY_HOP = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -38,7 +38,7 @@
             names.priority,
             names.deadline_ms,
         }
-        self._not_to_engine = HOP_BY_HOP | gateway_headers
+        self._dropped_from_request = HOP_BY_HOP_HEADERS | gateway_headers
 
     def request_for(
         self,
@@ -50,7 +50,7 @@
         last_event_id: bytes | None,
     ) -> RequestHead:
         """Return the head for an engine: the client's without its key, plus the gateway's headers."""
-        dropped = self._not_to_engine | _named_by_connection(head.headers)
+        dropped = self._dropped_from_request | _named_by_connection(head.headers)
         if last_event_id is not None:
             dropped = dropped | {self.names.last_event_id}
         kept = [header for header in head.headers if header[0] not in dropped]
@@ -65,7 +65,7 @@
 
     def response_headers(self, head: ResponseHead) -> list[Header]:
         """Return the headers of an engine's response that the client receives."""
-        dropped = HOP_BY_HOP | _named_by_connection(head.headers)
+        dropped = HOP_BY_HOP_HEADERS | _named_by_connection(head.headers)
         return [header for header in head.headers if header[0] not in dropped]
 
     def refusal_headers(self, refusal: Refusal, request_id: bytes | None) -> list[Header]:
--- a/src/springmux/node/gateway/rollout_endpoints.py
+++ b/src/springmux/node/gateway/rollout_endpoints.py
@@ -28,7 +28,7 @@
 from springmux.vocabulary.errors import ErrorCode
 from springmux.vocabulary.names import OrderId, RolloutId, ServiceName, VersionName
 
-CONFLICT = 409
+CONFLICT_STATUS = 409
 RATE_WINDOW_S = 3.0
 """Window of the request rate that a plan is based on. A longer one could include time without traffic."""
 
@@ -73,7 +73,7 @@
         except msgspec.DecodeError as error:
             return error_response(400, ErrorCode.INVALID_ORDER, str(error))
         service, candidate = ServiceName(requested.service), VersionName(requested.candidate)
-        released = self._released(service, candidate)
+        released = self._released_version(service, candidate)
         if not released and service not in self._agent.view.rollouts:
             return retry_later(ErrorCode.NOT_READY, "no engine of the released version is known here yet")
         settings = self._settings
@@ -95,9 +95,9 @@
             stable=released,
         )
         outcome = await submit_command(self._driver, command, settings.order_timeout_s)
-        return command_response(outcome, CONFLICT, ErrorCode.ROLLOUT_CONFLICT)
+        return command_response(outcome, CONFLICT_STATUS, ErrorCode.ROLLOUT_CONFLICT)
 
-    def _released(self, service: ServiceName, candidate: VersionName) -> VersionName:
+    def _released_version(self, service: ServiceName, candidate: VersionName) -> VersionName:
         """Return the version, other than the candidate, that most engines run; empty if there is none."""
         serving = (EngineStatus.READY, EngineStatus.LOST, EngineStatus.DRAINING)
         counts = Counter(
--- a/src/springmux/node/peer/channel.py
+++ b/src/springmux/node/peer/channel.py
@@ -30,7 +30,7 @@
 URGENT_BYTES = 4096
 """A full queue drops larger messages first. Heartbeats, votes, probes and tokens are smaller than this."""
 MAX_WRITE_BYTES = 256 << 10
-"""Size from which no further queued message is joined to a write (several socket buffers)."""
+"""One write joins queued messages until it has at least this size (several socket buffers)."""
 
 
 class OutgoingMessage(msgspec.Struct, frozen=True):
--- a/src/springmux/node/peer/frames.py
+++ b/src/springmux/node/peer/frames.py
@@ -50,7 +50,7 @@
     """The header of a received frame states a size over the limit. Both are in bytes."""
 
     def __init__(self, size_bytes: int, limit_bytes: int) -> None:
-        super().__init__(f"frame of {size_bytes} bytes exceeds the limit of {limit_bytes} bytes")
+        super().__init__(f"frame of {size_bytes} bytes exceeds the limit of {limit_bytes}")
         self.size_bytes = size_bytes
         self.limit_bytes = limit_bytes
 
--- a/src/springmux/node/peer/transport.py
+++ b/src/springmux/node/peer/transport.py
@@ -192,9 +192,8 @@
             events = self._codec.decode(sender, data)
         except (ValueError, RecursionError) as error:
             self._metrics.count("peer_dropped_messages_total", "undecodable")
-            if (
-                not inbound.undecodable_logged
-            ):  # one line per connection, as a peer of a newer version sends many
+            # One line per connection, because a peer of a newer version sends many such messages.
+            if not inbound.undecodable_logged:
                 inbound.undecodable_logged = True
                 self._log.write("peer_message_undecodable", LogLevel.WARNING, sender=sender, error=str(error))
             return
--- a/tests/unit/node/gateway/scripted_engines.py
+++ b/tests/unit/node/gateway/scripted_engines.py
@@ -1,4 +1,4 @@
-"""Scripted engines, on a loop whose clock passes without waiting."""
+"""Scripted engines, and an event loop in virtual time."""
 
 from __future__ import annotations
 
@@ -15,33 +15,33 @@
 SEAL = b"x-answer-seal"
 
 
-class _PassingSelector(selectors.DefaultSelector):
-    """Does not wait: the time that it would have waited has passed."""
+class _VirtualTimeSelector(selectors.DefaultSelector):
+    """Selector that advances the virtual time by each timeout instead of waiting."""
 
-    passed_s = 1000.0
+    now_s = 1000.0
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         if timeout is None:
-            raise RuntimeError("nothing is left that could happen")
-        self.passed_s += max(0.0, timeout)
+            raise RuntimeError("deadlock: no timer is scheduled and no callback is ready")
+        self.now_s += max(0.0, timeout)
         return super().select(0)
 
 
-class PassingLoop(asyncio.SelectorEventLoop):
-    """A loop for tests without sockets: timers fire in their order, and no real time passes."""
+class VirtualTimeLoop(asyncio.SelectorEventLoop):
+    """Event loop in virtual time for tests without sockets: timers fire in order, and no real time passes."""
 
     def __init__(self) -> None:
-        self._passing = _PassingSelector()
-        super().__init__(self._passing)
+        self._virtual_selector = _VirtualTimeSelector()
+        super().__init__(self._virtual_selector)
 
     def time(self) -> float:
-        return self._passing.passed_s
+        return self._virtual_selector.now_s
 
 
-def play(story: Coroutine[Any, Any, None]) -> None:
-    """Run a transcript on a passing clock."""
-    with asyncio.Runner(loop_factory=PassingLoop) as runner:
-        runner.run(story)
+def play(scenario: Coroutine[Any, Any, None]) -> None:
+    """Run a scenario in virtual time."""
+    with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
+        runner.run(scenario)
 
 
 def now() -> float:
@@ -49,7 +49,7 @@
 
 
 class Pause(msgspec.Struct, frozen=True):
-    """The engine is silent for so long."""
+    """Step in which the engine sends nothing for ``seconds``."""
 
     seconds: float
 
@@ -59,24 +59,24 @@
 Script = Sequence[Step]
 
 
-def answer(
+def response_head(
     status: int, *headers: Header, seal: bytes | None = b"s1", length: int | None = None
 ) -> ResponseHead:
-    """Return an engine's head."""
+    """Return the head of an engine's response; ``seal=None`` omits the seal header."""
     own = ((SEAL, seal),) if seal is not None else ()
     return ResponseHead(status, (ID, *own, *headers), None, True)
 
 
-def events(first: int, last: int) -> bytes:
+def stream_events(first: int, last: int) -> bytes:
     return b"".join(b"id: %d\ndata: piece %d\n\n" % (number, number) for number in range(first, last + 1))
 
 
-DECLINE = (answer(503, (b"x-not-executed", b"1"), seal=None), b"full")
-WHOLE = (answer(200), b"whole")
+DECLINE = (response_head(503, (b"x-not-executed", b"1"), seal=None), b"full")
+COMPLETE_RESPONSE = (response_head(200), b"whole")
 
 
 class ScriptedExchange:
-    """One engine's side of a script; what follows its last step is the proper end."""
+    """An exchange that follows one engine's script. After the last step the response ends regularly."""
 
     def __init__(self, script: Script) -> None:
         self._steps = list(script)
@@ -114,8 +114,8 @@
         return b""
 
 
-class Sent(msgspec.Struct, frozen=True):
-    """A request as an engine got it."""
+class SentRequest(msgspec.Struct, frozen=True):
+    """A request as an engine received it."""
 
     address: str
     head: RequestHead
@@ -125,12 +125,12 @@
 
 
 class ScriptedClient:
-    """Implements EngineClient. The n-th try follows the n-th script; a script may fail the connection."""
+    """Implements EngineClient. The n-th attempt follows the n-th script, which may fail the connection."""
 
     def __init__(self, *scripts: Script) -> None:
         self.scripts = list(scripts)
-        self.tried: list[str] = []
-        self.sent: list[Sent] = []
+        self.attempted_addresses: list[str] = []
+        self.sent: list[SentRequest] = []
 
     async def send(
         self,
@@ -140,16 +140,16 @@
         connect_timeout_s: float,
         accept: Callable[[ResponseHead], bool],
     ) -> ScriptedExchange:
-        self.tried.append(address)
-        assert self.scripts, "an engine too many"
+        self.attempted_addresses.append(address)
+        assert self.scripts, "more attempts than scripts"
         script = list(self.scripts.pop(0))
         if script and script[0] is FailureKind.UNRESPONSIVE:
-            await asyncio.sleep(connect_timeout_s)  # a connection that does not come up
+            await asyncio.sleep(connect_timeout_s)  # the connection is not established in time
             raise ExchangeFailedError(FailureKind.CONNECT)
         if script and script[0] in (FailureKind.CONNECT, FailureKind.NOT_SENT):
             raise ExchangeFailedError(FailureKind(script[0]))
         exchange = ScriptedExchange(script)
-        self.sent.append(Sent(address, head, body, now(), exchange))
+        self.sent.append(SentRequest(address, head, body, now(), exchange))
         return exchange
 
     def close(self) -> None: ...
--- a/tests/unit/node/gateway/stand_ins.py
+++ b/tests/unit/node/gateway/stand_ins.py
@@ -1,4 +1,4 @@
-"""A node's forwarder with scripted engines, and its clients."""
+"""Test doubles around a node's forwarder: its clients, scripted engines and a fixed version choice."""
 
 from __future__ import annotations
 
@@ -34,14 +34,14 @@
 from springmux.rollout.outcome import FirstTokenWatch, PromptOutcome, VersionChoice
 from springmux.vocabulary.engines import EngineRecord, EnginesView
 from springmux.vocabulary.names import EngineId, RouteName, ServiceName, TenantName, VersionName
-from tests.unit.node.gateway.scripted_engines import ID, Script, ScriptedClient, Sent, now
+from tests.unit.node.gateway.scripted_engines import ID, Script, ScriptedClient, SentRequest, now
 
 TEXT = ServiceName("text")
 OLD, NEW = VersionName("v1"), VersionName("v2")
 
 
 class RecordingClient:
-    """Implements ServerExchange: a client that records its response."""
+    """Implements ServerExchange for a client that records its response."""
 
     def __init__(
         self,
@@ -51,7 +51,11 @@
         body: bytes | None = b"asked",
         slow_s: float = 0.0,
     ) -> None:
-        """:param body: ``None``: over the limit. ``slow_s``: time for which each write waits."""
+        """Create a client with its request.
+
+        :param body: the request's body; ``None`` means that it is over the limit.
+        :param slow_s: time in seconds that each write to the client takes.
+        """
         self.head = RequestHead(b"POST", target, ((b"host", b"api"), ID, *headers))
         self.received_at = now()
         self.status = 0
@@ -76,7 +80,7 @@
         self.end()
 
     def begin(self, status: int, headers: Sequence[Header], length: int | None) -> None:
-        assert not self.begun, "a second head"
+        assert not self.begun, "a second response head was sent"
         self.status, self.headers = status, tuple(headers)
 
     async def write(self, data: bytes) -> None:
@@ -116,7 +120,7 @@
 
 
 class Chooser:
-    """A version filter that gives one choice and notes what comes back."""
+    """A version filter that always returns one choice, and records the credits that are given back."""
 
     def __init__(self, choice: VersionChoice) -> None:
         self._choice = choice
@@ -146,7 +150,7 @@
 
 
 def route(kind: GatewayRouteKind, **more: Any) -> GatewayRoute:
-    """Return the route of /text/, for up to three engines unless ``more`` says otherwise."""
+    """Return the route of /text/, with up to three attempts unless ``more`` sets another limit."""
     more = {"max_attempts": 3, "timeout_ms": 5000.0, "target_ms": 20_000.0, **more}
     return GatewayRoute(RouteName("text"), "api", "/text/", kind, (Backend(TEXT, 1.0),), **more)
 
@@ -162,11 +166,11 @@
 
 
 class Node:
-    """The real core and forwarder of one node, over scripted engines (four of them by default)."""
+    """The real core and forwarder of one node, with scripted engines (four by default)."""
 
     def __init__(
         self,
-        used: GatewayRoute,
+        served_route: GatewayRoute,
         *scripts: Script,
         tenants: Sequence[GatewayTenant] = (),
         versions: Sequence[VersionName] = (OLD,) * 4,
@@ -182,14 +186,14 @@
         self.core.retry_budget.set_floor(20)
         self._configuration = GatewayConfiguration(
             1,
-            (used,),
+            (served_route,),
             {TEXT: GatewayService(TEXT)},
             {tenant.name: tenant for tenant in tenants},
             key_tenants={key: tenant.name for tenant in tenants for key in tenant.api_keys},
         )
         if configured:
             self.configure()
-        self.know_engines(versions)
+        self.update_engines(versions)
         self._written = io.StringIO()
         self.refusals = RefusalLog(
             self.core.counters, EventLog("n1", output=self._written), OWN_HEADERS.request_id
@@ -205,34 +209,34 @@
         self.forwarder = Forwarder(self.services)
 
     def configure(self) -> None:
-        """Have the node learn its configuration."""
+        """Give the node its configuration."""
         view = msgspec.structs.replace(EMPTY_VIEW, gateway=self._configuration)
         self.core.update_control(view, now())
 
-    def know_engines(self, versions: Sequence[VersionName] = (OLD,) * 4) -> None:
-        """Have the node learn of engines, one of each of ``versions``."""
+    def update_engines(self, versions: Sequence[VersionName] = (OLD,) * 4) -> None:
+        """Give the node its engines, one for each item of ``versions``."""
         records = {f"e{number}": record(number, version) for number, version in enumerate(versions)}
         known = {EngineId(name): found for name, found in records.items()}
         self.core.update_engines(EnginesView(known, dict.fromkeys(known, -100.0), {}), now())
 
     async def ask(self, *headers: Header, **more: Any) -> RecordingClient:
-        """Send one request; return its client."""
+        """Send one request, and return its client with the response."""
         client = RecordingClient(headers, **more)
         await self.forwarder.handle(client)
         return client
 
     @property
-    def logged(self) -> list[dict[str, Any]]:
-        """Lines of the log."""
+    def log_lines(self) -> list[dict[str, Any]]:
+        """The parsed lines of the log."""
         return [json.loads(line) for line in self._written.getvalue().splitlines()]
 
     @property
-    def sent(self) -> list[Sent]:
+    def sent(self) -> list[SentRequest]:
         return self.client.sent
 
     @property
     def in_flight(self) -> int:
-        """Requests on all engines by the loads that the node would tell the others."""
+        """Number of requests on all engines, from the loads that the node would report to other nodes."""
         self._loads.update(
             (engine, requests) for engine, requests, _ in self.core.placement.take_changed_loads()
         )
--- a/tests/unit/node/gateway/test_configuration_reads.py
+++ b/tests/unit/node/gateway/test_configuration_reads.py
@@ -63,20 +63,20 @@
 def test_a_recent_proof_is_enough_and_nobody_is_asked() -> None:
     """Given a proof that is younger than the bound, the document is shown at once."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         agent = StandInAgent(proven_at=now() - 0.9 * READ_PROOF_S)
         began = now()
         response = await _read(agent)
         assert (response.status, response.body, agent.events) == (200, DOCUMENT, [])
         assert now() == began
 
-    play(story())
+    play(scenario())
 
 
 def test_without_a_proof_the_leader_is_asked_and_its_answer_waited_for() -> None:
     """Given an old proof and a leader that answers, the document is shown with the new one."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         agent = StandInAgent(proven_at=now() - 10.0)
 
         def answered() -> None:
@@ -87,14 +87,14 @@
         assert (response.status, response.body) == (200, DOCUMENT)
         assert [type(event) for event in agent.events] == [ProofWanted]
 
-    play(story())
+    play(scenario())
 
 
 @pytest.mark.parametrize("age_s", [2.0 * READ_PROOF_S, math.inf])
 def test_without_an_answer_it_is_503_with_a_time_and_in_time(age_s: float) -> None:
     """Given nobody who answers, an operator gets no older document, and is told so within a second."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         agent = StandInAgent(proven_at=now() - age_s)
         began = now()
         response = await _read(agent)
@@ -102,19 +102,19 @@
         assert b"retry-after" in _headers(response)
         assert PROOF_TIMEOUT_S <= now() - began < 1.0
 
-    play(story())
+    play(scenario())
 
 
 def test_a_node_that_is_cut_off_says_so_at_once() -> None:
     """Given a node out of contact, even one with a recent proof, it shows nothing and asks nobody."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         agent = StandInAgent(ready=False, proven_at=now())
         response = await _read(agent)
         assert response.status == 503 and b"cut off" in response.body
         assert agent.events == []
 
-    play(story())
+    play(scenario())
 
 
 @pytest.mark.parametrize("change_in_force_ms", [200, 500, 2000, 3000])
@@ -136,11 +136,11 @@
 def test_the_interface_takes_the_settings_proof() -> None:
     """Given a proof between two deployments' bounds, the one with the longer bound shows the document."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         for proof_s, status in ((0.25, 503), (1.0, 200)):
             agent = StandInAgent(proven_at=now() - 0.5)
             endpoints = ConfigurationEndpoints(cast(NodeAgent, agent), cast(AgentDriver, agent), 4.0, proof_s)
             response = await endpoints.handle("GET", cast(ServerExchange, None))
             assert response.status == status
 
-    play(story())
+    play(scenario())
--- a/tests/unit/node/gateway/test_core.py
+++ b/tests/unit/node/gateway/test_core.py
@@ -1,4 +1,4 @@
-"""The core takes newer control states only."""
+"""The gateway core ignores outdated control states, and keeps its share of the fleet's retry budget."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def test_an_older_control_state_is_ignored() -> None:
-    """Given version 2 in force, a late state of version 1 changes nothing."""
+    """Given active version 2, a late control state with version 1 changes nothing."""
     core = _core()
     newer = msgspec.structs.replace(
         EMPTY_VIEW, revision=type(EMPTY_VIEW.revision)(2), gateway=GatewayConfiguration(2, (SAFE,))
@@ -40,8 +40,10 @@
     ("least", "nodes", "floor"),
     [(220, 90, 2), (440, 200, 2), (39.28, 23, 1), (64, 12, 4), (0, 12, 1), (0.5, 3, 1)],
 )
-def test_nodes_never_share_out_more_retries_than_the_fleet_has(least: float, nodes: int, floor: int) -> None:
-    """Given the fleet's bound and its nodes, each may send so many retries with no request beside them."""
+def test_the_nodes_retry_shares_together_stay_within_the_fleets_limit(
+    least: float, nodes: int, floor: int
+) -> None:
+    """Given the fleet's limit and its number of nodes, each node may send ``floor`` retries."""
     core = _core()
     core.set_retry_bounds(RetryBounds(share=0.0, minimum=least))
     core.update_fleet(nodes)
--- a/tests/unit/node/gateway/test_engine_endpoints.py
+++ b/tests/unit/node/gateway/test_engine_endpoints.py
@@ -1,4 +1,7 @@
-"""What a node that can't pass an engine's report on does with it."""
+"""Engines' reports to a node that may be unable to forward them.
+
+Guards against acknowledging a report that reaches no other node, which would leave the engine unknown there.
+"""
 
 from __future__ import annotations
 
@@ -17,15 +20,15 @@
 HEARTBEAT = {"service": "text", "address": "10.0.0.1:80", "version": "v1", "zone": "north", "slots": 4}
 
 
-class StandInAgent:
-    """The part of an agent that the endpoints read."""
+class FakeAgent:
+    """The attributes of an agent that the endpoints read."""
 
     def __init__(self, reason: str) -> None:
         self.ready = not reason
         self.not_ready_reason = reason
 
 
-class StandInExchange:
+class FakeExchange:
     """A request with a body."""
 
     def __init__(self, body: bytes) -> None:
@@ -35,35 +38,35 @@
         return self._body
 
 
-class Reports:
-    """The endpoints of one node, and what they told its directory."""
+class ReportEndpoints:
+    """The endpoints of one node, and the events that they submitted to its directory."""
 
     def __init__(self, reason: str) -> None:
         self.events: list[Event] = []
-        agent = cast(NodeAgent, StandInAgent(reason))
+        agent = cast(NodeAgent, FakeAgent(reason))
         self._endpoints = EngineEndpoints(agent, self.events.append)
 
     async def send(self, method: str, body: Any = HEARTBEAT) -> int:
-        exchange = cast(ServerExchange, StandInExchange(json.dumps(body).encode()))
+        exchange = cast(ServerExchange, FakeExchange(json.dumps(body).encode()))
         return (await self._endpoints.handle(method, "e1", exchange)).status
 
 
 @pytest.mark.parametrize("reason", [STARTING, JOINING, CUT_OFF, STOPPING])
-async def test_a_node_without_contact_sends_an_engine_on_and_still_takes_note_of_it(reason: str) -> None:
-    reports = Reports(reason)
+async def test_an_isolated_node_responds_503_to_engines_and_still_applies_their_reports(reason: str) -> None:
+    reports = ReportEndpoints(reason)
     assert await reports.send("PUT") == 503
     assert await reports.send("DELETE") == 503
     assert [type(event) for event in reports.events] == [EngineHeartbeat, EngineLeft]
 
 
-async def test_a_node_in_contact_acknowledges() -> None:
-    reports = Reports("")
+async def test_a_node_in_contact_acknowledges_a_heartbeat() -> None:
+    reports = ReportEndpoints("")
     assert await reports.send("PUT") == 200
     assert [type(event) for event in reports.events] == [EngineHeartbeat]
 
 
-async def test_a_report_that_can_not_be_read_is_refused_and_not_noted_without_contact_too() -> None:
-    reports = Reports(JOINING)
+async def test_an_isolated_node_rejects_an_invalid_report_and_does_not_apply_it() -> None:
+    reports = ReportEndpoints(JOINING)
     assert await reports.send("PUT", {"service": 7}) == 400
     assert await reports.send("POST") == 405
     assert reports.events == []
--- a/tests/unit/node/gateway/test_forwarder_wire.py
+++ b/tests/unit/node/gateway/test_forwarder_wire.py
@@ -13,7 +13,7 @@
 from springmux.node.http.client import PooledEngineClient
 from springmux.vocabulary.engines import EngineRecord, EnginesView
 from springmux.vocabulary.names import EngineId
-from tests.unit.node.gateway.scripted_engines import events
+from tests.unit.node.gateway.scripted_engines import stream_events
 from tests.unit.node.gateway.stand_ins import OLD, RESUMABLE, SAFE, STREAM, TEXT, UNSAFE, Node
 from tests.unit.node.http.wires import PATIENCE_S, Engine, Script, Site, Wire, engine, serving
 
@@ -36,9 +36,9 @@
 
 
 @contextlib.asynccontextmanager
-async def _front(used: GatewayRoute, *found: Engine) -> AsyncIterator[Site]:
+async def _front(served_route: GatewayRoute, *found: Engine) -> AsyncIterator[Site]:
     """Serve one route over the engines that listen."""
-    node = Node(used, versions=())
+    node = Node(served_route, versions=())
     records = {
         EngineId(f"e{number}"): EngineRecord(EngineId(f"e{number}"), TEXT, OLD, Address(state.address), 8, 1)
         for number, state in enumerate(found)
@@ -123,11 +123,11 @@
     async def serve(wire: Wire) -> None:
         heads.append(await _asked(wire))
         if len(heads) == 1:
-            wire.send(STREAM_HEAD + CHUNKED + _chunk(events(1, 1) + b"id: 2\nda"))
+            wire.send(STREAM_HEAD + CHUNKED + _chunk(stream_events(1, 1) + b"id: 2\nda"))
             await passed_on.wait()
             wire.reset()
             return
-        wire.send(STREAM_HEAD.replace(b"s1", b"s2") + CHUNKED + _chunk(events(2, 3)) + END)
+        wire.send(STREAM_HEAD.replace(b"s1", b"s2") + CHUNKED + _chunk(stream_events(2, 3)) + END)
         await wire.reader.read()
 
     async with _two(serve) as found, _front(RESUMABLE, *found) as site:
@@ -135,33 +135,33 @@
         client.send(ASK)
         head = await client.until(b"\r\n\r\n")
         assert b"x-answer-seal: s1\r\n" in head
-        await client.expect(_chunk(events(1, 1)))
+        await client.expect(_chunk(stream_events(1, 1)))
         passed_on.set()
-        await client.expect(_chunk(events(2, 3)) + END)
+        await client.expect(_chunk(stream_events(2, 3)) + END)
         assert b"last-event-id: 1\r\n" in heads[1]
 
 
-@pytest.mark.parametrize("used", [STREAM, UNSAFE], ids=["stream", "unsafe"])
-async def test_a_cut_answer_does_not_look_whole(used: GatewayRoute) -> None:
+@pytest.mark.parametrize("served_route", [STREAM, UNSAFE], ids=["stream", "unsafe"])
+async def test_a_cut_answer_does_not_look_whole(served_route: GatewayRoute) -> None:
     """Given an engine that resets inside its answer, the client sees a reset or a 502, never an end."""
     passed_on = asyncio.Event()
-    if used is UNSAFE:
+    if served_route is UNSAFE:
         passed_on.set()
 
     async def script(wire: Wire) -> None:
         await _asked(wire)
-        wire.send(STREAM_HEAD + CHUNKED + _chunk(events(1, 1)))
+        wire.send(STREAM_HEAD + CHUNKED + _chunk(stream_events(1, 1)))
         await passed_on.wait()
         wire.reset()
 
-    async with engine(script) as only, _front(used, only) as site:
+    async with engine(script) as only, _front(served_route, only) as site:
         client = await site.wire()
         client.send(ASK)
         head = await client.until(b"\r\n\r\n")
-        if used is UNSAFE:
+        if served_route is UNSAFE:
             assert head.startswith(b"HTTP/1.1 502 ") and b"x-answer-seal" not in head
             return
-        await client.expect(_chunk(events(1, 1)))
+        await client.expect(_chunk(stream_events(1, 1)))
         passed_on.set()
         await client.expect_gone()
 
