--- a/tests/unit/node/gateway/test_configuration_reads.py
+++ b/tests/unit/node/gateway/test_configuration_reads.py
@@ -1,4 +1,7 @@
-"""A node shows a configuration only with a proof that it is the newest."""
+"""A node shows its configuration only with a proof that it is the newest.
+
+Guards against an operator who reads an outdated configuration after a change was acknowledged.
+"""
 
 from __future__ import annotations
 
@@ -25,33 +28,33 @@
 DOCUMENT = b'{"version":7}'
 
 
-class Control:
+class FakeControlState:
     """The control state's document."""
 
     def gateway_document(self) -> bytes:
         return DOCUMENT
 
 
-class StandInAgent:
-    """What the endpoints read of an agent, and the driver to it. ``proven_at``: time of its newest proof."""
+class FakeAgent:
+    """Stands for the agent and its driver. ``proven_at``: time of the newest proof."""
 
     def __init__(self, ready: bool = True, proven_at: float = -math.inf) -> None:
         self.ready = ready
         self.not_ready_reason = "" if ready else "cut off"
-        self.control = Control()
+        self.control = FakeControlState()
         self.proven_at = proven_at
         self.events: list[Event] = []
-        self.on_wanted: Callable[[], None] = lambda: None
+        self.on_proof_requested: Callable[[], None] = lambda: None
 
     def state_proof_age_s(self, at: float) -> float:
         return at - self.proven_at
 
     def submit(self, event: Event) -> None:
         self.events.append(event)
-        self.on_wanted()
+        self.on_proof_requested()
 
 
-async def _read(agent: StandInAgent) -> ControlResponse:
+async def _read(agent: FakeAgent) -> ControlResponse:
     endpoints = ConfigurationEndpoints(cast(NodeAgent, agent), cast(AgentDriver, agent), 4.0, READ_PROOF_S)
     return await endpoints.handle("GET", cast(ServerExchange, None))
 
@@ -60,29 +63,29 @@
     return dict(response.headers)
 
 
-def test_a_recent_proof_is_enough_and_nobody_is_asked() -> None:
-    """Given a proof that is younger than the bound, the document is shown at once."""
+def test_with_a_recent_proof_the_leader_is_not_contacted() -> None:
+    """Given a proof below the maximum age, the document is returned immediately."""
 
     async def scenario() -> None:
-        agent = StandInAgent(proven_at=now() - 0.9 * READ_PROOF_S)
-        began = now()
+        agent = FakeAgent(proven_at=now() - 0.9 * READ_PROOF_S)
+        began_at = now()
         response = await _read(agent)
         assert (response.status, response.body, agent.events) == (200, DOCUMENT, [])
-        assert now() == began
+        assert now() == began_at
 
     play(scenario())
 
 
-def test_without_a_proof_the_leader_is_asked_and_its_answer_waited_for() -> None:
-    """Given an old proof and a leader that answers, the document is shown with the new one."""
+def test_without_a_recent_proof_the_node_waits_for_one_from_the_leader() -> None:
+    """Given an old proof and a leader that sends a new one, the document is returned."""
 
     async def scenario() -> None:
-        agent = StandInAgent(proven_at=now() - 10.0)
+        agent = FakeAgent(proven_at=now() - 10.0)
 
-        def answered() -> None:
+        def send_proof() -> None:
             agent.proven_at = now()
 
-        agent.on_wanted = answered
+        agent.on_proof_requested = send_proof
         response = await _read(agent)
         assert (response.status, response.body) == (200, DOCUMENT)
         assert [type(event) for event in agent.events] == [ProofWanted]
@@ -91,25 +94,25 @@
 
 
 @pytest.mark.parametrize("age_s", [2.0 * READ_PROOF_S, math.inf])
-def test_without_an_answer_it_is_503_with_a_time_and_in_time(age_s: float) -> None:
-    """Given nobody who answers, an operator gets no older document, and is told so within a second."""
+def test_without_a_proof_in_time_the_response_is_503_with_retry_after(age_s: float) -> None:
+    """Given no leader, an operator gets no outdated document, and a response within a second."""
 
     async def scenario() -> None:
-        agent = StandInAgent(proven_at=now() - age_s)
-        began = now()
+        agent = FakeAgent(proven_at=now() - age_s)
+        began_at = now()
         response = await _read(agent)
         assert response.status == 503 and DOCUMENT not in response.body
         assert b"retry-after" in _headers(response)
-        assert PROOF_TIMEOUT_S <= now() - began < 1.0
+        assert PROOF_TIMEOUT_S <= now() - began_at < 1.0
 
     play(scenario())
 
 
-def test_a_node_that_is_cut_off_says_so_at_once() -> None:
-    """Given a node out of contact, even one with a recent proof, it shows nothing and asks nobody."""
+def test_a_node_without_contact_responds_503_immediately() -> None:
+    """Given a node out of contact with a recent proof, it returns no document and requests no proof."""
 
     async def scenario() -> None:
-        agent = StandInAgent(ready=False, proven_at=now())
+        agent = FakeAgent(ready=False, proven_at=now())
         response = await _read(agent)
         assert response.status == 503 and b"cut off" in response.body
         assert agent.events == []
@@ -118,8 +121,8 @@
 
 
 @pytest.mark.parametrize("change_in_force_ms", [200, 500, 2000, 3000])
-def test_a_proof_is_younger_than_a_change_may_take_to_be_in_force(change_in_force_ms: float) -> None:
-    """Given any deployment's time, an older state is shown to nobody who reads after it."""
+def test_the_maximum_age_of_a_proof_is_below_the_time_for_a_change(change_in_force_ms: float) -> None:
+    """Given any ``change_in_force_ms``, no reader gets an older state once that time has passed."""
     settings = GatewaySettings(
         node="n",
         zone="z",
@@ -133,12 +136,12 @@
     assert 0 < settings.read_proof_s < change_in_force_ms / 1000.0
 
 
-def test_the_interface_takes_the_settings_proof() -> None:
-    """Given a proof between two deployments' bounds, the one with the longer bound shows the document."""
+def test_the_endpoints_apply_the_configured_age_of_a_proof() -> None:
+    """Given a proof whose age is between two limits, only the longer limit allows the document."""
 
     async def scenario() -> None:
         for proof_s, status in ((0.25, 503), (1.0, 200)):
-            agent = StandInAgent(proven_at=now() - 0.5)
+            agent = FakeAgent(proven_at=now() - 0.5)
             endpoints = ConfigurationEndpoints(cast(NodeAgent, agent), cast(AgentDriver, agent), 4.0, proof_s)
             response = await endpoints.handle("GET", cast(ServerExchange, None))
             assert response.status == status
--- a/tests/unit/node/gateway/test_forwarder.py
+++ b/tests/unit/node/gateway/test_forwarder.py
@@ -1,4 +1,8 @@
-"""What a client is told before any engine is asked, and what the engine and the client are passed."""
+"""Admission of requests by the forwarder, and what it forwards to engines and to clients.
+
+Guards against requests that reach an engine without permission, and against responses from which a client
+would wrongly conclude that its request was, or was not, executed.
+"""
 
 from __future__ import annotations
 
@@ -24,11 +28,11 @@
 )
 from tests.unit.node.gateway.stand_ins import SAFE, UNSAFE, Node, RecordingClient, route, tenant
 
-KEYED = tenant("acme", "k1", priority=1)
+ACME = tenant("acme", "k1", priority=1)
 
 
-def test_without_a_configuration_the_client_is_told_to_come_back() -> None:
-    """Given a node that knows no configuration, 503 with a time."""
+def test_without_a_configuration_a_request_gets_503_with_retry_after() -> None:
+    """Given a node without a configuration, the client may retry later."""
 
     async def scenario() -> None:
         client = await Node(SAFE, configured=False).ask()
@@ -38,8 +42,8 @@
     play(scenario())
 
 
-def test_an_unknown_path_is_404() -> None:
-    """Given a path that no route begins, 404 without an engine asked."""
+def test_an_unknown_path_gets_404() -> None:
+    """Given a path outside all routes, no engine gets the request."""
 
     async def scenario() -> None:
         node = Node(SAFE)
@@ -50,11 +54,11 @@
 
 
 @pytest.mark.parametrize("headers", [(), ((b"x-api-key", b"k2"),)])
-def test_a_route_that_needs_a_key_is_401_without_one(headers: tuple[tuple[bytes, bytes], ...]) -> None:
-    """Given tenants, no key or an unknown one is 401."""
+def test_a_missing_or_unknown_key_gets_401(headers: tuple[tuple[bytes, bytes], ...]) -> None:
+    """Given a configuration with tenants, a request needs a known key."""
 
     async def scenario() -> None:
-        node = Node(SAFE, tenants=[KEYED])
+        node = Node(SAFE, tenants=[ACME])
         client = await node.ask(*headers)
         assert client.status == 401 and client.header(b"retry-after") is None
         assert node.sent == []
@@ -62,11 +66,11 @@
     play(scenario())
 
 
-def test_a_public_route_needs_no_key_and_passes_no_tenant_of_the_clients_own() -> None:
-    """Given a public route, an unknown key serves, and neither it nor a claimed tenant goes on."""
+def test_a_public_route_needs_no_key_and_drops_the_tenant_that_a_client_states() -> None:
+    """Given a public route, an unknown key is accepted; neither key nor stated tenant is forwarded."""
 
     async def scenario() -> None:
-        node = Node(route(SAFE.kind, public=True), COMPLETE_RESPONSE, tenants=[KEYED])
+        node = Node(route(SAFE.kind, public=True), COMPLETE_RESPONSE, tenants=[ACME])
         client = await node.ask((b"x-api-key", b"k2"), (b"x-tenant", b"acme"))
         assert client.status == 200
         assert node.sent[0].head.header(b"x-tenant") is None
@@ -75,8 +79,8 @@
     play(scenario())
 
 
-def test_a_body_over_the_limit_is_413() -> None:
-    """Given a body over the limit, 413 and nothing sent."""
+def test_a_body_over_the_limit_gets_413() -> None:
+    """Given a body over the limit, no engine gets the request."""
 
     async def scenario() -> None:
         node = Node(SAFE)
@@ -87,11 +91,11 @@
 
 
 LIMITED = tenant("acme", "k1", counts_tokens=True, rate_per_s=10.0, burst=100.0)
-OF_ACME = ((b"x-api-key", b"k1"), (b"x-token-usage", b"60,40"))
+ACME_HEADERS = ((b"x-api-key", b"k1"), (b"x-token-usage", b"60,40"))
 
 
-async def _limited(*scripts: Script) -> Node:
-    """Return the only node of a fleet, after its start."""
+async def _node_with_quota(*scripts: Script) -> Node:
+    """Return the only node of a fleet, once the tenant's quota is available to it."""
     node = Node(UNSAFE, *scripts, tenants=[LIMITED])
     own, where = NodeId("n1"), Address("n1:1")
     alone = MembershipView(own, {own: NodeRecord(own, ZoneName("north"), where, where, where)})
@@ -101,35 +105,35 @@
     return node
 
 
-def test_over_its_quota_a_tenant_is_told_when_to_come_back() -> None:
-    """Given a bucket of 100 tokens, requests of 100 end with 429 and a time."""
+def test_a_tenant_over_its_quota_gets_429_with_retry_after() -> None:
+    """Given a bucket of 100 tokens, requests of 100 tokens each exceed the quota."""
 
     async def scenario() -> None:
-        node = await _limited(COMPLETE_RESPONSE, COMPLETE_RESPONSE, COMPLETE_RESPONSE)
-        answers = [await node.ask(*OF_ACME) for _ in range(4)]
-        assert answers[0].status == 200 and answers[-1].status == 429
-        assert float(answers[-1].header(b"retry-after") or b"0") > 0.0
+        node = await _node_with_quota(COMPLETE_RESPONSE, COMPLETE_RESPONSE, COMPLETE_RESPONSE)
+        clients = [await node.ask(*ACME_HEADERS) for _ in range(4)]
+        assert clients[0].status == 200 and clients[-1].status == 429
+        assert float(clients[-1].header(b"retry-after") or b"0") > 0.0
 
     play(scenario())
 
 
-def test_a_request_that_no_engine_ran_uses_no_quota() -> None:
-    """Given requests that every engine declined, the tenant's next one is still within its quota."""
+def test_a_request_that_every_engine_declined_is_not_charged() -> None:
+    """Given requests that every engine declined, the tenant's next request is still within its quota."""
 
     async def scenario() -> None:
-        node = await _limited(*[DECLINE] * 9, COMPLETE_RESPONSE)
-        refused = [(await node.ask(*OF_ACME)).status for _ in range(3)]
-        assert refused == [503, 503, 503]
-        assert (await node.ask(*OF_ACME)).status == 200
+        node = await _node_with_quota(*[DECLINE] * 9, COMPLETE_RESPONSE)
+        statuses = [(await node.ask(*ACME_HEADERS)).status for _ in range(3)]
+        assert statuses == [503, 503, 503]
+        assert (await node.ask(*ACME_HEADERS)).status == 200
 
     play(scenario())
 
 
-def test_what_an_engine_gets() -> None:
-    """Given a request, its line, body and stated facts go on; what concerns the gateway is set anew."""
+def test_an_engine_gets_the_request_with_the_gateways_headers() -> None:
+    """Given a request, its line, body and metadata are forwarded; the gateway's headers are replaced."""
 
     async def scenario() -> None:
-        node = Node(route(UNSAFE.kind, priority=2), COMPLETE_RESPONSE, tenants=[KEYED])
+        node = Node(route(UNSAFE.kind, priority=2), COMPLETE_RESPONSE, tenants=[ACME])
         await node.ask(
             (b"x-api-key", b"k1"),
             (b"x-tenant", b"other"),
@@ -166,8 +170,8 @@
     play(scenario())
 
 
-def test_headers_named_by_a_second_connection_line_are_dropped_too() -> None:
-    """Given two Connection lines, those that the second names concern this connection only as well."""
+def test_headers_named_by_a_second_connection_header_are_dropped() -> None:
+    """Given two Connection headers, the headers named by the second are hop-by-hop, too."""
 
     async def scenario() -> None:
         node = Node(UNSAFE, COMPLETE_RESPONSE)
@@ -177,20 +181,20 @@
     play(scenario())
 
 
-def test_an_engine_is_told_the_time_that_is_left() -> None:
-    """Given 400 ms used by a first engine, the second is told 400 ms less; the route bounds all."""
+def test_the_deadline_header_states_the_remaining_time() -> None:
+    """Given 400 ms spent at a first engine, the second gets 400 ms less. The route's timeout is the limit."""
 
     async def scenario() -> None:
         node = Node(SAFE, (Pause(0.4), FailureKind.RESET), COMPLETE_RESPONSE)
         await node.ask((b"x-deadline-ms", b"60000"))
-        told = [int(sent.head.header(b"x-deadline-ms") or b"0") for sent in node.sent]
-        assert told[0] == 5000 and 4590 <= told[1] <= 4600
+        deadlines_ms = [int(sent.head.header(b"x-deadline-ms") or b"0") for sent in node.sent]
+        assert deadlines_ms[0] == 5000 and 4590 <= deadlines_ms[1] <= 4600
 
     play(scenario())
 
 
-def test_an_answer_goes_back_with_its_seal_and_without_the_connections_headers() -> None:
-    """Given an engine's answer, status, body, seal and other headers are its own."""
+def test_a_response_is_forwarded_with_its_seal_and_without_hop_by_hop_headers() -> None:
+    """Given an engine's response, its status, body, seal and end-to-end headers are unchanged."""
 
     async def scenario() -> None:
         head = response_head(
@@ -207,8 +211,8 @@
     play(scenario())
 
 
-def test_a_success_without_a_seal_is_not_the_engines_answer() -> None:
-    """Given a 200 without the engine's signature, the client gets no success."""
+def test_a_success_without_a_seal_is_not_forwarded() -> None:
+    """Given a 200 without the engine's signature, the client gets 502."""
 
     async def scenario() -> None:
         client = await Node(UNSAFE, (response_head(200, seal=None), b"not ours")).ask()
@@ -218,8 +222,8 @@
 
 
 @pytest.mark.parametrize("status", [408, 429, 503])
-def test_a_promise_that_an_engine_did_not_make_is_not_passed_on(status: int) -> None:
-    """Given such a status without the engine's word that it did not run, an unsafe client must not repeat."""
+def test_a_status_that_implies_no_execution_is_not_forwarded_unless_the_engine_declined(status: int) -> None:
+    """Given such a status, a client would repeat an unsafe request that the engine may have executed."""
 
     async def scenario() -> None:
         client = await Node(UNSAFE, (response_head(status, seal=None), b"busy")).ask()
@@ -228,8 +232,8 @@
     play(scenario())
 
 
-def test_a_deadline_after_sending_is_504_at_once() -> None:
-    """Given an engine that never answers, 504 within 0.2 s after the deadline, and its exchange ends."""
+def test_a_deadline_after_sending_gets_504() -> None:
+    """Given an engine that never responds, the client gets 504 within 0.2 s and the exchange is aborted."""
 
     async def scenario() -> None:
         node = Node(UNSAFE, (FOREVER,))
@@ -241,8 +245,8 @@
     play(scenario())
 
 
-def test_a_deadline_before_sending_is_503_with_a_time() -> None:
-    """Given engines whose connections don't come up, nothing was sent: the client may come back."""
+def test_a_deadline_before_sending_gets_503_with_retry_after() -> None:
+    """Given engines that accept no connection, nothing was sent, so the client may retry."""
 
     async def scenario() -> None:
         node = Node(UNSAFE, *[(FailureKind.UNRESPONSIVE,)] * 4)
@@ -254,8 +258,8 @@
     play(scenario())
 
 
-def test_a_deadline_while_connecting_after_a_decline_is_503_with_a_time() -> None:
-    """Given a decline and then a connection that does not come up, the request has surely not run."""
+def test_a_deadline_while_connecting_after_a_decline_gets_503_with_retry_after() -> None:
+    """Given a decline and then a connection that is not established, nothing can have been executed."""
 
     async def scenario() -> None:
         node = Node(UNSAFE, (Pause(0.5), *DECLINE), (FailureKind.UNRESPONSIVE,))
@@ -265,8 +269,8 @@
     play(scenario())
 
 
-def test_a_request_whose_time_is_over_before_its_body_came_is_sent_to_nobody() -> None:
-    """Given a body that took longer than the client waits, nothing is sent, and the client may come back."""
+def test_a_request_whose_body_arrives_after_the_deadline_is_not_sent() -> None:
+    """Given a body that took longer than the client's deadline, nothing is sent, and the client may retry."""
 
     async def scenario() -> None:
         node = Node(UNSAFE, (FOREVER,))
--- a/tests/unit/node/gateway/test_forwarder_attempts.py
+++ b/tests/unit/node/gateway/test_forwarder_attempts.py
@@ -1,4 +1,8 @@
-"""When a request goes to another engine, and what its client gets where it may not."""
+"""Retries of requests at other engines, and the responses if no retry is allowed.
+
+Guards against a request that is executed twice although its route forbids that, and against a response that
+denies an execution that may have happened.
+"""
 
 from __future__ import annotations
 
@@ -29,8 +33,8 @@
 
 
 @pytest.mark.parametrize("decline", [DECLINE, MISDIRECTED, (response_head(429, (b"x-not-executed", b"1")),)])
-def test_a_decline_goes_to_another_engine(decline: Script) -> None:
-    """Given an engine that says that it did not run the request, even an unsafe one goes on."""
+def test_a_declined_request_is_sent_to_another_engine(decline: Script) -> None:
+    """Given an engine that states that it did not execute the request, even an unsafe request is retried."""
 
     async def scenario() -> None:
         node = Node(UNSAFE, decline, COMPLETE_RESPONSE)
@@ -42,8 +46,8 @@
     play(scenario())
 
 
-def test_declined_by_all_is_503_with_a_time() -> None:
-    """Given nothing but declines, the client is told that the request has not run."""
+def test_a_request_that_every_engine_declines_gets_503_with_retry_after() -> None:
+    """Given only declines, the response implies that the request was not executed."""
 
     async def scenario() -> None:
         node = Node(UNSAFE, *[DECLINE] * 3)
@@ -54,8 +58,8 @@
     play(scenario())
 
 
-def test_a_decline_that_breaks_off_is_still_a_decline() -> None:
-    """Given the head of a decline and then a reset, the engine's word stands."""
+def test_a_decline_with_a_truncated_body_still_counts_as_a_decline() -> None:
+    """Given the head of a decline and then a reset, the request is still known not to have been executed."""
 
     async def scenario() -> None:
         node = Node(UNSAFE, (DECLINE[0], FailureKind.TRUNCATED), COMPLETE_RESPONSE)
@@ -64,8 +68,8 @@
     play(scenario())
 
 
-def test_a_decline_whose_body_never_ends_does_not_hold_the_request() -> None:
-    """Given the head of a decline and then silence, another engine is asked well before the deadline."""
+def test_a_decline_whose_body_never_ends_does_not_delay_the_request() -> None:
+    """Given the head of a decline and then silence, the retry starts well before the deadline."""
 
     async def scenario() -> None:
         node = Node(UNSAFE, (DECLINE[0], FOREVER), COMPLETE_RESPONSE)
@@ -80,10 +84,10 @@
 
 @pytest.mark.parametrize("served_route", [UNSAFE, STREAM], ids=["unsafe", "stream"])
 @pytest.mark.parametrize("kind", AFTER_SENDING)
-def test_an_unsafe_request_that_may_have_run_is_sent_once(
+def test_an_unsafe_request_that_may_have_been_executed_is_not_retried(
     served_route: GatewayRoute, kind: FailureKind
 ) -> None:
-    """Given a failure after sending, 502 without a promise and without a second engine."""
+    """Given a failure after sending, the client gets 502, which does not imply that nothing was executed."""
 
     async def scenario() -> None:
         script: Script = (
@@ -99,8 +103,8 @@
 
 
 @pytest.mark.parametrize("kind", [FailureKind.CONNECT, FailureKind.NOT_SENT])
-def test_without_a_connection_an_unsafe_request_goes_to_another_engine(kind: FailureKind) -> None:
-    """Given two engines that nothing could be sent to, a third one runs the request."""
+def test_an_unsafe_request_that_was_not_sent_is_retried_at_another_engine(kind: FailureKind) -> None:
+    """Given two engines to which nothing could be sent, a third one serves the request."""
 
     async def scenario() -> None:
         node = Node(UNSAFE, (kind,), (kind,), COMPLETE_RESPONSE)
@@ -110,8 +114,8 @@
     play(scenario())
 
 
-def test_without_any_connection_the_client_may_come_back() -> None:
-    """Given four engines that can't be reached, 503 with a time, and each was tried once."""
+def test_a_request_that_reaches_no_engine_gets_503_with_retry_after() -> None:
+    """Given four engines that can't be reached, each is attempted once."""
 
     async def scenario() -> None:
         node = Node(UNSAFE, *[(FailureKind.CONNECT,)] * 4)
@@ -123,8 +127,8 @@
 
 
 @pytest.mark.parametrize("failure", [RESET, (response_head(200), b"ha", FailureKind.TRUNCATED), FAILURE])
-def test_a_safe_request_goes_to_a_second_engine(failure: Script) -> None:
-    """Given a failure of the first engine, the client gets the second one's answer alone."""
+def test_a_safe_request_is_retried_after_a_failure(failure: Script) -> None:
+    """Given a failure of the first engine, the client gets only the second engine's response."""
 
     async def scenario() -> None:
         node = Node(SAFE, failure, COMPLETE_RESPONSE)
@@ -135,20 +139,20 @@
     play(scenario())
 
 
-@pytest.mark.parametrize("most", [1, 2, 3])
-def test_no_more_engines_run_a_request_than_its_route_allows(most: int) -> None:
-    """Given engines that all reset, as many as ``max_attempts`` get it."""
+@pytest.mark.parametrize("max_attempts", [1, 2, 3])
+def test_a_request_is_sent_to_at_most_max_attempts_engines(max_attempts: int) -> None:
+    """Given engines that all reset, the limit of the route applies."""
 
     async def scenario() -> None:
-        node = Node(route(SAFE.kind, max_attempts=most), *[RESET] * most)
+        node = Node(route(SAFE.kind, max_attempts=max_attempts), *[RESET] * max_attempts)
         assert (await node.ask()).status == 502
-        assert len(node.sent) == most
+        assert len(node.sent) == max_attempts
 
     play(scenario())
 
 
-def test_without_budget_nothing_is_repeated() -> None:
-    """Given an empty retry budget, the first failure ends the request, and a decline is told as it is."""
+def test_without_retry_budget_no_request_is_retried() -> None:
+    """Given an empty retry budget, the first failure ends the request; a decline still gets 503."""
 
     async def scenario() -> None:
         for failure, status in ((RESET, 502), (DECLINE, 503)):
@@ -159,8 +163,8 @@
     play(scenario())
 
 
-def test_an_engines_own_failure_goes_back_with_its_seal() -> None:
-    """Given a 500 on an unsafe route, it is passed on; on a safe one after the last engine."""
+def test_an_engines_error_response_is_forwarded_with_its_seal() -> None:
+    """Given a 500, it is forwarded: immediately on an unsafe route, after the last attempt on a safe one."""
 
     async def scenario() -> None:
         for served_route, scripts in ((UNSAFE, [FAILURE]), (SAFE, [FAILURE] * 3)):
@@ -172,8 +176,8 @@
     play(scenario())
 
 
-def test_a_large_answer_that_breaks_off_ends_with_a_reset_and_no_second_run() -> None:
-    """Given an answer of which the client has a part, another engine's run would be in vain."""
+def test_a_truncated_large_response_resets_the_client_without_a_retry() -> None:
+    """Given a response that was partly sent to the client, that of another engine would be useless."""
 
     async def scenario() -> None:
         node = Node(SAFE, (response_head(200), b"x" * 1_100_000, FailureKind.TRUNCATED), COMPLETE_RESPONSE)
@@ -185,8 +189,8 @@
 
 
 @pytest.mark.parametrize("piece_bytes", [100, 600_000], ids=["small", "large"])
-def test_an_answer_that_comes_is_not_given_up(piece_bytes: int) -> None:
-    """Given an answer that takes longer than the patience but comes piece by piece, it is passed on."""
+def test_a_response_that_keeps_arriving_does_not_time_out(piece_bytes: int) -> None:
+    """Given a response that takes longer than the timeout but arrives piece by piece, it is forwarded."""
 
     async def scenario() -> None:
         piece = b"x" * piece_bytes
@@ -199,8 +203,8 @@
     play(scenario())
 
 
-def test_a_slow_connection_is_not_a_run() -> None:
-    """Given a patience shorter than a connection attempt, the engine that nothing reached costs no run."""
+def test_a_connection_timeout_does_not_count_as_an_attempt() -> None:
+    """Given a timeout shorter than a connection attempt, the engine that was not reached costs no attempt."""
 
     async def scenario() -> None:
         node = Node(
@@ -215,17 +219,17 @@
     play(scenario())
 
 
-def test_a_client_that_leaves_ends_the_engines_work_at_once() -> None:
-    """Given a client that leaves while its engine works, the exchange ends then, and nobody is asked anew."""
+def test_a_client_that_disconnects_aborts_the_engines_exchange() -> None:
+    """Given a client that disconnects while its engine works, no other engine gets the request."""
 
     async def scenario() -> None:
         node = Node(SAFE, (FOREVER,))
         client = RecordingClient()
-        handled = asyncio.create_task(node.forwarder.handle(client))
+        handling = asyncio.create_task(node.forwarder.handle(client))
         await asyncio.sleep(0.3)
         assert node.in_flight == 1
         client.leave()
-        await handled
+        await handling
         exchange = node.sent[0].exchange
         assert exchange.aborted and exchange.ended_at == pytest.approx(client.received_at + 0.3)
         assert node.in_flight == 0 and len(node.sent) == 1 and not client.begun
@@ -233,8 +237,8 @@
     play(scenario())
 
 
-def test_a_client_that_leaves_as_the_timeout_ends_is_not_served_anew() -> None:
-    """Given both in one round of the loop (the watch's second look), no second engine gets the request."""
+def test_a_client_that_disconnects_at_the_attempts_timeout_causes_no_retry() -> None:
+    """Given both in one iteration of the loop (the watchdog's second check), there is no second attempt."""
 
     async def scenario() -> None:
         node = Node(route(SAFE.kind, target_ms=500.0), (FOREVER,), COMPLETE_RESPONSE)
@@ -250,7 +254,7 @@
 
 
 def test_a_retry_after_a_candidate_goes_to_the_released_version() -> None:
-    """Given a candidate's credit and a reset, the second engine runs the release; the credit is spent."""
+    """Given a candidate's credit and a reset, the retry goes to the released version; the credit is spent."""
 
     async def scenario() -> None:
         node = Node(SAFE, RESET, COMPLETE_RESPONSE, versions=(OLD, NEW, NEW), choice=CANDIDATE_FIRST)
@@ -261,8 +265,8 @@
     play(scenario())
 
 
-def test_a_credit_that_no_engine_got_is_given_back_once() -> None:
-    """Given a candidate whose only engine can't be reached, the release serves and the credit returns."""
+def test_a_candidates_credit_is_returned_once_if_nothing_was_sent() -> None:
+    """Given a candidate whose only engine can't be reached, the released version serves the request."""
 
     async def scenario() -> None:
         node = Node(
@@ -275,8 +279,8 @@
     play(scenario())
 
 
-def test_a_credit_returns_when_the_client_leaves_before_anything_was_sent() -> None:
-    """Given a client that leaves while the candidate's connection comes up, the credit returns."""
+def test_a_candidates_credit_is_returned_if_the_client_disconnects_while_connecting() -> None:
+    """Given a client that disconnects while the connection to the candidate is being established."""
 
     async def scenario() -> None:
         node = Node(UNSAFE, (FailureKind.UNRESPONSIVE,), versions=(OLD, NEW), choice=CANDIDATE_FIRST)
--- a/tests/unit/node/gateway/test_operators.py
+++ b/tests/unit/node/gateway/test_operators.py
@@ -1,4 +1,4 @@
-"""The command line against one whole gateway node on loopback."""
+"""The command line against one complete gateway node on loopback."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class RunningNode:
-    """A node that is the only one of its fleet, and a client of its control listener."""
+    """The only node of a fleet, with a client of its control listener."""
 
     def __init__(self, process: GatewayNode, settings: GatewaySettings) -> None:
         self.process = process
@@ -44,20 +44,20 @@
     async def status(self) -> dict[str, Any]:
         result = await self.command("status", "--json")
         assert result.exit_code == 0, result.output
-        found: dict[str, Any] = json.loads(result.stdout)
-        return found
+        status: dict[str, Any] = json.loads(result.stdout)
+        return status
 
     async def ask(self, method: bytes, path: bytes, body: bytes = b"") -> tuple[int, bytes | None, bytes]:
-        """Ask the control listener; return status, content type and body."""
+        """Send a request to the control listener; return status, content type and body."""
         client = PooledEngineClient()
         head = RequestHead(method, path, ((b"host", b"control"),))
         exchange = await client.send(self._control, head, body, 1.0, lambda _: True)
-        answer = await exchange.head()
+        response = await exchange.head()
         parts = []
         while data := await exchange.read():
             parts.append(data)
         client.close()
-        return answer.status, answer.header(b"content-type"), b"".join(parts)
+        return response.status, response.header(b"content-type"), b"".join(parts)
 
 
 @asynccontextmanager
@@ -86,8 +86,8 @@
             await process.close()
 
 
-async def test_an_operator_sees_and_configures_a_node(tmp_path: Path) -> None:
-    """Given a node at its first start: status, a first configuration, a lost race, an engine, a rollout."""
+async def test_an_operator_inspects_and_configures_a_node(tmp_path: Path) -> None:
+    """Given a node at its first start: status, first configuration, version conflict, engines, a rollout."""
     file = tmp_path / "gateway.json"
     file.write_text(json.dumps(CONFIGURATION))
     async with running_node(tmp_path / "data") as node:
@@ -106,9 +106,9 @@
         assert json.loads(shown.stdout) == CONFIGURATION
 
         file.write_text(json.dumps({**CONFIGURATION, "version": 2}))
-        lost = await node.command("put", str(file), "--builds-on", "0")
-        assert lost.exit_code == 4
-        assert "the present one is 1" in lost.stderr
+        conflict = await node.command("put", str(file), "--builds-on", "0")
+        assert conflict.exit_code == 4
+        assert "the present one is 1" in conflict.stderr
 
         for number, version in enumerate(("p1", "p1", "p2")):
             heartbeat = json.dumps(
@@ -120,18 +120,18 @@
         }
         assert engines == {("p1", "ready"): 2, ("p2", "ready"): 1}
 
-        none = await node.command("rollout", "pages")
-        assert none.exit_code == 1
-        begun = await node.command("promote", "pages", "--candidate", "p2", "--by-s", "60")
-        assert begun.exit_code == 0, begun.output
+        missing = await node.command("rollout", "pages")
+        assert missing.exit_code == 1
+        promoted = await node.command("promote", "pages", "--candidate", "p2", "--by-s", "60")
+        assert promoted.exit_code == 0, promoted.output
         running = await node.command("rollout", "pages")
         assert running.stdout == "pages: running, candidate p2\n"
         page = await node.command("status")
         assert ["pages", "p2", "running"] in [line.split() for line in page.stdout.splitlines()]
 
 
-async def test_the_control_listener_names_its_content_types(tmp_path: Path) -> None:
-    """Given health, metrics and status, each answer says what it is."""
+async def test_the_control_listener_states_its_content_types(tmp_path: Path) -> None:
+    """Given the paths of health, metrics and status, each response has the right content type."""
     async with running_node(tmp_path / "data") as node:
         assert await node.ask(b"GET", b"/healthz") == (200, b"text/plain; charset=utf-8", b"ok\n")
         status, kind, body = await node.ask(b"GET", b"/metrics")
--- a/tests/unit/node/gateway/test_refusals.py
+++ b/tests/unit/node/gateway/test_refusals.py
@@ -1,4 +1,4 @@
-"""Refused and cut requests are counted by reason, and logged as one summary for each reason and second."""
+"""Refused and truncated requests are counted by reason, and logged as one summary per reason and second."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 )
 from tests.unit.node.gateway.stand_ins import RESUMABLE, SAFE, STREAM, UNSAFE, Node, tenant
 
-R = RefusalReason
-CUT = FailureKind.TRUNCATED
-KEYED = (tenant("acme", "k1"),)
-SOON = (b"x-deadline-ms", b"300")
+Reason = RefusalReason
+TRUNCATED = FailureKind.TRUNCATED
+TENANTS = (tenant("acme", "k1"),)
+SHORT_DEADLINE = (b"x-deadline-ms", b"300")
 
 
 async def refusals_of(node: Node, *headers: tuple[bytes, bytes], **more: Any) -> dict[RefusalReason, int]:
@@ -40,48 +40,50 @@
 @pytest.mark.parametrize(
     ("scripts", "reason"),
     [
-        ([DECLINE] * 3, R.ENGINES_FULL),
-        ([(FailureKind.RESET,)], R.ENGINE_BROKE_OFF),
-        ([(FOREVER,)], R.NO_ANSWER_IN_TIME),
-        ([(FailureKind.UNRESPONSIVE,)] * 3, R.NOT_SENT_IN_TIME),
-        ([(response_head(200), b"part", CUT)], R.ENGINE_BROKE_OFF),
+        ([DECLINE] * 3, Reason.ENGINES_FULL),
+        ([(FailureKind.RESET,)], Reason.ENGINE_BROKE_OFF),
+        ([(FOREVER,)], Reason.NO_ANSWER_IN_TIME),
+        ([(FailureKind.UNRESPONSIVE,)] * 3, Reason.NOT_SENT_IN_TIME),
+        ([(response_head(200), b"part", TRUNCATED)], Reason.ENGINE_BROKE_OFF),
     ],
 )
-def test_each_end_at_the_engines_has_its_reason(scripts: Sequence[Script], reason: RefusalReason) -> None:
+def test_each_kind_of_failed_attempts_has_its_reason(
+    scripts: Sequence[Script], reason: RefusalReason
+) -> None:
     async def scenario() -> None:
-        assert await refusals_of(Node(UNSAFE, *scripts), SOON) == {reason: 1}
+        assert await refusals_of(Node(UNSAFE, *scripts), SHORT_DEADLINE) == {reason: 1}
 
     play(scenario())
 
 
-def test_each_refusal_before_the_engines_has_its_reason() -> None:
+def test_each_kind_of_refusal_before_an_attempt_has_its_reason() -> None:
     async def scenario() -> None:
-        assert await refusals_of(Node(SAFE, configured=False)) == {R.NO_CONFIGURATION: 1}
-        assert await refusals_of(Node(SAFE), target=b"/none") == {R.UNKNOWN_ROUTE: 1}
-        assert await refusals_of(Node(SAFE, tenants=KEYED)) == {R.UNKNOWN_KEY: 1}
-        assert await refusals_of(Node(SAFE), body=None) == {R.BODY_TOO_LARGE: 1}
-        assert await refusals_of(Node(SAFE, versions=())) == {R.NO_ENGINE: 1}
+        assert await refusals_of(Node(SAFE, configured=False)) == {Reason.NO_CONFIGURATION: 1}
+        assert await refusals_of(Node(SAFE), target=b"/none") == {Reason.UNKNOWN_ROUTE: 1}
+        assert await refusals_of(Node(SAFE, tenants=TENANTS)) == {Reason.UNKNOWN_KEY: 1}
+        assert await refusals_of(Node(SAFE), body=None) == {Reason.BODY_TOO_LARGE: 1}
+        assert await refusals_of(Node(SAFE, versions=())) == {Reason.NO_ENGINE: 1}
 
     play(scenario())
 
 
-def test_a_begun_answer_that_is_cut_counts_as_that() -> None:
-    """Given a stream whose beginning the client has, its end without a rest is a cut, not a refusal."""
+def test_a_truncated_response_counts_as_cut_and_not_as_refused() -> None:
+    """Given a stream whose beginning was sent to the client, its truncation is not a refusal."""
 
     async def scenario() -> None:
-        node = Node(STREAM, (response_head(200), stream_events(1, 2), CUT))
-        assert await refusals_of(node) == {R.ANSWER_CUT: 1}
+        node = Node(STREAM, (response_head(200), stream_events(1, 2), TRUNCATED))
+        assert await refusals_of(node) == {Reason.ANSWER_CUT: 1}
 
     play(scenario())
 
 
-def test_a_resumed_stream_is_counted_and_is_no_refusal() -> None:
+def test_a_resumed_stream_counts_as_resumed_and_not_as_refused() -> None:
     async def scenario() -> None:
         node = Node(
             RESUMABLE,
-            (response_head(200), stream_events(1, 2), CUT),
+            (response_head(200), stream_events(1, 2), TRUNCATED),
             DECLINE,
-            (response_head(200), stream_events(3, 4), CUT),
+            (response_head(200), stream_events(3, 4), TRUNCATED),
             (response_head(200), stream_events(5, 5)),
         )
         assert (await node.ask()).ended
@@ -92,8 +94,8 @@
     play(scenario())
 
 
-def test_a_second_of_refusals_is_one_line_a_reason() -> None:
-    """Given two reasons within a second and one of them again later: three lines, with the first ids."""
+def test_refusals_of_one_reason_are_logged_once_per_second() -> None:
+    """Given two reasons within a second and one of them again later: three lines, each with its first id."""
 
     async def scenario() -> None:
         node = Node(UNSAFE, *[DECLINE] * 9)
@@ -116,7 +118,7 @@
     play(scenario())
 
 
-def test_the_end_of_the_process_writes_what_is_open_once() -> None:
+def test_flushing_writes_pending_summaries_once() -> None:
     async def scenario() -> None:
         node = Node(SAFE)
         await node.ask(target=b"/none")
@@ -128,7 +130,7 @@
     play(scenario())
 
 
-def test_a_long_request_id_is_cut_and_a_missing_head_has_none() -> None:
+def test_a_long_request_id_is_truncated_and_a_missing_head_has_none() -> None:
     async def scenario() -> None:
         written = io.StringIO()
         log = RefusalLog(GatewayCounters(), EventLog("n1", output=written), OWN_HEADERS.request_id)
@@ -143,7 +145,7 @@
     play(scenario())
 
 
-def test_every_refusal_of_the_server_has_a_reason() -> None:
+def test_every_refusal_of_the_http_server_has_its_own_reason() -> None:
     async def scenario() -> None:
         counters = GatewayCounters()
         log = RefusalLog(counters, EventLog("n1", output=io.StringIO()), OWN_HEADERS.request_id)
@@ -155,12 +157,12 @@
     play(scenario())
 
 
-def test_the_counters_are_in_the_metrics() -> None:
-    """Given counts, the exposition has each of them as they are at that moment."""
+def test_the_metrics_contain_the_current_counters() -> None:
+    """Given counters that change after registration, the exposition has their current values."""
     counters = GatewayCounters(requests=7, dispatches=6, retries=2, resumed=1)
     metrics = NodeMetrics()
     metrics.add_source(lambda: counter_values(counters))
-    counters.refusals[R.NO_ENGINE] = 3
+    counters.refusals[Reason.NO_ENGINE] = 3
     lines = metrics.exposition().decode().splitlines()
     for line in (
         "springmux_gateway_requests_total 7.0",
--- a/tests/unit/node/gateway/test_settings.py
+++ b/tests/unit/node/gateway/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a gateway node are checked field by field."""
+"""Validation of a gateway node's settings, field by field."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from springmux.node.gateway.settings import load_gateway_settings
 from springmux.vocabulary.errors import SettingsError
 
-GOOD = """
+VALID = """
 node = "a"
 zone = "north"
 host = "10.0.0.1"
@@ -28,9 +28,9 @@
     return load_gateway_settings(file)
 
 
-def test_seeds_are_hosts_of_peers(tmp_path: Path) -> None:
-    """Given control addresses as seeds, peers are asked at the peer port, the own host left out."""
-    settings = load_gateway_settings(_written(tmp_path, GOOD))
+def test_seeds_become_peer_addresses_without_the_nodes_own(tmp_path: Path) -> None:
+    """Given control addresses as seeds, peer addresses have the peer port and omit the node's own host."""
+    settings = load_gateway_settings(_written(tmp_path, VALID))
     assert settings.peer_seeds == ("10.0.0.2:7000",)
     assert settings.agent_settings().first_start
 
@@ -41,10 +41,10 @@
     return file
 
 
-def test_every_wrong_field_is_named(tmp_path: Path) -> None:
-    """Given several wrong fields, one error names them all."""
+def test_every_invalid_field_is_listed(tmp_path: Path) -> None:
+    """Given several invalid fields, one error lists them all."""
     text = (
-        GOOD.replace('"10.0.0.1:8000"', '"nowhere"').replace("7000", '"x"')
+        VALID.replace('"10.0.0.1:8000"', '"nowhere"').replace("7000", '"x"')
         + 'unknown = 1\nlog_level = "loud"\n'
     )
     with pytest.raises(SettingsError) as raised:
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "said"),
+    ("line", "message"),
     [
         ("peer_port = 70000", "peer_port: 70000 is not allowed; it must be a whole number from 1 to 65535"),
         (
@@ -80,31 +80,31 @@
         ('ready_address = "10.0.0.1"', "ready_address: '10.0.0.1' is not allowed: must be IP:port"),
     ],
 )
-def test_a_wrong_setting_names_itself_its_value_and_what_is_allowed(
-    tmp_path: Path, line: str, said: str
+def test_the_error_of_an_invalid_setting_states_its_name_its_value_and_what_is_allowed(
+    tmp_path: Path, line: str, message: str
 ) -> None:
-    """Given one wrong line in place of the right one, the error says what it is and what it must be."""
+    """Given one invalid line in place of a valid one, there is one error with the expected text."""
     name = line.partition(" ")[0]
-    kept = [good for good in GOOD.splitlines() if not good.startswith(f"{name} ")]
+    other_lines = [valid_line for valid_line in VALID.splitlines() if not valid_line.startswith(f"{name} ")]
     with pytest.raises(SettingsError) as raised:
-        _load(tmp_path, "\n".join([*kept, line]))
-    assert said in str(raised.value)
+        _load(tmp_path, "\n".join([*other_lines, line]))
+    assert message in str(raised.value)
     assert len(raised.value.errors) == 1
 
 
-def test_a_long_wrong_value_is_repeated_in_part(tmp_path: Path) -> None:
+def test_a_long_invalid_value_is_quoted_in_part(tmp_path: Path) -> None:
     with pytest.raises(SettingsError) as raised:
-        _load(tmp_path, GOOD.replace("7000", f'"{"x" * 1000}"'))
+        _load(tmp_path, VALID.replace("7000", f'"{"x" * 1000}"'))
     assert len(str(raised.value)) < 200
 
 
-def test_addresses_of_ipv6_are_taken(tmp_path: Path) -> None:
-    settings = load_gateway_settings(_written(tmp_path, GOOD.replace("10.0.0.1", "[fd00::1]")))
+def test_ipv6_addresses_are_accepted(tmp_path: Path) -> None:
+    settings = load_gateway_settings(_written(tmp_path, VALID.replace("10.0.0.1", "[fd00::1]")))
     assert settings.peer_address == "[fd00::1]:7000"
 
 
-def test_a_file_that_is_missing_or_no_toml(tmp_path: Path) -> None:
-    """Given no file or nonsense, the error says which."""
+def test_a_missing_file_and_a_file_that_is_not_toml_are_settings_errors(tmp_path: Path) -> None:
+    """Given a missing or malformed file, the error states which of the two it is."""
     with pytest.raises(SettingsError, match="can't read"):
         load_gateway_settings(tmp_path / "absent.toml")
     with pytest.raises(SettingsError, match="not TOML"):
--- a/tests/unit/node/gateway/test_signals.py
+++ b/tests/unit/node/gateway/test_signals.py
@@ -1,4 +1,7 @@
-"""Signals that come in series to a gateway process: while it starts, runs, stops and ends."""
+"""Repeated signals to a gateway process while it starts, runs, stops and exits.
+
+Guards against a moment without a handler, in which a signal's default action ends the process.
+"""
 
 from __future__ import annotations
 
@@ -23,10 +26,10 @@
     "the platform's": [sys.executable, str(ROOT / "platform" / "main.py")],
 }
 LONG_S = 60.0
-PERIOD_S = 0.01
+SIGNAL_PERIOD_S = 0.01
 
 
-def settings_in(folder: Path) -> Path:
+def write_settings(folder: Path) -> Path:
     file = folder / "node.toml"
     names = ("front", "ready", "control", "peer")
     ports = dict(zip(names, free_ports(len(names)), strict=True))
@@ -43,36 +46,36 @@
 
 
 def ignores_or_handles(process: subprocess.Popen[bytes], number: signal.Signals) -> bool:
-    """Whether the signal no longer ends the process."""
+    """Return whether the process ignores or handles the signal, so that it no longer ends the process."""
     status = Path(f"/proc/{process.pid}/status").read_text("utf-8")
     masks = dict(line.split(":\t") for line in status.splitlines() if line.startswith("Sig"))
     return any(int(masks[name], 16) >> (number - 1) & 1 for name in ("SigIgn", "SigCgt"))
 
 
-@pytest.mark.parametrize("kind", COMMANDS)
-def test_hang_ups_in_series_never_end_a_process_and_a_stop_ends_it_in_order(
-    kind: str, tmp_path: Path
+@pytest.mark.parametrize("command_name", COMMANDS)
+def test_repeated_sighup_never_ends_a_process_and_sigterm_ends_it_gracefully(
+    command_name: str, tmp_path: Path
 ) -> None:
-    settings = settings_in(tmp_path)
-    command = [part.format(settings=settings) for part in COMMANDS[kind]]
+    settings = write_settings(tmp_path)
+    command = [part.format(settings=settings) for part in COMMANDS[command_name]]
     log_file = tmp_path / "log"
     environment = {**os.environ, "SPRINGMUX_BOOT": str(settings)}
     with log_file.open("wb") as log:
         process = subprocess.Popen(command, stdout=log, stderr=log, env=environment)
     try:
-        until = time.monotonic() + LONG_S
+        deadline = time.monotonic() + LONG_S
         while not ignores_or_handles(process, signal.SIGHUP):
-            assert process.poll() is None and time.monotonic() < until
+            assert process.poll() is None and time.monotonic() < deadline
         while b"node_started" not in log_file.read_bytes():
             process.send_signal(signal.SIGHUP)
-            time.sleep(PERIOD_S)
-            assert process.poll() is None and time.monotonic() < until
+            time.sleep(SIGNAL_PERIOD_S)
+            assert process.poll() is None and time.monotonic() < deadline
         process.send_signal(signal.SIGTERM)
         while process.poll() is None:
             process.send_signal(signal.SIGHUP)
             process.send_signal(signal.SIGTERM)
-            time.sleep(PERIOD_S)
-            assert time.monotonic() < until
+            time.sleep(SIGNAL_PERIOD_S)
+            assert time.monotonic() < deadline
         assert process.returncode == 0
         assert b"settings_reloaded" in log_file.read_bytes()
     finally:
@@ -80,11 +83,11 @@
         process.wait()
 
 
-async def test_no_signal_has_its_default_action_from_the_start_of_handling_to_the_end(
+async def test_no_signal_has_its_default_action_while_handlers_are_replaced(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A hang-up between the removal of a handler and what replaces it ended the process once."""
-    file = settings_in(tmp_path)
+    """A SIGHUP between the removal of a handler and the installation of the next once ended the process."""
+    file = write_settings(tmp_path)
     runner = process_module.GatewayRunner(file, load_gateway_settings(file), OWN_HEADERS)
     before = {number: signal.getsignal(number) for number in process_module.HANDLED_SIGNALS}
     actions: list[object] = []
