--- a/src/springmux/node/gateway/attempt_loop.py
+++ b/src/springmux/node/gateway/attempt_loop.py
@@ -37,28 +37,28 @@
     request: ForwardedRequest, selection: VersionSelection, loop: asyncio.AbstractEventLoop
 ) -> Refusal | None:
     core = request.services.core
-    last: AttemptResult | None = None
+    last_result: AttemptResult | None = None
     while True:
         record = selection.next_engine(core.placement, request.prompt, loop.time())
         if record is None:
-            return _final_refusal(request, last, refusal_responses.NO_ENGINE)
-        if last is not None:
-            _count_retry(request, last)
-        last = await _attempt(request, selection, record)
-        if last.end is None:
+            return _final_refusal(request, last_result, refusal_responses.NO_ENGINE)
+        if last_result is not None:
+            _count_retry(request, last_result)
+        last_result = await _attempt(request, selection, record)
+        if last_result.end is None:
             return None
         if request.exchange.begun and (request.events is None or not request.events.events):
             return refusal_responses.FAILED
-        if not request.rules.may_try_again(last.end, loop.time()):
-            return _final_refusal(request, last, refusal_responses.ALL_FULL)
+        if not request.rules.may_try_again(last_result.end, loop.time()):
+            return _final_refusal(request, last_result, refusal_responses.ALL_FULL)
 
 
-def _count_retry(request: ForwardedRequest, last: AttemptResult) -> None:
-    if last.end is AttemptEnd.UNSENT:
+def _count_retry(request: ForwardedRequest, last_result: AttemptResult) -> None:
+    if last_result.end is AttemptEnd.UNSENT:
         return
     counters = request.services.core.counters
     counters.retries += 1
-    if request.exchange.begun and last.end is AttemptEnd.MAY_HAVE_RUN:
+    if request.exchange.begun and last_result.end is AttemptEnd.MAY_HAVE_RUN:
         counters.resumed += 1
 
 
@@ -76,7 +76,7 @@
 
 
 def _final_refusal(
-    request: ForwardedRequest, last: AttemptResult | None, not_executed: Refusal
+    request: ForwardedRequest, last_result: AttemptResult | None, not_executed: Refusal
 ) -> Refusal | None:
     """Forward the last engine's error response if there is one, else return the refusal to send.
 
@@ -84,7 +84,7 @@
     """
     if request.exchange.begun:
         return refusal_responses.FAILED
-    if last is not None and last.forward_error is not None:
-        last.forward_error()
+    if last_result is not None and last_result.forward_error is not None:
+        last_result.forward_error()
         return None
     return refusal_responses.FAILED if request.rules.may_have_run else not_executed
--- a/src/springmux/node/gateway/evidence.py
+++ b/src/springmux/node/gateway/evidence.py
@@ -9,7 +9,7 @@
 from springmux.vocabulary.engines import EngineRecord
 
 BYTES_PER_TOKEN = 4
-"""Converts the tokens that clients of the gateway state to bytes, by which the judge compares prompts."""
+"""Converts tokens, which clients state, to bytes: the judge compares prompts of similar length in bytes."""
 
 
 class AttemptEvidence:
--- a/src/springmux/node/gateway/gateway_node.py
+++ b/src/springmux/node/gateway/gateway_node.py
@@ -47,7 +47,10 @@
 CLOSE_MARGIN_S = 1.5
 """Part of the stop's grace period that is reserved for closing."""
 KEYS_NOT_CURRENT = "out of contact: a key may have been taken away"
-"""Reason of a node that would refuse nearly every request, so that clients are sent to other nodes."""
+"""Reason why a node that would refuse nearly every request is not ready.
+
+While it is not ready, clients are sent to other nodes that can serve them.
+"""
 CONTROL_BODY_BYTES = 16 << 20
 CONTROL_LIMITS = ServerLimits(max_body_bytes=CONTROL_BODY_BYTES, idle_timeout_s=30.0)
 
--- a/src/springmux/node/gateway/settings.py
+++ b/src/springmux/node/gateway/settings.py
@@ -16,7 +16,7 @@
 from springmux.agent.events import AgentSettings
 from springmux.coordination.identifiers import Address, NodeId
 from springmux.node.addresses import MAX_PORT, check_address
-from springmux.node.gateway.setting_texts import base_type, parse_strings
+from springmux.node.gateway.string_settings import base_type, parse_strings
 from springmux.vocabulary.errors import FieldError, SettingsError
 
 MAX_SHOWN_LENGTH = 80
--- a/tests/unit/bad_days/test_answers_late_lost_crossed.py
+++ b/tests/unit/bad_days/test_answers_late_lost_crossed.py
@@ -195,7 +195,7 @@
 
     def without_own(header_rules: HeaderRules, names: Any) -> None:
         make(header_rules, names)
-        header_rules._not_to_engine = header_rules._not_to_engine - {names.api_key}
+        header_rules._dropped_from_request = header_rules._dropped_from_request - {names.api_key}
 
     monkeypatch.setattr(HeaderRules, "__init__", without_own)
     assert rules.passed_on_wrongly(key_revoked()) != []
--- a/tests/unit/bad_days/test_callers_leave.py
+++ b/tests/unit/bad_days/test_callers_leave.py
@@ -29,7 +29,7 @@
             engine.behaviour = Behaviour(service_s=SERVICE_S)
         fleet.press(SETTLED_S, LEAVE_AT, PER_S)
         fleet.at(LEAVE_AT, lambda: working.append(at_work(fleet)))
-        fleet.at(LEAVE_AT, lambda: [one.caller.leave() for one in fleet.asked if not one.caller.ended])
+        fleet.at(LEAVE_AT, lambda: [one.caller.disconnect() for one in fleet.asked if not one.caller.ended])
         fleet.at(LEAVE_AT + BOUND_S, lambda: working.append(at_work(fleet)))
         await fleet.run(LEAVE_AT + AFTER_TIMEOUT_S)
 
--- a/tests/unit/node/client/test_request_runner.py
+++ b/tests/unit/node/client/test_request_runner.py
@@ -91,10 +91,10 @@
             caller.writer.write(chat_request())
             await caller.read_head()
             await until(lambda: Tick() in bench.agent.events)
-            looks = bench.agent.looks
+            looks = bench.agent.deadline_reads
             while await caller.read_chunk():
                 pass
-            assert bench.agent.looks - looks < 10
+            assert bench.agent.deadline_reads - looks < 10
 
 
 async def test_while_the_client_does_not_read_only_the_deadline_counts() -> None:
--- a/tests/unit/node/gateway/stand_ins.py
+++ b/tests/unit/node/gateway/stand_ins.py
@@ -66,7 +66,7 @@
         self.responded_at = 0.0
         self._body = body
         self._slow_s = slow_s
-        self._gone = False
+        self._disconnected = False
         self._callbacks: list[Callable[[], None]] = []
 
     async def body(self) -> bytes:
@@ -85,7 +85,7 @@
 
     async def write(self, data: bytes) -> None:
         assert self.begun and not self.ended and not self.aborted
-        if self._gone:
+        if self._disconnected:
             raise ClientDisconnectedError
         self.data += data
         if self._slow_s:
@@ -109,8 +109,8 @@
     def on_disconnect(self, callback: Callable[[], None]) -> None:
         self._callbacks.append(callback)
 
-    def leave(self) -> None:
-        self._gone = True
+    def disconnect(self) -> None:
+        self._disconnected = True
         callbacks, self._callbacks = self._callbacks, []
         for callback in callbacks:
             callback()
@@ -219,7 +219,7 @@
         known = {EngineId(name): found for name, found in records.items()}
         self.core.update_engines(EnginesView(known, dict.fromkeys(known, -100.0), {}), now())
 
-    async def ask(self, *headers: Header, **more: Any) -> RecordingClient:
+    async def send_request(self, *headers: Header, **more: Any) -> RecordingClient:
         """Send one request, and return its client with the response."""
         client = RecordingClient(headers, **more)
         await self.forwarder.handle(client)
--- a/tests/unit/node/gateway/test_forwarder.py
+++ b/tests/unit/node/gateway/test_forwarder.py
@@ -35,7 +35,7 @@
     """Given a node without a configuration, the client may retry later."""
 
     async def scenario() -> None:
-        client = await Node(SAFE, configured=False).ask()
+        client = await Node(SAFE, configured=False).send_request()
         assert client.status == 503 and client.header(b"retry-after") == b"1.00"
         assert client.header(SEAL) is None
 
@@ -47,7 +47,7 @@
 
     async def scenario() -> None:
         node = Node(SAFE)
-        assert (await node.ask(target=b"/texts/a")).status == 404
+        assert (await node.send_request(target=b"/texts/a")).status == 404
         assert node.sent == []
 
     play(scenario())
@@ -59,7 +59,7 @@
 
     async def scenario() -> None:
         node = Node(SAFE, tenants=[ACME])
-        client = await node.ask(*headers)
+        client = await node.send_request(*headers)
         assert client.status == 401 and client.header(b"retry-after") is None
         assert node.sent == []
 
@@ -71,7 +71,7 @@
 
     async def scenario() -> None:
         node = Node(route(SAFE.kind, public=True), COMPLETE_RESPONSE, tenants=[ACME])
-        client = await node.ask((b"x-api-key", b"k2"), (b"x-tenant", b"acme"))
+        client = await node.send_request((b"x-api-key", b"k2"), (b"x-tenant", b"acme"))
         assert client.status == 200
         assert node.sent[0].head.header(b"x-tenant") is None
         assert node.sent[0].head.header(b"x-api-key") is None
@@ -84,7 +84,7 @@
 
     async def scenario() -> None:
         node = Node(SAFE)
-        assert (await node.ask(body=None)).status == 413
+        assert (await node.send_request(body=None)).status == 413
         assert node.sent == []
 
     play(scenario())
@@ -110,7 +110,7 @@
 
     async def scenario() -> None:
         node = await _node_with_quota(COMPLETE_RESPONSE, COMPLETE_RESPONSE, COMPLETE_RESPONSE)
-        clients = [await node.ask(*ACME_HEADERS) for _ in range(4)]
+        clients = [await node.send_request(*ACME_HEADERS) for _ in range(4)]
         assert clients[0].status == 200 and clients[-1].status == 429
         assert float(clients[-1].header(b"retry-after") or b"0") > 0.0
 
@@ -122,9 +122,9 @@
 
     async def scenario() -> None:
         node = await _node_with_quota(*[DECLINE] * 9, COMPLETE_RESPONSE)
-        statuses = [(await node.ask(*ACME_HEADERS)).status for _ in range(3)]
+        statuses = [(await node.send_request(*ACME_HEADERS)).status for _ in range(3)]
         assert statuses == [503, 503, 503]
-        assert (await node.ask(*ACME_HEADERS)).status == 200
+        assert (await node.send_request(*ACME_HEADERS)).status == 200
 
     play(scenario())
 
@@ -134,7 +134,7 @@
 
     async def scenario() -> None:
         node = Node(route(UNSAFE.kind, priority=2), COMPLETE_RESPONSE, tenants=[ACME])
-        await node.ask(
+        await node.send_request(
             (b"x-api-key", b"k1"),
             (b"x-tenant", b"other"),
             (b"x-target-engine", b"e9"),
@@ -175,7 +175,7 @@
 
     async def scenario() -> None:
         node = Node(UNSAFE, COMPLETE_RESPONSE)
-        await node.ask((b"connection", b"keep-alive"), (b"connection", b"x-own"), (b"x-own", b"1"))
+        await node.send_request((b"connection", b"keep-alive"), (b"connection", b"x-own"), (b"x-own", b"1"))
         assert node.sent[0].head.header(b"x-own") is None
 
     play(scenario())
@@ -186,7 +186,7 @@
 
     async def scenario() -> None:
         node = Node(SAFE, (Pause(0.4), FailureKind.RESET), COMPLETE_RESPONSE)
-        await node.ask((b"x-deadline-ms", b"60000"))
+        await node.send_request((b"x-deadline-ms", b"60000"))
         deadlines_ms = [int(sent.head.header(b"x-deadline-ms") or b"0") for sent in node.sent]
         assert deadlines_ms[0] == 5000 and 4590 <= deadlines_ms[1] <= 4600
 
@@ -204,7 +204,7 @@
             (b"keep-alive", b"timeout=3"),
             (b"etag", b"e"),
         )
-        client = await Node(UNSAFE, (head, b"not ", b"here")).ask()
+        client = await Node(UNSAFE, (head, b"not ", b"here")).send_request()
         assert (client.status, client.data, client.ended) == (404, b"not here", True)
         assert client.headers == (ID, (SEAL, b"s1"), (b"etag", b"e"))
 
@@ -215,7 +215,7 @@
     """Given a 200 without the engine's signature, the client gets 502."""
 
     async def scenario() -> None:
-        client = await Node(UNSAFE, (response_head(200, seal=None), b"not ours")).ask()
+        client = await Node(UNSAFE, (response_head(200, seal=None), b"not ours")).send_request()
         assert client.status == 502 and client.header(SEAL) is None
 
     play(scenario())
@@ -226,7 +226,7 @@
     """Given such a status, a client would repeat an unsafe request that the engine may have executed."""
 
     async def scenario() -> None:
-        client = await Node(UNSAFE, (response_head(status, seal=None), b"busy")).ask()
+        client = await Node(UNSAFE, (response_head(status, seal=None), b"busy")).send_request()
         assert client.status == 502
 
     play(scenario())
@@ -237,7 +237,7 @@
 
     async def scenario() -> None:
         node = Node(UNSAFE, (FOREVER,))
-        client = await node.ask((b"x-deadline-ms", b"700"))
+        client = await node.send_request((b"x-deadline-ms", b"700"))
         assert client.status == 504 and client.header(b"retry-after") is None
         assert 0.7 <= client.responded_at - client.received_at <= 0.9
         assert node.sent[0].exchange.aborted and node.in_flight == 0
@@ -250,7 +250,7 @@
 
     async def scenario() -> None:
         node = Node(UNSAFE, *[(FailureKind.UNRESPONSIVE,)] * 4)
-        client = await node.ask((b"x-deadline-ms", b"700"))
+        client = await node.send_request((b"x-deadline-ms", b"700"))
         assert node.sent == []
         assert client.status == 503 and client.header(b"retry-after") is not None
         assert client.responded_at - client.received_at <= 0.9
@@ -263,7 +263,7 @@
 
     async def scenario() -> None:
         node = Node(UNSAFE, (Pause(0.5), *DECLINE), (FailureKind.UNRESPONSIVE,))
-        client = await node.ask((b"x-deadline-ms", b"700"))
+        client = await node.send_request((b"x-deadline-ms", b"700"))
         assert client.status == 503 and client.header(b"retry-after") is not None
 
     play(scenario())
--- a/tests/unit/node/gateway/test_forwarder_attempts.py
+++ b/tests/unit/node/gateway/test_forwarder_attempts.py
@@ -38,7 +38,7 @@
 
     async def scenario() -> None:
         node = Node(UNSAFE, decline, COMPLETE_RESPONSE)
-        client = await node.ask()
+        client = await node.send_request()
         assert (client.status, client.data) == (200, b"whole")
         assert len({sent.address for sent in node.sent}) == 2
         assert node.sent[0].exchange.released and node.in_flight == 0
@@ -51,7 +51,7 @@
 
     async def scenario() -> None:
         node = Node(UNSAFE, *[DECLINE] * 3)
-        client = await node.ask()
+        client = await node.send_request()
         assert client.status == 503 and client.header(b"retry-after") is not None
         assert client.header(SEAL) is None and client.header(b"x-not-executed") is None
 
@@ -63,7 +63,7 @@
 
     async def scenario() -> None:
         node = Node(UNSAFE, (DECLINE[0], FailureKind.TRUNCATED), COMPLETE_RESPONSE)
-        assert (await node.ask()).status == 200
+        assert (await node.send_request()).status == 200
 
     play(scenario())
 
@@ -73,7 +73,7 @@
 
     async def scenario() -> None:
         node = Node(UNSAFE, (DECLINE[0], FOREVER), COMPLETE_RESPONSE)
-        client = await node.ask()
+        client = await node.send_request()
         assert client.status == 200 and client.responded_at - client.received_at < 1.0
 
     play(scenario())
@@ -94,7 +94,7 @@
             (Pause(0.1), kind) if kind is not FailureKind.TRUNCATED else (response_head(200), kind)
         )
         node = Node(served_route, script)
-        client = await node.ask()
+        client = await node.send_request()
         assert client.status == 502
         assert client.header(b"retry-after") is None and client.header(SEAL) is None
         assert len(node.sent) == 1 and node.sent[0].exchange.aborted and node.in_flight == 0
@@ -108,7 +108,7 @@
 
     async def scenario() -> None:
         node = Node(UNSAFE, (kind,), (kind,), COMPLETE_RESPONSE)
-        assert (await node.ask()).status == 200
+        assert (await node.send_request()).status == 200
         assert len(set(node.client.attempted_addresses)) == 3 and len(node.sent) == 1 and node.in_flight == 0
 
     play(scenario())
@@ -119,7 +119,7 @@
 
     async def scenario() -> None:
         node = Node(UNSAFE, *[(FailureKind.CONNECT,)] * 4)
-        client = await node.ask()
+        client = await node.send_request()
         assert client.status == 503 and client.header(b"retry-after") is not None
         assert sorted(node.client.attempted_addresses) == ["e0:80", "e1:80", "e2:80", "e3:80"]
 
@@ -132,7 +132,7 @@
 
     async def scenario() -> None:
         node = Node(SAFE, failure, COMPLETE_RESPONSE)
-        client = await node.ask()
+        client = await node.send_request()
         assert (client.status, client.data, client.ended) == (200, b"whole", True)
         assert len({sent.address for sent in node.sent}) == 2
 
@@ -145,7 +145,7 @@
 
     async def scenario() -> None:
         node = Node(route(SAFE.kind, max_attempts=max_attempts), *[RESET] * max_attempts)
-        assert (await node.ask()).status == 502
+        assert (await node.send_request()).status == 502
         assert len(node.sent) == max_attempts
 
     play(scenario())
@@ -158,7 +158,7 @@
         for failure, status in ((RESET, 502), (DECLINE, 503)):
             node = Node(SAFE, failure)
             node.core.retry_budget.set_floor(0)
-            assert (await node.ask()).status == status
+            assert (await node.send_request()).status == status
 
     play(scenario())
 
@@ -169,7 +169,7 @@
     async def scenario() -> None:
         for served_route, scripts in ((UNSAFE, [FAILURE]), (SAFE, [FAILURE] * 3)):
             node = Node(served_route, *scripts)
-            client = await node.ask()
+            client = await node.send_request()
             assert (client.status, client.data, client.header(SEAL)) == (500, b"broken", b"s9")
             assert node.client.scripts == []
 
@@ -181,7 +181,7 @@
 
     async def scenario() -> None:
         node = Node(SAFE, (response_head(200), b"x" * 1_100_000, FailureKind.TRUNCATED), COMPLETE_RESPONSE)
-        client = await node.ask()
+        client = await node.send_request()
         assert client.aborted and not client.ended
         assert len(node.sent) == 1
 
@@ -196,7 +196,7 @@
         piece = b"x" * piece_bytes
         pieces: list[Step] = [part for _ in range(10) for part in (Pause(0.1), piece)]
         node = Node(route(SAFE.kind, target_ms=500.0), (response_head(200), *pieces), COMPLETE_RESPONSE)
-        client = await node.ask()
+        client = await node.send_request()
         assert client.ended and not client.aborted and client.data == piece * 10
         assert len(node.sent) == 1
 
@@ -213,7 +213,7 @@
             RESET,
             COMPLETE_RESPONSE,
         )
-        assert (await node.ask()).status == 200
+        assert (await node.send_request()).status == 200
         assert len(set(node.client.attempted_addresses)) == 3
 
     play(scenario())
@@ -228,7 +228,7 @@
         handling = asyncio.create_task(node.forwarder.handle(client))
         await asyncio.sleep(0.3)
         assert node.in_flight == 1
-        client.leave()
+        client.disconnect()
         await handling
         exchange = node.sent[0].exchange
         assert exchange.aborted and exchange.ended_at == pytest.approx(client.received_at + 0.3)
@@ -243,7 +243,7 @@
     async def scenario() -> None:
         node = Node(route(SAFE.kind, target_ms=500.0), (FOREVER,), COMPLETE_RESPONSE)
         client = RecordingClient()
-        asyncio.get_running_loop().call_later(0.3 + CHECK_INTERVAL_S, client.leave)
+        asyncio.get_running_loop().call_later(0.3 + CHECK_INTERVAL_S, client.disconnect)
         await node.forwarder.handle(client)
         assert len(node.sent) == 1 and node.in_flight == 0
 
@@ -258,7 +258,7 @@
 
     async def scenario() -> None:
         node = Node(SAFE, RESET, COMPLETE_RESPONSE, versions=(OLD, NEW, NEW), choice=CANDIDATE_FIRST)
-        assert (await node.ask()).status == 200
+        assert (await node.send_request()).status == 200
         assert [sent.address == "e0:80" for sent in node.sent] == [False, True]
         assert node.chooser.given_back == []
 
@@ -272,7 +272,7 @@
         node = Node(
             UNSAFE, (FailureKind.CONNECT,), COMPLETE_RESPONSE, versions=(OLD, NEW), choice=CANDIDATE_FIRST
         )
-        assert (await node.ask()).status == 200
+        assert (await node.send_request()).status == 200
         assert node.client.attempted_addresses == ["e1:80", "e0:80"]
         assert node.chooser.given_back == [NEW]
 
@@ -285,7 +285,7 @@
     async def scenario() -> None:
         node = Node(UNSAFE, (FailureKind.UNRESPONSIVE,), versions=(OLD, NEW), choice=CANDIDATE_FIRST)
         client = RecordingClient()
-        asyncio.get_running_loop().call_later(0.1, client.leave)
+        asyncio.get_running_loop().call_later(0.1, client.disconnect)
         await node.forwarder.handle(client)
         assert node.chooser.given_back == [NEW] and node.in_flight == 0
 
--- a/tests/unit/node/gateway/test_forwarder_keys.py
+++ b/tests/unit/node/gateway/test_forwarder_keys.py
@@ -33,7 +33,7 @@
 
     async def scenario() -> None:
         node = Node(SAFE, COMPLETE_RESPONSE, tenants=(tenant("a", "k1"),))
-        client = await node.ask(KEY)
+        client = await node.send_request(KEY)
         assert client.status == 503 and client.header(b"retry-after") == b"0.20"
         assert node.sent == []
         assert node.core.counters.refusals == {RefusalReason.KEYS_NOT_CURRENT: 1}
@@ -46,7 +46,7 @@
 
     async def scenario() -> None:
         node = Node(SAFE, COMPLETE_RESPONSE, tenants=(tenant("a", "k1"),))
-        assert (await node.ask(UNKNOWN_KEY)).status == 503
+        assert (await node.send_request(UNKNOWN_KEY)).status == 503
 
     play(scenario())
 
@@ -57,7 +57,7 @@
 
     async def scenario() -> None:
         node = Node(PUBLIC, COMPLETE_RESPONSE, tenants=(tenant("a", "k1"),))
-        assert (await node.ask(*headers)).status == 200
+        assert (await node.send_request(*headers)).status == 200
 
     play(scenario())
 
@@ -67,6 +67,6 @@
 
     async def scenario() -> None:
         node = Node(SAFE, COMPLETE_RESPONSE)
-        assert (await node.ask()).status == 200
+        assert (await node.send_request()).status == 200
 
     play(scenario())
--- a/tests/unit/node/gateway/test_forwarder_streams.py
+++ b/tests/unit/node/gateway/test_forwarder_streams.py
@@ -61,7 +61,7 @@
 
     async def scenario() -> None:
         node = Node(RESUMABLE, (FIRST, stream_events(1, 3)[:-4], TRUNCATED), (SECOND, stream_events(3, 5)))
-        client = await node.ask()
+        client = await node.send_request()
         assert _is_complete(client, 5) and client.header(SEAL) == b"s1"
         assert node.sent[0].head.header(b"last-event-id") is None
         assert node.sent[1].head.header(b"last-event-id") == b"2"
@@ -80,7 +80,7 @@
             (SECOND, stream_events(3, 4), b"id: 5", TRUNCATED),
             (SECOND, stream_events(5, 6)),
         )
-        assert _is_complete(await node.ask(), 6)
+        assert _is_complete(await node.send_request(), 6)
         assert node.sent[2].head.header(b"last-event-id") == b"4"
 
     play(scenario())
@@ -91,7 +91,7 @@
 
     async def scenario() -> None:
         node = Node(RESUMABLE, (FIRST, stream_events(3, 4), TRUNCATED), (SECOND, stream_events(5, 5)))
-        client = await node.ask((b"last-event-id", b"2"))
+        client = await node.send_request((b"last-event-id", b"2"))
         assert client.data == stream_events(3, 5) and client.ended
         assert [sent.head.header(b"last-event-id") for sent in node.sent] == [b"2", b"4"]
 
@@ -103,7 +103,7 @@
 
     async def scenario() -> None:
         node = Node(RESUMABLE, (FIRST, stream_events(1, 2), TRUNCATED), (SECOND, stream_events(1, 4)))
-        assert _is_complete(await node.ask(), 4)
+        assert _is_complete(await node.send_request(), 4)
 
     play(scenario())
 
@@ -117,7 +117,7 @@
             (FIRST, stream_events(1, 2), TRUNCATED),
             (SECOND, stream_events(4, 5)),
         )
-        client = await node.ask()
+        client = await node.send_request()
         assert client.data == stream_events(1, 2) and client.aborted and not client.ended
 
     play(scenario())
@@ -128,7 +128,7 @@
 
     async def scenario() -> None:
         node = Node(RESUMABLE, (FIRST, b"data: a\n\n", TRUNCATED), (SECOND, b"data: a\n\ndata: b\n\n"))
-        client = await node.ask()
+        client = await node.send_request()
         assert client.data == b"data: a\n\n" and client.aborted
 
     play(scenario())
@@ -140,7 +140,7 @@
 
     async def scenario() -> None:
         node = Node(RESUMABLE, (FIRST, stream_events(1, 2), TRUNCATED), *[failure] * 4)
-        client = await node.ask()
+        client = await node.send_request()
         assert client.data == stream_events(1, 2) and client.aborted and not client.ended
 
     play(scenario())
@@ -151,7 +151,7 @@
 
     async def scenario() -> None:
         node = Node(STREAM, (FIRST, stream_events(1, 2), TRUNCATED))
-        client = await node.ask()
+        client = await node.send_request()
         assert client.data == stream_events(1, 2) and client.aborted and len(node.sent) == 1
 
     play(scenario())
@@ -165,7 +165,7 @@
 
     async def scenario() -> None:
         node = Node(served_route, (FIRST, stream_events(1, 2)[:-4]), *[(FailureKind.CONNECT,)] * 3)
-        client = await node.ask()
+        client = await node.send_request()
         assert client.aborted and not client.ended
 
     play(scenario())
@@ -176,7 +176,7 @@
 
     async def scenario() -> None:
         node = Node(STREAM, (FIRST, stream_events(1, 1), FOREVER))
-        client = await node.ask((b"x-deadline-ms", b"900"))
+        client = await node.send_request((b"x-deadline-ms", b"900"))
         assert client.aborted and not client.ended
         assert client.responded_at - client.received_at <= 1.1
         assert node.sent[0].exchange.aborted and node.in_flight == 0
@@ -190,7 +190,7 @@
     async def scenario() -> None:
         node = Node(RESUMABLE, (FIRST, stream_events(1, 1), FOREVER))
         client = RecordingClient()
-        asyncio.get_running_loop().call_later(0.5, client.leave)
+        asyncio.get_running_loop().call_later(0.5, client.disconnect)
         await node.forwarder.handle(client)
         assert node.sent[0].exchange.aborted and node.in_flight == 0 and len(node.sent) == 1
 
@@ -203,7 +203,7 @@
     async def scenario() -> None:
         served_route = route(STREAM.kind, resumable=True, **SHORT_TARGETS)
         node = Node(served_route, (FIRST, stream_events(1, 2), FOREVER), (SECOND, stream_events(3, 4)))
-        client = await node.ask()
+        client = await node.send_request()
         assert _is_complete(client, 4)
         assert node.sent[0].exchange.aborted and node.in_flight == 0
         assert client.responded_at - client.received_at < 1.0
@@ -218,7 +218,7 @@
         node = Node(
             route(STREAM.kind, resumable=True, **SHORT_TARGETS), (FOREVER,), (SECOND, stream_events(1, 2))
         )
-        client = await node.ask()
+        client = await node.send_request()
         assert _is_complete(client, 2) and client.header(SEAL) == b"s2"
         assert 0.6 <= client.responded_at - client.received_at < 1.0
 
@@ -232,7 +232,7 @@
         served_route = route(STREAM.kind, resumable=True, **SHORT_TARGETS)
         node = Node(served_route, (FIRST, stream_events(1, 2), Pause(2.0), stream_events(3, 3)))
         node.core.retry_budget.set_floor(0)
-        assert _is_complete(await node.ask(), 3)
+        assert _is_complete(await node.send_request(), 3)
 
     play(scenario())
 
@@ -266,7 +266,7 @@
         node = Node(
             served_route, (FIRST, stream_events(1, 1), stream_events(2, 2)), (SECOND, stream_events(2, 2))
         )
-        client = await node.ask(slow_s=0.5)
+        client = await node.send_request(slow_s=0.5)
         assert _is_complete(client, 2) and len(node.sent) == 1
 
     play(scenario())
@@ -277,7 +277,7 @@
 
     async def scenario() -> None:
         body = b"id: 1\ndata: a\n\n\n\nid: 2\ndata: b\n\n"
-        client = await Node(RESUMABLE, (FIRST, body)).ask()
+        client = await Node(RESUMABLE, (FIRST, body)).send_request()
         assert client.data == body and client.ended
 
     play(scenario())
--- a/tests/unit/node/gateway/test_operators.py
+++ b/tests/unit/node/gateway/test_operators.py
@@ -47,7 +47,9 @@
         status: dict[str, Any] = json.loads(result.stdout)
         return status
 
-    async def ask(self, method: bytes, path: bytes, body: bytes = b"") -> tuple[int, bytes | None, bytes]:
+    async def send_request(
+        self, method: bytes, path: bytes, body: bytes = b""
+    ) -> tuple[int, bytes | None, bytes]:
         """Send a request to the control listener; return status, content type and body."""
         client = PooledEngineClient()
         head = RequestHead(method, path, ((b"host", b"control"),))
@@ -114,7 +116,7 @@
             heartbeat = json.dumps(
                 {"service": "pages", "address": "127.0.0.1:9", "version": version}
             ).encode()
-            assert (await node.ask(b"PUT", b"/v1/gateway/engines/e%d" % number, heartbeat))[0] == 200
+            assert (await node.send_request(b"PUT", b"/v1/gateway/engines/e%d" % number, heartbeat))[0] == 200
         engines = {
             (each["version"], each["state"]): each["engines"] for each in (await node.status())["engines"]
         }
@@ -133,9 +135,9 @@
 async def test_the_control_listener_states_its_content_types(tmp_path: Path) -> None:
     """Given the paths of health, metrics and status, each response has the right content type."""
     async with running_node(tmp_path / "data") as node:
-        assert await node.ask(b"GET", b"/healthz") == (200, b"text/plain; charset=utf-8", b"ok\n")
-        status, kind, body = await node.ask(b"GET", b"/metrics")
+        assert await node.send_request(b"GET", b"/healthz") == (200, b"text/plain; charset=utf-8", b"ok\n")
+        status, kind, body = await node.send_request(b"GET", b"/metrics")
         assert (status, kind) == (200, b"text/plain; version=0.0.4; charset=utf-8")
         assert b"springmux_ready" in body
-        assert (await node.ask(b"GET", b"/v1/gateway/status"))[1] == b"application/json"
-        assert (await node.ask(b"GET", b"/readyz"))[1] == b"application/json"
+        assert (await node.send_request(b"GET", b"/v1/gateway/status"))[1] == b"application/json"
+        assert (await node.send_request(b"GET", b"/readyz"))[1] == b"application/json"
--- a/tests/unit/node/gateway/test_refusals.py
+++ b/tests/unit/node/gateway/test_refusals.py
@@ -33,7 +33,7 @@
 
 
 async def refusals_of(node: Node, *headers: tuple[bytes, bytes], **more: Any) -> dict[RefusalReason, int]:
-    await node.ask(*headers, **more)
+    await node.send_request(*headers, **more)
     return node.core.counters.refusals
 
 
@@ -86,7 +86,7 @@
             (response_head(200), stream_events(3, 4), TRUNCATED),
             (response_head(200), stream_events(5, 5)),
         )
-        assert (await node.ask()).ended
+        assert (await node.send_request()).ended
         counters = node.core.counters
         assert (counters.requests, counters.dispatches) == (1, 4)
         assert (counters.retries, counters.resumed, counters.refusals) == (3, 2, {})
@@ -100,11 +100,11 @@
     async def scenario() -> None:
         node = Node(UNSAFE, *[DECLINE] * 9)
         for _ in range(2):
-            await node.ask()
-        await node.ask(target=b"/none")
+            await node.send_request()
+        await node.send_request(target=b"/none")
         assert node.log_lines == []
         await asyncio.sleep(1.1)
-        await node.ask()
+        await node.send_request()
         await asyncio.sleep(0.5)
         assert len(node.log_lines) == 2
         await asyncio.sleep(0.6)
@@ -121,7 +121,7 @@
 def test_flushing_writes_pending_summaries_once() -> None:
     async def scenario() -> None:
         node = Node(SAFE)
-        await node.ask(target=b"/none")
+        await node.send_request(target=b"/none")
         node.refusals.flush()
         assert [line["count"] for line in node.log_lines] == [1]
         await asyncio.sleep(2.0)
--- a/tests/unit/node/gateway/test_startup_gate.py
+++ b/tests/unit/node/gateway/test_startup_gate.py
@@ -28,7 +28,7 @@
         node = with_startup_gate(Node(SAFE, COMPLETE_RESPONSE, configured=False))
         began_at = now()
         asyncio.get_running_loop().call_later(0.5, node.configure)
-        client = await node.ask()
+        client = await node.send_request()
         assert client.status == 200
         assert client.responded_at - began_at == pytest.approx(0.5, abs=0.05)
 
@@ -42,7 +42,7 @@
         node = with_startup_gate(Node(SAFE, COMPLETE_RESPONSE, versions=()))
         began_at = now()
         asyncio.get_running_loop().call_later(0.8, node.update_engines)
-        client = await node.ask()
+        client = await node.send_request()
         assert client.status == 200
         assert client.responded_at - began_at == pytest.approx(0.8, abs=0.05)
 
@@ -55,10 +55,10 @@
     async def scenario() -> None:
         node = with_startup_gate(Node(SAFE, configured=False))
         began_at = now()
-        first = await node.ask()
+        first = await node.send_request()
         assert first.status == 503 and first.header(b"retry-after") == b"1.00"
         assert first.responded_at - began_at == pytest.approx(STARTUP_S, abs=0.05)
-        second = await node.ask()
+        second = await node.send_request()
         assert second.status == 503 and second.responded_at == first.responded_at
 
     play(scenario())
@@ -70,15 +70,15 @@
 
     async def scenario() -> None:
         node = with_startup_gate(Node(SAFE, COMPLETE_RESPONSE, configured=False))
-        leaving = RecordingClient()
-        handling = asyncio.ensure_future(node.forwarder.handle(leaving))
+        disconnecting = RecordingClient()
+        handling = asyncio.ensure_future(node.forwarder.handle(disconnecting))
         await asyncio.sleep(0.1)
-        assert (await node.ask()).status == 503
-        leaving.leave()
+        assert (await node.send_request()).status == 503
+        disconnecting.disconnect()
         await handling
-        assert not leaving.begun
+        assert not disconnecting.begun
         asyncio.get_running_loop().call_later(0.2, node.configure)
-        assert (await node.ask()).status == 200
+        assert (await node.send_request()).status == 200
 
     play(scenario())
 
@@ -89,7 +89,7 @@
     async def scenario() -> None:
         node = with_startup_gate(Node(SAFE, COMPLETE_RESPONSE, configured=False))
         asyncio.get_running_loop().call_later(0.5, node.configure)
-        client = await node.ask((b"x-deadline-ms", b"300"))
+        client = await node.send_request((b"x-deadline-ms", b"300"))
         assert client.status == 503 and node.sent == []
 
     play(scenario())
--- a/tests/unit/node/support.py
+++ b/tests/unit/node/support.py
@@ -152,7 +152,7 @@
         self.ready, self.not_ready_reason = True, ""
         self.events: list[Event] = []
         self.deadline = NEVER
-        self.looks = 0
+        self.deadline_reads = 0
         self.on_order: Callable[[OrderSubmitted], list[Effect]] = lambda _: []
         self.quota = _Quota()
         self.router = Router(NodeId("n1"), "z1", random.Random(1), _Chooser(), self.quota)
@@ -163,7 +163,7 @@
         return []
 
     def next_deadline(self) -> float:
-        self.looks += 1
+        self.deadline_reads += 1
         return self.deadline
 
     def handle(self, event: Event, now: float) -> list[Effect]:
