--- a/src/springmux/node/gateway/rollout_endpoints.py
+++ b/src/springmux/node/gateway/rollout_endpoints.py
@@ -1,4 +1,4 @@
-"""Starting rollouts of the gateway's services over HTTP, and reading their state."""
+"""HTTP endpoints that start rollouts of the gateway's services and read their state."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
 from springmux.vocabulary.errors import ErrorCode
 from springmux.vocabulary.names import OrderId, RolloutId, ServiceName, VersionName
 
-CONFLICT = 409
+CONFLICT_STATUS = 409
 RATE_WINDOW_S = 3.0
-"""Window of the request rate that the plan is made for; a longer one would include time without traffic."""
+"""Window of the request rate that a plan is based on. A longer one could include time without traffic."""
 
 
 class RolloutBody(msgspec.Struct, frozen=True):
@@ -73,7 +73,7 @@
         except msgspec.DecodeError as error:
             return error_response(400, ErrorCode.INVALID_ORDER, str(error))
         service, candidate = ServiceName(requested.service), VersionName(requested.candidate)
-        released = self._released(service, candidate)
+        released = self._released_version(service, candidate)
         if not released and service not in self._agent.view.rollouts:
             return retry_later(ErrorCode.NOT_READY, "no engine of the released version is known here yet")
         settings = self._settings
@@ -86,7 +86,7 @@
             int(settings.rollback_ms),
             self._rates.per_s(service, RATE_WINDOW_S) * max(1, len(self._agent.membership.present())),
         )
-        # Derived from the body, so that the same command sent again to any node means the same rollout.
+        # Derived from the body, so that a retry of the command at any node identifies the same rollout.
         identity = xxhash.xxh3_128_hexdigest(msgspec.json.encode(requested))
         command = PromoteRollout(
             order=OrderId(f"{CONTENT_ORDER_PREFIX}{identity}"),
@@ -95,9 +95,9 @@
             stable=released,
         )
         outcome = await submit_command(self._driver, command, settings.order_timeout_s)
-        return command_response(outcome, CONFLICT, ErrorCode.ROLLOUT_CONFLICT)
+        return command_response(outcome, CONFLICT_STATUS, ErrorCode.ROLLOUT_CONFLICT)
 
-    def _released(self, service: ServiceName, candidate: VersionName) -> VersionName:
+    def _released_version(self, service: ServiceName, candidate: VersionName) -> VersionName:
         """Return the version, other than the candidate, that most engines run; empty if there is none."""
         serving = (EngineStatus.READY, EngineStatus.LOST, EngineStatus.DRAINING)
         counts = Counter(
--- a/tests/unit/node/client/test_request_runner.py
+++ b/tests/unit/node/client/test_request_runner.py
@@ -93,10 +93,10 @@
             caller.writer.write(chat_request())
             await caller.read_head()
             await until(lambda: Tick() in bench.agent.events)
-            deadline_reads = bench.agent.looks
+            deadline_reads = bench.agent.deadline_reads
             while await caller.read_chunk():
                 pass
-            assert bench.agent.looks - deadline_reads < 10
+            assert bench.agent.deadline_reads - deadline_reads < 10
 
 
 async def test_only_the_deadline_applies_while_the_client_does_not_read() -> None:
