--- a/src/springmux/cli/explore.py
+++ b/src/springmux/cli/explore.py
@@ -13,7 +13,7 @@
 from springmux.simulation.deployments import DEPLOYMENTS
 from springmux.simulation.exploration import MAX_WORKERS, explore_seeds, run_scenario, shrink
 from springmux.simulation.run import RunResult
-from springmux.simulation.scenario import Scenario, ScenarioKnobs, draw_scenario
+from springmux.simulation.scenario import Scenario, ScenarioSettings, draw_scenario
 
 
 def explore(
@@ -40,11 +40,11 @@
     """
     if deployment and deployment not in DEPLOYMENTS:
         fail(f"no deployment {deployment}; there are {', '.join(DEPLOYMENTS)}", ExitCode.INVALID, json_output)
-    knobs = ScenarioKnobs(
+    knobs = ScenarioSettings(
         deployment=deployment,
         nodes_per_zone=nodes,
         traffic_share=traffic_share,
-        thinning=thinning,
+        tokens_per_chunk=thinning,
         faults_s=faults_s,
         disturbances=disturbances,
     )
--- a/src/springmux/lab/bench/metered_fleet.py
+++ b/src/springmux/lab/bench/metered_fleet.py
@@ -160,11 +160,11 @@
 
     def heartbeat() -> None:
         load = EngineLoad(record.engine, running=4, queued=0, cache_used=0.5, measured_at=world.now)
-        world.give(node, EngineHeartbeat(record, load))
+        world.deliver(node, EngineHeartbeat(record, load))
         world.scheduler.at(world.now + HEARTBEAT_S, heartbeat)
 
     def announce() -> None:
-        world.give(node, EngineAnnounced(record))
+        world.deliver(node, EngineAnnounced(record))
         world.scheduler.at(world.now + HEARTBEAT_S, heartbeat)
 
     world.scheduler.at(world.now + delay_s, announce)
--- a/src/springmux/lab/bench/quota_cost.py
+++ b/src/springmux/lab/bench/quota_cost.py
@@ -79,11 +79,11 @@
 
     counters: _Counters
 
-    def _carry_out(self, host, effects):  # type: ignore[no-untyped-def]
+    def _execute(self, host, effects):  # type: ignore[no-untyped-def]
         for effect in effects:
             if isinstance(effect, Send):
                 self.counters.count(host.node, effect)
-        super()._carry_out(host, effects)
+        super()._execute(host, effects)
 
 
 def measure_quota(nodes: int) -> QuotaCost:
@@ -124,8 +124,8 @@
     rate = AccountRate(tokens_per_s=200_000.0, burst_tokens=400_000.0)
     accounts = AccountsChanged(dict.fromkeys(tenants, rate))
     for name in names:
-        world.give(name, QuotaMembersChanged(MembershipView(own=name, nodes=records)))
-        world.give(name, accounts)
+        world.deliver(name, QuotaMembersChanged(MembershipView(own=name, nodes=records)))
+        world.deliver(name, accounts)
 
 
 def _schedule_requests(world: World, names: list[NodeId], tenants: list[str], counters: _Counters) -> None:
--- a/src/springmux/lab/bench/routing_simulation.py
+++ b/src/springmux/lab/bench/routing_simulation.py
@@ -121,11 +121,11 @@
             slot.end(tokens)
             return
         plan = model.plan(request.prompt, ROUTE, self.now)
-        first_at = self.now + plan.first_piece_delay_s
+        first_at = self.now + plan.first_chunk_delay_s
         found = ServedRequest(
             request.at, first_at - request.at, plan.cached_share, len(request.prompt), request.kind
         )
-        gap_s = model.piece_gap_s(ROUTE, self.now)
+        gap_s = model.chunk_gap_s(ROUTE, self.now)
         end_at = first_at + gap_s * (request.answer_tokens - 1)
         self._at(end_at, lambda: self._end(request, slot, tokens, found))
 
--- a/src/springmux/lab/stand_ins/model_engine.py
+++ b/src/springmux/lab/stand_ins/model_engine.py
@@ -15,10 +15,10 @@
 from springmux.lab.stand_ins.announcer import Announcer, EngineIdentity, LoadReport
 from springmux.simulation.engine_model import (
     BYTES_PER_TOKEN,
-    AnswerFault,
-    AnswerPlan,
     EngineModel,
     EngineSpec,
+    ResponseFault,
+    ResponsePlan,
     VersionBehaviour,
 )
 from springmux.vocabulary.names import RequestId, RouteName
@@ -196,27 +196,27 @@
     ) -> web.StreamResponse:
         prompt = "\n".join(message.content for message in chat.messages).encode()
         plan = self.model.plan(prompt, RouteName(chat.model), self._clock())
-        if plan.departs:
+        if plan.degraded:
             self._bad_responses.add(request_id)
-        if plan.fault is AnswerFault.SILENT or self.unresponsive:
+        if plan.fault is ResponseFault.SILENT or self.unresponsive:
             await asyncio.Event().wait()
-        await asyncio.sleep(plan.first_piece_delay_s)
-        if plan.fault is AnswerFault.ERROR:
+        await asyncio.sleep(plan.first_chunk_delay_s)
+        if plan.fault is ResponseFault.ERROR:
             answer = {"error": {"message": "engine failed"}}
             return web.json_response(answer, status=500, headers=self._headers(request_id))
-        if plan.fault is AnswerFault.WRONG_ID:
+        if plan.fault is ResponseFault.WRONG_ID:
             request_id = RequestId("crossed-" + request_id)
         if chat.stream:
             return await self._stream(http_request, chat, request_id, plan)
         return await self._respond_complete(chat, request_id, plan)
 
     async def _respond_complete(
-        self, chat: _ChatRequest, request_id: RequestId, plan: AnswerPlan
+        self, chat: _ChatRequest, request_id: RequestId, plan: ResponsePlan
     ) -> web.StreamResponse:
         route = RouteName(chat.model)
         for _ in range(chat.max_tokens - 1):
-            await asyncio.sleep(self.model.piece_gap_s(route, self._clock()))
-        if plan.fault is AnswerFault.GARBAGE:
+            await asyncio.sleep(self.model.chunk_gap_s(route, self._clock()))
+        if plan.fault is ResponseFault.GARBAGE:
             return web.Response(
                 body=b'{"id": "', content_type="application/json", headers=self._headers(request_id)
             )
@@ -234,22 +234,22 @@
         return web.json_response(answer, headers=self._headers(request_id))
 
     async def _stream(
-        self, http_request: web.Request, chat: _ChatRequest, request_id: RequestId, plan: AnswerPlan
+        self, http_request: web.Request, chat: _ChatRequest, request_id: RequestId, plan: ResponsePlan
     ) -> web.StreamResponse:
         response = web.StreamResponse(
             headers={**self._headers(request_id), "Content-Type": "text/event-stream"}
         )
         await response.prepare(http_request)
-        if plan.fault is AnswerFault.GARBAGE:
+        if plan.fault is ResponseFault.GARBAGE:
             await response.write(b"data: {not json\n\n")
             return response
         route = RouteName(chat.model)
         for seq in range(chat.max_tokens):
             if seq:
-                await asyncio.sleep(self.model.piece_gap_s(route, self._clock()))
+                await asyncio.sleep(self.model.chunk_gap_s(route, self._clock()))
             if self.unresponsive:
                 await asyncio.Event().wait()
-            if plan.fault is AnswerFault.CUT and seq >= plan.cut_after:
+            if plan.fault is ResponseFault.CUT and seq >= plan.cut_after:
                 self._abort_connection(http_request)
                 return response
             await response.write(self._chunk(chat, request_id, seq))
--- a/src/springmux/simulation/__init__.py
+++ b/src/springmux/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Virtual time, network, disks and clocks; hollow nodes; fault schedules; checkers."""
+"""Deterministic simulation of a fleet: virtual time, network, disks and clocks; nodes; faults; checkers."""
--- a/src/springmux/simulation/candidates.py
+++ b/src/springmux/simulation/candidates.py
@@ -1,4 +1,4 @@
-"""Candidate versions of an explored rollout: good, or bad in every way that the engine model knows."""
+"""Candidate versions of simulated rollouts: a good one, and one for each fault of the engine model."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Candidate(msgspec.Struct, frozen=True):
-    """A named behaviour. ``bad``: it must not get more than its share."""
+    """A named behaviour. ``bad``: whether the version must not be released."""
 
     name: str
     behaviour: VersionBehaviour
@@ -16,7 +16,7 @@
 
 
 LONG_ROUTE = "{long}"
-"""Stands for the deployment's route of long prompts."""
+"""Placeholder for the deployment's route of long prompts."""
 
 CANDIDATES = {
     candidate.name: candidate
@@ -34,11 +34,11 @@
         Candidate("garbage", VersionBehaviour(garbage_share=0.3)),
     )
 }
-"""By name, for scenarios."""
+"""All candidates by name."""
 
 
 def behaviour_for(candidate: Candidate, long_route: str) -> VersionBehaviour:
-    """Return the behaviour with the deployment's own route filled in."""
+    """Return the behaviour, with ``long_route`` in place of the placeholder."""
     if candidate.behaviour.route != LONG_ROUTE:
         return candidate.behaviour
     return msgspec.structs.replace(candidate.behaviour, route=long_route)
--- a/src/springmux/simulation/checkers/all_checkers.py
+++ b/src/springmux/simulation/checkers/all_checkers.py
@@ -9,10 +9,10 @@
 from springmux.simulation.checkers.draining import DrainChecker
 from springmux.simulation.checkers.durability import DurabilityChecker
 from springmux.simulation.checkers.exposure import ExposureChecker, RollbackChecker
-from springmux.simulation.checkers.finishing import DoneByTermChecker, EndTrapsChecker
+from springmux.simulation.checkers.finishing import RolloutDeadlineChecker, RolloutEndChecker
 from springmux.simulation.checkers.orders import OrdersChecker
 from springmux.simulation.checkers.quota import QuotaChecker
-from springmux.simulation.checkers.repeats import RepeatsChecker
+from springmux.simulation.checkers.repeats import RetriesChecker
 from springmux.simulation.checkers.streams import StreamsChecker
 from springmux.simulation.checkers.violation import Checker, Violation
 from springmux.simulation.history import History
@@ -27,13 +27,13 @@
         StreamsChecker(history),
         ExposureChecker(history, context),
         RollbackChecker(history, context),
-        DoneByTermChecker(history, context),
-        EndTrapsChecker(history, context),
+        RolloutDeadlineChecker(history, context),
+        RolloutEndChecker(history, context),
         DeliveryChecker(history),
         OrdersChecker(history),
         DrainChecker(history),
         QuotaChecker(history, context),
-        RepeatsChecker(history, len(context.deployment.places())),
+        RetriesChecker(history, len(context.deployment.places())),
         DurabilityChecker(history, context),
         ConsistencyChecker(history),
     ]
--- a/src/springmux/simulation/checkers/at_most_once.py
+++ b/src/springmux/simulation/checkers/at_most_once.py
@@ -1,4 +1,4 @@
-"""Check that an action runs at most once, and never under a request that was rejected."""
+"""Check that an action is executed at most once, and never for a request that was rejected."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
         self._history = history
 
     def violations(self) -> list[Violation]:
-        """Return actions that ran twice, or under a rejected request."""
-        return self._twice() + self._after_refusal()
+        """Return actions that were executed twice, or for a rejected request."""
+        return self._executed_twice() + self._executed_after_refusal()
 
-    def _twice(self) -> list[Violation]:
+    def _executed_twice(self) -> list[Violation]:
         first: dict[tuple[str, str], Executed] = {}
         found = []
         for run in self._history.executed:
@@ -27,7 +27,7 @@
                 found.append(Violation("at most once", run.at, (), text))
         return found
 
-    def _after_refusal(self) -> list[Violation]:
+    def _executed_after_refusal(self) -> list[Violation]:
         refused = {call.request: call for call in self._history.calls if call.fate is Fate.REFUSED}
         found = []
         for run in self._history.executed:
--- a/src/springmux/simulation/checkers/complete_responses.py
+++ b/src/springmux/simulation/checkers/complete_responses.py
@@ -1,4 +1,4 @@
-"""Check that a client of a call gets its engine's complete response, and the one to its own request."""
+"""Check that the client of a call gets the complete response to its own request."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
         self._history = history
 
     def violations(self) -> list[Violation]:
-        """Return responses that are truncated, belong to another request, or confirm what never ran."""
+        """Return responses that are truncated, of another request, or confirm an action that never ran."""
         executed = {run.action for run in self._history.executed}
         found = []
         for call in self._history.calls:
@@ -26,7 +26,7 @@
         if call.fault:
             return f"{call.request}: {call.fault}"
         if call.response_action != call.action:
-            return f"{call.request} for {call.action} got the answer of {call.response_action or 'nothing'}"
+            return f"{call.request} for {call.action} got the response to {call.response_action or 'nothing'}"
         if call.action not in executed:
-            return f"{call.request} was told that {call.action} is done, but it never ran"
+            return f"{call.request} got a response that confirms {call.action}, which never ran"
         return ""
--- a/src/springmux/simulation/checkers/consistency.py
+++ b/src/springmux/simulation/checkers/consistency.py
@@ -35,6 +35,6 @@
         for seen in self._history.states:
             digest, node = states.setdefault(seen.revision, (seen.digest, seen.node))
             if digest != seen.digest:
-                text = f"{node} and {seen.node} hold different states of revision {seen.revision}"
+                text = f"{node} and {seen.node} have different states at revision {seen.revision}"
                 found.append(Violation("committed prefix", seen.at, (node, seen.node), text))
         return found
--- a/src/springmux/simulation/checkers/delivery.py
+++ b/src/springmux/simulation/checkers/delivery.py
@@ -1,4 +1,4 @@
-"""Check that connected nodes apply a change about 2 s after its acknowledgement, and never undo it."""
+"""Check that connected nodes apply a change within about 2 s of its acknowledgement, and never revert it."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 
 
 class DeliveryChecker:
-    """Checks the revisions of serving and of ready nodes; others may lag."""
+    """Checks the revisions of nodes that serve requests or are ready; other nodes may lag."""
 
     def __init__(self, history: History) -> None:
         self._history = history
 
     def violations(self) -> list[Violation]:
-        """Return requests served on too old a state, ready nodes that lag, and steps back."""
-        return [*self._served_on_older(), *self._ready_but_behind(), *self._backwards()]
+        """Return requests served with an outdated state, ready nodes that lag, and nodes that reverted."""
+        return [*self._served_on_old_state(), *self._ready_but_behind(), *self._reverted_states()]
 
-    def _served_on_older(self) -> list[Violation]:
+    def _served_on_old_state(self) -> list[Violation]:
         due = DueRevisions(self._history.orders)
         found: dict[NodeId, Violation] = {}
         for dispatch in self._history.dispatched:
             needed = due.at(dispatch.at)
             if dispatch.attempt == 1 and dispatch.revision < needed and dispatch.node not in found:
                 text = (
-                    f"{dispatch.request} was sent on revision {dispatch.revision}, while {needed} had been"
+                    f"{dispatch.request} was sent at revision {dispatch.revision}, while {needed} had been"
                     f" acknowledged more than {IN_FORCE_S:g} s before"
                 )
                 found[dispatch.node] = Violation("in force", dispatch.at, (dispatch.node,), text)
@@ -39,24 +39,24 @@
         for sample in self._history.samples:
             needed = due.at(sample.at)
             if sample.ready and sample.revision < needed and sample.node not in found:
-                text = f"ready on revision {sample.revision}, while {needed} must be in force"
+                text = f"ready at revision {sample.revision}, while {needed} must be in force"
                 found[sample.node] = Violation("in force", sample.at, (sample.node,), text)
         return list(found.values())
 
-    def _backwards(self) -> list[Violation]:
+    def _reverted_states(self) -> list[Violation]:
         newest: dict[tuple[NodeId, int], Revision] = {}
         found = []
         for seen in self._history.states:
             key = (seen.node, seen.boot)
             if seen.revision < newest.get(key, 0):
-                text = f"went from revision {newest[key]} back to {seen.revision}"
+                text = f"reverted from revision {newest[key]} to {seen.revision}"
                 found.append(Violation("never backwards", seen.at, (seen.node,), text))
             newest[key] = seen.revision
         return found
 
 
 class DueRevisions:
-    """Which revision must be in force at a time: the newest acknowledged long enough before."""
+    """Revision that must be in force at a given time: the newest acknowledged long enough before."""
 
     def __init__(self, orders: list[OrderReply]) -> None:
         self._times: list[float] = []
--- a/src/springmux/simulation/checkers/draining.py
+++ b/src/springmux/simulation/checkers/draining.py
@@ -1,4 +1,4 @@
-"""Check that an engine gets no new request about 2 s after a node learned that it drains."""
+"""Check that an engine gets no new requests about 2 s after a node received its drain report."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 
 class DrainChecker:
-    """Measures from the report to the first node that could disseminate it.
+    """Measures from the time at which the first node that could disseminate the report received it.
 
-    A node that is not ready two seconds later (killed, or partitioned) does not count, because it could not
-    disseminate the report. The engine's next report, within about a second, reaches another node.
+    A node that is not ready two seconds later (killed or partitioned) does not count, because it could not
+    disseminate the report. The engine sends its next report within about a second to another node.
     """
 
     def __init__(self, history: History) -> None:
         self._history = history
 
     def violations(self) -> list[Violation]:
-        """Return the dispatches that came too late, the first of each engine and node."""
+        """Return the first late dispatch to a draining engine, for each engine and node."""
         learned = self._learned()
         withdrawn: dict[EngineId, float] = {}
         for back in self._history.stops_withdrawn:
@@ -34,7 +34,7 @@
                 continue
             late_s = dispatch.at - at
             if late_s > DRAIN_S + DRAIN_SLACK_S:
-                text = f"{dispatch.request} went to {dispatch.engine} {late_s:.2f} s after its drain was told"
+                text = f"{dispatch.request} went to {dispatch.engine} {late_s:.2f} s after its drain report"
                 violation = Violation("drain", dispatch.at, (dispatch.node,), text)
                 found.setdefault((dispatch.engine, dispatch.node), violation)
         return list(found.values())
--- a/src/springmux/simulation/checkers/durability.py
+++ b/src/springmux/simulation/checkers/durability.py
@@ -9,9 +9,10 @@
 from springmux.simulation.run_context import RunContext
 from springmux.simulation.world.faults import Restart
 
-SERVICE_BACK_S = 12.0
+SERVICE_RECOVERY_S = 12.0
+"""All nodes must be ready within this time after a full restart."""
 FULL_RESTART_WINDOW_S = 1.0
-"""Restarts of all nodes within this time count as a full restart."""
+"""Restarts of all nodes within this time, in seconds, count as one full restart."""
 
 
 class DurabilityChecker:
@@ -22,13 +23,13 @@
         self._context = context
 
     def violations(self) -> list[Violation]:
-        """Return lost changes, nodes that are not back, undone rollouts, and slow restarts."""
-        return [*self._lost(), *self._undone_rollouts(), *self._slow_restarts()]
+        """Return lost changes, nodes that have not recovered, reversed rollouts, and slow restarts."""
+        return [*self._missing_changes(), *self._reversed_rollouts(), *self._slow_restarts()]
 
     def _last_samples(self) -> dict[NodeId, NodeSample]:
         return {sample.node: sample for sample in self._history.samples}
 
-    def _lost(self) -> list[Violation]:
+    def _missing_changes(self) -> list[Violation]:
         newest = max(
             (seen.result.revision for seen in self._history.orders if seen.result is not None),
             default=Revision(0),
@@ -38,23 +39,23 @@
         for place in self._context.deployment.places():
             sample = last.get(place.node)
             if sample is None or sample.at < self._context.ended_at - 1.0:
-                found.append(self._at_end(place.node, "does not run at the end"))
+                found.append(self._final_violation(place.node, "is not running at the end"))
             elif not sample.ready:
-                found.append(self._at_end(place.node, f"is not ready at the end: {sample.reason}"))
+                found.append(self._final_violation(place.node, f"is not ready at the end: {sample.reason}"))
             elif sample.revision < newest:
-                text = f"holds revision {sample.revision} at the end, {newest} was acknowledged"
-                found.append(self._at_end(place.node, text))
+                text = f"is at revision {sample.revision} at the end, but {newest} was acknowledged"
+                found.append(self._final_violation(place.node, text))
         return found
 
-    def _at_end(self, node: NodeId, text: str) -> Violation:
+    def _final_violation(self, node: NodeId, text: str) -> Violation:
         return Violation("durability", self._context.ended_at, (node,), f"{node} {text}")
 
-    def _undone_rollouts(self) -> list[Violation]:
+    def _reversed_rollouts(self) -> list[Violation]:
         ended: dict[str, RolloutPhase] = {}
         found = []
         for seen in self._history.rollouts:
             before = ended.get(seen.rollout)
-            # A node that starts again may apply older phases on its way; a terminal one never changes.
+            # A restarted node may apply older phases while it catches up, but a terminal phase never changes.
             if before is not None and seen.phase in TERMINAL_PHASES and seen.phase is not before:
                 text = f"{seen.rollout} was {before}, then {seen.phase}"
                 found.append(Violation("durability", seen.at, (seen.node,), text))
@@ -65,13 +66,13 @@
     def _slow_restarts(self) -> list[Violation]:
         found = []
         for at in self._full_restarts():
-            limit = at + SERVICE_BACK_S
+            limit = at + SERVICE_RECOVERY_S
             if any(at + FULL_RESTART_WINDOW_S < seen.at < limit for seen in self._history.faults):
                 continue
             ready = {s.node for s in self._history.samples if s.ready and at < s.at <= limit}
             missing = tuple(p.node for p in self._context.deployment.places() if p.node not in ready)
             if missing and limit < self._context.ended_at:
-                text = f"{len(missing)} nodes are not back {SERVICE_BACK_S:g} s after a restart of everything"
+                text = f"{len(missing)} nodes are not ready {SERVICE_RECOVERY_S:g} s after a full restart"
                 found.append(Violation("service back", limit, missing, text))
         return found
 
--- a/src/springmux/simulation/checkers/exposure.py
+++ b/src/springmux/simulation/checkers/exposure.py
@@ -1,4 +1,4 @@
-"""Check that a bad version gets at most its share of prompts, and none soon after its bad responses."""
+"""Check that a bad version gets at most its share of the prompts, and none after its rollback time."""
 
 from __future__ import annotations
 
@@ -7,29 +7,29 @@
 from springmux.simulation.history import Dispatched, History
 from springmux.simulation.run_context import RunContext
 
-SMALL_ALLOWANCE = 20
-"""Prompts allowed beyond the share, as in a plan's default."""
-BAD_RESPONSES = 50
-"""The rollback time counts from this bad response."""
+MIN_EXPOSE_ALLOWANCE = 20
+"""Smallest number of prompts allowed beyond the share; the default of a rollout plan."""
+BAD_RESPONSES_BEFORE_ROLLBACK = 50
+"""The rollback time is measured from this bad response of the candidate on."""
 ROLLBACK_S = 5.0
 ROLLBACK_SLACK_S = 0.25
 
 
 class ExposureChecker:
-    """Checks the share of a bad candidate at every moment of its rollout."""
+    """Checks a bad candidate's share of the prompts at every dispatch of its rollout."""
 
     def __init__(self, history: History, context: RunContext) -> None:
         self._history = history
         self._context = context
 
     def violations(self) -> list[Violation]:
-        """Return the first moment at which the candidate had more than its share, if there is one."""
+        """Return the first dispatch that exceeded the candidate's share, if there is one."""
         plan = self._context.plan
         if plan is None or not self._context.bad:
             return []
-        allowance = max(plan.expose_allowance, SMALL_ALLOWANCE)
+        allowance = max(plan.expose_allowance, MIN_EXPOSE_ALLOWANCE)
         prompts = sent = 0
-        for dispatch in _of_rollout(self._history, self._context):
+        for dispatch in _rollout_dispatches(self._history, self._context):
             prompts += dispatch.attempt == 1
             sent += dispatch.version == plan.candidate
             if sent > 0.10 * prompts + allowance:
@@ -39,25 +39,25 @@
 
 
 class RollbackChecker:
-    """Checks how long a bad candidate gets prompts after its fiftieth bad response."""
+    """Checks for how long a bad candidate still gets prompts after its fiftieth bad response."""
 
     def __init__(self, history: History, context: RunContext) -> None:
         self._history = history
         self._context = context
 
     def violations(self) -> list[Violation]:
-        """Return the nodes that sent to the candidate too late, each once."""
+        """Return one violation for each node that sent prompts to the candidate too late."""
         plan = self._context.plan
         if plan is None or not self._context.bad:
             return []
         bad_at = [bad.at for bad in self._history.bad_responses if bad.version == plan.candidate]
-        if len(bad_at) < BAD_RESPONSES:
+        if len(bad_at) < BAD_RESPONSES_BEFORE_ROLLBACK:
             return []
-        fiftieth = sorted(bad_at)[BAD_RESPONSES - 1]
+        fiftieth = sorted(bad_at)[BAD_RESPONSES_BEFORE_ROLLBACK - 1]
         limit = fiftieth + ROLLBACK_S + ROLLBACK_SLACK_S
         late = {
             dispatch.node: dispatch
-            for dispatch in _of_rollout(self._history, self._context)
+            for dispatch in _rollout_dispatches(self._history, self._context)
             if dispatch.version == plan.candidate and dispatch.at > limit
         }
         return [
@@ -65,17 +65,17 @@
                 "rollback time",
                 dispatch.at,
                 (node,),
-                f"sent to {plan.candidate} {dispatch.at - fiftieth:.2f} s after its fiftieth bad answer",
+                f"sent to {plan.candidate} {dispatch.at - fiftieth:.2f} s after its fiftieth bad response",
             )
             for node, dispatch in sorted(late.items())
         ]
 
 
-def _of_rollout(history: History, context: RunContext) -> list[Dispatched]:
-    """Return the service's dispatches from the promotion to the rollout's end.
+def _rollout_dispatches(history: History, context: RunContext) -> list[Dispatched]:
+    """Return the service's dispatches from the promotion to the end of the rollout.
 
-    An aborted rollout has no end here: its candidate must stay without prompts. Once it is done there is no
-    way back (brief), and the version is no candidate any more.
+    An aborted rollout has no end here, because its candidate must not get prompts again. A finished rollout
+    cannot be rolled back (brief), so its version is no longer a candidate.
     """
     plan = context.plan
     assert plan is not None
--- a/src/springmux/simulation/checkers/finishing.py
+++ b/src/springmux/simulation/checkers/finishing.py
@@ -1,4 +1,4 @@
-"""Check that a good rollout is done by its term, and that its end rejects no request."""
+"""Check that a good rollout is done by its deadline, and that no request is rejected at its end."""
 
 from __future__ import annotations
 
@@ -9,18 +9,22 @@
 from springmux.simulation.run_context import RunContext
 from springmux.vocabulary.errors import ErrorCode
 
-TERM_SLACK_S = 0.5
+DEADLINE_SLACK_S = 0.5
 
 
-class DoneByTermChecker:
-    """A good candidate is stable by ``by_s``, plus the time in which no leader could commit anything."""
+class RolloutDeadlineChecker:
+    """Checks that a good candidate is stable by ``by_s``.
+
+    The time in which no leader could commit entries, and the time in which the rollout was paused, is added
+    to the deadline.
+    """
 
     def __init__(self, history: History, context: RunContext) -> None:
         self._history = history
         self._context = context
 
     def violations(self) -> list[Violation]:
-        """Return a good rollout that was late or aborted."""
+        """Return a violation if a good rollout was late or aborted."""
         plan = self._context.plan
         if plan is None or self._context.bad:
             return []
@@ -32,33 +36,35 @@
         if aborted is not None:
             text = f"the good version {plan.candidate} was aborted {aborted.at - begun:.1f} s after promotion"
             return [Violation("good rollout done", aborted.at, (aborted.node,), text)]
-        return self._late(begun, next((each for each in seen if each.phase is RolloutPhase.DONE), None))
+        return self._check_deadline(
+            begun, next((each for each in seen if each.phase is RolloutPhase.DONE), None)
+        )
 
-    def _late(self, begun: float, done: RolloutPhaseChanged | None) -> list[Violation]:
+    def _check_deadline(self, begun: float, done: RolloutPhaseChanged | None) -> list[Violation]:
         plan = self._context.plan
         assert plan is not None
-        term = begun + plan.by_s + TERM_SLACK_S + self.stalled_s(begun) + self._paused_s()
-        if done is not None and done.at <= term:
+        deadline = begun + plan.by_s + DEADLINE_SLACK_S + self.stalled_s(begun) + self._paused_s()
+        if done is not None and done.at <= deadline:
             return []
-        if done is None and self._context.ended_at <= term:
+        if done is None and self._context.ended_at <= deadline:
             return []
         when = f"{done.at - begun:.1f} s after promotion" if done else "never"
-        text = f"the good version {plan.candidate} was done {when}, its term was {term - begun:.1f} s"
-        return [Violation("good rollout done", term, (), text)]
+        text = f"the good version {plan.candidate} was done {when}, its deadline was {deadline - begun:.1f} s"
+        return [Violation("good rollout done", deadline, (), text)]
 
     def stalled_s(self, since: float) -> float:
-        """Return how long no node led, or the one that did committed nothing that it had to, by samples."""
-        works: dict[float, bool] = {}
+        """Return for how many seconds no leader committed its pending entries, according to the samples."""
+        progressing: dict[float, bool] = {}
         before: dict[NodeId, NodeSample] = {}
         for sample in self._history.samples:
             if sample.at < since:
                 continue
-            works.setdefault(sample.at, False)
+            progressing.setdefault(sample.at, False)
             if sample.leading:
-                works[sample.at] |= not _stalled(before.get(sample.node), sample)
+                progressing[sample.at] |= not _stalled(before.get(sample.node), sample)
                 before[sample.node] = sample
-        times = sorted(works)
-        return sum(times[i + 1] - at for i, at in enumerate(times[:-1]) if not works[at])
+        times = sorted(progressing)
+        return sum(times[i + 1] - at for i, at in enumerate(times[:-1]) if not progressing[at])
 
     def _paused_s(self) -> float:
         total = 0.0
@@ -72,15 +78,15 @@
         return total
 
 
-class EndTrapsChecker:
-    """Once a rollout is done and the old engines leave, no connected node is left without an engine."""
+class RolloutEndChecker:
+    """Checks that no connected node lacks an engine after a rollout is done and the old engines leave."""
 
     def __init__(self, history: History, context: RunContext) -> None:
         self._history = history
         self._context = context
 
     def violations(self) -> list[Violation]:
-        """Return refusals for want of an engine, and prompts to the old version, after the end."""
+        """Return the prompts rejected with ``no_engine`` after the old engines began to leave."""
         context = self._context
         plan = context.plan
         if plan is None or context.removed_at is None:
--- a/src/springmux/simulation/checkers/orders.py
+++ b/src/springmux/simulation/checkers/orders.py
@@ -1,4 +1,4 @@
-"""Check that one of several racing operators wins, and that a resent order gets its first reply."""
+"""Check that one of several concurrent orders wins, and that a resent order gets the same reply."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class OrdersChecker:
-    """Compares all replies of nodes to operators."""
+    """Compares all replies that operators received from nodes."""
 
     def __init__(self, history: History) -> None:
         self._history = history
 
     def violations(self) -> list[Violation]:
-        """Return double winners, changed replies, and rejections of orders that were decided."""
-        return [*self._two_winners(), *self._changed_answers(), *self._refused_but_done()]
+        """Return versions with two winners, changed replies, and rejected orders that were decided."""
+        return [*self._two_winners(), *self._changed_replies(), *self._refused_but_decided()]
 
     def _two_winners(self) -> list[Violation]:
         commands = {each.command.order: each.command for each in self._history.ordered}
@@ -33,7 +33,7 @@
                 found.append(Violation("one winner", seen.at, (seen.node,), text))
         return found
 
-    def _changed_answers(self) -> list[Violation]:
+    def _changed_replies(self) -> list[Violation]:
         first: dict[OrderId, CommandResult] = {}
         found = []
         for seen in self._history.orders:
@@ -42,13 +42,13 @@
             before = first.setdefault(seen.order, seen.result)
             if (before.outcome, before.revision) != (seen.result.outcome, seen.result.revision):
                 text = (
-                    f"order {seen.order} was answered {before.outcome} at {before.revision}, then"
+                    f"the reply to order {seen.order} was {before.outcome} at {before.revision}, then"
                     f" {seen.result.outcome} at {seen.result.revision}"
                 )
                 found.append(Violation("same answer again", seen.at, (seen.node,), text))
         return found
 
-    def _refused_but_done(self) -> list[Violation]:
+    def _refused_but_decided(self) -> list[Violation]:
         """Return the orders that were decided although every attempt to send them was rejected.
 
         An order counts only if each of its attempts got a reply.
@@ -64,7 +64,7 @@
             if seen.result is not None:
                 decided[seen.order] = seen.at
         return [
-            Violation("refused orders never run", at, (), f"order {order} was refused, yet it was decided")
+            Violation("refused orders never run", at, (), f"order {order} was rejected, but it was decided")
             for order, at in sorted(decided.items())
             if refused.get(order, 0) >= sent[order]
         ]
--- a/src/springmux/simulation/checkers/quota.py
+++ b/src/springmux/simulation/checkers/quota.py
@@ -1,4 +1,4 @@
-"""Check that a tenant gets its token quota within a tenth, neither more nor less."""
+"""Check that a tenant gets its token quota, within a tolerance of a tenth."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 TOLERANCE = 0.10
 WINDOW_S = 10.0
-STEP_S = 1.0
+WINDOW_STEP_S = 1.0
 SETTLING_S = 5.0
-"""Time in which the nodes' quota shares adapt after a surge begins or a fault ends."""
+"""Time in seconds in which the nodes' quota shares adapt after a surge begins or a fault ends."""
 
 
 class QuotaChecker:
@@ -23,41 +23,47 @@
         self._context = context
 
     def violations(self) -> list[Violation]:
-        """Return windows with too much or, where no fault is near, too little."""
+        """Return windows in which a tenant got too many tokens or, where no fault is near, too few."""
         return [violation for surge in self._context.surges for violation in self._check_surge(surge)]
 
     def _check_surge(self, surge: DemandSurge) -> list[Violation]:
         size = next(size for size in self._context.deployment.tenants if size.tenant == surge.tenant)
         calls = [call for call in self._history.calls if call.tenant == surge.tenant and call.prompt]
-        return [*self._above(surge, size, calls), *self._below(surge, size, calls)]
+        return [*self._above_quota(surge, size, calls), *self._below_quota(surge, size, calls)]
 
-    def _above(self, surge: DemandSurge, size: TenantSize, calls: list[ClientAttempt]) -> list[Violation]:
-        """Return the first time at which the tenant exceeded its token bucket.
+    def _above_quota(
+        self, surge: DemandSurge, size: TenantSize, calls: list[ClientAttempt]
+    ) -> list[Violation]:
+        """Return the first time at which the tenant exceeded its token bucket, if there is one.
 
-        The bucket has the configured burst and a rate a tenth higher, and may be in debt by a tenth of what
-        a window allows.
+        The bucket has the configured burst and a rate a tenth above the quota. Its level may go
+        below zero by a tenth of the tokens that one window allows.
         """
         level = size.burst_tokens
         rate = (1 + TOLERANCE) * size.tokens_per_s
         at = self._context.began_at
         while at < surge.end:
-            level = min(size.burst_tokens, level + rate * STEP_S) - _used(calls, at, at + STEP_S)
-            at += STEP_S
+            level = min(size.burst_tokens, level + rate * WINDOW_STEP_S) - _used_tokens(
+                calls, at, at + WINDOW_STEP_S
+            )
+            at += WINDOW_STEP_S
             if level < -TOLERANCE * (size.tokens_per_s * WINDOW_S + size.burst_tokens):
-                text = f"{surge.tenant} got {-level:.0f} tokens more than its burst and its quota allow"
+                text = f"{surge.tenant} got {-level:.0f} tokens more than its burst and quota allow"
                 return [Violation("quota", at, (), text)]
         return []
 
-    def _below(self, surge: DemandSurge, size: TenantSize, calls: list[ClientAttempt]) -> list[Violation]:
+    def _below_quota(
+        self, surge: DemandSurge, size: TenantSize, calls: list[ClientAttempt]
+    ) -> list[Violation]:
         found = []
         begin = surge.begin + SETTLING_S
         while begin + WINDOW_S <= surge.end:
-            per_s = _used(calls, begin, begin + WINDOW_S) / WINDOW_S
-            refused = _refused(calls, begin, begin + WINDOW_S)
+            per_s = _used_tokens(calls, begin, begin + WINDOW_S) / WINDOW_S
+            refused = _rejections(calls, begin, begin + WINDOW_S)
             calm = not self._faults_near(begin - SETTLING_S, begin + WINDOW_S)
             if refused and calm and per_s < (1 - TOLERANCE) * size.tokens_per_s:
                 found.append(self._violation(surge, begin, per_s, size.tokens_per_s, "below"))
-            begin += STEP_S
+            begin += WINDOW_STEP_S
         return found
 
     def _violation(
@@ -72,10 +78,10 @@
         return any(begin <= seen.at <= end for seen in self._history.faults)
 
 
-def _used(calls: list[ClientAttempt], begin: float, end: float) -> float:
+def _used_tokens(calls: list[ClientAttempt], begin: float, end: float) -> float:
     """Return the tokens of the complete responses to requests sent in a window."""
     return sum(call.tokens for call in calls if call.complete and begin <= call.sent_at < end)
 
 
-def _refused(calls: list[ClientAttempt], begin: float, end: float) -> int:
+def _rejections(calls: list[ClientAttempt], begin: float, end: float) -> int:
     return sum(call.code is ErrorCode.QUOTA_EXCEEDED and begin <= call.sent_at < end for call in calls)
--- a/src/springmux/simulation/checkers/streams.py
+++ b/src/springmux/simulation/checkers/streams.py
@@ -1,4 +1,4 @@
-"""Check that streams have no gap, repetition or splice, and end as complete after the last chunk."""
+"""Check that streams have no missing, repeated or foreign chunks, and end only after the last one."""
 
 from __future__ import annotations
 
--- a/src/springmux/simulation/checkers/violation.py
+++ b/src/springmux/simulation/checkers/violation.py
@@ -10,7 +10,7 @@
 
 
 class Violation(msgspec.Struct, frozen=True):
-    """One violated guarantee: the rule, the time, the nodes, and a sentence on what happened."""
+    """One violated guarantee: the rule, the virtual time in seconds, the nodes, and a description."""
 
     rule: str
     at: float
--- a/src/springmux/simulation/deployments.py
+++ b/src/springmux/simulation/deployments.py
@@ -1,6 +1,6 @@
-"""Sizes of the two known deployments, for the simulated fleet.
+"""Sizes and traffic of the two example deployments, for the simulated fleet.
 
-They are those of the lab's experiment files, but independent of :mod:`springmux.lab`.
+The values equal those of the lab's experiment files, without a dependency on :mod:`springmux.lab`.
 """
 
 from __future__ import annotations
@@ -69,7 +69,7 @@
 
 
 class Deployment(msgspec.Struct, frozen=True, kw_only=True):
-    """One deployment at one size."""
+    """One deployment at one size. ``controllers``: number of nodes that hold the control state."""
 
     name: str
     zones: tuple[ZoneSize, ...]
@@ -78,10 +78,10 @@
     streams: tuple[StreamSize, ...]
     tenants: tuple[TenantSize, ...]
     minimum_ready_engines: int = 1
-    """The deployment's exception (docs/ROLLOUT.md)."""
+    """Override of the default in the deployment's configuration, under ``exceptions`` (docs/ROLLOUT.md)."""
 
     def places(self) -> list[HollowPlace]:
-        """Return the machines, controllers first in each zone."""
+        """Return the machines of all zones; the first ones, by zones in turn, are controllers."""
         return places_by_zone({size.zone: size.nodes for size in self.zones}, self.controllers)
 
     def models(self) -> BackendSize:
--- a/src/springmux/simulation/engine_model.py
+++ b/src/springmux/simulation/engine_model.py
@@ -1,7 +1,7 @@
-"""Model of a back end: prefix cache, prefill beside decode, queueing, and a version's behaviour.
+"""Model of an engine: prefix cache, concurrent prefill and decode, queueing, and a version's behaviour.
 
-One model serves the stand-in engines of ``lab/`` (real time) and the hollow engines of the
-simulation (virtual time): it is pure, and its caller does the waiting.
+The emulated engines of ``lab/`` (real time) and the hollow engines of the simulation (virtual time) share
+this model. It is pure: it computes delays, and its caller waits.
 """
 
 from __future__ import annotations
@@ -19,11 +19,14 @@
 """Prompt bytes per cache block; about 256 tokens of four bytes."""
 
 BYTES_PER_TOKEN = 4
-"""Rough size of a token in text; the usual figure for English."""
+"""Approximate size of a token in text; the usual value for English."""
 
 
 class EngineSpec(msgspec.Struct, frozen=True, kw_only=True):
-    """Speed and size of one engine. Defaults give about 0.1 s to the first token of a cold long prompt."""
+    """Speed and size of one engine.
+
+    With the defaults the first token of a long prompt without a cached prefix takes about 0.1 s.
+    """
 
     slots: int = 16
     prefill_tokens_per_s: float = 40_000.0
@@ -36,10 +39,10 @@
 
 
 class VersionBehaviour(msgspec.Struct, frozen=True, kw_only=True):
-    """How a version departs from a good one. Shares in 0..1, factors 1.0 for no change.
+    """How a version differs from a good one. Shares are 0..1, factors 1.0 for no change.
 
-    The departure holds only once ``after_s`` have passed since ``bad_since`` was set on the model,
-    on engines with at least ``above_running`` requests, and on ``route`` (empty: on every route).
+    The version is degraded only once ``after_s`` seconds have passed since the model's ``bad_since``, on
+    engines with at least ``above_running`` requests, and on ``route`` (empty: on every route).
     """
 
     error_share: float = 0.0
@@ -57,8 +60,8 @@
 GOOD = VersionBehaviour()
 
 
-class AnswerFault(enum.StrEnum):
-    """What goes wrong with one answer."""
+class ResponseFault(enum.StrEnum):
+    """Fault of one response."""
 
     NONE = "none"
     ERROR = "error"
@@ -68,21 +71,21 @@
     GARBAGE = "garbage"
 
 
-class AnswerPlan(msgspec.Struct, frozen=True):
-    """What the engine will do with one request once it has a slot. ``cut_after``: pieces before a cut.
+class ResponsePlan(msgspec.Struct, frozen=True):
+    """Planned response of an engine to a request that has a slot. ``cut_after``: chunks before a cut.
 
-    ``departs``: the answer is a bad one (a fault, or slower than a good version's).
+    ``degraded``: whether the response is worse than a good version's: faulty or slower.
     """
 
-    fault: AnswerFault
-    first_piece_delay_s: float
+    fault: ResponseFault
+    first_chunk_delay_s: float
     cached_share: float
     cut_after: int = 0
-    departs: bool = False
+    degraded: bool = False
 
 
 class PrefixCache:
-    """Least-recently-used cache of prompt blocks, each named by the hash of all text before its end."""
+    """Least-recently-used cache of prompt blocks, keyed by the hash of the prompt up to the block's end."""
 
     def __init__(self, capacity_blocks: int) -> None:
         self._capacity_blocks = capacity_blocks
@@ -90,11 +93,11 @@
 
     @property
     def used_share(self) -> float:
-        """Return how full the cache is, 0..1."""
+        """Return the fraction of the cache in use, 0..1."""
         return len(self._blocks) / self._capacity_blocks
 
     def lookup_and_store(self, blocks: list[int]) -> int:
-        """Return how many leading blocks were cached, and keep them all."""
+        """Return the number of leading blocks that were cached, and cache all of them."""
         hits = 0
         for block in blocks:
             if block not in self._blocks:
@@ -109,7 +112,7 @@
 
 
 def prompt_blocks(prompt: bytes) -> list[int]:
-    """Return the chained hashes of the whole blocks of ``prompt``."""
+    """Return the chained hashes of the complete blocks of ``prompt``."""
     digest = xxhash.xxh3_64()
     blocks = []
     for start in range(0, len(prompt) - CACHE_BLOCK_BYTES + 1, CACHE_BLOCK_BYTES):
@@ -119,7 +122,7 @@
 
 
 class EngineModel:
-    """State of one engine: who runs, who waits, what is cached, until when prefill is busy."""
+    """State of one engine: running and queued requests, the cache, and the end of the current prefill."""
 
     def __init__(self, spec: EngineSpec, behaviour: VersionBehaviour, source: random.Random) -> None:
         self.spec = spec
@@ -142,7 +145,7 @@
         return len(self._waiting)
 
     def arrive(self, request: RequestId) -> bool:
-        """Accept a request; return whether it gets a slot at once, or else waits in order."""
+        """Accept a request; return whether it gets a slot now. Otherwise it is queued."""
         if len(self._running) < self.spec.slots:
             self._running.add(request)
             return True
@@ -150,7 +153,7 @@
         return False
 
     def leave(self, request: RequestId) -> RequestId | None:
-        """Remove a request (ended, or its caller gone); return the waiting one that gets the slot."""
+        """Remove a request that ended or was cancelled; return the queued request that gets its slot."""
         if request in self._waiting:
             self._waiting.remove(request)
             return None
@@ -161,8 +164,11 @@
             return successor
         return None
 
-    def plan(self, prompt: bytes, route: RouteName, now: float) -> AnswerPlan:
-        """Start a request that has its slot: prefill what is not cached, after the prefills before it."""
+    def plan(self, prompt: bytes, route: RouteName, now: float) -> ResponsePlan:
+        """Plan the response to a request that has a slot.
+
+        The uncached part of its prompt is prefilled after the prefills before it.
+        """
         blocks = prompt_blocks(prompt)
         hits = self.cache.lookup_and_store(blocks)
         uncached_bytes = len(prompt) - hits * CACHE_BLOCK_BYTES
@@ -170,35 +176,35 @@
         begin = max(now, self._prefill_busy_until)
         self._prefill_busy_until = begin + prefill_s
         delay_s = (self._prefill_busy_until - now + self.spec.fixed_delay_s) * self._jitter()
-        bad = self._departs(route, now)
+        bad = self._is_degraded(route, now)
         if bad:
             delay_s *= self.behaviour.first_token_factor
-        fault = self._draw_fault() if bad else AnswerFault.NONE
+        fault = self._draw_fault() if bad else ResponseFault.NONE
         cached_share = hits / len(blocks) if blocks else 0.0
         slower = bad and max(self.behaviour.first_token_factor, self.behaviour.gap_factor) > 1.0
-        return AnswerPlan(
+        return ResponsePlan(
             fault,
             delay_s,
             cached_share,
             cut_after=self._random.randint(1, 4),
-            departs=slower or fault is not AnswerFault.NONE,
+            degraded=slower or fault is not ResponseFault.NONE,
         )
 
-    def piece_gap_s(self, route: RouteName, now: float) -> float:
-        """Return the time to the next piece: slower with more requests, and beside a prefill."""
+    def chunk_gap_s(self, route: RouteName, now: float) -> float:
+        """Return the seconds to the next chunk; more with many running requests and during a prefill."""
         spec = self.spec
         fullness = min(1.0, len(self._running) / spec.slots)
         gap_s = spec.decode_gap_s + (spec.decode_gap_full_s - spec.decode_gap_s) * fullness
         if self._prefill_busy_until > now:
             gap_s *= spec.prefill_interference
-        if self._departs(route, now):
+        if self._is_degraded(route, now):
             gap_s *= self.behaviour.gap_factor
         return gap_s * self._jitter()
 
     def _jitter(self) -> float:
         return 1.0 + self.spec.jitter * (2.0 * self._random.random() - 1.0)
 
-    def _departs(self, route: RouteName, now: float) -> bool:
+    def _is_degraded(self, route: RouteName, now: float) -> bool:
         behaviour = self.behaviour
         if behaviour is GOOD:
             return False
@@ -210,18 +216,18 @@
             return True
         return self.bad_since is not None and now - self.bad_since >= behaviour.after_s
 
-    def _draw_fault(self) -> AnswerFault:
+    def _draw_fault(self) -> ResponseFault:
         behaviour = self.behaviour
         shares = (
-            (behaviour.error_share, AnswerFault.ERROR),
-            (behaviour.cut_share, AnswerFault.CUT),
-            (behaviour.wrong_id_share, AnswerFault.WRONG_ID),
-            (behaviour.silent_share, AnswerFault.SILENT),
-            (behaviour.garbage_share, AnswerFault.GARBAGE),
+            (behaviour.error_share, ResponseFault.ERROR),
+            (behaviour.cut_share, ResponseFault.CUT),
+            (behaviour.wrong_id_share, ResponseFault.WRONG_ID),
+            (behaviour.silent_share, ResponseFault.SILENT),
+            (behaviour.garbage_share, ResponseFault.GARBAGE),
         )
         draw = self._random.random()
         for share, fault in shares:
             if draw < share:
                 return fault
             draw -= share
-        return AnswerFault.NONE
+        return ResponseFault.NONE
--- a/src/springmux/simulation/flow_driver.py
+++ b/src/springmux/simulation/flow_driver.py
@@ -1,4 +1,4 @@
-"""Drives a hollow node's request flows: their events, effects, timers and claims, without sockets."""
+"""Runs the request flows of a hollow node: their events, effects, timers and claims, without sockets."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 
 class FlowInput(Event, frozen=True):
-    """An event of a running request: data from its engine, or its client disconnected."""
+    """An event of a running request: data from its engine, or the disconnection of its client."""
 
     request: RequestId
     event: Event
 
 
 class FlowOutput(Effect, frozen=True):
-    """An effect of a flow outside the node."""
+    """An effect of a flow on its client or engine, outside the node."""
 
     request: RequestId
     effect: Effect
@@ -42,7 +42,7 @@
 
 
 NO_REQUEST = RequestId("")
-"""Request of an output that belongs to the router itself."""
+"""Request id of outputs that belong to the router itself."""
 
 
 class FlowDriver:
@@ -63,53 +63,53 @@
         agent.router.set_probe_listener(self._to_probe.append)
 
     def next_deadline(self) -> float:
-        """Return when the next tick is due, or ``NEVER``."""
+        """Return the time of the next tick, or ``NEVER``."""
         return self._timers[0][0] if self._timers else NEVER
 
-    def arrive(self, request: ClientRequest, now: float) -> list[Effect]:
-        """Open a flow for a client's request; return the effects outside the flows."""
+    def open(self, request: ClientRequest, now: float) -> list[Effect]:
+        """Start a flow for a client's request; return the effects to execute outside the flows."""
         flow = self._agent.router.open(request, now)
         self._flows[request.request_id] = flow
-        return self._run_woken(self._give(request.request_id, RequestBegun(), now), now)
+        return self._run_woken(self._deliver(request.request_id, RequestBegun(), now), now)
 
-    def take(self, request: RequestId, event: Event, now: float) -> list[Effect]:
-        """Handle one event of a flow; events of ended flows are ignored."""
-        return self._run_woken(self._give(request, event, now), now)
+    def handle(self, request: RequestId, event: Event, now: float) -> list[Effect]:
+        """Handle one event of a flow. Events of ended flows are ignored."""
+        return self._run_woken(self._deliver(request, event, now), now)
 
     def tick(self, now: float) -> list[Effect]:
-        """Send ticks to the flows that are due."""
+        """Deliver ticks to the flows whose deadline has passed."""
         effects: list[Effect] = []
         while self._timers and self._timers[0][0] <= now:
             at, request = heapq.heappop(self._timers)
             if self._armed.get(request) != at:
                 continue
             del self._armed[request]
-            effects += self._give(request, Tick(), now)
+            effects += self._deliver(request, Tick(), now)
         return self._run_woken(effects, now)
 
-    def after_agent(self, effects: list[Effect], now: float) -> list[Effect]:
-        """Deliver the agent's decisions to the flows; return the effects outside the node's flows."""
+    def handle_agent_effects(self, effects: list[Effect], now: float) -> list[Effect]:
+        """Deliver the agent's decisions to the flows; return the effects to execute outside the flows."""
         outward: list[Effect] = []
         for effect in effects:
             outward.append(effect)
             if isinstance(effect, ClaimAnswered):
                 request = self._claims.pop(effect.correlation_id, None)
                 if request is not None:
-                    outward += self._give(request, ClaimDecided(decision=effect.decision), now)
+                    outward += self._deliver(request, ClaimDecided(decision=effect.decision), now)
             elif isinstance(effect, FlowsRevoked):
                 for flow in effect.flows:
-                    outward += self._give(flow.request.request_id, KeyRevoked(), now)
+                    outward += self._deliver(flow.request.request_id, KeyRevoked(), now)
         return self._run_woken(outward, now)
 
     def _run_woken(self, effects: list[Effect], now: float) -> list[Effect]:
-        """Run the flows that were woken meanwhile; add the probes that were requested."""
+        """Run the flows that the router woke, and add the probes that it requested to ``effects``."""
         while self._woken:
-            effects += self._give(self._woken.pop(0), Tick(), now)
+            effects += self._deliver(self._woken.pop(0), Tick(), now)
         effects += [FlowOutput(NO_REQUEST, ProbeEngine(record)) for record in self._to_probe]
         self._to_probe.clear()
         return effects
 
-    def _give(self, request: RequestId, event: Event, now: float) -> list[Effect]:
+    def _deliver(self, request: RequestId, event: Event, now: float) -> list[Effect]:
         flow = self._flows.get(request)
         if flow is None:
             return []
@@ -134,7 +134,7 @@
         if isinstance(effect, SettleClaim):
             correlation_id = self._correlation_ids.get(request, "")
             settled = ClaimSettled(correlation_id, effect.claim_key, effect.ran, effect.answer)
-            return self.after_agent(self._agent.handle(settled, now), now)
+            return self.handle_agent_effects(self._agent.handle(settled, now), now)
         if isinstance(effect, LogLine):
             return [effect]
         if isinstance(effect, FlowDone):
@@ -146,7 +146,7 @@
         correlation_id = f"{self._boot_name}/{self._correlation_ids_made}"
         self._claims[correlation_id] = request
         self._correlation_ids[request] = correlation_id
-        return self.after_agent(
+        return self.handle_agent_effects(
             self._agent.handle(ClaimRequested(correlation_id, effect.claim_key), now), now
         )
 
--- a/src/springmux/simulation/history.py
+++ b/src/springmux/simulation/history.py
@@ -1,4 +1,4 @@
-"""Recorded history of a run, as the checkers read it: typed records in the order of virtual time.
+"""Recorded history of a run, as the checkers read it: typed records in the order of virtual time in seconds.
 
 The encoded field names are part of a run's transcript digest.
 """
@@ -25,7 +25,7 @@
 
 
 class Dispatched(msgspec.Struct, frozen=True):
-    """A node sent a request to an engine. ``revision``: of the control state that the node applied then."""
+    """A node sent a request to an engine. ``revision``: the node's control state at that time."""
 
     at: float
     node: NodeId
@@ -55,7 +55,7 @@
 
 
 class BadResponse(msgspec.Struct, frozen=True):
-    """A node received a response worse than a good version's: failed, malformed, missing, or slow."""
+    """A node received a response worse than a good version's: failed, malformed, missing or slow."""
 
     at: float
     service: ServiceName
@@ -66,9 +66,9 @@
 class ClientAttempt(msgspec.Struct, frozen=True, kw_only=True):
     """Outcome of one attempt of a client to get a request served.
 
-    ``complete``: the client received the complete response. ``fault``: a guarantee that the client itself
-    found broken, empty for none. ``tokens``: prompt and response tokens as the engine counted them, 0 without
-    a complete response. ``response_action``: the action that the response names.
+    ``complete``: the client received the complete response. ``fault``: a violated guarantee that the client
+    itself detected, empty for none. ``tokens``: prompt and response tokens as the engine counted them, 0
+    without a complete response. ``response_action``: the action that the response names.
     """
 
     sent_at: float
--- a/src/springmux/simulation/hollow_disk.py
+++ b/src/springmux/simulation/hollow_disk.py
@@ -32,9 +32,9 @@
 from springmux.storage.replica_store import ReplicaStore
 
 USUAL_SYNC_S = 0.002
-"""Duration of a sync (docs/CAPACITY.md)."""
-STALL_REPORTED_S = 0.25
-"""Interval at which a stall is reported (``node.storage_worker.STALL_AFTER_S``)."""
+"""Usual duration of a sync in seconds (docs/CAPACITY.md)."""
+STALL_REPORT_PERIOD_S = 0.25
+"""Seconds between reports of a stall, as ``node.storage_worker.STALL_AFTER_S``."""
 SMALL_RESERVE_BYTES = 64 * 1024
 SEGMENT_BYTES = 256 * 1024
 
@@ -58,12 +58,12 @@
         self._store: ReplicaStore | None = None
         self._journal: ClaimJournal | None = None
         self.claims: RecoveredClaims | None = None
-        """What the claim journal held at the last :meth:`open`."""
+        """Claims that the journal contained at the last :meth:`open`."""
         self._peer_list = PeerList(self.disk, "fleet")
         self.remembered: tuple[RememberedPeer, ...] = ()
-        """What the list of peers held at the last :meth:`open`."""
+        """Peers that the peer list contained at the last :meth:`open`."""
         self.first_start = False
-        """Whether the replica last opened was made at the first start of the whole system."""
+        """Whether the replica last opened was created at the first start of the whole system."""
         self._free_at = 0.0
         self._boot = 0
 
@@ -98,12 +98,12 @@
         return None
 
     def stop(self) -> None:
-        """Handle the end of the process: its queued effects are not written."""
+        """Handle the end of the process: its queued effects are discarded."""
         self._boot += 1
         self._store = None
 
     def power_cut(self) -> None:
-        """Handle a power loss: a random part of what was not synced survives."""
+        """Handle a power loss: a random part of the data that was not synced survives."""
         self.stop()
         self.disk.power_cut(self._random)
 
@@ -119,10 +119,10 @@
     def stall(self, seconds: float) -> None:
         """Delay the end of every sync until ``seconds`` have passed."""
         self.stalled_until = self._now() + seconds
-        self._watch_stall()
+        self._report_stall()
 
     def submit(self, effect: StorageEffect) -> None:
-        """Queue ``effect``: it is written halfway through its sync and reported at the end."""
+        """Queue ``effect``: it is written halfway through its sync, and its result reported at the end."""
         begin = max(self._now(), self._free_at)
         end = max(begin + self.sync_s, self.stalled_until)
         self._free_at = end
@@ -144,13 +144,13 @@
         self._scheduler.at(written_at, write)
         self._scheduler.at(end, report)
 
-    def _watch_stall(self) -> None:
+    def _report_stall(self) -> None:
         if self._now() >= self.stalled_until:
             return
         waiting = self._free_at > self._now()
         if waiting and self._store is not None:
-            self._deliver(DiskStalled(STALL_REPORTED_S))
-        self._scheduler.after(STALL_REPORTED_S, self._watch_stall)
+            self._deliver(DiskStalled(STALL_REPORT_PERIOD_S))
+        self._scheduler.after(STALL_REPORT_PERIOD_S, self._report_stall)
 
     def _carry_out(self, store: ReplicaStore, effect: StorageEffect) -> Event | None:
         try:
--- a/src/springmux/simulation/hollow_fleet.py
+++ b/src/springmux/simulation/hollow_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of hollow nodes in one virtual world, with disks, faults and operators' orders."""
+"""A fleet of hollow nodes in one simulated world, with disks, faults and operators' orders."""
 
 from __future__ import annotations
 
@@ -40,11 +40,11 @@
 
 SEED_NODES = 3
 RESTART_AS_NEW_S = 0.5
-"""A supervisor starts a stopped process again within this."""
+"""Seconds within which a supervisor restarts a stopped process."""
 
 
 class HollowPlace(msgspec.Struct, frozen=True):
-    """One machine of a hollow fleet."""
+    """One machine of a hollow fleet. ``controller``: whether it has a disk for the control state."""
 
     node: NodeId
     zone: ZoneName
@@ -64,7 +64,7 @@
         """Handle the decision on a request's claim."""
 
     def flows_revoked(self, node: NodeId, revoked: FlowsRevoked, now: float) -> None:
-        """Handle the revocation of the key of running requests."""
+        """Handle the revocation of a key that running requests use."""
 
     def readiness_changed(self, node: NodeId, change: ReadinessChanged, now: float) -> None:
         """Handle a change of a node's readiness."""
@@ -80,7 +80,7 @@
 
 
 class HollowFleet:
-    """Machines, their disks and their addresses; also the world's hooks."""
+    """Machines with their disks and addresses; implements the world's hooks."""
 
     def __init__(
         self,
@@ -100,9 +100,9 @@
         self._controllers_expected = controllers_expected
         self._losses_tolerated = losses_tolerated
         self.first_start = True
-        """Whether nodes that start from now on take part in the first start of the system."""
+        """Whether nodes started from now on take part in the first start of the system."""
         self.seeds: tuple[Address, ...] = ()
-        """The seed addresses in the settings of nodes that start from now on."""
+        """Seed addresses in the settings of nodes started from now on."""
         self._disks: dict[NodeId, HollowDisk] = {}
         self._correlation_ids = 0
         for number, place in enumerate(places):
@@ -110,7 +110,7 @@
         self.seeds = self._first_seeds()
 
     def add_machine(self, place: HollowPlace) -> None:
-        """Add an empty machine at a new address; it runs from its first ``Restart``."""
+        """Add an empty machine at a new address; its first ``Restart`` starts it."""
         number = len(self._places)
         self._places[place.node] = place
         self._add(place, Address(f"10.1.{number // 250}.{number % 250 + 1}:7000"))
@@ -124,7 +124,10 @@
     def _make_disk(self, node: NodeId) -> HollowDisk:
         world = self.world
         return HollowDisk(
-            world.scheduler, lambda: world.now, lambda event: world.give(node, event), f"{self._seed} {node}"
+            world.scheduler,
+            lambda: world.now,
+            lambda event: world.deliver(node, event),
+            f"{self._seed} {node}",
         )
 
     def _builder(self, place: HollowPlace) -> Callable[[int], Process]:
@@ -163,7 +166,7 @@
         return self._listeners.get(address)
 
     def move(self, node: NodeId, address: Address) -> None:
-        """Give a machine another address, in force from its next start."""
+        """Assign a machine another address, which takes effect at its next start."""
         left = self.addresses.get(node)
         if left is not None and self._listeners.get(left) == node:
             del self._listeners[left]
@@ -171,7 +174,7 @@
         self._listeners[address] = node
 
     def agent(self, node: NodeId) -> NodeAgent | None:
-        """Return the running agent of a node."""
+        """Return the agent of a node, or ``None`` if the node is down."""
         process = self.world.process(node)
         return process.agent if isinstance(process, HollowNode) else None
 
@@ -189,7 +192,7 @@
         return {node: agent for node, agent in found.items() if agent is not None}
 
     def leader(self) -> NodeId | None:
-        """Return the node that leads, as it knows itself, if exactly one does."""
+        """Return the node that considers itself the leader, if there is exactly one."""
         leading = [node for node, agent in self.agents().items() if agent.status().leading]
         return leading[0] if len(leading) == 1 else None
 
@@ -206,7 +209,7 @@
 
     def submit_as(self, correlation_id: str, node: NodeId, command: AnyCommand) -> None:
         """Submit a command to a node under a correlation id that the caller already knows."""
-        self.world.give(node, OrderSubmitted(correlation_id, command))
+        self.world.deliver(node, OrderSubmitted(correlation_id, command))
 
     def run_until(self, condition: Callable[[], bool], within_s: float, step_s: float = 0.05) -> bool:
         """Run the world until ``condition`` holds; return whether it did within ``within_s`` seconds."""
@@ -225,7 +228,7 @@
     # World hooks
 
     def on_effect(self, node: NodeId, effect: Effect, now: float) -> None:
-        """Carry out an effect that the world itself does not handle."""
+        """Execute an effect that the world itself does not handle."""
         if isinstance(effect, FlowOutput):
             for observer in self.observers:
                 observer.flow_output(node, effect, now)
@@ -243,10 +246,10 @@
         if agent is not None:
             for command in effect.commands:
                 agent.control.prepare(command)
-            self.world.scheduler.at(self.world.now, lambda: self.world.give(node, CommandsPrepared()))
+            self.world.scheduler.at(self.world.now, lambda: self.world.deliver(node, CommandsPrepared()))
 
     def _replica_stopped(self, node: NodeId, effect: ReplicaStopped) -> None:
-        """Restart a replica that may start as new with an empty folder, as the daemon does."""
+        """Wipe and restart a replica that may start as new, as the daemon does."""
         if not effect.restart_as_new:
             return
         self._disks[node].wipe()
--- a/src/springmux/simulation/hollow_node.py
+++ b/src/springmux/simulation/hollow_node.py
@@ -1,8 +1,8 @@
-"""A whole node in virtual time: the real agent, a disk in memory, no sockets.
+"""A complete node in virtual time: the real agent with an in-memory disk and without sockets.
 
-Requests run through the real flows (:class:`~springmux.simulation.flow_driver.FlowDriver`).
-Runs as a :class:`~springmux.simulation.world.world.Process`. Messages travel in an envelope as on the
-wire, so that a node learns terms, leaders and revisions in the same way.
+Requests run through the real flows (:class:`~springmux.simulation.flow_driver.FlowDriver`). The node is a
+:class:`~springmux.simulation.world.world.Process`. Messages are sent in an envelope as on the wire, so that
+a node learns terms, leaders and revisions in the same way.
 """
 
 from __future__ import annotations
@@ -35,10 +35,10 @@
 class HollowNode:
     """One boot of a node.
 
-    :param recovered: what its disk held, or ``None`` without one.
-    :param claims: what its claim journal held, or ``None`` without one.
-    :param remembered: the peers that its disk kept.
-    :param find_node: the node that listens at an address now, if any.
+    :param recovered: state recovered from the disk, or ``None`` without one.
+    :param claims: claims recovered from the claim journal, or ``None`` without one.
+    :param remembered: peers recovered from the disk.
+    :param find_node: returns the node that listens at an address now, if any.
     """
 
     def __init__(
@@ -58,47 +58,47 @@
         self._agent_deadline = 0.0
 
     def start(self, now: float) -> list[Effect]:
-        """Begin at monotonic time ``now``."""
-        return self._outward(self.agent.start(now))
+        """Start at monotonic time ``now``; return the effects to execute."""
+        return self._wrap_all(self.agent.start(now))
 
     def handle(self, event: Event, now: float) -> list[Effect]:
         """Handle one event; return the effects to execute."""
         if isinstance(event, FlowInput):
-            return self._take_flow_input(event, now)
+            return self._handle_flow_input(event, now)
         if isinstance(event, ClientRequestArrived):
-            return self._outward(self.flows.arrive(event.request, now))
+            return self._wrap_all(self.flows.open(event.request, now))
         if isinstance(event, MessageReceived) and isinstance(event.message, Enveloped):
             return self._receive(event.sender, event.message, now)
         if isinstance(event, Tick):
             return self._tick(event, now)
-        return self._outward(self.flows.after_agent(self.agent.handle(event, now), now))
+        return self._wrap_all(self.flows.handle_agent_effects(self.agent.handle(event, now), now))
 
     def next_deadline(self) -> float:
-        """Return when a tick is due."""
+        """Return the time of the next tick."""
         return min(self._agent_deadline, self.flows.next_deadline())
 
-    def _take_flow_input(self, event: FlowInput, now: float) -> list[Effect]:
-        effects = self.flows.take(event.request, event.event, now)
-        # A piece passed on moves none of the agent's deadlines; this is the most frequent event.
-        return effects if isinstance(event.event, UpstreamData) else self._outward(effects)
+    def _handle_flow_input(self, event: FlowInput, now: float) -> list[Effect]:
+        effects = self.flows.handle(event.request, event.event, now)
+        # Forwarding a chunk changes none of the agent's deadlines; this is the most frequent event.
+        return effects if isinstance(event.event, UpstreamData) else self._wrap_all(effects)
 
     def _tick(self, event: Tick, now: float) -> list[Effect]:
         effects: list[Effect] = []
         if self.agent.next_deadline() <= now:
-            effects = self.flows.after_agent(self.agent.handle(event, now), now)
-        return self._outward(effects + self.flows.tick(now))
+            effects = self.flows.handle_agent_effects(self.agent.handle(event, now), now)
+        return self._wrap_all(effects + self.flows.tick(now))
 
     def _receive(self, sender: NodeId, envelope: Enveloped, now: float) -> list[Effect]:
         effects: list[Effect] = []
         position = self.agent.log_position
         if envelope.leader and (envelope.term > position.term or position.leader is None):
             effects += self.agent.handle(LeaderObserved(envelope.term, envelope.leader), now)
-        heard = PeerRevisionObserved(sender, envelope.term, envelope.revision)
-        effects += self.agent.handle(heard, now)
+        observed = PeerRevisionObserved(sender, envelope.term, envelope.revision)
+        effects += self.agent.handle(observed, now)
         effects += self.agent.handle(MessageReceived(sender, envelope.message), now)
-        return self._outward(self.flows.after_agent(effects, now))
+        return self._wrap_all(self.flows.handle_agent_effects(effects, now))
 
-    def _outward(self, effects: list[Effect]) -> list[Effect]:
+    def _wrap_all(self, effects: list[Effect]) -> list[Effect]:
         self._agent_deadline = self.agent.next_deadline()
         wrapped = (self._wrap(effect) for effect in effects)
         return [effect for effect in wrapped if effect is not None]
@@ -106,14 +106,14 @@
     def _wrap(self, effect: Effect) -> Effect | None:
         if isinstance(effect, Send):
             record = self.agent.membership.nodes.get(effect.to)
-            # As in the daemon: a node without a known address can't be written to.
-            return self._posted(record.peer_address, effect.message) if record is not None else None
+            # As in the daemon: nothing can be sent to a node whose address is unknown.
+            return self._send_to_listener(record.peer_address, effect.message) if record is not None else None
         if isinstance(effect, SendToAddress):
-            return self._posted(effect.address, effect.message)
+            return self._send_to_listener(effect.address, effect.message)
         return effect
 
-    def _posted(self, address: Address, message: PeerMessage) -> Effect | None:
-        """Return the send to whoever listens at ``address`` now."""
+    def _send_to_listener(self, address: Address, message: PeerMessage) -> Effect | None:
+        """Return the effect that sends to the node listening at ``address`` now, if there is one."""
         target = self._find_node(address)
         return Send(target, self._envelope(message)) if target is not None else None
 
--- a/src/springmux/simulation/operators.py
+++ b/src/springmux/simulation/operators.py
@@ -1,4 +1,4 @@
-"""Simulated operators: send orders to any node, resend them elsewhere after lost replies, and race."""
+"""Simulated operators: send orders to any node, resend them after lost replies, and send conflicting ones."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 from springmux.vocabulary.names import KeyDigest, KeyId, OrderId, RolloutId, ServiceName, TenantName
 
 REPLY_TIMEOUT_S = 7.0
-"""An operator waits this long for a reply, a little longer than a node does."""
+"""Seconds that an operator waits for a reply, a little longer than a node does."""
 MAX_SENDS = 12
 LOST_REPLIES = 0.25
-"""Fraction of replies that are lost on their way back."""
+"""Fraction of the replies that never reach their operator, 0..1."""
 RESEND_AFTER_S = 0.4
 
 
@@ -185,7 +185,7 @@
         return PutKey(order=self.new_order(), key=key_id(tenant, number), digest=digest, tenant=tenant)
 
     def _newest_version(self) -> int:
-        """Return the newest configuration version that any node reports, as an operator would read it."""
+        """Return the newest configuration version that any running node has, as an operator would read it."""
         agents = self._fleet.agents().values()
         return max((agent.view.configuration.version for agent in agents), default=0)
 
--- a/src/springmux/simulation/placement/__init__.py
+++ b/src/springmux/simulation/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Many nodes in front of model engines in virtual time: what a choice of engines is worth, on one trace.
+"""Simulation of engine placement: many nodes in front of model engines, to compare policies on one trace.
 
-Pure, seeded. May import ``gateway`` and below.
+Pure and seeded. May import ``gateway`` and below.
 """
--- a/src/springmux/simulation/placement/comparison.py
+++ b/src/springmux/simulation/placement/comparison.py
@@ -12,10 +12,10 @@
 from springmux.simulation.placement.world import Chooser, LoadExchange, World
 
 WARM_UP_S = 15.0
-"""By then caches are filled and rates are known."""
+"""Seconds after which caches are filled and rates are known; earlier requests are not measured."""
 LARGEST_FRACTION = 0.1
 LATE_VALUE = 0.3
-"""Fraction of its weight that a late response earns."""
+"""Fraction of its weight that a late response earns; one within its target earns all."""
 
 
 class Result(msgspec.Struct, frozen=True):
@@ -29,8 +29,9 @@
 class KindResult(msgspec.Struct, frozen=True):
     """Results of one kind's prompts after the warm-up.
 
-    ``late``: fraction beyond the latency target. ``largest_late``: the same of the largest tenth. ``p95_s``:
-    95th percentile of the time to the first event. ``kept``: fraction of the shared tokens in the cache.
+    ``late``: fraction beyond the latency target. ``largest_late``: the same among the largest tenth.
+    ``p95_s``: 95th percentile of the time to the first event. ``kept``: fraction of the shared tokens that
+    were in the cache.
     """
 
     kind: str
@@ -56,7 +57,10 @@
     shape: EngineShape,
     exchange: LoadExchange | None = None,
 ) -> Result:
-    """Run the trace under ``placement``, ``random`` or ``least_loaded`` (own requests in flight)."""
+    """Run the trace under one policy and return its results.
+
+    :param policy: ``placement``, ``random``, or ``least_loaded`` by the node's own requests in flight.
+    """
     world = World(nodes, engines, seed, shape, exchange)
     source = random.Random(seed)
 
--- a/src/springmux/simulation/placement/engine.py
+++ b/src/springmux/simulation/placement/engine.py
@@ -1,7 +1,7 @@
 """Model of an engine in virtual time: continuous batching in steps, chunked prefill, and a prefix cache.
 
-Each step takes a fixed time, some more for each running request, and the time of the prefill chunk that it
-processes, so that a long prompt delays everybody's tokens (chunked prefill: Agrawal et al. 2024,
+A step takes a fixed time, an additional time for each running request, and the time of the prefill chunk
+that it processes, so a long prompt delays the tokens of all requests (chunked prefill: Agrawal et al. 2024,
 Sarathi-Serve). The cache holds the prefix segments of running and past prompts and evicts the least recently
 used. A cached segment counts only if all segments before it are cached.
 """
@@ -20,18 +20,18 @@
 class EngineShape:
     """Speed and size of an engine.
 
-    ``step_slot_s``: added to a step for each running request. ``piece_tokens``: largest prefill chunk of one
-    step. ``pair_s``: attention time for each pair of a processed token and an earlier one. ``first_s``: delay
-    before each first event.
+    ``step_s``: fixed duration of a step. ``step_request_s``: added to a step for each running request.
+    ``first_event_delay_s``: delay before each first event. ``attention_pair_s``: attention time for each pair
+    of a processed token and an earlier one. ``chunk_tokens``: largest prefill chunk of one step.
     """
 
     slots: int = 64
     step_s: float = 0.005
-    step_slot_s: float = 0.0
-    first_s: float = 0.0
+    step_request_s: float = 0.0
+    first_event_delay_s: float = 0.0
     prefill_tokens_per_s: float = 51_000.0
-    pair_s: float = 0.0
-    piece_tokens: int = 512
+    attention_pair_s: float = 0.0
+    chunk_tokens: int = 512
     cache_tokens: int = 511_570
 
 
@@ -95,14 +95,14 @@
     def prefill(self) -> tuple[list[Request], float]:
         """Process one chunk of the oldest prompts; return the finished ones and the time taken in seconds."""
         shape = self.shape
-        budget_tokens, seconds = shape.piece_tokens, 0.0
+        budget_tokens, seconds = shape.chunk_tokens, 0.0
         ready = []
         while self.prefilling and budget_tokens > 0:
             head = self.prefilling[0]
             chunk = min(budget_tokens, head.remaining_tokens)
             seconds += (
                 chunk / shape.prefill_tokens_per_s
-                + chunk * (head.processed_tokens + chunk / 2) * shape.pair_s
+                + chunk * (head.processed_tokens + chunk / 2) * shape.attention_pair_s
             )
             head.remaining_tokens -= chunk
             head.processed_tokens += chunk
--- a/src/springmux/simulation/placement/world.py
+++ b/src/springmux/simulation/placement/world.py
@@ -52,7 +52,7 @@
 
 
 Chooser = Callable[[int, Request, float], int]
-"""Chooses the index of an engine for a node, its request and the time."""
+"""Returns the index of the engine for a request, given the node, the request and the time."""
 
 
 def engine_records(count: int, slots: int) -> list[EngineRecord]:
@@ -64,7 +64,7 @@
 
 
 class World:
-    """Run a trace over nodes and engines.
+    """Runs a trace over nodes and engines.
 
     :param exchange: load reports between nodes; ``None`` for nodes that know their own requests only.
     """
@@ -147,11 +147,11 @@
             return
         running = engine.running
         ready, prefill_s = engine.prefill()
-        end = now + self._shape.step_s + running * self._shape.step_slot_s + prefill_s
+        end = now + self._shape.step_s + running * self._shape.step_request_s + prefill_s
         engine.step += 1
         for request in ready:
-            request.first_event_s = end + self._shape.first_s - request.at
-            self._schedule(end + self._shape.first_s, partial(self._first_event, request))
+            request.first_event_s = end + self._shape.first_event_delay_s - request.at
+            self._schedule(end + self._shape.first_event_delay_s, partial(self._first_event, request))
             last_step = engine.step + request.metadata.output_tokens
             heapq.heappush(engine.decoding, DecodingRequest(last_step, next(self._sequence), request))
         while engine.decoding and engine.decoding[0].last_step <= engine.step:
--- a/src/springmux/simulation/recorder.py
+++ b/src/springmux/simulation/recorder.py
@@ -1,4 +1,4 @@
-"""Record what the control plane of a hollow fleet does in the history."""
+"""Record the control plane's behaviour in a hollow fleet's history."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 SAMPLE_PERIOD_S = 0.25
 IN_FORCE_S = 2.0
-"""Every node applies a change within about this time after its acknowledgement."""
+"""Seconds from the acknowledgement of a change within which every connected node must apply it."""
 IN_FORCE_SLACK_S = 0.25
-"""Tolerance of ``IN_FORCE_S``."""
+"""Tolerance of ``IN_FORCE_S``, in seconds."""
 
 
 class Recorder(FleetObserver):
@@ -45,7 +45,7 @@
                 self._history.rollouts.append(seen)
 
     def order_answered(self, node: NodeId, answer: OrderAnswered, now: float) -> None:
-        """Sample every node at the time by which the order must be applied."""
+        """Schedule a sample of all nodes for the time by which the order must be applied."""
         if answer.result is not None:
             self._fleet.world.scheduler.after(IN_FORCE_S + IN_FORCE_SLACK_S, self.sample)
 
--- a/src/springmux/simulation/rollout_baselines.py
+++ b/src/springmux/simulation/rollout_baselines.py
@@ -1,6 +1,6 @@
-"""Simpler ways to roll out, to compare with: they replace components of the rollout within one process.
+"""Baselines to compare rollouts with: simpler variants that replace components within one process.
 
-They are no options of the product, so they are put in place from here, and only while a trial runs.
+They are not options of the product, so this module installs them, and only while a trial runs.
 """
 
 from __future__ import annotations
@@ -23,13 +23,13 @@
 UNLIMITED_CREDITS = 1_000_000
 FIXED_CANARY = 0.10
 """Paper, section V.C: "maybe 1% or 10% of the production traffic"."""
-THRESHOLD_ERRORS = 0.05
-THRESHOLD_ANSWERS = 20
-"""Errors among at least so many answers; values of our own for the comparison."""
+THRESHOLD_ERROR_SHARE = 0.05
+THRESHOLD_RESPONSES = 20
+"""Minimum number of responses before the error threshold applies."""
 
 
 class Variant(enum.StrEnum):
-    """How a trial rolls out. ``SPRINGMUX`` is the product itself."""
+    """Rollout method of a trial. ``SPRINGMUX`` is the product itself."""
 
     SPRINGMUX = "springmux"
     FIXED_CANARY = "fixed 10% canary, error threshold"
@@ -37,64 +37,64 @@
     NO_LEDGER = "no ledger"
 
     def plan(self, plan: RolloutPlan) -> RolloutPlan:
-        """Return the plan that the variant runs."""
+        """Return the rollout plan, changed as the variant needs."""
         if self is Variant.FIXED_CANARY:
             return msgspec.structs.replace(plan, canary_weight=FIXED_CANARY, steps=(1.0,))
         return plan
 
 
 class ThresholdJudge(Judge):
-    """Aborts when the candidate's share of errors is above a fixed one; looks at nothing else."""
+    """Aborts when the candidate's share of errors exceeds a fixed threshold, and checks nothing else."""
 
     def judge(self, evidence: EvidenceDigest) -> Verdict:
-        """Return the verdict."""
+        """Return whether to abort, from the candidate's error share alone."""
         total, bad = evidence.candidate_total, evidence.candidate_bad
-        if total >= THRESHOLD_ANSWERS and bad > THRESHOLD_ERRORS * total:
+        if total >= THRESHOLD_RESPONSES and bad > THRESHOLD_ERROR_SHARE * total:
             return Verdict(True, False, RolloutDecision("", "errors above the threshold", "threshold"))
         return Verdict(False, True, None)
 
 
-class WarmthBlindEvidenceTable(EvidenceTable):
-    """Compares every prompt of a route with every other, whatever was expected in the cache."""
+class CacheBlindEvidenceTable(EvidenceTable):
+    """Compares all prompts of a route with one another, regardless of their expected cache hits."""
 
     def record(self, outcome: PromptOutcome, now: float, watch: FirstTokenWatch | None = None) -> None:
-        """Record one outcome."""
+        """Record one outcome with a constant expected hit share and prompt size."""
         super().record(msgspec.structs.replace(outcome, expected_hit=0.5, prompt_bytes=1024), now, watch)
 
 
 def unlimited_pool(_plan: RolloutPlan, _phase: RolloutPhase, _totals: AccountTotals, _allowance: int) -> int:
-    """Stand in for the ledger's pool: there is always credit."""
+    """Replace the ledger's credit pool by one that never runs out."""
     return UNLIMITED_CREDITS
 
 
-class _Replaced(msgspec.Struct, frozen=True):
-    """A name of a module that stands for something else while a variant is in force."""
+class _Replacement(msgspec.Struct, frozen=True):
+    """Replacement of a module's attribute while a variant is applied."""
 
     module: ModuleType
     name: str
-    stand_in: object
+    replacement: object
 
 
-_JUDGED_BY_THRESHOLD = _Replaced(participant, "Judge", ThresholdJudge)
-_IGNORING_WARMTH = _Replaced(participant, "EvidenceTable", WarmthBlindEvidenceTable)
-_WITHOUT_LEDGER = _Replaced(issuer, "credit_pool", unlimited_pool)
-_REPLACED = {
+_THRESHOLD_JUDGE = _Replacement(participant, "Judge", ThresholdJudge)
+_CACHE_BLIND_TABLE = _Replacement(participant, "EvidenceTable", CacheBlindEvidenceTable)
+_UNLIMITED_POOL = _Replacement(issuer, "credit_pool", unlimited_pool)
+_REPLACEMENTS = {
     Variant.SPRINGMUX: (),
-    Variant.FIXED_CANARY: (_JUDGED_BY_THRESHOLD, _WITHOUT_LEDGER),
-    Variant.IGNORES_WARMTH: (_IGNORING_WARMTH,),
-    Variant.NO_LEDGER: (_WITHOUT_LEDGER,),
+    Variant.FIXED_CANARY: (_THRESHOLD_JUDGE, _UNLIMITED_POOL),
+    Variant.IGNORES_WARMTH: (_CACHE_BLIND_TABLE,),
+    Variant.NO_LEDGER: (_UNLIMITED_POOL,),
 }
 
 
 @contextmanager
-def in_force(variant: Variant) -> Iterator[None]:
-    """Put a variant's components in place of the product's until the block ends."""
-    replaced = _REPLACED[variant]
-    kept = [getattr(each.module, each.name) for each in replaced]
-    for each in replaced:
-        setattr(each.module, each.name, each.stand_in)
+def variant_applied(variant: Variant) -> Iterator[None]:
+    """Replace the product's components by those of a variant until the block ends."""
+    replacements = _REPLACEMENTS[variant]
+    originals = [getattr(each.module, each.name) for each in replacements]
+    for each in replacements:
+        setattr(each.module, each.name, each.replacement)
     try:
         yield
     finally:
-        for each, original in zip(replaced, kept, strict=True):
+        for each, original in zip(replacements, originals, strict=True):
             setattr(each.module, each.name, original)
--- a/src/springmux/simulation/rollout_scenarios.py
+++ b/src/springmux/simulation/rollout_scenarios.py
@@ -1,4 +1,4 @@
-"""The table of docs/ROLLOUT.md: named rollout scenarios over many seeds, beside simpler ways to roll out."""
+"""Table of docs/ROLLOUT.md: named rollout scenarios over many seeds, compared with the baselines."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
 
 
 class Cell(msgspec.Struct, frozen=True):
-    """What one row of the table is about."""
+    """Deployment, variant and scenario of one row of the table."""
 
     deployment: str
     variant: Variant
@@ -70,29 +70,29 @@
 
 
 class Row(msgspec.Struct, frozen=True):
-    """All runs of one cell."""
+    """Results of all runs of one cell."""
 
     cell: Cell
     results: tuple[TrialResult, ...]
 
     @property
     def largest_share(self) -> float:
-        """Largest share of the service's prompts that went to the candidate before its end."""
+        """Largest share of the service's prompts, 0..1, that the candidate got before the rollout's end."""
         return max(result.sent / max(1, result.prompts) for result in self.results)
 
     @property
     def largest_excess(self) -> float:
-        """Most prompts beyond 10% and the allowance in any run; negative: the bound was kept."""
+        """Largest number of prompts beyond 10% and the allowance in any run; negative within the bound."""
         return max(result.excess for result in self.results)
 
     @property
     def slowest_rollback_s(self) -> float | None:
-        """Longest time from a fiftieth bad answer to the last prompt sent."""
+        """Longest time in seconds from the fiftieth bad response to the last prompt sent."""
         return max((r.rollback_s for r in self.results if r.rollback_s is not None), default=None)
 
     @property
-    def done_by_term(self) -> int:
-        """Runs that were done by their term."""
+    def done_by_deadline(self) -> int:
+        """Number of runs whose rollout was done by its deadline."""
         return sum(
             result.phase == "done" and result.finished_s is not None and result.finished_s <= BY_S
             for result in self.results
@@ -100,18 +100,18 @@
 
     @property
     def false_aborts(self) -> int:
-        """Good versions that were aborted, other than by an operator."""
+        """Number of runs in which a good version was aborted, other than by an operator."""
         by_order = self.cell.scenario.disturbance is Disturbance.ABORT
         return 0 if self.cell.scenario.bad or by_order else self._count("aborted")
 
     @property
     def missed(self) -> int:
-        """Bad versions that were released."""
+        """Number of runs in which a bad version was released."""
         return self._count("done") if self.cell.scenario.bad else 0
 
     @property
     def wrong_orders(self) -> int:
-        """Runs in which an order got a wrong answer."""
+        """Number of runs in which an order got a wrong reply."""
         return sum(not result.orders_ok for result in self.results)
 
     def _count(self, phase: str) -> int:
@@ -126,7 +126,7 @@
 def measure(
     cells: Sequence[Cell], seeds: int, first_seed: int = 1, workers: int = 1, limit_s: float = 0.0
 ) -> tuple[Row, ...]:
-    """Run every cell with each seed; no new seed is begun after ``limit_s`` (0: no limit)."""
+    """Run every cell with each seed; start no new seed after ``limit_s`` seconds, 0 for no limit."""
     results: list[list[TrialResult]] = [[] for _ in cells]
     began = time.monotonic()
     with ProcessPoolExecutor(min(workers, MAX_WORKERS)) as pool:
@@ -155,7 +155,7 @@
 
 
 def markdown(rows: Sequence[Row]) -> str:
-    """Return the table."""
+    """Return the rows as a Markdown table."""
     lines = ["| " + " | ".join(HEADER) + " |", "|" + "---|" * len(HEADER)]
     lines += ["| " + " | ".join(_row_text(row)) + " |" for row in rows if row.results]
     return "\n".join(lines)
@@ -172,7 +172,7 @@
     yield f"{row.largest_share:.3f}"
     yield f"{row.largest_excess:+.0f}"
     yield f"{rollback_s:.1f}" if rollback_s is not None and scenario.bad else "-"
-    yield "-" if scenario.bad or scenario.disturbance is Disturbance.ABORT else f"{row.done_by_term}"
+    yield "-" if scenario.bad or scenario.disturbance is Disturbance.ABORT else f"{row.done_by_deadline}"
     yield f"{max(ends):.1f}" if ends else "never"
     yield "-" if scenario.bad else str(row.false_aborts)
     yield str(row.missed) if scenario.bad else "-"
--- a/src/springmux/simulation/rollout_trial.py
+++ b/src/springmux/simulation/rollout_trial.py
@@ -1,7 +1,7 @@
-"""One rollout of a complete hollow fleet in virtual time, and its exposure, rollback time and duration.
+"""One rollout in a complete hollow fleet in virtual time: its exposure, rollback time and duration.
 
-Built on :class:`~springmux.simulation.run.Run` without its random faults: what happens is named by the
-scenario, so that a row of the table in docs/ROLLOUT.md can be run again.
+Uses :class:`~springmux.simulation.run.Run` without its random faults. The scenario names the disturbance,
+so that each row of the table in docs/ROLLOUT.md can be reproduced.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 from springmux.rollout.messages import RolloutToken
 from springmux.rollout.plan import TERMINAL_PHASES, RolloutPhase
 from springmux.simulation.candidates import Candidate, behaviour_for
-from springmux.simulation.checkers.exposure import BAD_RESPONSES
+from springmux.simulation.checkers.exposure import BAD_RESPONSES_BEFORE_ROLLBACK
 from springmux.simulation.engine_model import GOOD, VersionBehaviour
 from springmux.simulation.hollow_node import Enveloped
 from springmux.simulation.operators import PendingOrder
-from springmux.simulation.rollout_baselines import Variant, in_force
+from springmux.simulation.rollout_baselines import Variant, variant_applied
 from springmux.simulation.run import CANDIDATE, PROMOTED_AT_S, TRAFFIC_BEGINS_S, Run
-from springmux.simulation.scenario import Scenario, ScenarioKnobs
+from springmux.simulation.scenario import Scenario, ScenarioSettings
 from springmux.simulation.scenario_faults import EngineCrash
 from springmux.simulation.world.faults import CutNode, Freeze, Heal, Kill, Restart, Thaw
 from springmux.simulation.world.network import Network, NetworkSettings
@@ -31,25 +31,25 @@
 
 BY_S = 60.0
 CANDIDATES_START_S = TRAFFIC_BEGINS_S + 1.0
-THINNING = 4
-"""Tokens per chunk; short responses still have several chunks, so that cuts and gaps show."""
+TOKENS_PER_CHUNK = 4
+"""Small enough for short responses to have several chunks, so that cuts and gaps are observable."""
 AFTER_END_S = 8.0
-"""Late prompts to an aborted version would show by then."""
-LONGEST_S = PROMOTED_AT_S + BY_S + 30.0
-FROZEN_S = 12.0
+"""Seconds to run after the end, in which late prompts to an aborted version would be recorded."""
+MAX_RUN_S = PROMOTED_AT_S + BY_S + 30.0
+FREEZE_S = 12.0
 CUT_S = 20.0
-SHIFT_S = 54.0
-"""In the 25% step of the schedule (53 to 55 s)."""
-LAST_STEP_S = 56.5
-DOWN_S = 1.0
+LEADER_CUT_AT_S = 54.0
+"""Seconds after the promotion, within the 25% step of the schedule (53 to 55 s)."""
+ABORT_AT_S = 56.5
+RESTART_DELAY_S = 1.0
 PAUSE_AT_S, PAUSE_S = 20.0, 8.0
-RESEND_S = 0.3
-SWOLLEN_TENANT = 2
-TOKEN_LOSS, TOKEN_DOUBLED, TOKEN_LATE, TOKEN_LATE_S = 0.1, 0.2, 0.2, 1.0
+RESEND_AFTER_S = 0.3
+SURGING_TENANT = 2
+TOKEN_LOSS_SHARE, TOKEN_DUPLICATION_SHARE, TOKEN_DELAY_SHARE, TOKEN_DELAY_S = 0.1, 0.2, 0.2, 1.0
 
 
 class Disturbance(enum.StrEnum):
-    """What happens beside the rollout."""
+    """Disturbance during the rollout."""
 
     NONE = "none"
     CRASHES = "engines of both versions crash"
@@ -65,7 +65,7 @@
 
 
 class RolloutScenario(msgspec.Struct, frozen=True, kw_only=True):
-    """One row. ``after_share``: part of the term after which a bad version turns bad."""
+    """One row of the table. ``after_share``: fraction of the deadline after which a bad version turns bad."""
 
     name: str
     behaviour: VersionBehaviour = GOOD
@@ -79,13 +79,14 @@
 
 
 class TrialResult(msgspec.Struct, frozen=True, kw_only=True):
-    """Figures of one run.
-
-    ``prompts``: the service's, from promotion to the end. ``sent``: of them, to the candidate. ``excess``:
-    largest number sent beyond 10% and the allowance (negative: spare). ``rollback_s``: from the fiftieth bad
-    answer to the last prompt sent to the candidate, ``None`` without fifty. ``finished_s``: unpaused time
-    from promotion to the end. ``orders_ok``: of racing orders one was accepted, a resent one got its first
-    answer. ``reason``: why it was aborted.
+    """Results of one run.
+
+    ``prompts``: the service's prompts from the promotion to the end. ``sent``: those sent to the candidate.
+    ``excess``: largest number sent beyond 10% and the allowance; negative if the bound was never reached.
+    ``rollback_s``: seconds from the fiftieth bad response to the last prompt sent to the candidate, ``None``
+    with fewer than fifty. ``finished_s``: unpaused seconds from the promotion to the end. ``orders_ok``:
+    exactly one of the racing orders was accepted, and a resent order got its first reply. ``reason``: reason
+    of the abort.
     """
 
     seed: int
@@ -99,35 +100,37 @@
     reason: str = ""
 
 
-class UnreliableToken(Network):
+class UnreliableTokenNetwork(Network):
     """Network that loses, duplicates and delays the rollout token, and nothing else."""
 
     def arrivals(self, source: NodeId, target: NodeId, message: PeerMessage, now: float) -> list[float]:
-        """Return the arrival times; see the base."""
+        """Return the arrival times of a message; see the base class."""
         times = super().arrivals(source, target, message, now)
         if not isinstance(message, Enveloped) or not isinstance(message.message, RolloutToken):
             return times
         draw = self._random.random
-        if draw() < TOKEN_LOSS:
+        if draw() < TOKEN_LOSS_SHARE:
             return []
-        copies = times * 2 if draw() < TOKEN_DOUBLED else times
-        return [at + (draw() * TOKEN_LATE_S if draw() < TOKEN_LATE else 0.0) for at in copies]
+        copies = times * 2 if draw() < TOKEN_DUPLICATION_SHARE else times
+        return [at + (draw() * TOKEN_DELAY_S if draw() < TOKEN_DELAY_SHARE else 0.0) for at in copies]
 
 
 class RolloutTrial(Run):
-    """Runs one scenario of one seed."""
+    """Runs one scenario with one seed under one variant."""
 
     def __init__(self, rollout: RolloutScenario, deployment: str, seed: int, variant: Variant) -> None:
-        knobs = ScenarioKnobs(deployment=deployment, traffic_share=1.0, thinning=THINNING, by_s=BY_S)
+        settings = ScenarioSettings(
+            deployment=deployment, traffic_share=1.0, tokens_per_chunk=TOKENS_PER_CHUNK, by_s=BY_S
+        )
         burst = rollout.disturbance is Disturbance.BURST
         super().__init__(
             Scenario(
                 seed=seed,
-                knobs=knobs,
+                settings=settings,
                 deployment=deployment,
                 candidate="good",
                 burst=2.0 if burst else 1.0,
-                swollen_tenant=SWOLLEN_TENANT if burst else -1,
+                surging_tenant=SURGING_TENANT if burst else -1,
             )
         )
         self._rollout = rollout
@@ -138,19 +141,22 @@
             self._use_unreliable_network(seed)
 
     def measure(self) -> TrialResult:
-        """Run to the end of the rollout, and ``AFTER_END_S`` beyond it; return the results."""
+        """Run until ``AFTER_END_S`` after the end of the rollout; return the results."""
         self.set_up()
         scheduler, world = self.fleet.world.scheduler, self.fleet.world
-        scheduler.at(TRAFFIC_BEGINS_S, lambda: self.clients.start(LONGEST_S))
+        scheduler.at(TRAFFIC_BEGINS_S, lambda: self.clients.start(MAX_RUN_S))
         scheduler.at(CANDIDATES_START_S, self._start_candidates)
         scheduler.at(PROMOTED_AT_S, self._promote_for_trial)
         self._plan_disturbance()
-        self.fleet.run_until(self._over, LONGEST_S - world.now, step_s=0.5)
-        world.run_for(AFTER_END_S + (FROZEN_S if self._rollout.disturbance is Disturbance.FROZEN else 0.0))
-        return self._figures()
+        self.fleet.run_until(self._is_over, MAX_RUN_S - world.now, step_s=0.5)
+        world.run_for(AFTER_END_S + (FREEZE_S if self._rollout.disturbance is Disturbance.FROZEN else 0.0))
+        return self._make_result()
 
     def _start_candidates(self) -> None:
-        """Start the candidate's engines; one turns bad by its age, so the time before promotion counts."""
+        """Start the candidate's engines.
+
+        An engine turns bad at a given age, so the time before the promotion is added to it.
+        """
         long_route = next(size.route for size in self.size.streams if size.traffic_class == "bulk")
         behaviour = behaviour_for(Candidate("trial", self._rollout.behaviour), long_route)
         if self._rollout.after_share > 0:
@@ -166,7 +172,7 @@
         if self._rollout.disturbance is Disturbance.RESENT and isinstance(first.command, PromoteRollout):
             again = msgspec.structs.replace(first.command, rollout=RolloutId("made by another node"))
             scheduler = self.fleet.world.scheduler
-            scheduler.after(RESEND_S, lambda: self._orders.append(self.operators.order(again)))
+            scheduler.after(RESEND_AFTER_S, lambda: self._orders.append(self.operators.order(again)))
 
     # Disturbances
 
@@ -178,14 +184,14 @@
             case Disturbance.FROZEN:
                 scheduler.at(_at(self._rollout.after_share * BY_S - 0.5), self._freeze_one)
             case Disturbance.LEADER_CUT:
-                scheduler.at(_at(SHIFT_S), self._cut_leader)
+                scheduler.at(_at(LEADER_CUT_AT_S), self._cut_leader)
             case Disturbance.RESTART:
                 scheduler.at(_at(0.5 * BY_S), self._restart_all)
             case Disturbance.PAUSE:
                 pause = self.operators.pause_and_resume
                 scheduler.at(_at(PAUSE_AT_S), lambda: pause(self.plan.service, PAUSE_S))
             case Disturbance.ABORT:
-                scheduler.at(_at(LAST_STEP_S), self._abort)
+                scheduler.at(_at(ABORT_AT_S), self._abort)
             case _:
                 pass
 
@@ -203,7 +209,7 @@
         node = self._source.choice(nodes)
         world = self.fleet.world
         world.apply(Freeze(at=world.now, node=node))
-        world.scheduler.after(FROZEN_S, lambda: world.apply(Thaw(at=world.now, node=node)))
+        world.scheduler.after(FREEZE_S, lambda: world.apply(Thaw(at=world.now, node=node)))
 
     def _cut_leader(self) -> None:
         leader, world = self.fleet.leader(), self.fleet.world
@@ -215,7 +221,7 @@
         world = self.fleet.world
         for number, node in enumerate(world.nodes()):
             world.apply(Kill(at=world.now, node=node))
-            back = Restart(at=world.now + DOWN_S + 0.01 * number, node=node)
+            back = Restart(at=world.now + RESTART_DELAY_S + 0.01 * number, node=node)
             world.scheduler.at(back.at, lambda back=back: world.apply(back))  # type: ignore[misc]
 
     def _abort(self) -> None:
@@ -223,21 +229,21 @@
         self._orders.append(self.operators.order(AbortRollout(order=order, service=self.plan.service)))
 
     def _use_unreliable_network(self, seed: int) -> None:
-        network = UnreliableToken(NetworkSettings(), random.Random(f"token {seed}"))
+        network = UnreliableTokenNetwork(NetworkSettings(), random.Random(f"token {seed}"))
         for place in self.fleet.places():
             network.place(place.node, place.zone)
         self.fleet.world.network = network
 
-    # Figures
+    # Results
 
-    def _over(self) -> bool:
+    def _is_over(self) -> bool:
         return any(seen.phase in TERMINAL_PHASES for seen in self.history.rollouts)
 
     def _first_seen(self, *phases: RolloutPhase, after: float = 0.0) -> float | None:
         seen = (each.at for each in self.history.rollouts if each.phase in phases and each.at >= after)
         return min(seen, default=None)
 
-    def _figures(self) -> TrialResult:
+    def _make_result(self) -> TrialResult:
         begun = self._first_seen(RolloutPhase.CANARY)
         ended = self._first_seen(*TERMINAL_PHASES)
         done = self._first_seen(RolloutPhase.DONE) is not None
@@ -255,7 +261,11 @@
                 last_sent = dispatch.at
                 excess = max(excess, sent - 0.10 * prompts - self.plan.expose_allowance)
         bad_at = sorted(bad.at for bad in self.history.bad_responses if bad.version == CANDIDATE)
-        fiftieth = bad_at[BAD_RESPONSES - 1] if len(bad_at) >= BAD_RESPONSES else None
+        fiftieth = (
+            bad_at[BAD_RESPONSES_BEFORE_ROLLBACK - 1]
+            if len(bad_at) >= BAD_RESPONSES_BEFORE_ROLLBACK
+            else None
+        )
         rollback = last_sent - fiftieth if last_sent is not None and fiftieth is not None else None
         finished = ended - begun - self._paused_s() if begun is not None and ended is not None else None
         return TrialResult(
@@ -266,7 +276,7 @@
             excess=excess,
             rollback_s=rollback,
             finished_s=finished,
-            orders_ok=self._orders_ok(),
+            orders_ok=self._orders_decided_correctly(),
             reason=self._reason(),
         )
 
@@ -277,7 +287,7 @@
         resumed = self._first_seen(RolloutPhase.CANARY, RolloutPhase.SHIFTING, after=paused + 1.0)
         return (resumed or self.fleet.world.now) - paused
 
-    def _orders_ok(self) -> bool:
+    def _orders_decided_correctly(self) -> bool:
         outcomes = [pending.result.outcome for pending in self._orders if pending.result is not None]
         if self._rollout.disturbance is Disturbance.RACE:
             return sorted(outcomes) == sorted([Outcome.ACCEPTED, Outcome.CONFLICT])
@@ -291,7 +301,7 @@
 
 def run_trial(rollout: RolloutScenario, deployment: str, seed: int, variant: Variant) -> TrialResult:
     """Run one scenario under one variant."""
-    with in_force(variant):
+    with variant_applied(variant):
         return RolloutTrial(rollout, deployment, seed, variant).measure()
 
 
--- a/src/springmux/simulation/run.py
+++ b/src/springmux/simulation/run.py
@@ -1,4 +1,4 @@
-"""One explored run: a fleet with traffic, operators, a rollout and faults, from start to the checks."""
+"""One run: a simulated fleet with traffic, operators, a rollout and faults, and the checks at its end."""
 
 from __future__ import annotations
 
@@ -35,19 +35,19 @@
 from springmux.simulation.world.faults import FullDisk, Heal, PowerCut, Restart, SlowDisk, Thaw
 from springmux.vocabulary.names import VersionName
 
-SET_UP_WITHIN_S = 7.0
+SET_UP_TIMEOUT_S = 7.0
 TRAFFIC_BEGINS_S = 7.0
 PROMOTED_AT_S = 11.0
-LAST_CALLS_S = 5.0
-END_AFTER_S = 13.0
-"""Time from quiet to the end, in which the longest requests end."""
+TRAFFIC_AFTER_QUIET_S = 5.0
+END_AFTER_QUIET_S = 13.0
+"""Seconds from ``quiet_at`` to the end of the run, in which the longest requests end."""
 CANDIDATE = VersionName("v2")
-OLD_LEAVE_AFTER_S = 4.0
-"""Operators remove the old engines this long after the end of a rollout."""
+REMOVE_ENGINES_AFTER_S = 4.0
+"""Seconds after the end of a rollout at which operators remove the engines no longer needed."""
 SURGE_FACTOR = 2.0
 SURGE_S = 25.0
 SERVICE_BEHAVIOUR = VersionBehaviour(silent_share=0.005, error_share=0.005)
-"""Even good services lose a response now and then."""
+"""Behaviour of call services: even a good one sometimes loses a response or returns an error."""
 
 
 class RunResult(msgspec.Struct, frozen=True):
@@ -65,7 +65,7 @@
 
 
 class Run(FleetObserver):
-    """Runs one scenario from start to the checks."""
+    """Runs one scenario and checks its history."""
 
     def __init__(self, scenario: Scenario) -> None:
         self.scenario = scenario
@@ -73,7 +73,9 @@
         self.history = History()
         self.fleet = HollowFleet(self.size.places(), scenario.seed)
         self.recorder = Recorder(self.fleet, self.history)
-        self.backends = Backends(self.fleet, self.history, scenario.seed, self.size, scenario.knobs.thinning)
+        self.backends = Backends(
+            self.fleet, self.history, scenario.seed, self.size, scenario.settings.tokens_per_chunk
+        )
         self.operators = Operators(self.fleet, self.size, self.history, scenario.seed)
         self.clients = HollowClients(
             self.fleet,
@@ -83,38 +85,38 @@
             self.history,
             scenario.seed,
         )
-        self.plan = RolloutPlan(self.size.models().service, CANDIDATE, by_s=scenario.knobs.by_s)
+        self.plan = RolloutPlan(self.size.models().service, CANDIDATE, by_s=scenario.settings.by_s)
         self._removed_at: float | None = None
         self._rollout_ended = False
-        self._armed_power_cuts: list[PowerCutAfterAnswer] = []
+        self._pending_power_cuts: list[PowerCutAfterAnswer] = []
         self._promotion: PendingOrder | None = None
         self.fleet.observers.append(self)
 
     def run(self) -> RunResult:
-        """Run to the end; return the checked result."""
+        """Run the scenario to its end; return the results of the checks."""
         self.set_up()
         scheduler = self.fleet.world.scheduler
-        scheduler.at(TRAFFIC_BEGINS_S, lambda: self.clients.start(self._quiet_at() + LAST_CALLS_S))
+        scheduler.at(TRAFFIC_BEGINS_S, lambda: self.clients.start(self._quiet_at() + TRAFFIC_AFTER_QUIET_S))
         scheduler.at(TRAFFIC_BEGINS_S + 1.0, self._start_candidates)
         scheduler.at(PROMOTED_AT_S, self._promote)
         scheduler.at(FAULTS_BEGIN_S, lambda: self.operators.work(self.scenario.healed_at))
         for fault in self.scenario.faults:
             scheduler.at(fault.at, lambda fault=fault: self._apply(fault))  # type: ignore[misc]
         scheduler.at(self.scenario.healed_at + 0.01, self._heal)
-        self.fleet.world.run_until(self._quiet_at() + END_AFTER_S)
+        self.fleet.world.run_until(self._quiet_at() + END_AFTER_QUIET_S)
         return self.result()
 
     def set_up(self) -> None:
-        """Start the fleet and its back ends, and configure them without faults."""
+        """Start the fleet and its backends and configure them, before any fault."""
         self.fleet.world.start_all()
         for size in self.size.backends:
             self.backends.add_group(size, GOOD if size.model else SERVICE_BEHAVIOUR)
         orders: list[PendingOrder] = []
-        self.fleet.run_until(self.fleet.all_ready, SET_UP_WITHIN_S)
+        self.fleet.run_until(self.fleet.all_ready, SET_UP_TIMEOUT_S)
         orders += self.operators.set_up()
-        self.fleet.run_until(lambda: all(each.result for each in orders), SET_UP_WITHIN_S)
+        self.fleet.run_until(lambda: all(each.result for each in orders), SET_UP_TIMEOUT_S)
         keys = self.operators.set_up_keys()
-        self.fleet.run_until(lambda: all(each.result for each in keys), SET_UP_WITHIN_S)
+        self.fleet.run_until(lambda: all(each.result for each in keys), SET_UP_TIMEOUT_S)
 
     def context(self) -> RunContext:
         """Return the run's context for the checkers."""
@@ -131,7 +133,7 @@
         )
 
     def result(self) -> RunResult:
-        """Check the history; return the results so far."""
+        """Check the history recorded so far; return the results."""
         history = self.history
         violations = check(history, self.context())
         encoded = msgspec.msgpack.encode(history)
@@ -149,7 +151,7 @@
         )
 
     def _quiet_at(self) -> float:
-        return self.scenario.healed_at + self.scenario.knobs.calm_s
+        return self.scenario.healed_at + self.scenario.settings.calm_s
 
     def _bursts(self) -> tuple[Burst, ...]:
         scenario = self.scenario
@@ -164,11 +166,11 @@
         return tuple(bursts)
 
     def _surges(self) -> tuple[DemandSurge, ...]:
-        index = self.scenario.swollen_tenant
+        index = self.scenario.surging_tenant
         if index < 0:
             return ()
         begin = FAULTS_BEGIN_S + 10.0
-        end = min(begin + SURGE_S, self._quiet_at() + LAST_CALLS_S)
+        end = min(begin + SURGE_S, self._quiet_at() + TRAFFIC_AFTER_QUIET_S)
         return (DemandSurge(self.size.tenants[index].tenant, begin, end),)
 
     # The rollout
@@ -194,10 +196,10 @@
         if leaving is None:
             scheduler.after(0.5, self._watch_rollout)
             return
-        scheduler.after(OLD_LEAVE_AFTER_S, lambda: self._remove_engines(leaving))
+        scheduler.after(REMOVE_ENGINES_AFTER_S, lambda: self._remove_engines(leaving))
 
     def _remove_engines(self, version: VersionName) -> None:
-        """Drain the engines of a version that is no longer needed, and end them."""
+        """Drain and stop the engines of a version that is no longer needed."""
         self._rollout_ended = True
         if version != CANDIDATE:
             self._removed_at = self.fleet.world.now
@@ -214,7 +216,7 @@
             case MoveNode():
                 self.fleet.move(fault.node, Address(fault.address))
             case PowerCutAfterAnswer():
-                self._armed_power_cuts.append(fault)
+                self._pending_power_cuts.append(fault)
             case _:
                 self.fleet.world.apply(fault)
 
@@ -241,7 +243,7 @@
             self.backends.restart(engine)
 
     def _is_removed(self, engine: HollowEngine) -> bool:
-        """Return whether the engine's version has been removed meanwhile."""
+        """Return whether the engine's version has been removed since."""
         if not self._rollout_ended or not engine.model:
             return False
         return (engine.record.version == CANDIDATE) == (self._removed_at is None)
@@ -252,13 +254,13 @@
         engine.leave()
         if not self._is_removed(engine):
             size = next(s for s in self.size.backends if s.service == engine.record.service)
-            like = msgspec.structs.replace(size, version=engine.record.version)
-            self.backends.add(like, engine.behaviour, engine.record.address)
+            replacement_size = msgspec.structs.replace(size, version=engine.record.version)
+            self.backends.add(replacement_size, engine.behaviour, engine.record.address)
 
     def order_answered(self, node: NodeId, answer: OrderAnswered, now: float) -> None:
-        """Cut the leader's power right after an accepted order, where that is armed."""
+        """Cut the leader's power right after an accepted order, if such a fault is pending."""
         if (
-            not self._armed_power_cuts
+            not self._pending_power_cuts
             or answer.result is None
             or answer.result.outcome is not Outcome.ACCEPTED
         ):
@@ -266,16 +268,16 @@
         leader = self.fleet.leader()
         if leader is None:
             return
-        fault = self._armed_power_cuts.pop(0)
+        fault = self._pending_power_cuts.pop(0)
         scheduler, world = self.fleet.world.scheduler, self.fleet.world
         scheduler.at(now, lambda: world.apply(PowerCut(at=now, node=leader)))
         back_at = now + fault.back_after_s
         scheduler.at(back_at, lambda: world.apply(Restart(at=back_at, node=leader)))
 
     def _heal(self) -> None:
-        """End every fault."""
+        """End all faults: heal the network and the disks, thaw and restart the nodes."""
         world, now = self.fleet.world, self.fleet.world.now
-        self._armed_power_cuts.clear()
+        self._pending_power_cuts.clear()
         world.apply(Heal(at=now))
         for place in self.fleet.places():
             node = place.node
--- a/src/springmux/simulation/run_context.py
+++ b/src/springmux/simulation/run_context.py
@@ -1,4 +1,4 @@
-"""Context of a run, which the checkers need beside its history."""
+"""Context of a run, which the checkers need in addition to its history."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 class RunContext(msgspec.Struct, frozen=True, kw_only=True):
     """Deployment, plan and phases of a run; times are virtual seconds.
 
-    ``plan``: ``None`` without a rollout. ``bad``: whether its candidate is bad. ``healed_at``: from then on
-    there are no faults. ``quiet_at``: from then on the fleet must be healthy. ``surges``: spans in which a
-    tenant's demand is far above its quota. ``removed_at``: when the old engines began to leave after a
-    finished rollout.
+    ``plan``: ``None`` without a rollout. ``bad``: whether its candidate is bad. ``healed_at``: time
+    after which there are no faults. ``quiet_at``: time after which the fleet must be healthy. ``surges``:
+    spans in which a tenant's demand is far above its quota. ``removed_at``: time at which the old engines
+    began to leave after a finished rollout, ``None`` if they have not.
     """
 
     deployment: Deployment
--- a/src/springmux/simulation/scenario.py
+++ b/src/springmux/simulation/scenario.py
@@ -1,4 +1,4 @@
-"""What one explored run does, drawn from its seed: deployment, traffic, rollout, faults. JSON for replay."""
+"""Scenario of one run, sampled from its seed: deployment, traffic, rollout, faults; JSON for replay."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 )
 from springmux.simulation.world.faults import (
     CutNode,
-    FaultKnobs,
+    FaultSettings,
     Freeze,
     Heal,
     Kill,
@@ -32,89 +32,97 @@
 )
 
 FAULTS_BEGIN_S = 12.0
-"""By then the fleet is up, configured, and has had traffic for some seconds."""
+"""By this time the fleet is up and configured, and has served traffic for some seconds."""
 GOOD_SHARE = 0.4
 """Share of the scenarios whose candidate is good."""
-NEED_FULL_RATE = frozenset({"errors-on-one-route", "errors-under-load"})
-"""At a part of the deployments' traffic these hardly show before the term: few long prompts, no load."""
-WIPES_APART_S = 6.0
-"""Of three voters one may be replaced at a time; the next one may go this soon after."""
+NEEDS_FULL_TRAFFIC = frozenset({"errors-on-one-route", "errors-under-load"})
+"""Candidates whose faults hardly show before the deadline at reduced traffic.
+
+    There are too few long prompts then, and too little load.
+    """
+MIN_WIPE_GAP_S = 6.0
+"""Minimum seconds between two wipes, because only one of three voters may be replaced at a time."""
 MAX_WIPES = 2
 LONGEST_FAULT_S = 20.0
-"""No random fault lasts longer, so an older one is over."""
+"""Upper bound of a random fault's duration: a fault that began earlier has ended."""
 
 
-class ScenarioKnobs(msgspec.Struct, frozen=True, kw_only=True):
-    """Sizes of explored runs.
+class ScenarioSettings(msgspec.Struct, frozen=True, kw_only=True):
+    """Size and duration of a run.
 
-    ``nodes_per_zone``: 0 for the deployment's own. ``thinning``: tokens in one piece of a stream.
+    ``nodes_per_zone``: 0 for the deployment's own number. ``tokens_per_chunk``: tokens in one streamed chunk;
+    more than 1 makes runs faster. ``by_s``: deadline of the rollout in seconds.
     """
 
     deployment: str = ""
     nodes_per_zone: int = 0
     traffic_share: float = 0.4
-    thinning: int = 4
+    tokens_per_chunk: int = msgspec.field(default=4, name="thinning")
     faults_s: float = 50.0
     disturbances: int = 7
     by_s: float = 45.0
     calm_s: float = 15.0
-    """From healing to the time at which everything must be whole; service is back within 12 s."""
+    """Seconds from the end of all faults until the fleet must be healthy; service recovers within 12 s."""
 
 
 class Scenario(msgspec.Struct, frozen=True, kw_only=True):
-    """One run. The same scenario gives the same run."""
+    """Everything that determines one run: the same scenario gives the same run.
+
+    ``burst``: factor of the traffic burst, 1 for none. ``surging_tenant``: index of the tenant whose demand
+    surges, -1 for none.
+    """
 
     seed: int
-    knobs: ScenarioKnobs
+    settings: ScenarioSettings = msgspec.field(name="knobs")
     deployment: str
     candidate: str
     burst: float = 1.0
-    swollen_tenant: int = -1
+    surging_tenant: int = msgspec.field(default=-1, name="swollen_tenant")
     faults: tuple[ScenarioFault, ...] = ()
 
     @property
     def healed_at(self) -> float:
-        """Return when the last fault is over."""
-        return FAULTS_BEGIN_S + self.knobs.faults_s
+        """Return the virtual time at which all faults have ended."""
+        return FAULTS_BEGIN_S + self.settings.faults_s
 
     def size(self) -> Deployment:
-        """Return the deployment at the knobs' size."""
+        """Return the deployment, scaled as the settings say."""
         return DEPLOYMENTS[self.deployment].scaled(
-            self.knobs.traffic_share, self.knobs.nodes_per_zone or None
+            self.settings.traffic_share, self.settings.nodes_per_zone or None
         )
 
     def to_json(self) -> bytes:
-        """Return the scenario for replay."""
+        """Return the scenario as JSON, which :meth:`from_json` reads."""
         return msgspec.json.format(msgspec.json.encode(self), indent=1)
 
     @staticmethod
     def from_json(data: bytes) -> Scenario:
-        """Read a scenario; raises ``msgspec.ValidationError`` for one that is not well formed."""
+        """Read a scenario from JSON; raise ``msgspec.ValidationError`` if it is invalid."""
         return msgspec.json.decode(data, type=Scenario)
 
 
-def draw_scenario(seed: int, knobs: ScenarioKnobs) -> Scenario:
-    """Return the scenario of a seed."""
+def draw_scenario(seed: int, settings: ScenarioSettings) -> Scenario:
+    """Return the scenario of a seed; the same seed and settings give the same scenario."""
     source = random.Random(f"scenario {seed}")
-    name = knobs.deployment or source.choice(sorted(DEPLOYMENTS))
+    name = settings.deployment or source.choice(sorted(DEPLOYMENTS))
     bad = sorted(candidate.name for candidate in CANDIDATES.values() if candidate.bad)
     candidate = "good" if source.random() < GOOD_SHARE else source.choice(bad)
-    if candidate in NEED_FULL_RATE:
-        knobs = msgspec.structs.replace(knobs, traffic_share=max(1.0, knobs.traffic_share))
+    if candidate in NEEDS_FULL_TRAFFIC:
+        settings = msgspec.structs.replace(settings, traffic_share=max(1.0, settings.traffic_share))
     scenario = Scenario(
         seed=seed,
-        knobs=knobs,
+        settings=settings,
         deployment=name,
         candidate=candidate,
         burst=2.0 if source.random() < 0.3 else 1.0,
-        swollen_tenant=source.randrange(2, 5) if source.random() < 0.25 else -1,
+        surging_tenant=source.randrange(2, 5) if source.random() < 0.25 else -1,
     )
-    faults = FaultDrawer(scenario, source).draw()
+    faults = FaultSampler(scenario, source).draw()
     return msgspec.structs.replace(scenario, faults=tuple(faults))
 
 
-class FaultDrawer:
-    """Draws the faults of one scenario: the world's random ones, special sequences, and back ends'."""
+class FaultSampler:
+    """Samples the faults of one scenario: random world faults, one fault sequence, and engine faults."""
 
     def __init__(self, scenario: Scenario, source: random.Random) -> None:
         self._scenario = scenario
@@ -126,39 +134,39 @@
         self._disks = [place.node for place in places if place.controller]
 
     def draw(self) -> list[ScenarioFault]:
-        """Return all faults in the order of their times, none after the healing."""
-        special = self._special()
+        """Return all faults in the order of their times, none after ``healed_at``."""
+        special = self._fault_sequence()
         wipes = sum(isinstance(fault, Wipe) for fault in special)
         faults = [*self._random_faults(disks=wipes < 2), *special, *self._backend_faults()]
-        faults = [self._clipped(fault) for fault in faults]
+        faults = [self._clip(fault) for fault in faults]
         faults.sort(key=lambda fault: fault.at)
-        return self._without_many_wipes(faults)
+        return self._without_excess_wipes(faults)
 
-    def _at(self, margin_s: float = 0.0) -> float:
+    def _sample_time(self, margin_s: float = 0.0) -> float:
         return round(self._random.uniform(FAULTS_BEGIN_S, max(FAULTS_BEGIN_S, self._end - margin_s)), 3)
 
     def _random_faults(self, disks: bool) -> list[ScenarioFault]:
-        """Return the generator's faults; without ``disks`` only those of machines that have none."""
-        knobs = self._scenario.knobs
+        """Return randomly generated faults; without ``disks`` only those of machines that have no disk."""
+        settings = self._scenario.settings
         zones: dict[NodeId, ZoneName] = {place.node: place.zone for place in self._places}
-        fault_knobs = FaultKnobs(
-            start_s=FAULTS_BEGIN_S, end_s=self._end - 1.0, count=knobs.disturbances, wipe=0.2
+        fault_settings = FaultSettings(
+            start_s=FAULTS_BEGIN_S, end_s=self._end - 1.0, count=settings.disturbances, wipe=0.2
         )
-        generator = ScheduleGenerator(zones, self._disks, fault_knobs)
+        generator = ScheduleGenerator(zones, self._disks, fault_settings)
         faults = generator.generate(self._random.getrandbits(32)).faults
         if disks:
             return list(faults)
         return [f for f in faults if isinstance(f, NodeFault) and f.node not in self._disks]
 
-    def _special(self) -> list[ScenarioFault]:
+    def _fault_sequence(self) -> list[ScenarioFault]:
         kinds = ["replaced twice", "power cut", "long cut", "restart of all", "moved", "frozen long", "none"]
         kind = self._random.choice(kinds)
         disk, other = self._random.sample(self._disks, 2)
-        at = self._at(25.0)
+        at = self._sample_time(25.0)
         match kind:
             case "replaced twice":
-                gap_s = self._random.uniform(WIPES_APART_S, 2 * WIPES_APART_S)
-                return [*_replaced(disk, at, 1.0), *_replaced(other, at + gap_s, 1.0)]
+                gap_s = self._random.uniform(MIN_WIPE_GAP_S, 2 * MIN_WIPE_GAP_S)
+                return [*_replacement(disk, at, 1.0), *_replacement(other, at + gap_s, 1.0)]
             case "power cut":
                 return [
                     PowerCutAfterAnswer(at=at, back_after_s=1.0),
@@ -172,7 +180,7 @@
                 return [*kills, *(Restart(at=at + 1.0 + 0.01 * i, node=n) for i, n in enumerate(nodes))]
             case "moved":
                 move = MoveNode(at=at + 0.5, node=disk, address="10.9.9.9:7000")
-                return [*_replaced(disk, at, 2.0), move]
+                return [*_replacement(disk, at, 2.0), move]
             case "frozen long":
                 return [Freeze(at=at, node=disk), Thaw(at=at + 15.0, node=disk)]
             case _:
@@ -184,7 +192,7 @@
         found: list[ScenarioFault] = []
         for _ in range(self._random.randint(0, 4)):
             version, index = self._random.choice(versions), self._random.randrange(12)
-            at = self._at(4.0)
+            at = self._sample_time(4.0)
             match self._random.choice(["crash", "dark", "replaced"]):
                 case "crash":
                     back_s = self._random.uniform(0.5, 6.0)
@@ -202,27 +210,31 @@
                     found.append(EngineReplaced(at=at, version=version, index=index, grace_s=grace_s))
         return found
 
-    def _clipped(self, fault: ScenarioFault) -> ScenarioFault:
+    def _clip(self, fault: ScenarioFault) -> ScenarioFault:
         return msgspec.structs.replace(fault, at=round(min(fault.at, self._end), 3))
 
-    def _without_many_wipes(self, faults: list[ScenarioFault]) -> list[ScenarioFault]:
-        """Leave out wipes that no group of three could survive.
+    def _without_excess_wipes(self, faults: list[ScenarioFault]) -> list[ScenarioFault]:
+        """Remove wipes that no group of three voters could survive.
 
-        The first lost disk must be replaced before the second goes, and that takes the two that are left:
-        between them (and shortly before) nothing else may befall a machine with a disk.
+        The first lost disk must be replaced before the second is wiped, which needs both remaining voters.
+        Between the wipes, and shortly before, there may be no other fault of a machine with a disk.
         """
         first: Wipe | None = None
         kept: list[ScenarioFault] = []
         for fault in faults:
             if isinstance(fault, Wipe):
-                if first is not None and not self._calm_between(faults, first, fault):
+                if first is not None and not self._is_calm_between(faults, first, fault):
                     continue
                 first = first or fault
             kept.append(fault)
-        return kept if sum(isinstance(fault, Wipe) for fault in kept) <= MAX_WIPES else self._one_wipe(kept)
+        return (
+            kept
+            if sum(isinstance(fault, Wipe) for fault in kept) <= MAX_WIPES
+            else self._keep_first_wipe(kept)
+        )
 
-    def _calm_between(self, faults: list[ScenarioFault], first: Wipe, second: Wipe) -> bool:
-        if first.node == second.node or second.at - first.at < WIPES_APART_S:
+    def _is_calm_between(self, faults: list[ScenarioFault], first: Wipe, second: Wipe) -> bool:
+        if first.node == second.node or second.at - first.at < MIN_WIPE_GAP_S:
             return False
         own = {first.node, second.node}
         begin, end = first.at - LONGEST_FAULT_S, second.at + 0.5
@@ -230,15 +242,15 @@
             if not begin <= fault.at <= end or isinstance(fault, EngineCrash | EngineDark | EngineReplaced):
                 continue
             node = getattr(fault, "node", None)
-            their_own = node in own and isinstance(fault, Kill | Wipe | Restart)
-            if not their_own and (node is None or node in self._disks):
+            part_of_replacement = node in own and isinstance(fault, Kill | Wipe | Restart)
+            if not part_of_replacement and (node is None or node in self._disks):
                 return False
         return True
 
-    def _one_wipe(self, faults: list[ScenarioFault]) -> list[ScenarioFault]:
+    def _keep_first_wipe(self, faults: list[ScenarioFault]) -> list[ScenarioFault]:
         first = next(fault for fault in faults if isinstance(fault, Wipe))
         return [fault for fault in faults if fault is first or not isinstance(fault, Wipe)]
 
 
-def _replaced(node: NodeId, at: float, down_s: float) -> list[ScenarioFault]:
+def _replacement(node: NodeId, at: float, down_s: float) -> list[ScenarioFault]:
     return [Kill(at=at, node=node), Wipe(at=at + 0.01, node=node), Restart(at=at + down_s, node=node)]
--- a/src/springmux/simulation/scenario_faults.py
+++ b/src/springmux/simulation/scenario_faults.py
@@ -1,4 +1,4 @@
-"""Faults of back ends, and faults that hang on what the fleet does, beside the world's own."""
+"""Faults of a scenario beside the world's own: faults of engines, and faults triggered by the fleet."""
 
 from __future__ import annotations
 
@@ -6,41 +6,44 @@
 
 
 class EngineFault(Fault, frozen=True, kw_only=True):
-    """A fault of one back end: the ``index``-th (modulo their number) running one of ``version``."""
+    """A fault of one engine: the running one of ``version`` at ``index``, modulo their number."""
 
     version: str
     index: int
 
 
 class EngineCrash(EngineFault, frozen=True, kw_only=True, tag="EngineCrash"):
-    """It vanishes, and comes back under its name with a cold cache after ``back_after_s`` (0: never)."""
+    """The engine crashes.
+
+    It restarts under its name, with a cold cache, ``back_after_s`` seconds later; 0 for never.
+    """
 
     back_after_s: float = 0.0
 
 
 class EngineDark(EngineFault, frozen=True, kw_only=True, tag="EngineDark"):
-    """It accepts connections and says nothing for ``dark_s``, then works again."""
+    """The engine accepts connections but does not respond for ``dark_s`` seconds, then works again."""
 
     dark_s: float
 
 
 class EngineReplaced(EngineFault, frozen=True, kw_only=True, tag="EngineReplaced"):
-    """It drains, leaves after ``grace_s``, and a new one takes its address."""
+    """The engine drains, leaves after ``grace_s`` seconds, and a new one starts at its address."""
 
     grace_s: float
 
 
 class MoveNode(NodeFault, frozen=True, kw_only=True, tag="MoveNode"):
-    """The machine has another address from its next start on."""
+    """The machine gets another address, which takes effect at its next start."""
 
     address: str
 
 
 class PowerCutAfterAnswer(Fault, frozen=True, kw_only=True, tag="PowerCutAfterAnswer"):
-    """The leader loses power at the moment of the next accepted order, and is back after ``back_after_s``."""
+    """The leader loses power when the next order is accepted, and restarts ``back_after_s`` s later."""
 
     back_after_s: float
 
 
 ScenarioFault = AnyFault | EngineCrash | EngineDark | EngineReplaced | MoveNode | PowerCutAfterAnswer
-"""Everything that a scenario's schedule may hold."""
+"""Any fault of a scenario's schedule."""
--- a/src/springmux/simulation/traffic/__init__.py
+++ b/src/springmux/simulation/traffic/__init__.py
@@ -1,1 +1,1 @@
-"""Hollow back ends and callers that use the real request flows of hollow nodes in virtual time."""
+"""Hollow backends and clients, which use the real request flows of hollow nodes in virtual time."""
--- a/src/springmux/simulation/traffic/backends.py
+++ b/src/springmux/simulation/traffic/backends.py
@@ -16,7 +16,7 @@
     UpstreamHead,
 )
 from springmux.simulation.deployments import BackendSize, Deployment
-from springmux.simulation.engine_model import GOOD, AnswerFault, EngineModel, VersionBehaviour
+from springmux.simulation.engine_model import GOOD, EngineModel, ResponseFault, VersionBehaviour
 from springmux.simulation.flow_driver import FlowInput, FlowOutput, ProbeEngine
 from springmux.simulation.history import (
     BadResponse,
@@ -36,10 +36,10 @@
 from springmux.vocabulary.names import EngineId, RequestId, VersionName
 
 NETWORK_DELAY_S = 0.0006
-"""One-way delay between a node and a backend; constant, so that a connection keeps its order."""
+"""One-way delay in seconds between a node and a backend; constant, so that connections keep their order."""
 
 PROBE_DELAY_S = 0.05
-"""Delay of the daemon's prober (``node.engine_prober.DELAY_S``)."""
+"""Seconds before a probe, as in the daemon's prober (``node.engine_prober.DELAY_S``)."""
 
 
 class ConnectionKey(NamedTuple):
@@ -62,14 +62,14 @@
     """All backends: connects the nodes' dispatches to engines, and delivers the engines' reports to nodes."""
 
     def __init__(
-        self, fleet: HollowFleet, history: History, seed: int, deployment: Deployment, thinning: int
+        self, fleet: HollowFleet, history: History, seed: int, deployment: Deployment, tokens_per_chunk: int
     ) -> None:
         self.engines: dict[EngineId, HollowEngine] = {}
         self._fleet = fleet
         self._history = history
         self._seed = seed
         self._deployment = deployment
-        self._thinning = thinning
+        self._tokens_per_chunk = tokens_per_chunk
         self._by_address: dict[Address, HollowEngine] = {}
         self._connections: dict[ConnectionKey, Connection] = {}
         self._backends_started = 0
@@ -82,7 +82,7 @@
     def add(
         self, size: BackendSize, behaviour: VersionBehaviour = GOOD, address: Address | None = None
     ) -> HollowEngine:
-        """Start one backend, at a new address or at one that another has left."""
+        """Start one backend, at a new address or at the given one, which another backend has left."""
         self._backends_started += 1
         name = EngineId(f"{size.service}-{size.version}-{self._backends_started}")
         zones = self._deployment.zones
@@ -106,7 +106,7 @@
             self,
             source,
             work_s=size.work_s,
-            thinning=self._thinning,
+            tokens_per_chunk=self._tokens_per_chunk,
         )
         self.engines[name] = engine
         self._by_address[record.address] = engine
@@ -142,7 +142,7 @@
         source.shuffle(nodes)
         for node in nodes[:3]:
             if world.is_running(node):
-                world.scheduler.after(NETWORK_DELAY_S, lambda node=node: world.give(node, event))  # type: ignore[misc]
+                world.scheduler.after(NETWORK_DELAY_S, lambda node=node: world.deliver(node, event))  # type: ignore[misc]
                 return node
         return None
 
@@ -159,7 +159,7 @@
     # Requests of flows
 
     def flow_output(self, node: NodeId, output: FlowOutput, now: float) -> None:
-        """Carry out a dispatch, a close or a probe."""
+        """Execute a dispatch, a close or a probe."""
         effect: Effect = output.effect
         if isinstance(effect, Dispatch):
             self._dispatch(node, output.request, effect, now)
@@ -221,7 +221,7 @@
 
         def arrive() -> None:
             if world.boot(node) == boot and world.process(node) is not None:
-                world.give(node, FlowInput(request, event))
+                world.deliver(node, FlowInput(request, event))
 
         world.scheduler.after(NETWORK_DELAY_S, arrive)
 
@@ -237,8 +237,8 @@
         if connection is None:
             return
         engine, exchange = connection
-        if exchange.bad and exchange.fault is AnswerFault.SILENT:
-            # A missing response is bad once the node has given up on it.
+        if exchange.bad and exchange.fault is ResponseFault.SILENT:
+            # A missing response counts as bad once the node has closed the connection.
             self._record_bad_response(key, connection)
         engine.closed(exchange)
 
@@ -254,11 +254,11 @@
 
 
 def _reveals_fault(exchange: EngineExchange, event: UpstreamEvent) -> bool:
-    """Return whether ``event`` is the one by which a node observes that a response is bad."""
+    """Return whether ``event`` lets a node observe that a response is bad."""
     if not exchange.bad:
         return False
-    if exchange.fault is AnswerFault.CUT:
+    if exchange.fault is ResponseFault.CUT:
         return isinstance(event, UpstreamFailed)
-    if exchange.fault is AnswerFault.NONE or exchange.fault is AnswerFault.GARBAGE:
+    if exchange.fault is ResponseFault.NONE or exchange.fault is ResponseFault.GARBAGE:
         return isinstance(event, UpstreamData)
     return isinstance(event, UpstreamHead)
--- a/src/springmux/simulation/traffic/clients.py
+++ b/src/springmux/simulation/traffic/clients.py
@@ -1,4 +1,4 @@
-"""Hollow clients: send requests to ready nodes by zone, check every byte, and retry what failed."""
+"""Hollow clients: send requests to ready nodes by zone, check every response, and retry failed requests."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 from springmux.vocabulary.names import RequestId, TenantName
 
 READINESS_PERIOD_S = 1.0
-"""The platform checks the readiness of nodes this often."""
+"""Interval in seconds at which the platform checks the readiness of nodes."""
 MAX_ATTEMPTS = 4
 GIVE_UP_MARGIN_S = 2.0
-"""A client waits this much longer than the route's deadline."""
+"""Seconds that a client waits beyond the route's deadline."""
 DEFAULT_BACKOFF_S = 0.2
-"""Delay before a retry to which the response names no other."""
+"""Delay in seconds before a retry if the response specifies none."""
 MAX_BACKOFF_S = 1.0
 NODE_DOWN_BACKOFF_S = 0.1
 
@@ -84,7 +84,7 @@
 
     @property
     def may_retry(self) -> bool:
-        """Return whether a client sends the request again, if it has received nothing of a stream."""
+        """Return whether a client retries the request, provided that it received no chunk of a stream."""
         if self.complete:
             return False
         rejected = self.fate is Fate.REFUSED and self.code is not ErrorCode.QUOTA_EXCEEDED
@@ -133,7 +133,7 @@
         fleet.observers.append(self)
 
     def start(self, until: float) -> None:
-        """Begin to send requests, and go on until the given time."""
+        """Send requests from now on until the given time."""
         self._until = until
         self._check_readiness()
         for stream in self._streams:
@@ -168,7 +168,7 @@
             return
         attempt.key = self._random.choice(self.keys[planned.tenant])
         self._attempts[request] = attempt
-        world.give(node, ClientRequestArrived(_client_request(attempt)))
+        world.deliver(node, ClientRequestArrived(_client_request(attempt)))
         give_up_s = planned.stream.deadline_s + GIVE_UP_MARGIN_S
         world.scheduler.after(give_up_s, lambda: self._give_up(request))
 
@@ -190,7 +190,7 @@
             return
         world = self._fleet.world
         if world.boot(attempt.node) == attempt.boot:
-            world.give(attempt.node, FlowInput(request, ClientDisconnected()))
+            world.deliver(attempt.node, FlowInput(request, ClientDisconnected()))
         self._finish(attempt, _Outcome(fate=Fate.UNKNOWN))
 
     # Responses
@@ -225,7 +225,7 @@
         self._history.calls.append(_record(attempt, outcome, self._fleet.world.now))
         if outcome.code is ErrorCode.REVOKED_KEY:
             self._drop_key(attempt)
-        if outcome.may_retry and not attempt.reader.pieces:
+        if outcome.may_retry and not attempt.reader.chunks:
             self._retry(attempt, min(outcome.retry_after_s or DEFAULT_BACKOFF_S, MAX_BACKOFF_S))
 
     def _drop_key(self, attempt: _Attempt) -> None:
@@ -236,7 +236,7 @@
     # Faults
 
     def fault(self, fault: AnyFault, now: float) -> None:
-        """Reset the connections to a node whose process ends."""
+        """End all attempts at a node whose process ends with an unknown fate."""
         if not isinstance(fault, Kill | PowerCut | Restart):
             return
         for attempt in [each for each in self._attempts.values() if each.node == fault.node]:
--- a/src/springmux/simulation/traffic/engine_reports.py
+++ b/src/springmux/simulation/traffic/engine_reports.py
@@ -15,18 +15,18 @@
 from springmux.vocabulary.engines import EngineLoad, EngineRecord, EngineStatus
 
 HEARTBEAT_S = 1.0
-"""Mean heartbeat interval (docs/API.md)."""
+"""Mean interval between heartbeats in seconds (docs/API.md)."""
 RETRY_S = 0.3
-"""Delay before a report that no node accepted is sent again."""
+"""Seconds before a report that no node accepted is resent."""
 MAX_HEARTBEAT_DELAY_S = 0.5
-"""A heartbeat is delayed by up to this."""
+"""Maximum random delay of a heartbeat, in seconds."""
 
 
 class ReportReceiver(Protocol):
-    """The nodes as an engine reaches them."""
+    """Delivers the reports of engines to nodes."""
 
     def report(self, event: Event, source: random.Random) -> NodeId | None:
-        """Deliver a report to some node; return it, or ``None`` if no node accepts reports now."""
+        """Deliver a report to one node; return that node, or ``None`` if no node accepts reports now."""
         ...
 
 
@@ -69,12 +69,12 @@
         self._sequence = 0
 
     def start(self) -> None:
-        """Announce the engine until a node accepts it, then send heartbeats."""
+        """Repeat the announcement until a node accepts it, then send heartbeats."""
         self._generation += 1
         self._announce(self._generation)
 
     def end(self) -> None:
-        """Send nothing more; reports already in flight still arrive."""
+        """Stop sending; reports already in flight still arrive."""
         self._generation += 1
 
     def drain(self) -> None:
--- a/src/springmux/simulation/traffic/hollow_engine.py
+++ b/src/springmux/simulation/traffic/hollow_engine.py
@@ -23,9 +23,9 @@
 from springmux.simulation.engine_model import (
     BYTES_PER_TOKEN,
     GOOD,
-    AnswerFault,
-    AnswerPlan,
     EngineModel,
+    ResponseFault,
+    ResponsePlan,
     VersionBehaviour,
 )
 from springmux.simulation.traffic.engine_reports import EngineLoadSample, EngineReporter, ReportReceiver
@@ -35,7 +35,7 @@
 
 
 class EngineObserver(Protocol):
-    """Receives what the engine did, for the history."""
+    """Receives the events of an engine, for the history."""
 
     def executed(self, engine: HollowEngine, action: str, request: RequestId) -> None:
         """Handle the execution of a call's action."""
@@ -46,7 +46,7 @@
         ...
 
 
-class ChatFields(msgspec.Struct):
+class ChatRequest(msgspec.Struct):
     """The fields of a chat completion request that the engine reads."""
 
     model: str
@@ -55,7 +55,7 @@
 
 
 class EngineExchange:
-    """One connection with one request. ``reply`` receives what the engine sends until it closes."""
+    """One connection with one request. ``reply`` is called with each event that the engine sends."""
 
     __slots__ = ("bad", "closed", "dispatch", "fault", "reply", "request")
 
@@ -68,10 +68,10 @@
         self.closed = False
         self.bad = False
         """Whether the response is worse than a good version's, and no node has observed it yet."""
-        self.fault = AnswerFault.NONE
+        self.fault = ResponseFault.NONE
 
 
-def piece_text(request: str, engine: str, seq: int) -> str:
+def chunk_text(request: str, engine: str, seq: int) -> str:
     """Return the text of one chunk, which names its request, its engine and its sequence number."""
     return f"{request}.{engine}.{seq}"
 
@@ -82,8 +82,8 @@
 
     exchange: EngineExchange
     model: EngineModel
-    chat: ChatFields
-    plan: AnswerPlan
+    chat: ChatRequest
+    plan: ResponsePlan
     chunks: int
 
     def chunk(self, engine: EngineId, seq: int) -> bytes:
@@ -95,7 +95,7 @@
         if last:
             prompt = sum(len(message["content"]) for message in chat.messages) // BYTES_PER_TOKEN
             usage = b',"usage":{"prompt_tokens":%d,"completion_tokens":%d}' % (prompt, chat.max_tokens)
-        text = piece_text(request, engine, seq).encode()
+        text = chunk_text(request, engine, seq).encode()
         return (
             b'data: {"id":"%b","object":"chat.completion.chunk","seq":%d,"choices":[{"index":0,'
             b'"delta":{"content":"%b"},"finish_reason":%b}]%b}\n\n'
@@ -107,7 +107,7 @@
 
     :param model: the engine model, or ``None`` for a service that executes calls.
     :param work_s: mean duration of a call in seconds.
-    :param thinning: tokens in one chunk of a stream; more than 1 makes runs faster.
+    :param tokens_per_chunk: tokens in one chunk of a stream; more than 1 makes runs faster.
     """
 
     def __init__(
@@ -121,7 +121,7 @@
         observer: EngineObserver,
         source: random.Random,
         work_s: float = 0.015,
-        thinning: int = 1,
+        tokens_per_chunk: int = 1,
     ) -> None:
         self.model = model
         self.behaviour = behaviour
@@ -132,7 +132,7 @@
         self._observer = observer
         self._random = source
         self._work_s = work_s
-        self._thinning = thinning
+        self._tokens_per_chunk = tokens_per_chunk
         self._exchanges: dict[RequestId, EngineExchange] = {}
         self._waiting: dict[RequestId, EngineExchange] = {}
         self._generation = 0
@@ -158,7 +158,7 @@
         self.running = True
         self._generation += 1
         if self.model is not None:
-            # A version that turns bad late does so by its process's age, at all engines alike.
+            # A version that turns bad late does so at the same age of the process on all engines.
             self.model.bad_since = self._clock()
         self._reporter.start()
 
@@ -171,7 +171,7 @@
         self.start()
 
     def crash(self) -> None:
-        """End at once: every connection is reset, nothing is reported."""
+        """Stop without a report; all connections are reset."""
         self.running = False
         self._generation += 1
         self._reporter.end()
@@ -187,7 +187,7 @@
                 exchange.reply(UpstreamFailed(exchange.dispatch.attempt, UpstreamCause.RESET, sent=True))
 
     def set_unresponsive(self, unresponsive: bool) -> None:
-        """Accept connections without any response or report, or end that; what was dropped stays lost."""
+        """Start or stop dropping all responses and reports; dropped ones are not sent later."""
         self.unresponsive = unresponsive
         self._reporter.unresponsive = unresponsive
 
@@ -196,7 +196,7 @@
         self._reporter.drain()
 
     def leave(self) -> None:
-        """Report the departure and end; running exchanges are reset."""
+        """Report the departure and stop; running exchanges are reset."""
         self._reporter.leave()
         self.crash()
 
@@ -209,7 +209,7 @@
     # Exchanges
 
     def accept(self, exchange: EngineExchange) -> None:
-        """Accept a request."""
+        """Accept a request, unless the engine is unresponsive."""
         if self.unresponsive:
             return
         self._exchanges[exchange.request] = exchange
@@ -221,7 +221,7 @@
             self._waiting[exchange.request] = exchange
 
     def closed(self, exchange: EngineExchange) -> None:
-        """Handle that the node closed the connection. A call runs on regardless, as in services."""
+        """Handle the node closing the connection. A call continues to run, as in real services."""
         exchange.closed = True
         if self.model is not None:
             self._release(exchange)
@@ -245,27 +245,27 @@
         self._scheduler.after(delay_s, act)
 
     def _start_prompt(self, exchange: EngineExchange, model: EngineModel) -> None:
-        chat = msgspec.json.decode(exchange.dispatch.body, type=ChatFields)
+        chat = msgspec.json.decode(exchange.dispatch.body, type=ChatRequest)
         now = self._clock()
         text = "\n".join(message["content"] for message in chat.messages).encode()
         plan = model.plan(text, RouteName(chat.model), now)
-        exchange.bad = plan.departs
+        exchange.bad = plan.degraded
         exchange.fault = plan.fault
-        if plan.fault is not AnswerFault.SILENT:
-            chunks = max(1, chat.max_tokens // self._thinning)
+        if plan.fault is not ResponseFault.SILENT:
+            chunks = max(1, chat.max_tokens // self._tokens_per_chunk)
             stream = _Stream(exchange, model, chat, plan, chunks)
-            self._schedule(plan.first_piece_delay_s, exchange, lambda: self._begin(stream))
+            self._schedule(plan.first_chunk_delay_s, exchange, lambda: self._begin(stream))
 
     def _begin(self, stream: _Stream) -> None:
         exchange, fault = stream.exchange, stream.plan.fault
-        if fault is AnswerFault.ERROR:
+        if fault is ResponseFault.ERROR:
             self._send_head(exchange, 500, "application/json", exchange.request)
             self._send_end(exchange)
             return
-        wrong = fault is AnswerFault.WRONG_ID
+        wrong = fault is ResponseFault.WRONG_ID
         name = RequestId("crossed-" + exchange.request) if wrong else exchange.request
         self._send_head(exchange, 200, "text/event-stream", name)
-        if fault is AnswerFault.GARBAGE:
+        if fault is ResponseFault.GARBAGE:
             exchange.reply(UpstreamData(exchange.dispatch.attempt, b"data: {not json\n\n"))
             self._send_end(exchange)
             return
@@ -274,7 +274,7 @@
     def _send_chunk(self, stream: _Stream, seq: int) -> None:
         exchange, plan = stream.exchange, stream.plan
         attempt = exchange.dispatch.attempt
-        if plan.fault is AnswerFault.CUT and seq >= min(plan.cut_after, stream.chunks - 1):
+        if plan.fault is ResponseFault.CUT and seq >= min(plan.cut_after, stream.chunks - 1):
             exchange.reply(UpstreamFailed(attempt, UpstreamCause.RESET, sent=True))
             self._release(exchange)
             return
@@ -283,7 +283,7 @@
             exchange.reply(UpstreamData(attempt, b"data: [DONE]\n\n"))
             self._send_end(exchange)
             return
-        gap_s = stream.model.piece_gap_s(RouteName(stream.chat.model), self._clock()) * self._thinning
+        gap_s = stream.model.chunk_gap_s(RouteName(stream.chat.model), self._clock()) * self._tokens_per_chunk
         self._schedule(gap_s, exchange, lambda: self._send_chunk(stream, seq + 1))
 
     def _start_call(self, exchange: EngineExchange) -> None:
@@ -292,7 +292,7 @@
         generation = self._generation
 
         def run() -> None:
-            # The effect happens although the connection may be closed: the service has begun.
+            # The action is executed even if the connection was closed, because the service has started it.
             if generation != self._generation:
                 return
             self._observer.executed(self, action, exchange.request)
@@ -338,5 +338,5 @@
 
 
 def engine_address(number: int) -> Address:
-    """Return the address of the back end with a running number."""
+    """Return the address of the backend with the given number."""
     return Address(f"10.1.{number // 250}.{number % 250 + 1}:8000")
--- a/src/springmux/simulation/traffic/requests.py
+++ b/src/springmux/simulation/traffic/requests.py
@@ -12,11 +12,11 @@
 from springmux.vocabulary.names import TenantName
 
 PREFIX_SKEW = 1.1
-"""Exponent of Zipf's law of the prefixes' popularity, as in the lab's experiments."""
+"""Exponent of the Zipf distribution of the prefixes' popularity, as in the lab's experiments."""
 
 
 class PlannedRequest(msgspec.Struct, frozen=True):
-    """One request to come. ``action``: the caller's name for it, the same in every resend."""
+    """One generated request. ``action``: the client's name for it, the same in every retry."""
 
     stream: StreamSize
     tenant: TenantName
@@ -27,7 +27,10 @@
 
 
 class Burst(msgspec.Struct, frozen=True, kw_only=True):
-    """For a while a stream (or every stream) swells by ``factor``; ``tenant``: all of the excess is its."""
+    """Period in which the rate of a stream is multiplied by ``factor``.
+
+    ``route``: route of the stream, empty for all streams. ``tenant``: tenant of all additional requests.
+    """
 
     begin: float
     end: float
@@ -37,7 +40,7 @@
 
 
 class RequestSource:
-    """Makes the requests of one run, the same for the same seed."""
+    """Generates the requests of one run, the same for the same seed."""
 
     def __init__(self, deployment: Deployment, seed: int, bursts: tuple[Burst, ...] = ()) -> None:
         self._deployment = deployment
@@ -51,7 +54,7 @@
         self._prefix_shares = {size.route: _zipf(size.prefixes) for size in deployment.streams}
 
     def gap_s(self, stream: StreamSize, now: float) -> float:
-        """Return the time to the stream's next request."""
+        """Return the seconds to the stream's next request."""
         return self._random.expovariate(stream.rate_per_s * self._factor(stream, now))
 
     def request(self, stream: StreamSize, now: float) -> PlannedRequest:
--- a/src/springmux/simulation/traffic/stream_reader.py
+++ b/src/springmux/simulation/traffic/stream_reader.py
@@ -1,4 +1,4 @@
-"""A client's check of a stream: one response, from one engine, without a gap, ended by its last chunk."""
+"""A client's check of a stream: one response of one engine, without gaps, that ends after its last chunk."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
 
 
 class StreamReader:
-    """Reads the bytes of one stream. ``fault``: the first broken guarantee, empty for none."""
+    """Reads the bytes of one stream. ``fault``: the first violated guarantee, empty for none."""
 
-    __slots__ = ("_error_next", "_rest", "_source", "done", "error", "fault", "last", "pieces", "tokens")
+    __slots__ = ("_error_next", "_rest", "_source", "chunks", "done", "error", "fault", "last", "tokens")
 
     def __init__(self) -> None:
-        self.pieces = 0
+        self.chunks = 0
         self.tokens = 0
         self.done = False
         self.last = False
@@ -46,7 +46,7 @@
         self._error_next = False
 
     def feed(self, data: bytes) -> None:
-        """Process bytes of the stream, split anywhere."""
+        """Process the next bytes of the stream, which may be split anywhere."""
         *lines, self._rest = (self._rest + data).split(b"\n")
         for line in lines:
             if line == b"event: error":
@@ -78,9 +78,9 @@
         self._source = self._source or source
         if source != self._source or request != chunk.id:
             self._report_fault(f"a piece of {source} in the stream of {self._source}")
-        if chunk.seq != self.pieces or seq != str(self.pieces):
-            self._report_fault(f"piece {chunk.seq} where piece {self.pieces} was due")
-        self.pieces += 1
+        if chunk.seq != self.chunks or seq != str(self.chunks):
+            self._report_fault(f"piece {chunk.seq} where piece {self.chunks} was due")
+        self.chunks += 1
         self.last = chunk.choices[0].finish_reason is not None
         if chunk.usage is not None:
             self.tokens = chunk.usage.prompt_tokens + chunk.usage.completion_tokens
--- a/src/springmux/simulation/world/faults.py
+++ b/src/springmux/simulation/world/faults.py
@@ -1,4 +1,4 @@
-"""The fault schedule: typed faults with their times, a seeded generator, and JSON for replay."""
+"""Fault schedules: typed faults with their times, a seeded generator, and JSON for replay."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Fault(msgspec.Struct, frozen=True, kw_only=True):
-    """Something that happens to the world at virtual time ``at`` (seconds)."""
+    """A fault or repair applied to the world at virtual time ``at`` (seconds)."""
 
     at: float
 
@@ -23,27 +23,27 @@
 
 
 class Kill(NodeFault, frozen=True, kw_only=True, tag="Kill"):
-    """The process ends at once; what it had in memory is gone."""
+    """The process is killed without a shutdown and loses its memory."""
 
 
 class Restart(NodeFault, frozen=True, kw_only=True, tag="Restart"):
-    """The process starts again (ended first if it runs)."""
+    """The process is started; if it is running, it is killed first."""
 
 
 class Freeze(NodeFault, frozen=True, kw_only=True, tag="Freeze"):
-    """The process is suspended; its events are queued."""
+    """The process is suspended; events for it are queued."""
 
 
 class Thaw(NodeFault, frozen=True, kw_only=True, tag="Thaw"):
-    """The process resumes, and all queued events reach it at once."""
+    """The process resumes and handles all queued events at that moment."""
 
 
 class Wipe(NodeFault, frozen=True, kw_only=True, tag="Wipe"):
-    """The data folder is emptied (the driver's disk does it); mostly between Kill and Restart."""
+    """The data folder is emptied by the world's hooks; usually between Kill and Restart."""
 
 
 class PowerCut(NodeFault, frozen=True, kw_only=True, tag="PowerCut"):
-    """The process ends at once and the disk loses what was not synced."""
+    """The process is killed and the disk loses all data that was not synced."""
 
 
 class CutNode(NodeFault, frozen=True, kw_only=True, tag="CutNode"):
@@ -73,19 +73,19 @@
 
 
 class SlowDisk(NodeFault, frozen=True, kw_only=True, tag="SlowDisk"):
-    """Each sync takes ``sync_s`` from now on (0: as usual)."""
+    """Each sync takes ``sync_s`` seconds from now on; 0 restores the usual duration."""
 
     sync_s: float
 
 
 class StallDisk(NodeFault, frozen=True, kw_only=True, tag="StallDisk"):
-    """No sync ends before ``stall_s`` have passed."""
+    """No sync completes within the next ``stall_s`` seconds."""
 
     stall_s: float
 
 
 class FullDisk(NodeFault, frozen=True, kw_only=True, tag="FullDisk"):
-    """Writes fail for want of space, or again have it."""
+    """Writes fail because the disk is full; ``full=False`` frees the space again."""
 
     full: bool = True
 
@@ -115,31 +115,31 @@
 
 
 class FaultSchedule(msgspec.Struct, frozen=True):
-    """Faults in the order of their times, with the seed that the run used."""
+    """Faults in the order of their times, with the seed of the run."""
 
     seed: int
     faults: tuple[AnyFault, ...] = ()
 
     def to_json(self) -> bytes:
-        """Return the schedule as JSON, to be replayed by :meth:`from_json`."""
+        """Return the schedule as JSON, which :meth:`from_json` reads."""
         return msgspec.json.encode(self)
 
     @staticmethod
     def from_json(data: bytes) -> FaultSchedule:
-        """Read a schedule; raises ``msgspec.ValidationError`` for one that is not well formed."""
+        """Read a schedule from JSON; raise ``msgspec.ValidationError`` if it is invalid."""
         return msgspec.json.decode(data, type=FaultSchedule)
 
 
-class FaultKnobs(msgspec.Struct, frozen=True):
-    """How many faults of which kind the generator makes; weights are relative, 0 leaves a kind out."""
+class FaultSettings(msgspec.Struct, frozen=True):
+    """Number, times and kinds of generated faults; the kinds' weights are relative, 0 excludes a kind."""
 
     start_s: float = 5.0
     end_s: float = 60.0
     count: int = 6
-    """Disturbances; each brings its own repair."""
+    """Number of disturbances. Each consists of a fault and its repair, if it needs one."""
     shortest_s: float = 0.5
     longest_s: float = 20.0
-    """A controller may be partitioned for twenty seconds or more."""
+    """Longest disturbance in seconds, because a controller may be partitioned for 20 s or more."""
     kill: float = 1.0
     freeze: float = 1.0
     partition_node: float = 1.0
@@ -156,49 +156,53 @@
 
 
 class ScheduleGenerator:
-    """Makes random schedules; the same seed, nodes and knobs give the same schedule."""
+    """Generates random schedules; the same seed, nodes and settings give the same schedule."""
 
-    def __init__(self, zones: dict[NodeId, ZoneName], disks: Sequence[NodeId], knobs: FaultKnobs) -> None:
+    def __init__(
+        self, zones: dict[NodeId, ZoneName], disks: Sequence[NodeId], settings: FaultSettings
+    ) -> None:
         self._nodes = sorted(zones)
         self._zones = sorted(set(zones.values()))
         self._disks = sorted(disks)
-        self._knobs = knobs
+        self._settings = settings
 
     def generate(self, seed: int) -> FaultSchedule:
         """Return one schedule."""
         source = random.Random(seed)
         faults: list[AnyFault] = []
-        for _ in range(self._knobs.count):
-            faults += self._disturbance(source)
+        for _ in range(self._settings.count):
+            faults += self._sample_disturbance(source)
         faults.sort(key=lambda fault: fault.at)
         return FaultSchedule(seed, tuple(faults))
 
-    def _kinds(self) -> dict[str, float]:
-        knobs = self._knobs
+    def _kind_weights(self) -> dict[str, float]:
+        settings = self._settings
         kinds = {
-            "kill": knobs.kill,
-            "freeze": knobs.freeze,
-            "partition_node": knobs.partition_node,
-            "partition_zone": knobs.partition_zone,
-            "partition_pair": knobs.partition_pair if len(self._nodes) > 1 else 0.0,
-            "clock_jump": knobs.clock_jump,
+            "kill": settings.kill,
+            "freeze": settings.freeze,
+            "partition_node": settings.partition_node,
+            "partition_zone": settings.partition_zone,
+            "partition_pair": settings.partition_pair if len(self._nodes) > 1 else 0.0,
+            "clock_jump": settings.clock_jump,
         }
         if self._disks:
             kinds |= {
-                "power_cut": knobs.power_cut,
-                "wipe": knobs.wipe,
-                "slow_disk": knobs.slow_disk,
-                "stall_disk": knobs.stall_disk,
-                "full_disk": knobs.full_disk,
+                "power_cut": settings.power_cut,
+                "wipe": settings.wipe,
+                "slow_disk": settings.slow_disk,
+                "stall_disk": settings.stall_disk,
+                "full_disk": settings.full_disk,
             }
         return kinds
 
-    def _disturbance(self, source: random.Random) -> list[AnyFault]:  # noqa: C901 - one case a kind
-        knobs = self._knobs
-        kinds = self._kinds()
+    def _sample_disturbance(self, source: random.Random) -> list[AnyFault]:  # noqa: C901 - one case per kind
+        settings = self._settings
+        kinds = self._kind_weights()
         kind = source.choices(list(kinds), list(kinds.values()))[0]
-        at = source.uniform(knobs.start_s, knobs.end_s)
-        end = min(at + source.uniform(knobs.shortest_s, knobs.longest_s), knobs.end_s + knobs.longest_s)
+        at = source.uniform(settings.start_s, settings.end_s)
+        end = min(
+            at + source.uniform(settings.shortest_s, settings.longest_s), settings.end_s + settings.longest_s
+        )
         node = source.choice(self._nodes)
         disk = source.choice(self._disks) if self._disks else node
         match kind:
@@ -216,14 +220,14 @@
                 first, second = source.sample(self._nodes, 2)
                 return [CutPair(at=at, source=first, target=second), Heal(at=end)]
             case "clock_jump":
-                jump_s = source.uniform(-knobs.largest_jump_s, knobs.largest_jump_s)
+                jump_s = source.uniform(-settings.largest_jump_s, settings.largest_jump_s)
                 return [ClockJump(at=at, node=node, by_s=jump_s)]
             case "power_cut":
                 return [PowerCut(at=at, node=disk), Restart(at=end, node=disk)]
             case "wipe":
                 return [Kill(at=at, node=disk), Wipe(at=at, node=disk), Restart(at=end, node=disk)]
             case "slow_disk":
-                slow = SlowDisk(at=at, node=disk, sync_s=knobs.slow_sync_s)
+                slow = SlowDisk(at=at, node=disk, sync_s=settings.slow_sync_s)
                 return [slow, SlowDisk(at=end, node=disk, sync_s=0.0)]
             case "stall_disk":
                 return [StallDisk(at=at, node=disk, stall_s=end - at)]
--- a/src/springmux/simulation/world/network.py
+++ b/src/springmux/simulation/world/network.py
@@ -1,4 +1,4 @@
-"""The network model: latency by zone pair, loss, duplication, reordering, partitions, counters."""
+"""Network model: latency per zone pair, loss, duplication, reordering, partitions and counters."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 class Latency(msgspec.Struct, frozen=True):
-    """One-way delay: ``base_s`` plus an exponential part with mean ``jitter_s``.
+    """One-way delay: ``base_s`` plus an exponentially distributed part with mean ``jitter_s``.
 
-    The jitter of each message is drawn on its own, so that messages overtake one another.
+    The jitter is drawn for each message independently, so messages may be reordered.
     """
 
     base_s: float = 0.0005
@@ -30,7 +30,7 @@
 
 
 class NetworkSettings(msgspec.Struct, frozen=True):
-    """Knobs of the network; probabilities are for each message."""
+    """Settings of the network; probabilities apply to each message."""
 
     within_zone: Latency = Latency()
     between_zones: Latency = Latency(0.002, 0.001)
@@ -39,11 +39,11 @@
     duplication: float = 0.0
     reordering: float = 0.0
     reordering_delay_s: float = 0.05
-    """A reordered message is late by up to this much."""
+    """Maximum additional delay of a reordered message, in seconds."""
     bytes_per_s: float = 0.0
-    """Bandwidth out of each node; 0: unlimited. Needs ``count_bytes``."""
+    """Outgoing bandwidth of each node; 0 means unlimited. Requires ``count_bytes``."""
     count_bytes: bool = False
-    """Encode each message with msgspec to count its bytes (costs time)."""
+    """Whether to encode each message with msgspec to count its bytes, which makes runs slower."""
 
 
 class NetworkCounters:
@@ -57,20 +57,20 @@
         self.duplicated = 0
 
     def messages_of(self, node: NodeId) -> int:
-        """Return all messages that a node sent."""
+        """Return the number of messages that a node sent."""
         return sum(count for (sender, _), count in self.messages.items() if sender == node)
 
     def bytes_of(self, node: NodeId) -> int:
-        """Return all bytes that a node sent (0 unless bytes are counted)."""
+        """Return the number of bytes that a node sent; 0 unless ``count_bytes`` is set."""
         return sum(count for (sender, _), count in self.bytes.items() if sender == node)
 
     def bytes_by_type(self) -> dict[str, int]:
-        """Return the bytes of all nodes by type."""
+        """Return the bytes sent by all nodes, by message type."""
         return _by_type(self.bytes)
 
 
 class Partitions:
-    """Directed partitions between nodes. They nest: each one must be healed on its own."""
+    """Directed partitions between nodes. They are counted: each one must be healed separately."""
 
     def __init__(self) -> None:
         self._pairs: Counter[tuple[NodeId, NodeId]] = Counter()
@@ -89,7 +89,7 @@
         self._into[node] += change * inward
 
     def partition_zone(self, zone: ZoneName, outward: bool, inward: bool, change: int = 1) -> None:
-        """Partition a zone from all others; messages within it still pass."""
+        """Partition a zone from all others, in one direction or both; traffic within it continues."""
         self._zone_out[zone] += change * outward
         self._zone_into[zone] += change * inward
 
@@ -99,7 +99,7 @@
             counter.clear()
 
     def separates(self, source: NodeId, source_zone: ZoneName, target: NodeId, target_zone: ZoneName) -> bool:
-        """Return whether nothing passes from ``source`` to ``target`` now."""
+        """Return whether messages from ``source`` to ``target`` are dropped now."""
         if self._out.get(source, 0) > 0 or self._into.get(target, 0) > 0:
             return True
         if self._pairs and self._pairs.get((source, target), 0) > 0:
@@ -110,7 +110,7 @@
 
 
 class Network:
-    """Decides for each message when it arrives, if at all, and how often."""
+    """Determines the arrival times of each message: none if it is lost, two if it is duplicated."""
 
     def __init__(self, settings: NetworkSettings, random: random.Random) -> None:
         self.settings = settings
@@ -127,13 +127,13 @@
         self._zones[node] = zone
 
     def is_partitioned(self, source: NodeId, target: NodeId) -> bool:
-        """Return whether nothing passes from ``source`` to ``target`` now."""
+        """Return whether messages from ``source`` to ``target`` are dropped now."""
         return self.partitions.separates(source, self._zones[source], target, self._zones[target])
 
     def arrivals(self, source: NodeId, target: NodeId, message: PeerMessage, now: float) -> list[float]:
-        """Return the arrival times of a message sent now: none, one, or two.
+        """Return the arrival times of a message sent now: none, one or two.
 
-        Raises ``KeyError`` for a node that was never placed.
+        Raise ``KeyError`` for a node whose zone was never set.
         """
         kind = message_name(type(message))
         counters, settings, draw = self.counters, self.settings, self._random.random
--- a/src/springmux/simulation/world/scheduler.py
+++ b/src/springmux/simulation/world/scheduler.py
@@ -1,4 +1,4 @@
-"""The event queue: callbacks in the order of virtual time; ties in the order of scheduling."""
+"""Event queue: callbacks ordered by virtual time, ties by the order of scheduling."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Scheduler:
-    """Runs actions at their virtual time. The same calls give the same order, whatever the machine."""
+    """Runs actions at their virtual time. The order depends only on the calls, not on the machine."""
 
     def __init__(self, clock: VirtualClock) -> None:
         self._clock = clock
@@ -20,16 +20,16 @@
         self.executed = 0
 
     def at(self, time: float, action: Action) -> None:
-        """Run ``action`` at ``time``, or now if that has passed."""
+        """Schedule ``action`` for ``time``, or for now if ``time`` has passed."""
         self._count += 1
         heapq.heappush(self._heap, (max(time, self._clock.now), self._count, action))
 
     def after(self, delay_s: float, action: Action) -> None:
-        """Run ``action`` ``delay_s`` from now."""
+        """Schedule ``action`` for ``delay_s`` seconds from now."""
         self.at(self._clock.now + delay_s, action)
 
     def run_until(self, end: float) -> None:
-        """Run everything due up to ``end`` and leave the clock there."""
+        """Run all actions due up to ``end``, and set the clock to ``end``."""
         heap, clock = self._heap, self._clock
         while heap and heap[0][0] <= end:
             clock.now, _, action = heapq.heappop(heap)
@@ -38,5 +38,5 @@
         clock.now = max(clock.now, end)
 
     def pending(self) -> int:
-        """Return how many actions wait."""
+        """Return the number of scheduled actions."""
         return len(self._heap)
--- a/src/springmux/simulation/world/shrink.py
+++ b/src/springmux/simulation/world/shrink.py
@@ -1,4 +1,4 @@
-"""Shrinking a failing schedule to one from which no part can be left out.
+"""Shrink a failing schedule to one from which no fault can be removed.
 
 Source: Zeller and Hildebrandt, "Simplifying and isolating failure-inducing input", IEEE Transactions
 on Software Engineering 28(2), 2002: the algorithm ddmin of section 3.2.
@@ -16,10 +16,10 @@
 
 
 def minimize(items: Sequence[T], fails: Callable[[list[T]], bool]) -> list[T]:
-    """Return a 1-minimal failing part of ``items``: it fails, and without any one item it doesn't.
+    """Return a 1-minimal failing subsequence of ``items``: removing any one item makes it pass.
 
-    :param fails: deterministic predicate; it must hold for all of ``items``.
-    :raises ValueError: if ``items`` as a whole don't fail.
+    :param fails: deterministic predicate, which must hold for ``items`` as a whole.
+    :raises ValueError: if ``items`` as a whole do not fail.
     """
     failing = list(items)
     if not fails(failing):
@@ -44,7 +44,7 @@
 def shrink_schedule(schedule: FaultSchedule, fails: Callable[[FaultSchedule], bool]) -> FaultSchedule:
     """Return a 1-minimal schedule that still fails under the same seed.
 
-    :raises ValueError: if ``schedule`` doesn't fail.
+    :raises ValueError: if ``schedule`` does not fail.
     """
 
     def part_fails(faults: list[AnyFault]) -> bool:
@@ -54,7 +54,7 @@
 
 
 def _reduce(items: list[T], parts: int, fails: Callable[[list[T]], bool]) -> list[T] | None:
-    """Return a failing chunk, or what remains without one, or ``None``."""
+    """Return a failing chunk, or a failing complement of a chunk, or ``None`` if there is neither."""
     bounds = [len(items) * index // parts for index in range(parts + 1)]
     chunks = list(itertools.pairwise(bounds))
     for start, end in chunks:
--- a/src/springmux/simulation/world/world.py
+++ b/src/springmux/simulation/world/world.py
@@ -1,4 +1,4 @@
-"""The world: runs processes in virtual time over the network model and carries out faults."""
+"""The world: runs processes in virtual time over the network model, and applies faults."""
 
 from __future__ import annotations
 
@@ -37,10 +37,10 @@
 
 
 class Process(Protocol):
-    """What runs on a node: a state machine, or a composition of them."""
+    """A process on a node: a state machine, or a composition of several."""
 
     def start(self, now: float) -> list[Effect]:
-        """Begin at monotonic time ``now``."""
+        """Start at monotonic time ``now``; return the effects to execute."""
         ...
 
     def handle(self, event: Event, now: float) -> list[Effect]:
@@ -48,19 +48,19 @@
         ...
 
     def next_deadline(self) -> float:
-        """Return when a tick is due, or ``NEVER``."""
+        """Return the time of the next tick, or ``NEVER``."""
         ...
 
 
 class Hooks(Protocol):
-    """Handles effects and faults outside the world itself."""
+    """Handles the effects and faults that the world itself does not."""
 
     def on_effect(self, node: NodeId, effect: Effect, now: float) -> None:
-        """Carry out an effect other than ``Send``."""
+        """Execute an effect other than ``Send``."""
         ...
 
     def on_fault(self, fault: AnyFault, now: float) -> None:
-        """Apply a fault outside the world (disks); called before the world applies it."""
+        """Apply a fault to components outside the world (disks); called before the world applies it."""
         ...
 
 
@@ -75,7 +75,7 @@
 
 
 class Host:
-    """A node's machine: its process while it runs, and what waits while it is frozen."""
+    """A node's machine: its process while it runs, and the events queued while it is frozen."""
 
     __slots__ = ("boot", "build", "frozen", "node", "process", "queue", "tick_at", "zone")
 
@@ -91,9 +91,9 @@
 
 
 class World:
-    """Virtual machines, a network between them, and one queue of events.
+    """Simulated machines, the network between them, and one event queue.
 
-    The same seed, processes and schedule give the same run; :meth:`transcript_hash` proves it.
+    The same seed, processes and schedule give the same run, which :meth:`transcript_hash` verifies.
     """
 
     def __init__(
@@ -117,7 +117,7 @@
         return self.clock.now
 
     def add(self, node: NodeId, zone: ZoneName, build: Callable[[int], Process]) -> None:
-        """Add a machine. ``build`` makes a fresh process for each boot (counted from 1)."""
+        """Add a machine. ``build`` creates a new process for each boot; boots are counted from 1."""
         self.network.place(node, zone)
         self._hosts[node] = Host(node, zone, build)
 
@@ -126,7 +126,7 @@
         return list(self._hosts)
 
     def process(self, node: NodeId) -> Process | None:
-        """Return the running process of a node, frozen or not."""
+        """Return the process of a node, frozen or not, or ``None`` if it is down."""
         return self._hosts[node].process
 
     def is_running(self, node: NodeId) -> bool:
@@ -135,38 +135,38 @@
         return host.process is not None and not host.frozen
 
     def boot(self, node: NodeId) -> int:
-        """Return how often the node was started."""
+        """Return how many times the node was started."""
         return self._hosts[node].boot
 
     def start_all(self) -> None:
-        """Start every machine that does not run."""
+        """Start every machine whose process is not running."""
         for host in self._hosts.values():
             if host.process is None:
                 self._start(host)
 
-    def give(self, node: NodeId, event: Event) -> None:
-        """Hand an event to a node now; lost if it is down, queued while it is frozen."""
-        self._give(self._hosts[node], event)
+    def deliver(self, node: NodeId, event: Event) -> None:
+        """Deliver an event to a node now; dropped if the node is down, queued while it is frozen."""
+        self._deliver(self._hosts[node], event)
 
     def call(self, node: NodeId, action: Callable[[Process], None]) -> bool:
-        """Call methods of a running process directly; ``False`` if it is down or frozen."""
+        """Call ``action`` with a running process; return ``False`` if it is down or frozen."""
         host = self._hosts[node]
         if host.process is None or host.frozen:
             return False
         action(host.process)
-        self._plan_tick(host)
+        self._schedule_tick(host)
         return True
 
     def run_until(self, end: float) -> None:
-        """Let the world go on to virtual time ``end``."""
+        """Run the world to virtual time ``end``."""
         self.scheduler.run_until(end)
 
     def run_for(self, seconds: float) -> None:
-        """Let the world go on for some seconds."""
+        """Run the world for a number of virtual seconds."""
         self.scheduler.run_until(self.clock.now + seconds)
 
     def apply(self, fault: AnyFault) -> None:
-        """Carry out a fault now."""
+        """Apply a fault now."""
         self._record("fault", fault)
         self._hooks.on_fault(fault, self.clock.now)
         match fault:
@@ -191,16 +191,19 @@
                 self.wall_clocks.jump(fault.node, fault.by_s)
 
     def transcript_hash(self) -> str:
-        """Return a digest of every event so far, in order (needs ``record=True``)."""
+        """Return a digest of all events and faults so far, in order.
+
+        Raise ``RuntimeError`` if the world was created without ``record=True``.
+        """
         if self._digest is None:
-            raise RuntimeError("the world was made without record=True")
+            raise RuntimeError("the world was created without record=True")
         return self._digest.hexdigest()
 
     def _start(self, host: Host) -> None:
         host.boot += 1
         host.frozen = False
         host.process = host.build(host.boot)
-        self._carry_out(host, host.process.start(self.clock.now))
+        self._execute(host, host.process.start(self.clock.now))
 
     def _stop(self, host: Host) -> None:
         host.process = None
@@ -212,12 +215,12 @@
         if not host.frozen:
             return
         host.frozen = False
-        waiting, host.queue = host.queue, []
-        for event in waiting:
-            self._give(host, event)
-        self._plan_tick(host)
+        queued, host.queue = host.queue, []
+        for event in queued:
+            self._deliver(host, event)
+        self._schedule_tick(host)
 
-    def _give(self, host: Host, event: Event) -> None:
+    def _deliver(self, host: Host, event: Event) -> None:
         process = host.process
         if process is None:
             return
@@ -226,9 +229,9 @@
             return
         if self._digest is not None:
             self._record(host.node, event)
-        self._carry_out(host, process.handle(event, self.clock.now))
+        self._execute(host, process.handle(event, self.clock.now))
 
-    def _carry_out(self, host: Host, effects: list[Effect]) -> None:
+    def _execute(self, host: Host, effects: list[Effect]) -> None:
         process = host.process
         for effect in effects:
             if isinstance(effect, Send):
@@ -236,7 +239,7 @@
             else:
                 self._hooks.on_effect(host.node, effect, self.clock.now)
         if host.process is process and process is not None:
-            self._plan_tick(host)
+            self._schedule_tick(host)
 
     def _send(self, source: NodeId, target: NodeId, message: PeerMessage) -> None:
         receiver = self._hosts.get(target)
@@ -244,10 +247,10 @@
             return
         event = MessageReceived(source, message)
         for time in self.network.arrivals(source, target, message, self.clock.now):
-            self.scheduler.at(time, lambda: self._give(receiver, event))
+            self.scheduler.at(time, lambda: self._deliver(receiver, event))
 
-    def _plan_tick(self, host: Host) -> None:
-        """Keep one planned tick, at the process's deadline; earlier plans that moved are left to lapse."""
+    def _schedule_tick(self, host: Host) -> None:
+        """Schedule a tick at the process's deadline. Ticks scheduled for a superseded time do nothing."""
         if host.process is None or host.frozen:
             return
         deadline = max(host.process.next_deadline(), self.clock.now)
@@ -263,9 +266,9 @@
         if host.process is None or host.frozen:
             return
         if host.process.next_deadline() <= self.clock.now:
-            self._give(host, Tick())
+            self._deliver(host, Tick())
         else:
-            self._plan_tick(host)
+            self._schedule_tick(host)
 
     def _record(self, where: str, what: Event | Fault) -> None:
         if self._digest is not None:
--- a/tests/unit/agent/test_changes_while_stopping.py
+++ b/tests/unit/agent/test_changes_while_stopping.py
@@ -31,7 +31,7 @@
 def stopping_fleet(seed: int) -> HollowFleet:
     fleet = founded(ZONES, 3, seed)
     for node in STOPPING:
-        fleet.world.give(node, StopBegun())
+        fleet.world.deliver(node, StopBegun())
     fleet.world.run_for(SAID_S)
     return fleet
 
@@ -87,13 +87,13 @@
 def test_who_is_stopping_gives_its_duties_away_at_once_and_is_present_until_it_has_finished() -> None:
     fleet = founded({"z1": 3, "z2": 3, "z3": 3}, 3, 1)
     node, other = NodeId("z2-2"), NodeId("z3-3")
-    fleet.world.give(node, StopBegun())
+    fleet.world.deliver(node, StopBegun())
     fleet.world.run_for(SAID_S)
     view = fleet.agents()[other].membership
     assert node in {record.node for record in view.present()}
     assert node not in {record.node for record in view.staying()}
 
-    fleet.world.give(node, StopFinished())
+    fleet.world.deliver(node, StopFinished())
     fleet.world.run_for(SAID_S)
     view = fleet.agents()[other].membership
     assert view.nodes[node].status is NodeStatus.LEFT
@@ -103,7 +103,7 @@
 def test_a_stopping_controller_is_no_longer_among_those_that_found_or_hold() -> None:
     fleet = founded({"z1": 3, "z2": 3, "z3": 3}, 3, 1)
     node = NodeId("z2-1")
-    fleet.world.give(node, StopBegun())
+    fleet.world.deliver(node, StopBegun())
     fleet.world.run_for(SAID_S)
     for agent in fleet.agents().values():
         assert node not in {record.node for record in agent.membership.controllers()}
--- a/tests/unit/agent/test_control_border.py
+++ b/tests/unit/agent/test_control_border.py
@@ -27,7 +27,7 @@
             if agent is not None and agent is self.agent(node):
                 for command in effect.commands:
                     agent.control.prepare(command)
-                self.world.give(node, CommandsPrepared())
+                self.world.deliver(node, CommandsPrepared())
 
         self.world.scheduler.at(self.world.now + PARSE_S, parsed)
 
--- a/tests/unit/agent/test_cut_off.py
+++ b/tests/unit/agent/test_cut_off.py
@@ -72,7 +72,7 @@
     cut_off(fleet, "x")
     fleet.world.apply(Restart(at=fleet.world.now, node=NodeId("x")))
     fleet.world.run_for(1)
-    fleet.world.give(NodeId("x"), EngineAnnounced(ENGINE))
+    fleet.world.deliver(NodeId("x"), EngineAnnounced(ENGINE))
     fleet.world.run_for(8)
     engines = fleet.agents()[NodeId("x")].engines.engines
     assert engines[ENGINE.engine].status is EngineStatus.READY
--- a/tests/unit/agent/test_directory_after_a_cut.py
+++ b/tests/unit/agent/test_directory_after_a_cut.py
@@ -21,7 +21,7 @@
     record = EngineRecord(
         ENGINE, ServiceName("text"), VersionName("v1"), Address("10.9.0.1:80"), 8, incarnation=1
     )
-    fleet.world.give(NodeId("a"), EngineAnnounced(record))
+    fleet.world.deliver(NodeId("a"), EngineAnnounced(record))
     fleet.world.run_for(1)
     return fleet
 
@@ -32,7 +32,7 @@
     fleet.world.apply(CutNode(at=fleet.world.now, node=X))
     fleet.world.run_for(5)
     assert not agent.ready
-    fleet.world.give(NodeId("a"), EngineDraining(ENGINE))
+    fleet.world.deliver(NodeId("a"), EngineDraining(ENGINE))
     fleet.world.run_for(2)
     fleet.world.apply(Heal(at=fleet.world.now))
 
--- a/tests/unit/agent/test_gateway_readiness.py
+++ b/tests/unit/agent/test_gateway_readiness.py
@@ -108,6 +108,6 @@
 
 def test_a_node_that_stops_serves_no_more() -> None:
     fleet = configured()
-    fleet.world.give(NodeId("z1-1"), StopBegun())
+    fleet.world.deliver(NodeId("z1-1"), StopBegun())
 
     assert fleet.agents()[NodeId("z1-1")].gateway_reason == STOPPING
--- a/tests/unit/bad_days/test_traffic_swells.py
+++ b/tests/unit/bad_days/test_traffic_swells.py
@@ -187,7 +187,7 @@
 
 
 LONG_P95_S = 0.8
-SHAPE = EngineShape(slots=12, prefill_tokens_per_s=64_200.0, piece_tokens=4096, cache_tokens=387_365)
+SHAPE = EngineShape(slots=12, prefill_tokens_per_s=64_200.0, chunk_tokens=4096, cache_tokens=387_365)
 
 
 def hot_prefix() -> Result:
--- a/tests/unit/gateway/test_placement_policy.py
+++ b/tests/unit/gateway/test_placement_policy.py
@@ -30,12 +30,12 @@
     assert policy_result.short_p95_s < 0.5
 
 
-FULL_A = EngineShape(step_s=0.0055, piece_tokens=4096)
+FULL_A = EngineShape(step_s=0.0055, chunk_tokens=4096)
 SITE_B = EngineShape(
-    slots=16, step_s=0.0045, prefill_tokens_per_s=64_200.0, piece_tokens=4096, cache_tokens=410_364
+    slots=16, step_s=0.0045, prefill_tokens_per_s=64_200.0, chunk_tokens=4096, cache_tokens=410_364
 )
 GROWN_B = EngineShape(
-    slots=12, step_s=0.0045, prefill_tokens_per_s=64_200.0, piece_tokens=4096, cache_tokens=387_365
+    slots=12, step_s=0.0045, prefill_tokens_per_s=64_200.0, chunk_tokens=4096, cache_tokens=387_365
 )
 DIRECT = LoadExchange(period_s=0.2, delay_s=0.02)
 BY_COLLECTOR = LoadExchange(period_s=0.25, delay_s=0.3)
--- a/tests/unit/quota/fleet.py
+++ b/tests/unit/quota/fleet.py
@@ -86,7 +86,7 @@
         for node in present:
             delay_s = self.random.random()
             self.world.scheduler.after(
-                delay_s, lambda node=node: self.world.give(node, QuotaMembersChanged(view))
+                delay_s, lambda node=node: self.world.deliver(node, QuotaMembersChanged(view))
             )
 
     def add_load(
--- a/tests/unit/rollout/test_short_rollouts_simulated.py
+++ b/tests/unit/rollout/test_short_rollouts_simulated.py
@@ -36,9 +36,9 @@
         scheduler.at(PROMOTED_AT_S + ENGINES_APPEAR_S, self._start_candidates)
         if kill_leader:
             scheduler.at(PROMOTED_AT_S + KILLED_AT_S, self._kill_leader)
-        self.fleet.run_until(self._over, end - world.now, step_s=0.5)
+        self.fleet.run_until(self._is_over, end - world.now, step_s=0.5)
         world.run_for(AFTER_END_S)
-        return self._figures()
+        return self._make_result()
 
     def _kill_leader(self) -> None:
         leader, world = self.fleet.leader(), self.fleet.world
--- a/tests/unit/simulation/change_soak.py
+++ b/tests/unit/simulation/change_soak.py
@@ -118,11 +118,11 @@
         boot, takes_s = world.boot(node), self._random.choice(STOP_S)
         self._stopping.add(node)
         self._disturb_core(node)
-        world.give(node, StopBegun())
+        world.deliver(node, StopBegun())
 
         def finish() -> None:
             if world.boot(node) == boot:
-                world.give(node, StopFinished())
+                world.deliver(node, StopFinished())
 
         def end() -> None:
             self._stopping.discard(node)
--- a/tests/unit/simulation/site.py
+++ b/tests/unit/simulation/site.py
@@ -177,13 +177,13 @@
         chosen = self.random.sample(running, 3)
         self.fleet.seeds = tuple(self.fleet.addresses[node] for node in chosen)
         for node in running:
-            self.world.give(node, SeedsChanged(self.fleet.seeds))
+            self.world.deliver(node, SeedsChanged(self.fleet.seeds))
 
     def stop(self, node: NodeId, takes_s: float = 0.3) -> None:
         """SIGTERM: the process says so, and ends a little later."""
         self.trouble(node)
-        self.world.give(node, StopBegun())
-        self.world.scheduler.after(takes_s - LEAVING_S, lambda: self.world.give(node, StopFinished()))
+        self.world.deliver(node, StopBegun())
+        self.world.scheduler.after(takes_s - LEAVING_S, lambda: self.world.deliver(node, StopFinished()))
         self.world.scheduler.after(takes_s, lambda: self.kill(node))
 
     def voters(self) -> set[NodeId]:
--- a/tests/unit/simulation/support.py
+++ b/tests/unit/simulation/support.py
@@ -5,10 +5,12 @@
 from collections.abc import Iterable
 
 from springmux.simulation.run import Run
-from springmux.simulation.scenario import Scenario, ScenarioKnobs
+from springmux.simulation.scenario import Scenario, ScenarioSettings
 from springmux.simulation.scenario_faults import ScenarioFault
 
-SMALL = ScenarioKnobs(nodes_per_zone=1, traffic_share=0.2, thinning=8, faults_s=10.0, by_s=20.0, calm_s=8.0)
+SMALL = ScenarioSettings(
+    nodes_per_zone=1, traffic_share=0.2, tokens_per_chunk=8, faults_s=10.0, by_s=20.0, calm_s=8.0
+)
 
 
 def small_run(
@@ -16,16 +18,16 @@
     faults: Iterable[ScenarioFault] = (),
     seed: int = 1,
     deployment: str = "derwent",
-    swollen_tenant: int = -1,
-    knobs: ScenarioKnobs = SMALL,
+    surging_tenant: int = -1,
+    settings: ScenarioSettings = SMALL,
 ) -> Run:
     """Return a run that has not begun."""
     scenario = Scenario(
         seed=seed,
-        knobs=knobs,
+        settings=settings,
         deployment=deployment,
         candidate=candidate,
-        swollen_tenant=swollen_tenant,
+        surging_tenant=surging_tenant,
         faults=tuple(faults),
     )
     return Run(scenario)
--- a/tests/unit/simulation/test_mutations.py
+++ b/tests/unit/simulation/test_mutations.py
@@ -204,7 +204,9 @@
 
 
 def _swollen() -> Any:
-    return small_run(swollen_tenant=2, knobs=msgspec.structs.replace(SMALL, faults_s=36.0, traffic_share=0.3))
+    return small_run(
+        surging_tenant=2, settings=msgspec.structs.replace(SMALL, faults_s=36.0, traffic_share=0.3)
+    )
 
 
 def test_retry_budget_is_ignored(patch: pytest.MonkeyPatch) -> None:
--- a/tests/unit/simulation/test_rollout_scenarios.py
+++ b/tests/unit/simulation/test_rollout_scenarios.py
@@ -6,7 +6,7 @@
 
 from springmux.rollout import issuer, participant
 from springmux.simulation.engine_model import VersionBehaviour
-from springmux.simulation.rollout_baselines import Variant, in_force
+from springmux.simulation.rollout_baselines import Variant, variant_applied
 from springmux.simulation.rollout_scenarios import SCENARIOS, Cell, Row, markdown, run_cell
 from springmux.simulation.rollout_trial import Disturbance, RolloutScenario, TrialResult
 
@@ -44,7 +44,7 @@
 
 def test_a_good_version_counts_late_ends_and_false_aborts() -> None:
     measured = row(GOOD, result(), result(finished_s=60.1), result(phase="aborted"), result(orders_ok=False))
-    assert (measured.done_by_term, measured.false_aborts, measured.wrong_orders) == (2, 1, 1)
+    assert (measured.done_by_deadline, measured.false_aborts, measured.wrong_orders) == (2, 1, 1)
     by_order = RolloutScenario(name="order", disturbance=Disturbance.ABORT)
     assert row(by_order, result(phase="aborted")).false_aborts == 0
 
@@ -52,7 +52,7 @@
 @pytest.mark.parametrize("variant", Variant)
 def test_a_variant_is_in_force_only_within_its_block(variant: Variant) -> None:
     before = (participant.Judge, participant.EvidenceTable, issuer.credit_pool)
-    with in_force(variant):
+    with variant_applied(variant):
         within = (participant.Judge, participant.EvidenceTable, issuer.credit_pool)
         assert (within == before) is (variant is Variant.SPRINGMUX)
     assert (participant.Judge, participant.EvidenceTable, issuer.credit_pool) == before
