--- a/tests/unit/world/test_faults.py
+++ b/tests/unit/world/test_faults.py
@@ -1,4 +1,4 @@
-"""Schedules: generation from a seed, JSON, and shrinking to what is needed."""
+"""Fault schedules: generation from a seed, JSON, and shrinking to the faults that cause a failure."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
     AnyFault,
     ClockJump,
     CutNode,
-    FaultKnobs,
     FaultSchedule,
+    FaultSettings,
     Freeze,
     FullDisk,
     Heal,
@@ -33,8 +33,8 @@
 DISK_FAULTS = (PowerCut, Wipe, SlowDisk, StallDisk, FullDisk)
 
 
-def generator(**knobs: float) -> ScheduleGenerator:
-    return ScheduleGenerator(ZONES, [NodeId("a1")], FaultKnobs(**knobs))
+def generator(**changes: float) -> ScheduleGenerator:
+    return ScheduleGenerator(ZONES, [NodeId("a1")], FaultSettings(**changes))
 
 
 def test_a_seed_gives_one_schedule_sorted_by_time() -> None:
@@ -45,14 +45,14 @@
     assert times == sorted(times)
 
 
-def test_disk_faults_hit_only_nodes_with_a_disk_and_every_kind_comes() -> None:
+def test_disk_faults_hit_only_nodes_with_a_disk_and_every_kind_is_generated() -> None:
     faults = generator(count=400).generate(1).faults
     assert {type(fault) for fault in faults} == set(get_args(AnyFault))
     assert {fault.node for fault in faults if isinstance(fault, DISK_FAULTS)} == {NodeId("a1")}
 
 
-def test_knobs_leave_kinds_out() -> None:
-    only = {
+def test_kinds_of_weight_zero_are_not_generated() -> None:
+    nodes = {
         "kill": 0,
         "partition_node": 0,
         "partition_zone": 0,
@@ -61,17 +61,17 @@
         "wipe": 0,
     }
     disks = {"slow_disk": 0, "stall_disk": 0, "full_disk": 0, "freeze": 0}
-    assert {type(fault) for fault in generator(**only, **disks).generate(1).faults} == {ClockJump}
+    assert {type(fault) for fault in generator(**nodes, **disks).generate(1).faults} == {ClockJump}
 
 
-def test_a_schedule_survives_json_and_a_broken_one_is_refused() -> None:
+def test_a_schedule_round_trips_through_json_and_an_invalid_one_is_rejected() -> None:
     schedule = generator(count=100).generate(2)
     assert FaultSchedule.from_json(schedule.to_json()) == schedule
     with pytest.raises(msgspec.ValidationError):
         FaultSchedule.from_json(b'{"seed": 1, "faults": [{"type": "Earthquake", "at": 1.0}]}')
 
 
-def test_a_failing_schedule_shrinks_to_the_two_faults_that_matter() -> None:
+def test_a_failing_schedule_shrinks_to_the_two_faults_that_cause_the_failure() -> None:
     schedule = generator(count=60).generate(3)
     kill = next(fault for fault in schedule.faults if isinstance(fault, Kill))
     freeze = next(fault for fault in schedule.faults if isinstance(fault, Freeze))
@@ -87,7 +87,7 @@
     assert runs < 150
 
 
-def test_a_schedule_that_does_not_fail_is_refused() -> None:
+def test_shrinking_rejects_a_schedule_that_does_not_fail() -> None:
     schedule = FaultSchedule(1, (CutNode(at=1.0, node=NodeId("a1")), Heal(at=2.0)))
     with pytest.raises(ValueError, match="does not fail"):
         shrink_schedule(schedule, lambda _: False)
@@ -96,12 +96,12 @@
 
 @settings(derandomize=True, max_examples=200)
 @given(needed=st.sets(st.integers(0, 39), max_size=6))
-def test_shrinking_finds_exactly_what_is_needed(needed: set[int]) -> None:
+def test_shrinking_finds_exactly_the_needed_items(needed: set[int]) -> None:
     found = minimize(range(40), lambda items: needed <= set(items))
     assert found == sorted(needed)
 
 
-def test_restarts_follow_kills() -> None:
+def test_every_killed_node_is_restarted() -> None:
     faults = generator(count=80).generate(4).faults
     kills = [fault.node for fault in faults if isinstance(fault, Kill | PowerCut)]
     restarts = [fault.node for fault in faults if isinstance(fault, Restart)]
