--- a/tests/support/changing_operator.py
+++ b/tests/support/changing_operator.py
@@ -1,4 +1,4 @@
-"""An operator in virtual time: one gateway change after another, each sent until it is acknowledged."""
+"""An operator in virtual time that sends gateway changes one after another until each is acknowledged."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from springmux.simulation.hollow_fleet import FleetObserver, HollowFleet
 
 IN_FORCE_S = 2.0
-"""From a change's acknowledgement to its being in force at every node (docs/notes/delivery.md)."""
+"""Seconds from a change's acknowledgement to its being in force at every node (docs/notes/delivery.md)."""
 
 
 def document(version: int) -> bytes:
-    """Return a whole gateway configuration."""
+    """Return a complete gateway configuration of the given version."""
     route = {"name": "pages", "host": "www.example", "path_prefix": "/", "service": "pages"}
     whole = {"version": version, "routes": [route], "services": [{"name": "pages"}], "tenants": []}
     return json.dumps(whole).encode()
@@ -28,27 +28,33 @@
 
 
 class ChangingOperator(FleetObserver):
-    """Makes one change after another, each sent until it is acknowledged."""
+    """Sends one change after another; ``version`` is the newest acknowledged one.
 
-    def __init__(self, fleet: HollowFleet, present: int = 0) -> None:
+    ``acknowledged``: time and version of each first acknowledgement.
+    """
+
+    def __init__(self, fleet: HollowFleet, version: int = 0) -> None:
         self.acknowledged: list[tuple[float, int]] = []
         self._fleet = fleet
-        self.present = present
+        self.version = version
         fleet.observers.append(self)
 
     def order_answered(self, node: NodeId, answer: OrderAnswered, now: float) -> None:
-        """Take an answer; only the first acknowledgement of a version counts."""
+        """Record the first acknowledgement of each version."""
         if answer.result is None or answer.result.outcome is not Outcome.ACCEPTED:
             return
         version = answer.result.version
-        if version is not None and version > self.present:
-            self.present = version
+        if version is not None and version > self.version:
+            self.version = version
             self.acknowledged.append((now, version))
 
-    def press(self, *through: NodeId) -> None:
-        """Send the present change to nodes, by default to all that run; it is decided once."""
+    def submit(self, *through: NodeId) -> None:
+        """Send the change that follows ``version`` to nodes, by default to all running ones.
+
+        The change is decided only once.
+        """
         for node in through or self._fleet.agents():
-            self._fleet.submit(node, change(self.present))
+            self._fleet.submit(node, change(self.version))
 
     def due(self, now: float) -> int:
         """Return the newest version that must be in force everywhere at ``now``."""
--- a/tests/support/playbook.py
+++ b/tests/support/playbook.py
@@ -1,4 +1,4 @@
-"""Plays the data plane: a router with fakes around it, flows fed with events, effects as clients see them."""
+"""Playbooks of the data plane: a router with fakes around it, whose flows are driven by events."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 V1 = VersionName("v1")
 V2 = VersionName("v2")
 OLD = -1000.0
-"""First seen long ago: fully ramped."""
+"""Time at which an engine was first seen, long enough ago for its load ramp to be over."""
 E = TypeVar("E", bound=Effect)
 
 ROUTES = (
@@ -59,8 +59,8 @@
 
 
 @dataclass
-class FakeChooser:
-    """A version filter that says what it was told to say, and remembers what it heard."""
+class FakeVersionFilter:
+    """A version filter that returns preset choices and records its calls."""
 
     choice: VersionChoice = field(default_factory=lambda: VersionChoice(versions=(V1,)))
     allowed: frozenset[VersionName] = frozenset({V1, V2})
@@ -87,7 +87,7 @@
 
 @dataclass
 class FakeQuota:
-    """A quota with so many tokens left."""
+    """A quota with a fixed number of tokens left, which records its settlements."""
 
     left: float = 1e9
     settled: list[tuple[float, float]] = field(default_factory=list)
@@ -112,7 +112,7 @@
 
 
 def engine(name: str, version: str = V1, service: str = TEXT, **changes: Any) -> EngineRecord:
-    """Return a ready engine's record."""
+    """Return the record of a ready engine, with ``changes`` to its fields."""
     record = EngineRecord(
         EngineId(name), ServiceName(service), VersionName(version), Address("127.0.0.1:1"), 8, 1
     )
@@ -120,13 +120,13 @@
 
 
 def chat(route: str = "caption", content: str = "hello", **fields: Any) -> bytes:
-    """Return a chat-completions body."""
+    """Return the body of a chat completion request."""
     body = {"model": route, "stream": True, "messages": [{"role": "user", "content": content}], **fields}
     return json.dumps(body).encode()
 
 
 def piece(request_id: str, seq: int, last: bool = False, text: str = "w") -> bytes:
-    """Return one chunk of an engine's stream as an event."""
+    """Return one chunk of an engine's stream as a server-sent event; the last one carries the usage."""
     choice = {"index": 0, "delta": {"content": text}, "finish_reason": "stop" if last else None}
     chunk: dict[str, Any] = {"id": request_id, "seq": seq, "choices": [choice]}
     if last:
@@ -138,12 +138,12 @@
 
 
 def whole_stream(request_id: str, pieces: int = 3) -> bytes:
-    """Return a right stream."""
+    """Return a complete, valid stream of ``pieces`` chunks."""
     return b"".join(piece(request_id, seq, seq == pieces - 1) for seq in range(pieces)) + DONE
 
 
 class Scene:
-    """One request on the stage; ``effects`` is everything that its flow asked for."""
+    """One request and its flow. ``effects``: all effects of the flow; ``new``: those of the last event."""
 
     def __init__(self, playbook: Playbook, request: ev.ClientRequest) -> None:
         self.playbook = playbook
@@ -153,14 +153,14 @@
         self.new: list[Effect] = []
 
     def give(self, event: Event, after: float = 0.0) -> list[Effect]:
-        """Let time pass, give the flow an event, return its new effects."""
+        """Advance the time by ``after`` seconds, deliver an event to the flow, and return its new effects."""
         self.playbook.now += after
         self.new = self.flow.handle(event, self.playbook.now)
         self.effects += self.new
         return self.new
 
     def tick(self) -> list[Effect]:
-        """Go to the flow's own next deadline."""
+        """Advance the time to the flow's next deadline, and deliver a tick."""
         return self.give(Tick(), max(0.0, self.flow.next_deadline() - self.playbook.now))
 
     def all(self, kind: type[E]) -> list[E]:
@@ -170,16 +170,16 @@
         return self.all(out.Dispatch)[-1]
 
     def head(self, status: int = 200, **headers: str) -> list[Effect]:
-        """The engine answers the newest dispatch."""
+        """Deliver the head of the engine's response to the last dispatch."""
         dispatch = self.dispatched()
-        said = {
+        all_headers = {
             "x-request-id": self.request.request_id,
             "x-engine-id": dispatch.engine.engine,
             "x-engine-version": dispatch.engine.version,
             "content-type": "text/event-stream",
         }
-        said |= {name.replace("_", "-"): value for name, value in headers.items()}
-        return self.give(ev.UpstreamHead(dispatch.attempt, status, said))
+        all_headers |= {name.replace("_", "-"): value for name, value in headers.items()}
+        return self.give(ev.UpstreamHead(dispatch.attempt, status, all_headers))
 
     def data(self, data: bytes, after: float = 0.0) -> list[Effect]:
         return self.give(ev.UpstreamData(self.dispatched().attempt, data), after)
@@ -191,7 +191,7 @@
         return self.give(ev.UpstreamFailed(self.dispatched().attempt, cause, sent), after)
 
     def answer(self, body: bytes, status: int = 200, **headers: str) -> list[Effect]:
-        """The engine gives a whole JSON answer."""
+        """Deliver a complete JSON response of the engine."""
         self.head(status, content_type="application/json", content_length=str(len(body)), **headers)
         if not self.over:
             self.data(body)
@@ -215,13 +215,13 @@
 
     @property
     def whole(self) -> bool:
-        """Whether the client takes its answer as complete."""
+        """Whether the client receives its response as complete."""
         return bool(self.all(out.ResponseEnd)) and not self.all(out.ResponseAborted)
 
 
 @dataclass
 class Playbook:
-    """A router with two tenants, three keys, and the engines that the test names."""
+    """A router with two tenants, three keys, and the engines that the test names or default ones."""
 
     engines: Iterable[EngineRecord] = ()
     limits: AdmissionLimits = field(default_factory=AdmissionLimits)
@@ -230,7 +230,7 @@
     idle_timeout_s: float = 5.0
 
     def __post_init__(self) -> None:
-        self.chooser = FakeChooser()
+        self.chooser = FakeVersionFilter()
         self.quota = FakeQuota()
         self.requests = 0
         self.router = Router(
@@ -247,11 +247,11 @@
         }
         self.revision = 0
         self.configure()
-        self.see(self.engines or [engine(f"e{n}") for n in range(3)] + [_page(n) for n in range(3)])
+        self.see(self.engines or [engine(f"e{n}") for n in range(3)] + [_page_engine(n) for n in range(3)])
         self.router.update_readiness(True, "")
 
     def configure(self) -> list[Any]:
-        """Give the router a newer control view."""
+        """Apply a newer control view to the router."""
         self.revision += 1
         names = [TenantName("north"), TenantName("south")]
         view = ControlView(
@@ -281,14 +281,14 @@
         first_seen: dict[str, float] | None = None,
         loads: Iterable[EngineLoad] = (),
     ) -> None:
-        """Give the router a newer directory."""
+        """Apply a newer directory of engines to the router."""
         records = {record.engine: record for record in engines}
         seen = {name: (first_seen or {}).get(name, OLD) for name in records}
         view = EnginesView(records, seen, {load.engine: load for load in loads})
         self.router.update_engines(view, self.now)
 
     def open(self, body: bytes = b"", key: str = "ann", call: str = "", **changes: Any) -> Scene:
-        """A client's request arrives and is begun."""
+        """Open a flow for a client's request, and start it."""
         self.requests += 1
         path = f"/v1/calls/{call}" if call else "/v1/chat/completions"
         headers = {"authorization": f"Bearer {key}"} | changes.pop("headers", {})
@@ -304,10 +304,10 @@
     return KeyDigest(hashlib.sha256(key.encode()).hexdigest())
 
 
-def _page(number: int) -> EngineRecord:
+def _page_engine(number: int) -> EngineRecord:
     return engine(f"p{number}", service=PAGES)
 
 
 def draining(record: EngineRecord) -> EngineRecord:
-    """Return the record of an engine that is leaving."""
+    """Return the record of an engine, newer and draining."""
     return msgspec.structs.replace(record, status=EngineStatus.DRAINING, sequence=record.sequence + 1)
--- a/tests/unit/agent/test_all_seeds_restarted.py
+++ b/tests/unit/agent/test_all_seeds_restarted.py
@@ -40,10 +40,10 @@
     fleet.world.run_for(DOWN_S)
     for node in controllers:
         fleet.world.apply(Restart(at=fleet.world.now, node=node))
-    operator = ChangingOperator(fleet, present=1)
+    operator = ChangingOperator(fleet, version=1)
     late: list[str] = []
     for _ in range(round(CHANGES_S / CHANGE_PERIOD_S)):
-        operator.press()
+        operator.submit()
         for _ in range(round(CHANGE_PERIOD_S / STEP_S)):
             fleet.world.run_for(STEP_S)
             due = operator.due(fleet.world.now)
--- a/tests/unit/agent/test_changes_while_stopping.py
+++ b/tests/unit/agent/test_changes_while_stopping.py
@@ -38,10 +38,10 @@
 
 def late_while_stopping(fleet: HollowFleet) -> list[str]:
     """Return what was late at the stopping nodes, with changes through one node that stays."""
-    operator = ChangingOperator(fleet, present=1)
+    operator = ChangingOperator(fleet, version=1)
     late: list[str] = []
     for _ in range(round(STOP_S / CHANGE_PERIOD_S)):
-        operator.press(FIRST_NODE)
+        operator.submit(FIRST_NODE)
         for _ in range(round(CHANGE_PERIOD_S / STEP_S)):
             fleet.world.run_for(STEP_S)
             due = operator.due(fleet.world.now)
--- a/tests/unit/agent/test_fleet_found_again.py
+++ b/tests/unit/agent/test_fleet_found_again.py
@@ -45,9 +45,9 @@
     for node in others:
         fleet.world.apply(CutNode(at=fleet.world.now, node=node))
     restart_all(fleet, controllers)
-    operator = ChangingOperator(fleet, present=1)
+    operator = ChangingOperator(fleet, version=1)
     for _ in range(round(UNREACHED_S / 0.1)):
-        operator.press(*controllers)
+        operator.submit(*controllers)
         fleet.world.run_for(0.1)
     alone = len(operator.acknowledged)
     fleet.world.apply(Heal(at=fleet.world.now))
@@ -56,7 +56,7 @@
 
 
 def _acknowledges(operator: ChangingOperator, controllers: list[NodeId], before: int) -> bool:
-    operator.press(*controllers)
+    operator.submit(*controllers)
     return len(operator.acknowledged) > before
 
 
@@ -123,7 +123,7 @@
 
 def test_a_wiped_controller_is_none_of_the_first_start() -> None:
     site = Site(SITE_B, 1)
-    site.found()
+    site.start_and_elect_leader()
     node = site.disks[0]
     site.fleet.first_start = False
     site.world.apply(Kill(at=site.world.now, node=node))
--- a/tests/unit/bad_days/test_machines_lost.py
+++ b/tests/unit/bad_days/test_machines_lost.py
@@ -30,8 +30,8 @@
 def busy(kind: tuple[dict[str, int], int, int]) -> Site:
     """Return a site in which an operator gives ten orders a second."""
     site = Site(kind, 1)
-    site.found()
-    site.write()
+    site.start_and_elect_leader()
+    site.start_orders()
     site.world.run_for(SETTLED_S)
     return site
 
@@ -43,10 +43,10 @@
 
 
 def everything_loses_power(site: Site) -> None:
-    nodes = [node for node in site.world.nodes() if node not in site.gone]
+    nodes = [node for node in site.world.nodes() if node not in site.removed]
     site.power_cut(nodes)
     for node in nodes:
-        site.back(node, DOWN_S)
+        site.restart_after(node, DOWN_S)
     site.world.run_for(DOWN_S)
 
 
@@ -58,15 +58,15 @@
     wiped = sorted(site.voters() - {leader_of(site)})[0]
     site.kill(wiped)
     site.wipe(wiped)
-    site.back(wiped, DOWN_S)
+    site.restart_after(wiped, DOWN_S)
     site.world.run_for(DOWN_S + REPAIRED_AFTER_S)
     site.remove(leader_of(site))
     site.world.run_for(SETTLED_S)
-    site.remove(sorted(site.voters() - site.gone - {leader_of(site), wiped})[0])
+    site.remove(sorted(site.voters() - site.removed - {leader_of(site), wiped})[0])
     site.world.run_for(SETTLED_S)
-    pause_s = site.longest_gap_s(begin)
+    pause_s = site.longest_pause_s(begin)
     everything_loses_power(site)
-    site.check_whole(within_s=12.0)
+    site.check_recovered(within_s=12.0)
     return pause_s
 
 
@@ -84,7 +84,7 @@
     everything_loses_power(site)
     for node in full:
         site.world.apply(FullDisk(at=site.world.now, node=node, full=False))
-    site.check_whole(within_s=12.0)
+    site.check_recovered(within_s=12.0)
     return meanwhile
 
 
--- a/tests/unit/simulation/site.py
+++ b/tests/unit/simulation/site.py
@@ -1,4 +1,4 @@
-"""A site of the platform in virtual time: machines start, get lost, are replaced; an operator is busy."""
+"""A site in virtual time: machines start, fail and are replaced while an operator sends orders."""
 
 from __future__ import annotations
 
@@ -27,53 +27,53 @@
 from springmux.simulation.world.network import NetworkSettings
 from springmux.vocabulary.names import OrderId, TenantName
 
-STARTS_APART_S = 0.3
-LEAVING_S = 0.1
-"""A process says that it has left this long before it ends, as the daemons do."""
-COMES_UP_S = (0.5, 1.5)
-"""From the start of a process until it listens."""
-WRITE_EVERY_S = 0.1
-LOSS = 0.005
+MAX_START_DELAY_S = 0.3
+LEAVE_BEFORE_END_S = 0.1
+"""Seconds before its end at which a stopping process announces that it has left, as the daemon does."""
+PROCESS_START_S = (0.5, 1.5)
+"""Range of the seconds from the start of a process until it listens."""
+ORDER_PERIOD_S = 0.1
+MESSAGE_LOSS = 0.005
 
 SITE_A = ({"z1": 3, "z2": 3, "z3": 3, "z4": 3}, 4, 1)
 SITE_B = ({"z1": 3, "z2": 3, "z3": 3}, 3, 1)
 FIVE_DISKS = ({f"z{number}": 21 - (number == 4) for number in range(1, 5)}, 5, 2)
 SIX_DISKS = ({f"z{number}": 15 for number in range(1, 7)}, 6, 2)
 SMALL_SIX = ({"z1": 3, "z2": 3, "z3": 3, "z4": 3}, 6, 2)
-"""Six disks among twelve nodes, where the size doesn't matter."""
+"""Six disks among twelve nodes, for tests to which the size of the fleet does not matter."""
 
 
 class Site(FleetObserver):
-    """Starts the machines at time 0 and gives an order every 0.1 s from :meth:`write` on."""
+    """Starts machines from time 0 on, and sends an order every 0.1 s once :meth:`start_orders` was called."""
 
-    def __init__(self, kind: tuple[dict[str, int], int, int], seed: int, loss: float = LOSS) -> None:
+    def __init__(self, kind: tuple[dict[str, int], int, int], seed: int, loss: float = MESSAGE_LOSS) -> None:
         zones, disks, tolerated = kind
         self.random = random.Random(f"site {seed}")
         self.places = places_by_zone(zones, disks)
-        # Which machines have disks and which names are low has nothing to do with the order of the starts.
+        # Which nodes have disks, and the order of their names, are independent of the order of the starts.
         network = NetworkSettings(loss=loss)
         self.fleet = HollowFleet(self.places, seed, network, losses_tolerated=tolerated)
         self.world = self.fleet.world
         self.disks = [place.node for place in self.places if place.controller]
         self.last_start = 0.0
-        self.gone: set[NodeId] = set()
-        self.troubled: set[NodeId] = set()
-        """Nodes that an operator can't talk to now."""
-        self.asked: dict[str, tuple[float, NodeId, TenantName]] = {}
+        self.removed: set[NodeId] = set()
+        self.unavailable: set[NodeId] = set()
+        """Nodes to which the operator sends no orders now."""
+        self.pending_orders: dict[str, tuple[float, NodeId, TenantName]] = {}
         self.acknowledged: dict[TenantName, float] = {}
-        self.slowest_s = 0.0
-        """The longest wait for an answer of an order that was taken."""
-        self.refused = 0
-        self._spoilt: set[str] = set()
-        self._numbers = 0
-        self._writing = False
+        self.slowest_reply_s = 0.0
+        """Longest time until the reply to an order, except orders whose node became unavailable."""
+        self.rejected = 0
+        self._uncertain_orders: set[str] = set()
+        self._orders_submitted = 0
+        self._sending_orders = False
         self.fleet.observers.append(self)
 
     # Machines
 
-    def start(self, between_starts_s: float = STARTS_APART_S) -> None:
+    def start(self, max_start_delay_s: float = MAX_START_DELAY_S) -> None:
         for place in self.places:
-            at = self.random.uniform(0.0, between_starts_s) + self.random.uniform(*COMES_UP_S)
+            at = self.random.uniform(0.0, max_start_delay_s) + self.random.uniform(*PROCESS_START_S)
             self.last_start = max(self.last_start, at)
             self.at(at, Restart(at=at, node=place.node))
 
@@ -83,111 +83,118 @@
     def run_until(self, condition: Callable[[], bool], within_s: float) -> bool:
         return self.fleet.run_until(condition, within_s, step_s=0.01)
 
-    def found(self) -> float:
-        """Run until a leader leads and nodes are in contact; return the time since the last start."""
+    def start_and_elect_leader(self) -> float:
+        """Start all machines; return the seconds from the last start until there is a leader."""
         self.start()
         assert self.run_until(lambda: self.fleet.leader() is not None, 15.0)
         time = self.world.now - self.last_start
         self.fleet.first_start = False
         return time
 
-    def trouble(self, node: NodeId) -> None:
-        """Give no orders to a node from now on; those that it has may stay unanswered."""
-        self.troubled.add(node)
-        self._spoilt |= {
-            correlation_id for correlation_id, (_, asked, _) in self.asked.items() if asked == node
+    def mark_unavailable(self, node: NodeId) -> None:
+        """Send no orders to a node from now on; its pending orders may get no reply."""
+        self.unavailable.add(node)
+        self._uncertain_orders |= {
+            correlation_id
+            for correlation_id, (_, node_of_order, _) in self.pending_orders.items()
+            if node_of_order == node
         }
 
     def kill(self, node: NodeId) -> None:
-        self.trouble(node)
+        self.mark_unavailable(node)
         self.world.apply(Kill(at=self.world.now, node=node))
 
     def power_cut(self, nodes: list[NodeId]) -> None:
         for node in nodes:
-            self.trouble(node)
+            self.mark_unavailable(node)
             self.world.apply(PowerCut(at=self.world.now, node=node))
 
     def wipe(self, node: NodeId) -> None:
         self.world.apply(Wipe(at=self.world.now, node=node))
 
-    def back(self, node: NodeId, after_s: float) -> None:
-        """Have a machine up again ``after_s`` from now."""
+    def restart_after(self, node: NodeId, after_s: float) -> None:
+        """Restart a machine ``after_s`` seconds from now."""
 
         def restart() -> None:
-            self.troubled.discard(node)
+            self.unavailable.discard(node)
             self.world.apply(Restart(at=self.world.now, node=node))
 
         self.world.scheduler.after(after_s, restart)
 
     def freeze(self, node: NodeId, for_s: float) -> None:
-        self.trouble(node)
+        self.mark_unavailable(node)
         self.world.apply(Freeze(at=self.world.now, node=node))
 
         def thaw() -> None:
-            self.troubled.discard(node)
+            self.unavailable.discard(node)
             self.world.apply(Thaw(at=self.world.now, node=node))
 
         self.world.scheduler.after(for_s, thaw)
 
     def cut(self, node: NodeId, outward: bool = True, inward: bool = True) -> None:
-        self.trouble(node)
+        self.mark_unavailable(node)
         self.world.apply(CutNode(at=self.world.now, node=node, outward=outward, inward=inward))
 
     def heal_node(self, node: NodeId, outward: bool, inward: bool) -> None:
-        """End one node's cut; others go on."""
-        self.troubled.discard(node)
+        """Heal one node's partition; other partitions remain."""
+        self.unavailable.discard(node)
         self.world.network.partitions.partition_node(node, outward, inward, -1)
 
     def stall(self, node: NodeId, for_s: float) -> None:
         self.world.apply(StallDisk(at=self.world.now, node=node, stall_s=for_s))
 
     def heal(self) -> None:
-        self.troubled.clear()
-        self.troubled |= self.gone
+        self.unavailable.clear()
+        self.unavailable |= self.removed
         self.world.apply(Heal(at=self.world.now))
 
     def remove(self, node: NodeId) -> None:
         self.kill(node)
         self._forget(node)
 
-    def retire(self, node: NodeId) -> None:
-        """SIGTERM, for good."""
+    def decommission(self, node: NodeId) -> None:
+        """Stop a node with SIGTERM; it does not come back."""
         self._forget(node)
         self.stop(node)
 
     def _forget(self, node: NodeId) -> None:
-        self.gone.add(node)
+        self.removed.add(node)
         self.disks.remove(node)
 
-    def successor(self, node: NodeId, after_s: float, comes_up_s: float | None = None) -> NodeId:
-        """Start an empty machine with a new name ``after_s`` from now; it is up some time later."""
+    def add_replacement(self, node: NodeId, after_s: float, process_start_s: float | None = None) -> NodeId:
+        """Start an empty machine with a new name ``after_s`` seconds from now; return its name.
+
+        It listens ``process_start_s`` seconds after its start, by default a random time.
+        """
         zone = next(place.zone for place in self.fleet.places() if place.node == node)
         new = NodeId(f"{node}x")
         self.fleet.add_machine(HollowPlace(new, ZoneName(zone), controller=True))
-        self.troubled.add(new)
+        self.unavailable.add(new)
         self.disks.append(new)
-        self._exchange_seeds()
-        up_s = self.random.uniform(*COMES_UP_S) if comes_up_s is None else comes_up_s
-        self.back(new, after_s + up_s)
+        self._update_seeds()
+        start_s = self.random.uniform(*PROCESS_START_S) if process_start_s is None else process_start_s
+        self.restart_after(new, after_s + start_s)
         return new
 
-    def _exchange_seeds(self) -> None:
-        """The settings name machines that are there now; who runs hears of it."""
+    def _update_seeds(self) -> None:
+        """Set the seeds to three running machines, and deliver the change to all running nodes."""
         running = [node for node in self.world.nodes() if self.world.is_running(node)]
         chosen = self.random.sample(running, 3)
         self.fleet.seeds = tuple(self.fleet.addresses[node] for node in chosen)
         for node in running:
             self.world.deliver(node, SeedsChanged(self.fleet.seeds))
 
-    def stop(self, node: NodeId, takes_s: float = 0.3) -> None:
-        """SIGTERM: the process says so, and ends a little later."""
-        self.trouble(node)
+    def stop(self, node: NodeId, duration_s: float = 0.3) -> None:
+        """Stop a node with SIGTERM: it announces the stop, and its process ends ``duration_s`` later."""
+        self.mark_unavailable(node)
         self.world.deliver(node, StopBegun())
-        self.world.scheduler.after(takes_s - LEAVING_S, lambda: self.world.deliver(node, StopFinished()))
-        self.world.scheduler.after(takes_s, lambda: self.kill(node))
+        self.world.scheduler.after(
+            duration_s - LEAVE_BEFORE_END_S, lambda: self.world.deliver(node, StopFinished())
+        )
+        self.world.scheduler.after(duration_s, lambda: self.kill(node))
 
     def voters(self) -> set[NodeId]:
-        """The voters as the leader has them."""
+        """Return the voters according to the leader; empty without a leader."""
         leader = self.fleet.leader()
         if leader is None:
             return set()
@@ -201,61 +208,65 @@
 
     # Orders
 
-    def write(self) -> None:
-        """Begin to give orders, each to a node that runs and isn't troubled."""
-        self._writing = True
-        self._write_one()
+    def start_orders(self) -> None:
+        """Start sending orders, each to a random running node that is not marked unavailable."""
+        self._sending_orders = True
+        self._send_next_order()
 
-    def _write_one(self) -> None:
-        if not self._writing:
+    def _send_next_order(self) -> None:
+        if not self._sending_orders:
             return
-        self.give_order()
-        self.world.scheduler.after(WRITE_EVERY_S, self._write_one)
+        self.submit_order()
+        self.world.scheduler.after(ORDER_PERIOD_S, self._send_next_order)
 
-    def give_order(self) -> str:
+    def submit_order(self) -> str:
         nodes = [node for node in self.world.nodes() if self.world.is_running(node)]
-        sound = [node for node in nodes if node not in self.troubled]
-        if not sound:
+        available = [node for node in nodes if node not in self.unavailable]
+        if not available:
             return ""
-        self._numbers += 1
-        name = TenantName(f"t{self._numbers}")
-        node = self.random.choice(sound)
+        self._orders_submitted += 1
+        name = TenantName(f"t{self._orders_submitted}")
+        node = self.random.choice(available)
         correlation_id = self.fleet.next_correlation_id()
-        self.asked[correlation_id] = (self.world.now, node, name)
-        order = PutTenant(order=OrderId(f"o{self._numbers}"), tenant=Tenant(name, 1000.0, 1000.0))
+        self.pending_orders[correlation_id] = (self.world.now, node, name)
+        order = PutTenant(order=OrderId(f"o{self._orders_submitted}"), tenant=Tenant(name, 1000.0, 1000.0))
         self.fleet.submit_as(correlation_id, node, order)
         return correlation_id
 
     def order_answered(self, node: NodeId, answer: OrderAnswered, now: float) -> None:
-        asked_at, _, name = self.asked.pop(answer.correlation_id)
+        asked_at, _, name = self.pending_orders.pop(answer.correlation_id)
         if answer.result is not None and answer.result.outcome is Outcome.ACCEPTED:
             self.acknowledged[name] = now
-        elif answer.correlation_id not in self._spoilt:
-            self.refused += 1
-        if answer.correlation_id not in self._spoilt:
-            self.slowest_s = max(self.slowest_s, now - asked_at)
+        elif answer.correlation_id not in self._uncertain_orders:
+            self.rejected += 1
+        if answer.correlation_id not in self._uncertain_orders:
+            self.slowest_reply_s = max(self.slowest_reply_s, now - asked_at)
 
-    def longest_gap_s(self, since: float) -> float:
-        """The longest time without any acknowledgement from ``since`` until now."""
+    def longest_pause_s(self, since: float) -> float:
+        """Return the longest time in seconds without an acknowledgement, from ``since`` until now."""
         times = sorted(at for at in self.acknowledged.values() if at >= since)
         edges = [since, *times, self.world.now]
         return max(after - before for before, after in itertools.pairwise(edges))
 
-    def check_whole(self, within_s: float = 6.0) -> None:
-        """Stop writing; everything acknowledged is in force at every sound node, and a new order is taken."""
-        self._writing = False
-        sound = [node for node in self.fleet.agents() if node not in self.troubled]
+    def check_recovered(self, within_s: float = 6.0) -> None:
+        """Stop sending orders, and check that the site has recovered.
+
+        Every available node must have all acknowledged orders, there must be one group, and it must accept
+        a new order.
+        """
+        self._sending_orders = False
+        available = [node for node in self.fleet.agents() if node not in self.unavailable]
         names = set(self.acknowledged)
 
-        def have() -> bool:
+        def is_complete() -> bool:
             agents = self.fleet.agents()
-            return all(names <= set(agents[node].view.tenants) for node in sound)
+            return all(names <= set(agents[node].view.tenants) for node in available)
 
-        if not self.run_until(have, within_s):
+        if not self.run_until(is_complete, within_s):
             agents = self.fleet.agents()
-            lacking = {node: len(names - set(agents[node].view.tenants)) for node in sound}
-            raise AssertionError(f"acknowledged orders are missing: {lacking}")
+            missing = {node: len(names - set(agents[node].view.tenants)) for node in available}
+            raise AssertionError(f"acknowledged orders are missing: {missing}")
         assert len(self.groups()) == 1
         count = len(self.acknowledged)
-        self.give_order()
+        self.submit_order()
         assert self.run_until(lambda: len(self.acknowledged) > count, 4.0), "no quorum"
--- a/tests/unit/simulation/support.py
+++ b/tests/unit/simulation/support.py
@@ -1,4 +1,4 @@
-"""Small explored runs: four nodes, little traffic, few seconds; and what their checkers found."""
+"""Small runs with one node per zone, little traffic and a short duration, and the rules that they violate."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     surging_tenant: int = -1,
     settings: ScenarioSettings = SMALL,
 ) -> Run:
-    """Return a run that has not begun."""
+    """Return a run that has not been started."""
     scenario = Scenario(
         seed=seed,
         settings=settings,
@@ -33,6 +33,6 @@
     return Run(scenario)
 
 
-def broken_rules(run: Run) -> set[str]:
-    """Run to the end and return the names of the rules that were broken."""
+def violated_rules(run: Run) -> set[str]:
+    """Run to the end and return the names of the violated rules."""
     return {violation.rule for violation in run.run().violations}
--- a/tests/unit/simulation/test_first_start.py
+++ b/tests/unit/simulation/test_first_start.py
@@ -1,4 +1,4 @@
-"""The first start of a site: processes that come up in any order found exactly one group, and soon."""
+"""First start of a site: processes that start in any order create exactly one group, within 2 s."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from springmux.simulation.world.faults import Restart
 from unit.simulation.site import SITE_A, SITE_B, SMALL_SIX, Site
 
-FOUNDED_WITHIN_S = 2.0
-"""After the last process came up. Measured: docs/notes/agreement.md."""
+GROUP_CREATED_WITHIN_S = 2.0
+"""Seconds after the start of the last process (docs/notes/agreement.md)."""
 KINDS = [SITE_A, SITE_B, SMALL_SIX]
 IDS = ["four disks", "three disks", "six disks"]
 
@@ -16,19 +16,21 @@
 @pytest.mark.parametrize("loss", [0.0, 0.01])
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize("kind", KINDS, ids=IDS)
-def test_one_group_is_founded_soon(kind: tuple[dict[str, int], int, int], seed: int, loss: float) -> None:
+def test_exactly_one_group_is_created_in_time(
+    kind: tuple[dict[str, int], int, int], seed: int, loss: float
+) -> None:
     site = Site(kind, seed, loss)
 
-    assert site.found() < FOUNDED_WITHIN_S
+    assert site.start_and_elect_leader() < GROUP_CREATED_WITHIN_S
 
-    site.write()
+    site.start_orders()
     site.world.run_for(3.0)
     assert len(site.groups()) == 1
     assert len(site.voters()) == 2 * kind[2] + 1
-    site.check_whole()
+    site.check_recovered()
 
 
-def test_a_system_that_is_not_at_its_first_start_founds_nothing() -> None:
+def test_no_group_is_created_when_it_is_not_the_first_start() -> None:
     site = Site(SITE_A, 1)
     site.fleet.first_start = False
     site.start()
@@ -38,7 +40,7 @@
     assert site.groups() == set()
 
 
-def test_a_machine_that_starts_long_after_the_others_joins_their_group() -> None:
+def test_a_node_that_starts_late_joins_the_existing_group() -> None:
     site = Site(SITE_A, 1)
     late = site.disks[0]
     for node in site.world.nodes():
--- a/tests/unit/simulation/test_mutations.py
+++ b/tests/unit/simulation/test_mutations.py
@@ -1,4 +1,4 @@
-"""Each test breaks one rule of the product on purpose; the checker of that rule must notice."""
+"""Each test breaks one rule of the product by a mutation, which the checker of that rule must detect."""
 
 from __future__ import annotations
 
@@ -32,31 +32,31 @@
 from springmux.simulation.world.faults import CutNode, Heal, Kill, PowerCut, Restart
 from springmux.storage.memory_disk import MemoryFile
 from springmux.vocabulary.errors import Fate
-from unit.simulation.support import SMALL, broken_rules, small_run
+from unit.simulation.support import SMALL, small_run, violated_rules
 
 NODES = ("fell-1", "lake-1", "town-1")
 
 
 @pytest.fixture
 def patch(monkeypatch: pytest.MonkeyPatch) -> pytest.MonkeyPatch:
-    """Return the switch that is turned back after the test."""
+    """Return ``monkeypatch``, which reverts the mutations after the test."""
     return monkeypatch
 
 
-def test_double_claim(patch: pytest.MonkeyPatch) -> None:
-    take = RequestFlow._take_claim
+def test_a_claim_granted_twice_is_detected(patch: pytest.MonkeyPatch) -> None:
+    original = RequestFlow._take_claim
     granted = ClaimDecided(ClaimDecision(ClaimVerdict.GRANTED))
-    patch.setattr(RequestFlow, "_take_claim", lambda flow, event, now: take(flow, granted, now))
-    assert "at most once" in broken_rules(small_run())
+    patch.setattr(RequestFlow, "_take_claim", lambda flow, event, now: original(flow, granted, now))
+    assert "at most once" in violated_rules(small_run())
 
 
-def test_refused_although_sent(patch: pytest.MonkeyPatch) -> None:
+def test_a_rejection_after_sending_is_detected(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(Exchange, "fate", lambda exchange: Fate.REFUSED)
-    assert "never after a refusal" in broken_rules(small_run(seed=2))
-    assert "never after a refusal" in broken_rules(small_run(seed=3))
+    assert "never after a refusal" in violated_rules(small_run(seed=2))
+    assert "never after a refusal" in violated_rules(small_run(seed=3))
 
 
-def test_answer_is_cut_short(patch: pytest.MonkeyPatch) -> None:
+def test_a_truncated_response_is_detected(patch: pytest.MonkeyPatch) -> None:
     end = ResponseChecker.end
 
     def drop_last_byte(checker: ResponseChecker) -> None:
@@ -64,10 +64,10 @@
         checker.body = checker.body[:-1]
 
     patch.setattr(ResponseChecker, "end", drop_last_byte)
-    assert "whole and own answer" in broken_rules(small_run())
+    assert "whole and own answer" in violated_rules(small_run())
 
 
-def test_answer_of_another_action(patch: pytest.MonkeyPatch) -> None:
+def test_the_response_to_another_action_is_detected(patch: pytest.MonkeyPatch) -> None:
     end = ResponseChecker.end
     bodies = [b""]
 
@@ -77,17 +77,17 @@
         checker.body = bodies[-2] or checker.body
 
     patch.setattr(ResponseChecker, "end", swap)
-    assert "whole and own answer" in broken_rules(small_run())
+    assert "whole and own answer" in violated_rules(small_run())
 
 
-def test_retry_after_bytes_were_passed_on(patch: pytest.MonkeyPatch) -> None:
+def test_a_retry_after_forwarded_bytes_is_detected(patch: pytest.MonkeyPatch) -> None:
     after_sent = RetryPolicy.after_sent
     patch.setattr(RetryPolicy, "after_sent", lambda policy, answered, now: after_sent(policy, False, now))
-    # In this seed an engine breaks off after its first piece went to the client.
-    assert "stream" in broken_rules(small_run("cuts", seed=4))
+    # With this seed an engine breaks off after its first chunk was sent to the client.
+    assert "stream" in violated_rules(small_run("cuts", seed=4))
 
 
-def test_stream_ends_as_complete_too_early(patch: pytest.MonkeyPatch) -> None:
+def test_a_stream_ended_too_early_is_detected(patch: pytest.MonkeyPatch) -> None:
     check = StreamChecker._check_payload
 
     def finish_early(checker: StreamChecker, payload: bytes) -> bool:
@@ -96,7 +96,7 @@
         return passed
 
     patch.setattr(StreamChecker, "_check_payload", finish_early)
-    assert "stream" in broken_rules(small_run())
+    assert "stream" in violated_rules(small_run())
 
 
 def _without_ledger(patch: pytest.MonkeyPatch) -> None:
@@ -110,42 +110,42 @@
     patch.setattr(Judge, "judge", lambda judge, evidence: Verdict(False, False, None))
 
 
-def test_no_exposure_ledger(patch: pytest.MonkeyPatch) -> None:
+def test_a_missing_exposure_ledger_is_detected(patch: pytest.MonkeyPatch) -> None:
     _without_ledger(patch)
     _without_judge(patch)
-    assert "exposure" in broken_rules(small_run("errors"))
+    assert "exposure" in violated_rules(small_run("errors"))
 
 
-def test_nobody_judges(patch: pytest.MonkeyPatch) -> None:
-    """Everything goes to the bad candidate, so that fifty bad answers come well before the end."""
+def test_a_missing_judge_is_detected(patch: pytest.MonkeyPatch) -> None:
+    """Sends all prompts to the bad candidate, so that it gives fifty bad responses well before the end."""
     renew = ServiceGate.renew
     patch.setattr(ServiceGate, "renew", lambda gate, weight, *rest: renew(gate, 1.0, *rest))
     _without_ledger(patch)
     _without_judge(patch)
-    assert "rollback time" in broken_rules(small_run("errors"))
+    assert "rollback time" in violated_rules(small_run("errors"))
 
 
-def test_leader_never_steps(patch: pytest.MonkeyPatch) -> None:
+def test_a_rollout_without_steps_is_detected(patch: pytest.MonkeyPatch) -> None:
     def never_step(plan: Any, progress: Any) -> schedule.NextStep:
         return schedule.NextStep(schedule.StepKind.WAIT, reason="mutation")
 
     patch.setattr(step_proposer, "next_step", never_step)
-    assert "good rollout done" in broken_rules(small_run())
+    assert "good rollout done" in violated_rules(small_run())
 
 
-def test_stable_version_is_not_changed_at_the_end(patch: pytest.MonkeyPatch) -> None:
+def test_an_unchanged_stable_version_at_the_end_is_detected(patch: pytest.MonkeyPatch) -> None:
     release = ServiceGate.release
     patch.setattr(ServiceGate, "release", lambda gate, stable: release(gate, gate.stable))
-    assert "end of a rollout" in broken_rules(small_run())
+    assert "end of a rollout" in violated_rules(small_run())
 
 
-def test_cut_off_node_goes_on_serving(patch: pytest.MonkeyPatch) -> None:
+def test_a_partitioned_node_that_serves_is_detected(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(ContactMonitor, "connected", lambda contact, now: True)
     faults = [CutNode(at=13.0, node="town-1"), Heal(at=23.0)]
-    assert "in force" in broken_rules(small_run(faults=faults))
+    assert "in force" in violated_rules(small_run(faults=faults))
 
 
-def test_node_is_ready_before_it_has_the_newest_state(patch: pytest.MonkeyPatch) -> None:
+def test_a_node_ready_before_it_has_the_newest_state_is_detected(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(Readiness, "_find_reason", lambda readiness, *given: "")
     patch.setattr(ContactMonitor, "connected", lambda contact, now: True)
     faults = [
@@ -154,10 +154,10 @@
         CutNode(at=17.9, node="town-1"),
         Heal(at=22.0),
     ]
-    assert "in force" in broken_rules(small_run(faults=faults))
+    assert "in force" in violated_rules(small_run(faults=faults))
 
 
-def test_version_number_is_not_compared(patch: pytest.MonkeyPatch) -> None:
+def test_an_unchecked_version_number_is_detected(patch: pytest.MonkeyPatch) -> None:
     apply = ConfigurationSection.apply
 
     def apply_any(section: ConfigurationSection, command: Any, revision: Any, claims: Any) -> Any:
@@ -167,63 +167,63 @@
         return apply(section, command, revision, claims)
 
     patch.setattr(ConfigurationSection, "apply", apply_any)
-    assert "one winner" in broken_rules(small_run())
+    assert "one winner" in violated_rules(small_run())
 
 
-def test_orders_are_decided_anew_each_time(patch: pytest.MonkeyPatch) -> None:
+def test_a_resent_order_decided_again_is_detected(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(OrderWindow, "find", lambda window, order: None)
-    assert "same answer again" in broken_rules(small_run())
+    assert "same answer again" in violated_rules(small_run())
 
 
-def test_draining_engines_stay_in_use(patch: pytest.MonkeyPatch) -> None:
-    take = EngineTable._take_records
+def test_dispatches_to_draining_engines_are_detected(patch: pytest.MonkeyPatch) -> None:
+    original = EngineTable._take_records
 
     def all_usable(table: EngineTable, view: Any) -> None:
-        take(table, view)
+        original(table, view)
         for slot in table.slots.values():
             slot.usable = True
 
     patch.setattr(EngineTable, "_take_records", all_usable)
     faults = [EngineReplaced(at=14.0, version="v1", index=0, grace_s=4.0)]
-    assert "drain" in broken_rules(small_run(faults=faults))
+    assert "drain" in violated_rules(small_run(faults=faults))
 
 
-def test_quota_is_ignored(patch: pytest.MonkeyPatch) -> None:
+def test_an_ignored_quota_is_detected(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(QuotaAllocator, "reserve", lambda quota, account, amount, *rest: True)
-    assert "quota" in broken_rules(_swollen())
+    assert "quota" in violated_rules(_run_with_surging_tenant())
 
 
-def test_quota_is_given_out_by_half(patch: pytest.MonkeyPatch) -> None:
+def test_a_quota_granted_by_half_is_detected(patch: pytest.MonkeyPatch) -> None:
     reserve = QuotaAllocator.reserve
     patch.setattr(
         QuotaAllocator,
         "reserve",
         lambda quota, account, amount, *rest: reserve(quota, account, 2.0 * amount, *rest),
     )
-    assert "quota" in broken_rules(_swollen())
+    assert "quota" in violated_rules(_run_with_surging_tenant())
 
 
-def _swollen() -> Any:
+def _run_with_surging_tenant() -> Any:
     return small_run(
         surging_tenant=2, settings=msgspec.structs.replace(SMALL, faults_s=36.0, traffic_share=0.3)
     )
 
 
-def test_retry_budget_is_ignored(patch: pytest.MonkeyPatch) -> None:
+def test_an_ignored_retry_budget_is_detected(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(RetryBudget, "try_acquire", lambda budget, now: True)
     patch.setattr(run_module, "GOOD", VersionBehaviour(error_share=0.5))
-    assert "repeats" in broken_rules(small_run())
+    assert "repeats" in violated_rules(small_run())
 
 
-def test_disk_acknowledges_without_writing(patch: pytest.MonkeyPatch) -> None:
+def test_a_disk_that_acknowledges_without_syncing_is_detected(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(MemoryFile, "fsync", lambda file: None)
     faults = [PowerCut(at=20.0, node=node) for node in NODES] + [
         Restart(at=21.0, node=node) for node in NODES
     ]
-    assert "durability" in broken_rules(small_run(faults=faults))
+    assert "durability" in violated_rules(small_run(faults=faults))
 
 
-def test_commit_without_a_majority(patch: pytest.MonkeyPatch) -> None:
+def test_a_commit_without_a_majority_is_detected(patch: pytest.MonkeyPatch) -> None:
     def commit_own(replication: Replication) -> None:
         core = replication._core
         if core.leadership is not None:
@@ -233,12 +233,12 @@
     run = small_run()
     scheduler, world = run.fleet.world.scheduler, run.fleet.world
 
-    def order_at_a_leader_cut_off() -> None:
+    def order_at_partitioned_leader() -> None:
         leader = run.fleet.leader()
         assert leader is not None
         world.apply(CutNode(at=world.now, node=leader))
         run.operators.order(run.operators._configuration(partial=True), leader)
         scheduler.after(4.0, lambda: world.apply(Heal(at=world.now)))
 
-    scheduler.at(16.0, order_at_a_leader_cut_off)
-    assert broken_rules(run) & {"committed prefix", "durability", "one winner", "same answer again"}
+    scheduler.at(16.0, order_at_partitioned_leader)
+    assert violated_rules(run) & {"committed prefix", "durability", "one winner", "same answer again"}
--- a/tests/unit/simulation/test_random_days.py
+++ b/tests/unit/simulation/test_random_days.py
@@ -1,4 +1,7 @@
-"""Random days: machines with disks are lost and replaced, one after another as far as the terms allow."""
+"""Random faults: machines with disks fail and are replaced, as many at a time as losses are tolerated.
+
+Guards against lost or rejected orders when such faults follow one another, before and after a power loss.
+"""
 
 from __future__ import annotations
 
@@ -6,17 +9,17 @@
 
 from springmux.coordination.identifiers import NodeId
 from springmux.simulation.world.faults import Kill
-from unit.simulation.site import COMES_UP_S, SITE_A, SITE_B, SMALL_SIX, Site
+from unit.simulation.site import PROCESS_START_S, SITE_A, SITE_B, SMALL_SIX, Site
 
-LANE_S = 16.0
-"""How long faults go on before, and again after, everything loses power."""
+FAULT_PHASE_S = 16.0
+"""Seconds of random faults before, and again after, the power loss of all machines."""
 LONGEST_CATCH_UP_S = 6.0
-ORDER_TERM_S = 4.0
-SETTLED_AFTER_S = 3.0
+ORDER_DEADLINE_S = 4.0
+SETTLE_S = 3.0
 
 
-class Lane:
-    """Has one machine with a disk lost at a time; as many lanes run as losses are tolerated."""
+class DiskFaultInjector:
+    """Causes the loss of one machine with a disk at a time; one injector runs per tolerated loss."""
 
     def __init__(self, site: Site, busy: set[NodeId], catch_up_s: float) -> None:
         self.site = site
@@ -48,35 +51,35 @@
                 self._freeze,
                 self._cut,
                 self._replace,
-                self._successor_first,
-                self._term,
+                self._replace_before_stop,
+                self._stop,
             )
         )
         self.history.append((round(world.now, 3), kind.__name__, node))
         lost_s = kind(node)
-        world.scheduler.after(lost_s, lambda: self._over(node))
+        world.scheduler.after(lost_s, lambda: self._finish(node))
 
-    def _over(self, node: NodeId) -> None:
+    def _finish(self, node: NodeId) -> None:
         self.busy.discard(node)
         self.site.world.scheduler.after(self.random.choice((0.0, 0.01, 0.7)), self._next)
 
-    # What may befall a machine; each returns for how long it counts as lost
+    # Faults of a machine; each returns for how many seconds the machine counts as lost
 
-    def _up_s(self) -> float:
-        return self.random.uniform(*COMES_UP_S)
+    def _start_s(self) -> float:
+        return self.random.uniform(*PROCESS_START_S)
 
     def _restart(self, node: NodeId) -> float:
-        back_s = self.random.uniform(0.2, 2.0) + self._up_s()
+        down_s = self.random.uniform(0.2, 2.0) + self._start_s()
         self.site.kill(node)
-        self.site.back(node, back_s)
-        return back_s + self.catch_up_s
+        self.site.restart_after(node, down_s)
+        return down_s + self.catch_up_s
 
     def _wipe(self, node: NodeId) -> float:
-        back_s = self.random.uniform(0.2, 2.0) + self._up_s()
+        down_s = self.random.uniform(0.2, 2.0) + self._start_s()
         self.site.kill(node)
         self.site.wipe(node)
-        self.site.back(node, back_s)
-        return back_s + self.catch_up_s
+        self.site.restart_after(node, down_s)
+        return down_s + self.catch_up_s
 
     def _freeze(self, node: NodeId) -> float:
         for_s = self.random.uniform(3.0, 4.0)
@@ -93,80 +96,80 @@
 
     def _replace(self, node: NodeId) -> float:
         self.site.remove(node)
-        self.site.successor(node, 1.0)
+        self.site.add_replacement(node, 1.0)
         return 1.0 + self.catch_up_s
 
-    def _successor_first(self, node: NodeId) -> float:
-        self.site.successor(node, 0.0)
+    def _replace_before_stop(self, node: NodeId) -> float:
+        self.site.add_replacement(node, 0.0)
         sigterm_s = self.random.uniform(0.3, 1.5)
-        self.site.world.scheduler.after(sigterm_s, lambda: self.site.retire(node))
+        self.site.world.scheduler.after(sigterm_s, lambda: self.site.decommission(node))
         return self.catch_up_s
 
-    def _term(self, node: NodeId) -> float:
-        self.site.stop(node, takes_s=0.2)
-        self.site.back(node, 1.0)
+    def _stop(self, node: NodeId) -> float:
+        self.site.stop(node, duration_s=0.2)
+        self.site.restart_after(node, 1.0)
         return 1.0 + self.catch_up_s
 
 
-class Day:
-    """Faults, then everything loses power with one disk wiped, then faults again."""
+class RandomFaultRun:
+    """Random faults, then a power loss of all machines with one disk wiped, then random faults again."""
 
     def __init__(self, kind: tuple[dict[str, int], int, int], seed: int, catch_up_s: float) -> None:
         self.site = Site(kind, seed)
         self.catch_up_s = catch_up_s
         self.busy: set[NodeId] = set()
-        self.lanes = [Lane(self.site, self.busy, catch_up_s) for _ in range(kind[2])]
-        self.back_s = 0.0
+        self.injectors = [DiskFaultInjector(self.site, self.busy, catch_up_s) for _ in range(kind[2])]
+        self.down_s = 0.0
 
     def run(self) -> Site:
         site = self.site
-        site.found()
-        site.write()
+        site.start_and_elect_leader()
+        site.start_orders()
         self._faults()
         self._power_loss()
         self._faults()
-        site.world.run_for(SETTLED_AFTER_S)
+        site.world.run_for(SETTLE_S)
         settled = site.world.now
-        site.world.run_for(ORDER_TERM_S)
-        assert site.longest_gap_s(settled) < 1.0
-        site.check_whole()
+        site.world.run_for(ORDER_DEADLINE_S)
+        assert site.longest_pause_s(settled) < 1.0
+        site.check_recovered()
         return site
 
     def _faults(self) -> None:
         world = self.site.world
-        end = world.now + LANE_S
-        for lane in self.lanes:
-            lane.run(end)
-        self._trouble_a_router(end)
+        end = world.now + FAULT_PHASE_S
+        for injector in self.injectors:
+            injector.run(end)
+        self._kill_routers(end)
         world.run_until(end)
-        assert self.site.run_until(lambda: all(lane.idle for lane in self.lanes), 20.0)
+        assert self.site.run_until(lambda: all(injector.idle for injector in self.injectors), 20.0)
 
-    def _trouble_a_router(self, end: float) -> None:
-        """A machine without a disk is killed now and then as well."""
+    def _kill_routers(self, end: float) -> None:
+        """Kill a random machine without a disk every few seconds until ``end``."""
         site, world = self.site, self.site.world
         if world.now >= end - 3.0:
             return
         node = site.random.choice([place.node for place in site.places if not place.controller])
         world.apply(Kill(at=world.now, node=node))
-        site.trouble(node)
-        site.back(node, 1.5)
-        world.scheduler.after(site.random.uniform(2.0, 6.0), lambda: self._trouble_a_router(end))
+        site.mark_unavailable(node)
+        site.restart_after(node, 1.5)
+        world.scheduler.after(site.random.uniform(2.0, 6.0), lambda: self._kill_routers(end))
 
     def _power_loss(self) -> None:
         site = self.site
-        nodes = [node for node in site.world.nodes() if node not in site.gone]
+        nodes = [node for node in site.world.nodes() if node not in site.removed]
         wiped = site.random.choice(site.disks)
         site.power_cut(nodes)
         site.wipe(wiped)
         lost_s = 0.0
         for node in nodes:
-            back_s = 0.6 + site.random.uniform(0.0, 0.3) + site.random.uniform(*COMES_UP_S)
-            lost_s = back_s if node == wiped else lost_s
-            site.back(node, back_s)
+            down_s = 0.6 + site.random.uniform(0.0, 0.3) + site.random.uniform(*PROCESS_START_S)
+            lost_s = down_s if node == wiped else lost_s
+            site.restart_after(node, down_s)
         before = len(site.acknowledged)
         begin = site.world.now
         assert site.run_until(lambda: len(site.acknowledged) > before, 12.0), "no quorum after the power loss"
-        self.back_s = site.world.now - begin
+        self.down_s = site.world.now - begin
         site.world.run_until(max(begin + lost_s + self.catch_up_s, site.world.now))
 
 
@@ -176,10 +179,10 @@
     [(SITE_A, 4.0), (SITE_B, 4.0), (SMALL_SIX, LONGEST_CATCH_UP_S)],
     ids=["four disks", "three disks", "six disks"],
 )
-def test_what_was_acknowledged_outlives_the_day(
+def test_acknowledged_orders_survive_random_faults_and_a_power_loss(
     kind: tuple[dict[str, int], int, int], catch_up_s: float, seed: int
 ) -> None:
-    site = Day(kind, seed, catch_up_s).run()
+    site = RandomFaultRun(kind, seed, catch_up_s).run()
 
-    assert site.slowest_s < ORDER_TERM_S
-    assert site.refused == 0
+    assert site.slowest_reply_s < ORDER_DEADLINE_S
+    assert site.rejected == 0
--- a/tests/unit/simulation/test_regressions.py
+++ b/tests/unit/simulation/test_regressions.py
@@ -1,4 +1,4 @@
-"""Faults that exploration found in other parts, each as small as it can be told."""
+"""Regressions of faults that exploration found in other parts, each reduced to a small test."""
 
 from __future__ import annotations
 
@@ -17,43 +17,43 @@
 
 
 def test_node_back_in_contact_owns_no_account_with_a_saved_burst() -> None:
-    """Seeds 101 and 102: the bucket saved up while cut off was given out once more."""
+    """Seeds 101 and 102: after a partition, a node granted its bucket's accumulated tokens once more."""
     own, peer = NodeId("north-1"), NodeId("east-1")
-    part = QuotaAllocator(own, random.Random(1))
+    allocator = QuotaAllocator(own, random.Random(1))
     address = Address("10.0.0.1:1")
     record = NodeRecord(own, ZoneName("north"), address, address, address)
-    part.handle(QuotaMembersChanged(MembershipView(own, {own: record})), 0.0)
-    part.handle(AccountsChanged({"norte": AccountRate(1000.0, 2000.0)}), 0.0)
-    ask = QuotaRequest(1, 1, (AccountDemand("norte", 0.0, 100.0, 10.0, 0.0, 0.0, 0.0),))
-    part.handle(MessageReceived(peer, ask), 20.0)
-    assert part.owned_accounts() == 1
+    allocator.handle(QuotaMembersChanged(MembershipView(own, {own: record})), 0.0)
+    allocator.handle(AccountsChanged({"norte": AccountRate(1000.0, 2000.0)}), 0.0)
+    request = QuotaRequest(1, 1, (AccountDemand("norte", 0.0, 100.0, 10.0, 0.0, 0.0, 0.0),))
+    allocator.handle(MessageReceived(peer, request), 20.0)
+    assert allocator.owned_accounts() == 1
 
-    part.handle(ContactChanged(True), 21.0)
+    allocator.handle(ContactChanged(True), 21.0)
 
-    assert part.owned_accounts() == 0
+    assert allocator.owned_accounts() == 0
 
 
 def test_checkpoint_stays_at_its_step() -> None:
-    """Seed 1 without faults: checkpoints used up the plan's steps, and the rollout hung at a quarter."""
+    """Seed 1 without faults: checkpoints consumed the plan's steps, and the rollout stopped at 25%."""
     run = small_run()
-    wishes: list[ProposeStep] = []
-    _watch_wishes(run.fleet, wishes)
+    proposals: list[ProposeStep] = []
+    _record_proposals(run.fleet, proposals)
     run.run()
-    steps = {(wish.step, wish.weight) for wish in wishes}
+    steps = {(proposal.step, proposal.weight) for proposal in proposals}
     assert steps >= {(0, 0.04), (1, 0.10), (4, 1.0)}
     assert len({step for step, _ in steps}) == len(steps)
 
 
-def _watch_wishes(fleet: HollowFleet, wishes: list[ProposeStep]) -> None:
-    def look() -> None:
+def _record_proposals(fleet: HollowFleet, proposals: list[ProposeStep]) -> None:
+    def replace_handlers() -> None:
         for agent in fleet.agents().values():
             dispatcher = agent._dispatcher
             handler = dispatcher._handlers[ProposeStep]
 
-            def note(effect: ProposeStep, now: float, handler=handler) -> list:  # type: ignore[no-untyped-def, type-arg]
-                wishes.append(effect)
+            def record_proposal(effect: ProposeStep, now: float, handler=handler) -> list:  # type: ignore[no-untyped-def, type-arg]
+                proposals.append(effect)
                 return handler(effect, now)
 
-            dispatcher._handlers[ProposeStep] = note
+            dispatcher._handlers[ProposeStep] = record_proposal
 
-    fleet.world.scheduler.at(5.0, look)
+    fleet.world.scheduler.at(5.0, replace_handlers)
--- a/tests/unit/simulation/test_rollout_scenarios.py
+++ b/tests/unit/simulation/test_rollout_scenarios.py
@@ -1,4 +1,4 @@
-"""The table of named rollouts: its figures tell a kept bound from a broken one."""
+"""Table of named rollout scenarios: its columns distinguish a kept bound from a violated one."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     return Row(Cell("anuario", Variant.SPRINGMUX, scenario), results)
 
 
-def test_a_bad_version_is_measured_by_its_worst_run() -> None:
+def test_a_row_of_a_bad_version_shows_its_worst_run() -> None:
     worst = result(phase="aborted", sent=120, excess=3.0, rollback_s=2.5)
     measured = row(BAD, result(phase="aborted", rollback_s=1.0), worst, result())
     assert measured.largest_share == 0.12
@@ -42,7 +42,7 @@
     assert "| 0.120 | +3 | 2.5 | - | 57.0 | - | 1 | 0 |" in markdown([measured])
 
 
-def test_a_good_version_counts_late_ends_and_false_aborts() -> None:
+def test_a_row_of_a_good_version_counts_late_ends_and_false_aborts() -> None:
     measured = row(GOOD, result(), result(finished_s=60.1), result(phase="aborted"), result(orders_ok=False))
     assert (measured.done_by_deadline, measured.false_aborts, measured.wrong_orders) == (2, 1, 1)
     by_order = RolloutScenario(name="order", disturbance=Disturbance.ABORT)
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize("variant", Variant)
-def test_a_variant_is_in_force_only_within_its_block(variant: Variant) -> None:
+def test_a_variant_is_applied_only_within_its_block(variant: Variant) -> None:
     before = (participant.Judge, participant.EvidenceTable, issuer.credit_pool)
     with variant_applied(variant):
         within = (participant.Judge, participant.EvidenceTable, issuer.credit_pool)
@@ -58,11 +58,11 @@
     assert (participant.Judge, participant.EvidenceTable, issuer.credit_pool) == before
 
 
-def test_scenarios_have_names_of_their_own() -> None:
+def test_scenario_names_are_unique() -> None:
     assert len({scenario.name for scenario in SCENARIOS}) == len(SCENARIOS)
 
 
-def test_a_run_of_a_whole_fleet_aborts_a_bad_version_within_its_bound() -> None:
+def test_a_complete_fleet_aborts_a_bad_version_within_its_bound() -> None:
     scenario = next(scenario for scenario in SCENARIOS if scenario.name == "bad at once: errors")
     measured = run_cell(Cell("derwent", Variant.SPRINGMUX, scenario), 1)
     assert measured.phase == "aborted"
--- a/tests/unit/simulation/test_runs.py
+++ b/tests/unit/simulation/test_runs.py
@@ -1,4 +1,4 @@
-"""Whole runs without a mutation: no promise is broken, and the same seed gives the same history."""
+"""Complete runs without a mutation: no rule is violated, and the same seed gives the same history."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from springmux.simulation.run import Run, RunResult
 from springmux.simulation.scenario import Scenario, draw_scenario
 from springmux.simulation.world.faults import CutNode, Heal, Kill, PowerCut, Restart, Wipe
-from unit.simulation.support import SMALL, broken_rules, small_run
+from unit.simulation.support import SMALL, small_run, violated_rules
 
 
 def test_good_rollout_without_faults_is_done_and_serves_everyone() -> None:
-    """The leader's checkpoints must not use up the plan's steps."""
+    """Guards against checkpoints of the leader that consume the plan's steps."""
     run = small_run()
     result = run.run()
     assert result.violations == ()
@@ -29,7 +29,7 @@
     assert result.rollout == "aborted"
 
 
-def test_disk_lost_and_power_cut_soon_after() -> None:
+def test_no_rule_is_violated_by_a_lost_disk_and_a_power_cut_soon_after() -> None:
     faults = [
         Kill(at=13.0, node="fell-1"),
         Wipe(at=13.01, node="fell-1"),
@@ -39,22 +39,22 @@
         CutNode(at=22.0, node="town-1"),
         Heal(at=24.0),
     ]
-    assert broken_rules(small_run(faults=faults)) == set()
+    assert violated_rules(small_run(faults=faults)) == set()
 
 
 @pytest.mark.parametrize("seed", [3, 5])
-def test_drawn_scenarios_break_no_promise(seed: int) -> None:
+def test_generated_scenarios_violate_no_rule(seed: int) -> None:
     assert [violation.text for violation in run_seed(seed, SMALL).violations] == []
 
 
-def test_same_scenario_gives_the_same_transcript_also_from_its_file() -> None:
+def test_a_scenario_read_from_json_gives_the_same_transcript() -> None:
     scenario = draw_scenario(4, SMALL)
     again = Scenario.from_json(scenario.to_json())
     assert again == scenario
     assert Run(again).run().transcript == Run(scenario).run().transcript
 
 
-def test_shrinking_keeps_only_the_faults_that_break_the_rule(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_shrinking_keeps_only_the_faults_that_violate_the_rule(monkeypatch: pytest.MonkeyPatch) -> None:
     kill = Kill(at=13.0, node="fell-1")
     others = [CutNode(at=14.0 + number, node="town-1") for number in range(6)]
     scenario = small_run(faults=[*others[:3], kill, *others[3:]]).scenario
--- a/tests/unit/simulation/test_seeds.py
+++ b/tests/unit/simulation/test_seeds.py
@@ -1,4 +1,8 @@
-"""Nodes that start with useless seeds find the fleet, since the fleet remembers them."""
+"""Nodes that start with useless seeds join the fleet, because the fleet remembers them.
+
+Guards against a restarted node that stays alone: its seeds name only itself, or an address without a
+listener, so it depends on the other nodes to contact it.
+"""
 
 from __future__ import annotations
 
@@ -16,13 +20,13 @@
 from springmux.storage.peer_list import PeerList
 from unit.simulation.site import SITE_A, Site
 
-FINDS_WITHIN_S = 5.0
-WHOLE_AFTER_S = 0.5
+READY_WITHIN_S = 5.0
+FLEET_KNOWN_AFTER_S = 0.5
 
 
-def restarted(node: NodeId, seeds: tuple[Address, ...], down_s: float) -> Site:
+def restart_with_seeds(node: NodeId, seeds: tuple[Address, ...], down_s: float) -> Site:
     site = Site(SITE_A, 1)
-    site.found()
+    site.start_and_elect_leader()
     site.world.run_for(3.0)
     site.world.apply(Kill(at=site.world.now, node=node))
     site.world.run_for(down_s)
@@ -31,26 +35,28 @@
     return site
 
 
-def found_and_whole(site: Site, node: NodeId) -> bool:
-    """Return whether the node is ready in time, and knows the whole fleet soon after."""
-    found = site.run_until(lambda: site.fleet.agents()[node].ready, FINDS_WITHIN_S)
-    site.world.run_for(WHOLE_AFTER_S)
-    return found and len(site.fleet.agents()[node].membership.present()) == len(site.places)
+def becomes_ready_and_knows_fleet(site: Site, node: NodeId) -> bool:
+    """Return whether the node is ready in time and knows all nodes soon after."""
+    ready = site.run_until(lambda: site.fleet.agents()[node].ready, READY_WITHIN_S)
+    site.world.run_for(FLEET_KNOWN_AFTER_S)
+    return ready and len(site.fleet.agents()[node].membership.present()) == len(site.places)
 
 
 @pytest.mark.parametrize("node", ["z1-1", "z3-3"], ids=["with a disk", "without"])
-@pytest.mark.parametrize("seeds", [(), (Address("10.9.9.9:1"),)], ids=["its own", "one that nobody is at"])
+@pytest.mark.parametrize(
+    "seeds", [(), (Address("10.9.9.9:1"),)], ids=["its own address", "an address without a listener"]
+)
 @pytest.mark.parametrize("down_s", [0.6, 8.0])
-def test_a_node_whose_seeds_are_of_no_use_is_found_by_the_others(
+def test_a_node_with_useless_seeds_is_contacted_by_the_other_nodes(
     node: str, seeds: tuple[Address, ...], down_s: float
 ) -> None:
-    site = restarted(NodeId(node), seeds, down_s)
+    site = restart_with_seeds(NodeId(node), seeds, down_s)
 
-    assert found_and_whole(site, NodeId(node))
+    assert becomes_ready_and_knows_fleet(site, NodeId(node))
     assert len(site.groups()) == 1
 
 
-def rejoin_nobody(joiner: Joiner, own: NodeRecord, present: tuple[NodeId, ...], now: float) -> list[Effect]:
+def skip_rejoin(joiner: Joiner, own: NodeRecord, present: tuple[NodeId, ...], now: float) -> list[Effect]:
     joiner._next_rejoin_at = max(joiner._next_rejoin_at, now + 1.0)
     return []
 
@@ -61,20 +67,20 @@
         (Disseminator, "_with_own_record", lambda disseminator, updates: updates),
         (Membership, "_receive", Membership._dispatch),
     ],
-    ids=["a suspect isn't told the sender's address", "who introduces itself isn't asked for the fleet"],
+    ids=["a suspect gets no sender's address", "a node that introduces itself is not asked for the fleet"],
 )
-def test_the_check_sees_nodes_that_are_not_found(
+def test_the_check_fails_for_nodes_that_nobody_contacts(
     owner: type, method: str, mutation: Callable[..., object], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(owner, method, mutation)
-    # Two other ways to be found: what the own disk remembers, and the others' request to an absent seed.
+    # Disables the two other ways to be contacted: peers remembered on disk, and other nodes' rejoin requests.
     monkeypatch.setattr(PeerList, "load", lambda peer_list: ())
-    monkeypatch.setattr(Joiner, "rejoin", rejoin_nobody)
+    monkeypatch.setattr(Joiner, "rejoin", skip_rejoin)
     node = NodeId("z1-1")
-    assert not found_and_whole(restarted(node, (), 0.6), node)
+    assert not becomes_ready_and_knows_fleet(restart_with_seeds(node, (), 0.6), node)
 
 
-def test_a_node_that_is_its_only_seed_and_alone_founds_nothing_and_serves_nothing() -> None:
+def test_a_single_node_that_is_its_only_seed_creates_no_group_and_is_not_ready() -> None:
     site = Site(SITE_A, 1)
     node = NodeId("z1-1")
     site.fleet.seeds = (site.fleet.addresses[node],)
--- a/tests/unit/world/test_world.py
+++ b/tests/unit/world/test_world.py
@@ -1,4 +1,4 @@
-"""The world: determinism, disorder, freezes, restarts, cuts, traffic counters."""
+"""The world: determinism, unreliable networks, freezes, restarts, partitions and traffic counters."""
 
 from __future__ import annotations
 
@@ -45,15 +45,15 @@
     number: int
 
 
-class Chatter:
-    """Sends a numbered message to every other node each period, and keeps what it heard and when."""
+class PeriodicSender:
+    """Sends a numbered message to every other node each period, and records received messages and times."""
 
     def __init__(self, node: NodeId, period_s: float = NEVER) -> None:
         self.node = node
         self.period_s = period_s
         self.next_at = NEVER
         self.sent = 0
-        self.heard: list[tuple[NodeId, int, float]] = []
+        self.received: list[tuple[NodeId, int, float]] = []
 
     def start(self, now: float) -> list[Effect]:
         self.next_at = now + self.period_s
@@ -61,7 +61,7 @@
 
     def handle(self, event: Event, now: float) -> list[Effect]:
         if isinstance(event, MessageReceived) and isinstance(event.message, WorldProbe):
-            self.heard.append((event.sender, event.message.number, now))
+            self.received.append((event.sender, event.message.number, now))
         if not isinstance(event, Tick):
             return []
         self.next_at = now + self.period_s
@@ -72,11 +72,11 @@
         return self.next_at
 
     def numbers(self, sender: NodeId) -> list[int]:
-        return [number for source, number, _ in self.heard if source == sender]
+        return [number for source, number, _ in self.received if source == sender]
 
 
 class Recorder:
-    """Hooks that keep what they were given."""
+    """Hooks that record their effects and faults."""
 
     def __init__(self) -> None:
         self.effects: list[tuple[NodeId, Effect, float]] = []
@@ -94,14 +94,16 @@
 ) -> World:
     world = World(seed, settings, hooks, record=True)
     for node in NODES:
-        world.add(node, ZONES[node], lambda boot, node=node: Chatter(node, period_s if node == A else NEVER))
+        world.add(
+            node, ZONES[node], lambda boot, node=node: PeriodicSender(node, period_s if node == A else NEVER)
+        )
     world.start_all()
     return world
 
 
-def chatter(world: World, node: NodeId) -> Chatter:
+def process_of(world: World, node: NodeId) -> PeriodicSender:
     process = world.process(node)
-    assert isinstance(process, Chatter)
+    assert isinstance(process, PeriodicSender)
     return process
 
 
@@ -109,8 +111,8 @@
     link = ZoneLink(ZONES[A], ZONES[C], Latency(0.5, 0.0))
     world = make_world(NetworkSettings(within_zone=Latency(0.01, 0.0), links=(link,)))
     world.run_until(0.65)
-    assert chatter(world, B).heard[0] == (A, 1, pytest.approx(0.11))
-    assert chatter(world, C).heard == [(A, 1, pytest.approx(0.6))]
+    assert process_of(world, B).received[0] == (A, 1, pytest.approx(0.11))
+    assert process_of(world, C).received == [(A, 1, pytest.approx(0.6))]
 
 
 def test_the_same_seed_gives_the_same_transcript_and_another_seed_another() -> None:
@@ -128,11 +130,11 @@
     assert run(7) != run(8)
 
 
-def test_messages_are_lost_doubled_and_overtaken_as_often_as_asked() -> None:
+def test_messages_are_lost_duplicated_and_reordered_as_often_as_configured() -> None:
     rough = NetworkSettings(loss=0.2, duplication=0.1, reordering=0.5, reordering_delay_s=0.5)
     world = make_world(rough, period_s=0.01)
     world.run_until(60.0)
-    numbers = chatter(world, B).numbers(A)
+    numbers = process_of(world, B).numbers(A)
     assert numbers != sorted(numbers)
     counters = world.network.counters
     sent = counters.messages_of(A)
@@ -140,16 +142,16 @@
     assert counters.duplicated / sent == pytest.approx(0.08, abs=0.02)
 
 
-def test_a_frozen_node_gets_nothing_until_its_thaw_and_then_all_of_it() -> None:
+def test_a_frozen_node_handles_queued_messages_at_its_thaw() -> None:
     world = make_world()
     world.run_until(1.05)
     world.apply(Freeze(at=1.05, node=B))
-    before = len(chatter(world, B).heard)
+    before = len(process_of(world, B).received)
     world.run_until(3.05)
-    assert len(chatter(world, B).heard) == before
+    assert len(process_of(world, B).received) == before
     assert not world.is_running(B)
     world.apply(Thaw(at=3.05, node=B))
-    arrived = chatter(world, B).heard[before:]
+    arrived = process_of(world, B).received[before:]
     assert [number for _, number, _ in arrived] == list(range(before + 1, before + 21))
     assert {now for _, _, now in arrived} == {3.05}
 
@@ -158,19 +160,19 @@
     world = make_world()
     world.run_until(1.05)
     world.apply(Freeze(at=1.05, node=A))
-    sent = chatter(world, A).sent
+    sent = process_of(world, A).sent
     world.run_until(9.0)
-    assert chatter(world, A).sent == sent
+    assert process_of(world, A).sent == sent
     world.apply(Thaw(at=9.0, node=A))
     world.run_until(9.01)
-    assert chatter(world, A).sent == sent + 1
+    assert process_of(world, A).sent == sent + 1
 
 
 def test_a_killed_node_loses_its_memory_and_its_old_timers() -> None:
     hooks = Recorder()
     world = make_world(hooks=hooks)
     world.run_until(1.05)
-    old = chatter(world, A)
+    old = process_of(world, A)
     for fault in (Kill(at=1.05, node=A), Wipe(at=1.05, node=A)):
         world.apply(fault)
     world.run_until(2.0)
@@ -178,13 +180,13 @@
     world.apply(Restart(at=2.0, node=A))
     world.run_until(2.25)
     assert world.boot(A) == 2
-    assert (old.sent, chatter(world, A).sent) == (10, 2)
+    assert (old.sent, process_of(world, A).sent) == (10, 2)
     assert [type(fault) for fault in hooks.faults] == [Kill, Wipe, Restart]
     assert [(node, now) for node, _, now in hooks.effects] == [(A, 0.0), (B, 0.0), (C, 0.0), (A, 2.0)]
 
 
 @pytest.mark.parametrize(
-    ("cut", "b_hears", "c_hears"),
+    ("cut", "b_receives", "c_receives"),
     [
         (CutNode(at=0.0, node=A), False, False),
         (CutNode(at=0.0, node=A, outward=False), True, True),
@@ -196,15 +198,20 @@
         (CutPair(at=0.0, source=B, target=A), True, True),
     ],
 )
-def test_cuts_are_directed_and_end_when_healed(cut: AnyFault, b_hears: bool, c_hears: bool) -> None:
+def test_partitions_are_directed_and_end_when_healed(
+    cut: AnyFault, b_receives: bool, c_receives: bool
+) -> None:
     world = make_world()
     world.apply(cut)
     world.run_until(1.0)
-    assert (bool(chatter(world, B).heard), bool(chatter(world, C).heard)) == (b_hears, c_hears)
+    assert (bool(process_of(world, B).received), bool(process_of(world, C).received)) == (
+        b_receives,
+        c_receives,
+    )
     world.apply(Heal(at=1.0))
     world.run_until(2.0)
-    assert chatter(world, B).heard
-    assert chatter(world, C).heard
+    assert process_of(world, B).received
+    assert process_of(world, C).received
 
 
 def test_a_clock_jump_moves_the_wall_clock_of_one_node_only() -> None:
@@ -213,10 +220,10 @@
     world.apply(ClockJump(at=1.0, node=B, by_s=-3600.0))
     assert world.wall_clocks.read(A) - world.wall_clocks.read(B) == 3600.0
     world.run_until(1.35)
-    assert chatter(world, B).numbers(A) == list(range(1, 14))
+    assert process_of(world, B).numbers(A) == list(range(1, 14))
 
 
-def test_bytes_are_those_of_the_encoded_messages_and_bandwidth_delays_them() -> None:
+def test_encoded_bytes_are_counted_and_bandwidth_delays_messages() -> None:
     settings = NetworkSettings(
         within_zone=Latency(0.0, 0.0), between_zones=Latency(0.0, 0.0), count_bytes=True, bytes_per_s=130.0
     )
@@ -225,26 +232,26 @@
     size_bytes = 13  # array of two: "WorldProbe" (11 bytes with its head) and a small number
     assert world.network.counters.bytes_of(A) == 2 * size_bytes
     assert world.network.counters.bytes_by_type() == {"WorldProbe": 2 * size_bytes}
-    assert chatter(world, B).heard == [(A, 1, pytest.approx(1.1))]
-    assert chatter(world, C).heard == [(A, 1, pytest.approx(1.2))]
+    assert process_of(world, B).received == [(A, 1, pytest.approx(1.1))]
+    assert process_of(world, C).received == [(A, 1, pytest.approx(1.2))]
 
 
-def test_calls_are_made_only_on_running_processes_and_move_their_tick() -> None:
+def test_calls_reach_only_running_processes_and_reschedule_their_tick() -> None:
     world = make_world()
     world.run_until(0.55)
 
     def hurry(process: object) -> None:
-        assert isinstance(process, Chatter)
+        assert isinstance(process, PeriodicSender)
         process.next_at = 0.56
 
     assert world.call(A, hurry)
     world.run_until(0.565)
-    assert chatter(world, A).sent == 6
+    assert process_of(world, A).sent == 6
     world.apply(Freeze(at=0.565, node=A))
     assert not world.call(A, hurry)
 
 
-def test_same_time_events_run_in_the_order_in_which_they_were_planned() -> None:
+def test_simultaneous_events_run_in_the_order_of_scheduling() -> None:
     world = make_world()
     order: list[int] = []
     numbers = list(range(50))
