--- a/src/springmux/simulation/checkers/all_checkers.py
+++ b/src/springmux/simulation/checkers/all_checkers.py
@@ -41,5 +41,7 @@
 
 def check(history: History, context: RunContext) -> list[Violation]:
     """Return the violations found by all checkers, in the order of time."""
-    found = [violation for checker in make_checkers(history, context) for violation in checker.violations()]
-    return sorted(found, key=lambda violation: violation.at)
+    violations = [
+        violation for checker in make_checkers(history, context) for violation in checker.violations()
+    ]
+    return sorted(violations, key=lambda violation: violation.at)
--- a/src/springmux/simulation/checkers/at_most_once.py
+++ b/src/springmux/simulation/checkers/at_most_once.py
@@ -19,20 +19,20 @@
 
     def _executed_twice(self) -> list[Violation]:
         first: dict[tuple[str, str], Executed] = {}
-        found = []
+        violations = []
         for run in self._history.executed:
             before = first.setdefault((run.service, run.action), run)
             if before is not run:
                 text = f"{run.action} ran as {before.request} at {before.at:.3f} and again as {run.request}"
-                found.append(Violation("at most once", run.at, (), text))
-        return found
+                violations.append(Violation("at most once", run.at, (), text))
+        return violations
 
     def _executed_after_refusal(self) -> list[Violation]:
-        refused = {call.request: call for call in self._history.calls if call.fate is Fate.REFUSED}
-        found = []
+        rejected = {call.request: call for call in self._history.calls if call.fate is Fate.REFUSED}
+        violations = []
         for run in self._history.executed:
-            call = refused.get(run.request)
+            call = rejected.get(run.request)
             if call is not None:
-                text = f"{run.action} ran as {run.request}, which was refused with {call.code}"
-                found.append(Violation("never after a refusal", run.at, (call.node,), text))
-        return found
+                text = f"{run.action} ran as {run.request}, which was rejected with {call.code}"
+                violations.append(Violation("never after a refusal", run.at, (call.node,), text))
+        return violations
--- a/src/springmux/simulation/checkers/complete_responses.py
+++ b/src/springmux/simulation/checkers/complete_responses.py
@@ -15,12 +15,12 @@
     def violations(self) -> list[Violation]:
         """Return responses that are truncated, of another request, or confirm an action that never ran."""
         executed = {run.action for run in self._history.executed}
-        found = []
+        violations = []
         for call in self._history.calls:
             text = "" if call.prompt or not call.complete else self._fault(call, executed)
             if text:
-                found.append(Violation("whole and own answer", call.ended_at, (call.node,), text))
-        return found
+                violations.append(Violation("whole and own answer", call.ended_at, (call.node,), text))
+        return violations
 
     def _fault(self, call: ClientAttempt, executed: set[str]) -> str:
         if call.fault:
--- a/src/springmux/simulation/checkers/consistency.py
+++ b/src/springmux/simulation/checkers/consistency.py
@@ -19,22 +19,22 @@
 
     def _two_leaders(self) -> list[Violation]:
         leaders: dict[Term, NodeId] = {}
-        found = []
+        violations = []
         for sample in self._history.samples:
             if not sample.leading:
                 continue
             leader = leaders.setdefault(sample.term, sample.node)
             if leader != sample.node:
                 text = f"{leader} and {sample.node} both led term {sample.term}"
-                found.append(Violation("one leader a term", sample.at, (leader, sample.node), text))
-        return found
+                violations.append(Violation("one leader a term", sample.at, (leader, sample.node), text))
+        return violations
 
     def _two_states(self) -> list[Violation]:
         states: dict[Revision, tuple[int, NodeId]] = {}
-        found = []
-        for seen in self._history.states:
-            digest, node = states.setdefault(seen.revision, (seen.digest, seen.node))
-            if digest != seen.digest:
-                text = f"{node} and {seen.node} have different states at revision {seen.revision}"
-                found.append(Violation("committed prefix", seen.at, (node, seen.node), text))
-        return found
+        violations = []
+        for applied in self._history.states:
+            digest, node = states.setdefault(applied.revision, (applied.digest, applied.node))
+            if digest != applied.digest:
+                text = f"{node} and {applied.node} have different states at revision {applied.revision}"
+                violations.append(Violation("committed prefix", applied.at, (node, applied.node), text))
+        return violations
--- a/src/springmux/simulation/checkers/delivery.py
+++ b/src/springmux/simulation/checkers/delivery.py
@@ -22,37 +22,37 @@
 
     def _served_on_old_state(self) -> list[Violation]:
         due = DueRevisions(self._history.orders)
-        found: dict[NodeId, Violation] = {}
+        violations: dict[NodeId, Violation] = {}
         for dispatch in self._history.dispatched:
             needed = due.at(dispatch.at)
-            if dispatch.attempt == 1 and dispatch.revision < needed and dispatch.node not in found:
+            if dispatch.attempt == 1 and dispatch.revision < needed and dispatch.node not in violations:
                 text = (
                     f"{dispatch.request} was sent at revision {dispatch.revision}, while {needed} had been"
                     f" acknowledged more than {IN_FORCE_S:g} s before"
                 )
-                found[dispatch.node] = Violation("in force", dispatch.at, (dispatch.node,), text)
-        return list(found.values())
+                violations[dispatch.node] = Violation("in force", dispatch.at, (dispatch.node,), text)
+        return list(violations.values())
 
     def _ready_but_behind(self) -> list[Violation]:
         due = DueRevisions(self._history.orders)
-        found: dict[NodeId, Violation] = {}
+        violations: dict[NodeId, Violation] = {}
         for sample in self._history.samples:
             needed = due.at(sample.at)
-            if sample.ready and sample.revision < needed and sample.node not in found:
+            if sample.ready and sample.revision < needed and sample.node not in violations:
                 text = f"ready at revision {sample.revision}, while {needed} must be in force"
-                found[sample.node] = Violation("in force", sample.at, (sample.node,), text)
-        return list(found.values())
+                violations[sample.node] = Violation("in force", sample.at, (sample.node,), text)
+        return list(violations.values())
 
     def _reverted_states(self) -> list[Violation]:
         newest: dict[tuple[NodeId, int], Revision] = {}
-        found = []
-        for seen in self._history.states:
-            key = (seen.node, seen.boot)
-            if seen.revision < newest.get(key, 0):
-                text = f"reverted from revision {newest[key]} to {seen.revision}"
-                found.append(Violation("never backwards", seen.at, (seen.node,), text))
-            newest[key] = seen.revision
-        return found
+        violations = []
+        for applied in self._history.states:
+            key = (applied.node, applied.boot)
+            if applied.revision < newest.get(key, 0):
+                text = f"reverted from revision {newest[key]} to {applied.revision}"
+                violations.append(Violation("never backwards", applied.at, (applied.node,), text))
+            newest[key] = applied.revision
+        return violations
 
 
 class DueRevisions:
@@ -62,11 +62,11 @@
         self._times: list[float] = []
         self._revisions: list[Revision] = []
         newest = Revision(0)
-        for seen in orders:
-            if seen.result is None:
+        for reply in orders:
+            if reply.result is None:
                 continue
-            newest = max(newest, seen.result.revision)
-            self._times.append(seen.at + IN_FORCE_S + IN_FORCE_SLACK_S)
+            newest = max(newest, reply.result.revision)
+            self._times.append(reply.at + IN_FORCE_S + IN_FORCE_SLACK_S)
             self._revisions.append(newest)
 
     def at(self, time: float) -> Revision:
--- a/src/springmux/simulation/checkers/draining.py
+++ b/src/springmux/simulation/checkers/draining.py
@@ -27,7 +27,7 @@
         withdrawn: dict[EngineId, float] = {}
         for back in self._history.stops_withdrawn:
             withdrawn[back.engine] = back.at
-        found: dict[tuple[EngineId, NodeId], Violation] = {}
+        violations: dict[tuple[EngineId, NodeId], Violation] = {}
         for dispatch in self._history.dispatched:
             at = learned.get(dispatch.engine)
             if at is None or withdrawn.get(dispatch.engine, -1.0) > at:
@@ -36,8 +36,8 @@
             if late_s > DRAIN_S + DRAIN_SLACK_S:
                 text = f"{dispatch.request} went to {dispatch.engine} {late_s:.2f} s after its drain report"
                 violation = Violation("drain", dispatch.at, (dispatch.node,), text)
-                found.setdefault((dispatch.engine, dispatch.node), violation)
-        return list(found.values())
+                violations.setdefault((dispatch.engine, dispatch.node), violation)
+        return list(violations.values())
 
     def _learned(self) -> dict[EngineId, float]:
         learned: dict[EngineId, float] = {}
--- a/src/springmux/simulation/checkers/durability.py
+++ b/src/springmux/simulation/checkers/durability.py
@@ -31,58 +31,60 @@
 
     def _missing_changes(self) -> list[Violation]:
         newest = max(
-            (seen.result.revision for seen in self._history.orders if seen.result is not None),
+            (reply.result.revision for reply in self._history.orders if reply.result is not None),
             default=Revision(0),
         )
-        found = []
+        violations = []
         last = self._last_samples()
         for place in self._context.deployment.places():
             sample = last.get(place.node)
             if sample is None or sample.at < self._context.ended_at - 1.0:
-                found.append(self._final_violation(place.node, "is not running at the end"))
+                violations.append(self._final_violation(place.node, "is not running at the end"))
             elif not sample.ready:
-                found.append(self._final_violation(place.node, f"is not ready at the end: {sample.reason}"))
+                violations.append(
+                    self._final_violation(place.node, f"is not ready at the end: {sample.reason}")
+                )
             elif sample.revision < newest:
                 text = f"is at revision {sample.revision} at the end, but {newest} was acknowledged"
-                found.append(self._final_violation(place.node, text))
-        return found
+                violations.append(self._final_violation(place.node, text))
+        return violations
 
     def _final_violation(self, node: NodeId, text: str) -> Violation:
         return Violation("durability", self._context.ended_at, (node,), f"{node} {text}")
 
     def _reversed_rollouts(self) -> list[Violation]:
         ended: dict[str, RolloutPhase] = {}
-        found = []
-        for seen in self._history.rollouts:
-            before = ended.get(seen.rollout)
+        violations = []
+        for change in self._history.rollouts:
+            before = ended.get(change.rollout)
             # A restarted node may apply older phases while it catches up, but a terminal phase never changes.
-            if before is not None and seen.phase in TERMINAL_PHASES and seen.phase is not before:
-                text = f"{seen.rollout} was {before}, then {seen.phase}"
-                found.append(Violation("durability", seen.at, (seen.node,), text))
-            if seen.phase in TERMINAL_PHASES:
-                ended.setdefault(seen.rollout, seen.phase)
-        return found
+            if before is not None and change.phase in TERMINAL_PHASES and change.phase is not before:
+                text = f"{change.rollout} was {before}, then {change.phase}"
+                violations.append(Violation("durability", change.at, (change.node,), text))
+            if change.phase in TERMINAL_PHASES:
+                ended.setdefault(change.rollout, change.phase)
+        return violations
 
     def _slow_restarts(self) -> list[Violation]:
-        found = []
+        violations = []
         for at in self._full_restarts():
             limit = at + SERVICE_RECOVERY_S
-            if any(at + FULL_RESTART_WINDOW_S < seen.at < limit for seen in self._history.faults):
+            if any(at + FULL_RESTART_WINDOW_S < started.at < limit for started in self._history.faults):
                 continue
             ready = {s.node for s in self._history.samples if s.ready and at < s.at <= limit}
             missing = tuple(p.node for p in self._context.deployment.places() if p.node not in ready)
             if missing and limit < self._context.ended_at:
                 text = f"{len(missing)} nodes are not ready {SERVICE_RECOVERY_S:g} s after a full restart"
-                found.append(Violation("service back", limit, missing, text))
-        return found
+                violations.append(Violation("service back", limit, missing, text))
+        return violations
 
     def _full_restarts(self) -> list[float]:
-        restarts = [seen for seen in self._history.faults if isinstance(seen.fault, Restart)]
+        restarts = [started for started in self._history.faults if isinstance(started.fault, Restart)]
         nodes = len(self._context.deployment.places())
         times = []
-        for position, seen in enumerate(restarts):
+        for position, started in enumerate(restarts):
             group = restarts[position : position + nodes]
-            names = {each.fault.node for each in group if isinstance(each.fault, Restart)}
-            if len(names) == nodes and group[-1].at - seen.at <= FULL_RESTART_WINDOW_S:
+            names = {restart.fault.node for restart in group if isinstance(restart.fault, Restart)}
+            if len(names) == nodes and group[-1].at - started.at <= FULL_RESTART_WINDOW_S:
                 times.append(group[-1].at)
         return times
--- a/src/springmux/simulation/checkers/exposure.py
+++ b/src/springmux/simulation/checkers/exposure.py
@@ -79,9 +79,11 @@
     """
     plan = context.plan
     assert plan is not None
-    seen = [each for each in history.rollouts if each.service == plan.service]
-    begins = min((each.at for each in seen), default=0.0)
-    ends = min((each.at for each in seen if each.phase is RolloutPhase.DONE), default=context.ended_at)
+    changes = [change for change in history.rollouts if change.service == plan.service]
+    begins = min((change.at for change in changes), default=0.0)
+    ends = min(
+        (change.at for change in changes if change.phase is RolloutPhase.DONE), default=context.ended_at
+    )
     return [
         dispatch
         for dispatch in history.dispatched
--- a/src/springmux/simulation/checkers/finishing.py
+++ b/src/springmux/simulation/checkers/finishing.py
@@ -28,16 +28,16 @@
         plan = self._context.plan
         if plan is None or self._context.bad:
             return []
-        seen = [each for each in self._history.rollouts if each.service == plan.service]
-        begun = next((each.at for each in seen if each.phase is RolloutPhase.CANARY), None)
+        changes = [change for change in self._history.rollouts if change.service == plan.service]
+        begun = next((change.at for change in changes if change.phase is RolloutPhase.CANARY), None)
         if begun is None:
             return []
-        aborted = next((each for each in seen if each.phase is RolloutPhase.ABORTED), None)
+        aborted = next((change for change in changes if change.phase is RolloutPhase.ABORTED), None)
         if aborted is not None:
             text = f"the good version {plan.candidate} was aborted {aborted.at - begun:.1f} s after promotion"
             return [Violation("good rollout done", aborted.at, (aborted.node,), text)]
         return self._check_deadline(
-            begun, next((each for each in seen if each.phase is RolloutPhase.DONE), None)
+            begun, next((change for change in changes if change.phase is RolloutPhase.DONE), None)
         )
 
     def _check_deadline(self, begun: float, done: RolloutPhaseChanged | None) -> list[Violation]:
@@ -69,11 +69,11 @@
     def _paused_s(self) -> float:
         total = 0.0
         paused_at: float | None = None
-        for seen in self._history.rollouts:
-            if seen.phase is RolloutPhase.PAUSED and paused_at is None:
-                paused_at = seen.at
-            elif seen.phase in (RolloutPhase.CANARY, RolloutPhase.SHIFTING) and paused_at is not None:
-                total += seen.at - paused_at
+        for change in self._history.rollouts:
+            if change.phase is RolloutPhase.PAUSED and paused_at is None:
+                paused_at = change.at
+            elif change.phase in (RolloutPhase.CANARY, RolloutPhase.SHIFTING) and paused_at is not None:
+                total += change.at - paused_at
                 paused_at = None
         return total
 
@@ -91,12 +91,12 @@
         plan = context.plan
         if plan is None or context.removed_at is None:
             return []
-        found = []
+        violations = []
         for call in self._history.calls:
             if call.code is ErrorCode.NO_ENGINE and call.prompt and call.sent_at >= context.removed_at:
                 text = f"{call.request} found no engine after the rollout was done"
-                found.append(Violation("end of a rollout", call.ended_at, (call.node,), text))
-        return found
+                violations.append(Violation("end of a rollout", call.ended_at, (call.node,), text))
+        return violations
 
 
 def _stalled(before: NodeSample | None, sample: NodeSample) -> bool:
--- a/src/springmux/simulation/checkers/orders.py
+++ b/src/springmux/simulation/checkers/orders.py
@@ -20,33 +20,33 @@
         return [*self._two_winners(), *self._changed_replies(), *self._refused_but_decided()]
 
     def _two_winners(self) -> list[Violation]:
-        commands = {each.command.order: each.command for each in self._history.ordered}
+        commands = {sent_order.command.order: sent_order.command for sent_order in self._history.ordered}
         winners: dict[int, OrderId] = {}
-        found = []
-        for seen in self._history.orders:
-            command = commands[seen.order]
-            if not isinstance(command, ApplyConfiguration) or not _accepted(seen.result):
+        violations = []
+        for reply in self._history.orders:
+            command = commands[reply.order]
+            if not isinstance(command, ApplyConfiguration) or not _accepted(reply.result):
                 continue
-            winner = winners.setdefault(command.version, seen.order)
-            if winner != seen.order:
-                text = f"orders {winner} and {seen.order} were both accepted as version {command.version}"
-                found.append(Violation("one winner", seen.at, (seen.node,), text))
-        return found
+            winner = winners.setdefault(command.version, reply.order)
+            if winner != reply.order:
+                text = f"orders {winner} and {reply.order} were both accepted as version {command.version}"
+                violations.append(Violation("one winner", reply.at, (reply.node,), text))
+        return violations
 
     def _changed_replies(self) -> list[Violation]:
         first: dict[OrderId, CommandResult] = {}
-        found = []
-        for seen in self._history.orders:
-            if seen.result is None:
+        violations = []
+        for reply in self._history.orders:
+            if reply.result is None:
                 continue
-            before = first.setdefault(seen.order, seen.result)
-            if (before.outcome, before.revision) != (seen.result.outcome, seen.result.revision):
+            before = first.setdefault(reply.order, reply.result)
+            if (before.outcome, before.revision) != (reply.result.outcome, reply.result.revision):
                 text = (
-                    f"the reply to order {seen.order} was {before.outcome} at {before.revision}, then"
-                    f" {seen.result.outcome} at {seen.result.revision}"
+                    f"the reply to order {reply.order} was {before.outcome} at {before.revision}, then"
+                    f" {reply.result.outcome} at {reply.result.revision}"
                 )
-                found.append(Violation("same answer again", seen.at, (seen.node,), text))
-        return found
+                violations.append(Violation("same answer again", reply.at, (reply.node,), text))
+        return violations
 
     def _refused_but_decided(self) -> list[Violation]:
         """Return the orders that were decided although every attempt to send them was rejected.
@@ -54,19 +54,19 @@
         An order counts only if each of its attempts got a reply.
         """
         sent: dict[OrderId, int] = {}
-        for each in self._history.ordered:
-            sent[each.command.order] = sent.get(each.command.order, 0) + 1
-        refused: dict[OrderId, int] = {}
+        for sent_order in self._history.ordered:
+            sent[sent_order.command.order] = sent.get(sent_order.command.order, 0) + 1
+        rejections: dict[OrderId, int] = {}
         decided: dict[OrderId, float] = {}
-        for seen in self._history.orders:
-            if seen.error is not None and seen.error.fate is Fate.REFUSED:
-                refused[seen.order] = refused.get(seen.order, 0) + 1
-            if seen.result is not None:
-                decided[seen.order] = seen.at
+        for reply in self._history.orders:
+            if reply.error is not None and reply.error.fate is Fate.REFUSED:
+                rejections[reply.order] = rejections.get(reply.order, 0) + 1
+            if reply.result is not None:
+                decided[reply.order] = reply.at
         return [
             Violation("refused orders never run", at, (), f"order {order} was rejected, but it was decided")
             for order, at in sorted(decided.items())
-            if refused.get(order, 0) >= sent[order]
+            if rejections.get(order, 0) >= sent[order]
         ]
 
 
--- a/src/springmux/simulation/checkers/quota.py
+++ b/src/springmux/simulation/checkers/quota.py
@@ -55,16 +55,16 @@
     def _below_quota(
         self, surge: DemandSurge, size: TenantSize, calls: list[ClientAttempt]
     ) -> list[Violation]:
-        found = []
+        violations = []
         begin = surge.begin + SETTLING_S
         while begin + WINDOW_S <= surge.end:
             per_s = _used_tokens(calls, begin, begin + WINDOW_S) / WINDOW_S
             refused = _rejections(calls, begin, begin + WINDOW_S)
             calm = not self._faults_near(begin - SETTLING_S, begin + WINDOW_S)
             if refused and calm and per_s < (1 - TOLERANCE) * size.tokens_per_s:
-                found.append(self._violation(surge, begin, per_s, size.tokens_per_s, "below"))
+                violations.append(self._violation(surge, begin, per_s, size.tokens_per_s, "below"))
             begin += WINDOW_STEP_S
-        return found
+        return violations
 
     def _violation(
         self, surge: DemandSurge, begin: float, per_s: float, quota: float, side: str
@@ -73,9 +73,9 @@
         return Violation("quota", begin + WINDOW_S, (), text)
 
     def _faults_near(self, begin: float, end: float) -> bool:
-        if begin < self._context.healed_at and any(seen.at <= end for seen in self._history.faults):
+        if begin < self._context.healed_at and any(started.at <= end for started in self._history.faults):
             return True
-        return any(begin <= seen.at <= end for seen in self._history.faults)
+        return any(begin <= started.at <= end for started in self._history.faults)
 
 
 def _used_tokens(calls: list[ClientAttempt], begin: float, end: float) -> float:
--- a/src/springmux/simulation/checkers/streams.py
+++ b/src/springmux/simulation/checkers/streams.py
@@ -7,7 +7,7 @@
 
 
 class StreamsChecker:
-    """Collects the faults that clients found in their streams."""
+    """Collects the faults that clients detected in their streams."""
 
     def __init__(self, history: History) -> None:
         self._history = history
--- a/src/springmux/simulation/checkers/violation.py
+++ b/src/springmux/simulation/checkers/violation.py
@@ -22,5 +22,5 @@
     """Checks a complete history against one guarantee."""
 
     def violations(self) -> list[Violation]:
-        """Return every violation found, in the order of time."""
+        """Return all violations, in the order of time."""
         ...
--- a/src/springmux/simulation/operators.py
+++ b/src/springmux/simulation/operators.py
@@ -223,10 +223,10 @@
         if pending is None:
             return
         lost = self._random.random() < self._lost_replies
-        seen = OrderReply(
+        reply = OrderReply(
             now, node, answer.correlation_id, pending.command.order, answer.result, answer.error, lost
         )
-        self._history.orders.append(seen)
+        self._history.orders.append(reply)
         if answer.result is not None and not lost:
             pending.result = pending.result or answer.result
             return
--- a/src/springmux/simulation/recorder.py
+++ b/src/springmux/simulation/recorder.py
@@ -41,8 +41,8 @@
             key = (node, boot, record.rollout)
             if self._phases.get(key) is not record.phase:
                 self._phases[key] = record.phase
-                seen = RolloutPhaseChanged(now, node, record.rollout, service, record.phase)
-                self._history.rollouts.append(seen)
+                change = RolloutPhaseChanged(now, node, record.rollout, service, record.phase)
+                self._history.rollouts.append(change)
 
     def order_answered(self, node: NodeId, answer: OrderAnswered, now: float) -> None:
         """Schedule a sample of all nodes for the time by which the order must be applied."""
--- a/src/springmux/simulation/rollout_scenarios.py
+++ b/src/springmux/simulation/rollout_scenarios.py
@@ -133,9 +133,11 @@
         for seed in range(first_seed, first_seed + seeds):
             if limit_s and time.monotonic() - began > limit_s:
                 break
-            for found, result in zip(results, pool.map(run_cell, cells, [seed] * len(cells)), strict=True):
-                found.append(result)
-    return tuple(Row(cell, tuple(found)) for cell, found in zip(cells, results, strict=True))
+            for cell_results, result in zip(
+                results, pool.map(run_cell, cells, [seed] * len(cells)), strict=True
+            ):
+                cell_results.append(result)
+    return tuple(Row(cell, tuple(cell_results)) for cell, cell_results in zip(cells, results, strict=True))
 
 
 HEADER = (
--- a/src/springmux/simulation/rollout_trial.py
+++ b/src/springmux/simulation/rollout_trial.py
@@ -237,11 +237,11 @@
     # Results
 
     def _is_over(self) -> bool:
-        return any(seen.phase in TERMINAL_PHASES for seen in self.history.rollouts)
+        return any(change.phase in TERMINAL_PHASES for change in self.history.rollouts)
 
     def _first_seen(self, *phases: RolloutPhase, after: float = 0.0) -> float | None:
-        seen = (each.at for each in self.history.rollouts if each.phase in phases and each.at >= after)
-        return min(seen, default=None)
+        times = (each.at for each in self.history.rollouts if each.phase in phases and each.at >= after)
+        return min(times, default=None)
 
     def _make_result(self) -> TrialResult:
         begun = self._first_seen(RolloutPhase.CANARY)
--- a/src/springmux/simulation/run.py
+++ b/src/springmux/simulation/run.py
@@ -137,7 +137,7 @@
         history = self.history
         violations = check(history, self.context())
         encoded = msgspec.msgpack.encode(history)
-        phases = [seen.phase for seen in history.rollouts]
+        phases = [change.phase for change in history.rollouts]
         return RunResult(
             seed=self.scenario.seed,
             violations=tuple(violations),
@@ -186,7 +186,7 @@
         self._watch_rollout()
 
     def _watch_rollout(self) -> None:
-        phases = {seen.phase for seen in self.history.rollouts}
+        phases = {change.phase for change in self.history.rollouts}
         leaving = None
         if RolloutPhase.DONE in phases:
             leaving = self.size.models().version
--- a/src/springmux/simulation/traffic/hollow_engine.py
+++ b/src/springmux/simulation/traffic/hollow_engine.py
@@ -291,14 +291,14 @@
         action = headers["X-Idempotency-Key"]
         generation = self._generation
 
-        def run() -> None:
+        def execute() -> None:
             # The action is executed even if the connection was closed, because the service has started it.
             if generation != self._generation:
                 return
             self._observer.executed(self, action, exchange.request)
-            self._schedule(self._work_s * 0.2, exchange, answer)
+            self._schedule(self._work_s * 0.2, exchange, respond)
 
-        def answer() -> None:
+        def respond() -> None:
             if self._random.random() < self.behaviour.silent_share:
                 return
             body = json.dumps({"action": action, "done": True}).encode()
@@ -310,7 +310,7 @@
             self._send_head(exchange, 500, "application/json", exchange.request)
             self._send_end(exchange)
             return
-        self._scheduler.after(self._work_s * self._random.uniform(0.5, 1.5), run)
+        self._scheduler.after(self._work_s * self._random.uniform(0.5, 1.5), execute)
 
     def _send_head(
         self,
--- a/tests/support/playbook.py
+++ b/tests/support/playbook.py
@@ -47,7 +47,7 @@
 V1 = VersionName("v1")
 V2 = VersionName("v2")
 OLD = -1000.0
-"""Time at which an engine was first seen, long enough ago for its load ramp to be over."""
+"""Time at which an engine was first seen, long enough ago for its slow start to be over."""
 E = TypeVar("E", bound=Effect)
 
 ROUTES = (
