--- a/src/springmux/simulation/checkers/draining.py
+++ b/src/springmux/simulation/checkers/draining.py
@@ -8,6 +8,7 @@
 from springmux.vocabulary.names import EngineId
 
 DRAIN_S = 2.0
+"""Seconds from the drain report within which all connected nodes must stop using the engine."""
 DRAIN_SLACK_S = 0.25
 
 
--- a/src/springmux/simulation/checkers/exposure.py
+++ b/src/springmux/simulation/checkers/exposure.py
@@ -12,6 +12,7 @@
 BAD_RESPONSES_BEFORE_ROLLBACK = 50
 """The rollback time is measured from this bad response of the candidate on."""
 ROLLBACK_S = 5.0
+"""Seconds from that response within which the candidate must get its last prompt."""
 ROLLBACK_SLACK_S = 0.25
 
 
--- a/src/springmux/simulation/checkers/finishing.py
+++ b/src/springmux/simulation/checkers/finishing.py
@@ -10,6 +10,7 @@
 from springmux.vocabulary.errors import ErrorCode
 
 DEADLINE_SLACK_S = 0.5
+"""Tolerance of the rollout's deadline, in seconds."""
 
 
 class RolloutDeadlineChecker:
--- a/src/springmux/simulation/scenario.py
+++ b/src/springmux/simulation/scenario.py
@@ -36,10 +36,7 @@
 GOOD_SHARE = 0.4
 """Share of the scenarios whose candidate is good."""
 NEEDS_FULL_TRAFFIC = frozenset({"errors-on-one-route", "errors-under-load"})
-"""Candidates whose faults hardly show before the deadline at reduced traffic.
-
-    There are too few long prompts then, and too little load.
-    """
+"""Candidates whose faults hardly show at reduced traffic: too few long prompts, too little load."""
 MIN_WIPE_GAP_S = 6.0
 """Minimum seconds between two wipes, because only one of three voters may be replaced at a time."""
 MAX_WIPES = 2
--- a/tests/support/changing_operator.py
+++ b/tests/support/changing_operator.py
@@ -16,8 +16,8 @@
 def document(version: int) -> bytes:
     """Return a complete gateway configuration of the given version."""
     route = {"name": "pages", "host": "www.example", "path_prefix": "/", "service": "pages"}
-    whole = {"version": version, "routes": [route], "services": [{"name": "pages"}], "tenants": []}
-    return json.dumps(whole).encode()
+    configuration = {"version": version, "routes": [route], "services": [{"name": "pages"}], "tenants": []}
+    return json.dumps(configuration).encode()
 
 
 def change(base_version: int) -> ApplyGateway:
@@ -48,12 +48,12 @@
             self.version = version
             self.acknowledged.append((now, version))
 
-    def submit(self, *through: NodeId) -> None:
+    def submit(self, *nodes: NodeId) -> None:
         """Send the change that follows ``version`` to nodes, by default to all running ones.
 
         The change is decided only once.
         """
-        for node in through or self._fleet.agents():
+        for node in nodes or self._fleet.agents():
             self._fleet.submit(node, change(self.version))
 
     def due(self, now: float) -> int:
--- a/tests/unit/simulation/site.py
+++ b/tests/unit/simulation/site.py
@@ -36,6 +36,7 @@
 MESSAGE_LOSS = 0.005
 
 SITE_A = ({"z1": 3, "z2": 3, "z3": 3, "z4": 3}, 4, 1)
+"""A kind of site: the number of nodes by zone, of nodes with a disk, and of tolerated losses."""
 SITE_B = ({"z1": 3, "z2": 3, "z3": 3}, 3, 1)
 FIVE_DISKS = ({f"z{number}": 21 - (number == 4) for number in range(1, 5)}, 5, 2)
 SIX_DISKS = ({f"z{number}": 15 for number in range(1, 7)}, 6, 2)
--- a/tests/unit/simulation/test_random_days.py
+++ b/tests/unit/simulation/test_random_days.py
@@ -13,7 +13,7 @@
 
 FAULT_PHASE_S = 16.0
 """Seconds of random faults before, and again after, the power loss of all machines."""
-LONGEST_CATCH_UP_S = 6.0
+MAX_CATCH_UP_S = 6.0
 ORDER_DEADLINE_S = 4.0
 SETTLE_S = 3.0
 
@@ -176,7 +176,7 @@
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize(
     ("kind", "catch_up_s"),
-    [(SITE_A, 4.0), (SITE_B, 4.0), (SMALL_SIX, LONGEST_CATCH_UP_S)],
+    [(SITE_A, 4.0), (SITE_B, 4.0), (SMALL_SIX, MAX_CATCH_UP_S)],
     ids=["four disks", "three disks", "six disks"],
 )
 def test_acknowledged_orders_survive_random_faults_and_a_power_loss(
