--- a/src/springmux/simulation/checkers/streams.py
+++ b/src/springmux/simulation/checkers/streams.py
@@ -1,4 +1,4 @@
-"""Check that streams have no gap, repetition or splice, and end as complete after the last chunk."""
+"""Check that streams have no missing, repeated or foreign chunks, and end only after the last one."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class StreamsChecker:
-    """Collects the faults that clients found in their streams."""
+    """Collects the faults that clients detected in their streams."""
 
     def __init__(self, history: History) -> None:
         self._history = history
--- a/src/springmux/simulation/checkers/violation.py
+++ b/src/springmux/simulation/checkers/violation.py
@@ -10,7 +10,7 @@
 
 
 class Violation(msgspec.Struct, frozen=True):
-    """One violated guarantee: the rule, the time, the nodes, and a sentence on what happened."""
+    """One violated guarantee: the rule, the virtual time in seconds, the nodes, and a description."""
 
     rule: str
     at: float
@@ -22,5 +22,5 @@
     """Checks a complete history against one guarantee."""
 
     def violations(self) -> list[Violation]:
-        """Return every violation found, in the order of time."""
+        """Return all violations, in the order of time."""
         ...
--- a/tests/unit/agent/test_changes_while_stopping.py
+++ b/tests/unit/agent/test_changes_while_stopping.py
@@ -34,17 +34,17 @@
 def stopping_fleet(seed: int) -> HollowFleet:
     fleet = founded_fleet(ZONES, 3, seed)
     for node in STOPPING:
-        fleet.world.give(node, StopBegun())
+        fleet.world.deliver(node, StopBegun())
     fleet.world.run_for(STOP_ANNOUNCED_S)
     return fleet
 
 
 def versions_late_while_stopping(fleet: HollowFleet) -> list[str]:
     """Return the versions that came into force too late at stopping nodes; a node that stays submits them."""
-    operator = ChangingOperator(fleet, present=1)
+    operator = ChangingOperator(fleet, version=1)
     late: list[str] = []
     for _ in range(round(STOP_S / CHANGE_PERIOD_S)):
-        operator.press(FIRST_NODE)
+        operator.submit(FIRST_NODE)
         for _ in range(round(CHANGE_PERIOD_S / STEP_S)):
             fleet.world.run_for(STEP_S)
             due = operator.due(fleet.world.now)
@@ -90,13 +90,13 @@
 def test_stopping_node_gives_up_its_duties_immediately_and_is_present_until_it_has_finished() -> None:
     fleet = founded_fleet({"z1": 3, "z2": 3, "z3": 3}, 3, 1)
     node, other = NodeId("z2-2"), NodeId("z3-3")
-    fleet.world.give(node, StopBegun())
+    fleet.world.deliver(node, StopBegun())
     fleet.world.run_for(STOP_ANNOUNCED_S)
     view = fleet.agents()[other].membership
     assert node in {record.node for record in view.present()}
     assert node not in {record.node for record in view.staying()}
 
-    fleet.world.give(node, StopFinished())
+    fleet.world.deliver(node, StopFinished())
     fleet.world.run_for(STOP_ANNOUNCED_S)
     view = fleet.agents()[other].membership
     assert view.nodes[node].status is NodeStatus.LEFT
@@ -106,7 +106,7 @@
 def test_stopping_controller_neither_founds_a_group_nor_holds_claims() -> None:
     fleet = founded_fleet({"z1": 3, "z2": 3, "z3": 3}, 3, 1)
     node = NodeId("z2-1")
-    fleet.world.give(node, StopBegun())
+    fleet.world.deliver(node, StopBegun())
     fleet.world.run_for(STOP_ANNOUNCED_S)
     for agent in fleet.agents().values():
         assert node not in {record.node for record in agent.membership.controllers()}
--- a/tests/unit/agent/test_gateway_readiness.py
+++ b/tests/unit/agent/test_gateway_readiness.py
@@ -108,6 +108,6 @@
 
 def test_stopping_node_no_longer_serves() -> None:
     fleet = configured_fleet()
-    fleet.world.give(NodeId("z1-1"), StopBegun())
+    fleet.world.deliver(NodeId("z1-1"), StopBegun())
 
     assert fleet.agents()[NodeId("z1-1")].gateway_reason == STOPPING
