--- a/src/springmux/__main__.py
+++ b/src/springmux/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m springmux`` is the ``springmux`` command."""
+"""Entry point of ``python -m springmux``, the same as the ``springmux`` command."""
 
 from springmux.cli.main import main
 
--- a/src/springmux/cli/__init__.py
+++ b/src/springmux/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The springmux command: thin typer commands without logic."""
+"""The ``springmux`` command line: thin typer commands that hold no logic of their own."""
--- a/src/springmux/cli/bench.py
+++ b/src/springmux/cli/bench.py
@@ -1,4 +1,4 @@
-"""``springmux lab bench``: measure the cost of routing, storage, gossip, relaying and control."""
+"""``springmux lab bench``: measure the costs of routing, storage, gossip, relaying and control."""
 
 from __future__ import annotations
 
@@ -15,14 +15,20 @@
 
 def bench(
     report: Annotated[Path, typer.Option(help="Folder for the report and its plots.")] = DEFAULT_REPORT,
-    only: Annotated[str, typer.Option(help="Names, separated by commas; all if empty.")] = "",
-    nodes_max: Annotated[int, typer.Option(help="Largest hollow fleet: 12, 36, 120 or 360.", min=12)] = 360,
-    growth_requests: Annotated[int, typer.Option(help="Requests of the memory run.", min=100)] = 100_000,
-    profile: Annotated[bool, typer.Option(help="Say where the relaying node's time goes.")] = False,
+    only: Annotated[str, typer.Option(help="Measurements to run, separated by commas; empty: all.")] = "",
+    nodes_max: Annotated[
+        int, typer.Option(help="Nodes of the largest hollow fleet: 12, 36, 120 or 360.", min=12)
+    ] = 360,
+    growth_requests: Annotated[
+        int, typer.Option(help="Requests in the memory measurement.", min=100)
+    ] = 100_000,
+    profile: Annotated[
+        bool, typer.Option(help="Only profile the relaying node and report where its time goes.")
+    ] = False,
 ) -> None:
-    """Measure routing, storage, a quiet fleet, relaying beside a bare relay, and control.
+    """Measure routing, storage, an idle fleet, relaying in comparison with a bare relay, and control.
 
-    Exit codes: 0 measured, 1 a measurement could not run, 2 an unknown name.
+    Exit codes: 0 all measurements ran, 1 a measurement could not run, 2 unknown measurement name.
 
     Example: springmux lab bench --only relay,routing --report reports/bench
     """
@@ -36,7 +42,7 @@
         fail(str(error), ExitCode.INVALID)
     options = BenchOptions(names=names, nodes_max=nodes_max, growth_requests=growth_requests, profile=profile)
     try:
-        written = run_suite(options, report, typer.echo)
+        report_file = run_suite(options, report, typer.echo)
     except (SpringmuxError, OSError) as error:
-        fail(f"the measurement failed: {error}", ExitCode.FAILED)
-    typer.echo(str(written))
+        fail(f"a measurement failed: {error}", ExitCode.FAILED)
+    typer.echo(str(report_file))
--- a/src/springmux/cli/client.py
+++ b/src/springmux/cli/client.py
@@ -1,4 +1,4 @@
-"""HTTP client for a fleet's admin listeners: tries nodes in turn under one order id."""
+"""HTTP client for a fleet's admin listeners: tries the nodes in turn with one order id."""
 
 from __future__ import annotations
 
@@ -17,17 +17,21 @@
 from springmux.vocabulary.errors import SpringmuxError
 
 REQUEST_TIMEOUT_S = 12.0
-"""A little over the node's own limit for an order (10 s)."""
-ROUNDS = 3
-"""Times that all addresses are tried; an election takes about a second."""
+"""Slightly longer than a node's own limit for an order, which is 10 s."""
+MAX_ROUNDS = 3
+"""Number of passes over all addresses; an election takes about a second."""
 ROUND_PAUSE_S = 0.5
 MAX_RETRY_AFTER_S = 3.0
+"""Longest pause between two passes, whatever a ``Retry-After`` header asks for."""
 RETRY_STATUSES = frozenset({502, 503, 504})
-"""Statuses after which another node, or the same one later, may succeed (same order id)."""
+"""HTTP statuses of a request that another node, or the same node later, may answer successfully.
+
+A retry carries the same order id.
+"""
 
 
 class NoNodeReachableError(SpringmuxError):
-    """None of the addresses responded; ``reasons`` has one line an address."""
+    """None of the addresses responded; ``reasons`` has one line per address."""
 
     def __init__(self, reasons: Sequence[str]) -> None:
         super().__init__("no node could be reached")
@@ -35,7 +39,7 @@
 
 
 class AdminResponse(msgspec.Struct, frozen=True):
-    """A node's response. ``document`` is the parsed JSON, ``None`` for an empty or other body."""
+    """A node's response. ``document`` is the parsed JSON body, ``None`` if the body is empty or not JSON."""
 
     status: int
     document: Any
@@ -44,14 +48,14 @@
 
 
 class AdminClient:
-    """Send requests to the first of ``addresses`` (``IP:port``) that responds."""
+    """Sends each request to the first of ``addresses`` (``IP:port``) that responds."""
 
     def __init__(
         self,
         addresses: Sequence[str],
         operator: str = "operator",
         timeout_s: float = REQUEST_TIMEOUT_S,
-        rounds: int = ROUNDS,
+        rounds: int = MAX_ROUNDS,
         pause: Callable[[float], None] = time.sleep,
     ) -> None:
         self._addresses = tuple(addresses)
@@ -59,7 +63,7 @@
         self._timeout_s = timeout_s
         self._rounds = rounds
         self._pause = pause
-        # Nodes are named by IP address; a proxy from the environment must not stand in between.
+        # Nodes are addressed by IP; a proxy that the environment sets must not be used for them.
         self._opener = urllib.request.build_opener(urllib.request.ProxyHandler({}))
 
     def get(self, path: str) -> AdminResponse:
@@ -90,26 +94,26 @@
 
     def _request(self, method: str, path: str, document: Any, headers: dict[str, str]) -> AdminResponse:
         body = document if isinstance(document, bytes) or document is None else json.dumps(document).encode()
-        last: AdminResponse | None = None
+        last_response: AdminResponse | None = None
         reasons: dict[str, str] = {}
         for attempt in range(self._rounds):
             if attempt:
-                wait_s = last.retry_after_s if last is not None else 0.0
+                wait_s = last_response.retry_after_s if last_response is not None else 0.0
                 self._pause(min(max(ROUND_PAUSE_S, wait_s), MAX_RETRY_AFTER_S))
             for address in self._addresses:
                 try:
-                    response = self._attempt(address, method, path, body, headers)
+                    response = self._send_once(address, method, path, body, headers)
                 except (OSError, http.client.HTTPException) as error:
-                    reasons[address] = f"{address}: {_reason(error)}"
+                    reasons[address] = f"{address}: {_failure_reason(error)}"
                     continue
                 if response.status not in RETRY_STATUSES:
                     return response
-                last = response
-        if last is not None:
-            return last
+                last_response = response
+        if last_response is not None:
+            return last_response
         raise NoNodeReachableError(list(reasons.values()))
 
-    def _attempt(
+    def _send_once(
         self, address: str, method: str, path: str, body: bytes | None, headers: dict[str, str]
     ) -> AdminResponse:
         request = urllib.request.Request(f"http://{address}{path}", data=body, method=method)
@@ -136,10 +140,10 @@
     return AdminResponse(status=status, document=document, address=address, retry_after_s=retry_after_s)
 
 
-def _reason(error: Exception) -> str:
+def _failure_reason(error: Exception) -> str:
     reason = getattr(error, "reason", error)
     if isinstance(reason, TimeoutError):
-        return "no answer in time"
+        return "no response in time"
     if isinstance(reason, OSError) and reason.strerror:
         return reason.strerror.lower()
     return f"{type(reason).__name__}: {reason}"
--- a/src/springmux/cli/configuration.py
+++ b/src/springmux/cli/configuration.py
@@ -9,7 +9,7 @@
 
 import typer
 
-from springmux.cli.admin_requests import read, run_order
+from springmux.cli.admin_requests import fetch_document, run_order
 from springmux.cli.client import AdminClient
 from springmux.cli.exit_codes import EPILOG
 from springmux.cli.input_files import read_json_file
@@ -30,12 +30,16 @@
 
 VersionOption = Annotated[
     int | None,
-    typer.Option("--version", min=1, help="Number the change must get (present one plus 1)."),
+    typer.Option(
+        "--version",
+        min=1,
+        help="Version that the change creates: the current one plus 1, which is the default.",
+    ),
 ]
 
 
-def local_errors(document: Any) -> tuple[FieldError, ...]:
-    """Return every wrong field of a complete document, without a request to a node."""
+def validation_errors(document: Any) -> tuple[FieldError, ...]:
+    """Return every invalid field of a complete document, without a request to a node."""
     try:
         build_configuration(document, 1)
     except InvalidConfigurationError as error:
@@ -44,19 +48,19 @@
 
 
 @application.command()
-def validate(file: FileArgument, json_output: JsonOption = False) -> None:
-    """Check a configuration file here, without a node.
+def validate(file: FileArgument, as_json: JsonOption = False) -> None:
+    """Check a configuration file locally, without contacting a node.
 
     Example: springmux config validate fleet.json
     """
-    errors = local_errors(read_json_file(file, json_output))
-    print_validation(file, errors, [f"{error.path}: {error.message}" for error in errors], json_output)
+    errors = validation_errors(read_json_file(file, as_json))
+    print_validation(file, errors, [f"{error.path}: {error.message}" for error in errors], as_json)
 
 
-def _change(method: str, file: Path, version: int | None, options: OrderOptions) -> None:
+def _send_change(method: str, file: Path, version: int | None, options: OrderOptions) -> None:
     document = read_json_file(file, options.as_json)
     if version is None:
-        version = int(read(options.client(), "/v1/configuration", options.as_json)["version"]) + 1
+        version = int(fetch_document(options.client(), "/v1/configuration", options.as_json)["version"]) + 1
     run_order(options, method, f"/v1/configuration?version={version}", document, f"configuration {version}")
 
 
@@ -67,15 +71,15 @@
     admin: AdminOption = DEFAULT_ADMIN,
     operator: OperatorOption = "operator",
     order_id: OrderIdOption = "",
-    json_output: JsonOption = False,
+    as_json: JsonOption = False,
 ) -> None:
     """Replace the whole configuration.
 
-    Of two operators with one version number exactly one is accepted (exit 4 for the other).
+    If two operators send the same version number, exactly one is accepted; the other exits with code 4.
 
     Example: springmux config apply fleet.json --version 12 --admin 10.0.0.5:7002
     """
-    _change("PUT", file, version, OrderOptions(admin, operator, order_id, json_output))
+    _send_change("PUT", file, version, OrderOptions(admin, operator, order_id, as_json))
 
 
 @application.command()
@@ -85,54 +89,56 @@
     admin: AdminOption = DEFAULT_ADMIN,
     operator: OperatorOption = "operator",
     order_id: OrderIdOption = "",
-    json_output: JsonOption = False,
+    as_json: JsonOption = False,
 ) -> None:
-    """Change parts of the configuration by a JSON Merge Patch (RFC 7396).
+    """Change parts of the configuration with a JSON Merge Patch (RFC 7396).
 
     Example: echo '{"limits": {"max_in_flight": 256}}' | springmux config patch -
     """
-    _change("PATCH", file, version, OrderOptions(admin, operator, order_id, json_output))
+    _send_change("PATCH", file, version, OrderOptions(admin, operator, order_id, as_json))
 
 
 @application.command()
-def show(admin: AdminOption = DEFAULT_ADMIN, json_output: JsonOption = False) -> None:
+def show(admin: AdminOption = DEFAULT_ADMIN, as_json: JsonOption = False) -> None:
     """Print the configuration in force.
 
     Example: springmux config show --json > fleet.json
     """
-    found = read(AdminClient(admin), "/v1/configuration", json_output)
-    if not json_output:
-        typer.echo(f"version {found['version']}, revision {found['revision']}", err=True)
-    print_json(found["document"])
+    document = fetch_document(AdminClient(admin), "/v1/configuration", as_json)
+    if not as_json:
+        typer.echo(f"version {document['version']}, revision {document['revision']}", err=True)
+    print_json(document["document"])
 
 
 @application.command()
-def diff(file: FileArgument, admin: AdminOption = DEFAULT_ADMIN, json_output: JsonOption = False) -> None:
+def diff(file: FileArgument, admin: AdminOption = DEFAULT_ADMIN, as_json: JsonOption = False) -> None:
     """Compare a file with the configuration in force.
 
     Example: springmux config diff fleet.json
     """
-    ours = _lines(read_json_file(file, json_output))
-    theirs = _lines(read(AdminClient(admin), "/v1/configuration", json_output)["document"])
-    changes = list(difflib.unified_diff(theirs, ours, "in force", str(file), lineterm=""))
-    if json_output:
+    file_lines = _formatted_lines(read_json_file(file, as_json))
+    current_lines = _formatted_lines(
+        fetch_document(AdminClient(admin), "/v1/configuration", as_json)["document"]
+    )
+    changes = list(difflib.unified_diff(current_lines, file_lines, "in force", str(file), lineterm=""))
+    if as_json:
         print_json({"equal": not changes, "diff": changes})
     else:
         typer.echo("\n".join(changes) if changes else "no difference")
 
 
-def _lines(document: Any) -> list[str]:
+def _formatted_lines(document: Any) -> list[str]:
     return json.dumps(document, indent=2, sort_keys=True).splitlines()
 
 
 @application.command()
-def history(admin: AdminOption = DEFAULT_ADMIN, json_output: JsonOption = False) -> None:
+def history(admin: AdminOption = DEFAULT_ADMIN, as_json: JsonOption = False) -> None:
     """List the configuration's versions.
 
     Example: springmux config history
     """
-    entries = read(AdminClient(admin), "/v1/configuration/history", json_output)
-    print_document(entries, json_output, _print_history)
+    entries = fetch_document(AdminClient(admin), "/v1/configuration/history", as_json)
+    print_document(entries, as_json, _print_history)
 
 
 def _print_history(entries: list[dict[str, Any]]) -> None:
--- a/src/springmux/cli/exit_codes.py
+++ b/src/springmux/cli/exit_codes.py
@@ -1,4 +1,4 @@
-"""Exit codes of the command line; stable, for scripts."""
+"""Exit codes of the command line. Scripts depend on them, so they stay stable."""
 
 import enum
 
@@ -8,13 +8,13 @@
 
     OK = 0
     FAILED = 1
-    """The order was refused or failed."""
+    """The command was refused or failed."""
     INVALID = 2
     """Wrong usage or invalid input."""
     UNREACHABLE = 3
-    """None of the nodes given could be reached."""
+    """None of the named nodes could be reached."""
     CONFLICT = 4
-    """Another order won."""
+    """A conflicting order was accepted first."""
 
 
 EPILOG = (
--- a/src/springmux/cli/explore.py
+++ b/src/springmux/cli/explore.py
@@ -19,27 +19,41 @@
 def explore(
     seeds: Annotated[int, typer.Option(help="Number of runs.", min=1)] = 20,
     first_seed: Annotated[int, typer.Option(help="Seed of the first run.", min=0)] = 1,
-    deployment: Annotated[str, typer.Option(help="anuario or derwent; empty: drawn from the seed.")] = "",
-    nodes: Annotated[int, typer.Option(help="Nodes in each zone; 0: the deployment's own.", min=0)] = 0,
+    deployment: Annotated[
+        str, typer.Option(help="Deployment, anuario or derwent; empty: the seed decides.")
+    ] = "",
+    nodes: Annotated[
+        int, typer.Option(help="Nodes in each zone; 0: as many as the deployment has.", min=0)
+    ] = 0,
     traffic_share: Annotated[
-        float, typer.Option(help="Share of the deployment's requests; 1 is all.", min=0.01, max=2.0)
+        float,
+        typer.Option(help="Fraction of the deployment's requests to simulate; 1 is all.", min=0.01, max=2.0),
     ] = 0.4,
-    thinning: Annotated[int, typer.Option(help="Tokens in one piece of a stream.", min=1)] = 4,
-    faults_s: Annotated[float, typer.Option(help="Virtual seconds with faults.", min=1.0)] = 50.0,
-    disturbances: Annotated[int, typer.Option(help="Random faults in a run.", min=0)] = 7,
-    workers: Annotated[int, typer.Option(help="Processes.", min=1, max=MAX_WORKERS)] = 2,
+    thinning: Annotated[int, typer.Option(help="Tokens in each chunk of a stream.", min=1)] = 4,
+    faults_s: Annotated[
+        float, typer.Option(help="Virtual seconds during which faults occur.", min=1.0)
+    ] = 50.0,
+    disturbances: Annotated[int, typer.Option(help="Random faults in each run.", min=0)] = 7,
+    workers: Annotated[int, typer.Option(help="Worker processes.", min=1, max=MAX_WORKERS)] = 2,
     shrink_failures: Annotated[
-        bool, typer.Option("--shrink/--no-shrink", help="Leave out what a failure doesn't need.")
+        bool,
+        typer.Option(
+            "--shrink/--no-shrink", help="Reduce each failing scenario to the parts that the failure needs."
+        ),
     ] = True,
-    replay: Annotated[Path | None, typer.Option(help="Run the scenario in this JSON file again.")] = None,
-    json_output: Annotated[bool, typer.Option("--json", help="Print JSON.")] = False,
+    replay: Annotated[Path | None, typer.Option(help="Replay the scenario in this JSON file.")] = None,
+    as_json: Annotated[bool, typer.Option("--json", help="Print JSON.")] = False,
 ) -> None:
-    """Run seeded scenarios and check every promise; print the seed and a minimal schedule of each failure.
+    """Run seeded scenarios and check every invariant; print the seed and a minimal schedule of each failure.
 
     Example: springmux lab explore --seeds 200 --workers 4
     """
     if deployment and deployment not in DEPLOYMENTS:
-        fail(f"no deployment {deployment}; there are {', '.join(DEPLOYMENTS)}", ExitCode.INVALID, json_output)
+        fail(
+            f"unknown deployment {deployment}; choose from {', '.join(DEPLOYMENTS)}",
+            ExitCode.INVALID,
+            as_json,
+        )
     knobs = ScenarioKnobs(
         deployment=deployment,
         nodes_per_zone=nodes,
@@ -49,36 +63,36 @@
         disturbances=disturbances,
     )
     if replay is not None:
-        results = [_replay(replay, json_output)]
+        results = [_replay(replay, as_json)]
     else:
         results = list(explore_seeds(seeds, first_seed, knobs, workers))
     failed = 0
     for result in results:
-        _show(result, json_output)
+        _print_result(result, as_json)
         if not result.violations:
             continue
         failed += 1
         if replay is None and shrink_failures:
-            smallest = shrink(draw_scenario(result.seed, knobs), result.violations[0].rule)
-            typer.echo(smallest.to_json().decode())
-    if not json_output:
+            minimal_scenario = shrink(draw_scenario(result.seed, knobs), result.violations[0].rule)
+            typer.echo(minimal_scenario.to_json().decode())
+    if not as_json:
         typer.echo(f"{len(results)} runs, {failed} with violations")
     if failed:
         raise typer.Exit(ExitCode.FAILED)
 
 
-def _replay(file: Path, json_output: bool) -> RunResult:
+def _replay(file: Path, as_json: bool) -> RunResult:
     try:
         scenario = Scenario.from_json(file.read_bytes())
     except OSError as error:
-        fail(f"can't read {file}: {error.strerror}", ExitCode.INVALID, json_output)
+        fail(f"can't read {file}: {error.strerror}", ExitCode.INVALID, as_json)
     except msgspec.DecodeError as error:
-        fail(f"{file} is not a scenario: {error}", ExitCode.INVALID, json_output)
+        fail(f"{file} is not a scenario: {error}", ExitCode.INVALID, as_json)
     return run_scenario(scenario)
 
 
-def _show(result: RunResult, json_output: bool) -> None:
-    if json_output:
+def _print_result(result: RunResult, as_json: bool) -> None:
+    if as_json:
         print_json(msgspec.to_builtins(result))
         return
     state = "ok" if not result.violations else f"{len(result.violations)} violations"
--- a/src/springmux/cli/fleet.py
+++ b/src/springmux/cli/fleet.py
@@ -1,4 +1,4 @@
-"""``springmux fleet``: run a complete fleet as processes on this machine, for trials."""
+"""``springmux fleet``: run a complete fleet as processes on this machine, for development."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 application = typer.Typer(help="Run a whole fleet as processes on loopback.", no_args_is_help=True)
 
-FolderOption = Annotated[Path, typer.Option("--folder", help="Folder of settings, logs and data.")]
+FolderOption = Annotated[Path, typer.Option("--folder", help="Folder for settings, logs and data.")]
 DEFAULT_FOLDER = Path("var/fleet")
 
 
@@ -33,7 +33,7 @@
 
 
 def _node_places(zones: list[str], nodes_per_zone: int, controllers: int) -> list[NodePlace]:
-    """Distribute nodes over zones; the first of each zone, then the second and so on, are the controllers."""
+    """Distribute nodes over zones; the first node of each zone, then the second and so on are controllers."""
     return [
         NodePlace(
             node=f"{zone}-{number}", zone=zone, controller=(number - 1) * len(zones) + position < controllers
@@ -49,19 +49,21 @@
     zones: Annotated[str, typer.Option(help="Zone names, separated by commas.")] = "north,east,south",
     nodes: Annotated[int, typer.Option(help="Nodes in each zone.", min=1)] = 1,
     controllers: Annotated[int, typer.Option(help="Nodes with a data folder.", min=1)] = 3,
-    detach: Annotated[bool, typer.Option(help="Return once started; end it with 'fleet down'.")] = False,
+    detach: Annotated[
+        bool, typer.Option(help="Return after the start; stop the fleet with 'fleet down'.")
+    ] = False,
 ) -> None:
-    """Start a fleet; Ctrl-C ends all of it.
+    """Start a fleet; Ctrl-C stops all its nodes.
 
     Example: springmux fleet up --zones north,east,south,west --nodes 3 --controllers 4
     """
     zone_names = [zone.strip() for zone in zones.split(",") if zone.strip()]
-    expected = 3 if controllers >= 3 else 1
+    controllers_expected = 3 if controllers >= 3 else 1
     try:
         layout = lay_out(
-            folder.resolve(),  # later commands may come from elsewhere
+            folder.resolve(),  # later commands may run in another working directory
             _node_places(zone_names, nodes, controllers),
-            FleetOptions(controllers_expected=expected),
+            FleetOptions(controllers_expected=controllers_expected),
         )
         supervisor = Supervisor(layout)
         supervisor.start_all()
@@ -117,19 +119,19 @@
 
 @application.command()
 def kill(node: str, folder: FolderOption = DEFAULT_FOLDER) -> None:
-    """End a node without warning."""
+    """Kill a node's process (SIGKILL)."""
     _act_on_node(folder, node, Supervisor.kill)
 
 
 @application.command()
 def freeze(node: str, folder: FolderOption = DEFAULT_FOLDER) -> None:
-    """Stop a node's process from running."""
+    """Suspend a node's process (SIGSTOP)."""
     _act_on_node(folder, node, Supervisor.freeze)
 
 
 @application.command()
 def thaw(node: str, folder: FolderOption = DEFAULT_FOLDER) -> None:
-    """Let a frozen node go on."""
+    """Resume a frozen node's process (SIGCONT)."""
     _act_on_node(folder, node, Supervisor.thaw)
 
 
@@ -137,9 +139,11 @@
 def restart(
     node: str,
     folder: FolderOption = DEFAULT_FOLDER,
-    wipe: Annotated[bool, typer.Option(help="Delete its data folder: the machine came back empty.")] = False,
+    wipe: Annotated[
+        bool, typer.Option(help="Delete the node's data folder, as if its machine had been replaced.")
+    ] = False,
 ) -> None:
-    """Stop a node in order and start it again (start it, where it doesn't run)."""
+    """Stop a node gracefully and start it again; a stopped node is only started."""
     supervisor = _supervisor(folder)
     try:
         if supervisor.running(node):
@@ -153,7 +157,7 @@
 
 @application.command()
 def down(folder: FolderOption = DEFAULT_FOLDER) -> None:
-    """End every node of the fleet."""
+    """Stop every node of the fleet."""
     _supervisor(folder).stop_all()
 
 
--- a/src/springmux/cli/gateway.py
+++ b/src/springmux/cli/gateway.py
@@ -8,7 +8,7 @@
 
 import typer
 
-from springmux.cli.admin_requests import checked, path_segment, print_accepted
+from springmux.cli.admin_requests import path_segment, print_accepted, response_or_exit
 from springmux.cli.client import AdminClient, AdminResponse
 from springmux.cli.exit_codes import EPILOG, ExitCode
 from springmux.cli.gateway_losses import losses
@@ -24,8 +24,8 @@
 
 application.command()(losses)
 
-CONTROL_SOURCES = "--control or SPRINGMUX_CONTROL"
-"""Where the addresses of nodes come from, for messages."""
+CONTROL_ADDRESS_SOURCES = "--control or SPRINGMUX_CONTROL"
+"""Option and environment variable that set the nodes' addresses, as named in error messages."""
 STATUS_PATH = "/v1/gateway/status"
 CONFIGURATION_PATH = "/v1/gateway/configuration"
 ROLLOUTS_PATH = "/v1/gateway/rollouts"
@@ -43,129 +43,131 @@
 
 
 @application.command()
-def status(control: ControlOption, json_output: JsonOption = False) -> None:
-    """Show one node: readiness, configuration's version, role, leader, engines and rollouts.
+def status(control: ControlOption, as_json: JsonOption = False) -> None:
+    """Show one node's readiness, configuration version, role, leader, engines and rollouts.
 
     Example: springmux gateway status --control 10.0.0.5:8002
     """
-    found = _read(AdminClient(control), STATUS_PATH, "role", json_output)
-    print_document(found, json_output, print_gateway_status)
+    document = _fetch_document(AdminClient(control), STATUS_PATH, "role", as_json)
+    print_document(document, as_json, print_gateway_status)
 
 
 @application.command()
 def configuration(control: ControlOption) -> None:
-    """Print the gateway's whole configuration in force, as JSON; its version is a member of it.
+    """Print the gateway's complete configuration in force as JSON, including its version.
 
     Example: springmux gateway configuration --control 10.0.0.5:8002 > gateway.json
     """
-    print_json(_read(AdminClient(control), CONFIGURATION_PATH, "routes", False))
+    print_json(_fetch_document(AdminClient(control), CONFIGURATION_PATH, "routes", False))
 
 
 @application.command()
-def validate(file: FileArgument, json_output: JsonOption = False) -> None:
-    """Check a whole configuration of the gateway here, without a node.
+def validate(file: FileArgument, as_json: JsonOption = False) -> None:
+    """Check a complete gateway configuration locally, without contacting a node.
 
     Example: springmux gateway validate gateway.json
     """
-    errors = local_errors(read_file(file, json_output))
-    print_validation(file, errors, [_error_line(error) for error in errors], json_output)
+    errors = validation_errors(read_file(file, as_json))
+    print_validation(file, errors, [_error_line(error) for error in errors], as_json)
 
 
 @application.command()
 def put(
     file: FileArgument,
     builds_on: Annotated[
-        int, typer.Option("--builds-on", min=0, help="Version in force that the file was made from; 0: none.")
+        int, typer.Option("--builds-on", min=0, help="Version in force that the file is based on; 0: none.")
     ],
     control: ControlOption,
-    json_output: JsonOption = False,
+    as_json: JsonOption = False,
 ) -> None:
-    """Replace the gateway's whole configuration. The file's own version must be higher.
+    """Replace the gateway's complete configuration. The file's version must be above the one in force.
 
-    Of two changes on top of one version exactly one is accepted (exit 4 for the other).
+    If two changes are based on the same version, exactly one is accepted; the other exits with code 4.
 
     Example: springmux gateway put gateway.json --builds-on 12 --control 10.0.0.5:8002
     """
-    document = read_file(file, json_output)
+    document = read_file(file, as_json)
     client = AdminClient(control)
     response = _send_order(
-        lambda: client.order("PUT", CONFIGURATION_PATH, document, base_version=builds_on), json_output
+        lambda: client.order("PUT", CONFIGURATION_PATH, document, base_version=builds_on), as_json
     )
-    print_accepted(response, f"configuration on top of version {builds_on}", json_output)
+    print_accepted(response, f"configuration on top of version {builds_on}", as_json)
 
 
 @application.command()
 def promote(
     service: ServiceArgument,
-    candidate: Annotated[str, typer.Option(help="Version that the service's engines are to run.")],
-    by_s: Annotated[float, typer.Option("--by-s", help="Seconds until all traffic is on it.")],
+    candidate: Annotated[str, typer.Option(help="Version whose engines receive the service's traffic.")],
+    by_s: Annotated[float, typer.Option("--by-s", help="Seconds until all traffic goes to the candidate.")],
     control: ControlOption,
-    json_output: JsonOption = False,
+    as_json: JsonOption = False,
 ) -> None:
-    """Begin a rollout: move a service's traffic to the engines of a version.
+    """Start a rollout: move a service's traffic to the engines of a version.
 
     Example: springmux gateway promote text --candidate v2 --by-s 60 --control 10.0.0.5:8002
     """
     order = {"service": service, "candidate": candidate, "by_s": by_s}
     client = AdminClient(control)
-    response = _send_order(lambda: client.order("POST", ROLLOUTS_PATH, order), json_output)
-    print_accepted(response, f"rollout of {service} to {candidate}", json_output)
+    response = _send_order(lambda: client.order("POST", ROLLOUTS_PATH, order), as_json)
+    print_accepted(response, f"rollout of {service} to {candidate}", as_json)
 
 
 @application.command()
 def rollout(
     service: ServiceArgument,
     control: ControlOption,
-    watch: Annotated[bool, typer.Option("--watch", help="Repeat until it is done or aborted.")] = False,
-    json_output: JsonOption = False,
+    watch: Annotated[
+        bool, typer.Option("--watch", help="Repeat until the rollout is done or aborted.")
+    ] = False,
+    as_json: JsonOption = False,
 ) -> None:
-    """Show a service's newest rollout. With --watch the exit code is 0 for done and 1 for aborted.
+    """Show a service's latest rollout. With --watch the exit code is 0 for done and 1 for aborted.
 
     Example: springmux gateway rollout text --watch --control 10.0.0.5:8002
     """
     client = AdminClient(control)
     while True:
         path = f"{ROLLOUTS_PATH}/{path_segment(service)}"
-        found = _read(client, path, "state", json_output)
-        if json_output:
-            print_json(found)
+        document = _fetch_document(client, path, "state", as_json)
+        if as_json:
+            print_json(document)
         else:
-            typer.echo(f"{service}: {found['state']}, candidate {found['candidate']}")
+            typer.echo(f"{service}: {document['state']}, candidate {document['candidate']}")
         if not watch:
             return
-        if found["state"] != "running":
-            raise typer.Exit(ExitCode.OK if found["state"] == "done" else ExitCode.FAILED)
+        if document["state"] != "running":
+            raise typer.Exit(ExitCode.OK if document["state"] == "done" else ExitCode.FAILED)
         time.sleep(WATCH_PERIOD_S)
 
 
-def local_errors(document: bytes) -> tuple[FieldError, ...]:
-    """Return the first wrong field of each item of a complete document, without a request to a node."""
+def validation_errors(document: bytes) -> tuple[FieldError, ...]:
+    """Return the first invalid field of each item of a complete document, without a request to a node."""
     order = gateway_order_id(0, document, False)
     return GatewaySection().apply(ApplyGateway(order=order, base_version=0, document=document)).errors
 
 
-def _read(client: AdminClient, path: str, member: str, as_json: bool) -> dict[str, Any]:
-    """Return the document at ``path``, or exit with what was wrong.
+def _fetch_document(client: AdminClient, path: str, member: str, as_json: bool) -> dict[str, Any]:
+    """Return the document at ``path``, or print the error and exit.
 
-    :param member: a member that the document of a gateway node always has.
+    :param member: a JSON member that every gateway node's document contains.
     """
-    response = checked(lambda: client.get(path), as_json, CONTROL_SOURCES)
+    response = response_or_exit(lambda: client.get(path), as_json, CONTROL_ADDRESS_SOURCES)
     if not isinstance(response.document, dict) or member not in response.document:
-        _fail_foreign(response.address, as_json)
+        _fail_not_control_listener(response.address, as_json)
     return response.document
 
 
 def _send_order(request: Callable[[], AdminResponse], as_json: bool) -> AdminResponse:
-    """Send an order and return the response that accepts it, or exit with what was wrong."""
-    response = checked(request, as_json, CONTROL_SOURCES)
+    """Send an order and return the response that accepts it, or print the error and exit."""
+    response = response_or_exit(request, as_json, CONTROL_ADDRESS_SOURCES)
     if not isinstance(response.document, dict):
-        _fail_foreign(response.address, as_json)
+        _fail_not_control_listener(response.address, as_json)
     return response
 
 
-def _fail_foreign(address: str, as_json: bool) -> NoReturn:
-    details = ["give the control_address of a node's settings with --control"]
-    fail(f"what answers at {address} is no gateway's control listener", ExitCode.FAILED, as_json, details)
+def _fail_not_control_listener(address: str, as_json: bool) -> NoReturn:
+    details = ["set --control to the control_address in a node's settings"]
+    fail(f"the server at {address} is not a gateway's control listener", ExitCode.FAILED, as_json, details)
 
 
 def _error_line(error: FieldError) -> str:
--- a/src/springmux/cli/gateway_losses.py
+++ b/src/springmux/cli/gateway_losses.py
@@ -1,4 +1,4 @@
-"""``springmux gateway losses``: what requests lost, computed from the nodes' logs."""
+"""``springmux gateway losses``: late, refused and failed requests, computed from the nodes' logs."""
 
 from __future__ import annotations
 
@@ -26,26 +26,31 @@
     ],
     by: Annotated[
         list[Dimension] | None,
-        typer.Option("--by", help="Property to group by; repeat it for several tables."),
+        typer.Option("--by", help="Property to group by; repeat the option for several tables."),
     ] = None,
     late_worth: Annotated[
-        float, typer.Option("--late-worth", min=0.0, max=1.0, help="What a late answer earns of its worth.")
+        float,
+        typer.Option(
+            "--late-worth", min=0.0, max=1.0, help="Fraction of its value that a late response keeps."
+        ),
     ] = LATE_WORTH,
-    rows: Annotated[int, typer.Option("--rows", min=1, help="Most rows of a table.")] = DEFAULT_ROWS,
-    json_output: JsonOption = False,
+    rows: Annotated[
+        int, typer.Option("--rows", min=1, help="Maximum number of rows of each table.")
+    ] = DEFAULT_ROWS,
+    as_json: JsonOption = False,
 ) -> None:
     """Show where requests were late, refused or failed: by route, size, second, node, tenant, engine, reason.
 
     Example: springmux gateway losses node-1.log node-2.log --by size --by reason
     """
-    requests = list(read_requests(_read_lines(files, json_output)))
+    requests = list(read_requests(_read_lines(files, as_json)))
     if not requests:
-        details = ["set log_level to debug: nodes then write a line for each request"]
-        fail("no request_ended line was found", ExitCode.FAILED, json_output, details)
+        details = ["set log_level to debug; nodes then log a line for each request"]
+        fail("no request_ended line was found", ExitCode.FAILED, as_json, details)
     tables = {
         dimension: losses_by(requests, dimension, late_worth)[:rows] for dimension in by or list(Dimension)
     }
-    if json_output:
+    if as_json:
         print_json({dimension.value: msgspec.to_builtins(table) for dimension, table in tables.items()})
         return
     for dimension, table in tables.items():
--- a/src/springmux/cli/gateway_status_page.py
+++ b/src/springmux/cli/gateway_status_page.py
@@ -1,4 +1,4 @@
-"""The readable form of ``springmux gateway status``: one gateway node's view of itself and of the fleet."""
+"""Human-readable output of ``springmux gateway status``: a gateway node's view of itself and of the fleet."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 def _print_engines(engines: list[dict[str, Any]]) -> None:
     if not engines:
-        typer.echo("no engine is known: are their heartbeats acknowledged?")
+        typer.echo("no engine is known; check that the engines' heartbeats are acknowledged")
         return
     rows = [(group["service"], group["version"], group["state"], group["engines"]) for group in engines]
     print_table(("SERVICE", "VERSION", "STATE", "ENGINES"), rows)
--- a/src/springmux/cli/input_files.py
+++ b/src/springmux/cli/input_files.py
@@ -1,4 +1,4 @@
-"""Read the files that commands take; a file that can't be read ends the command with a message."""
+"""Reads the input files of commands; an unreadable file ends the command with an error message."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def read_file(path: Path, as_json: bool = False) -> bytes:
-    """Return a file's bytes (``-`` is standard input), or exit with what was wrong."""
+    """Return a file's bytes (``-`` is standard input), or print the error and exit."""
     try:
         if str(path) == STANDARD_INPUT:
             return typer.get_binary_stream("stdin").read()
@@ -25,7 +25,7 @@
 
 
 def read_json_file(path: Path, as_json: bool = False) -> Any:
-    """Return a file's JSON document, or exit with line and column of what was wrong."""
+    """Return a file's JSON document, or print the error with its line and column and exit."""
     try:
         return json.loads(read_file(path, as_json))
     except UnicodeDecodeError:
--- a/src/springmux/cli/lab.py
+++ b/src/springmux/cli/lab.py
@@ -45,18 +45,20 @@
 
 SettingsOption = Annotated[Path, typer.Option("--settings", help="JSON file with the settings.")]
 ReportOption = Annotated[Path | None, typer.Option("--report", help="Folder for the report and its plots.")]
-SeedOption = Annotated[int, typer.Option("--seed", help="Seed of traffic, back ends and victims.", min=0)]
+SeedOption = Annotated[
+    int, typer.Option("--seed", help="Seed of the traffic, the back ends and the targets of faults.", min=0)
+]
 KeepOption = Annotated[
     Path | None,
-    typer.Option("--keep", help="Work in this folder and keep it: settings, logs, data, records."),
+    typer.Option("--keep", help="Keep the run's settings, logs, data and records in this folder."),
 ]
 
 
 @application.command(epilog=RUN_CODES)
 def demo(report: ReportOption = None, keep: KeepOption = None, seed: SeedOption = 1) -> None:
-    """Show a whole deployment under traffic: a good and a bad rollout, a kill and a freeze.
+    """Run a complete deployment under traffic with a good and a bad rollout, a kill and a freeze.
 
-    Takes under three minutes, ends every process and deletes every file that it made but the report.
+    Takes less than three minutes; stops all its processes and deletes all its files except the report.
 
     Example: springmux lab demo --report reports/demo
     """
@@ -70,14 +72,18 @@
 
 @application.command(epilog=RUN_CODES)
 def run(
-    experiment: Annotated[str, typer.Argument(help="Built-in name (see 'lab list') or a TOML file.")],
-    faults: Annotated[str, typer.Option(help="Names separated by commas, or 'all'.")] = "",
-    seconds: Annotated[float, typer.Option(help="Length of the traffic; 0: as long as needed.", min=0)] = 0,
+    experiment: Annotated[
+        str, typer.Argument(help="Name of a built-in experiment (see 'lab list') or a TOML file.")
+    ],
+    faults: Annotated[str, typer.Option(help="Names of faults, separated by commas, or 'all'.")] = "",
+    seconds: Annotated[
+        float, typer.Option(help="Seconds of traffic; 0: as many as the experiment needs.", min=0)
+    ] = 0,
     seed: SeedOption = 1,
     report: ReportOption = None,
     keep: KeepOption = None,
 ) -> None:
-    """Run an experiment: rollouts good and bad, one after another, beside the faults named.
+    """Run an experiment: good and bad rollouts one after another, together with the named faults.
 
     Example: springmux lab run anuario --faults leader-killed,hot-tenant --report reports/anuario
     """
@@ -88,14 +94,21 @@
 
     try:
         plan = load_experiment(experiment)
-        slots = script.schedule(choose_faults(faults))
+        scheduled_faults = script.schedule(choose_faults(faults))
     except ExperimentError as error:
         fail(str(error), ExitCode.INVALID)
-    length_s = seconds or script.needed_seconds(slots, plan)
-    slots = [slot for slot in slots if slot.at_s + slot.scenario.lasts_s <= length_s]
+    length_s = seconds or script.needed_seconds(scheduled_faults, plan)
+    scheduled_faults = [
+        fault for fault in scheduled_faults if fault.at_s + fault.scenario.lasts_s <= length_s
+    ]
     with _work_folder(keep) as folder:
         options = RunOptions(experiment=experiment, folder=folder, seconds=length_s, seed=seed)
-        _run(options, script.RunScript(slots, length_s).play, script.surges(slots, plan), report)
+        _run(
+            options,
+            script.RunScript(scheduled_faults, length_s).play,
+            script.surges(scheduled_faults, plan),
+            report,
+        )
 
 
 @application.command("list")
@@ -114,7 +127,7 @@
 
 @application.command()
 def backends(settings: SettingsOption) -> None:
-    """Run stand-in back ends until SIGTERM (a part of an experiment)."""
+    """Run stand-in back ends until SIGTERM (experiments start this command)."""
     from springmux.lab.stand_ins.host import BackEndHost, load_host_settings
 
     loaded = _load_settings(settings, load_host_settings)
@@ -123,7 +136,7 @@
 
 @application.command()
 def callers(settings: SettingsOption) -> None:
-    """Send an experiment's traffic and record every answer (a part of an experiment)."""
+    """Send an experiment's traffic and record every response (experiments start this command)."""
     from springmux.lab.load.clients import load_callers_settings, run_callers
 
     loaded = _load_settings(settings, load_callers_settings)
@@ -131,7 +144,7 @@
 
 
 def _load_settings(file: Path, load: Callable[[Path], Settings]) -> Settings:
-    """Return the settings in a file, or exit with what was wrong."""
+    """Return the settings in a file, or print the error and exit."""
     try:
         return load(file)
     except (OSError, msgspec.DecodeError) as error:
@@ -140,10 +153,10 @@
 
 @contextmanager
 def _work_folder(keep: Path | None) -> Iterator[Path]:
-    """Yield the folder that a run works in: the one to keep, or a temporary one that is deleted."""
+    """Yield the folder of a run: the one to keep, or a temporary one that is deleted afterwards."""
     if keep is not None:
         if keep.exists() and any(keep.iterdir()):
-            fail(f"{keep} is not empty; give a new folder", ExitCode.INVALID)
+            fail(f"{keep} is not empty; choose a new folder", ExitCode.INVALID)
         yield keep
         return
     temporary = Path(tempfile.mkdtemp(prefix="springmux-lab-"))
@@ -154,7 +167,7 @@
 
 
 def _run(options: RunOptions, script: Script, surges: list[Surge], report: Path | None) -> None:
-    """Run, print the table, write the report, and exit by the verdicts."""
+    """Run an experiment, print its verdicts and write its report; exit with 1 if a promise was broken."""
     from springmux.lab.checks.run_checks import check_all
     from springmux.lab.experiment.experiment import run_experiment
     from springmux.lab.reporting.report import write_report
@@ -165,7 +178,7 @@
     except SpringmuxError as error:
         fail(str(error), ExitCode.FAILED)
     except asyncio.CancelledError:
-        fail("ended by a signal; every process of the run was ended", ExitCode.FAILED)
+        fail("interrupted by a signal; every process of the run was stopped", ExitCode.FAILED)
     verdicts = check_all(records)
     _print_verdicts(console, records, verdicts)
     for folder in (report, options.folder):
@@ -178,12 +191,12 @@
 
 
 def _progress(console: Console) -> Callable[[str], None]:
-    began_at_s = time.monotonic()
+    started_at_s = time.monotonic()
 
-    def show(line: str) -> None:
-        console.print(f"[dim]{time.monotonic() - began_at_s:6.1f} s[/dim]  {escape(line)}", highlight=False)
+    def print_progress(line: str) -> None:
+        console.print(f"[dim]{time.monotonic() - started_at_s:6.1f} s[/dim]  {escape(line)}", highlight=False)
 
-    return show
+    return print_progress
 
 
 def _print_verdicts(console: Console, records: RunRecords, verdicts: Sequence[Verdict]) -> None:
--- a/src/springmux/cli/main.py
+++ b/src/springmux/cli/main.py
@@ -32,7 +32,7 @@
 application.add_typer(gateway.application, name="gateway")
 
 OPTIONAL_GROUPS = ("fleet", "lab")
-"""Groups for developers; an installation may leave them out."""
+"""Command groups for developers; an installation may omit them."""
 
 
 def _add_optional_groups() -> None:
--- a/src/springmux/cli/options.py
+++ b/src/springmux/cli/options.py
@@ -1,4 +1,4 @@
-"""Options and arguments that several commands share, and the parsing of their values."""
+"""Options and arguments that several commands share, with the parsing of their values."""
 
 from __future__ import annotations
 
@@ -24,10 +24,11 @@
 ]
 JsonOption = Annotated[bool, typer.Option("--json", help="Print JSON for scripts.")]
 OperatorOption = Annotated[
-    str, typer.Option("--operator", envvar="SPRINGMUX_OPERATOR", help="Your name, for the history.")
+    str, typer.Option("--operator", envvar="SPRINGMUX_OPERATOR", help="Your name, recorded in the history.")
 ]
 OrderIdOption = Annotated[
-    str, typer.Option("--order-id", help="Repeat an earlier order under its id (made if not given).")
+    str,
+    typer.Option("--order-id", help="Id of an earlier order, to repeat that order; generated if omitted."),
 ]
 FileArgument = Annotated[Path, typer.Argument(help="JSON file, or - for standard input.")]
 
@@ -42,12 +43,12 @@
     as_json: bool
 
     def client(self) -> AdminClient:
-        """Return a client for the nodes named, under the operator's name."""
+        """Return a client that sends orders to the named nodes under the operator's name."""
         return AdminClient(self.admin, self.operator)
 
 
-def parse_settings(pairs: Sequence[str], as_json: bool) -> dict[str, Any]:
-    """Return the parameters given as ``NAME=VALUE``; values are JSON where they parse, else text."""
+def parse_parameters(pairs: Sequence[str], as_json: bool) -> dict[str, Any]:
+    """Parse ``NAME=VALUE`` pairs; a value that isn't valid JSON stays a string."""
     parameters: dict[str, Any] = {}
     for pair in pairs:
         name, separator, value = pair.partition("=")
--- a/src/springmux/cli/output.py
+++ b/src/springmux/cli/output.py
@@ -18,12 +18,12 @@
     typer.echo(json.dumps(document, indent=2, sort_keys=True))
 
 
-def print_document(document: Any, as_json: bool, print_page: Callable[[Any], None]) -> None:
-    """Print a document as JSON, or in its readable form by ``print_page``."""
+def print_document(document: Any, as_json: bool, print_text: Callable[[Any], None]) -> None:
+    """Print a document as JSON, or with ``print_text`` in human-readable form."""
     if as_json:
         print_json(document)
     else:
-        print_page(document)
+        print_text(document)
 
 
 def print_table(headers: Sequence[str], rows: Sequence[Sequence[Any]]) -> None:
@@ -37,7 +37,7 @@
 def print_validation(file: Path, errors: Sequence[FieldError], details: Sequence[str], as_json: bool) -> None:
     """Print whether a configuration file is valid; exit with :attr:`ExitCode.INVALID` if not.
 
-    :param details: the errors in their readable form.
+    :param details: the errors in human-readable form, one line each.
     """
     if as_json:
         entries = [{"path": error.path, "message": error.message} for error in errors]
--- a/src/springmux/cli/reference.py
+++ b/src/springmux/cli/reference.py
@@ -33,27 +33,35 @@
 What to do about an error is in [OPERATIONS.md](OPERATIONS.md), the HTTP interfaces are in [API.md](API.md).
 """
 ERROR_PACKAGES = ("router", "control", "agent", "node")
-"""Packages that respond with typed errors."""
+"""Packages that send typed errors to clients."""
 EXCHANGE_MODULES = frozenset({"exchange.py", "progress.py", "reply.py"})
 """Modules of the router in which an error's fate depends on what an engine was sent."""
-EXCHANGE_CALLS = frozenset({"_end_early", "_attempt_failed"})
-"""Helpers for which the same holds."""
+EXCHANGE_FUNCTIONS = frozenset({"_end_early", "_attempt_failed"})
+"""Functions, in any module, for which the same holds."""
 BY_WHAT_WAS_SENT = "by what was sent"
-STATUS_OF_CALL = {"invalid": 422, "submit": 409, "_unavailable": 503, "_give_up": 503}
-"""Helpers that give their code a status of their own."""
+STATUS_BY_FUNCTION = {"invalid": 422, "submit": 409, "_unavailable": 503, "_give_up": 503}
+"""Functions that send their error code with this fixed HTTP status."""
 SIMPLE_TYPES = {bool: "true or false", int: "whole number", float: "number", str: "text", Path: "path"}
 
 Row = Sequence[str]
 
 
 def reference_page() -> str:
-    """Return the page."""
-    sections = (HEADING, _settings(), _configuration(), _metrics(), _errors(), _exit_codes(), _commands())
+    """Return the reference page as Markdown."""
+    sections = (
+        HEADING,
+        _settings_section(),
+        _configuration_section(),
+        _metrics_section(),
+        _errors_section(),
+        _exit_codes_section(),
+        _commands_section(),
+    )
     return "\n".join(sections)
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Write the page to the path given; return the exit code."""
+    """Write the page to the path in ``arguments``; return the exit code."""
     if len(arguments) != 1:
         typer.echo("usage: python -m springmux.cli.reference FILE", err=True)
         return ExitCode.INVALID
@@ -73,21 +81,27 @@
 # Settings and configuration
 
 
-def _settings() -> str:
+def _settings_section() -> str:
     prefix = NodeSettings.model_config.get("env_prefix", "")
     rows = [
-        (f"`{name}`", _type(field.annotation), _default(field), _bounds(field), field.description or "")
+        (
+            f"`{name}`",
+            _type_text(field.annotation),
+            _default_text(field),
+            _bounds_text(field),
+            field.description or "",
+        )
         for name, field in NodeSettings.model_fields.items()
     ]
     return (
         "## Settings of a node\n\n"
-        f"TOML file (`--settings`), environment (`{prefix}NAME`), flags; the later wins.\n"
+        f"TOML file (`--settings`), environment (`{prefix}NAME`), flags; later ones override earlier ones.\n"
         f"Names match `{NAME_PATTERN}`, addresses are `IP:port`.\n\n"
         + _table(("setting", "type", "default", "bounds", "meaning"), rows)
     )
 
 
-def _configuration() -> str:
+def _configuration_section() -> str:
     sections = (
         ("services.NAME", documents.ServiceDocument),
         ("routes.NAME", documents.RouteDocument),
@@ -95,31 +109,36 @@
         ("exceptions", documents.ExceptionsDocument),
     )
     rows = [
-        (f"`{path}.{field.alias or name}`", _type(field.annotation), _default(field), _bounds(field))
+        (
+            f"`{path}.{field.alias or name}`",
+            _type_text(field.annotation),
+            _default_text(field),
+            _bounds_text(field),
+        )
         for path, model in sections
         for name, field in model.model_fields.items()
     ]
     return "## Configuration document\n\n" + _table(("field", "type", "default", "bounds"), rows)
 
 
-def _type(annotation: Any) -> str:
+def _type_text(annotation: Any) -> str:
     origin = get_origin(annotation)
     if origin is Literal:
         return " or ".join(f"`{value}`" for value in get_args(annotation))
     if origin in (Union, types.UnionType):
         return " or ".join(
-            _type(alternative) for alternative in get_args(annotation) if alternative is not type(None)
+            _type_text(alternative) for alternative in get_args(annotation) if alternative is not type(None)
         )
     if origin is tuple:
         return "list"
     if origin is not None and hasattr(annotation, "__metadata__"):
-        return _type(get_args(annotation)[0])
+        return _type_text(get_args(annotation)[0])
     if isinstance(annotation, type) and issubclass(annotation, enum.Enum):
         return " or ".join(f"`{member.value}`" for member in annotation)
     return SIMPLE_TYPES.get(annotation, "text")
 
 
-def _default(field: FieldInfo) -> str:
+def _default_text(field: FieldInfo) -> str:
     if field.is_required():
         return "required"
     if field.default in (None, (), ""):
@@ -128,18 +147,18 @@
     return f"`{str(value).lower() if isinstance(value, bool) else value}`"
 
 
-def _bounds(field: FieldInfo) -> str:
-    signs = {"gt": "over", "ge": "from", "lt": "under", "le": "to"}
+def _bounds_text(field: FieldInfo) -> str:
+    constraint_texts = {"gt": "over", "ge": "from", "lt": "under", "le": "to"}
     bounds = [
-        f"{word} {getattr(item, name)}"
-        for item in _metadata(field)
-        for name, word in signs.items()
+        f"{text} {getattr(item, name)}"
+        for item in _constraints(field)
+        for name, text in constraint_texts.items()
         if getattr(item, name, None) is not None
     ]
     return ", ".join(bounds)
 
 
-def _metadata(field: FieldInfo) -> Iterator[Any]:
+def _constraints(field: FieldInfo) -> Iterator[Any]:
     """Yield the constraints of a field and of the alternatives of its type."""
     yield from field.metadata
     for alternative in get_args(field.annotation):
@@ -147,7 +166,7 @@
             yield from getattr(item, "metadata", (item,))
 
 
-def _metrics() -> str:
+def _metrics_section() -> str:
     rows = [
         (f"`{PREFIX}{metric.name}`", metric.kind.value, ", ".join(metric.labels), metric.help)
         for metric in METRICS
@@ -156,7 +175,7 @@
     return text + _table(("metric", "type", "labels", "meaning"), rows)
 
 
-def _errors() -> str:
+def _errors_section() -> str:
     statuses, fates = _scan_errors()
     rows = [
         (f"`{code}`", ", ".join(map(str, sorted(statuses[code]))), " or ".join(sorted(fates[code])))
@@ -170,7 +189,7 @@
 
 
 def _scan_errors() -> tuple[Mapping[ErrorCode, set[int]], Mapping[ErrorCode, set[str]]]:
-    """Return the statuses and the fates that the sources give each error code."""
+    """Return the HTTP statuses and the fates that the source code sends with each error code."""
     statuses: dict[ErrorCode, set[int]] = {code: set() for code in ErrorCode}
     fates: dict[ErrorCode, set[str]] = {code: set() for code in ErrorCode}
     for code, status in STATUS_OF_CODE.items():
@@ -181,7 +200,7 @@
             for code in _codes_outside_calls(tree):
                 fates[code].add(BY_WHAT_WAS_SENT)
         for call in (node for node in ast.walk(tree) if isinstance(node, ast.Call)):
-            for code in _codes_given(call):
+            for code in _codes_in_arguments(call):
                 statuses[code] |= _statuses(call)
                 fates[code] |= _fates(call, file.name)
     for code in ErrorCode:
@@ -200,16 +219,16 @@
     return None
 
 
-def _codes_given(call: ast.Call) -> set[ErrorCode]:
+def _codes_in_arguments(call: ast.Call) -> set[ErrorCode]:
     arguments = (*call.args, *(keyword.value for keyword in call.keywords))
     return {code for argument in arguments if (code := _code(argument)) is not None}
 
 
 def _codes_outside_calls(tree: ast.AST) -> set[ErrorCode]:
-    """Return the codes that a module names in tables, conditions and returns."""
-    given = {id(arg) for call in ast.walk(tree) if isinstance(call, ast.Call) for arg in call.args}
-    found = (node for node in ast.walk(tree) if id(node) not in given)
-    return {code for node in found if (code := _code(node)) is not None}
+    """Return the codes that a module uses in tables, conditions and return values."""
+    argument_ids = {id(arg) for call in ast.walk(tree) if isinstance(call, ast.Call) for arg in call.args}
+    nodes_outside_calls = (node for node in ast.walk(tree) if id(node) not in argument_ids)
+    return {code for node in nodes_outside_calls if (code := _code(node)) is not None}
 
 
 def _callee(call: ast.Call) -> str:
@@ -218,24 +237,24 @@
 
 def _statuses(call: ast.Call) -> set[int]:
     values = (*call.args, *(keyword.value for keyword in call.keywords if keyword.arg == "status"))
-    found = {
+    integers = {
         value.value for value in values if isinstance(value, ast.Constant) and isinstance(value.value, int)
     }
-    status_of_callee = STATUS_OF_CALL.get(_callee(call))
-    return {status for status in found if 400 <= status <= 599} | (
+    status_of_callee = STATUS_BY_FUNCTION.get(_callee(call))
+    return {status for status in integers if 400 <= status <= 599} | (
         {status_of_callee} if status_of_callee else set()
     )
 
 
 def _fates(call: ast.Call, module: str) -> set[str]:
-    named = [
+    named_fates = [
         Fate[node.attr].value
         for node in ast.walk(call)
         if isinstance(node, ast.Attribute) and isinstance(node.value, ast.Name) and node.value.id == "Fate"
     ]
-    if named:
-        return set(named)
-    if module in EXCHANGE_MODULES or _callee(call) in EXCHANGE_CALLS:
+    if named_fates:
+        return set(named_fates)
+    if module in EXCHANGE_MODULES or _callee(call) in EXCHANGE_FUNCTIONS:
         return {BY_WHAT_WAS_SENT}
     passes_fate_on = any(isinstance(argument, ast.Name) and argument.id == "fate" for argument in call.args)
     if passes_fate_on or _callee(call) == "_give_up":
@@ -246,26 +265,30 @@
 # Command line
 
 
-def _exit_codes() -> str:
-    daemon = (
-        (str(EXIT_STOPPED), "stopped in order"),
+def _exit_codes_section() -> str:
+    daemon_rows = (
+        (str(EXIT_STOPPED), "stopped in an orderly way"),
         (str(EXIT_CANNOT_START), "can't start: an address or the data folder is in use"),
-        (str(ExitCode.INVALID.value), "wrong settings, each named"),
-        (str(EXIT_CRASHED), "internal fault; start it again"),
+        (str(ExitCode.INVALID.value), "invalid settings; each one is listed"),
+        (str(EXIT_CRASHED), "internal error; restart the node"),
         (str(EXIT_KILLED), "a second signal during the orderly stop"),
     )
     return (
         f"## Exit codes\n\nCommands: {EPILOG.removeprefix('Exit codes: ')}\n\n`springmux node`:\n\n"
-        + _table(("code", "meaning"), daemon)
+        + _table(("code", "meaning"), daemon_rows)
     )
 
 
-def _commands() -> str:
+def _commands_section() -> str:
     lines = ["## Command line\n"]
-    for path, command in _walk("springmux", typer.main.get_command(application)):
-        lines.append(f"### `{path}`\n\n{_help(command)}\n")
+    for path, command in _leaf_commands("springmux", typer.main.get_command(application)):
+        lines.append(f"### `{path}`\n\n{_help_text(command)}\n")
         rows = [
-            (_names(parameter), getattr(parameter, "help", None) or "", _parameter_default(parameter))
+            (
+                _parameter_names(parameter),
+                getattr(parameter, "help", None) or "",
+                _parameter_default_text(parameter),
+            )
             for parameter in command.params
         ]
         if rows:
@@ -273,28 +296,28 @@
     return "\n".join(lines)
 
 
-def _walk(path: str, command: Any) -> Iterator[tuple[str, Any]]:
+def _leaf_commands(path: str, command: Any) -> Iterator[tuple[str, Any]]:
     members = getattr(command, "commands", None)
     if members is None:
         yield path, command
         return
     for name in sorted(members):
         if not members[name].hidden:
-            yield from _walk(f"{path} {name}", members[name])
+            yield from _leaf_commands(f"{path} {name}", members[name])
 
 
-def _help(command: Any) -> str:
+def _help_text(command: Any) -> str:
     paragraphs = inspect.cleandoc(command.help or "").split("\n\n")
     return "\n\n".join(" ".join(paragraph.split()) for paragraph in paragraphs)
 
 
-def _names(parameter: Any) -> str:
+def _parameter_names(parameter: Any) -> str:
     if parameter.param_type_name == "argument":
         return f"`{parameter.name.upper()}`"
     return ", ".join(f"`{name}`" for name in (*parameter.opts, *parameter.secondary_opts))
 
 
-def _parameter_default(parameter: Any) -> str:
+def _parameter_default_text(parameter: Any) -> str:
     if parameter.required:
         return "required"
     value = parameter.default
--- a/src/springmux/cli/rollout_pages.py
+++ b/src/springmux/cli/rollout_pages.py
@@ -1,4 +1,4 @@
-"""The readable forms of ``springmux rollout template``, ``plan`` and ``status``."""
+"""Human-readable output of ``springmux rollout template``, ``plan`` and ``status``."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 def print_plan(preview: dict[str, Any]) -> None:
-    """Print the response of ``POST /v1/rollouts/preview``: the steps and what a bad version could get."""
+    """Print the response of ``POST /v1/rollouts/preview``: the steps and a bad version's exposure."""
     plan, schedule = preview["plan"], preview["schedule"]
     typer.echo(
         f"{plan['service']} to {plan['candidate']} by template {plan['template']}:"
@@ -57,13 +57,13 @@
 
 
 def record_of(status_document: dict[str, Any]) -> dict[str, Any]:
-    """Return a rollout's record, which the document either contains or is."""
+    """Return a rollout's record; the status document contains it or is itself the record."""
     record = status_document.get("record")
     return record if isinstance(record, dict) else status_document
 
 
 def print_rollouts(status_documents: list[dict[str, Any]]) -> None:
-    """Print the response of ``GET /v1/rollouts``: a line for each service."""
+    """Print the response of ``GET /v1/rollouts``: one line per service."""
     rows = [
         (record["service"], record["stable"], record["candidate"], record["phase"], record["weight"])
         for record in map(record_of, status_documents)
@@ -74,7 +74,7 @@
 def print_rollout(status_document: dict[str, Any]) -> None:
     """Print the response of ``GET /v1/rollouts/SERVICE``: progress and the decision, if one was made."""
     record = record_of(status_document)
-    # At the end of a good rollout the candidate is the stable version.
+    # After a successful rollout the candidate is the stable version.
     stable = "" if record["stable"] == record["candidate"] else f"{record['stable']} "
     status = status_document.get("status") or {}
     sent = f" sent {status['sent']} of {status['prompts']} prompts" if status else ""
--- a/src/springmux/cli/rollout_report.py
+++ b/src/springmux/cli/rollout_report.py
@@ -30,7 +30,7 @@
 
 
 def write_report(history: dict[str, Any], folder: Path) -> list[Path]:
-    """Write plot and table of a history document into ``folder``; return the files.
+    """Write the plot and the table of a rollout's history into ``folder``; return the files.
 
     :raises OSError: if the folder can't be written.
     """
@@ -47,7 +47,7 @@
 
 
 def table_rows(samples: list[dict[str, Any]]) -> list[Row]:
-    """Return a row for each sample; times count from the first sample."""
+    """Return a row for each sample; times are in seconds since the first sample."""
     started_at_s = samples[0]["at_s"]
     return [_row(sample["at_s"] - started_at_s, sample["status"]) for sample in samples]
 
@@ -98,7 +98,7 @@
 
 
 def _draw_phase_changes(rows: list[Row], axes: tuple[Any, ...]) -> None:
-    """Draw a line at each change of phase and name it, with the decision's reason."""
+    """Draw a vertical line at each change of phase, labelled with the phase and the decision's reason."""
     previous_phase = None
     for row in rows:
         if row["phase"] == previous_phase:
--- a/src/springmux/cli/rollout_scenarios.py
+++ b/src/springmux/cli/rollout_scenarios.py
@@ -1,4 +1,4 @@
-"""``springmux lab rollouts``: named rollouts of simulated fleets in virtual time, as a Markdown table."""
+"""``springmux lab rollouts``: named rollouts of simulated fleets in virtual time, reported as Markdown."""
 
 from __future__ import annotations
 
@@ -13,21 +13,23 @@
 def rollout_scenarios(
     seeds: Annotated[int, typer.Option(help="Runs of each scenario.", min=1)] = 2,
     first_seed: Annotated[int, typer.Option(help="Seed of the first run.", min=0)] = 1,
-    deployment: Annotated[str, typer.Option(help="anuario or derwent; empty: both.")] = "",
+    deployment: Annotated[str, typer.Option(help="Deployment, anuario or derwent; empty: both.")] = "",
     only: Annotated[
-        str, typer.Option(help="Only scenarios whose name has one of these texts, separated by commas.")
+        str, typer.Option(help="Only scenarios whose name contains one of these texts, separated by commas.")
     ] = "",
     way: Annotated[
-        str, typer.Option(help="Only ways to roll out whose name has this text; empty: all.")
+        str, typer.Option(help="Only rollout methods whose name contains this text; empty: all.")
     ] = "springmux",
     undisturbed: Annotated[
-        bool, typer.Option("--undisturbed", help="Only scenarios where nothing fails but the version.")
+        bool, typer.Option("--undisturbed", help="Only scenarios in which nothing but the new version fails.")
     ] = False,
-    workers: Annotated[int, typer.Option(help="Processes, 4 at most.", min=1, max=4)] = 2,
-    limit_s: Annotated[float, typer.Option(help="Begin no new seed after this; 0: no limit.", min=0)] = 0.0,
-    json_output: Annotated[bool, typer.Option("--json", help="Print every run as JSON.")] = False,
+    workers: Annotated[int, typer.Option(help="Worker processes, 4 at most.", min=1, max=4)] = 2,
+    limit_s: Annotated[
+        float, typer.Option(help="Start no new seed after this many seconds; 0: no limit.", min=0)
+    ] = 0.0,
+    as_json: Annotated[bool, typer.Option("--json", help="Print every run as JSON.")] = False,
 ) -> None:
-    """Run named rollouts over many seeds, beside simpler ways to roll out, and print a Markdown table.
+    """Run named rollouts with many seeds, also with simpler rollout methods, and print a Markdown table.
 
     Example: springmux lab rollouts --seeds 5 --deployment anuario --only "bad after" --way "" --workers 4
     """
@@ -39,7 +41,11 @@
     from springmux.simulation.rollout_trial import Disturbance
 
     if deployment and deployment not in DEPLOYMENTS:
-        fail(f"no deployment {deployment}; there are {', '.join(DEPLOYMENTS)}", ExitCode.INVALID, json_output)
+        fail(
+            f"unknown deployment {deployment}; choose from {', '.join(DEPLOYMENTS)}",
+            ExitCode.INVALID,
+            as_json,
+        )
     cells = [
         Cell(name, variant, scenario)
         for name in DEPLOYMENTS
@@ -51,9 +57,9 @@
         and not (undisturbed and scenario.disturbance is not Disturbance.NONE)
     ]
     if not cells:
-        fail("no scenario and way match --only and --way", ExitCode.INVALID, json_output)
+        fail("no scenario and rollout method match --only and --way", ExitCode.INVALID, as_json)
     rows = measure(cells, seeds, first_seed, workers, limit_s)
-    if json_output:
+    if as_json:
         print_json(msgspec.to_builtins(rows))
     else:
         typer.echo(markdown(rows))
--- a/src/springmux/cli/rollouts.py
+++ b/src/springmux/cli/rollouts.py
@@ -9,7 +9,7 @@
 
 import typer
 
-from springmux.cli.admin_requests import path_segment, read, run_order, send_order
+from springmux.cli.admin_requests import fetch_document, path_segment, run_order, send_order
 from springmux.cli.client import AdminClient
 from springmux.cli.exit_codes import EPILOG, ExitCode
 from springmux.cli.input_files import read_json_file
@@ -20,7 +20,7 @@
     OperatorOption,
     OrderIdOption,
     OrderOptions,
-    parse_settings,
+    parse_parameters,
 )
 from springmux.cli.output import fail, print_document, print_json
 from springmux.cli.rollout_pages import print_plan, print_rollout, print_rollouts, print_templates, record_of
@@ -33,35 +33,44 @@
 ServiceArgument = Annotated[str, typer.Argument(help="Service whose version changes.")]
 TemplateOption = Annotated[str, typer.Option("--template", help="Name of a stored template.")]
 SetOption = Annotated[
-    list[str], typer.Option("--set", help="Parameter NAME=VALUE; repeat it. Values are JSON or text.")
+    list[str],
+    typer.Option(
+        "--set", help="Parameter NAME=VALUE; repeat the option for several. Values are JSON or text."
+    ),
 ]
 
 
 @application.command()
 def template(
-    name: Annotated[str, typer.Argument(help="Template to store; without it all are listed.")] = "",
+    name: Annotated[
+        str, typer.Argument(help="Name of the template to store; without it all templates are listed.")
+    ] = "",
     file: Annotated[Path | None, typer.Option("--file", help="JSON file, or - for standard input.")] = None,
     admin: AdminOption = DEFAULT_ADMIN,
     operator: OperatorOption = "operator",
     order_id: OrderIdOption = "",
-    json_output: JsonOption = False,
+    as_json: JsonOption = False,
 ) -> None:
-    """Store a template, or list those stored.
+    """Store a template, or list the stored templates.
 
     Example: springmux rollout template careful --file careful.json
     """
-    options = OrderOptions(admin, operator, order_id, json_output)
+    options = OrderOptions(admin, operator, order_id, as_json)
     if file is not None and name:
-        document = read_json_file(file, json_output)
+        document = read_json_file(file, as_json)
         run_order(options, "PUT", f"/v1/templates/{path_segment(name)}", document, f"template {name}")
         return
     if file is not None or name:
-        fail("give a name and --file to store one, neither to list", ExitCode.INVALID, json_output)
-    print_document(read(options.client(), "/v1/templates", json_output), json_output, print_templates)
+        fail(
+            "to store a template, give a name and --file; to list templates, give neither",
+            ExitCode.INVALID,
+            as_json,
+        )
+    print_document(fetch_document(options.client(), "/v1/templates", as_json), as_json, print_templates)
 
 
-def _plan_body(template_name: str, settings: list[str], service: str, as_json: bool) -> dict[str, Any]:
-    parameters = parse_settings(settings, as_json)
+def _plan_body(template_name: str, pairs: list[str], service: str, as_json: bool) -> dict[str, Any]:
+    parameters = parse_parameters(pairs, as_json)
     if service:
         parameters.setdefault("service", service)
     body: dict[str, Any] = {"parameters": parameters}
@@ -74,43 +83,45 @@
 def plan(
     service: ServiceArgument,
     template_name: TemplateOption = "",
-    settings: SetOption = [],  # noqa: B006 - typer reads defaults, never changes them
+    parameters: SetOption = [],  # noqa: B006 - typer reads defaults, never changes them
     admin: AdminOption = DEFAULT_ADMIN,
-    json_output: JsonOption = False,
+    as_json: JsonOption = False,
 ) -> None:
-    """Show a plan's schedule and bounds without beginning it.
+    """Show a plan's schedule and bounds without starting the rollout.
 
     Example: springmux rollout plan text --template careful --set candidate=v2 --set by_s=60
     """
-    body = _plan_body(template_name, settings, service, json_output)
-    # A preview changes nothing, but it is a POST; an order id does no harm.
-    response = send_order(AdminClient(admin), "POST", "/v1/rollouts/preview", body, json_output)
-    print_document(response.document, json_output, print_plan)
+    body = _plan_body(template_name, parameters, service, as_json)
+    # A preview changes nothing but is a POST request, so it is sent with a harmless order id.
+    response = send_order(AdminClient(admin), "POST", "/v1/rollouts/preview", body, as_json)
+    print_document(response.document, as_json, print_plan)
 
 
 @application.command()
 def promote(
     service: ServiceArgument,
     template_name: TemplateOption = "",
-    settings: SetOption = [],  # noqa: B006
+    parameters: SetOption = [],  # noqa: B006
     admin: AdminOption = DEFAULT_ADMIN,
     operator: OperatorOption = "operator",
     order_id: OrderIdOption = "",
-    json_output: JsonOption = False,
+    as_json: JsonOption = False,
 ) -> None:
-    """Begin a rollout ("go").
+    """Start a rollout (alias "go").
 
     Example: springmux rollout promote text --template careful --set candidate=v2
     """
-    body = _plan_body(template_name, settings, service, json_output)
-    options = OrderOptions(admin, operator, order_id, json_output)
+    body = _plan_body(template_name, parameters, service, as_json)
+    options = OrderOptions(admin, operator, order_id, as_json)
     path = f"/v1/rollouts/{path_segment(service)}/promote"
     run_order(options, "POST", path, body, f"rollout of {service}")
 
 
-def _run_verb(verb: str, service: str, options: OrderOptions) -> None:
-    """Send an order that needs no document: pause, resume or abort."""
-    run_order(options, "POST", f"/v1/rollouts/{path_segment(service)}/{verb}", None, f"{verb} of {service}")
+def _send_action(action: str, service: str, options: OrderOptions) -> None:
+    """Send an order without a document: pause, resume or abort."""
+    run_order(
+        options, "POST", f"/v1/rollouts/{path_segment(service)}/{action}", None, f"{action} of {service}"
+    )
 
 
 @application.command()
@@ -119,13 +130,13 @@
     admin: AdminOption = DEFAULT_ADMIN,
     operator: OperatorOption = "operator",
     order_id: OrderIdOption = "",
-    json_output: JsonOption = False,
+    as_json: JsonOption = False,
 ) -> None:
-    """Send nothing more to the candidate and stop the rollout's clock ("hold").
+    """Send no more prompts to the candidate and stop the rollout's clock (alias "hold").
 
     Example: springmux rollout pause text
     """
-    _run_verb("pause", service, OrderOptions(admin, operator, order_id, json_output))
+    _send_action("pause", service, OrderOptions(admin, operator, order_id, as_json))
 
 
 @application.command()
@@ -134,13 +145,13 @@
     admin: AdminOption = DEFAULT_ADMIN,
     operator: OperatorOption = "operator",
     order_id: OrderIdOption = "",
-    json_output: JsonOption = False,
+    as_json: JsonOption = False,
 ) -> None:
-    """Go on with a paused rollout.
+    """Resume a paused rollout.
 
     Example: springmux rollout resume text
     """
-    _run_verb("resume", service, OrderOptions(admin, operator, order_id, json_output))
+    _send_action("resume", service, OrderOptions(admin, operator, order_id, as_json))
 
 
 @application.command()
@@ -149,13 +160,13 @@
     admin: AdminOption = DEFAULT_ADMIN,
     operator: OperatorOption = "operator",
     order_id: OrderIdOption = "",
-    json_output: JsonOption = False,
+    as_json: JsonOption = False,
 ) -> None:
-    """Return every prompt to the stable version, for good ("back").
+    """Send every prompt to the stable version again and end the rollout (alias "back").
 
     Example: springmux rollout abort text
     """
-    _run_verb("abort", service, OrderOptions(admin, operator, order_id, json_output))
+    _send_action("abort", service, OrderOptions(admin, operator, order_id, as_json))
 
 
 application.command("go", help="Alias of promote.")(promote)
@@ -165,10 +176,12 @@
 
 @application.command()
 def status(
-    service: Annotated[str, typer.Argument(help="One service; without it all.")] = "",
-    watch: Annotated[bool, typer.Option("--watch", help="Repeat until it is done or aborted.")] = False,
+    service: Annotated[str, typer.Argument(help="Service to show; without it all are listed.")] = "",
+    watch: Annotated[
+        bool, typer.Option("--watch", help="Repeat until the rollout is done or aborted.")
+    ] = False,
     admin: AdminOption = DEFAULT_ADMIN,
-    json_output: JsonOption = False,
+    as_json: JsonOption = False,
 ) -> None:
     """Show rollouts. With --watch the exit code is 0 for done and 1 for aborted.
 
@@ -177,17 +190,17 @@
     client = AdminClient(admin)
     if not service:
         if watch:
-            fail("--watch needs a service", ExitCode.INVALID, json_output)
-        print_document(read(client, "/v1/rollouts", json_output), json_output, print_rollouts)
+            fail("--watch needs a service", ExitCode.INVALID, as_json)
+        print_document(fetch_document(client, "/v1/rollouts", as_json), as_json, print_rollouts)
         return
     path = f"/v1/rollouts/{path_segment(service)}"
     while True:
-        found = read(client, path, json_output)
-        if json_output:
-            typer.echo(json.dumps(found, sort_keys=True))  # one line a sample, for scripts that watch
+        document = fetch_document(client, path, as_json)
+        if as_json:
+            typer.echo(json.dumps(document, sort_keys=True))  # one line per sample, for scripts that watch
         else:
-            print_rollout(found)
-        phase = record_of(found).get("phase", "")
+            print_rollout(document)
+        phase = record_of(document).get("phase", "")
         if not watch:
             return
         if phase in TERMINAL_PHASES:
@@ -200,22 +213,24 @@
     service: ServiceArgument,
     out: Annotated[Path, typer.Option("--out", help="Folder for the plot and the table.")],
     admin: AdminOption = DEFAULT_ADMIN,
-    json_output: JsonOption = False,
+    as_json: JsonOption = False,
 ) -> None:
-    """Draw weight, exposure, evidence and decisions over time, and write a table.
+    """Plot weight, exposure, evidence and decisions over time, and write a CSV table.
 
     Example: springmux rollout report text --out report/
     """
     from springmux.cli.rollout_report import write_report
 
-    found = read(AdminClient(admin), f"/v1/rollouts/{path_segment(service)}/history", json_output)
-    if not found.get("samples"):
-        fail(f"the node has no samples of {service}; ask another with --admin", ExitCode.FAILED, json_output)
+    document = fetch_document(AdminClient(admin), f"/v1/rollouts/{path_segment(service)}/history", as_json)
+    if not document.get("samples"):
+        fail(
+            f"the node has no samples of {service}; name another node with --admin", ExitCode.FAILED, as_json
+        )
     try:
-        files = write_report(found, out)
+        files = write_report(document, out)
     except OSError as error:
-        fail(f"can't write to {out}: {error.strerror}", ExitCode.INVALID, json_output)
-    if json_output:
+        fail(f"can't write to {out}: {error.strerror}", ExitCode.INVALID, as_json)
+    if as_json:
         print_json({"files": [str(file) for file in files]})
     else:
         for file in files:
--- a/src/springmux/cli/soak.py
+++ b/src/springmux/cli/soak.py
@@ -19,21 +19,25 @@
 
 
 def soak(
-    seeds: Annotated[int, typer.Option(help="How many seeds to run, one after another.", min=1)] = 1,
-    first_seed: Annotated[int, typer.Option(help="The first seed.", min=0)] = 1,
-    nodes: Annotated[int, typer.Option(help="Processes.", min=3, max=250)] = 9,
+    seeds: Annotated[int, typer.Option(help="Number of seeds to run, one after another.", min=1)] = 1,
+    first_seed: Annotated[int, typer.Option(help="Seed of the first run.", min=0)] = 1,
+    nodes: Annotated[int, typer.Option(help="Gateway processes.", min=3, max=250)] = 9,
     controllers: Annotated[int, typer.Option(help="Nodes with a data folder.", min=1)] = 3,
     zones: Annotated[int, typer.Option(help="Zones.", min=1)] = 3,
-    seconds: Annotated[float, typer.Option(help="Length of each run.", min=15)] = 40.0,
+    seconds: Annotated[float, typer.Option(help="Seconds that each run lasts.", min=15)] = 40.0,
     connections: Annotated[int, typer.Option(help="Open connections to each node.", min=1)] = 3,
-    change_period_s: Annotated[float, typer.Option(help="Mean time between changes.", min=0.05)] = 0.4,
+    change_period_s: Annotated[
+        float, typer.Option(help="Mean seconds between configuration changes.", min=0.05)
+    ] = 0.4,
     keep: Annotated[
-        Path | None, typer.Option(help="Keep settings, data and logs of failed seeds here.")
+        Path | None, typer.Option(help="Folder that keeps the settings, data and logs of failed seeds.")
     ] = None,
 ) -> None:
-    """Soak a fleet of gateway processes on loopback; a seed draws everything that happens.
+    """Run a soak test of gateway processes on loopback; the seed determines every event.
 
-    Callers use open connections until the process is gone. Exit codes: 0 nothing found, 1 a rule was broken.
+    Clients use open connections until the process has ended.
+
+    Exit codes: 0 no violation was found, 1 a rule was violated.
 
     Example: springmux lab soak --seeds 50 --keep reports/soak
     """
--- a/src/springmux/cli/status_page.py
+++ b/src/springmux/cli/status_page.py
@@ -1,4 +1,4 @@
-"""The readable form of ``springmux status``: one node's view of itself and of the fleet."""
+"""Human-readable output of ``springmux status``: one node's view of itself and of the fleet."""
 
 from __future__ import annotations
 
@@ -75,8 +75,8 @@
 
 
 def _print_controllers(replica: dict[str, Any]) -> None:
-    """Print the group's members; ``springmux controller`` takes their replica ids."""
-    # As on the wire between peers, the structs are arrays: (members,), each (replica, node, voter).
+    """Print the group's members; ``springmux controller`` commands need their replica ids."""
+    # Structs are encoded as arrays, as between peers: (members,), each member (replica, node, voter).
     members = replica["members"][0] if replica["members"] else []
     rows = [
         (
--- a/tests/unit/cli/support.py
+++ b/tests/unit/cli/support.py
@@ -1,4 +1,4 @@
-"""A scripted admin server in a thread, and a runner of the command line."""
+"""A scripted admin server in a thread, and a function that runs the command line."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
 from springmux.cli.main import application
 
-DEAD_ADMIN = "127.0.0.1:1"
-"""Port 1 of loopback: nothing listens there."""
+UNREACHABLE_ADMIN = "127.0.0.1:1"
+"""Address on loopback where nothing listens."""
 
 
 @dataclass
@@ -33,26 +33,29 @@
 
 @dataclass
 class ScriptedAdmin:
-    """Responses by ``METHOD path``; a list in turn, its last again. ``None``: close the connection."""
+    """Responses by ``METHOD path``. A list is served in order and its last response repeats.
 
-    answers: dict[str, Any]
+    ``None`` closes the connection without a response.
+    """
+
+    responses: dict[str, Any]
     address: str = ""
     requests: list[RecordedRequest] = field(default_factory=list)
 
-    def next_answer(self, name: str) -> Any:
-        answer = self.answers.get(name, (404, {"error": {"code": "not_found", "message": "none"}}))
-        if isinstance(answer, list):
-            return answer.pop(0) if len(answer) > 1 else answer[0]
-        return answer
+    def next_response(self, name: str) -> Any:
+        response = self.responses.get(name, (404, {"error": {"code": "not_found", "message": "none"}}))
+        if isinstance(response, list):
+            return response.pop(0) if len(response) > 1 else response[0]
+        return response
 
 
 @contextmanager
-def scripted_admin(answers: dict[str, Any]) -> Iterator[ScriptedAdmin]:
-    """Run a scripted admin server."""
-    admin = ScriptedAdmin(answers)
+def scripted_admin(responses: dict[str, Any]) -> Iterator[ScriptedAdmin]:
+    """Run a scripted admin server in a thread until the context ends."""
+    admin = ScriptedAdmin(responses)
 
     class Handler(BaseHTTPRequestHandler):
-        def _any(self) -> None:
+        def _respond(self) -> None:
             data = self.rfile.read(int(self.headers.get("Content-Length") or 0))
             body = json.loads(data) if data else None
             order_id, operator = self.headers.get("X-Order-Id"), self.headers.get("X-Operator")
@@ -60,18 +63,18 @@
             admin.requests.append(
                 RecordedRequest(self.command, self.path, order_id, operator, body, if_match)
             )
-            answer = admin.next_answer(f"{self.command} {self.path}")
-            if answer is None:
+            response = admin.next_response(f"{self.command} {self.path}")
+            if response is None:
                 self.close_connection = True
                 return
-            status, document = answer
-            raw = b"" if document is None else json.dumps(document).encode()
+            status, document = response
+            body_bytes = b"" if document is None else json.dumps(document).encode()
             self.send_response(status)
-            self.send_header("Content-Length", str(len(raw)))
+            self.send_header("Content-Length", str(len(body_bytes)))
             self.end_headers()
-            self.wfile.write(raw)
+            self.wfile.write(body_bytes)
 
-        do_GET = do_PUT = do_POST = do_PATCH = do_DELETE = _any
+        do_GET = do_PUT = do_POST = do_PATCH = do_DELETE = _respond
 
         def log_message(self, format: str, *args: Any) -> None: ...
 
@@ -88,5 +91,5 @@
 
 
 def run(*arguments: str, stdin: str | None = None) -> Result:
-    """Run the command line."""
+    """Run the command line in this process and return its result."""
     return CliRunner().invoke(application, list(arguments), input=stdin)
--- a/tests/unit/cli/test_commands.py
+++ b/tests/unit/cli/test_commands.py
@@ -1,4 +1,4 @@
-"""The command line against a scripted admin server: what is sent, printed, and exited with."""
+"""The command line against a scripted admin server: requests, printed output and exit codes."""
 
 import hashlib
 import json
@@ -11,7 +11,7 @@
 from springmux.cli import client, rollouts
 from springmux.cli.exit_codes import ExitCode
 from springmux.cli.main import application
-from tests.unit.cli.support import DEAD_ADMIN, run, scripted_admin
+from tests.unit.cli.support import UNREACHABLE_ADMIN, run, scripted_admin
 
 ACCEPTED = (200, {"order": "o", "outcome": "accepted", "revision": 5, "version": 3})
 CONFIGURATION = {
@@ -33,12 +33,14 @@
     return str(file)
 
 
-def test_a_lost_answer_is_asked_again_at_the_next_node_under_the_same_order_id(configuration: str) -> None:
+def test_order_without_a_response_is_retried_at_the_next_node_with_the_same_order_id(
+    configuration: str,
+) -> None:
     path = "PUT /v1/configuration?version=3"
     with scripted_admin({path: None}) as unresponsive, scripted_admin({path: ACCEPTED}) as good:
         result = run(
             "config", "apply", configuration, "--version", "3", "--operator", "ada",
-            "--admin", DEAD_ADMIN, "--admin", unresponsive.address, "--admin", good.address,
+            "--admin", UNREACHABLE_ADMIN, "--admin", unresponsive.address, "--admin", good.address,
         )  # fmt: skip
         assert result.exit_code == ExitCode.OK, result.output
         assert "accepted (revision 5, version 3)" in result.stdout
@@ -47,27 +49,27 @@
         assert (second.operator, second.body) == ("ada", CONFIGURATION)
 
 
-def test_a_node_without_quorum_is_asked_again(configuration: str) -> None:
+def test_order_is_retried_while_a_node_has_no_quorum(configuration: str) -> None:
     refused = (503, {"error": {"code": "no_quorum", "message": "m", "fate": "refused"}})
-    answers: dict[str, Any] = {
+    responses: dict[str, Any] = {
         "GET /v1/configuration": (200, {"version": 2, "revision": 4, "document": {}}),
         "PUT /v1/configuration?version=3": [refused, refused, ACCEPTED],
     }
-    with scripted_admin(answers) as admin:
+    with scripted_admin(responses) as admin:
         result = run("config", "apply", configuration, "--admin", admin.address)
         assert result.exit_code == ExitCode.OK
         assert len({request.order_id for request in admin.requests if request.method == "PUT"}) == 1
 
 
-def test_no_node_reachable_names_each_address(configuration: str) -> None:
-    result = run("config", "apply", configuration, "--version", "3", "--admin", DEAD_ADMIN)
+def test_unreachable_nodes_are_reported_with_their_addresses(configuration: str) -> None:
+    result = run("config", "apply", configuration, "--version", "3", "--admin", UNREACHABLE_ADMIN)
     assert result.exit_code == ExitCode.UNREACHABLE
-    assert DEAD_ADMIN in result.stderr
+    assert UNREACHABLE_ADMIN in result.stderr
     assert "--admin" in result.stderr
 
 
 @pytest.mark.parametrize(
-    ("status", "error", "exit_code", "said"),
+    ("status", "error", "exit_code", "expected_text"),
     [
         (409, {"code": "version_conflict", "message": "lost"}, ExitCode.CONFLICT, "in force instead"),
         (
@@ -86,21 +88,21 @@
         ),
     ],
 )
-def test_refusals_have_their_exit_codes_and_say_what_to_do(
-    configuration: str, status: int, error: dict[str, Any], exit_code: ExitCode, said: str
+def test_rejections_exit_with_their_codes_and_print_advice(
+    configuration: str, status: int, error: dict[str, Any], exit_code: ExitCode, expected_text: str
 ) -> None:
-    answer = (status, {"error": error, "winner": {"version": 3}})
-    with scripted_admin({"PATCH /v1/configuration?version=3": answer}) as admin:
+    response = (status, {"error": error, "winner": {"version": 3}})
+    with scripted_admin({"PATCH /v1/configuration?version=3": response}) as admin:
         arguments = ("config", "patch", configuration, "--version", "3", "--admin", admin.address)
         result = run(*arguments)
         assert result.exit_code == exit_code
-        assert said in result.stderr
-        as_json = run(*arguments, "--json")
-        assert as_json.exit_code == exit_code
-        assert json.loads(as_json.stdout)["error"]["code"] == error["code"]
+        assert expected_text in result.stderr
+        json_result = run(*arguments, "--json")
+        assert json_result.exit_code == exit_code
+        assert json.loads(json_result.stdout)["error"]["code"] == error["code"]
 
 
-def test_validate_works_without_a_node_and_names_every_error(configuration: str, tmp_path: Path) -> None:
+def test_validate_reports_every_error_without_a_node(configuration: str, tmp_path: Path) -> None:
     assert run("config", "validate", configuration).exit_code == ExitCode.OK
     wrong = tmp_path / "wrong.json"
     wrong.write_text('{"services": {"text": {}}, "routes": {"chat": {"kind": "pony"}}}')
@@ -111,7 +113,7 @@
 
 
 @pytest.mark.parametrize("content", [None, "{", "\ufffe"])
-def test_unreadable_files_are_the_users_mistake_without_traceback(
+def test_unreadable_files_are_reported_as_invalid_input_without_a_traceback(
     content: str | None, tmp_path: Path
 ) -> None:
     file = tmp_path / "file.json"
@@ -123,20 +125,20 @@
     assert "Traceback" not in result.output
 
 
-def test_show_diff_and_history(configuration: str) -> None:
+def test_config_show_diff_and_history_print_what_the_node_returns(configuration: str) -> None:
     entry = {"version": 1, "order": "o-1", "issued_by": "ada", "revision": 4}
-    answers = {
+    responses = {
         "GET /v1/configuration": (200, {"version": 1, "revision": 4, "document": CONFIGURATION}),
         "GET /v1/configuration/history": (200, [entry]),
     }
-    with scripted_admin(answers) as admin:
-        at = ("--admin", admin.address)
-        assert json.loads(run("config", "show", *at).stdout) == CONFIGURATION
-        assert "no difference" in run("config", "diff", configuration, *at).stdout
-        assert "ada" in run("config", "history", *at).stdout
+    with scripted_admin(responses) as admin:
+        admin_option = ("--admin", admin.address)
+        assert json.loads(run("config", "show", *admin_option).stdout) == CONFIGURATION
+        assert "no difference" in run("config", "diff", configuration, *admin_option).stdout
+        assert "ada" in run("config", "history", *admin_option).stdout
 
 
-def test_a_made_key_is_shown_once_and_only_its_digest_is_sent() -> None:
+def test_generated_key_is_printed_and_only_its_digest_is_sent() -> None:
     with scripted_admin({"PUT /v1/keys/k1": ACCEPTED}) as admin:
         result = run("key", "put", "k1", "--tenant", "t1", "--admin", admin.address, "--json")
         key = json.loads(result.stdout)["key"]
@@ -145,24 +147,24 @@
         assert len(key) >= 43
 
 
-def test_tenant_and_key_orders_reach_their_paths() -> None:
-    answers = {
+def test_tenant_and_key_orders_are_sent_to_their_paths() -> None:
+    responses = {
         "PUT /v1/tenants/a%2Fb": ACCEPTED,
         "DELETE /v1/tenants/t1": ACCEPTED,
         "POST /v1/keys/k1/revoke": ACCEPTED,
     }
-    with scripted_admin(answers) as admin:
-        at = ("--admin", admin.address)
-        put = run("tenant", "put", "a/b", "--tokens-per-s", "10", "--burst-tokens", "20", *at)
+    with scripted_admin(responses) as admin:
+        admin_option = ("--admin", admin.address)
+        put = run("tenant", "put", "a/b", "--tokens-per-s", "10", "--burst-tokens", "20", *admin_option)
         assert put.exit_code == ExitCode.OK
         assert admin.requests[0].body == {"tokens_per_s": 10.0, "burst_tokens": 20.0, "weight": 1.0}
-        assert run("tenant", "remove", "t1", *at).exit_code == ExitCode.OK
-        assert run("key", "revoke", "k1", *at).exit_code == ExitCode.OK
+        assert run("tenant", "remove", "t1", *admin_option).exit_code == ExitCode.OK
+        assert run("key", "revoke", "k1", *admin_option).exit_code == ExitCode.OK
 
 
-@pytest.mark.parametrize(("command", "verb"), [("pause", "pause"), ("hold", "pause"), ("back", "abort")])
-def test_rollout_orders_and_their_aliases(command: str, verb: str) -> None:
-    with scripted_admin({f"POST /v1/rollouts/text/{verb}": ACCEPTED}) as admin:
+@pytest.mark.parametrize(("command", "action"), [("pause", "pause"), ("hold", "pause"), ("back", "abort")])
+def test_rollout_aliases_send_the_orders_of_their_commands(command: str, action: str) -> None:
+    with scripted_admin({f"POST /v1/rollouts/text/{action}": ACCEPTED}) as admin:
         assert run("rollout", command, "text", "--admin", admin.address).exit_code == ExitCode.OK
 
 
@@ -186,14 +188,14 @@
     return 200, {"record": record, "status": {"sent": 4, "prompts": 100}}
 
 
-@pytest.mark.parametrize(("end", "exit_code"), [("done", ExitCode.OK), ("aborted", ExitCode.FAILED)])
-def test_watch_ends_with_the_rollout(end: str, exit_code: ExitCode) -> None:
-    answers = {"GET /v1/rollouts/text": [rollout_status("canary"), rollout_status(end)]}
-    with scripted_admin(answers) as admin:
+@pytest.mark.parametrize(("final_phase", "exit_code"), [("done", ExitCode.OK), ("aborted", ExitCode.FAILED)])
+def test_watch_exits_when_the_rollout_ends(final_phase: str, exit_code: ExitCode) -> None:
+    responses = {"GET /v1/rollouts/text": [rollout_status("canary"), rollout_status(final_phase)]}
+    with scripted_admin(responses) as admin:
         result = run("rollout", "status", "text", "--watch", "--admin", admin.address)
         assert result.exit_code == exit_code
         assert "canary" in result.stdout
-        assert f"{end} weight 0.25" in result.stdout
+        assert f"{final_phase} weight 0.25" in result.stdout
         assert "sent 4 of 100 prompts" in result.stdout
 
 
@@ -209,11 +211,11 @@
         return {"at_s": at_s, "wall_time": 0.0, "status": status}
 
     samples = [sample(50.0, "canary", 0.04), sample(52.5, "aborted", 0.0)]
-    answers = {
+    responses = {
         "GET /v1/rollouts/text/history": (200, {"service": "text", "samples": samples}),
         "GET /v1/rollouts/none/history": (200, {"service": "none", "samples": []}),
     }
-    with scripted_admin(answers) as admin:
+    with scripted_admin(responses) as admin:
         out = tmp_path / "report"
         result = run("rollout", "report", "text", "--out", str(out), "--admin", admin.address)
         assert result.exit_code == ExitCode.OK, result.output
@@ -224,22 +226,22 @@
         assert empty.exit_code == ExitCode.FAILED
 
 
-def test_engine_controller_and_status_commands() -> None:
+def test_engine_and_controller_commands_succeed_and_warn_of_an_unknown_engine() -> None:
     record = {"engine": "e1", "service": "text", "version": "v1", "status": "ready", "address": "127.0.0.1:9"}
-    answers = {
+    responses = {
         "GET /v1/engines": (200, {"engines": [{"record": record, "load": None}]}),
         "POST /v1/engines/drain": (204, None),
         "POST /v1/controllers/transfer": ACCEPTED,
         "POST /v1/controllers/remove": ACCEPTED,
     }
-    with scripted_admin(answers) as admin:
-        at = ("--admin", admin.address)
-        assert "e1" in run("engine", "list", *at).stdout
-        assert run("engine", "drain", "e1", *at).exit_code == ExitCode.OK
-        assert run("controller", "transfer", *at).exit_code == ExitCode.OK
-        assert run("controller", "remove", "r1", *at).exit_code == ExitCode.OK
-        unknown = run("engine", "drain", "e2", *at)
-        assert (unknown.exit_code, "knows no engine e2" in unknown.stderr) == (ExitCode.OK, True)
+    with scripted_admin(responses) as admin:
+        admin_option = ("--admin", admin.address)
+        assert "e1" in run("engine", "list", *admin_option).stdout
+        assert run("engine", "drain", "e1", *admin_option).exit_code == ExitCode.OK
+        assert run("controller", "transfer", *admin_option).exit_code == ExitCode.OK
+        assert run("controller", "remove", "r1", *admin_option).exit_code == ExitCode.OK
+        unknown = run("engine", "drain", "e2", *admin_option)
+        assert (unknown.exit_code, "doesn't know the engine e2" in unknown.stderr) == (ExitCode.OK, True)
 
 
 def test_status_shows_the_node_its_peers_and_the_controllers() -> None:
@@ -261,20 +263,20 @@
         "replica_stopped": "corrupt log", "replica_action": "move it away",
     }  # fmt: skip
     with scripted_admin({"GET /v1/status": (200, document)}) as admin:
-        shown = run("status", "--admin", admin.address).stdout
+        output = run("status", "--admin", admin.address).stdout
         assert json.loads(run("status", "--admin", admin.address, "--json").stdout) == document
     for line in (
         "n1 in zone z1: not ready: cut off", "revision 5, configuration 2, term 3, leader n2", "hears 2 of 3",
         "4 ready", "3 running, 3 queued; so far 9 taken", "corrupt log", "do: move it away",
     ):  # fmt: skip
-        assert line in shown
-    rows = [line.split() for line in shown.splitlines()]
+        assert line in output
+    rows = [line.split() for line in output.splitlines()]
     assert ["n2", "z2", "alive", "no", "yes", "4", "127.0.0.1:7", "127.0.0.1:8"] in rows
     assert ["r1", "n1", "learner", "this", "node"] in rows
     assert ["r2", "n2", "voter", "leads"] in rows
 
 
-def test_templates_and_plans_are_readable() -> None:
+def test_templates_and_plans_are_printed_as_text() -> None:
     parameter = {"name": "by_s", "type": "duration", "default": 60.0, "minimum": 20.0, "maximum": None}
     step = {"start_s": 0.0, "end_s": 41.0, "weight": 0.04}
     preview = {
@@ -282,23 +284,23 @@
         "schedule": {"done_s": 57.0, "steps": [step]}, "prompts_per_s": 10.0, "worst_bad_prompts": 20,
         "expected_prompts": 570, "exposure_bound": 57, "warnings": ["too quiet"],
     }  # fmt: skip
-    answers = {
+    responses = {
         "GET /v1/templates": (200, [{"name": "standard", "parameters": [parameter]}]),
         "POST /v1/rollouts/preview": (200, preview),
     }
-    with scripted_admin(answers) as admin:
-        at = ("--admin", admin.address)
-        listed = run("rollout", "template", *at).stdout.splitlines()
+    with scripted_admin(responses) as admin:
+        admin_option = ("--admin", admin.address)
+        listed = run("rollout", "template", *admin_option).stdout.splitlines()
         assert listed[2].split() == ["by_s", "duration", "60", "20", "-"]
-        plan = run("rollout", "plan", "text", *at).stdout
+        plan = run("rollout", "plan", "text", *admin_option).stdout
         assert "text to v2 by template standard: done after 57 s of 60 s at 10.0 prompts/s" in plan
         assert ["0", "s", "41", "s", "4%"] in [line.split() for line in plan.splitlines()]
         assert "at most 20 prompts" in plan
         assert "warning: too quiet" in plan
-        assert json.loads(run("rollout", "plan", "text", *at, "--json").stdout) == preview
+        assert json.loads(run("rollout", "plan", "text", *admin_option, "--json").stdout) == preview
 
 
-def test_wrong_node_settings_are_all_named_with_exit_2() -> None:
+def test_invalid_node_settings_are_all_reported_with_exit_code_2() -> None:
     result = run("node", "--client-address", "here:1", "--node", "n 1")
     assert result.exit_code == ExitCode.INVALID
     for field in ("client_address", "node", "zone", "peer_address", "admin_address"):
@@ -306,32 +308,33 @@
     assert "Traceback" not in result.output
 
 
-def test_doctor_names_what_is_wrong_and_what_to_do(tmp_path: Path) -> None:
+def test_doctor_reports_failed_checks_with_remedies(tmp_path: Path) -> None:
     file = tmp_path / "node.toml"
     lines = [
         'node = "n1"', 'zone = "z1"', 'client_address = "127.0.0.1:1"', 'peer_address = "192.0.2.1:7001"',
-        f'admin_address = "{DEAD_ADMIN}"', f'seeds = ["{DEAD_ADMIN}"]', f'data_folder = "{tmp_path}"',
+        f'admin_address = "{UNREACHABLE_ADMIN}"', f'seeds = ["{UNREACHABLE_ADMIN}"]',
+        f'data_folder = "{tmp_path}"',
     ]  # fmt: skip
     file.write_text("\n".join(lines))
     result = run("doctor", "--settings", str(file), "--json")
     assert result.exit_code == ExitCode.FAILED
-    findings = {finding["check"]: finding for finding in json.loads(result.stdout)}
-    assert not findings["peer_address"]["well"]
-    assert not findings["seeds"]["well"]
-    assert findings["seeds"]["action"]
-    assert findings["disk sync"]["detail"].startswith("one synced write took")
+    results_by_check = {entry["check"]: entry for entry in json.loads(result.stdout)}
+    assert not results_by_check["peer_address"]["well"]
+    assert not results_by_check["seeds"]["well"]
+    assert results_by_check["seeds"]["action"]
+    assert results_by_check["disk sync"]["detail"].startswith("one synced write took")
     assert list(tmp_path.iterdir()) == [file]
     file.write_text("zone = 1")
     assert run("doctor", "--settings", str(file)).exit_code == ExitCode.INVALID
 
 
 def test_every_command_has_help_with_an_example() -> None:
-    def walk(command: Any, name: str) -> int:
-        inner = getattr(command, "commands", None)
-        if inner is not None:
-            return sum(walk(below, f"{name} {key}") for key, below in inner.items())
-        alias = (command.help or "").startswith("Alias of")
-        assert alias or "Example:" in (command.help or ""), name
+    def count_commands(command: Any, name: str) -> int:
+        subcommands = getattr(command, "commands", None)
+        if subcommands is not None:
+            return sum(count_commands(subcommand, f"{name} {key}") for key, subcommand in subcommands.items())
+        is_alias = (command.help or "").startswith("Alias of")
+        assert is_alias or "Example:" in (command.help or ""), name
         return 1
 
     group: Any = typer.main.get_command(application)
@@ -347,5 +350,5 @@
         "controller",
         "gateway",
     )
-    assert sum(walk(group.commands[name], name) for name in names) >= 36
+    assert sum(count_commands(group.commands[name], name) for name in names) >= 36
     assert "4 conflict" in run("config", "--help").stdout
--- a/tests/unit/cli/test_gateway.py
+++ b/tests/unit/cli/test_gateway.py
@@ -10,7 +10,7 @@
 
 from springmux.cli import client, gateway
 from springmux.cli.exit_codes import ExitCode
-from tests.unit.cli.support import DEAD_ADMIN, run, scripted_admin
+from tests.unit.cli.support import UNREACHABLE_ADMIN, run, scripted_admin
 
 CONFIGURATION = {
     "version": 4,
@@ -38,16 +38,16 @@
 
 @pytest.fixture
 def file(tmp_path: Path) -> Path:
-    written = tmp_path / "gateway.json"
-    written.write_text(json.dumps(CONFIGURATION))
-    return written
+    path = tmp_path / "gateway.json"
+    path.write_text(json.dumps(CONFIGURATION))
+    return path
 
 
-def test_status_says_why_a_node_is_not_ready_and_what_it_knows() -> None:
-    """Given a node that still fetches engines, the page names the reason and the node's figures."""
+def test_status_prints_why_a_node_is_not_ready_and_its_state() -> None:
+    """The status of a node that still fetches engines contains the reason and the node's state."""
     with scripted_admin({"GET /v1/gateway/status": (200, STATUS)}) as node:
         shown = run("gateway", "status", "--control", node.address)
-        as_json = run("gateway", "status", "--control", node.address, "--json")
+        json_result = run("gateway", "status", "--control", node.address, "--json")
     assert shown.exit_code == ExitCode.OK
     for line in (
         "n1 in zone z1: not ready: fetching the directory of engines",
@@ -60,16 +60,16 @@
     assert ["pages", "p1", "ready", "4"] in rows
     assert ["pages", "p1", "lost", "1"] in rows
     assert ["pages", "p2", "running"] in rows
-    assert json.loads(as_json.stdout) == STATUS
+    assert json.loads(json_result.stdout) == STATUS
 
 
-def test_status_of_a_node_that_knows_nothing_yet() -> None:
-    """Given no configuration, leader or engine and a stopped replica, the page says each."""
-    nothing = {
+def test_status_of_a_node_without_configuration_leader_or_engines() -> None:
+    """Without configuration, leader and engines and with a stopped replica, the status reports each fact."""
+    empty_status = {
         **STATUS, "configuration_version": 0, "leader": None, "engines": [], "rollouts": [],
         "replica_stopped": "corrupt log",
     }  # fmt: skip
-    with scripted_admin({"GET /v1/gateway/status": (200, nothing)}) as node:
+    with scripted_admin({"GET /v1/gateway/status": (200, empty_status)}) as node:
         shown = run("gateway", "status", "--control", node.address).stdout
     for text in (
         "configuration none known",
@@ -80,20 +80,20 @@
         assert text in shown
 
 
-def test_the_configuration_in_force_is_printed_whole() -> None:
+def test_configuration_in_force_is_printed_completely() -> None:
     with scripted_admin({"GET /v1/gateway/configuration": (200, CONFIGURATION)}) as node:
         result = run("gateway", "configuration", "--control", node.address)
     assert json.loads(result.stdout) == CONFIGURATION
 
 
-def test_a_put_sends_the_files_bytes_with_the_version_it_builds_on(file: Path) -> None:
-    """Given a first node that hangs up, the next one gets the same bytes under the same version."""
+def test_put_sends_the_file_unchanged_with_its_base_version(file: Path) -> None:
+    """If the first node closes the connection, the next one gets the same bytes and base version."""
     with (
         scripted_admin({"PUT /v1/gateway/configuration": None}) as unresponsive,
         scripted_admin({"PUT /v1/gateway/configuration": (200, {})}) as good,
     ):
-        at = ("--control", unresponsive.address, "--control", good.address)
-        result = run("gateway", "put", str(file), "--builds-on", "3", *at)
+        control_options = ("--control", unresponsive.address, "--control", good.address)
+        result = run("gateway", "put", str(file), "--builds-on", "3", *control_options)
         assert result.exit_code == ExitCode.OK, result.output
         assert "on top of version 3: accepted" in result.stdout
         (first,), (second,) = unresponsive.requests, good.requests
@@ -102,7 +102,7 @@
 
 
 @pytest.mark.parametrize(
-    ("status", "document", "exit_code", "said"),
+    ("status", "document", "exit_code", "expected_texts"),
     [
         (
             412,
@@ -125,33 +125,33 @@
         (500, None, ExitCode.FAILED, ["status 500"]),
     ],
 )
-def test_refusals_say_what_was_wrong_and_what_to_do(
-    file: Path, status: int, document: Any, exit_code: ExitCode, said: list[str]
+def test_rejections_print_the_error_and_advice(
+    file: Path, status: int, document: Any, exit_code: ExitCode, expected_texts: list[str]
 ) -> None:
     with scripted_admin({"PUT /v1/gateway/configuration": (status, document)}) as node:
         result = run("gateway", "put", str(file), "--builds-on", "3", "--control", node.address)
     assert result.exit_code == exit_code
     assert "Traceback" not in result.output
-    for text in said:
+    for text in expected_texts:
         assert text in result.stderr
 
 
-def test_validate_works_without_a_node_and_names_the_error_of_each_item(file: Path, tmp_path: Path) -> None:
+def test_validate_reports_the_error_of_each_item_without_a_node(file: Path, tmp_path: Path) -> None:
     assert run("gateway", "validate", str(file)).exit_code == ExitCode.OK
     wrong = tmp_path / "wrong.json"
     route = CONFIGURATION["routes"][0]  # type: ignore[index]
     routes = [{**route, "kind": "pony"}, {**route, "name": "other", "timeout_ms": 0}]
     wrong.write_text(json.dumps({**CONFIGURATION, "routes": routes}))
     result = run("gateway", "validate", str(wrong))
-    as_json = run("gateway", "validate", str(wrong), "--json")
-    assert result.exit_code == as_json.exit_code == ExitCode.INVALID
-    paths = [error["path"] for error in json.loads(as_json.stdout)["errors"]]
+    json_result = run("gateway", "validate", str(wrong), "--json")
+    assert result.exit_code == json_result.exit_code == ExitCode.INVALID
+    paths = [error["path"] for error in json.loads(json_result.stdout)["errors"]]
     assert paths == ["routes.pages.kind", "routes.other.timeout_ms"]
     assert all(path in result.stderr for path in paths)
 
 
 @pytest.mark.parametrize("content", [None, "{", "\ufffe"])
-def test_unreadable_files_are_the_users_mistake_without_traceback(
+def test_unreadable_files_are_reported_as_invalid_input_without_a_traceback(
     content: str | None, tmp_path: Path
 ) -> None:
     unreadable = tmp_path / "file.json"
@@ -163,35 +163,35 @@
     assert "Traceback" not in result.output
 
 
-def test_a_rollout_is_ordered_and_watched_to_its_end() -> None:
+def test_rollout_is_started_and_watched_until_it_ends() -> None:
     def state(name: str) -> tuple[int, Any]:
         return 200, {"state": name, "candidate": "p2"}
 
-    answers = {
+    responses = {
         "POST /v1/gateway/rollouts": (200, {}),
         "GET /v1/gateway/rollouts/pages": [state("running"), state("aborted")],
     }
-    with scripted_admin(answers) as node:
-        at = ("--control", node.address)
-        begun = run("gateway", "promote", "pages", "--candidate", "p2", "--by-s", "60", *at)
-        assert begun.exit_code == ExitCode.OK
+    with scripted_admin(responses) as node:
+        control_options = ("--control", node.address)
+        promoted = run("gateway", "promote", "pages", "--candidate", "p2", "--by-s", "60", *control_options)
+        assert promoted.exit_code == ExitCode.OK
         assert node.requests[0].body == {"service": "pages", "candidate": "p2", "by_s": 60.0}
-        watched = run("gateway", "rollout", "pages", "--watch", *at)
+        watched = run("gateway", "rollout", "pages", "--watch", *control_options)
     assert watched.exit_code == ExitCode.FAILED
     assert watched.stdout.splitlines() == ["pages: running, candidate p2", "pages: aborted, candidate p2"]
 
 
-def test_a_rollout_that_is_not_there() -> None:
-    answer = (404, {"code": "not_found", "message": "there is no rollout of 'pages'"})
-    with scripted_admin({"GET /v1/gateway/rollouts/pages": answer}) as node:
+def test_watching_a_missing_rollout_fails() -> None:
+    response = (404, {"code": "not_found", "message": "there is no rollout of 'pages'"})
+    with scripted_admin({"GET /v1/gateway/rollouts/pages": response}) as node:
         result = run("gateway", "rollout", "pages", "--watch", "--control", node.address)
     assert result.exit_code == ExitCode.FAILED
     assert "there is no rollout of 'pages'" in result.stderr
 
 
 @pytest.mark.parametrize("document", [None, [], {"hello": "world"}])
-def test_a_server_that_is_no_control_listener_is_said_to_be_none(file: Path, document: Any) -> None:
-    """Given answers of another server, no command takes them for a node's, and none ends with a traceback."""
+def test_server_that_is_not_a_control_listener_is_reported(file: Path, document: Any) -> None:
+    """No command accepts a response of another kind of server, and none ends with a traceback."""
     commands = (
         (("status",), "GET /v1/gateway/status"),
         (("configuration",), "GET /v1/gateway/configuration"),
@@ -200,25 +200,25 @@
         (("promote", "pages", "--candidate", "p2", "--by-s", "9"), "POST /v1/gateway/rollouts"),
     )
     with scripted_admin({request: (200, document) for _, request in commands}) as server:
-        for words, request in commands:
+        for arguments, request in commands:
             if isinstance(document, dict) and not request.startswith("GET"):
-                continue  # the answer of a taken order has no member that it must have
-            result = run("gateway", *words, "--control", server.address)
-            assert result.exit_code == ExitCode.FAILED, words
-            assert f"what answers at {server.address} is no gateway's control listener" in result.stderr
+                continue  # the response to an accepted order has no required member
+            result = run("gateway", *arguments, "--control", server.address)
+            assert result.exit_code == ExitCode.FAILED, arguments
+            assert f"the server at {server.address} is not a gateway's control listener" in result.stderr
             assert isinstance(result.exception, SystemExit)
 
 
 @pytest.mark.parametrize("address", ["a b:1", "http://127.0.0.1:1", "127.0.0.1", "127.0.0.1:x"])
-def test_a_wrong_address_is_the_users_mistake_without_traceback(address: str) -> None:
+def test_malformed_address_is_reported_without_a_traceback(address: str) -> None:
     result = run("gateway", "status", "--control", address)
     assert result.exit_code == ExitCode.UNREACHABLE
     assert address in result.stderr
 
 
-def test_no_node_reachable_names_the_option() -> None:
-    result = run("gateway", "status", "--control", DEAD_ADMIN)
+def test_unreachable_node_is_reported_with_the_option_to_set() -> None:
+    result = run("gateway", "status", "--control", UNREACHABLE_ADMIN)
     assert result.exit_code == ExitCode.UNREACHABLE
-    assert DEAD_ADMIN in result.stderr
+    assert UNREACHABLE_ADMIN in result.stderr
     assert "--control" in result.stderr
     assert run("gateway", "status").exit_code == ExitCode.INVALID
