--- a/src/springmux/fleet/layout.py
+++ b/src/springmux/fleet/layout.py
@@ -17,18 +17,18 @@
 PORTS = range(10_000, 32_000)
 """Below 32768, the start of Linux's range for outgoing connections (``ip_local_port_range``)."""
 SEED_COUNT = 3
-"""Number of nodes whose peer addresses every node gets as seeds."""
+"""Number of controllers whose peer addresses are the seeds of every node."""
 
 _allocated_ports: set[int] = set()
 """Ports that :func:`free_ports` returned in this process."""
 
 
 class FleetError(SpringmuxError):
-    """The fleet can't be started or addressed; the message names the remedy."""
+    """The fleet can't be started or controlled; the message says what to do."""
 
 
 class NodeLayout(msgspec.Struct, kw_only=True):
-    """One node of the fleet. ``pid`` is 0 while it doesn't run."""
+    """One node of the fleet. ``pid`` is 0 while the node isn't running."""
 
     node: str
     zone: str
@@ -52,7 +52,7 @@
     def find(self, node: str) -> NodeLayout:
         """Return the node's layout.
 
-        :raises FleetError: if there is no node of that name.
+        :raises FleetError: if the fleet has no node with this name.
         """
         for layout in self.nodes:
             if layout.node == node:
@@ -71,7 +71,7 @@
 def load_layout(folder: Path) -> FleetLayout:
     """Read the layout file in ``folder``.
 
-    :raises FleetError: if there is none.
+    :raises FleetError: if the folder has no layout file.
     """
     try:
         return msgspec.json.decode((folder / LAYOUT_FILE).read_bytes(), type=FleetLayout)
@@ -81,12 +81,12 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Return loopback ports that nothing listens on now and that were not returned before in this process.
+    """Return loopback ports that are unused now and that this process has not allocated before.
 
-    They lie below the range of outgoing connections, so that none of these occupies a process's port
-    while the process is down.
+    They lie below the range of outgoing connections, so that no outgoing connection occupies a node's
+    port while the node is down.
 
-    :raises FleetError: if too few are free.
+    :raises FleetError: if fewer than ``count`` ports are free.
     """
     ports: list[int] = []
     for port in random.sample(PORTS, len(PORTS)):
--- a/src/springmux/fleet/supervisor.py
+++ b/src/springmux/fleet/supervisor.py
@@ -15,7 +15,7 @@
 from springmux.fleet.layout import FleetError, FleetLayout, NodeLayout
 
 EXEC_TIMEOUT_S = 1.0
-"""How long a new process may have no command line yet on a busy machine (between fork and exec)."""
+"""Time allowed on a busy machine for a new process to get its command line (between fork and exec)."""
 EXEC_POLL_S = 0.005
 STOP_GRACE_S = 15.0
 POLL_S = 0.05
@@ -27,7 +27,7 @@
 
 
 class Supervisor:
-    """Owns the processes of one fleet. Also works on a fleet that another shell started (by process id).
+    """Controls the processes of one fleet, including those that another shell started (by process id).
 
     :param command: returns a node's command line, which must contain the settings file's name.
     """
@@ -46,7 +46,7 @@
                 self.start(node.node)
 
     def start(self, node: str) -> None:
-        """Start one node, without waiting for its readiness.
+        """Start one node without waiting until it is ready.
 
         :raises FleetError: if it is running.
         """
@@ -62,7 +62,7 @@
         self.layout.save()
 
     def running(self, node: str) -> bool:
-        """Return whether the node's process exists (a frozen one does)."""
+        """Return whether the node's process exists; a frozen process does."""
         layout = self.layout.find(node)
         process = self._processes.get(node)
         if process is not None:
@@ -75,18 +75,18 @@
         :raises FleetError: if it isn't running.
         """
         self._signal(node, signal.SIGKILL)
-        self._reap(node, STOP_GRACE_S)
+        self._wait_for_exit(node, STOP_GRACE_S)
 
     def kill_all(self) -> None:
-        """Kill every node at once, as a power failure does."""
+        """Kill all nodes at the same time, as a power failure does."""
         running = [node.node for node in self.layout.nodes if self.running(node.node)]
         for node in running:
             self._signal_if_running(node, signal.SIGKILL)
         for node in running:
-            self._reap(node, STOP_GRACE_S)
+            self._wait_for_exit(node, STOP_GRACE_S)
 
     def freeze(self, node: str) -> None:
-        """Suspend a node's process (SIGSTOP); its connections stay.
+        """Suspend a node's process (SIGSTOP); its connections stay open.
 
         :raises FleetError: if it isn't running.
         """
@@ -100,18 +100,20 @@
         self._signal(node, signal.SIGCONT)
 
     def stop(self, node: str, grace_s: float = STOP_GRACE_S) -> bool:
-        """Stop a node (SIGTERM), and kill it after ``grace_s``. Return whether it stopped by itself.
+        """Stop a node (SIGTERM); if it still runs after ``grace_s`` seconds, kill it.
+
+        Return whether the node ended without being killed.
 
         :raises FleetError: if it isn't running.
         """
         self._signal(node, signal.SIGTERM)
-        if self._reap(node, grace_s):
+        if self._wait_for_exit(node, grace_s):
             return True
         self.kill(node)
         return False
 
     def restart(self, node: str, orderly: bool = True) -> None:
-        """Stop (or kill) a node and start it again."""
+        """Stop a node, or kill it if not ``orderly``, and start it again."""
         if self.running(node):
             if orderly:
                 self.stop(node)
@@ -138,9 +140,9 @@
             self._signal_if_running(node, signal.SIGTERM)
         deadline = time.monotonic() + STOP_GRACE_S
         for node in running:
-            if not self._reap(node, max(0.0, deadline - time.monotonic())):
+            if not self._wait_for_exit(node, max(0.0, deadline - time.monotonic())):
                 self._signal_if_running(node, signal.SIGKILL)
-                self._reap(node, STOP_GRACE_S)
+                self._wait_for_exit(node, STOP_GRACE_S)
 
     def _signal(self, node: str, number: signal.Signals) -> None:
         if not self.running(node):
@@ -148,12 +150,12 @@
         self._signal_if_running(node, number)
 
     def _signal_if_running(self, node: str, number: signal.Signals) -> None:
-        """Signal a node unless it has ended, perhaps just now (Ctrl-C reaches every process at once)."""
+        """Signal a node unless its process has ended, perhaps just now: Ctrl-C signals all processes."""
         if self.running(node):
             with contextlib.suppress(ProcessLookupError):
                 os.kill(self.layout.find(node).pid, number)
 
-    def _reap(self, node: str, within_s: float) -> bool:
+    def _wait_for_exit(self, node: str, within_s: float) -> bool:
         layout = self.layout.find(node)
         deadline = time.monotonic() + within_s
         while self.running(node):
@@ -167,9 +169,9 @@
 
 
 def _is_process_of(layout: NodeLayout) -> bool:
-    """Check by its command line that the process id still belongs to this node.
+    """Return whether the process id still belongs to this node, according to its command line.
 
-    A new process has an empty one until it executes its program.
+    The command line of a new process is empty until the process executes its program.
     """
     deadline = time.monotonic() + EXEC_TIMEOUT_S
     while True:
--- a/tests/unit/fleet/test_layout.py
+++ b/tests/unit/fleet/test_layout.py
@@ -1,4 +1,4 @@
-"""A fleet's layout: files that the daemon takes as settings, and errors that say what to do."""
+"""A fleet's layout: settings files that the daemon accepts, and errors that say what to do."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 ]
 
 
-def test_the_daemon_takes_the_settings_files(tmp_path: Path) -> None:
+def test_daemon_accepts_the_generated_settings_files(tmp_path: Path) -> None:
     layout = lay_out(tmp_path, PLACES, FleetOptions(controllers_expected=1, fault_injection=True))
     controller, router = (load_settings(Path(node.settings_file), {}) for node in layout.nodes)
     assert (controller.node, controller.zone, controller.fault_injection) == ("north-1", "north", True)
@@ -23,7 +23,7 @@
     assert (router.data_folder, router.seeds) == (None, (controller.peer_address,))
 
 
-def test_addresses_are_distinct_and_the_layout_survives_the_disk(tmp_path: Path) -> None:
+def test_addresses_are_distinct_and_a_saved_layout_loads_unchanged(tmp_path: Path) -> None:
     layout = lay_out(tmp_path, PLACES, FleetOptions())
     addresses = [
         address
@@ -34,16 +34,16 @@
     assert load_layout(tmp_path) == layout
 
 
-def test_a_fleet_without_a_controller_is_refused(tmp_path: Path) -> None:
+def test_fleet_without_a_controller_is_rejected(tmp_path: Path) -> None:
     with pytest.raises(FleetError, match="at least one controller"):
         lay_out(tmp_path, [PLACES[1]], FleetOptions())
 
 
-def test_a_missing_fleet_says_how_to_start_one(tmp_path: Path) -> None:
+def test_error_for_a_missing_fleet_names_the_command_that_starts_one(tmp_path: Path) -> None:
     with pytest.raises(FleetError, match="springmux fleet up"):
         load_layout(tmp_path)
 
 
-def test_an_unknown_node_names_the_known_ones(tmp_path: Path) -> None:
+def test_error_for_an_unknown_node_lists_the_known_nodes(tmp_path: Path) -> None:
     with pytest.raises(FleetError, match="north-1, north-2"):
         lay_out(tmp_path, PLACES, FleetOptions()).find("east-1")
--- a/tests/unit/fleet/test_supervisor.py
+++ b/tests/unit/fleet/test_supervisor.py
@@ -1,4 +1,4 @@
-"""The supervisor over a trivial process in place of the daemon."""
+"""The supervisor with a trivial process in place of the daemon."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 from springmux.fleet.supervisor import Supervisor
 
 NODES = ("a", "b")
-WAITS = "import signal; signal.pause()"
+WAIT_FOR_SIGNAL = "import signal; signal.pause()"
 
 
-def trivial(layout: NodeLayout) -> list[str]:
-    """Wait for a signal; the settings file's name marks the process as this node's."""
-    return [sys.executable, "-c", WAITS, layout.settings_file]
+def trivial_command(layout: NodeLayout) -> list[str]:
+    """Return a command that waits for a signal; the settings file's name marks the process as this node's."""
+    return [sys.executable, "-c", WAIT_FOR_SIGNAL, layout.settings_file]
 
 
 @pytest.fixture
 def supervisor(tmp_path: Path) -> Iterator[Supervisor]:
     places = [NodePlace(node=node, zone="z", controller=True) for node in NODES]
-    made = Supervisor(lay_out(tmp_path, places, FleetOptions()), trivial)
-    yield made
-    made.stop_all()
+    created_supervisor = Supervisor(lay_out(tmp_path, places, FleetOptions()), trivial_command)
+    yield created_supervisor
+    created_supervisor.stop_all()
 
 
 def test_start_and_stop_all(supervisor: Supervisor) -> None:
@@ -58,7 +58,7 @@
     assert [supervisor.running(node) for node in NODES] == [False, False]
 
 
-def test_a_frozen_node_runs_still_and_stops_in_order(supervisor: Supervisor) -> None:
+def test_frozen_node_counts_as_running_and_can_be_stopped(supervisor: Supervisor) -> None:
     supervisor.start("a")
     supervisor.freeze("a")
     assert supervisor.running("a")
@@ -66,42 +66,42 @@
     assert not supervisor.running("a")
 
 
-def test_a_node_that_ends_by_itself_does_not_keep_the_others_from_ending(
+def test_stop_all_stops_the_other_nodes_when_one_has_just_ended(
     supervisor: Supervisor, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     supervisor.start_all()
-    really_running = supervisor.running
-    answers = iter([True, True])
+    unpatched_running = supervisor.running
+    reported_states = iter([True, True])
 
     def running(node: str) -> bool:
-        """Say at first that both run, though ``a`` has just ended."""
-        return next(answers, None) or really_running(node)
+        """Report both nodes as running at first, although ``a`` has just ended."""
+        return next(reported_states, None) or unpatched_running(node)
 
     supervisor.kill("a")
     monkeypatch.setattr(supervisor, "running", running)
     supervisor.stop_all()
-    assert not really_running("b")
+    assert not unpatched_running("b")
 
 
 def test_another_supervisor_finds_the_processes_by_the_layout_file(supervisor: Supervisor) -> None:
     supervisor.start("a")
-    other = Supervisor(load_layout(Path(supervisor.layout.folder)), trivial)
+    other = Supervisor(load_layout(Path(supervisor.layout.folder)), trivial_command)
     assert (other.running("a"), other.running("b")) == (True, False)
 
 
-def test_a_process_id_that_went_to_another_program_is_not_ours(supervisor: Supervisor) -> None:
+def test_process_id_of_another_program_does_not_count_as_the_node(supervisor: Supervisor) -> None:
     supervisor.start("a")
     layout = load_layout(Path(supervisor.layout.folder))
     layout.find("b").pid = layout.find("a").pid
-    assert not Supervisor(layout, trivial).running("b")
+    assert not Supervisor(layout, trivial_command).running("b")
 
 
-def test_a_node_that_does_not_run_takes_no_signal(supervisor: Supervisor) -> None:
+def test_signal_to_a_stopped_node_is_rejected(supervisor: Supervisor) -> None:
     with pytest.raises(FleetError, match="doesn't run"):
         supervisor.freeze("a")
 
 
-def test_only_a_stopped_node_is_wiped(supervisor: Supervisor) -> None:
+def test_data_is_wiped_only_while_the_node_is_stopped(supervisor: Supervisor) -> None:
     data = Path(supervisor.layout.find("a").data_folder)
     data.mkdir(parents=True)
     supervisor.start("a")
@@ -112,18 +112,18 @@
     assert not data.exists()
 
 
-def test_a_process_that_is_just_becoming_its_program_is_waited_for(
+def test_process_without_a_command_line_yet_is_waited_for(
     supervisor: Supervisor, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Between its start and the new program's first instruction its command line is empty."""
+    """The command line of a new process is empty until the new program's first instruction."""
     supervisor.start("a")
-    other = Supervisor(load_layout(Path(supervisor.layout.folder)), trivial)
+    other = Supervisor(load_layout(Path(supervisor.layout.folder)), trivial_command)
     read_bytes = Path.read_bytes
     empty = iter([b"", b""])
 
-    def early(path: Path) -> bytes:
+    def read_empty_command_line_first(path: Path) -> bytes:
         first = next(empty, None) if path.name == "cmdline" else None
         return read_bytes(path) if first is None else first
 
-    monkeypatch.setattr(Path, "read_bytes", early)
+    monkeypatch.setattr(Path, "read_bytes", read_empty_command_line_first)
     assert other.running("a")
