--- a/examples/embedding/local_cluster.py
+++ b/examples/embedding/local_cluster.py
@@ -1,4 +1,4 @@
-"""The example's driver: members in one process, a queue for a network, virtual time, disks in memory.
+"""The example's driver: members in one process, a queue as the network, virtual time, in-memory disks.
 
 A real program replaces it with sockets, a monotonic clock and a thread for the disk; ``member.py`` stays as
 it is.
@@ -26,22 +26,22 @@
 
 
 class NoLeaderError(ClusterError):
-    """No member leads."""
+    """No member is the leader."""
 
     def __init__(self) -> None:
-        super().__init__("no member leads")
+        super().__init__("no member is the leader")
 
 
 class TimeLimitExceededError(ClusterError):
     """A condition was not met within ``limit_s`` of virtual time."""
 
     def __init__(self, limit_s: float) -> None:
-        super().__init__(f"not within {limit_s} s of virtual time")
+        super().__init__(f"condition not met within {limit_s} s of virtual time")
         self.limit_s = limit_s
 
 
 class CommandDroppedError(ClusterError):
-    """The leader dropped a command, for ``reason``; it may be committed all the same."""
+    """The leader dropped a command because of ``reason``; the command may still be committed."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
@@ -49,7 +49,7 @@
 
 
 class LocalCluster(Driver):
-    """Run members under a virtual clock; the same ``seed`` gives the same run."""
+    """Runs members with a virtual clock; the same ``seed`` gives the same run."""
 
     def __init__(self, seed: int, names: tuple[str, ...]) -> None:
         self.now = 0.0
@@ -68,7 +68,7 @@
     # Machines
 
     def start(self, node: NodeId) -> None:
-        """Start a member on its disk."""
+        """Start a member with the contents of its disk."""
         seed_addresses = tuple(self._addresses.values())
         seed = self._random.getrandbits(32)
         self.members[node] = Member(
@@ -77,7 +77,7 @@
         self._deliver(node, Tick())
 
     def power_cut(self, node: NodeId) -> None:
-        """Stop a member at once; its disk keeps what was synced."""
+        """Stop a member without warning; its disk keeps only synced data."""
         del self.members[node]
         self._tick_due.pop(node, None)
         self._disks[node].power_cut(self._random)
@@ -115,7 +115,7 @@
             raise CommandDroppedError(leader.dropped[correlation_id].reason)
 
     def run_until(self, condition: Callable[[], bool], limit_s: float) -> None:
-        """Run the queue until ``condition`` holds.
+        """Run queued actions until ``condition`` holds.
 
         :raises TimeLimitExceededError: if it doesn't within ``limit_s`` of virtual time.
         """
@@ -139,7 +139,7 @@
                 self.send(source, node, message)
 
     def deliver_after_write(self, node: NodeId, event: Event) -> None:
-        """Deliver ``event`` after the time of a sync, unless the member was stopped meanwhile."""
+        """Deliver ``event`` after the duration of a sync, unless the member was stopped in the meantime."""
         writer = self.members.get(node)
 
         def deliver() -> None:
--- a/examples/embedding/member.py
+++ b/examples/embedding/member.py
@@ -1,7 +1,7 @@
 """One member of the example: a replicated map of texts over springmux's consensus and membership.
 
 It does what every embedding program has to do: dispatch each event to the component that handles it, and
-execute the effects that are returned. Network and clock belong to the driver (``local_cluster.py``).
+execute the effects that the component returns. Network and clock belong to the driver (``local_cluster.py``).
 """
 
 from __future__ import annotations
@@ -40,11 +40,11 @@
 FOLDER = "replica"
 """Folder of the replica on the member's disk."""
 RESERVE_BYTES = 64 * 1024
-"""Disk space that the store allocates ahead, to go on when the disk is full; ample for a few entries."""
+"""Disk space that the store reserves to continue when the disk is full; ample for a few entries."""
 
 
 class ReplicaStoppedError(Exception):
-    """The replica of ``node`` can't go on, for ``reason``."""
+    """The replica of ``node`` stopped because of ``reason``."""
 
     def __init__(self, node: NodeId, reason: str) -> None:
         super().__init__(f"{node}: {reason}")
@@ -60,7 +60,7 @@
 
 
 class Driver(Protocol):
-    """What a member needs from the program around it: a network and a queue for finished writes."""
+    """The network and the queue of completed writes, which the embedding program provides."""
 
     def send(self, source: NodeId, to: NodeId, message: PeerMessage) -> None:
         """Send a message to a node; it may be lost."""
@@ -69,7 +69,7 @@
         """Send a message to an address whose node isn't known yet; it may be lost."""
 
     def deliver_after_write(self, node: NodeId, event: Event) -> None:
-        """Give ``event`` to the member once its write has ended; never from within its ``handle``."""
+        """Deliver ``event`` to the member after its write has completed, never from within its ``handle``."""
 
 
 class Member:
@@ -87,20 +87,22 @@
         seed: int,
         driver: Driver,
     ) -> None:
-        seeds = random.Random(seed)
+        seed_generator = random.Random(seed)
         self.node = node
         self.texts: dict[str, str] = {}
         self.committed: set[str] = set()
         self.dropped: dict[str, raft.ProposalDropped] = {}
         self._driver = driver
-        self._store = ReplicaStore(disk, FOLDER, random.Random(seeds.random()), reserve_bytes=RESERVE_BYTES)
+        self._store = ReplicaStore(
+            disk, FOLDER, random.Random(seed_generator.random()), reserve_bytes=RESERVE_BYTES
+        )
         recovered = self._store.open()
         if recovered.snapshot is not None:
             self.texts = msgspec.msgpack.decode(recovered.snapshot_data, type=dict[str, str])
         record = NodeRecord(node, ZoneName("here"), address, address, address, replica=recovered.replica)
-        self._membership = Membership(record, seed_addresses, random.Random(seeds.random()))
-        self._contact = ContactMonitor(node, True, random.Random(seeds.random()))
-        self._replica = Replica(recovered, node, random.Random(seeds.random()))
+        self._membership = Membership(record, seed_addresses, random.Random(seed_generator.random()))
+        self._contact = ContactMonitor(node, True, random.Random(seed_generator.random()))
+        self._replica = Replica(recovered, node, random.Random(seed_generator.random()))
         self._components: tuple[StateMachine, ...] = (self._membership, self._contact, self._replica)
         self._component_by_message = self._route_messages()
         self._candidates = FoundingCandidates((), False)
@@ -111,7 +113,7 @@
         return self._replica.leading
 
     def next_deadline(self) -> float:
-        """Return the monotonic time at which a tick is due."""
+        """Return the monotonic time at which the next tick is due."""
         return min(component.next_deadline() for component in self._components)
 
     def handle(self, event: Event, now: float) -> None:
@@ -123,11 +125,11 @@
         elif isinstance(event, MessageReceived):
             self._dispatch(self._component_by_message[type(event.message)], event, now)
         else:
-            self._dispatch(self._replica, event, now)  # what its own writes and proposals lead to
+            self._dispatch(self._replica, event, now)  # results of the replica's writes, and proposals
         self._update_founding_candidates(now)
 
     def propose(self, correlation_id: str, command: PutText, now: float) -> None:
-        """Propose ``command``; ``correlation_id`` appears in ``committed`` or in ``dropped``."""
+        """Propose ``command``; ``correlation_id`` is later in ``committed`` or in ``dropped``."""
         self.handle(raft.Propose(correlation_id, msgspec.msgpack.encode(command)), now)
 
     def _route_messages(self) -> dict[type[PeerMessage], StateMachine]:
@@ -140,15 +142,15 @@
         return {message: component for component, messages in components.items() for message in messages}
 
     def _dispatch(self, component: StateMachine, event: Event, now: float) -> None:
-        """Have a component handle an event, and execute its effects in their order."""
+        """Pass an event to a component and execute the returned effects in order."""
         for effect in component.handle(event, now):
             self._execute(effect, now)
 
     def _update_founding_candidates(self, now: float) -> None:
-        """Give the replica the members that it may found a group with.
+        """Update the members with which the replica may found a group.
 
-        There are none until this node hears a majority of the known nodes: two sides of a network partition
-        must not found two groups.
+        There are none until this node is in contact with a majority of the known nodes, because the two sides
+        of a network partition must not found two groups.
         """
         members: tuple[GroupMember, ...] = ()
         if self._contact.connected(now):
--- a/examples/embedding/run.py
+++ b/examples/embedding/run.py
@@ -19,24 +19,26 @@
     lines: list[str] = []
     cluster = LocalCluster(SEED, NODE_NAMES)
 
-    first = cluster.await_leader()
-    lines.append(f"{cluster.now:5.2f} s  {first.node} leads")
+    first_leader = cluster.await_leader()
+    lines.append(f"{cluster.now:5.2f} s  {first_leader.node} leads")
     cluster.put("colour", "green")
     lines.append(f"{cluster.now:5.2f} s  colour is agreed on")
 
-    cluster.power_cut(first.node)
-    lines.append(f"{cluster.now:5.2f} s  {first.node} lost power")
-    second = cluster.await_leader()
-    lines.append(f"{cluster.now:5.2f} s  {second.node} leads")
+    cluster.power_cut(first_leader.node)
+    lines.append(f"{cluster.now:5.2f} s  {first_leader.node} lost power")
+    second_leader = cluster.await_leader()
+    lines.append(f"{cluster.now:5.2f} s  {second_leader.node} leads")
     cluster.put("size", "large")
-    lines.append(f"{cluster.now:5.2f} s  size is agreed on without {first.node}")
+    lines.append(f"{cluster.now:5.2f} s  size is agreed on without {first_leader.node}")
 
-    cluster.start(first.node)
+    cluster.start(first_leader.node)
     expected = {"colour": "green", "size": "large"}
     cluster.run_until(
         lambda: all(member.texts == expected for member in cluster.members.values()), CATCH_UP_LIMIT_S
     )
-    lines.append(f"{cluster.now:5.2f} s  {first.node} is back, all {len(cluster.members)} hold {expected}")
+    lines.append(
+        f"{cluster.now:5.2f} s  {first_leader.node} is back, all {len(cluster.members)} hold {expected}"
+    )
     return lines
 
 
