--- a/src/springmux/cli/configuration.py
+++ b/src/springmux/cli/configuration.py
@@ -73,7 +73,7 @@
     order_id: OrderIdOption = "",
     as_json: JsonOption = False,
 ) -> None:
-    """Replace the whole configuration.
+    """Replace the complete configuration.
 
     If two operators send the same version number, exactly one is accepted; the other exits with code 4.
 
--- a/src/springmux/cli/doctor.py
+++ b/src/springmux/cli/doctor.py
@@ -27,7 +27,7 @@
 SLOW_SYNC_S = 0.1
 """A leader whose disk needs longer for a synced write often transfers its leadership."""
 MIN_CLOCK_S = 1_700_000_000
-"""Unix time in seconds; an earlier wall-clock time means that the clock was never set."""
+"""Unix time (seconds since 1970); an earlier wall-clock time means that the clock was never set."""
 
 
 class CheckResult(msgspec.Struct, frozen=True):
--- a/src/springmux/cli/fleet.py
+++ b/src/springmux/cli/fleet.py
@@ -14,7 +14,7 @@
 from springmux.fleet.layout import FleetError, FleetOptions, NodePlace, lay_out, load_layout
 from springmux.fleet.supervisor import Supervisor
 
-application = typer.Typer(help="Run a whole fleet as processes on loopback.", no_args_is_help=True)
+application = typer.Typer(help="Run a complete fleet as processes on loopback.", no_args_is_help=True)
 
 FolderOption = Annotated[Path, typer.Option("--folder", help="Folder for settings, logs and data.")]
 DEFAULT_FOLDER = Path("var/fleet")
--- a/src/springmux/cli/gateway_losses.py
+++ b/src/springmux/cli/gateway_losses.py
@@ -1,4 +1,4 @@
-"""``springmux gateway losses``: late, refused and failed requests, computed from the nodes' logs."""
+"""``springmux gateway losses``: losses by late, refused and failed requests, computed from node logs."""
 
 from __future__ import annotations
 
--- a/src/springmux/cli/lab.py
+++ b/src/springmux/cli/lab.py
@@ -36,7 +36,7 @@
 RUN_CODES = "Exit codes: 0 no promise was broken, 1 one was broken or the run failed, 2 wrong usage."
 
 application = typer.Typer(
-    help="Run experiments on a whole fleet on loopback.", no_args_is_help=True, epilog=RUN_CODES
+    help="Run experiments on a complete fleet on loopback.", no_args_is_help=True, epilog=RUN_CODES
 )
 application.command()(bench)
 application.command()(explore)
--- a/src/springmux/cli/output.py
+++ b/src/springmux/cli/output.py
@@ -14,7 +14,7 @@
 
 
 def print_json(document: Any) -> None:
-    """Print a JSON document."""
+    """Print ``document`` as indented JSON with sorted keys."""
     typer.echo(json.dumps(document, indent=2, sort_keys=True))
 
 
@@ -27,7 +27,7 @@
 
 
 def print_table(headers: Sequence[str], rows: Sequence[Sequence[Any]]) -> None:
-    """Print aligned columns."""
+    """Print ``headers`` and ``rows`` as left-aligned columns."""
     lines = [[str(cell) for cell in row] for row in [headers, *rows]]
     widths = [max(len(line[column]) for line in lines) for column in range(len(headers))]
     for line in lines:
--- a/src/springmux/cli/reference.py
+++ b/src/springmux/cli/reference.py
@@ -35,7 +35,7 @@
 ERROR_PACKAGES = ("router", "control", "agent", "node")
 """Packages that send typed errors to clients."""
 EXCHANGE_MODULES = frozenset({"exchange.py", "progress.py", "reply.py"})
-"""Modules of the router in which an error's fate depends on what an engine was sent."""
+"""Modules of the router in which an error's fate depends on what was sent to an engine."""
 EXCHANGE_FUNCTIONS = frozenset({"_end_early", "_attempt_failed"})
 """Functions, in any module, for which the same holds."""
 BY_WHAT_WAS_SENT = "by what was sent"
--- a/src/springmux/cli/tenants.py
+++ b/src/springmux/cli/tenants.py
@@ -25,7 +25,7 @@
 """Random bytes of a generated key; its 256 bits can't be guessed."""
 
 tenant_application = typer.Typer(no_args_is_help=True, help="Tenants and their quotas.", epilog=EPILOG)
-key_application = typer.Typer(no_args_is_help=True, help="Callers' keys.", epilog=EPILOG)
+key_application = typer.Typer(no_args_is_help=True, help="Clients' keys.", epilog=EPILOG)
 
 
 @tenant_application.command("put")
--- a/tests/unit/cli/support.py
+++ b/tests/unit/cli/support.py
@@ -16,7 +16,7 @@
 from springmux.cli.main import application
 
 UNREACHABLE_ADMIN = "127.0.0.1:1"
-"""Address on loopback where nothing listens."""
+"""Port 1 of the loopback address, where nothing listens."""
 
 
 @dataclass
