--- a/src/springmux/cli/output.py
+++ b/src/springmux/cli/output.py
@@ -14,20 +14,20 @@
 
 
 def print_json(document: Any) -> None:
-    """Print a JSON document."""
+    """Print ``document`` as indented JSON with sorted keys."""
     typer.echo(json.dumps(document, indent=2, sort_keys=True))
 
 
-def print_document(document: Any, as_json: bool, print_page: Callable[[Any], None]) -> None:
-    """Print a document as JSON, or in its readable form by ``print_page``."""
+def print_document(document: Any, as_json: bool, print_text: Callable[[Any], None]) -> None:
+    """Print a document as JSON, or with ``print_text`` in human-readable form."""
     if as_json:
         print_json(document)
     else:
-        print_page(document)
+        print_text(document)
 
 
 def print_table(headers: Sequence[str], rows: Sequence[Sequence[Any]]) -> None:
-    """Print aligned columns."""
+    """Print ``headers`` and ``rows`` as left-aligned columns."""
     lines = [[str(cell) for cell in row] for row in [headers, *rows]]
     widths = [max(len(line[column]) for line in lines) for column in range(len(headers))]
     for line in lines:
@@ -37,7 +37,7 @@
 def print_validation(file: Path, errors: Sequence[FieldError], details: Sequence[str], as_json: bool) -> None:
     """Print whether a configuration file is valid; exit with :attr:`ExitCode.INVALID` if not.
 
-    :param details: the errors in their readable form.
+    :param details: the errors in human-readable form, one line each.
     """
     if as_json:
         entries = [{"path": error.path, "message": error.message} for error in errors]
