--- a/src/springmux/cli/lab.py
+++ b/src/springmux/cli/lab.py
@@ -92,7 +92,7 @@
     except ExperimentError as error:
         fail(str(error), ExitCode.INVALID)
     length_s = seconds or script.needed_seconds(slots, plan)
-    slots = [slot for slot in slots if slot.at_s + slot.scenario.lasts_s <= length_s]
+    slots = [slot for slot in slots if slot.at_s + slot.scenario.duration_s <= length_s]
     with _work_folder(keep) as folder:
         options = RunOptions(experiment=experiment, folder=folder, seconds=length_s, seed=seed)
         _run(options, script.RunScript(slots, length_s).play, script.surges(slots, plan), report)
@@ -109,7 +109,7 @@
         typer.echo(f"  {plan.name:<22} {plan.title}")
     typer.echo("Faults:")
     for scenario in FAULTS.values():
-        typer.echo(f"  {scenario.name:<22} {scenario.description} ({scenario.lasts_s:g} s)")
+        typer.echo(f"  {scenario.name:<22} {scenario.description} ({scenario.duration_s:g} s)")
 
 
 @application.command()
@@ -124,10 +124,10 @@
 @application.command()
 def callers(settings: SettingsOption) -> None:
     """Send an experiment's traffic and record every answer (a part of an experiment)."""
-    from springmux.lab.load.clients import load_callers_settings, run_callers
+    from springmux.lab.load.clients import load_client_settings, run_clients
 
-    loaded = _load_settings(settings, load_callers_settings)
-    asyncio.run(run_callers(loaded))
+    loaded = _load_settings(settings, load_client_settings)
+    asyncio.run(run_clients(loaded))
 
 
 def _load_settings(file: Path, load: Callable[[Path], Settings]) -> Settings:
--- a/src/springmux/lab/experiment/script.py
+++ b/src/springmux/lab/experiment/script.py
@@ -44,13 +44,13 @@
     at_s = WARM_UP_S
     for scenario in scenarios:
         slots.append(ScheduledFault(at_s, scenario))
-        at_s += scenario.lasts_s
+        at_s += scenario.duration_s
     return slots
 
 
 def needed_seconds(slots: Sequence[ScheduledFault], plan: ExperimentPlan) -> float:
     """Return a length of traffic that has room for all slots, a good and a bad rollout."""
-    faults_s = slots[-1].at_s + slots[-1].scenario.lasts_s if slots else 0.0
+    faults_s = slots[-1].at_s + slots[-1].scenario.duration_s if slots else 0.0
     rollouts_s = WARM_UP_S + 2 * (plan.rollout_by_s + TERM_MARGIN_S) + 2 * SETTLE_S
     return max(SHORTEST_RUN_S, faults_s, rollouts_s)
 
@@ -75,7 +75,7 @@
         for slot in self._slots:
             injector.slot_began_at_s = injector.records.began_at_s + slot.at_s
             await asyncio.sleep(max(0.0, injector.slot_began_at_s - time.monotonic()))
-            await run_step(injector, slot.scenario.name, slot.scenario.play(injector))
+            await run_step(injector, slot.scenario.name, slot.scenario.run(injector))
 
     async def _play_rollouts(self, injector: DeploymentFaultInjector) -> None:
         await asyncio.sleep(WARM_UP_S)
--- a/src/springmux/lab/faults/__init__.py
+++ b/src/springmux/lab/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Faults of an experiment: the catalogue and how they are injected."""
+"""Faults of an experiment: their catalogue, their scenarios and their injection."""
--- a/src/springmux/lab/faults/fault_injector.py
+++ b/src/springmux/lab/faults/fault_injector.py
@@ -1,4 +1,4 @@
-"""Injection of faults into a running deployment: processes, disks and back ends; each one recorded."""
+"""Injection of faults into the processes, disks and back ends of a running deployment, and their records."""
 
 from __future__ import annotations
 
@@ -19,20 +19,24 @@
 from springmux.node.admin.fault_endpoint import FAULTS_PATH
 from springmux.node.fault_injection import NodeFaults
 
-READY_AGAIN_S = 30.0
-"""Time for a restarted node to be ready, before its fault counts as not healed."""
-DRAIN_STAY_S = 3.0
-"""A little over the 2 s in which new requests may still come."""
+RESTART_READY_TIMEOUT_S = 30.0
+"""Time within which a restarted node must be ready; otherwise the scenario fails."""
+DRAIN_WAIT_S = 3.0
+"""Time from the acknowledgement of a drain to the engine's leave.
+
+Slightly longer than the 2 s in which new requests may still arrive.
+"""
 DRAIN_GRACE_S = 8.0
-"""Longer than the longest stream of the experiments (180 pieces of 22 ms)."""
+"""Time for running streams to finish: more than the longest of the experiments (180 chunks of 22 ms)."""
 INJECTION_TIMEOUT_S = 3.0
 POLL_S = 0.1
 
 
 class DeploymentFaultInjector:
-    """Injects faults into one deployment. ``source`` picks the targets; the same seed picks the same ones.
+    """Injects faults into one deployment.
 
-    :param progress: receives a progress line for people.
+    :param source: chooses the targets; the same seed chooses the same ones.
+    :param progress: receives human-readable progress lines.
     """
 
     def __init__(
@@ -44,7 +48,7 @@
         self.random = source
         self.progress = progress
         self.slot_began_at_s = 0.0
-        """When the slot of the present fault begins in the plan; surges of traffic keep to it."""
+        """Monotonic time at which the slot of the current fault begins by the plan, as does its surge."""
         self._supervisor = deployment.supervisor
         self._reserved_engines: set[str] = set()
 
@@ -55,7 +59,7 @@
         self.progress(f"{'begin' if began else 'end'} {fault} {target} {detail}".rstrip())
 
     def pick_node(self, controller: bool) -> NodeLayout:
-        """Return a running node that is, or is not, a controller."""
+        """Return a random running node that is a controller, or one that is not."""
         return self.random.choice(
             [
                 node
@@ -65,18 +69,18 @@
         )
 
     def pick_engine(self, kind: str) -> str:
-        """Return a back end of the kind that no other step of the script uses."""
+        """Return a random back end of the kind that no other step of the script has reserved."""
         names = [name for name, found in self.deployment.back_ends.items() if found.plan.kind == kind]
         return self.random.choice(sorted(set(names) - self._reserved_engines))
 
-    def idle_engines(self) -> list[str]:
-        """Return the engines of the rollout's service that no other step of the script uses."""
+    def unreserved_engines(self) -> list[str]:
+        """Return the engines of the rollout's service that no other step of the script has reserved."""
         service = self.deployment.plan.rollout_service
         names = [name for name, found in self.deployment.back_ends.items() if found.plan.service == service]
         return sorted(set(names) - self._reserved_engines)
 
     async def find_leader(self) -> NodeLayout:
-        """Return the leading controller, or any controller while there is none."""
+        """Return the leading controller, or a random running one if none reports that it leads."""
         for node in self.deployment.nodes:
             if node.controller:
                 state = await self.operators.status(AdminNode(node.node, node.admin_address))
@@ -93,7 +97,7 @@
         self.record_fault("kill", node.node, began=False)
 
     async def freeze(self, node: NodeLayout, for_s: float) -> None:
-        """Stop a node's process for ``for_s``."""
+        """Freeze a node's process for ``for_s``, then thaw it."""
         self.record_fault("freeze", node.node, began=True)
         self._supervisor.freeze(node.node)
         try:
@@ -123,7 +127,7 @@
     async def start(self, node: NodeLayout) -> None:
         """Start a node and wait until it is ready."""
         await asyncio.to_thread(self._supervisor.start, node.node)
-        await self.deployment.wait_ready([node.node], READY_AGAIN_S)
+        await self.deployment.wait_ready([node.node], RESTART_READY_TIMEOUT_S)
 
     async def inject(self, node: NodeLayout, fault: str, faults: NodeFaults, for_s: float) -> None:
         """Activate faults inside the node's daemon for ``for_s``."""
@@ -149,26 +153,26 @@
         """Crash a back end; restart it with an empty cache after ``down_s``."""
         with self._reserved(engine):
             self.record_fault("engine_crash", engine, began=True)
-            await self._order(BackEndAction.CRASH, engine)
+            await self._send_command(BackEndAction.CRASH, engine)
             await asyncio.sleep(down_s)
             await self.start_engine(engine)
             self.record_fault("engine_crash", engine, began=False)
 
     async def start_engine(self, engine: str) -> None:
-        """Start a back end again, with an empty cache."""
+        """Restart a back end with an empty cache."""
         back_end = self.deployment.back_ends[engine]
-        order = BackEndCommand(action=BackEndAction.START, engine=engine, back_end=back_end)
-        await self.deployment.command_back_end(order)
+        command = BackEndCommand(action=BackEndAction.START, engine=engine, back_end=back_end)
+        await self.deployment.command_back_end(command)
 
     async def hang_engine(self, engine: str, for_s: float) -> None:
-        """Make a back end accept connections without responding for ``for_s``."""
+        """Make a back end accept connections but not respond for ``for_s``."""
         with self._reserved(engine):
             self.record_fault("engine_dark", engine, began=True)
-            await self._order(BackEndAction.DARK, engine)
+            await self._send_command(BackEndAction.HANG, engine)
             try:
                 await asyncio.sleep(for_s)
             finally:
-                await self._order(BackEndAction.LIGHT, engine)
+                await self._send_command(BackEndAction.RESUME, engine)
             self.record_fault("engine_dark", engine, began=False)
 
     async def replace_engine(self, engine: str) -> None:
@@ -178,31 +182,31 @@
             await self.start_engine(engine)
 
     async def _drain(self, engine: str) -> None:
-        """Drain a back end, let its streams finish, deregister it."""
+        """Drain a back end, let its running streams finish, then deregister and stop it."""
         self.record_fault("engine_drain", engine, began=True)
-        await self._order(BackEndAction.DRAIN, engine)
+        await self._send_command(BackEndAction.DRAIN, engine)
         acknowledged_at_s = time.monotonic()
-        # New requests may arrive in this time, as at a real engine; the records show any that arrive later.
-        await asyncio.sleep(DRAIN_STAY_S)
-        order = BackEndCommand(action=BackEndAction.LEAVE, engine=engine, grace_s=DRAIN_GRACE_S)
-        await self.deployment.command_back_end(order)
+        # New requests may still arrive in this time, as at a real engine; later ones appear in the records.
+        await asyncio.sleep(DRAIN_WAIT_S)
+        command = BackEndCommand(action=BackEndAction.LEAVE, engine=engine, grace_s=DRAIN_GRACE_S)
+        await self.deployment.command_back_end(command)
         self.records.drains.append(DrainRecord(engine, acknowledged_at_s, time.monotonic()))
         self.record_fault("engine_drain", engine, began=False)
 
     @contextlib.contextmanager
     def _reserved(self, engine: str) -> Iterator[None]:
-        """Reserve a back end for one step of the script."""
+        """Reserve a back end for one step of the script, so that no other step chooses it."""
         self._reserved_engines.add(engine)
         try:
             yield
         finally:
             self._reserved_engines.discard(engine)
 
-    async def _order(self, action: BackEndAction, engine: str) -> None:
+    async def _send_command(self, action: BackEndAction, engine: str) -> None:
         await self.deployment.command_back_end(BackEndCommand(action=action, engine=engine))
 
     async def retire_engine(self, engine: str) -> None:
-        """Drain a back end for good, once no other step of the script uses it."""
+        """Drain a back end without restarting it, once no other step of the script has reserved it."""
         while engine in self._reserved_engines:
             await asyncio.sleep(POLL_S)
         with self._reserved(engine):
--- a/src/springmux/lab/faults/operators.py
+++ b/src/springmux/lab/faults/operators.py
@@ -20,17 +20,17 @@
 from springmux.lab.faults.revocation_probe import RevocationProbe
 from springmux.lab.records import OrderRecord
 
-LIMIT_BYTES = 8 << 20
+MAX_CONFIGURATION_BYTES = 8 << 20
 """Size limit of a configuration (default of the settings)."""
-KEY_DELIVERY_S = 2.0
-"""Until a new key is in force at every node."""
-HUGE_SHARE = 0.95
+KEY_PROPAGATION_S = 2.0
+"""Time until a new key is in force at every node."""
+HUGE_DOCUMENT_SHARE = 0.95
 FILLER_ROUTE_BYTES = 150
 """About the size of one route in the huge document."""
 
 
 class OperatorScenarios:
-    """Actions of operators in an experiment. The deployment's client records every order."""
+    """Actions of operators in an experiment. The deployment's operator client records every order."""
 
     def __init__(self, injector: DeploymentFaultInjector) -> None:
         self._injector = injector
@@ -44,22 +44,22 @@
         """
         state = await self._client.configuration()
         if state is None:
-            raise OrderFailedError("no node tells the configuration's version")
+            raise OrderFailedError("no node returned the configuration's version")
         return state.version + 1
 
     async def patch(self, field: str, value: object) -> OrderRecord:
-        """Change one limit by a partial configuration."""
+        """Change one limit with a partial configuration."""
         patch = msgspec.json.encode({"limits": {field: value}})
         return await self._client.submit(
-            patch_configuration(await self.next_version(), patch), self._any_index()
+            patch_configuration(await self.next_version(), patch), self._random_node_index()
         )
 
     async def race(self) -> None:
-        """Send two different changes under one version number to two nodes at once."""
+        """Send two different changes under one version number concurrently to two nodes."""
         self._races += 1
         name = f"race-{self._races}"
         version = await self.next_version()
-        first = self._any_index()
+        first = self._random_node_index()
         orders = [
             patch_configuration(version, json.dumps({"limits": {"queue_length": length}}).encode(), race=name)
             for length in (200 + self._races, 300 + self._races)
@@ -72,7 +72,7 @@
         """Drop the response to an order, then resend the order twice, to other nodes."""
         patch = msgspec.json.encode({"limits": {"queue_length": 256}})
         order = patch_configuration(await self.next_version(), patch)
-        first = self._any_index()
+        first = self._random_node_index()
         nodes = self._client.nodes
         await self._client.send(order, nodes[first % len(nodes)], drop_response=True)
         for step in (1, 2):
@@ -89,7 +89,7 @@
         bad_patch = msgspec.json.encode({"limits": {"queue_length": -5}})
         await self._client.submit(patch_configuration(version, bad_patch, expected=422))
         await self._client.submit(put_configuration(version, b"{not json", expected=422))
-        too_large = self._padded(LIMIT_BYTES + 1)
+        too_large = self._padded(MAX_CONFIGURATION_BYTES + 1)
         await self._client.submit(put_configuration(version, too_large, expected=413))
 
     async def send_huge(self) -> None:
@@ -104,7 +104,7 @@
         self._injector.record_fault("huge_configuration", "operators", began=False)
 
     async def submit_changes(self, count: int) -> None:
-        """Submit ``count`` changes, tenants' quotas and partial configurations in turn."""
+        """Submit ``count`` changes, alternately to a tenant's quota and to the configuration."""
         tenant = self._injector.deployment.plan.tenants[0]
         for number in range(count):
             if number % 2:
@@ -114,11 +114,11 @@
             await self._client.submit_accepted(put_tenant(tenant.name, tenant.tokens_per_s, burst), number)
 
     async def revoke_while_streaming(self) -> None:
-        """Revoke a key in use; observe its running stream and a kept connection."""
+        """Revoke a key in use; observe its running stream and a keep-alive connection."""
         plan = self._injector.deployment.plan
         key_id, key = f"short-lived-{secrets.token_hex(4)}", secrets.token_urlsafe(24)
         await self._client.submit_accepted(put_key(key_id, plan.tenants[0].name, key))
-        await asyncio.sleep(KEY_DELIVERY_S)
+        await asyncio.sleep(KEY_PROPAGATION_S)
         node = self._injector.pick_node(controller=False)
         url = f"http://{node.client_address}/v1/chat/completions"
         route = next(traffic.route for traffic in plan.traffic if traffic.kind == "prompt")
@@ -131,7 +131,7 @@
         finally:
             await probe.close()
 
-    def _any_index(self) -> int:
+    def _random_node_index(self) -> int:
         return self._injector.random.randrange(len(self._client.nodes))
 
     def _padded(self, size_bytes: int) -> bytes:
@@ -142,8 +142,8 @@
         configuration = dict(self._injector.deployment.plan.configuration)
         service = self._injector.deployment.plan.rollout_service
         routes: dict[str, object] = dict(msgspec.convert(configuration["routes"], dict[str, object]))
-        for number in range(int(LIMIT_BYTES * HUGE_SHARE) // FILLER_ROUTE_BYTES):
-            # A long name, as generated configurations have.
+        for number in range(int(MAX_CONFIGURATION_BYTES * HUGE_DOCUMENT_SHARE) // FILLER_ROUTE_BYTES):
+            # Generated configurations have names of this length.
             name = f"generated-{'x' * 60}-{number:06d}"
             routes[name] = {"kind": "prompt", "service": service, "class": "bulk", "deadline_s": 30.0}
         configuration["routes"] = routes
--- a/src/springmux/lab/faults/revocation_probe.py
+++ b/src/springmux/lab/faults/revocation_probe.py
@@ -1,4 +1,4 @@
-"""Probe of a key's revocation: one stream and one kept connection that use the key."""
+"""Probe of a key's revocation: one stream and one keep-alive connection that use the key."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 """At 12 to 22 ms a chunk the stream outlasts the probe."""
 REFUSAL_POLL_S = 0.05
 TAIL_BYTES = 4096
-"""Space for an error event and the chunks before it."""
+"""Bytes of the stream's end that are searched; enough for an error event and the chunks before it."""
 
 
 class RevocationProbe:
-    """Holds a stream and a connection under a key that is about to be revoked."""
+    """Keeps a stream and a connection open with a key that is about to be revoked."""
 
     def __init__(self, url: str, route: str, key: str) -> None:
         self._url = url
@@ -32,16 +32,16 @@
             connector=aiohttp.TCPConnector(limit=0), timeout=aiohttp.ClientTimeout(total=30.0)
         )
         self._stream: asyncio.Task[float | None] | None = None
-        self._running = asyncio.Event()
+        self._stream_started = asyncio.Event()
 
     async def begin(self) -> None:
         """Start the stream; return once its first bytes have arrived."""
         self._stream = asyncio.create_task(self._read_stream())
         async with asyncio.timeout(FIRST_CHUNK_TIMEOUT_S):
-            await self._running.wait()
+            await self._stream_started.wait()
 
     async def observe(self, acknowledged_at_s: float) -> RevocationRecord:
-        """Return when the revocation took effect on the stream and on the kept connection."""
+        """Return when the revocation took effect on the stream and on the keep-alive connection."""
         assert self._stream is not None
         refused_after_s = await self._poll_refusal(acknowledged_at_s)
         try:
@@ -65,13 +65,13 @@
         ).encode()
 
     async def _read_stream(self) -> float | None:
-        """Return when the stream ended with an error event; ``None`` if it ended otherwise."""
+        """Return the time at which the stream ended with an error event; ``None`` if it ended otherwise."""
         body = self._body(LONG_RESPONSE_TOKENS)
         while True:
             async with self._session.post(self._url, data=body, headers=self._headers) as response:
                 if response.status == HTTPStatus.OK:
                     return await self._read_to_error(response)
-            # Refused: the node is not ready, or the quota is used up. Retry, as the probe needs a stream.
+            # The node is not ready, or the quota is used up. Retry, because the probe needs a stream.
             await asyncio.sleep(REFUSAL_POLL_S)
 
     async def _read_to_error(self, response: aiohttp.ClientResponse) -> float | None:
@@ -80,7 +80,7 @@
         with contextlib.suppress(aiohttp.ClientPayloadError):
             async for chunk in response.content.iter_any():
                 data = data[-TAIL_BYTES:] + chunk
-                self._running.set()
+                self._stream_started.set()
         return time.monotonic() if b"event: error" in data and b"[DONE]" not in data else None
 
     async def _poll_refusal(self, acknowledged_at_s: float) -> float | None:
--- a/src/springmux/lab/faults/scenarios.py
+++ b/src/springmux/lab/faults/scenarios.py
@@ -1,4 +1,4 @@
-"""The scenarios of faults, each a coroutine that injects one fault and waits until it has healed."""
+"""Fault scenarios: each is a coroutine that injects one fault and returns after the recovery from it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from springmux.node.fault_injection import NodeFaults
 
 PARTITION_S = 22.0
-"""Over the 20 s that a partition lasts at least."""
+"""Longer than the minimum duration of a partition, 20 s."""
 DISK_FAULT_S = 8.0
 DISK_SLOW_S = 0.2
 DISK_STALL_S = 60.0
@@ -53,7 +53,7 @@
 
 
 async def restart_everything(injector: DeploymentFaultInjector) -> None:
-    """Submit hundreds of changes, kill and restart every node at once, record the recovered state."""
+    """Submit hundreds of changes, kill and restart all nodes together, record the recovered state."""
     operators = OperatorScenarios(injector)
     await operators.submit_changes(MANY_CHANGES)
     service = injector.deployment.plan.rollout_service
@@ -65,7 +65,7 @@
     await asyncio.to_thread(supervisor.kill_all)
     began_at_s = time.monotonic()
     await asyncio.to_thread(supervisor.start_all)
-    back_at_s = await _all_ready(injector, began_at_s + RECOVERY_TIMEOUT_S)
+    back_at_s = await _wait_until_ready(injector, began_at_s + RECOVERY_TIMEOUT_S)
     for node in injector.deployment.nodes:
         injector.record_fault("restart_everything", node.node, began=False)
     after = await injector.operators.rollout(service)
@@ -82,8 +82,8 @@
     )
 
 
-async def _all_ready(injector: DeploymentFaultInjector, until_s: float) -> float:
-    """Return the time at which every node was ready again, 0 if not by ``until_s``."""
+async def _wait_until_ready(injector: DeploymentFaultInjector, until_s: float) -> float:
+    """Return the time at which every node was ready again; 0 if some are not by ``until_s``."""
     waiting = [AdminNode(node.node, node.admin_address) for node in injector.deployment.nodes]
     while waiting and time.monotonic() < until_s:
         responses = await asyncio.gather(*(injector.operators.ready(node) for node in waiting))
@@ -95,24 +95,24 @@
 async def disk_wiped(injector: DeploymentFaultInjector) -> None:
     """Wipe the disk of the leading controller right after a change."""
     await OperatorScenarios(injector).patch("queue_length", 260)
-    # Right after the acknowledgement, so that nothing may depend on this disk alone.
+    # The wipe follows the acknowledgement immediately: the change must already be durable on other disks.
     await injector.wipe(await injector.find_leader(), new_addresses=False)
 
 
-async def back_empty_elsewhere(injector: DeploymentFaultInjector) -> None:
+async def restarted_empty_at_new_addresses(injector: DeploymentFaultInjector) -> None:
     """Restart a controller with an empty disk at other addresses."""
     await OperatorScenarios(injector).patch("queue_length", 261)
     await injector.wipe(injector.pick_node(controller=True), new_addresses=True)
 
 
-async def controller_cut_off(injector: DeploymentFaultInjector) -> None:
+async def controller_partitioned(injector: DeploymentFaultInjector) -> None:
     """Partition the leading controller from all peers; change the configuration meanwhile."""
     leader = await injector.find_leader()
     operators = OperatorScenarios(injector)
     partition = asyncio.create_task(injector.inject(leader, "cut_off", NodeFaults(cut=True), PARTITION_S))
     try:
         await asyncio.sleep(PARTITION_S / 4)
-        # The remaining majority must still decide.
+        # The remaining majority must still commit changes.
         await operators.patch("queue_length", 262)
         await operators.race()
     finally:
@@ -122,23 +122,26 @@
 async def disk_slow(injector: DeploymentFaultInjector) -> None:
     """Slow down the disk of the leading controller."""
     leader = await injector.find_leader()
-    await _with_changes(injector, leader.node, "disk_slow", NodeFaults(disk_delay_s=DISK_SLOW_S))
+    await _submit_changes_during(injector, leader.node, "disk_slow", NodeFaults(disk_delay_s=DISK_SLOW_S))
 
 
 async def disk_stalled(injector: DeploymentFaultInjector) -> None:
     """Stall the disk of the leading controller."""
     leader = await injector.find_leader()
-    await _with_changes(injector, leader.node, "disk_stalled", NodeFaults(disk_delay_s=DISK_STALL_S))
+    await _submit_changes_during(injector, leader.node, "disk_stalled", NodeFaults(disk_delay_s=DISK_STALL_S))
 
 
 async def disk_full(injector: DeploymentFaultInjector) -> None:
     """Fill the disk of the leading controller."""
     leader = await injector.find_leader()
-    await _with_changes(injector, leader.node, "disk_full", NodeFaults(disk_full=True))
+    await _submit_changes_during(injector, leader.node, "disk_full", NodeFaults(disk_full=True))
 
 
-async def _with_changes(injector: DeploymentFaultInjector, name: str, fault: str, faults: NodeFaults) -> None:
-    node = injector.deployment.supervisor.layout.find(name)
+async def _submit_changes_during(
+    injector: DeploymentFaultInjector, node_name: str, fault: str, faults: NodeFaults
+) -> None:
+    """Inject faults into a node and submit changes while they last."""
+    node = injector.deployment.supervisor.layout.find(node_name)
     injected = asyncio.create_task(injector.inject(node, fault, faults, DISK_FAULT_S))
     try:
         for number in range(4):
@@ -174,20 +177,20 @@
 
 
 async def engines_replaced(injector: DeploymentFaultInjector) -> None:
-    """Replace every engine of the stable version, one after another."""
-    for engine in injector.idle_engines():
+    """Replace every unreserved engine of the rollout's service, one after another."""
+    for engine in injector.unreserved_engines():
         await injector.replace_engine(engine)
 
 
-async def second_loss(injector: DeploymentFaultInjector) -> None:
-    """Crash one engine; as soon as its cold replacement has announced itself, crash another."""
-    first, second = injector.random.sample(injector.idle_engines(), 2)
+async def second_engine_crash(injector: DeploymentFaultInjector) -> None:
+    """Crash one engine; as soon as it has restarted with an empty cache, crash another."""
+    first, second = injector.random.sample(injector.unreserved_engines(), 2)
     await injector.crash_engine(first, DOWNTIME_S)
     await injector.crash_engine(second, DOWNTIME_S)
 
 
 async def operators_race(injector: DeploymentFaultInjector) -> None:
-    """Submit concurrent changes under one version number."""
+    """Submit pairs of concurrent changes, each pair under one version number."""
     operators = OperatorScenarios(injector)
     for _ in range(5):
         await operators.race()
@@ -217,25 +220,25 @@
 
 async def route_burst(injector: DeploymentFaultInjector) -> None:
     """Record the interval of a burst on one route."""
-    await _record_span(injector, "route_burst", SURGE_S)
+    await _record_surge(injector, "route_burst", SURGE_S)
 
 
 async def hot_prefix(injector: DeploymentFaultInjector) -> None:
     """Record the interval of a surge with one prefix."""
-    await _record_span(injector, "hot_prefix", SURGE_S)
+    await _record_surge(injector, "hot_prefix", SURGE_S)
 
 
 async def hot_tenant(injector: DeploymentFaultInjector) -> None:
-    """Record the interval in which a tenant exceeds its quota."""
+    """Record the interval in which a tenant requests more than its quota."""
     tenant = injector.deployment.plan.tenants[-1]
     from_s, to_s = injector.slot_began_at_s, injector.slot_began_at_s + QUOTA_SURGE_S
-    await _record_span(injector, "hot_tenant", QUOTA_SURGE_S)
+    await _record_surge(injector, "hot_tenant", QUOTA_SURGE_S)
     injector.records.quotas.append(
         QuotaWindow(tenant.name, from_s, to_s, tenant.tokens_per_s, tenant.burst_tokens)
     )
 
 
-async def _record_span(injector: DeploymentFaultInjector, fault: str, for_s: float) -> None:
+async def _record_surge(injector: DeploymentFaultInjector, fault: str, for_s: float) -> None:
     injector.record_fault(fault, "callers", began=True)
     await asyncio.sleep(for_s)
     injector.record_fault(fault, "callers", began=False)
--- a/src/springmux/lab/load/client_pool.py
+++ b/src/springmux/lab/load/client_pool.py
@@ -17,21 +17,21 @@
 from springmux.lab.records import CallRecord
 
 READINESS_PERIOD_S = 1.0
-"""The platform checks readiness each second."""
+"""The same as the platform's readiness checks."""
 READINESS_TIMEOUT_S = 0.8
-"""Within the period, so that checks don't pile up on a frozen node."""
-MAX_SENDS = 4
-"""Attempts of a refused or unknown request, each at another node."""
+"""Shorter than the period, so that checks of a frozen node don't accumulate."""
+MAX_ATTEMPTS = 4
+"""Attempts of a request that is refused or whose outcome is unknown, each at another node."""
 MAX_BACKOFF_S = 1.0
-"""Upper bound of the wait that Retry-After asks for, so that a run of a few minutes sees the retry."""
+"""Upper bound of the delay from Retry-After, so that the retry falls within a run of a few minutes."""
 
 
 class ClientPool:
     """Sends planned requests at their times, to ready nodes, with retries at other nodes.
 
     :param keys: the API key of each tenant.
-    :param keep: receives each record.
-    :param began_at_s: monotonic time from which records and planned requests count.
+    :param record_call: receives the record of each attempt.
+    :param began_at_s: monotonic time of the run's beginning, from which records and planned requests count.
     """
 
     def __init__(
@@ -39,10 +39,10 @@
         targets: list[TargetNode],
         keys: dict[str, str],
         seed: int,
-        keep: Callable[[CallRecord], None],
+        record_call: Callable[[CallRecord], None],
         began_at_s: float,
     ) -> None:
-        self._keep = keep
+        self._record_call = record_call
         self._began_at_s = began_at_s
         self._targets = targets
         self._keys = keys
@@ -51,17 +51,17 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._session: aiohttp.ClientSession | None = None
         self._sender: RequestSender | None = None
-        self._prober: asyncio.Task[None] | None = None
+        self._readiness_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Open the session and begin to check readiness."""
+        """Open the session and start the readiness checks."""
         connector = aiohttp.TCPConnector(limit=0, keepalive_timeout=10)
         self._session = aiohttp.ClientSession(connector=connector, auto_decompress=False)
         self._sender = RequestSender(self._session, self._keys, self._began_at_s)
-        self._prober = asyncio.create_task(self._probe_forever())
+        self._readiness_task = asyncio.create_task(self._check_readiness_forever())
 
     async def run(self, requests: Iterable[PlannedRequest]) -> None:
-        """Send each request at its time (ascending); wait until all are finished."""
+        """Send each request at its planned time (in ascending order); wait until all have finished."""
         for request in requests:
             delay_s = self._began_at_s + request.at_s - time.monotonic()
             if delay_s > 0:
@@ -82,19 +82,19 @@
 
     async def stop(self) -> None:
         """Stop the readiness checks and close the connections."""
-        if self._prober is not None:
-            self._prober.cancel()
+        if self._readiness_task is not None:
+            self._readiness_task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
-                await self._prober
+                await self._readiness_task
         if self._session is not None:
             await self._session.close()
 
-    async def _probe_forever(self) -> None:
+    async def _check_readiness_forever(self) -> None:
         while True:
-            await asyncio.gather(*(self._probe(target) for target in self._targets))
+            await asyncio.gather(*(self._check_readiness(target) for target in self._targets))
             await asyncio.sleep(READINESS_PERIOD_S)
 
-    async def _probe(self, target: TargetNode) -> None:
+    async def _check_readiness(self, target: TargetNode) -> None:
         assert self._session is not None
         timeout = aiohttp.ClientTimeout(total=READINESS_TIMEOUT_S)
         try:
@@ -105,20 +105,20 @@
         except (aiohttp.ClientError, TimeoutError):
             self._ready[target.node] = False
 
-    def _pick(self, zone: str, avoided: set[str]) -> TargetNode:
-        fresh = [target for target in self._targets if target.node not in avoided] or self._targets
-        ready = [target for target in fresh if self._ready[target.node]] or fresh
-        near = [target for target in ready if target.zone == zone] or ready
-        return self._random.choice(near)
+    def _choose_target(self, zone: str, excluded: set[str]) -> TargetNode:
+        untried = [target for target in self._targets if target.node not in excluded] or self._targets
+        ready = [target for target in untried if self._ready[target.node]] or untried
+        same_zone = [target for target in ready if target.zone == zone] or ready
+        return self._random.choice(same_zone)
 
     async def _send_with_retries(self, request: PlannedRequest) -> None:
         assert self._sender is not None
-        tried: set[str] = set()
-        for attempt in range(MAX_SENDS):
-            target = self._pick(request.zone, tried)
-            tried.add(target.node)
+        tried_nodes: set[str] = set()
+        for attempt in range(MAX_ATTEMPTS):
+            target = self._choose_target(request.zone, tried_nodes)
+            tried_nodes.add(target.node)
             outcome = await self._sender.send(request, target, attempt)
-            self._keep(outcome.record)
+            self._record_call(outcome.record)
             if not _may_retry(outcome.record):
                 return
             await asyncio.sleep(min(outcome.retry_after_s, MAX_BACKOFF_S))
--- a/src/springmux/lab/load/clients.py
+++ b/src/springmux/lab/load/clients.py
@@ -27,7 +27,7 @@
     surges: list[Surge] = []
 
 
-def load_callers_settings(path: Path) -> LoadSettings:
+def load_client_settings(path: Path) -> LoadSettings:
     """Read the settings file of a client process (JSON).
 
     :raises OSError: if it can't be read.
@@ -36,8 +36,8 @@
     return msgspec.json.decode(path.read_bytes(), type=LoadSettings)
 
 
-async def run_callers(settings: LoadSettings) -> None:
-    """Send the traffic of the experiment, wait for every response, write every record."""
+async def run_clients(settings: LoadSettings) -> None:
+    """Send the traffic of the experiment, wait for every response, and write the record of every attempt."""
     source = TrafficSource(load_experiment(settings.experiment), settings.seed)
     requests = source.all_requests(settings.seconds, settings.surges)
     with contextlib.closing(LineWriter(Path(settings.record_file))) as writer:
--- a/src/springmux/lab/load/request_sender.py
+++ b/src/springmux/lab/load/request_sender.py
@@ -16,11 +16,11 @@
 
 CONNECT_TIMEOUT_S = 1.0
 RETRY_PAUSE_S = 0.2
-"""Before another attempt, where the response has no Retry-After."""
+"""Delay before another attempt if the response has no Retry-After header."""
 
 
 class Attempt(msgspec.Struct, frozen=True):
-    """The record of one attempt, and how long to wait before another."""
+    """The record of one attempt and the delay before another one."""
 
     record: CallRecord
     retry_after_s: float
@@ -49,7 +49,7 @@
             async with self._session.post(
                 url, data=request.body, headers=self._headers(request), timeout=timeout
             ) as response:
-                _read_head(record, response)
+                _read_headers(record, response)
                 retry_after_s = float(response.headers.get("Retry-After", retry_after_s))
                 await self._read_body(record, response, request)
         except aiohttp.ClientConnectorError:
@@ -96,13 +96,13 @@
         self, record: CallRecord, response: aiohttp.ClientResponse, request: PlannedRequest
     ) -> None:
         checker = StreamChecker(request.answer_tokens, record.request)
-        last_at = 0.0
+        last_chunk_at = 0.0
         try:
             async for data in response.content.iter_any():
                 now = time.monotonic() - self._began_at_s
                 if checker.feed(data) and record.first_chunk_s is None:
                     record.first_chunk_s = now - record.at_s
-                last_at = now
+                last_chunk_at = now
         except aiohttp.ClientPayloadError:
             # The connection closes right after an error event, so the body is incomplete.
             if not checker.error:
@@ -114,7 +114,7 @@
             record.fault = checker.fault
         record.complete = checker.complete() and not checker.fault
         if record.complete and record.chunks > 1 and record.first_chunk_s is not None:
-            record.mean_gap_s = (last_at - record.at_s - record.first_chunk_s) / (record.chunks - 1)
+            record.mean_gap_s = (last_chunk_at - record.at_s - record.first_chunk_s) / (record.chunks - 1)
         if not checker.complete():
             record.code = str(checker.error.get("code", "caller_stream_ended"))
             record.fate = str(checker.error.get("fate", "failed"))
@@ -129,7 +129,7 @@
     return "/v1/chat/completions" if _is_prompt(traffic) else f"/v1/calls/{traffic.route}"
 
 
-def _read_head(record: CallRecord, response: aiohttp.ClientResponse) -> None:
+def _read_headers(record: CallRecord, response: aiohttp.ClientResponse) -> None:
     record.status = response.status
     record.engine = response.headers.get("X-Engine", "")
     record.version = response.headers.get("X-Engine-Version", "")
--- a/src/springmux/lab/load/stream_checker.py
+++ b/src/springmux/lab/load/stream_checker.py
@@ -33,7 +33,7 @@
 
 
 class StreamChecker:
-    """Checks a stream chunk by chunk: one id, no gap, no repeat, each text as its engine made it.
+    """Checks a stream chunk by chunk: one id, no gap, no repetition, each text as the engine generated it.
 
     ``tokens`` is the count that the engine reports, 0 until the last chunk. ``request``: the request id in
     the response head; a chunk of another request is a fault.
@@ -48,13 +48,13 @@
         self.error: dict[str, Any] = {}
         self._expected_chunks = expected_chunks
         self._stream_id = request
-        self._rest = b""
-        self._error_next = False
+        self._incomplete_line = b""
+        self._error_data_follows = False
 
     def feed(self, data: bytes) -> int:
         """Handle bytes of the response; return how many chunks they completed."""
         before = self.chunks
-        *lines, self._rest = (self._rest + data).split(b"\n")
+        *lines, self._incomplete_line = (self._incomplete_line + data).split(b"\n")
         for line in lines:
             self._handle_line(line.rstrip(b"\r"))
         return self.chunks - before
@@ -64,7 +64,7 @@
         return self.done
 
     def close(self) -> None:
-        """Check what can be known only at the end of the stream."""
+        """Check what is known only at the end of the stream."""
         if self.done and not self.finished:
             self._record_fault("done marker without a last piece")
         if self.done and self.chunks != self._expected_chunks:
@@ -72,7 +72,7 @@
 
     def _handle_line(self, line: bytes) -> None:
         if line == b"event: error":
-            self._error_next = True
+            self._error_data_follows = True
         elif line == b"data: [DONE]":
             if self.error:
                 self._record_fault("done marker after an error")
@@ -81,8 +81,8 @@
             self._handle_data(line[6:])
 
     def _handle_data(self, data: bytes) -> None:
-        if self._error_next:
-            self._error_next = False
+        if self._error_data_follows:
+            self._error_data_follows = False
             self._handle_error(data)
             return
         if self.done or self.error:
--- a/src/springmux/lab/load/traffic.py
+++ b/src/springmux/lab/load/traffic.py
@@ -16,7 +16,7 @@
     ["press", "photo", "class", "spring", "motor", "stock", "page", "fault", "lens", "coin", "year"]
 )
 _SHORTEST_WORD_AND_SPACE = 5
-"""Lower bound of a word's length, to draw enough words for a text."""
+"""Shortest word with its space, which bounds the number of words that a text needs."""
 
 
 class PlannedRequest(msgspec.Struct, frozen=True, kw_only=True):
@@ -36,7 +36,7 @@
 
 
 class Surge(msgspec.Struct, frozen=True, kw_only=True):
-    """Additional traffic for a time: ``extra_per_s`` requests of one route beside the ordinary ones.
+    """Additional requests of one route for a limited time, ``extra_per_s`` beside the ordinary ones.
 
     ``tenant``: the tenant of all its requests (empty: drawn). ``prefix``: the index of the shared prefix of
     all its requests (``None``: drawn).
@@ -51,7 +51,10 @@
 
 
 class TrafficSource:
-    """Generates the requests of one experiment, the same for the same seed. Streams draw independently."""
+    """Generates the requests of one experiment, the same ones for the same seed.
+
+    Each stream has its own random generator, so a surge does not change the ordinary requests.
+    """
 
     def __init__(self, plan: ExperimentPlan, seed: int) -> None:
         self._plan = plan
@@ -70,7 +73,7 @@
         }
 
     def all_requests(self, seconds: float, surges: Sequence[Surge] = ()) -> Iterator[PlannedRequest]:
-        """Yield the whole run's requests in order of time, generated lazily."""
+        """Generate the requests of the whole run lazily, in the order of their times."""
         ordinary = [
             Surge(route=traffic.route, from_s=0.0, for_s=seconds, extra_per_s=traffic.rate_per_s)
             for traffic in self._plan.traffic
@@ -79,7 +82,7 @@
         return heapq.merge(*streams, key=lambda request: request.at_s)
 
     def stream(self, surge: Surge, number: int) -> Iterator[PlannedRequest]:
-        """Yield Poisson arrivals of one stream; ``number`` distinguishes the streams of one run."""
+        """Yield the Poisson arrivals of one stream; ``number`` is its unique number within the run."""
         generator = np.random.default_rng([self._seed, number])
         traffic = next(traffic for traffic in self._plan.traffic if traffic.route == surge.route)
         at_s = surge.from_s
--- a/src/springmux/lab/stand_ins/__init__.py
+++ b/src/springmux/lab/stand_ins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-in engines and services, and their side of the engine interface."""
+"""Stand-in engines and call services, and their client of the engine interface."""
--- a/src/springmux/lab/stand_ins/announcer.py
+++ b/src/springmux/lab/stand_ins/announcer.py
@@ -11,13 +11,13 @@
 import msgspec
 
 HEARTBEAT_PERIOD_S = 1.0
-"""As the interface specifies."""
+"""Mean period, as the engine interface specifies."""
 
 REPORT_TIMEOUT_S = 1.0
-"""After it the next node is tried, so that a frozen node costs one heartbeat."""
+"""Timeout of a report to one node; the next node is tried after it, so a frozen node costs one heartbeat."""
 
 ANNOUNCE_PAUSE_S = 0.2
-"""Between attempts at all nodes while none responds, as in a starting fleet."""
+"""Delay between announcements to all nodes while none accepts one, as in a starting fleet."""
 
 
 class EngineIdentity(msgspec.Struct, frozen=True, kw_only=True):
@@ -33,7 +33,7 @@
 
 
 class LoadReport(msgspec.Struct, frozen=True, kw_only=True):
-    """Load at one moment, for a heartbeat."""
+    """Current load of an engine, as its heartbeat reports it."""
 
     running: int
     queued: int
@@ -42,39 +42,40 @@
 
 
 class Announcer:
-    """Reports one engine to the fleet, trying the next node when one does not respond.
+    """Reports one engine to the fleet; a report that a node does not accept goes to the next node.
 
-    :param lateness_s: upper bound of a random delay of each heartbeat, as of engines that report late.
+    :param current_load: returns the load for each heartbeat.
+    :param lateness_s: upper bound of a random delay of each heartbeat, which imitates a late report.
     """
 
     def __init__(
         self,
         identity: EngineIdentity,
         admin_addresses: list[str],
-        figures: Callable[[], LoadReport],
+        current_load: Callable[[], LoadReport],
         source: random.Random,
         lateness_s: float = 0.0,
     ) -> None:
         self.identity = identity
         self._addresses = list(admin_addresses)
         source.shuffle(self._addresses)
-        self._current_load = figures
+        self._current_load = current_load
         self._random = source
         self._lateness_s = lateness_s
         self._sequence = 0
         self.paused = False
-        """While set no report is sent, as by an engine that hangs."""
+        """While true, no report is sent, as by an engine that hangs."""
         self._session: aiohttp.ClientSession | None = None
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Start to announce in the background."""
+        """Start the background task that announces the engine and then sends heartbeats."""
         timeout = aiohttp.ClientTimeout(total=REPORT_TIMEOUT_S)
         self._session = aiohttp.ClientSession(timeout=timeout)
-        self._task = asyncio.create_task(self._report_forever())
+        self._task = asyncio.create_task(self._announce_and_heartbeat())
 
     async def stop(self) -> None:
-        """Stop without deregistering, as a crash does."""
+        """Stop reporting without deregistering, as in a crash."""
         if self._task is not None:
             self._task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
@@ -93,7 +94,7 @@
     def _identity_body(self) -> dict[str, object]:
         return {"engine": self.identity.engine, "incarnation": self.identity.incarnation}
 
-    async def _report_forever(self) -> None:
+    async def _announce_and_heartbeat(self) -> None:
         announcement = msgspec.to_builtins(self.identity)
         while self.paused or not await self._report("announce", announcement):
             await asyncio.sleep(ANNOUNCE_PAUSE_S)
@@ -106,14 +107,14 @@
                 await self._report("heartbeat", body)
 
     def _heartbeat(self) -> dict[str, object]:
-        figures = self._current_load()
+        load = self._current_load()
         self._sequence += 1
         body: dict[str, object] = msgspec.to_builtins(self.identity)
         body["sequence"] = self._sequence
-        body["status"] = "draining" if figures.draining else "ready"
-        body["running"] = figures.running
-        body["queued"] = figures.queued
-        body["cache_used"] = round(figures.cache_used, 3)
+        body["status"] = "draining" if load.draining else "ready"
+        body["running"] = load.running
+        body["queued"] = load.queued
+        body["cache_used"] = round(load.cache_used, 3)
         return body
 
     async def _report(self, action: str, body: dict[str, object]) -> bool:
--- a/src/springmux/lab/stand_ins/call_service.py
+++ b/src/springmux/lab/stand_ins/call_service.py
@@ -1,4 +1,4 @@
-"""Stand-in call service: JSON calls, each execution recorded with the id of its action."""
+"""Stand-in call service: executes JSON calls and records each execution with the id of its action."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
         self.announcer = Announcer(identity, admin_addresses, self._current_load, self._random)
 
     async def start(self) -> None:
-        """Listen and start to announce."""
+        """Listen on the identity's address and start the announcer."""
         application = web.Application()
         application.router.add_post("/v1/calls/{route}", self._handle_call)
         self._runner = web.AppRunner(application, access_log=None, shutdown_timeout=0.05)
@@ -65,17 +65,20 @@
         """Return the number of calls in flight."""
         return self._running
 
-    def hang(self, unresponsive: bool) -> None:
-        """Stop or resume responding and reporting, while connections are accepted."""
+    def set_unresponsive(self, unresponsive: bool) -> None:
+        """Stop or resume responses and reports; connections are accepted in both states."""
         self.unresponsive = unresponsive
         self.announcer.paused = unresponsive
 
-    def behave(self, behaviour: VersionBehaviour) -> None:
+    def set_behaviour(self, behaviour: VersionBehaviour) -> None:
         """Switch to another version behaviour."""
         self.behaviour = behaviour
 
     async def drain(self) -> bool:
-        """Report that no new request may come and keep serving; return whether a node acknowledged it."""
+        """Report that the engine drains and may get no new request; return whether a node acknowledged it.
+
+        The engine continues to serve what it gets.
+        """
         self.draining = True
         return await self.announcer.drain()
 
@@ -106,7 +109,7 @@
             self._record_end(request_id, bad=True)
             answer = {"error": {"message": "service failed"}}
             return web.json_response(answer, status=500, headers=self._headers(request_id))
-        await self._work(action)
+        await self._execute(action)
         if self._random.random() < self.behaviour.silent_share:
             self._record_end(request_id, bad=True)
             await asyncio.Event().wait()
@@ -114,7 +117,7 @@
         done = {"action": action, "done": True, "at": time.time()}
         return web.json_response(done, headers=self._headers(request_id))
 
-    async def _work(self, action: str) -> None:
+    async def _execute(self, action: str) -> None:
         self._running += 1
         self.served += 1
         identity = self.identity
--- a/src/springmux/lab/stand_ins/host.py
+++ b/src/springmux/lab/stand_ins/host.py
@@ -25,7 +25,7 @@
 
 
 class HostedBackEnd(msgspec.Struct, frozen=True, kw_only=True):
-    """One back end to run. ``plan.count`` is not used here."""
+    """One back end to run. ``plan.count`` is ignored."""
 
     engine: str
     address: str
@@ -56,15 +56,18 @@
 
     CRASH = "crash"
     START = "start"
-    DARK = "dark"
-    LIGHT = "light"
+    HANG = "dark"
+    RESUME = "light"
     DRAIN = "drain"
     LEAVE = "leave"
-    BEHAVE = "behave"
+    SET_BEHAVIOUR = "behave"
 
 
 class BackEndCommand(msgspec.Struct, frozen=True, kw_only=True):
-    """Apply ``action`` to ``engine``; ``back_end`` is for START, ``behaviour`` for BEHAVE."""
+    """Apply ``action`` to ``engine``.
+
+    ``back_end`` is for START, ``behaviour`` for SET_BEHAVIOUR, ``grace_s`` for LEAVE.
+    """
 
     action: BackEndAction
     engine: str
@@ -74,7 +77,7 @@
 
 
 class BackEndState(msgspec.Struct, frozen=True, kw_only=True):
-    """One running back end, for reports."""
+    """State of one running back end, as ``GET /back-ends`` returns it."""
 
     engine: str
     service: str
@@ -99,8 +102,8 @@
         runner = await self._listen()
         stopped = asyncio.Event()
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, stopped.set)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, stopped.set)
         await stopped.wait()
         for running in list(self._back_ends.values()):
             await running.crash()
@@ -109,8 +112,8 @@
 
     async def _listen(self) -> web.AppRunner:
         application = web.Application()
-        application.router.add_post("/control", self._control)
-        application.router.add_get("/back-ends", self._list)
+        application.router.add_post("/control", self._handle_command)
+        application.router.add_get("/back-ends", self._list_back_ends)
         runner = web.AppRunner(application, access_log=None, shutdown_timeout=0.1)
         await runner.setup()
         host, port = self._settings.control_address.rsplit(":", 1)
@@ -141,43 +144,43 @@
         self._back_ends[back_end.engine] = started
         await started.start()
 
-    async def _control(self, http_request: web.Request) -> web.Response:
+    async def _handle_command(self, http_request: web.Request) -> web.Response:
         command = msgspec.json.decode(await http_request.read(), type=BackEndCommand)
         if command.action is BackEndAction.START:
             assert command.back_end is not None
             await self._start(command.back_end)
             return web.Response(status=204)
-        found = self._back_ends.get(command.engine)
-        if found is None:
+        target = self._back_ends.get(command.engine)
+        if target is None:
             return web.Response(status=404, text=f"no back end named {command.engine}")
-        await self._execute(command, found)
+        await self._execute(command, target)
         return web.Response(status=204)
 
-    async def _execute(self, command: BackEndCommand, found: ModelEngine | CallService) -> None:
+    async def _execute(self, command: BackEndCommand, target: ModelEngine | CallService) -> None:
         if command.action is BackEndAction.CRASH:
             del self._back_ends[command.engine]
-            await found.crash()
+            await target.crash()
         elif command.action is BackEndAction.LEAVE:
             del self._back_ends[command.engine]
-            await found.leave(command.grace_s)
+            await target.leave(command.grace_s)
         elif command.action is BackEndAction.DRAIN:
-            if not await found.drain():
-                raise web.HTTPServiceUnavailable(text="no node took the drain report")
-        elif command.action is BackEndAction.BEHAVE and command.behaviour is not None:
-            found.behave(command.behaviour)
+            if not await target.drain():
+                raise web.HTTPServiceUnavailable(text="no node accepted the drain report")
+        elif command.action is BackEndAction.SET_BEHAVIOUR and command.behaviour is not None:
+            target.set_behaviour(command.behaviour)
         else:
-            found.hang(command.action is BackEndAction.DARK)
+            target.set_unresponsive(command.action is BackEndAction.HANG)
 
-    async def _list(self, _http_request: web.Request) -> web.Response:
+    async def _list_back_ends(self, _http_request: web.Request) -> web.Response:
         states = [
             BackEndState(
                 engine=name,
-                service=found.identity.service,
-                version=found.identity.version,
-                running=found.running,
-                served=found.served,
+                service=target.identity.service,
+                version=target.identity.version,
+                running=target.running,
+                served=target.served,
             )
-            for name, found in sorted(self._back_ends.items())
+            for name, target in sorted(self._back_ends.items())
         ]
         return web.Response(body=msgspec.json.encode(states), content_type="application/json")
 
@@ -186,6 +189,6 @@
     """Read a host's settings file (JSON).
 
     :raises OSError: if it can't be read.
-    :raises msgspec.DecodeError: if it is not one.
+    :raises msgspec.DecodeError: if its content is not valid.
     """
     return msgspec.json.decode(path.read_bytes(), type=HostSettings)
--- a/src/springmux/lab/stand_ins/model_engine.py
+++ b/src/springmux/lab/stand_ins/model_engine.py
@@ -58,7 +58,7 @@
     """One engine on one port.
 
     :param record_event: receives each arrival and ending.
-    :param clock: monotonic seconds; handed in for tests.
+    :param clock: returns monotonic seconds; replaceable in tests.
     """
 
     def __init__(
@@ -86,11 +86,11 @@
         self._runner: web.AppRunner | None = None
 
     async def start(self) -> None:
-        """Listen on the identity's address and start to announce."""
+        """Listen on the identity's address and start the announcer."""
         application = web.Application(client_max_size=MAX_BODY_BYTES)
         application.router.add_post("/v1/chat/completions", self._handle_completion)
         self._runner = web.AppRunner(
-            # A disconnected client releases its slot, as at a real engine.
+            # A client that disconnects frees its slot, as at a real engine.
             application,
             access_log=None,
             shutdown_timeout=0.05,
@@ -106,12 +106,12 @@
         """Return the number of requests in flight."""
         return self.model.running
 
-    def hang(self, unresponsive: bool) -> None:
-        """Stop or resume responding and reporting, while connections are accepted."""
+    def set_unresponsive(self, unresponsive: bool) -> None:
+        """Stop or resume responses and reports; connections are accepted in both states."""
         self.unresponsive = unresponsive
         self.announcer.paused = unresponsive
 
-    def behave(self, behaviour: VersionBehaviour) -> None:
+    def set_behaviour(self, behaviour: VersionBehaviour) -> None:
         """Switch to another version behaviour."""
         self.model.behaviour = behaviour
         self.model.bad_since = None
@@ -124,7 +124,10 @@
             self._runner = None
 
     async def drain(self) -> bool:
-        """Report that no new request may come and keep serving; return whether a node acknowledged it."""
+        """Report that the engine drains and may get no new request; return whether a node acknowledged it.
+
+        The engine continues to serve what it gets.
+        """
         self.draining = True
         return await self.announcer.drain()
 
