--- a/src/springmux/lab/checks/control_plane_checks.py
+++ b/src/springmux/lab/checks/control_plane_checks.py
@@ -16,8 +16,8 @@
 def changes_in_force(records: RunRecords) -> Verdict:
     """Check that a change is in force at every node 2 s after its acknowledgement.
 
-    A node with a fault of its own (killed, frozen, partitioned) has 2 s from the end of the fault. Only
-    ready nodes count: one that is not ready refuses requests.
+    A node that has a fault itself (killed, frozen, partitioned) has 2 s from the end of the fault. Only
+    ready nodes are checked, because a node that is not ready refuses requests.
     """
     promise, bound = "an acknowledged change is in force at every node", f"<= {DELIVERY_BOUND_S:g} s"
     accepted = [order for order in records.orders if order.accepted and order.revision]
@@ -52,7 +52,7 @@
 
 
 def _due_s(acknowledged_at_s: float, spans: list[Span]) -> float:
-    """Return when the change must be in force at a node with these faults."""
+    """Return the time at which a change must be in force at a node that has these faults."""
     due_s = acknowledged_at_s + DELIVERY_BOUND_S
     for span in sorted(spans, key=lambda span: span.from_s):
         if span.intersects(acknowledged_at_s, due_s):
@@ -61,7 +61,7 @@
 
 
 def no_state_regression(records: RunRecords) -> Verdict:
-    """Check that no ready node returns to an older state, restarts included."""
+    """Check that no ready node returns to an older state, also not after a restart."""
     promise, bound = "a node never falls back to an older state", "0 steps back"
     by_node = _by_node(records.samples)
     if not by_node:
@@ -90,7 +90,7 @@
 
 
 def single_race_winner(records: RunRecords) -> Verdict:
-    """Check that of concurrent orders for one version one wins and the others name the winner."""
+    """Check that one of the concurrent orders for a version wins and the other responses name the winner."""
     promise, bound = "of racing operators one wins", "1 acknowledged in each race"
     races: dict[str, dict[str, list[OrderRecord]]] = defaultdict(lambda: defaultdict(list))
     for order in records.orders:
@@ -113,7 +113,7 @@
 
 
 def idempotent_orders(records: RunRecords) -> Verdict:
-    """Check that an order resent to any node gets the same response again."""
+    """Check that an order that is resent, to any node, gets the same response again."""
     promise, bound = "a resent order gets the same answer", "0 other answers"
     attempts: dict[str, list[OrderRecord]] = defaultdict(list)
     for record in records.orders:
@@ -134,7 +134,7 @@
 
 
 def invalid_orders_rejected(records: RunRecords) -> Verdict:
-    """Check that deliberately invalid orders get the documented status, with the paths of errors."""
+    """Check that deliberately invalid orders get the documented status, and 422 the paths of the errors."""
     promise, bound = "wrong orders are refused as stated", "422 with paths, 413"
     wrong = [record for record in records.orders if record.expected]
     if not wrong:
@@ -149,7 +149,7 @@
 
 
 def keys_revoked(records: RunRecords) -> Verdict:
-    """Check that within 2 s a revoked key is refused on an open connection and its stream ends."""
+    """Check that within 2 s an open connection refuses a revoked key and the key's stream ends."""
     promise, bound = "a revoked key is refused, its streams end", f"<= {REVOCATION_BOUND_S:g} s"
     if not records.revocations:
         return untested(promise, bound)
--- a/src/springmux/lab/checks/data_plane_checks.py
+++ b/src/springmux/lab/checks/data_plane_checks.py
@@ -12,7 +12,10 @@
 RETRY_SHARE = 0.20
 RETRY_WINDOW_S = 10.0
 RETRY_FLOOR = 36
-"""Each of a dozen nodes may retry 3 requests at any traffic (the floor of the retry budget)."""
+"""Number of retries up to which the share is not checked.
+
+Each of a dozen nodes may retry 3 requests at any traffic (the floor of the retry budget).
+"""
 
 
 def at_most_once(records: RunRecords) -> Verdict:
@@ -28,7 +31,7 @@
 
 
 def refused_never_ran(records: RunRecords) -> Verdict:
-    """Check that no call runs that the fleet finally refused, or after its last refusal."""
+    """Check that no call runs after its last refusal, nor ever if each of its attempts was refused."""
     promise, bound = "a refused call never runs", "0 refused calls ran"
     attempts: dict[str, list[CallRecord]] = defaultdict(list)
     for call in records.calls:
@@ -56,7 +59,7 @@
 
 
 def complete_responses(records: RunRecords) -> Verdict:
-    """Check that no response is another request's, spliced, or reported complete before its end."""
+    """Check that no response belongs to another request, is spliced, or is reported complete too early."""
     promise, bound = "every answer is its engine's whole answer", "0 faulty answers"
     if not records.calls:
         return untested(promise, bound)
@@ -70,7 +73,7 @@
 
 
 def drained_engines_unused(records: RunRecords) -> Verdict:
-    """Check that a draining engine gets no new request more than 2 s after a node acknowledged it."""
+    """Check that an engine gets no new request more than 2 s after a node acknowledged its drain."""
     promise, bound = "a draining engine gets no new requests", f"<= {DRAIN_BOUND_S:g} s"
     if not records.drains:
         return untested(promise, bound)
@@ -95,7 +98,7 @@
 
 
 def bounded_retries(records: RunRecords) -> Verdict:
-    """Check that retries by the fleet stay below a fifth of its traffic in any 10 s."""
+    """Check that retries by the fleet are at most a fifth of its requests to engines in any 10 s."""
     promise = "repeats of all nodes"
     bound = f"<= {RETRY_SHARE:.0%} in any {RETRY_WINDOW_S:g} s"
     if not records.arrivals:
--- a/src/springmux/lab/checks/measurements.py
+++ b/src/springmux/lab/checks/measurements.py
@@ -30,22 +30,22 @@
 
 
 def fault_spans(faults: Iterable[FaultEvent], end_s: float) -> dict[str, list[Span]]:
-    """Return, by target, when faults were in force; one that never ended lasts to ``end_s``."""
-    begun: dict[tuple[str, str], float] = {}
+    """Return the intervals of the faults by target; a fault without an end lasts until ``end_s``."""
+    begin_times: dict[tuple[str, str], float] = {}
     spans: dict[str, list[Span]] = {}
     for event in faults:
         key = (event.fault, event.target)
         if event.began:
-            begun[key] = event.at_s
-        elif key in begun:
-            spans.setdefault(event.target, []).append(Span(begun.pop(key), event.at_s))
-    for (_, target), from_s in begun.items():
+            begin_times[key] = event.at_s
+        elif key in begin_times:
+            spans.setdefault(event.target, []).append(Span(begin_times.pop(key), event.at_s))
+    for (_, target), from_s in begin_times.items():
         spans.setdefault(target, []).append(Span(from_s, end_s))
     return spans
 
 
 class WindowShare(msgspec.Struct, frozen=True):
-    """The worst window: ``share`` = ``count`` of ``total`` events."""
+    """A window and its share of marked events: ``share`` is ``count`` divided by ``total``."""
 
     share: float
     count: int
@@ -54,21 +54,22 @@
 
 
 def worst_window(events: Sequence[tuple[float, bool]], window_s: float, floor: int) -> WindowShare:
-    """Return the sliding window with the highest share of marked events (sorted by time).
+    """Return the sliding window with the highest share of marked events.
 
-    Windows with at most ``floor`` marked events are ignored, as too few for a share.
+    ``events`` are pairs of a time and a mark, sorted by time. Windows with at most ``floor`` marked events
+    are ignored, because their share says too little.
     """
-    inside: deque[tuple[float, bool]] = deque()
+    in_window: deque[tuple[float, bool]] = deque()
     marked = 0
     worst = WindowShare(0.0, 0, 0, 0.0)
     for at_s, mark in events:
-        inside.append((at_s, mark))
+        in_window.append((at_s, mark))
         marked += mark
-        while inside[0][0] <= at_s - window_s:
-            marked -= inside.popleft()[1]
-        share = marked / len(inside)
+        while in_window[0][0] <= at_s - window_s:
+            marked -= in_window.popleft()[1]
+        share = marked / len(in_window)
         if marked > floor and share > worst.share:
-            worst = WindowShare(share, marked, len(inside), at_s)
+            worst = WindowShare(share, marked, len(in_window), at_s)
     return worst
 
 
@@ -92,9 +93,9 @@
     for call in calls:
         if not call.complete:
             continue
-        _add(histograms, call.route, "whole answer", call.ended_s - call.at_s)
+        _record_latency(histograms, call.route, "whole answer", call.ended_s - call.at_s)
         if call.first_chunk_s is not None:
-            _add(histograms, call.route, "first piece", call.first_chunk_s)
+            _record_latency(histograms, call.route, "first piece", call.first_chunk_s)
     return [
         LatencyRow(
             route=route,
@@ -108,7 +109,9 @@
     ]
 
 
-def _add(histograms: dict[tuple[str, str], HdrHistogram], route: str, measure: str, value_s: float) -> None:
+def _record_latency(
+    histograms: dict[tuple[str, str], HdrHistogram], route: str, measure: str, value_s: float
+) -> None:
     histogram = histograms.get((route, measure))
     if histogram is None:
         histogram = HdrHistogram(LOWEST_MS, HIGHEST_MS, SIGNIFICANT_DIGITS)
--- a/src/springmux/lab/checks/quota_checks.py
+++ b/src/springmux/lab/checks/quota_checks.py
@@ -16,7 +16,7 @@
 
 
 def quotas_hold(records: RunRecords) -> Verdict:
-    """Check that a tenant that requests more than its quota gets it, within a tenth."""
+    """Check that a tenant that requests more than its quota gets its quota, with a tenth of tolerance."""
     promise, bound = "a pressing tenant gets its token quota", f"+- {QUOTA_TOLERANCE:.0%}"
     if not records.quotas:
         return untested(promise, bound)
@@ -35,7 +35,7 @@
 
 
 class _WindowUsage(msgspec.Struct, frozen=True):
-    """Tokens admitted in a window, their lower and upper bound, and the refusals for quota."""
+    """Tokens admitted in a window, their lower and upper bound, and the number of refusals by the quota."""
 
     tokens: int
     lowest: float
@@ -55,16 +55,16 @@
     return _WindowUsage(
         tokens=tokens,
         lowest=(1 - QUOTA_TOLERANCE) * quota,
-        # A full bucket may be spent in the window on top of the rate.
+        # A bucket that is full when the window begins may be spent in addition to the rate.
         highest=(1 + QUOTA_TOLERANCE) * quota + window.burst_tokens,
         refused=refused,
     )
 
 
 def refused_below_quota(records: RunRecords) -> Verdict:
-    """Check that no tenant is refused while a bucket of nine tenths of its rate has room.
+    """Check that no tenant is refused while a token bucket of nine tenths of its rate has enough tokens.
 
-    Measured over the worst ten seconds: tokens refused thus, as a share of the quota in that time.
+    The measure is the worst 10 s: tokens of such refusals, as a share of the quota in that time.
     """
     promise = "a tenant below its quota is not refused"
     bound = f"<= {QUOTA_TOLERANCE:.0%} of the quota in any {REFUSAL_WINDOW_S:g} s"
@@ -77,15 +77,15 @@
     measured = []
     violations = []
     for tenant in records.tenants:
-        count, share = _wrong_refusals(tenant, by_tenant[tenant.tenant])
+        count, share = _refusals_below_quota(tenant, by_tenant[tenant.tenant])
         measured.append(f"{tenant.tenant}: {count}, {share:.1%}")
         if share > QUOTA_TOLERANCE:
             violations.append(f"{tenant.tenant}: {count} refused with room, {share:.0%} of the quota in 10 s")
     return verdict_from(promise, bound, "; ".join(measured), violations)
 
 
-def _wrong_refusals(tenant: TenantQuota, calls: list[CallRecord]) -> tuple[int, float]:
-    """Return refusals while the smaller bucket had room, and their worst share of the quota."""
+def _refusals_below_quota(tenant: TenantQuota, calls: list[CallRecord]) -> tuple[int, float]:
+    """Return refusals while the smaller bucket had enough tokens, and their worst share of the quota."""
     rate = (1 - QUOTA_TOLERANCE) * tenant.tokens_per_s
     level = tenant.burst_tokens
     last_s = 0.0
@@ -96,7 +96,7 @@
         level = min(tenant.burst_tokens, level + (call.at_s - last_s) * rate)
         last_s = call.at_s
         if call.code != REFUSED_CODE:
-            # May go below zero: tokens admitted beyond the smaller bucket are the tenant's debt.
+            # The level may fall below zero: tokens admitted beyond the smaller bucket are the tenant's debt.
             level -= call.requested_tokens
             continue
         if level < call.requested_tokens:
--- a/src/springmux/lab/checks/rollout_checks.py
+++ b/src/springmux/lab/checks/rollout_checks.py
@@ -8,11 +8,11 @@
 
 ROLLBACK_BOUND_S = 5.0
 ROLLBACK_CLOCK_BAD_RESPONSES = 50
-"""The time to roll back counts from the fiftieth bad response."""
+"""The time to the rollback counts from this bad response on."""
 
 
 def bounded_exposure(records: RunRecords) -> Verdict:
-    """Check that a bad version gets at most a tenth of the prompts in its rollout, plus the allowance."""
+    """Check that a bad version gets at most a tenth of the prompts during its rollout, plus the allowance."""
     promise, bound = "a bad version's share of the prompts", "<= 10% + allowance"
     runs = [run for run in records.rollouts if run.bad]
     if not runs:
@@ -29,7 +29,7 @@
 
 
 def _exposure(records: RunRecords, run: RolloutRun) -> tuple[int, int]:
-    """Return prompts sent to the candidate, and to the service while the rollout lasted."""
+    """Return the numbers of prompts to the candidate, and to the whole service during the rollout."""
     prompts = [arrival for arrival in records.arrivals if arrival.service == run.service]
     candidates = [arrival.at_s for arrival in prompts if arrival.version == run.candidate]
     end_s = max(run.ended_at_s or records.ended_at_s, candidates[-1] if candidates else 0.0)
@@ -74,7 +74,7 @@
 
 
 def good_rollout_completed(records: RunRecords) -> Verdict:
-    """Check that a good rollout completes by its deadline."""
+    """Check that the rollout of a good version completes by its deadline."""
     promise, bound = "a good rollout is done by its term", "<= by_s"
     runs = [run for run in records.rollouts if not run.bad]
     if not runs:
--- a/src/springmux/lab/checks/run_checks.py
+++ b/src/springmux/lab/checks/run_checks.py
@@ -1,4 +1,4 @@
-"""All checks of a run: those of each plane, and those of the run as a whole."""
+"""All checks of a run: those of the planes, the quotas and the rollouts, and those of the whole run."""
 
 from __future__ import annotations
 
@@ -11,21 +11,24 @@
 
 
 def served_share(records: RunRecords) -> Verdict:
-    """Report the share of requests with a complete response in the end, without a bound."""
+    """Report the share of requests that got a complete response in some attempt; it has no bound."""
     promise, bound = "requests answered whole in the end", "shown"
-    finals: dict[str, bool] = {}
+    completed_by_action: dict[str, bool] = {}
     for call in records.calls:
-        finals[call.action] = finals.get(call.action, False) or call.complete
-    if not finals:
+        completed_by_action[call.action] = completed_by_action.get(call.action, False) or call.complete
+    if not completed_by_action:
         return untested(promise, bound)
-    complete = sum(finals.values())
+    complete = sum(completed_by_action.values())
     return Verdict(
-        promise=promise, bound=bound, measured=f"{complete / len(finals):.2%} of {len(finals)}", kept=None
+        promise=promise,
+        bound=bound,
+        measured=f"{complete / len(completed_by_action):.2%} of {len(completed_by_action)}",
+        kept=None,
     )
 
 
 def script_completed(records: RunRecords) -> Verdict:
-    """Check that every step of the script succeeded; otherwise the run tested less than planned."""
+    """Check that every step of the script succeeded; a failed step means that the run tested less."""
     promise, bound = "the fleet recovers from each fault", "0 troubles"
     violations = [
         f"{failure.what} at {failure.at_s - records.began_at_s:.1f} s: {failure.reason}"
@@ -37,7 +40,7 @@
 
 
 def check_all(records: RunRecords) -> list[Verdict]:
-    """Return the verdicts on every promise, plane by plane."""
+    """Return the verdict of every check."""
     checkers = (
         *DATA_PLANE_CHECKERS,
         *QUOTA_CHECKERS,
--- a/src/springmux/lab/checks/verdict.py
+++ b/src/springmux/lab/checks/verdict.py
@@ -9,11 +9,11 @@
 from springmux.lab.records import RunRecords
 
 MAX_EVIDENCE = 10
-"""Violations shown with a verdict; the records have the others."""
+"""Number of violations that a verdict shows; the others can be found in the records."""
 
 
 class Verdict(msgspec.Struct, frozen=True, kw_only=True):
-    """The outcome of one check. ``kept`` is ``None`` if the run did not test the promise."""
+    """The outcome of one check. ``kept`` is ``None`` if the promise was not tested or has no bound."""
 
     promise: str
     bound: str
--- a/src/springmux/lab/soak/availability.py
+++ b/src/springmux/lab/soak/availability.py
@@ -1,12 +1,12 @@
-"""Check of availability: an undisturbed node that refuses all valid requests for long is a finding."""
+"""Check of availability: an undisturbed node must not refuse all valid requests for long."""
 
 from __future__ import annotations
 
 from springmux.lab.soak.findings import Findings, Rule
-from springmux.lab.soak.fleet import CONTACT_S, SoakNode
+from springmux.lab.soak.fleet import DISTURBANCE_EFFECT_S, SoakNode
 
-REFUSING_S = CONTACT_S
-"""The time that a disturbance may have an effect; after it a node has no reason to refuse."""
+MAX_REFUSAL_S = DISTURBANCE_EFFECT_S
+"""How long an undisturbed node may refuse all valid requests: as long as a disturbance may have an effect."""
 
 
 class AvailabilityChecker:
@@ -22,13 +22,16 @@
         self._refusing_since.pop(node.number, None)
 
     def record_refused(self, node: SoakNode, undisturbed: bool, sent_at: float, why: str) -> None:
-        """Record that a node refused a valid request, or a connection; a stopping or disturbed node may."""
+        """Record that a node refused a valid request or a connection.
+
+        A node that stops or is disturbed may refuse; that resets its time.
+        """
         if not undisturbed or node.stopping:
             self._refusing_since.pop(node.number, None)
             return
         since = self._refusing_since.setdefault(node.number, sent_at)
         incarnation = (node.number, node.incarnation)
-        if sent_at - since > REFUSING_S and incarnation not in self._reported:
+        if sent_at - since > MAX_REFUSAL_S and incarnation not in self._reported:
             self._reported.add(incarnation)
             what = f"{node.name} served no proper request for {sent_at - since:.2f} s undisturbed: {why}"
             self._findings.add(Rule.AVAILABLE, what)
--- a/src/springmux/lab/soak/clients.py
+++ b/src/springmux/lab/soak/clients.py
@@ -18,13 +18,13 @@
 DEADLINE_S = 6.0
 """Several times the duration of the longest request at an engine."""
 NEWEST_KEY_SHARE = 0.85
-"""Requests with the newest key; the others use the first key, which is soon revoked."""
+"""Share of requests with the newest key; the others use the first key, which is soon revoked."""
 PAUSE_S = (0.03, 0.18)
-"""Between two requests on a connection."""
+"""Range of the pause between two requests on a connection."""
 
 
 class SoakClient:
-    """One connection to one node at a time."""
+    """Sends requests to one node, over one connection at a time."""
 
     def __init__(
         self,
@@ -85,7 +85,7 @@
 
     def _next_request(self) -> SentRequest | None:
         now = time.monotonic()
-        newest = self._history.newest(now)
+        newest = self._history.newest_acknowledged(now)
         if newest is None:
             return None
         self._requests += 1
@@ -94,10 +94,10 @@
         return self._checker.record_sent(f"{self._name}-{self._requests}", self._node, path, key, now)
 
     def _path(self, newest: int, now: float) -> str:
-        """Return the path of a recently added route, the moving one, an old one, or a future one."""
+        """Return the path of a recently added route, the moving route, an old route, or a future route."""
         draw = self._random.random()
         if draw < 0.45:
-            return numbered_path(self._history.newest_acknowledged(now - IN_FORCE_S) or newest)
+            return numbered_path(self._history.newest_acknowledged_number(now - IN_FORCE_S) or newest)
         if draw < 0.6:
             return numbered_path(newest)
         if draw < 0.9:
--- a/src/springmux/lab/soak/configurations.py
+++ b/src/springmux/lab/soak/configurations.py
@@ -1,4 +1,4 @@
-"""Configuration versions that a soak's operators submit, and the outcome that each gives to a request."""
+"""Configuration versions that a soak's operators submit, and the outcome of a request under each."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 KEPT_ROUTES = 40
 """Number of newest numbered routes in a version; each version adds one."""
 MOVING_PATH = "/moving/"
-"""Its service changes with each version."""
+"""Path of the route whose service changes with each version."""
 KEY_PERIOD = 3
-"""Number of versions after which the clients' key is replaced."""
+"""The clients' key is replaced when the version number passes a multiple of this number."""
 KEPT_KEYS = 2
 FIRST_KEY = "key-1"
 TENANT = "soak"
@@ -51,12 +51,12 @@
     return Version(1, {MOVING_PATH: SERVICES[0], numbered_path(1): SERVICES[0]}, (FIRST_KEY,))
 
 
-def next_version(base: Version, above: int, source: random.Random) -> Version:
-    """Return a version that may follow ``base``. Numbers rise in uneven steps.
+def next_version(base: Version, highest: int, source: random.Random) -> Version:
+    """Return a version that may follow ``base``; its number is higher by a random step.
 
-    :param above: the highest number used so far, rejected versions included.
+    :param highest: the highest number used so far, rejected versions included.
     """
-    number = max(base.number, above) + source.randint(1, 3)
+    number = max(base.number, highest) + source.randint(1, 3)
     moved = SERVICES[1] if base.routes[MOVING_PATH] == SERVICES[0] else SERVICES[0]
     numbered = {path: service for path, service in base.routes.items() if path != MOVING_PATH}
     kept = dict(list(numbered.items())[-KEPT_ROUTES:])
--- a/src/springmux/lab/soak/consistency_checker.py
+++ b/src/springmux/lab/soak/consistency_checker.py
@@ -12,19 +12,22 @@
 from springmux.lab.soak.http_connection import Response
 
 IN_FORCE_S = 2.0
-"""From the acknowledgement of a configuration until every undisturbed node handles requests by it."""
-STEP_BACK_S = 0.25
-"""From the first observed effect of a version until no later request may be handled by an older one."""
-LOSS_SLACK_S = 0.2
-"""A request that races with the close of its connection may stay without a response for this long."""
+"""Time from the acknowledgement of a version until every undisturbed node must handle requests by it."""
+REGRESSION_GRACE_S = 0.25
+"""Time from the first response by a version until its node may handle no request by an older one."""
+CLOSE_RACE_S = 0.2
+"""Time after a request in which its connection may close without a response, as the two may cross."""
 SERVED = 200
-LEAST_FAILURE = 500
+FIRST_SERVER_ERROR = 500
 REFUSED_STATUSES = frozenset({408, 421, 429, 503})
 """Statuses that guarantee that the request has not run and never will."""
 
 
 class SentRequest(msgspec.Struct, frozen=True):
-    """A request as sent. ``undisturbed``: its node must handle it by the newest version due."""
+    """A request as sent. ``undisturbed``: its node must handle it by the newest version that is due.
+
+    ``incarnation``: the node's incarnation when the request was sent.
+    """
 
     request_id: str
     node: SoakNode
@@ -36,7 +39,7 @@
 
 
 class ConsistencyChecker:
-    """Checks every response, and every connection that closed without one."""
+    """Checks every response, and every connection that closed without a response."""
 
     def __init__(self, history: ConfigurationHistory, fleet: SoakFleet, findings: Findings) -> None:
         self._history = history
@@ -45,7 +48,7 @@
         self._availability = AvailabilityChecker(findings)
         self._seen: dict[tuple[int, int], list[tuple[float, int]]] = {}
         self.refused: list[str] = []
-        """Ids of requests that were refused: no engine may run them, then or later."""
+        """Ids of the requests that were refused; no engine may ever run them."""
 
     def record_sent(self, request_id: str, node: SoakNode, path: str, key: str, now: float) -> SentRequest:
         """Record that a request is sent now."""
@@ -53,7 +56,7 @@
         return SentRequest(request_id, node, node.incarnation, path, key, now, undisturbed)
 
     def check_response(self, request: SentRequest, response: Response, now: float) -> None:
-        """Check a response."""
+        """Check a response against the versions that may have been in force at its node."""
         self._findings.count(f"status {response.status}")
         if response.status in REFUSED_STATUSES:
             self.refused.append(request.request_id)
@@ -61,40 +64,47 @@
         outcome = _outcome(response)
         if outcome is None:
             return
-        due = self._history.newest_acknowledged(request.sent_at - IN_FORCE_S) if request.undisturbed else 0
+        due = (
+            self._history.newest_acknowledged_number(request.sent_at - IN_FORCE_S)
+            if request.undisturbed
+            else 0
+        )
         seen = self._seen_before(request)
-        allowed = self._history.possible(max(due, seen), now)
+        allowed = self._history.possibly_in_force(max(due, seen), now)
         self._findings.count("judged" if due else "judged without a newest version")
         if request.node.stopping:
             self._findings.count("judged at a stopping node")
-        fitting = [v.number for v in allowed if v.outcome(request.path, request.key) == outcome]
-        if not fitting:
-            rule = Rule.NEWEST if due >= seen else Rule.NO_STEP_BACK
+        matching = [v.number for v in allowed if v.outcome(request.path, request.key) == outcome]
+        if not matching:
+            rule = Rule.NEWEST if due >= seen else Rule.NO_REGRESSION
             self._findings.add(rule, self._evidence(request, outcome, due, seen))
             return
-        least = min(fitting)
-        if least > seen:
-            self._seen.setdefault((request.node.number, request.incarnation), []).append((now, least))
+        oldest_matching = min(matching)
+        if oldest_matching > seen:
+            self._seen.setdefault((request.node.number, request.incarnation), []).append(
+                (now, oldest_matching)
+            )
 
     def _check_availability(self, request: SentRequest, status: int, now: float) -> None:
         if status == SERVED:
             self._availability.record_served(request.node)
-        elif (status in REFUSED_STATUSES or status >= LEAST_FAILURE) and self._is_proper(request, now):
+        elif (status in REFUSED_STATUSES or status >= FIRST_SERVER_ERROR) and self._is_valid(request, now):
             self._findings.count("proper request refused")
             self._availability.record_refused(
                 request.node, request.undisturbed, request.sent_at, f"status {status}"
             )
 
-    def _is_proper(self, request: SentRequest, now: float) -> bool:
+    def _is_valid(self, request: SentRequest, now: float) -> bool:
         """Return whether every version that may be in force has the request's route and key."""
-        due = self._history.newest_acknowledged(request.sent_at - IN_FORCE_S)
+        due = self._history.newest_acknowledged_number(request.sent_at - IN_FORCE_S)
         outcomes = {
-            version.outcome(request.path, request.key) for version in self._history.possible(due, now)
+            version.outcome(request.path, request.key)
+            for version in self._history.possibly_in_force(due, now)
         }
         return bool(outcomes) and not outcomes & {UNKNOWN_KEY, UNKNOWN_ROUTE}
 
     def check_unreachable(self, node: SoakNode, now: float) -> None:
-        """Check a connection that a node did not accept."""
+        """Check a connection attempt that a node did not accept."""
         self._availability.record_refused(node, self._fleet.is_undisturbed(node, now), now, "no connection")
 
     def check_missing_response(self, request: SentRequest, ran: int, now: float) -> None:
@@ -104,7 +114,7 @@
         if node.incarnation != request.incarnation or node.was_killed or node.frozen_s or node.frozen:
             return
         waited_s = now - request.sent_at
-        if ran or waited_s > LOSS_SLACK_S:
+        if ran or waited_s > CLOSE_RACE_S:
             what = (
                 f"{request.request_id} at {node.name} had no answer after {waited_s:.2f} s, run {ran} times"
             )
@@ -113,7 +123,7 @@
     def _seen_before(self, request: SentRequest) -> int:
         """Return the newest version that this incarnation certainly had in force before a request."""
         seen = self._seen.get((request.node.number, request.incarnation), [])
-        return max((number for at, number in seen if at + STEP_BACK_S < request.sent_at), default=0)
+        return max((number for at, number in seen if at + REGRESSION_GRACE_S < request.sent_at), default=0)
 
     def _evidence(self, request: SentRequest, outcome: str, due: int, seen: int) -> str:
         due_version = self._history.acknowledged(due)
--- a/src/springmux/lab/soak/engines.py
+++ b/src/springmux/lab/soak/engines.py
@@ -1,4 +1,4 @@
-"""Stand-in engines of a soak: they respond with their service's name and count the runs of each request."""
+"""Stand-in engines of a soak: they respond with their service's name and count each request's executions."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 REPORT_TIMEOUT_S = 1.0
 LONGEST_WORK_S = 1.2
 SHORT_WORK_S = 0.004
-LONG_SHARE = 0.04
+LONG_WORK_SHARE = 0.04
 """Share of long requests, so that a stop finds some in flight."""
 OK = "HTTP/1.1 200 OK\r\ncontent-length: {size}\r\nx-answer-seal: {seal}\r\nx-request-id: {request}\r\n\r\n"
 
@@ -30,7 +30,7 @@
 
 
 class StandInEngine:
-    """One engine of a service."""
+    """One engine of a service, on a loopback port."""
 
     def __init__(self, service: str, number: int, source: random.Random) -> None:
         self.name = f"{service}-{number}"
@@ -40,7 +40,7 @@
         self._address = ""
         self._sequence = 0
         self.runs: dict[str, int] = {}
-        """How often each request id was run."""
+        """Number of executions by request id."""
 
     async def start(self) -> None:
         """Listen on a free port."""
@@ -54,7 +54,7 @@
             self._server.close()
 
     async def report(self, endpoints: list[ControlEndpoint]) -> None:
-        """Report to one node after another until one accepts."""
+        """Report to one node after another, in random order, until one accepts."""
         self._sequence += 1
         body = msgspec.json.encode(
             {
@@ -81,9 +81,9 @@
                 await self._serve_one(reader, writer)
 
     async def _serve_one(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        first, headers, _ = await read_message(reader)
+        request_line, headers, _ = await read_message(reader)
         request_id = headers.get("x-request-id", "")
-        if not first.startswith("GET /health"):
+        if not request_line.startswith("GET /health"):
             self.runs[request_id] = self.runs.get(request_id, 0) + 1
             await asyncio.sleep(self._work_s())
         body = self._service.encode()
@@ -92,12 +92,14 @@
 
     def _work_s(self) -> float:
         return (
-            self._random.uniform(0.3, LONGEST_WORK_S) if self._random.random() < LONG_SHARE else SHORT_WORK_S
+            self._random.uniform(0.3, LONGEST_WORK_S)
+            if self._random.random() < LONG_WORK_SHARE
+            else SHORT_WORK_S
         )
 
 
 class SoakEngines:
-    """All engines and their reports."""
+    """All engines of a soak, and the task that reports them to the nodes."""
 
     def __init__(self, source: random.Random, endpoints: list[ControlEndpoint]) -> None:
         self._endpoints = endpoints
@@ -106,27 +108,27 @@
             for service in SERVICES
             for number in range(ENGINES_PER_SERVICE)
         ]
-        self._reporting: asyncio.Task[None] | None = None
+        self._report_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
         """Start all engines and report them periodically from then on."""
         for engine in self.engines:
             await engine.start()
-        self._reporting = asyncio.get_running_loop().create_task(self._report())
+        self._report_task = asyncio.get_running_loop().create_task(self._report_forever())
 
     async def stop(self) -> None:
         """Stop the reports and all engines."""
-        if self._reporting is not None:
-            self._reporting.cancel()
-            await asyncio.gather(self._reporting, return_exceptions=True)
+        if self._report_task is not None:
+            self._report_task.cancel()
+            await asyncio.gather(self._report_task, return_exceptions=True)
         for engine in self.engines:
             engine.stop()
 
     def runs(self, request_id: str) -> int:
-        """Return how often engines ran a request."""
+        """Return how many times the engines together ran a request."""
         return sum(engine.runs.get(request_id, 0) for engine in self.engines)
 
-    async def _report(self) -> None:
+    async def _report_forever(self) -> None:
         while True:
             await asyncio.gather(*(engine.report(self._endpoints) for engine in self.engines))
             await asyncio.sleep(REPORT_PERIOD_S)
--- a/src/springmux/lab/soak/findings.py
+++ b/src/springmux/lab/soak/findings.py
@@ -1,4 +1,4 @@
-"""Findings of a soak: broken rules with their evidence, and counts of the checks made."""
+"""Findings of a soak: broken rules with their evidence, and counts of checks and events."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
     NEWEST = "newest"
     """Undisturbed nodes handle a request by a configuration that is recent enough."""
-    NO_STEP_BACK = "no step back"
+    NO_REGRESSION = "no step back"
     """Within one incarnation a node never returns to an older configuration."""
     ACKNOWLEDGED = "acknowledged"
     """An acknowledged version stays, one of two concurrent changes wins, a valid change is accepted."""
@@ -29,7 +29,7 @@
 
 
 class Finding(msgspec.Struct, frozen=True):
-    """One broken rule. ``at_s``: seconds from the run's beginning."""
+    """One broken rule. ``at_s``: seconds from the beginning of the run; ``what``: the evidence."""
 
     rule: Rule
     at_s: float
@@ -45,7 +45,7 @@
         self._began_at = time.monotonic()
 
     def add(self, rule: Rule, what: str) -> None:
-        """Record a broken rule."""
+        """Record a broken rule with its evidence."""
         self.found.append(Finding(rule, round(time.monotonic() - self._began_at, 3), what))
 
     def count(self, what: str) -> None:
--- a/src/springmux/lab/soak/fleet.py
+++ b/src/springmux/lab/soak/fleet.py
@@ -1,4 +1,4 @@
-"""The gateway processes of a soak: starts, signals, and the time of each one's last disturbance."""
+"""Gateway processes of a soak: starts, signals, exits, and the time of each node's last disturbance."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 FRONT_PORT, READY_PORT, CONTROL_PORT, PEER_PORT = 8001, 8002, 8003, 7300
 SEEDS = 3
 GRACE_S = 8.0
-"""From SIGTERM to SIGKILL."""
+"""Grace period of a process between SIGTERM and SIGKILL."""
 END_SLACK_S = 1.0
 """Extra time for a process to exit after its grace period, on a loaded machine."""
-CONTACT_S = 3.0
-"""A node, or the group of controllers, counts as undisturbed this long after the last disturbance."""
+DISTURBANCE_EFFECT_S = 3.0
+"""Time after the last disturbance until a node, or the group of controllers, counts as undisturbed."""
 POLL_S = 0.02
 
 
@@ -40,7 +40,7 @@
         self.stopping = False
         self.frozen = False
         self.frozen_s = 0.0
-        """Total time for which this incarnation was frozen."""
+        """Total time that the current incarnation was frozen."""
         self.ended = asyncio.Event()
         self.started = False
         """Whether the current process listens."""
@@ -62,12 +62,12 @@
 
     @property
     def was_killed(self) -> bool:
-        """Return whether the run killed the current or last process."""
+        """Return whether the soak sent SIGKILL to the current or last process."""
         return self._killed_incarnation == self.incarnation
 
     def write_settings(self, seeds: list[str], first_start: bool) -> None:
         """Write the settings file that the next start or SIGHUP reads."""
-        lines = {
+        settings = {
             "node": self.name,
             "zone": self._zone,
             "host": self.host,
@@ -79,14 +79,14 @@
             "stop_grace_s": str(GRACE_S),
             "data_folder": str(self._folder / f"{self.name}-data") if self.has_disk else "",
         }
-        text = "".join(f"{name} = '{value}'\n" for name, value in lines.items())
-        listed = ", ".join(f"'{seed}:{CONTROL_PORT}'" for seed in seeds)
-        written = self._settings_file.with_suffix(".new")
-        written.write_text(text + f"seeds = [{listed}]\n", "utf-8")
-        written.replace(self._settings_file)
+        text = "".join(f"{name} = '{value}'\n" for name, value in settings.items())
+        seed_list = ", ".join(f"'{seed}:{CONTROL_PORT}'" for seed in seeds)
+        new_file = self._settings_file.with_suffix(".new")
+        new_file.write_text(text + f"seeds = [{seed_list}]\n", "utf-8")
+        new_file.replace(self._settings_file)
 
     def start(self) -> None:
-        """Start a process."""
+        """Start the node's next process."""
         self.incarnation += 1
         self.started = self.stopping = self.frozen = False
         self.frozen_s = 0.0
@@ -96,16 +96,16 @@
         with self.log_file.open("ab") as log:
             self.process = subprocess.Popen(arguments, stdout=log, stderr=log, stdin=subprocess.DEVNULL)
 
-    def disturbed(self, for_s: float = 0.0) -> None:
+    def record_disturbance(self, for_s: float = 0.0) -> None:
         """Record a disturbance that lasts ``for_s`` from now on."""
-        self.undisturbed_from = max(self.undisturbed_from, time.monotonic() + for_s + CONTACT_S)
+        self.undisturbed_from = max(self.undisturbed_from, time.monotonic() + for_s + DISTURBANCE_EFFECT_S)
 
-    def send(self, number: signal.Signals) -> None:
+    def send(self, signal_number: signal.Signals) -> None:
         """Send a signal to the current process."""
         if self.process is not None:
-            if number == signal.SIGKILL:
+            if signal_number == signal.SIGKILL:
                 self._killed_incarnation = self.incarnation
-            self.process.send_signal(number)
+            self.process.send_signal(signal_number)
 
     def has_logged(self, event: str) -> bool:
         """Return whether the current or last process logged a line that contains ``event``."""
@@ -114,7 +114,7 @@
             return event.encode() in log.read()
 
     def poll(self) -> int | None:
-        """Return the exit code if the process has just ended."""
+        """Return the exit code if the process has exited since the last call."""
         if self.process is None:
             return None
         code = self.process.poll()
@@ -135,8 +135,8 @@
         self._findings = findings
         self._random = source
         self._controllers_undisturbed_from = 0.0
-        process = os.getpid()
-        network = f"127.{1 + process // 250 % 250}.{process % 250}"
+        process_id = os.getpid()
+        network = f"127.{1 + process_id // 250 % 250}.{process_id % 250}"
         self.nodes = [
             SoakNode(
                 number,
@@ -148,20 +148,23 @@
             for number in range(size.nodes)
         ]
         self._seeds = [node.host for node in self.nodes[: min(SEEDS, size.controllers)]]
-        self._watcher: asyncio.Task[None] | None = None
-        self._over = False
+        self._watch_task: asyncio.Task[None] | None = None
+        self._stopping_all = False
 
     def control_endpoints(self) -> list[ControlEndpoint]:
         """Return the control listeners of all nodes."""
         return [ControlEndpoint(node.host, CONTROL_PORT) for node in self.nodes]
 
     def is_undisturbed(self, node: SoakNode, now: float) -> bool:
-        """Return whether node and controllers had no recent disturbance. The node's own stop is none."""
+        """Return whether node and controllers had no recent disturbance.
+
+        A stop of the node itself does not count as a disturbance.
+        """
         own = node.started and not node.frozen and now >= node.undisturbed_from
         return own and now >= self._controllers_undisturbed_from and self._controllers_run()
 
     def _controllers_run(self) -> bool:
-        """Return whether a majority of the controllers run, and none of them is starting."""
+        """Return whether a majority of the controllers runs and no controller is starting."""
         controllers = [node for node in self.nodes if node.has_disk]
         usable = [node for node in controllers if node.running and node.started and not node.frozen]
         return 2 * len(usable) > len(controllers) and not any(
@@ -174,9 +177,9 @@
             node.write_settings(self._seeds, first_start=True)
         for node in self.nodes:
             self._start(node)
-        self._watcher = asyncio.get_running_loop().create_task(self._watch())
+        self._watch_task = asyncio.get_running_loop().create_task(self._watch_processes())
 
-    async def carry_out(self, step: Step) -> None:
+    async def execute(self, step: Step) -> None:
         """Execute one step, with the restart or thaw that follows it."""
         node = self.nodes[step.node]
         if not node.running:
@@ -191,13 +194,13 @@
             case SignalKind.HANG_UP:
                 self._hang_up(node)
 
-    async def end(self) -> None:
-        """Stop every process gracefully and check that each exits."""
-        self._over = True
+    async def stop_all(self) -> None:
+        """Stop every process gracefully and check that each exits in time."""
+        self._stopping_all = True
         await asyncio.gather(*(self._stop(node) for node in self.nodes if node.running))
-        if self._watcher is not None:
-            self._watcher.cancel()
-            await asyncio.gather(self._watcher, return_exceptions=True)
+        if self._watch_task is not None:
+            self._watch_task.cancel()
+            await asyncio.gather(self._watch_task, return_exceptions=True)
 
     def kill_all(self) -> None:
         """Kill every process that still runs."""
@@ -207,18 +210,18 @@
                 node.process.wait()
 
     def _start(self, node: SoakNode) -> None:
-        if not self._over and not node.running:
+        if not self._stopping_all and not node.running:
             node.start()
-            self._disturb(node)
+            self._record_disturbance(node)
 
-    def _disturb(self, node: SoakNode, for_s: float = 0.0) -> None:
+    def _record_disturbance(self, node: SoakNode, for_s: float = 0.0) -> None:
         """Record a disturbance of a node that lasts ``for_s`` from now on."""
-        node.disturbed(for_s)
-        self._disturb_controllers(node, for_s)
+        node.record_disturbance(for_s)
+        self._record_controller_disturbance(node, for_s)
 
-    def _disturb_controllers(self, node: SoakNode, for_s: float = 0.0) -> None:
+    def _record_controller_disturbance(self, node: SoakNode, for_s: float = 0.0) -> None:
         if node.has_disk:
-            until = time.monotonic() + for_s + CONTACT_S
+            until = time.monotonic() + for_s + DISTURBANCE_EFFECT_S
             self._controllers_undisturbed_from = max(self._controllers_undisturbed_from, until)
 
     async def _terminate(self, node: SoakNode, down_s: float) -> None:
@@ -228,12 +231,12 @@
             self._start(node)
 
     async def _stop(self, node: SoakNode) -> bool:
-        """Stop a process; return ``False`` if it was already stopping or another one runs by now."""
-        incarnation, already = node.incarnation, node.stopping
+        """Stop a process; return ``False`` if it was already stopping or a newer one has started."""
+        incarnation, already_stopping = node.incarnation, node.stopping
         node.stopping = True
-        self._disturb_controllers(node)
+        self._record_controller_disturbance(node)
         node.send(signal.SIGTERM)
-        if already:
+        if already_stopping:
             return False
         began_at = time.monotonic()
         while not node.ended.is_set():
@@ -244,7 +247,7 @@
         return node.incarnation == incarnation
 
     async def _kill(self, node: SoakNode, down_s: float) -> None:
-        self._disturb(node)
+        self._record_disturbance(node)
         node.send(signal.SIGKILL)
         await node.ended.wait()
         await asyncio.sleep(down_s)
@@ -257,13 +260,13 @@
             return
         incarnation = node.incarnation
         node.frozen = True
-        self._disturb(node, for_s)
+        self._record_disturbance(node, for_s)
         node.send(signal.SIGSTOP)
         await asyncio.sleep(for_s)
         if node.incarnation == incarnation and node.running:
             node.frozen = False
             node.frozen_s += for_s
-            self._disturb(node)
+            self._record_disturbance(node)
             node.send(signal.SIGCONT)
 
     def _hang_up(self, node: SoakNode) -> None:
@@ -275,10 +278,10 @@
     def _detect_start(self, node: SoakNode) -> None:
         if node.running and not node.started and node.has_logged("node_started"):
             node.started = True
-            self._disturb(node)
+            self._record_disturbance(node)
 
-    async def _watch(self) -> None:
-        """Detect exits; an unrequested one is a finding, and so is a stop with another code than 0."""
+    async def _watch_processes(self) -> None:
+        """Detect exits; an unrequested exit, or a requested one with a code other than 0, is a finding."""
         while True:
             for node in self.nodes:
                 self._detect_start(node)
@@ -298,7 +301,7 @@
 def _exited_before_handlers(node: SoakNode, code: int) -> bool:
     """Return whether a process may exit with ``code`` because it had no signal handler yet.
 
-    That holds for SIGTERM until the node has started, and for SIGHUP until its program begins.
+    That holds for SIGTERM until it has logged ``node_started``, and for SIGHUP until its first log line.
     """
     if code == -signal.SIGTERM:
         return node.stopping and not node.has_logged("node_started")
--- a/src/springmux/lab/soak/history.py
+++ b/src/springmux/lab/soak/history.py
@@ -1,4 +1,4 @@
-"""History of submitted and acknowledged configuration versions, and which may be in force at a time."""
+"""History of submitted and acknowledged configuration versions; which may be in force at a time."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 class SentVersion(msgspec.Struct):
     """A version with the times (monotonic seconds) of its first submission and its acknowledgement.
 
-    ``refused``: it lost a race, so it is never in force.
+    ``refused``: a node rejected it, for instance because it lost a race, so it is never in force.
     """
 
     version: Version
@@ -20,21 +20,21 @@
 
 
 class ConfigurationHistory:
-    """All versions in the order of their numbers."""
+    """All submitted versions by number."""
 
     def __init__(self) -> None:
         self.sent: dict[int, SentVersion] = {}
 
-    def send(self, version: Version, now: float) -> SentVersion:
+    def record_sent(self, version: Version, now: float) -> SentVersion:
         """Record the first submission of a version."""
         return self.sent.setdefault(version.number, SentVersion(version, now))
 
-    def newest_acknowledged(self, before: float) -> int:
+    def newest_acknowledged_number(self, before: float) -> int:
         """Return the number of the newest version acknowledged before a time; 0 if there is none."""
-        newest = self.newest(before)
+        newest = self.newest_acknowledged(before)
         return newest.number if newest is not None else 0
 
-    def newest(self, before: float) -> Version | None:
+    def newest_acknowledged(self, before: float) -> Version | None:
         """Return the newest version acknowledged before a time."""
         versions = [
             sent.version
@@ -44,14 +44,14 @@
         return max(versions, key=lambda version: version.number, default=None)
 
     def acknowledged(self, number: int) -> SentVersion | None:
-        """Return a version if it was acknowledged."""
+        """Return the version with a number; ``None`` if it was not acknowledged."""
         sent = self.sent.get(number)
         return sent if sent is not None and sent.acknowledged_at is not None else None
 
-    def possible(self, least: int, before: float) -> list[Version]:
-        """Return the versions from number ``least`` on that may be in force at a time."""
+    def possibly_in_force(self, oldest: int, before: float) -> list[Version]:
+        """Return the versions from number ``oldest`` on that may be in force at time ``before``."""
         return [
             sent.version
             for number, sent in sorted(self.sent.items())
-            if number >= least and sent.sent_at <= before and not sent.refused
+            if number >= oldest and sent.sent_at <= before and not sent.refused
         ]
--- a/src/springmux/lab/soak/http_connection.py
+++ b/src/springmux/lab/soak/http_connection.py
@@ -1,4 +1,4 @@
-"""Minimal HTTP/1.1 client over one connection that shows when and how the peer closes it."""
+"""Minimal HTTP/1.1 client over one connection; its caller sees when and how the peer closes it."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
     @property
     def closes(self) -> bool:
-        """Return whether the peer closes the connection after it."""
+        """Return whether the peer closes the connection after this response."""
         return self.headers.get("connection", "").lower() == "close"
 
 
@@ -26,19 +26,19 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
-    """Return a message's first line, its headers with names in lower case, and its body.
+    """Return a message's start line, its headers with names in lower case, and its body.
 
     :raises asyncio.IncompleteReadError: if the connection closes first.
     """
     head = await reader.readuntil(b"\r\n\r\n")
-    first, *rest = head.decode("latin-1").strip().split("\r\n")
+    start_line, *rest = head.decode("latin-1").strip().split("\r\n")
     pairs = (line.partition(":") for line in rest)
     headers = {name.strip().lower(): value.strip() for name, _, value in pairs}
-    return first, headers, await reader.readexactly(int(headers.get("content-length", "0")))
+    return start_line, headers, await reader.readexactly(int(headers.get("content-length", "0")))
 
 
 class HttpConnection:
-    """One connection; requests are sent one after another."""
+    """One connection. Requests are sent one after another, without pipelining."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._reader = reader
@@ -48,7 +48,7 @@
     async def open(host: str, port: int, timeout_s: float) -> HttpConnection:
         """Connect.
 
-        :raises OSError: if that fails, :class:`TimeoutError` among them.
+        :raises OSError: if that fails; :class:`TimeoutError`, a subclass, if it takes too long.
         """
         async with asyncio.timeout(timeout_s):
             reader, writer = await asyncio.open_connection(host, port)
@@ -73,8 +73,8 @@
             raise ConnectionClosedError(type(error).__name__) from error
 
     async def _read_response(self) -> Response:
-        first, headers, body = await read_message(self._reader)
-        return Response(int(first.split(" ")[1]), headers, body)
+        start_line, headers, body = await read_message(self._reader)
+        return Response(int(start_line.split(" ")[1]), headers, body)
 
     def close(self) -> None:
         """Close the connection."""
@@ -85,7 +85,7 @@
 async def request_once(
     host: str, port: int, method: str, target: str, headers: dict[str, str], body: bytes, timeout_s: float
 ) -> Response | None:
-    """Send one request over a connection of its own; return ``None`` without a complete response."""
+    """Send one request over a new connection; return ``None`` if there is no complete response."""
     try:
         connection = await HttpConnection.open(host, port, timeout_s)
         try:
--- a/src/springmux/lab/soak/operators.py
+++ b/src/springmux/lab/soak/operators.py
@@ -24,10 +24,10 @@
 REQUEST_TIMEOUT_S = 5.0
 RESEND_S = 0.15
 GIVE_UP_S = 25.0
-"""A change without a known outcome after this is a finding: no plan blocks the fleet for so long."""
+"""A change whose outcome is unknown after this time is a finding: no plan blocks the fleet for so long."""
 RACE_SHARE = 0.12
 FULL_DOCUMENT_SHARE = 0.2
-OK, CONFLICT = 200, 412
+OK, PRECONDITION_FAILED = 200, 412
 
 
 class ChangeDocument(msgspec.Struct, frozen=True):
@@ -38,7 +38,7 @@
 
 
 class SoakOperators:
-    """Submit configuration changes throughout a run."""
+    """Submits configuration changes throughout a run."""
 
     def __init__(
         self,
@@ -54,19 +54,19 @@
         self._random = source
         self._period_s = period_s
         self._current = first_version()
-        self._highest = self._current.number
-        self.enough = asyncio.Event()
-        """Set when no further change may begin."""
+        self._highest_number = self._current.number
+        self.stop_requested = asyncio.Event()
+        """Set when no further change may begin, so that ``run`` returns."""
 
     async def begin(self) -> bool:
         """Submit the first configuration; return whether it was accepted."""
-        self._history.send(self._current, time.monotonic())
+        self._history.record_sent(self._current, time.monotonic())
         document = ChangeDocument("PUT", full_document(self._current))
         return await self._send(self._current, 0, document) == OK
 
     async def run(self) -> None:
-        """Submit changes until ``enough`` is set."""
-        while not self.enough.is_set():
+        """Submit changes one after another until ``stop_requested`` is set."""
+        while not self.stop_requested.is_set():
             await asyncio.sleep(self._period_s * self._random.uniform(0.4, 1.6))
             if self._random.random() < RACE_SHARE:
                 await self._race()
@@ -85,27 +85,32 @@
     async def _race(self) -> None:
         """Send two concurrent changes to one version: exactly one wins."""
         base = self._current
-        rivals = [self._next_version(), self._next_version()]
+        concurrent_versions = [self._next_version(), self._next_version()]
         statuses = await asyncio.gather(
-            *(self._send(rival, base.number, self._document(base, rival)) for rival in rivals)
+            *(
+                self._send(version, base.number, self._document(base, version))
+                for version in concurrent_versions
+            )
         )
-        for rival, status in zip(rivals, statuses, strict=True):
-            self._history.sent[rival.number].refused = status not in (OK, None)
+        for version, status in zip(concurrent_versions, statuses, strict=True):
+            self._history.sent[version.number].refused = status not in (OK, None)
         self._findings.count("races")
-        winners = [rival for rival, status in zip(rivals, statuses, strict=True) if status == OK]
-        if len(winners) == 1 and set(statuses) == {OK, CONFLICT}:
+        winners = [
+            version for version, status in zip(concurrent_versions, statuses, strict=True) if status == OK
+        ]
+        if len(winners) == 1 and set(statuses) == {OK, PRECONDITION_FAILED}:
             self._current = winners[0]
             return
-        numbers = [rival.number for rival in rivals]
+        numbers = [version.number for version in concurrent_versions]
         self._findings.add(Rule.ACKNOWLEDGED, f"versions {numbers} on {base.number} got {statuses}")
         if winners:
             self._current = max(winners, key=lambda version: version.number)
 
     def _next_version(self) -> Version:
         """Return a new version based on the current one, recorded as sent. Numbers are unique."""
-        version = next_version(self._current, self._highest, self._random)
-        self._highest = version.number
-        self._history.send(version, time.monotonic())
+        version = next_version(self._current, self._highest_number, self._random)
+        self._highest_number = version.number
+        self._history.record_sent(version, time.monotonic())
         return version
 
     def _document(self, base: Version, version: Version) -> ChangeDocument:
--- a/src/springmux/lab/soak/plan.py
+++ b/src/springmux/lab/soak/plan.py
@@ -1,4 +1,4 @@
-"""Plan of a soak: which process gets which signal when, drawn from a seed before the run."""
+"""Plan of a soak: the signals to processes and their times, chosen by a seed before the run."""
 
 from __future__ import annotations
 
@@ -8,24 +8,27 @@
 import msgspec
 
 SETTLE_S = 4.0
-"""After the start, before the first disturbance."""
+"""Time between the start and the first disturbance."""
 QUIET_S = 8.0
-"""At the end: a stop takes up to its grace period, and every node must become current again."""
+"""Time without new disturbances at the end of a run.
+
+A stop takes up to its grace period, and every node must apply the newest configuration again.
+"""
 PAUSE_S = (0.3, 3.5)
-"""Range between the starts of two series; most last longer, so they overlap."""
+"""Range of the time between the starts of two series; most series last longer, so they overlap."""
 
 
 class SignalKind(enum.StrEnum):
-    """The signal that a process gets, with what follows."""
+    """A signal to a process and the action that follows it."""
 
     TERMINATE = "terminate"
-    """SIGTERM, and a start once it has ended."""
+    """SIGTERM, and a start ``for_s`` after the exit."""
     KILL = "kill"
-    """SIGKILL, and a start after ``for_s``."""
+    """SIGKILL, and a start ``for_s`` after the exit."""
     FREEZE = "freeze"
     """SIGSTOP, and SIGCONT after ``for_s``."""
     HANG_UP = "hang_up"
-    """SIGHUP, with other seeds in the settings file."""
+    """SIGHUP, after other seeds were written to the settings file."""
 
 
 class Step(msgspec.Struct, frozen=True):
@@ -38,7 +41,7 @@
 
 
 class SoakSize(msgspec.Struct, frozen=True):
-    """How large a run is. The first ``controllers`` nodes have a disk; three of them are the first seeds."""
+    """Size of a run. The first ``controllers`` nodes have a disk; up to three of them are the first seeds."""
 
     nodes: int = 9
     controllers: int = 3
@@ -46,7 +49,7 @@
     seconds: float = 40.0
     change_period_s: float = 0.4
     connections: int = 3
-    """Open connections to each node."""
+    """Number of open connections to each node."""
 
 
 def make_plan(seed: int, size: SoakSize) -> tuple[Step, ...]:
@@ -78,39 +81,39 @@
 
 
 def _kill_many(source: random.Random, size: SoakSize, at_s: float) -> list[Step]:
-    """Kill half of the nodes at once."""
+    """Kill half of the nodes at the same time."""
     down_s = source.uniform(0.1, 2.0)
     return [Step(at_s, SignalKind.KILL, node, down_s) for node in _sample_nodes(source, size, 0.5)]
 
 
 def _kill_one(source: random.Random, size: SoakSize, at_s: float) -> list[Step]:
-    """Kill one node, perhaps a second time once it is back."""
+    """Kill one node, and in half of the cases again after its restart."""
     node = source.randrange(size.nodes)
     return [
-        Step(at_s + again * source.uniform(1.5, 3.0), SignalKind.KILL, node, source.uniform(0.1, 1.5))
-        for again in range(source.randint(1, 2))
+        Step(at_s + repetition * source.uniform(1.5, 3.0), SignalKind.KILL, node, source.uniform(0.1, 1.5))
+        for repetition in range(source.randint(1, 2))
     ]
 
 
 def _stop_controllers(source: random.Random, size: SoakSize, at_s: float) -> list[Step]:
-    """Kill or stop all controllers at once."""
+    """Kill or stop all controllers at the same time."""
     kind = source.choice((SignalKind.KILL, SignalKind.KILL, SignalKind.TERMINATE))
     down_s = source.uniform(0.1, 1.5)
     return [Step(at_s, kind, node, down_s) for node in range(size.controllers)]
 
 
 def _freeze_some(source: random.Random, size: SoakSize, at_s: float) -> list[Step]:
-    """Freeze some nodes."""
+    """Freeze a quarter of the nodes at the same time."""
     for_s = source.uniform(0.4, 4.0)
     return [Step(at_s, SignalKind.FREEZE, node, for_s) for node in _sample_nodes(source, size, 0.25)]
 
 
 def _hang_up_some(source: random.Random, size: SoakSize, at_s: float) -> list[Step]:
-    """Send hang-ups in quick succession, also to nodes that are starting or stopping."""
+    """Send SIGHUP in quick succession, also to nodes that are starting or stopping."""
     nodes = _sample_nodes(source, size, 0.6)
     return [
-        Step(at_s + index * 0.1 + again * 0.5, SignalKind.HANG_UP, node)
-        for again in range(3)
+        Step(at_s + index * 0.1 + repetition * 0.5, SignalKind.HANG_UP, node)
+        for repetition in range(3)
         for index, node in enumerate(nodes)
     ]
 
--- a/src/springmux/lab/soak/run.py
+++ b/src/springmux/lab/soak/run.py
@@ -1,4 +1,4 @@
-"""One run of the soak: start a fleet, apply the plan under load, check the final state, stop the fleet."""
+"""One run of the soak: start a fleet, execute the plan under load, check the final state, stop the fleet."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 from springmux.lab.soak.consistency_checker import IN_FORCE_S, ConsistencyChecker
 from springmux.lab.soak.engines import SoakEngines
 from springmux.lab.soak.findings import Finding, Findings, Rule
-from springmux.lab.soak.fleet import CONTACT_S, FRONT_PORT, SoakFleet
+from springmux.lab.soak.fleet import DISTURBANCE_EFFECT_S, FRONT_PORT, SoakFleet
 from springmux.lab.soak.history import ConfigurationHistory
 from springmux.lab.soak.http_connection import request_once
 from springmux.lab.soak.operators import SoakOperators, read_configuration
 from springmux.lab.soak.plan import SoakSize, make_plan
 
 FIRST_CONFIGURATION_S = 60.0
-"""Time for many processes on a busy machine to start and form their group."""
-READ_BACK_S = 10.0
+"""Time for many processes on a busy machine to start and for the controllers to form their group."""
+FINAL_CHECK_TIMEOUT_S = 10.0
 POLL_S = 0.2
-PROBE = "probe"
-"""Id of the run's own requests, which may run more than once."""
+PROBE_REQUEST_ID = "probe"
+"""Request id of the run's own requests, which engines may run more than once."""
 
 
 class SoakReport(msgspec.Struct, frozen=True):
@@ -39,7 +39,7 @@
 
 
 class SoakRun:
-    """One run of the soak. Its processes end with it, also when it fails."""
+    """One run of the soak. All its processes are ended at the end of the run, also when the run fails."""
 
     def __init__(self, seed: int, size: SoakSize, folder: Path) -> None:
         source = random.Random(f"soak run {seed}")
@@ -90,17 +90,17 @@
         loop = asyncio.get_running_loop()
         clients = [loop.create_task(client.run()) for client in self._clients]
         changes = loop.create_task(self._operators.run())
-        await self._disturb()
-        self._operators.enough.set()
+        await self._execute_plan()
+        self._operators.stop_requested.set()
         await changes
-        await asyncio.sleep(IN_FORCE_S + CONTACT_S)
-        await self._read_back()
+        await asyncio.sleep(IN_FORCE_S + DISTURBANCE_EFFECT_S)
+        await self._check_final_configurations()
         await _stop_clients(clients)
-        await self._fleet.end()
-        self._check_runs()
+        await self._fleet.stop_all()
+        self._check_executions()
 
     async def _start_serving(self) -> bool:
-        """Submit the first configuration and wait until every node serves by it."""
+        """Submit the first configuration; return whether every node serves by it in time."""
         if not await self._operators.begin():
             return False
         until = time.monotonic() + FIRST_CONFIGURATION_S
@@ -111,23 +111,23 @@
             await asyncio.sleep(POLL_S)
         return False
 
-    async def _disturb(self) -> None:
+    async def _execute_plan(self) -> None:
         began_at = time.monotonic()
         running: set[asyncio.Task[None]] = set()
         for step in make_plan(self._seed, self._size):
             await asyncio.sleep(max(0.0, began_at + step.at_s - time.monotonic()))
-            task = asyncio.get_running_loop().create_task(self._fleet.carry_out(step))
+            task = asyncio.get_running_loop().create_task(self._fleet.execute(step))
             running.add(task)
             task.add_done_callback(running.discard)
             self._findings.count(f"step {step.kind.value}")
         await asyncio.sleep(max(0.0, began_at + self._size.seconds - time.monotonic()))
         await asyncio.gather(*running)
 
-    async def _read_back(self) -> None:
+    async def _check_final_configurations(self) -> None:
         """Check that every node serves by the newest acknowledged version and reports it."""
-        newest = self._history.newest_acknowledged(time.monotonic())
+        newest = self._history.newest_acknowledged_number(time.monotonic())
         for node, endpoint in zip(self._fleet.nodes, self._fleet.control_endpoints(), strict=True):
-            until = time.monotonic() + READ_BACK_S
+            until = time.monotonic() + FINAL_CHECK_TIMEOUT_S
             response = await read_configuration(endpoint)
             while (response is None or response.status != HTTPStatus.OK) and time.monotonic() < until:
                 await asyncio.sleep(POLL_S)
@@ -142,25 +142,25 @@
 
     async def _probe(self, host: str) -> int:
         """Request the newest acknowledged route of a node; return the status, 0 without a response."""
-        newest = self._history.newest(time.monotonic())
+        newest = self._history.newest_acknowledged(time.monotonic())
         assert newest is not None
-        headers = {"host": HOST, "x-api-key": newest.keys[-1], "x-request-id": PROBE}
+        headers = {"host": HOST, "x-api-key": newest.keys[-1], "x-request-id": PROBE_REQUEST_ID}
         path = newest.numbered_path()
-        response = await request_once(host, FRONT_PORT, "POST", path, headers, b"", READ_BACK_S)
+        response = await request_once(host, FRONT_PORT, "POST", path, headers, b"", FINAL_CHECK_TIMEOUT_S)
         return response.status if response is not None else 0
 
-    def _check_runs(self) -> None:
+    def _check_executions(self) -> None:
         for request_id in self._checker.refused:
             if self._engines.runs(request_id):
                 self._findings.add(Rule.ONCE, f"{request_id} was refused, and run")
         for engine in self._engines.engines:
             for request_id, runs in engine.runs.items():
-                if request_id != PROBE and self._engines.runs(request_id) > 1:
+                if request_id != PROBE_REQUEST_ID and self._engines.runs(request_id) > 1:
                     self._findings.add(Rule.ONCE, f"{request_id} was run {runs} times at {engine.name}")
 
 
 async def _stop_clients(clients: list[asyncio.Task[None]]) -> None:
-    """Cancel the clients; raise the exception of one that failed by itself."""
+    """Cancel the clients; raise the exception of a client that had failed."""
     for client in clients:
         client.cancel()
     for ended in await asyncio.gather(*clients, return_exceptions=True):
@@ -169,5 +169,5 @@
 
 
 async def soak(seed: int, size: SoakSize, folder: Path) -> SoakReport:
-    """Run the soak of one seed; settings, data and logs are in ``folder``, which exists."""
+    """Run the soak of one seed; settings, data and logs go to ``folder``, which must exist."""
     return await SoakRun(seed, size, folder).run()
--- a/tests/unit/lab/test_soak.py
+++ b/tests/unit/lab/test_soak.py
@@ -9,7 +9,7 @@
 
 from springmux.control.commands import ApplyGateway, Outcome
 from springmux.control.gateway_section import GatewaySection
-from springmux.lab.soak.availability import REFUSING_S
+from springmux.lab.soak.availability import MAX_REFUSAL_S
 from springmux.lab.soak.configurations import (
     MOVING_PATH,
     SERVICES,
@@ -22,7 +22,12 @@
     numbered_path,
     partial_document,
 )
-from springmux.lab.soak.consistency_checker import IN_FORCE_S, LOSS_SLACK_S, STEP_BACK_S, ConsistencyChecker
+from springmux.lab.soak.consistency_checker import (
+    CLOSE_RACE_S,
+    IN_FORCE_S,
+    REGRESSION_GRACE_S,
+    ConsistencyChecker,
+)
 from springmux.lab.soak.findings import Findings, Rule
 from springmux.lab.soak.fleet import SoakFleet, SoakNode
 from springmux.lab.soak.history import ConfigurationHistory
@@ -105,7 +110,7 @@
         self.findings = Findings()
         self.history = ConfigurationHistory()
         for version, at in ((FIRST, 0.0), (SECOND, 10.0)):
-            self.history.send(version, at).acknowledged_at = at
+            self.history.record_sent(version, at).acknowledged_at = at
         nodes = SoakFleet(SoakSize(nodes=1, controllers=1), tmp_path, self.findings, random.Random(1))
         self.node: SoakNode = nodes.nodes[0]
         self.node.incarnation = 1
@@ -150,8 +155,8 @@
     harness = CheckerHarness(tmp_path, undisturbed=False)
     assert harness.respond(MOVING_PATH, NEW_KEY, 10.5, 200, SERVICES[1].encode()) == []
     assert harness.respond(MOVING_PATH, OLD_KEY, 10.6, 200, SERVICES[0].encode()) == []
-    later = 10.5 + STEP_BACK_S + 0.1
-    assert harness.respond(MOVING_PATH, OLD_KEY, later, 200, SERVICES[0].encode()) == [Rule.NO_STEP_BACK]
+    later = 10.5 + REGRESSION_GRACE_S + 0.1
+    assert harness.respond(MOVING_PATH, OLD_KEY, later, 200, SERVICES[0].encode()) == [Rule.NO_REGRESSION]
 
 
 def test_another_life_of_a_node_may_begin_with_an_older_version(tmp_path: Path) -> None:
@@ -164,10 +169,10 @@
 def test_a_request_that_ran_and_got_no_answer_is_found_unless_its_node_was_killed(tmp_path: Path) -> None:
     harness = CheckerHarness(tmp_path)
     request = harness.checker.record_sent("request", harness.node, MOVING_PATH, NEW_KEY, 11.0)
-    harness.checker.check_missing_response(request, 0, 11.0 + LOSS_SLACK_S / 2)
+    harness.checker.check_missing_response(request, 0, 11.0 + CLOSE_RACE_S / 2)
     assert not harness.findings.found
-    harness.checker.check_missing_response(request, 1, 11.0 + LOSS_SLACK_S / 2)
-    harness.checker.check_missing_response(request, 0, 11.0 + 2 * LOSS_SLACK_S)
+    harness.checker.check_missing_response(request, 1, 11.0 + CLOSE_RACE_S / 2)
+    harness.checker.check_missing_response(request, 0, 11.0 + 2 * CLOSE_RACE_S)
     assert [finding.rule for finding in harness.findings.found] == [Rule.ANSWERED] * 2
     harness.node.incarnation = 2
     harness.checker.check_missing_response(request, 1, 12.0)
@@ -195,15 +200,15 @@
 @pytest.mark.parametrize("status", [429, 500, 502, 503])
 def test_a_node_that_refuses_everything_undisturbed_is_found_once(tmp_path: Path, status: int) -> None:
     begin = LATE_S + 1.0
-    assert refusals(CheckerHarness(tmp_path), begin, begin + 3 * REFUSING_S, status) == [Rule.AVAILABLE]
+    assert refusals(CheckerHarness(tmp_path), begin, begin + 3 * MAX_REFUSAL_S, status) == [Rule.AVAILABLE]
 
 
 def test_a_node_that_serves_now_and_then_is_not_found(tmp_path: Path) -> None:
     harness = CheckerHarness(tmp_path)
     at = LATE_S + 1.0
     for _ in range(10):
-        assert refusals(harness, at, at + 0.8 * REFUSING_S) == []
-        at += 0.8 * REFUSING_S
+        assert refusals(harness, at, at + 0.8 * MAX_REFUSAL_S) == []
+        at += 0.8 * MAX_REFUSAL_S
         body = SERVICES[0].encode()
         assert harness.respond(numbered_path(1), NEW_KEY, at, 200, body) == []
         at += 0.1
@@ -211,10 +216,10 @@
 
 def test_disturbed_and_stopping_nodes_and_improper_requests_may_be_refused(tmp_path: Path) -> None:
     begin = LATE_S + 1.0
-    assert refusals(CheckerHarness(tmp_path, undisturbed=False), begin, begin + 3 * REFUSING_S) == []
+    assert refusals(CheckerHarness(tmp_path, undisturbed=False), begin, begin + 3 * MAX_REFUSAL_S) == []
     stopping = CheckerHarness(tmp_path)
     stopping.node.stopping = True
-    assert refusals(stopping, begin, begin + 3 * REFUSING_S) == []
+    assert refusals(stopping, begin, begin + 3 * MAX_REFUSAL_S) == []
     harness = CheckerHarness(tmp_path)
     for number in range(100):
         assert harness.respond(numbered_path(1), OLD_KEY, begin + number / 10, 503) == []
