--- a/tests/unit/lab/support.py
+++ b/tests/unit/lab/support.py
@@ -1,4 +1,4 @@
-"""Small records for the checkers' transcripts. The run begins at 100 s of the machine's clock."""
+"""Builders of records for the tests of the checks. The run begins at 100 s of the monotonic clock."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 
 def records(**fields: object) -> RunRecords:
     """Return the records of a run of 100 s."""
-    whole = {"experiment": "test", "began_at_s": BEGAN_AT_S, "ended_at_s": ENDED_AT_S, **fields}
-    return RunRecords(**whole)  # type: ignore[arg-type]
+    values = {"experiment": "test", "began_at_s": BEGAN_AT_S, "ended_at_s": ENDED_AT_S, **fields}
+    return RunRecords(**values)  # type: ignore[arg-type]
 
 
 def call(action: str, **fields: object) -> CallRecord:
-    """Return a call's record; times count from the run's beginning."""
-    whole = {
+    """Return the record of a call; its times count from the beginning of the run."""
+    values = {
         "route": "proof-approval",
         "kind": "call",
         "tenant": "norte",
@@ -39,11 +39,11 @@
         "action": action,
         **fields,
     }
-    return msgspec.convert(whole, CallRecord)
+    return msgspec.convert(values, CallRecord)
 
 
-def prompts(version: str, count: int, from_s: float, to_s: float) -> list[Arrival]:
-    """Return arrivals of prompts, evenly spread from ``from_s`` on, before ``to_s``."""
+def prompt_arrivals(version: str, count: int, from_s: float, to_s: float) -> list[Arrival]:
+    """Return arrivals of prompts at equal intervals, the first at ``from_s``, all before ``to_s``."""
     step_s = (to_s - from_s) / count
     return [
         Arrival(
@@ -54,7 +54,7 @@
 
 
 def bad_endings(version: str, count: int, from_s: float, step_s: float) -> list[Ending]:
-    """Return bad answers, ``step_s`` apart."""
+    """Return endings of bad responses, ``step_s`` apart."""
     return [
         Ending(from_s + number * step_s, "e1", "text", version, f"{version}-{number}", True)
         for number in range(count)
@@ -62,7 +62,7 @@
 
 
 def rollout(bad: bool, ended_at_s: float, phase: str) -> RolloutRun:
-    """Return a rollout of v2 from 110 s on, with a term of 60 s."""
+    """Return a rollout of v2 that begins at 110 s and has a deadline of 60 s."""
     return RolloutRun(
         service="text",
         stable="v1",
@@ -78,8 +78,8 @@
 
 
 def order(name: str, status: int, **fields: object) -> OrderRecord:
-    """Return one sending of an order, answered at 110 s."""
-    whole = {
+    """Return the record of one attempt of an order, answered at 110 s."""
+    values = {
         "order": name,
         "kind": "patch_configuration",
         "node": "n1",
@@ -88,16 +88,16 @@
         "status": status,
         **fields,
     }
-    return msgspec.convert(whole, OrderRecord)
+    return msgspec.convert(values, OrderRecord)
 
 
 def sample(node: str, at_s: float, revision: int, ready: bool = True) -> StatusSample:
-    """Return what a node said of itself."""
+    """Return a status that a node reported."""
     return StatusSample(at_s, at_s, node, answered=True, ready=ready, revision=revision)
 
 
 def chunk(stream: str, seq: int, last: bool = False, text: str = "") -> bytes:
-    """Return one event of a stream."""
+    """Return one event of a stream, a chunk of the response."""
     body: dict[str, object] = {
         "id": stream,
         "seq": seq,
@@ -117,5 +117,6 @@
 
 
 def evidence(verdict: Verdict) -> str:
+    """Return the evidence of a verdict, which must be that the promise is broken."""
     assert verdict.kept is False
     return "; ".join(verdict.evidence)
--- a/tests/unit/lab/test_commands.py
+++ b/tests/unit/lab/test_commands.py
@@ -1,4 +1,4 @@
-"""The lab's commands that start nothing: lists and wrong usage, with their exit codes."""
+"""Commands of the lab that start no process: lists and invalid arguments, with their exit codes."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
         (["callers", "--settings", "/nowhere.json"], "No such file"),
     ],
 )
-def test_wrong_usage_exits_2_and_says_what_was_wrong(arguments: list[str], message: str) -> None:
+def test_invalid_arguments_exit_with_2_and_an_explanation(arguments: list[str], message: str) -> None:
     result = CliRunner().invoke(application, arguments)
     assert (result.exit_code, message in result.output) == (2, True)
 
 
-def test_a_folder_to_keep_must_be_new(tmp_path: Path) -> None:
+def test_keep_rejects_a_folder_that_is_not_empty(tmp_path: Path) -> None:
     (tmp_path / "something").touch()
     result = CliRunner().invoke(application, ["demo", "--keep", str(tmp_path)])
     assert (result.exit_code, "is not empty" in result.output) == (2, True)
--- a/tests/unit/lab/test_fault_injection.py
+++ b/tests/unit/lab/test_fault_injection.py
@@ -1,4 +1,4 @@
-"""The daemon's fault injection: a full, a stalled and a whole disk, and the wall clock."""
+"""The daemon's fault injection: a full disk, a stalled disk, a jump of the wall clock, a partition."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 from springmux.storage.disk import DiskFullError
 
 JOIN_S = 10.0
-"""Only a broken test waits so long."""
+"""Timeout of waits; only a failing test waits so long."""
 
 
 @pytest.fixture
 def injector() -> Iterator[FaultInjector]:
-    made = FaultInjector()
-    yield made
-    made.set(NodeFaults())
+    fault_injector = FaultInjector()
+    yield fault_injector
+    fault_injector.set(NodeFaults())
 
 
-def test_a_full_disk_refuses_and_a_removed_file_leaves_its_room(
+def test_a_full_disk_rejects_appends_until_a_removed_file_frees_space(
     injector: FaultInjector, tmp_path: Path
 ) -> None:
     disk = injector.disk(tmp_path)
@@ -42,7 +42,7 @@
     assert disk.read("new") == b"123456"
 
 
-def test_a_stalled_write_goes_on_once_the_disk_is_whole(injector: FaultInjector, tmp_path: Path) -> None:
+def test_a_stalled_write_continues_when_the_fault_ends(injector: FaultInjector, tmp_path: Path) -> None:
     injector.set(NodeFaults(disk_delay_s=3600.0))
     file = injector.disk(tmp_path).open("log")
     entered = threading.Event()
@@ -60,7 +60,7 @@
     assert (tmp_path / "log").read_bytes() == b"entry"
 
 
-def test_the_wall_clock_jumps_and_comes_back_while_the_monotonic_one_stays(injector: FaultInjector) -> None:
+def test_a_clock_offset_changes_only_the_wall_clock_and_can_be_removed(injector: FaultInjector) -> None:
     wall, monotonic = time.time(), time.monotonic()
     injector.set(NodeFaults(clock_offset_s=-3600.0))
     assert time.time() < wall - 3000.0
@@ -69,7 +69,7 @@
     assert time.time() >= wall
 
 
-def test_cut_holds_until_it_is_taken_back(injector: FaultInjector) -> None:
+def test_a_partition_lasts_until_the_fault_is_removed(injector: FaultInjector) -> None:
     injector.set(NodeFaults(cut=True))
     assert injector.partitioned()
     injector.set(NodeFaults(clock_offset_s=1.0))
--- a/tests/unit/lab/test_quota_checks.py
+++ b/tests/unit/lab/test_quota_checks.py
@@ -1,4 +1,4 @@
-"""The checks of quotas pass a good run and catch a planted violation."""
+"""The quota checks pass a good run and report a planted violation."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from tests.unit.lab.support import call, evidence, records
 
 
-def test_a_quota_missed_on_either_side() -> None:
+def test_quota_check_reports_usage_above_and_below_its_bounds() -> None:
     window = QuotaWindow("isla", 110.0, 120.0, tokens_per_s=100.0, burst_tokens=50.0)
 
     def verdict(tokens: int, code: str = "quota_exceeded") -> Verdict:
@@ -26,7 +26,7 @@
     assert verdict(899, code="").kept
 
 
-def test_refusals_while_the_tenant_has_room() -> None:
+def test_quota_check_reports_refusals_below_the_quota() -> None:
     quota = TenantQuota("isla", tokens_per_s=100.0, burst_tokens=200.0)
 
     def verdict(admitted: int, refused: int) -> Verdict:
--- a/tests/unit/lab/test_report.py
+++ b/tests/unit/lab/test_report.py
@@ -1,4 +1,4 @@
-"""The report shows every verdict with its evidence, and figures that follow from the records."""
+"""The report shows every verdict with its evidence, and statistics computed from the records."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from springmux.lab.checks.run_checks import check_all
 from springmux.lab.records import Execution, FaultEvent
 from springmux.lab.reporting.report import write_report
-from tests.unit.lab.support import call, prompts, records, rollout
+from tests.unit.lab.support import call, prompt_arrivals, records, rollout
 
 
-def test_the_page_names_a_broken_promise_and_the_event_that_broke_it(tmp_path: Path) -> None:
-    ran = [Execution(at_s, "pages-p1-1", "pages", "a") for at_s in (101.0, 102.0)]
+def test_report_shows_a_broken_promise_with_its_evidence(tmp_path: Path) -> None:
+    executions_of_one_action = [Execution(at_s, "pages-p1-1", "pages", "a") for at_s in (101.0, 102.0)]
     run = records(
-        executions=ran,
+        executions=executions_of_one_action,
         calls=[call("a", whole=True), call("b", status=503, code="overloaded", fate="refused", told=True)],
-        arrivals=prompts("v1", 100, 100.0, 150.0),
+        arrivals=prompt_arrivals("v1", 100, 100.0, 150.0),
         faults=[FaultEvent(at_s=110.0, fault="freeze", target="n1", began=True)],
         rollouts=[rollout(bad=False, ended_at_s=150.0, phase="done")],
         prompt_services=("text",),
@@ -32,7 +32,7 @@
     assert plots == {"traffic.png", "latency.png", "versions.png"}
 
 
-def test_latencies_are_by_route_and_of_whole_answers_only() -> None:
+def test_latencies_by_route_include_only_complete_responses() -> None:
     calls = [
         call("a", at_s=1.0, ended_s=1.1, whole=True),
         call("b", at_s=1.0, ended_s=1.3, whole=True),
@@ -44,7 +44,7 @@
     assert row.values_ms[-1] == pytest.approx(300.0, rel=0.02)
 
 
-def test_the_worst_window_slides_and_leaves_out_what_is_within_the_floor() -> None:
+def test_worst_window_slides_and_ignores_windows_within_the_floor() -> None:
     events = [(float(at), False) for at in range(10)] + [(20.0, True), (20.5, True), (21.0, False)]
     worst = worst_window(events, window_s=2.0, floor=1)
     assert (worst.count, worst.total, worst.ends_at_s) == (2, 2, 20.5)
--- a/tests/unit/lab/test_soak.py
+++ b/tests/unit/lab/test_soak.py
@@ -41,19 +41,19 @@
 SECOND = Version(2, {**FIRST.routes, numbered_path(2): SERVICES[1], MOVING_PATH: SERVICES[1]}, (NEW_KEY,))
 
 
-def test_a_seed_draws_the_same_steps_each_time_and_others_draw_others() -> None:
+def test_a_seed_determines_the_steps() -> None:
     assert make_plan(7, SIZE) == make_plan(7, SIZE)
     assert make_plan(7, SIZE) != make_plan(8, SIZE)
 
 
-def test_steps_lie_between_the_start_and_the_quiet_end_in_order() -> None:
+def test_steps_are_ordered_and_lie_between_the_start_and_the_quiet_end() -> None:
     for seed in range(30):
         times = [step.at_s for step in make_plan(seed, SIZE)]
         assert times == sorted(times)
         assert times[0] >= SETTLE_S and times[-1] < SIZE.seconds - QUIET_S
 
 
-def test_over_some_seeds_every_signal_comes_and_reaches_every_node() -> None:
+def test_plans_of_some_seeds_send_every_signal_to_every_node() -> None:
     steps = [step for seed in range(30) for step in make_plan(seed, SIZE)]
     assert {step.kind for step in steps} == set(SignalKind)
     for kind in SignalKind:
@@ -61,7 +61,7 @@
 
 
 def test_signals_overlap() -> None:
-    """In most seeds a node gets a signal while another's stop or absence lasts."""
+    """With most seeds a node gets a signal while another node is down or frozen."""
     overlapping = 0
     for seed in range(30):
         plan = make_plan(seed, SIZE)
@@ -80,7 +80,7 @@
     ).outcome
 
 
-def test_a_partial_change_leads_to_the_same_configuration_as_the_whole() -> None:
+def test_a_partial_change_gives_the_same_configuration_as_the_full_document() -> None:
     source = random.Random(1)
     section = GatewaySection()
     version = first_version()
@@ -89,22 +89,22 @@
         following = next_version(version, version.number, source)
         document = partial_document(version, following)
         assert applied(section, version.number, document, True) is Outcome.ACCEPTED
-        whole = GatewaySection()
-        assert applied(whole, 0, full_document(following), False) is Outcome.ACCEPTED
-        present, wanted = section.configuration, whole.configuration
-        assert set(present.routes) == set(wanted.routes)
-        assert present.tenants == wanted.tenants
+        full_section = GatewaySection()
+        assert applied(full_section, 0, full_document(following), False) is Outcome.ACCEPTED
+        partial_configuration, full_configuration = section.configuration, full_section.configuration
+        assert set(partial_configuration.routes) == set(full_configuration.routes)
+        assert partial_configuration.tenants == full_configuration.tenants
         version = following
 
 
-def test_a_version_says_what_answers_a_request() -> None:
+def test_a_version_determines_the_outcome_of_a_request() -> None:
     assert SECOND.outcome(numbered_path(2), NEW_KEY) == SERVICES[1]
     assert SECOND.outcome(numbered_path(2), OLD_KEY) == UNKNOWN_KEY
     assert SECOND.outcome(numbered_path(3), NEW_KEY) == UNKNOWN_ROUTE
 
 
 class CheckerHarness:
-    """A checker with two versions: the second was acknowledged at 10 s. One node runs."""
+    """A checker of a fleet with one running node and two versions; the second was acknowledged at 10 s."""
 
     def __init__(self, tmp_path: Path, undisturbed: bool = True) -> None:
         self.findings = Findings()
@@ -134,15 +134,15 @@
         (numbered_path(1), OLD_KEY, 200, SERVICES[0].encode()),
         (MOVING_PATH, NEW_KEY, 200, SERVICES[0].encode()),
     ],
-    ids=["a new route", "a new key", "a key that was taken away", "a moved route"],
+    ids=["a new route", "a new key", "a removed key", "a moved route"],
 )
-def test_an_answer_by_an_older_version_is_found_where_the_newer_one_is_due(
+def test_a_response_by_an_older_version_is_found_when_the_newer_one_is_due(
     path: str, key: str, status: int, body: bytes, tmp_path: Path
 ) -> None:
     assert CheckerHarness(tmp_path).respond(path, key, LATE_S, status, body) == [Rule.NEWEST]
 
 
-def test_the_older_version_may_answer_until_the_newer_one_is_due_and_at_disturbed_nodes(
+def test_an_older_version_is_allowed_until_the_newer_one_is_due_and_at_disturbed_nodes(
     tmp_path: Path,
 ) -> None:
     old = (numbered_path(1), OLD_KEY, 200, SERVICES[0].encode())
@@ -151,7 +151,7 @@
     assert CheckerHarness(tmp_path, undisturbed=False).respond(path, key, LATE_S, status, body) == []
 
 
-def test_a_node_that_answered_by_a_version_may_not_go_back(tmp_path: Path) -> None:
+def test_a_node_may_not_return_to_an_older_version(tmp_path: Path) -> None:
     harness = CheckerHarness(tmp_path, undisturbed=False)
     assert harness.respond(MOVING_PATH, NEW_KEY, 10.5, 200, SERVICES[1].encode()) == []
     assert harness.respond(MOVING_PATH, OLD_KEY, 10.6, 200, SERVICES[0].encode()) == []
@@ -159,14 +159,14 @@
     assert harness.respond(MOVING_PATH, OLD_KEY, later, 200, SERVICES[0].encode()) == [Rule.NO_REGRESSION]
 
 
-def test_another_life_of_a_node_may_begin_with_an_older_version(tmp_path: Path) -> None:
+def test_a_new_incarnation_may_begin_with_an_older_version(tmp_path: Path) -> None:
     harness = CheckerHarness(tmp_path, undisturbed=False)
     harness.respond(MOVING_PATH, NEW_KEY, 10.5, 200, SERVICES[1].encode())
     harness.node.incarnation = 2
     assert harness.respond(MOVING_PATH, OLD_KEY, 12.0, 200, SERVICES[0].encode()) == []
 
 
-def test_a_request_that_ran_and_got_no_answer_is_found_unless_its_node_was_killed(tmp_path: Path) -> None:
+def test_a_missing_response_is_found_unless_the_node_has_a_new_incarnation(tmp_path: Path) -> None:
     harness = CheckerHarness(tmp_path)
     request = harness.checker.record_sent("request", harness.node, MOVING_PATH, NEW_KEY, 11.0)
     harness.checker.check_missing_response(request, 0, 11.0 + CLOSE_RACE_S / 2)
@@ -179,7 +179,7 @@
     assert len(harness.findings.found) == 2
 
 
-def test_refused_requests_are_kept_to_see_that_none_ran(tmp_path: Path) -> None:
+def test_refused_requests_are_recorded_to_check_that_none_ran(tmp_path: Path) -> None:
     harness = CheckerHarness(tmp_path)
     harness.respond(MOVING_PATH, NEW_KEY, 11.0, 503)
     assert harness.checker.refused == ["request-11.0"]
@@ -188,7 +188,7 @@
 def refusals(
     harness: CheckerHarness, begin: float, end: float, status: int = 503, step_s: float = 0.1
 ) -> list[Rule]:
-    """Have the node answer a proper request with ``status`` each ``step_s``."""
+    """Let the node respond to a valid request with ``status`` every ``step_s``; return the broken rules."""
     at = begin
     found: list[Rule] = []
     while at < end:
@@ -198,12 +198,12 @@
 
 
 @pytest.mark.parametrize("status", [429, 500, 502, 503])
-def test_a_node_that_refuses_everything_undisturbed_is_found_once(tmp_path: Path, status: int) -> None:
+def test_an_undisturbed_node_that_refuses_all_requests_is_found_once(tmp_path: Path, status: int) -> None:
     begin = LATE_S + 1.0
     assert refusals(CheckerHarness(tmp_path), begin, begin + 3 * MAX_REFUSAL_S, status) == [Rule.AVAILABLE]
 
 
-def test_a_node_that_serves_now_and_then_is_not_found(tmp_path: Path) -> None:
+def test_a_node_that_serves_some_requests_is_not_found(tmp_path: Path) -> None:
     harness = CheckerHarness(tmp_path)
     at = LATE_S + 1.0
     for _ in range(10):
@@ -214,7 +214,7 @@
         at += 0.1
 
 
-def test_disturbed_and_stopping_nodes_and_improper_requests_may_be_refused(tmp_path: Path) -> None:
+def test_disturbed_and_stopping_nodes_may_refuse_and_invalid_requests_may_be_refused(tmp_path: Path) -> None:
     begin = LATE_S + 1.0
     assert refusals(CheckerHarness(tmp_path, undisturbed=False), begin, begin + 3 * MAX_REFUSAL_S) == []
     stopping = CheckerHarness(tmp_path)
@@ -225,7 +225,7 @@
         assert harness.respond(numbered_path(1), OLD_KEY, begin + number / 10, 503) == []
 
 
-def test_a_node_that_takes_no_connection_undisturbed_is_found(tmp_path: Path) -> None:
+def test_an_undisturbed_node_that_accepts_no_connection_is_found(tmp_path: Path) -> None:
     harness = CheckerHarness(tmp_path)
     for number in range(100):
         harness.checker.check_unreachable(harness.node, 20.0 + number / 10)
--- a/tests/unit/lab/test_stream_checker.py
+++ b/tests/unit/lab/test_stream_checker.py
@@ -1,4 +1,4 @@
-"""The stream checker sees each way in which a stream can lie."""
+"""The stream checker detects every kind of faulty stream."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 ERROR = b'event: error\ndata: {"error": {"code": "engine_broke_off", "fate": "failed"}}\n\n'
 
 
-def checked(*parts: bytes, wanted: int = 3, request: str = STREAM) -> StreamChecker:
-    checker = StreamChecker(wanted, request)
+def check_stream(*parts: bytes, expected_chunks: int = 3, request: str = STREAM) -> StreamChecker:
+    checker = StreamChecker(expected_chunks, request)
     for part in parts:
         checker.feed(part)
     checker.close()
     return checker
 
 
-def test_a_whole_stream_has_no_fault_and_its_true_token_count() -> None:
-    checker = checked(chunk(STREAM, 0), chunk(STREAM, 1), chunk(STREAM, 2, last=True), DONE)
+def test_a_complete_stream_has_no_fault_and_its_token_count() -> None:
+    checker = check_stream(chunk(STREAM, 0), chunk(STREAM, 1), chunk(STREAM, 2, last=True), DONE)
     assert (checker.fault, checker.complete(), checker.chunks, checker.tokens) == ("", True, 3, 42)
 
 
-def test_bytes_split_anywhere_are_the_same_stream() -> None:
+def test_a_stream_may_be_split_at_any_byte() -> None:
     data = b"".join([chunk(STREAM, 0), chunk(STREAM, 1), chunk(STREAM, 2, last=True), DONE])
-    checker = checked(*(data[at : at + 1] for at in range(len(data))))
+    checker = check_stream(*(data[at : at + 1] for at in range(len(data))))
     assert (checker.fault, checker.chunks) == ("", 3)
 
 
-def test_a_stream_that_ends_in_a_typed_error_is_not_whole_and_not_faulty() -> None:
-    checker = checked(chunk(STREAM, 0), ERROR)
+def test_a_stream_that_ends_in_a_typed_error_is_incomplete_but_not_faulty() -> None:
+    checker = check_stream(chunk(STREAM, 0), ERROR)
     assert (checker.fault, checker.complete(), checker.error["code"]) == ("", False, "engine_broke_off")
 
 
@@ -52,9 +52,9 @@
         ((b"event: error\ndata: {}\n\n",), "error event without the typed shape"),
     ],
 )
-def test_each_lie_is_blamed(parts: tuple[bytes, ...], fault: str) -> None:
-    assert checked(*parts).fault == fault
+def test_each_violation_is_recorded_as_a_fault(parts: tuple[bytes, ...], fault: str) -> None:
+    assert check_stream(*parts).fault == fault
 
 
-def test_a_malformed_piece_is_blamed() -> None:
-    assert checked(b"data: {not json\n\n").fault.startswith("malformed piece")
+def test_a_malformed_chunk_is_recorded_as_a_fault() -> None:
+    assert check_stream(b"data: {not json\n\n").fault.startswith("malformed piece")
