--- a/src/springmux/lab/faults/fault_injector.py
+++ b/src/springmux/lab/faults/fault_injector.py
@@ -70,13 +70,15 @@
 
     def pick_engine(self, kind: str) -> str:
         """Return a random back end of the kind that no other step of the script has reserved."""
-        names = [name for name, found in self.deployment.back_ends.items() if found.plan.kind == kind]
+        names = [name for name, back_end in self.deployment.back_ends.items() if back_end.plan.kind == kind]
         return self.random.choice(sorted(set(names) - self._reserved_engines))
 
     def unreserved_engines(self) -> list[str]:
         """Return the engines of the rollout's service that no other step of the script has reserved."""
         service = self.deployment.plan.rollout_service
-        names = [name for name, found in self.deployment.back_ends.items() if found.plan.service == service]
+        names = [
+            name for name, back_end in self.deployment.back_ends.items() if back_end.plan.service == service
+        ]
         return sorted(set(names) - self._reserved_engines)
 
     async def find_leader(self) -> NodeLayout:
--- a/src/springmux/lab/load/client_pool.py
+++ b/src/springmux/lab/load/client_pool.py
@@ -17,7 +17,7 @@
 from springmux.lab.records import CallRecord
 
 READINESS_PERIOD_S = 1.0
-"""The same as the platform's readiness checks."""
+"""Period of the readiness checks; the platform also checks each second."""
 READINESS_TIMEOUT_S = 0.8
 """Shorter than the period, so that checks of a frozen node don't accumulate."""
 MAX_ATTEMPTS = 4
--- a/src/springmux/lab/soak/availability.py
+++ b/src/springmux/lab/soak/availability.py
@@ -24,7 +24,7 @@
     def record_refused(self, node: SoakNode, undisturbed: bool, sent_at: float, why: str) -> None:
         """Record that a node refused a valid request or a connection.
 
-        A node that stops or is disturbed may refuse; that resets its time.
+        A node that stops or is disturbed may refuse; the time of its refusals then starts anew.
         """
         if not undisturbed or node.stopping:
             self._refusing_since.pop(node.number, None)
--- a/src/springmux/lab/soak/consistency_checker.py
+++ b/src/springmux/lab/soak/consistency_checker.py
@@ -12,9 +12,9 @@
 from springmux.lab.soak.http_connection import Response
 
 IN_FORCE_S = 2.0
-"""Time from the acknowledgement of a version until every undisturbed node must handle requests by it."""
+"""Time from the acknowledgement of a version until every undisturbed node must apply it to requests."""
 REGRESSION_GRACE_S = 0.25
-"""Time from the first response by a version until its node may handle no request by an older one."""
+"""Time from the first response that shows a version until its node may no longer apply an older one."""
 CLOSE_RACE_S = 0.2
 """Time after a request in which its connection may close without a response, as the two may cross."""
 SERVED = 200
@@ -24,7 +24,7 @@
 
 
 class SentRequest(msgspec.Struct, frozen=True):
-    """A request as sent. ``undisturbed``: its node must handle it by the newest version that is due.
+    """A request as sent. ``undisturbed``: its node must apply the newest version that is due.
 
     ``incarnation``: the node's incarnation when the request was sent.
     """
--- a/src/springmux/lab/soak/findings.py
+++ b/src/springmux/lab/soak/findings.py
@@ -13,11 +13,11 @@
     """A rule that must hold throughout a run."""
 
     NEWEST = "newest"
-    """Undisturbed nodes handle a request by a configuration that is recent enough."""
+    """Undisturbed nodes apply a configuration that is recent enough to each request."""
     NO_REGRESSION = "no step back"
     """Within one incarnation a node never returns to an older configuration."""
     ACKNOWLEDGED = "acknowledged"
-    """An acknowledged version stays, one of two concurrent changes wins, a valid change is accepted."""
+    """An acknowledged version is kept, one of two concurrent changes wins, a valid change is accepted."""
     ANSWERED = "answered"
     """A request that a process has read gets a response, also while the process stops."""
     AVAILABLE = "available"
--- a/src/springmux/lab/soak/history.py
+++ b/src/springmux/lab/soak/history.py
@@ -30,12 +30,12 @@
         return self.sent.setdefault(version.number, SentVersion(version, now))
 
     def newest_acknowledged_number(self, before: float) -> int:
-        """Return the number of the newest version acknowledged before a time; 0 if there is none."""
+        """Return the number of the newest version acknowledged by time ``before``; 0 if there is none."""
         newest = self.newest_acknowledged(before)
         return newest.number if newest is not None else 0
 
     def newest_acknowledged(self, before: float) -> Version | None:
-        """Return the newest version acknowledged before a time."""
+        """Return the newest version acknowledged by time ``before``; ``None`` if there is none."""
         versions = [
             sent.version
             for sent in self.sent.values()
--- a/src/springmux/lab/soak/run.py
+++ b/src/springmux/lab/soak/run.py
@@ -100,7 +100,7 @@
         self._check_executions()
 
     async def _start_serving(self) -> bool:
-        """Submit the first configuration; return whether every node serves by it in time."""
+        """Submit the first configuration; return whether every node applies it in time."""
         if not await self._operators.begin():
             return False
         until = time.monotonic() + FIRST_CONFIGURATION_S
@@ -124,7 +124,7 @@
         await asyncio.gather(*running)
 
     async def _check_final_configurations(self) -> None:
-        """Check that every node serves by the newest acknowledged version and reports it."""
+        """Check that every node applies and reports the newest acknowledged version."""
         newest = self._history.newest_acknowledged_number(time.monotonic())
         for node, endpoint in zip(self._fleet.nodes, self._fleet.control_endpoints(), strict=True):
             until = time.monotonic() + FINAL_CHECK_TIMEOUT_S
--- a/src/springmux/lab/stand_ins/announcer.py
+++ b/src/springmux/lab/stand_ins/announcer.py
@@ -84,7 +84,7 @@
             await self._session.close()
 
     async def drain(self) -> bool:
-        """Report that the engine drains; return whether a node acknowledged it."""
+        """Report that the engine drains; return whether a node acknowledged the report."""
         return await self._report("drain", self._identity_body())
 
     async def leave(self) -> bool:
