--- a/src/springmux/cli/lab.py
+++ b/src/springmux/cli/lab.py
@@ -60,12 +60,12 @@
 
     Example: springmux lab demo --report reports/demo
     """
-    from springmux.lab.experiment.demo import DEMO_EXPERIMENT, DEMO_SECONDS, demonstrate
+    from springmux.lab.experiment.demo import DEMO_EXPERIMENT, DEMO_SECONDS, run_demo
     from springmux.lab.experiment.experiment import RunOptions
 
     with _work_folder(keep) as folder:
         options = RunOptions(experiment=DEMO_EXPERIMENT, folder=folder, seconds=DEMO_SECONDS, seed=seed)
-        _run(options, demonstrate, [], report)
+        _run(options, run_demo, [], report)
 
 
 @application.command(epilog=RUN_CODES)
@@ -88,14 +88,14 @@
 
     try:
         plan = load_experiment(experiment)
-        slots = script.schedule(choose_faults(faults))
+        slots = script.schedule_faults(choose_faults(faults))
     except ExperimentError as error:
         fail(str(error), ExitCode.INVALID)
-    length_s = seconds or script.needed_seconds(slots, plan)
+    length_s = seconds or script.needed_traffic_s(slots, plan)
     slots = [slot for slot in slots if slot.at_s + slot.scenario.lasts_s <= length_s]
     with _work_folder(keep) as folder:
         options = RunOptions(experiment=experiment, folder=folder, seconds=length_s, seed=seed)
-        _run(options, script.RunScript(slots, length_s).play, script.surges(slots, plan), report)
+        _run(options, script.RunScript(slots, length_s).play, script.scheduled_surges(slots, plan), report)
 
 
 @application.command("list")
--- a/src/springmux/lab/__init__.py
+++ b/src/springmux/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-in engines, services, callers and operators; experiments, reports and benchmarks."""
+"""Stand-in engines, services, load clients and operators; experiments, reports and benchmarks."""
--- a/src/springmux/lab/admin/__init__.py
+++ b/src/springmux/lab/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The lab's side of the admin interface: a typed client and the operators' orders."""
+"""Client side of the admin interface: a typed client and the orders of operators."""
--- a/src/springmux/lab/admin/operator_client.py
+++ b/src/springmux/lab/admin/operator_client.py
@@ -13,17 +13,17 @@
 from springmux.vocabulary.errors import SpringmuxError
 
 ORDER_TIMEOUT_S = 12.0
-"""A little over the node's own limit for an order (10 s)."""
+"""Slightly above the node's own timeout of an order (10 s)."""
 READ_TIMEOUT_S = 1.0
-"""Reads are cheap; a node that takes longer is frozen or gone."""
+"""Reads are cheap: a node that needs longer is frozen or has stopped."""
 MAX_ATTEMPTS = 8
-"""Attempts of one order, each at the next node."""
+"""Largest number of attempts of one order, each at the next node."""
 RESEND_STATUSES = frozenset({0, 502, 503, 504})
-"""No response, or one after which another node may accept the same order id."""
+"""Statuses without a response (0), or after which another node may accept the same order id."""
 
 
 class OrderFailedError(SpringmuxError):
-    """An order that had to be accepted was not; the message names the last response."""
+    """An order that must be accepted was not; the message contains the last response."""
 
 
 class AdminNode(msgspec.Struct, frozen=True):
@@ -109,14 +109,14 @@
 class OperatorClient:
     """Submits orders to nodes and reads their state.
 
-    :param keep: receives the record of every attempt.
+    :param on_attempt: receives the record of every attempt.
     """
 
     def __init__(
-        self, nodes: Sequence[AdminNode], keep: Callable[[OrderRecord], None], operator: str = "lab"
+        self, nodes: Sequence[AdminNode], on_attempt: Callable[[OrderRecord], None], operator: str = "lab"
     ) -> None:
         self.nodes = list(nodes)
-        self._keep = keep
+        self._on_attempt = on_attempt
         self._operator = operator
         self._session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0))
 
@@ -125,7 +125,7 @@
         await self._session.close()
 
     async def send(self, order: Order, node: AdminNode, drop_response: bool = False) -> OrderRecord:
-        """Send an order once. ``drop_response``: discard the response, as if it were lost on its way."""
+        """Send an order once. ``drop_response``: discard the response, as if it were lost in transit."""
         sent_at_s = time.monotonic()
         status, content = 0, _OrderResponse()
         headers = {"X-Order-Id": order.order, "X-Operator": self._operator}
@@ -157,11 +157,11 @@
             race=order.race,
             expected=order.expected,
         )
-        self._keep(record)
+        self._on_attempt(record)
         return record
 
     async def submit(self, order: Order, first: int = 0) -> OrderRecord:
-        """Send an order until there is a final response, to the next node after each lost one."""
+        """Send an order to node number ``first``, then to the next ones, until it gets a final response."""
         record: OrderRecord | None = None
         for attempt in range(MAX_ATTEMPTS):
             record = await self.send(order, self.nodes[(first + attempt) % len(self.nodes)])
@@ -171,9 +171,9 @@
         return record
 
     async def submit_accepted(self, order: Order, first: int = 0) -> OrderRecord:
-        """Send an order that must be accepted.
+        """Send an order that must be accepted; return its last attempt.
 
-        :raises OrderFailedError: if it was not.
+        :raises OrderFailedError: if the fleet does not accept the order.
         """
         record = await self.submit(order, first)
         if not record.accepted:
@@ -186,7 +186,7 @@
         return await self._get(node, "/readyz") is not None
 
     async def status(self, node: AdminNode) -> StatusReport | None:
-        """Return the node's status, ``None`` if it does not respond in time."""
+        """Return the node's status, or ``None`` if the node does not respond in time."""
         data = await self._get(node, "/v1/status")
         return msgspec.json.decode(data, type=StatusReport) if data is not None else None
 
@@ -196,12 +196,12 @@
         return msgspec.json.decode(data, type=ConfigurationState) if data is not None else None
 
     async def rollout(self, service: str) -> RolloutRecordState | None:
-        """Return the newest rollout's record from the first node that responds."""
+        """Return the record of the service's newest rollout from the first node that responds."""
         data = await self._get_any(f"/v1/rollouts/{service}")
         return msgspec.json.decode(data, type=_RolloutReport).record if data is not None else None
 
     async def count_engines(self, node: AdminNode) -> int:
-        """Return how many ready back ends the node knows."""
+        """Return the number of ready back ends in the node's directory; 0 if the node does not respond."""
         data = await self._get(node, "/v1/engines")
         if data is None:
             return 0
@@ -213,7 +213,7 @@
             data = await self._get(node, path)
             if data is not None:
                 return data
-            # Next time the others come first, so that a dead node costs one timeout.
+            # The next read tries the other nodes first, so that a stopped node costs only one timeout.
             self.nodes.append(self.nodes.pop(0))
         return None
 
--- a/src/springmux/lab/admin/orders.py
+++ b/src/springmux/lab/admin/orders.py
@@ -13,7 +13,7 @@
 
 
 class Order(msgspec.Struct, frozen=True, kw_only=True):
-    """One order: its request and its id."""
+    """One order: its id and its HTTP request. For ``race`` and ``expected`` see :class:`OrderRecord`."""
 
     order: str
     kind: str
@@ -30,7 +30,7 @@
 
 
 def patch_configuration(version: int, patch: bytes, race: str = "", expected: int = 0) -> Order:
-    """Return the order that merges a partial configuration (RFC 7396)."""
+    """Return the order that applies a JSON merge patch to the configuration (RFC 7396)."""
     return _configuration_order("patch_configuration", "PATCH", version, patch, race, expected)
 
 
@@ -62,7 +62,7 @@
 
 
 def promote(service: str, candidate: str, by_s: float) -> Order:
-    """Return the order that begins a rollout under the standard template."""
+    """Return the order that starts a rollout with the standard template, to complete within ``by_s``."""
     parameters = {"service": service, "candidate": candidate, "by_s": by_s}
     return Order(
         order=new_order_id(),
--- a/src/springmux/lab/deployment/child_processes.py
+++ b/src/springmux/lab/deployment/child_processes.py
@@ -1,4 +1,4 @@
-"""The lab's own processes beside a fleet: back ends and clients."""
+"""The lab's own processes beside a fleet: hosts of back ends, and load clients."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 from pathlib import Path
 
 STOP_GRACE_S = 5.0
-"""Time to flush records after SIGTERM."""
+"""Time that a process has after SIGTERM to flush its records."""
 PRIVATE_MODE = 0o600
-"""The clients' settings contain keys."""
+"""Settings files are readable by their owner only, as the clients' settings contain keys."""
 
 
 class ChildProcesses:
-    """Processes ``springmux lab NAME --settings FILE`` with files and logs under one folder."""
+    """Processes ``springmux lab COMMAND --settings FILE``; their settings and logs are under one folder."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
         self._children: dict[str, subprocess.Popen[bytes]] = {}
 
     def start(self, name: str, command: str, settings: bytes) -> None:
-        """Start the process ``name`` that runs the lab's ``command``."""
+        """Start ``springmux lab COMMAND`` as the process ``name`` with the encoded ``settings``."""
         file = self._folder / "settings" / f"{name}.json"
         file.touch(PRIVATE_MODE)
         file.write_bytes(settings)
@@ -36,7 +36,7 @@
         return self._children[name].poll() is None
 
     def exit_code(self, name: str) -> int | None:
-        """Return the exit code, ``None`` while the process runs."""
+        """Return the exit code, or ``None`` while the process runs."""
         return self._children[name].poll()
 
     def stop_all(self) -> None:
--- a/src/springmux/lab/deployment/deployment.py
+++ b/src/springmux/lab/deployment/deployment.py
@@ -1,4 +1,4 @@
-"""One experiment's fleet, back ends and clients as processes on loopback."""
+"""Fleet, back ends and clients of one experiment as processes on loopback."""
 
 from __future__ import annotations
 
@@ -48,26 +48,26 @@
 from springmux.vocabulary.errors import SpringmuxError
 
 READY_TIMEOUT_S = 60.0
-"""For a dozen processes that start at once on a busy machine."""
+"""Allows for a dozen processes that start at the same time on a busy machine."""
 POLL_S = 0.1
 CONTROL_TIMEOUT_S = 15.0
 KEY_BYTES = 24
 VOTERS = 3
-"""Three voters by default; further nodes with disks are learners."""
+"""Default number of voters of the control group; further nodes with a data folder are learners."""
 
 
 class DeploymentError(SpringmuxError):
-    """Processes of the experiment failed to start or to respond; the message names them."""
+    """Processes of the experiment failed to start, to respond or to finish; the message names them."""
 
 
-HOSTS_OF_KIND = {"model": 3, "call": 1}
-"""Host processes by kind of back end: bursts of prompts need more than one interpreter."""
+HOST_COUNTS = {"model": 3, "call": 1}
+"""Number of host processes by kind of back end; bursts of prompts need more than one interpreter."""
 HOST_SEED_STEP = 1_000_003
-"""Keeps the seeds of hosts distinct for any seed of the run."""
+"""Difference between the seeds of consecutive hosts; keeps them distinct for any seed of the run."""
 
 
 class Deployment:
-    """One experiment's processes, all under one folder. Use as an asynchronous context manager.
+    """The processes of one experiment, with their files under one folder; an asynchronous context manager.
 
     Leaving the context ends every process, also after an exception or a cancellation.
     """
@@ -108,7 +108,7 @@
     async def __aenter__(self) -> Deployment:
         self._session = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=CONTROL_TIMEOUT_S))
         admin_nodes = [AdminNode(node.node, node.admin_address) for node in self.nodes]
-        self.operators = OperatorClient(admin_nodes, self._keep_order)
+        self.operators = OperatorClient(admin_nodes, self._record_order)
         return self
 
     async def __aexit__(
@@ -117,7 +117,7 @@
         error: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        # Blocking on purpose: nothing may interrupt the shutdown of processes once it has begun.
+        # The blocking calls are intended: no cancellation can interrupt the shutdown of the processes.
         try:
             self._children.stop_all()
         finally:
@@ -125,11 +125,11 @@
         await self.operators.close()
         await self._session.close()
 
-    async def bring_up(self, progress: Callable[[str], None]) -> None:
-        """Start nodes and back ends, apply configuration, tenants and keys, wait until all are ready.
+    async def start_all(self, progress: Callable[[str], None]) -> None:
+        """Start nodes and back ends, apply configuration, tenants and keys, and wait until all are ready.
 
         :raises DeploymentError: if a process is not ready in time.
-        :raises OrderFailedError: if the fleet refuses the experiment's configuration.
+        :raises OrderFailedError: if the fleet rejects the configuration, a tenant or a key.
         """
         progress(f"starting {len(self.nodes)} nodes")
         await asyncio.to_thread(self.supervisor.start_all)
@@ -148,14 +148,16 @@
         waiting = [AdminNode(node.node, node.admin_address) for node in self.nodes if node.node in names]
         deadline = time.monotonic() + within_s
         while waiting:
-            answers = await asyncio.gather(*(self.operators.ready(node) for node in waiting))
-            waiting = [node for node, ready in zip(waiting, answers, strict=True) if not ready]
+            readiness = await asyncio.gather(*(self.operators.ready(node) for node in waiting))
+            waiting = [node for node, ready in zip(waiting, readiness, strict=True) if not ready]
             if waiting and time.monotonic() > deadline:
-                late = ", ".join(node.node for node in waiting)
-                raise DeploymentError(f"not ready within {within_s:.0f} s: {late}; logs in {self.folder}")
-            ended = [node.node for node in waiting if not self.supervisor.running(node.node)]
-            if ended:
-                raise DeploymentError(f"ended at their start: {', '.join(ended)}; logs in {self.folder}/logs")
+                unready = ", ".join(node.node for node in waiting)
+                raise DeploymentError(f"not ready within {within_s:.0f} s: {unready}; logs in {self.folder}")
+            exited = [node.node for node in waiting if not self.supervisor.running(node.node)]
+            if exited:
+                raise DeploymentError(
+                    f"exited during startup: {', '.join(exited)}; logs in {self.folder}/logs"
+                )
             await asyncio.sleep(POLL_S)
 
     async def start_back_ends(
@@ -170,7 +172,7 @@
         return started
 
     async def command_back_end(self, order: BackEndCommand) -> None:
-        """Send a command to the host of its back end.
+        """Send a command to the host of the back end that it names.
 
         :raises DeploymentError: if the host rejects it or does not respond.
         """
@@ -192,7 +194,7 @@
         ]
 
     def start_clients(self, seconds: float, began_at_s: float, surges: list[Surge], experiment: str) -> None:
-        """Start the client process; it exits once every response has arrived."""
+        """Start the client process; it exits when every request has ended."""
         settings = LoadSettings(
             experiment=experiment,
             targets=[
@@ -221,13 +223,13 @@
         deadline = time.monotonic() + within_s
         while self._children.running("callers"):
             if time.monotonic() > deadline:
-                raise DeploymentError(f"the callers did not end within {within_s:.0f} s")
+                raise DeploymentError(f"the load clients did not exit within {within_s:.0f} s")
             await asyncio.sleep(POLL_S)
         if self._children.exit_code("callers") != 0:
-            raise DeploymentError(f"the callers failed; see {self.folder / 'logs' / 'callers.log'}")
+            raise DeploymentError(f"the load clients failed; see {self.folder / 'logs' / 'callers.log'}")
 
     def collect(self) -> RunRecords:
-        """Stop the back ends, read the records of all processes, and return them sorted by time."""
+        """Stop back ends and clients, read the records of all processes, and return them sorted by time."""
         self._children.stop_all()
         for host in self._hosts.values():
             for event in back_end_events(Path(host.record_file)):
@@ -236,8 +238,8 @@
         self.records.sort()
         return self.records
 
-    def move(self, node: NodeLayout) -> None:
-        """Move a stopped node to other ports, as if its machine had returned at another address."""
+    def move_node(self, node: NodeLayout) -> None:
+        """Assign a stopped node new ports, as if its machine came back at another address."""
         client, peer, admin = free_ports(3)
         node.client_address = f"{LOOPBACK}:{client}"
         node.peer_address = f"{LOOPBACK}:{peer}"
@@ -246,7 +248,7 @@
         seeds = [other.peer_address for other in self.nodes if other.controller and other is not node]
         write_settings(node, seeds[:SEED_COUNT], self._options)
 
-    def _keep_order(self, record: OrderRecord) -> None:
+    def _record_order(self, record: OrderRecord) -> None:
         self.records.orders.append(record)
 
     async def _configure(self) -> None:
@@ -262,7 +264,7 @@
 
     def _assign_hosts(self, plan: BackEndPlan, behaviour: VersionBehaviour) -> list[HostedBackEnd]:
         ports = free_ports(plan.count)
-        hosted = [
+        hosted_back_ends = [
             HostedBackEnd(
                 engine=f"{plan.service}-{plan.version}-{number + 1}",
                 address=f"{LOOPBACK}:{port}",
@@ -272,40 +274,44 @@
             for number, port in enumerate(ports)
         ]
         hosts = [name for name, host in self._hosts.items() if host.kind == plan.kind]
-        for number, back_end in enumerate(hosted):
+        for number, back_end in enumerate(hosted_back_ends):
             self.back_ends[back_end.engine] = back_end
             self._host_of[back_end.engine] = hosts[number % len(hosts)]
-        return hosted
+        return hosted_back_ends
 
     def _start_hosts(self) -> None:
         """Start the host processes and distribute the plan's back ends over them."""
         kinds = {plan.kind for plan in self.plan.back_ends}
-        names = [(kind, number) for kind in sorted(kinds) for number in range(HOSTS_OF_KIND[kind])]
+        names = [(kind, number) for kind in sorted(kinds) for number in range(HOST_COUNTS[kind])]
         for (kind, number), port in zip(names, free_ports(len(names)), strict=True):
             name = f"back-ends-{kind}-{number + 1}"
             record_file = str(self.folder / f"{name}.jsonl")
             self._hosts[name] = BackEndHostAddress(kind, f"{LOOPBACK}:{port}", record_file)
-        hosted = [back_end for plan in self.plan.back_ends for back_end in self._assign_hosts(plan, GOOD)]
+        hosted_back_ends = [
+            back_end for plan in self.plan.back_ends for back_end in self._assign_hosts(plan, GOOD)
+        ]
         for number, (name, host) in enumerate(self._hosts.items()):
             settings = HostSettings(
                 control_address=host.control_address,
                 admin_addresses=[node.admin_address for node in self.nodes],
-                back_ends=[back_end for back_end in hosted if self._host_of[back_end.engine] == name],
+                back_ends=[
+                    back_end for back_end in hosted_back_ends if self._host_of[back_end.engine] == name
+                ],
                 record_file=host.record_file,
                 seed=self.seed + HOST_SEED_STEP * number,
             )
             self._children.start(name, "backends", msgspec.json.encode(settings))
 
-    async def _wait_for_engines(self, wanted: int) -> None:
-        """Wait until every node has every back end in its directory."""
+    async def _wait_for_engines(self, expected_count: int) -> None:
+        """Wait until every node has ``expected_count`` ready back ends in its directory."""
         deadline = time.monotonic() + READY_TIMEOUT_S
-        while not await self._all_nodes_know(wanted):
+        while not await self._all_nodes_have_engines(expected_count):
             if time.monotonic() > deadline:
-                raise DeploymentError(f"not every node knows all {wanted} back ends")
+                raise DeploymentError(f"not every node has all {expected_count} back ends in its directory")
             await asyncio.sleep(POLL_S)
 
-    async def _all_nodes_know(self, wanted: int) -> bool:
+    async def _all_nodes_have_engines(self, expected_count: int) -> bool:
         for node in self.nodes:
-            if await self.operators.count_engines(AdminNode(node.node, node.admin_address)) < wanted:
+            if await self.operators.count_engines(AdminNode(node.node, node.admin_address)) < expected_count:
                 return False
         return True
--- a/src/springmux/lab/experiment/demo.py
+++ b/src/springmux/lab/experiment/demo.py
@@ -1,4 +1,4 @@
-"""The demonstration: a whole deployment under traffic, a good and a bad rollout, a kill and a freeze."""
+"""The demonstration: a deployment under traffic, a good and a bad rollout, a killed and a frozen node."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 DEMO_EXPERIMENT = "anuario"
 DEMO_SECONDS = 110.0
-"""Traffic; with start and end the demonstration stays under three minutes."""
+"""Duration of the traffic; with startup and shutdown the demonstration takes less than three minutes."""
 WARM_UP_S = 5.0
-BY_S = 40.0
+ROLLOUT_BY_S = 40.0
 BAD_VERSION = VersionBehaviour(error_share=0.3)
-"""Three of ten responses fail."""
+"""A version of which three in ten responses fail."""
 KILL_AFTER_S = 8.0
 KILL_DOWN_S = 4.0
 FREEZE_S = 6.0
@@ -24,30 +24,30 @@
 STABLE, GOOD_CANDIDATE, BAD_CANDIDATE = "v1", "v2", "v3"
 
 
-async def demonstrate(injector: DeploymentFaultInjector) -> None:
-    """Run the script of the demonstration; a step that fails is recorded and the others continue."""
+async def run_demo(injector: DeploymentFaultInjector) -> None:
+    """Run the script of the demonstration; a failed step is recorded and the other steps continue."""
     await asyncio.sleep(WARM_UP_S)
     await asyncio.gather(
-        run_step(injector, "good rollout", _release_good(injector)),
-        run_step(injector, "faults", _kill_and_race(injector)),
+        run_step(injector, "good rollout", _roll_out_good_version(injector)),
+        run_step(injector, "faults", _kill_node_and_test_operators(injector)),
     )
     await asyncio.gather(
-        run_step(injector, "bad rollout", _release_bad(injector)),
-        run_step(injector, "faults", _freeze(injector)),
+        run_step(injector, "bad rollout", _roll_out_bad_version(injector)),
+        run_step(injector, "faults", _freeze_controller(injector)),
     )
 
 
-async def _release_good(injector: DeploymentFaultInjector) -> None:
+async def _roll_out_good_version(injector: DeploymentFaultInjector) -> None:
     rollouts = RolloutDriver(injector)
     await rollouts.load_version(GOOD_CANDIDATE, GOOD)
     await asyncio.sleep(WARM_UP_S)
-    run = await rollouts.start_rollout(STABLE, GOOD_CANDIDATE, bad=False, by_s=BY_S)
-    await rollouts.wait_for_rollout(run, BY_S + TERM_MARGIN_S)
+    run = await rollouts.start_rollout(STABLE, GOOD_CANDIDATE, bad=False, by_s=ROLLOUT_BY_S)
+    await rollouts.wait_for_rollout(run, ROLLOUT_BY_S + TERM_MARGIN_S)
     if run.phase == "done":
         await rollouts.retire_version(STABLE)
 
 
-async def _kill_and_race(injector: DeploymentFaultInjector) -> None:
+async def _kill_node_and_test_operators(injector: DeploymentFaultInjector) -> None:
     operators = OperatorScenarios(injector)
     await asyncio.sleep(WARM_UP_S + KILL_AFTER_S)
     await injector.kill(injector.pick_node(controller=False), KILL_DOWN_S)
@@ -56,17 +56,17 @@
     await operators.revoke_while_streaming()
 
 
-async def _release_bad(injector: DeploymentFaultInjector) -> None:
+async def _roll_out_bad_version(injector: DeploymentFaultInjector) -> None:
     rollouts = RolloutDriver(injector)
-    released = any(run.phase == "done" for run in injector.records.rollouts)
+    good_version_is_stable = any(run.phase == "done" for run in injector.records.rollouts)
     await rollouts.abort_unfinished()
     await rollouts.load_version(BAD_CANDIDATE, BAD_VERSION)
     await asyncio.sleep(WARM_UP_S)
-    stable = GOOD_CANDIDATE if released else STABLE
-    run = await rollouts.start_rollout(stable, BAD_CANDIDATE, bad=True, by_s=BY_S)
-    await rollouts.wait_for_rollout(run, BY_S + TERM_MARGIN_S)
+    stable = GOOD_CANDIDATE if good_version_is_stable else STABLE
+    run = await rollouts.start_rollout(stable, BAD_CANDIDATE, bad=True, by_s=ROLLOUT_BY_S)
+    await rollouts.wait_for_rollout(run, ROLLOUT_BY_S + TERM_MARGIN_S)
 
 
-async def _freeze(injector: DeploymentFaultInjector) -> None:
+async def _freeze_controller(injector: DeploymentFaultInjector) -> None:
     await asyncio.sleep(WARM_UP_S)
     await injector.freeze(injector.pick_node(controller=True), FREEZE_S)
--- a/src/springmux/lab/experiment/experiment.py
+++ b/src/springmux/lab/experiment/experiment.py
@@ -1,4 +1,4 @@
-"""One run of an experiment: deployment, clients, a script of rollouts and faults, then the records."""
+"""One run of an experiment: deployment, clients, a script of rollouts and faults, and the records."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 from springmux.lab.records import RunRecords
 
 CLIENTS_START_S = 2.0
-"""Time for the client process to load and to generate its prefixes."""
+"""Time for the client process to start and to generate its prefixes."""
 CLIENTS_END_S = 45.0
-"""After the last request: the longest time that a client keeps trying (30 s), with margin."""
+"""Time after the last request: a client's longest timeout (30 s), with a margin."""
 
 
 class RunOptions(msgspec.Struct, frozen=True, kw_only=True):
-    """How an experiment is run. ``seconds``: length of the traffic."""
+    """Options of a run. ``folder``: for all files of the run. ``seconds``: duration of the traffic."""
 
     experiment: str
     folder: Path
@@ -40,16 +40,16 @@
 async def run_experiment(
     options: RunOptions, script: Script, surges: list[Surge], progress: Callable[[str], None]
 ) -> RunRecords:
-    """Run ``script`` beside the traffic and return the records. Leaves no process behind.
+    """Run ``script`` during the traffic and return the records. No process of the run remains.
 
     :raises ExperimentError: if there is no such experiment.
-    :raises DeploymentError: if its processes do not start, or fail.
+    :raises DeploymentError: if a process of the run does not start, or fails.
     :raises OrderFailedError: if the fleet rejects an order that must be accepted.
     """
     plan = load_experiment(options.experiment)
     _cancel_on_sigterm()
     async with Deployment(plan, options.folder, options.seed) as deployment:
-        await deployment.bring_up(progress)
+        await deployment.start_all(progress)
         records = deployment.records
         nodes = [AdminNode(node.node, node.admin_address) for node in deployment.nodes]
         watcher = Watcher(deployment.operators, nodes, records)
@@ -61,9 +61,9 @@
             await asyncio.sleep(CLIENTS_START_S)
             progress(f"traffic for {options.seconds:.0f} s")
             await script(injector)
-            progress("waiting for the last answers")
-            rest_s = max(0.0, records.began_at_s + options.seconds - time.monotonic())
-            await deployment.wait_for_clients(rest_s + CLIENTS_END_S)
+            progress("waiting for the last responses")
+            remaining_s = max(0.0, records.began_at_s + options.seconds - time.monotonic())
+            await deployment.wait_for_clients(remaining_s + CLIENTS_END_S)
         finally:
             await watcher.stop()
         records.ended_at_s = time.monotonic()
@@ -71,7 +71,7 @@
 
 
 def _cancel_on_sigterm() -> None:
-    """Cancel the run on SIGTERM, as on Ctrl-C, so that no process is left behind."""
+    """Cancel the run on SIGTERM, as on Ctrl-C, so that the deployment ends its processes."""
     task = asyncio.current_task()
     assert task is not None
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
--- a/src/springmux/lab/experiment/rollout_driver.py
+++ b/src/springmux/lab/experiment/rollout_driver.py
@@ -1,4 +1,4 @@
-"""Rollouts of an experiment: load a version, promote it, wait for the end, retire the old engines."""
+"""Rollouts of an experiment: loads a version, promotes it, waits for the end, retires old engines."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 class RolloutDriver:
     """Drives rollouts of the experiment's service in one deployment.
 
-    :param injector: provides the deployment and its records, and keeps its faults off retiring engines.
+    :param injector: provides the deployment and its records, and excludes engines that retire from faults.
     """
 
     def __init__(self, injector: DeploymentFaultInjector) -> None:
         self._injector = injector
 
     async def load_version(self, version: str, behaviour: VersionBehaviour) -> None:
-        """Start engines of a candidate version beside those of the stable one, in equal number and size."""
+        """Start engines of a candidate, of the same number and size as those of the stable version."""
         plan = self._injector.deployment.plan
         stable = next(group for group in plan.back_ends if group.service == plan.rollout_service)
         group: BackEndPlan = msgspec.structs.replace(stable, version=version)
@@ -36,7 +36,7 @@
         await self._injector.deployment.start_back_ends(group, behaviour)
 
     async def start_rollout(self, stable: str, candidate: str, bad: bool, by_s: float) -> RolloutRun:
-        """Promote a loaded version; return the record that the watcher keeps up to date."""
+        """Promote a loaded version; return its record, which the watcher updates."""
         service = self._injector.deployment.plan.rollout_service
         response = await self._injector.operators.submit_accepted(promote(service, candidate, by_s))
         defaults = RolloutPlan(service=ServiceName(service), candidate=VersionName(candidate))
@@ -51,19 +51,21 @@
             began_at_s=response.answered_at_s,
         )
         self._injector.records.rollouts.append(run)
-        self._injector.progress(f"promoted {service} {candidate} (by {by_s:g} s)")
+        self._injector.progress(f"promoted {service} {candidate} (to complete within {by_s:g} s)")
         return run
 
     async def wait_for_rollout(self, run: RolloutRun, within_s: float) -> None:
-        """Return when the rollout has ended, or after ``within_s``."""
+        """Wait until the rollout has ended, at most ``within_s``."""
         deadline = time.monotonic() + within_s
         while run.ended_at_s == 0.0 and time.monotonic() < deadline:
             await asyncio.sleep(POLL_S)
-        took_s = (run.ended_at_s or time.monotonic()) - run.began_at_s
-        self._injector.progress(f"rollout of {run.candidate}: {run.phase} after {took_s:.1f} s; {run.reason}")
+        duration_s = (run.ended_at_s or time.monotonic()) - run.began_at_s
+        self._injector.progress(
+            f"rollout of {run.candidate}: {run.phase} after {duration_s:.1f} s; {run.reason}"
+        )
 
     async def abort_unfinished(self) -> None:
-        """Abort rollouts that have not ended, so that another can begin."""
+        """Abort rollouts that have not ended, so that another one can start."""
         for run in self._injector.records.rollouts:
             if run.ended_at_s == 0.0:
                 await self._injector.operators.submit_accepted(steer_rollout(run.service, "abort"))
--- a/src/springmux/lab/experiment/script.py
+++ b/src/springmux/lab/experiment/script.py
@@ -1,4 +1,4 @@
-"""The script of ``springmux lab run``: faults in their slots beside one rollout after another."""
+"""The script of ``springmux lab run``: runs scheduled faults and, concurrently, consecutive rollouts."""
 
 from __future__ import annotations
 
@@ -28,18 +28,19 @@
     VersionBehaviour(cut_share=0.3, above_running=2),
     VersionBehaviour(gap_factor=4.0),
 )
-"""Bad at once, late, only under load, and slow; a fault of the plan's first route alone is added."""
+"""Behaviours of bad versions: errors from the start, errors after 10 s, cut responses only under load, and
+slow tokens. The script adds errors that occur only on the plan's first route."""
 
 
 class ScheduledFault(msgspec.Struct, frozen=True):
-    """A fault and when its slot begins, in seconds of the run."""
+    """A fault and the time at which its slot begins, in seconds from the beginning of the run."""
 
     at_s: float
     scenario: FaultScenario
 
 
-def schedule(scenarios: Sequence[FaultScenario]) -> list[ScheduledFault]:
-    """Give each scenario its slot, one after another."""
+def schedule_faults(scenarios: Sequence[FaultScenario]) -> list[ScheduledFault]:
+    """Return consecutive slots for the scenarios, the first after the warm-up."""
     slots = []
     at_s = WARM_UP_S
     for scenario in scenarios:
@@ -48,40 +49,40 @@
     return slots
 
 
-def needed_seconds(slots: Sequence[ScheduledFault], plan: ExperimentPlan) -> float:
-    """Return a length of traffic that has room for all slots, a good and a bad rollout."""
+def needed_traffic_s(slots: Sequence[ScheduledFault], plan: ExperimentPlan) -> float:
+    """Return the duration of traffic that all slots, a good and a bad rollout need, in seconds."""
     faults_s = slots[-1].at_s + slots[-1].scenario.lasts_s if slots else 0.0
     rollouts_s = WARM_UP_S + 2 * (plan.rollout_by_s + TERM_MARGIN_S) + 2 * SETTLE_S
     return max(SHORTEST_RUN_S, faults_s, rollouts_s)
 
 
-def surges(slots: Sequence[ScheduledFault], plan: ExperimentPlan) -> list[Surge]:
-    """Return the extra traffic of the slots."""
+def scheduled_surges(slots: Sequence[ScheduledFault], plan: ExperimentPlan) -> list[Surge]:
+    """Return the additional traffic of the slots' faults."""
     return [slot.scenario.surge(plan, slot.at_s) for slot in slots if slot.scenario.surge is not None]
 
 
 class RunScript:
-    """Plays fault slots and rollouts for ``seconds``; a step that fails is recorded and the run continues."""
+    """Runs scheduled faults and rollouts for ``seconds``; a failed step is recorded and the run continues."""
 
     def __init__(self, slots: Sequence[ScheduledFault], seconds: float) -> None:
         self._slots = slots
         self._seconds = seconds
 
     async def play(self, injector: DeploymentFaultInjector) -> None:
-        """Play everything."""
-        await asyncio.gather(self._play_faults(injector), self._play_rollouts(injector))
+        """Run the faults and the rollouts concurrently until both are complete."""
+        await asyncio.gather(self._run_faults(injector), self._run_rollouts(injector))
 
-    async def _play_faults(self, injector: DeploymentFaultInjector) -> None:
+    async def _run_faults(self, injector: DeploymentFaultInjector) -> None:
         for slot in self._slots:
             injector.slot_began_at_s = injector.records.began_at_s + slot.at_s
             await asyncio.sleep(max(0.0, injector.slot_began_at_s - time.monotonic()))
             await run_step(injector, slot.scenario.name, slot.scenario.play(injector))
 
-    async def _play_rollouts(self, injector: DeploymentFaultInjector) -> None:
+    async def _run_rollouts(self, injector: DeploymentFaultInjector) -> None:
         await asyncio.sleep(WARM_UP_S)
-        await run_step(injector, "rollouts", self._roll_out_in_turn(injector))
+        await run_step(injector, "rollouts", self._run_consecutive_rollouts(injector))
 
-    async def _roll_out_in_turn(self, injector: DeploymentFaultInjector) -> None:
+    async def _run_consecutive_rollouts(self, injector: DeploymentFaultInjector) -> None:
         rollouts = RolloutDriver(injector)
         plan = injector.deployment.plan
         by_s = plan.rollout_by_s
@@ -103,11 +104,11 @@
             await rollouts.retire_version(candidate)
 
 
-async def run_step(injector: DeploymentFaultInjector, what: str, step: Awaitable[None]) -> None:
-    """Run one step of the script; record an expected error as its failure."""
+async def run_step(injector: DeploymentFaultInjector, step_name: str, step: Awaitable[None]) -> None:
+    """Run one step of the script; record an expected error as a failure of the step."""
     try:
         await step
     except (SpringmuxError, aiohttp.ClientError, TimeoutError) as error:
         reason = str(error) or type(error).__name__
-        injector.records.script_failures.append(ScriptFailure(time.monotonic(), what, reason))
-        injector.progress(f"trouble in {what}: {reason}")
+        injector.records.script_failures.append(ScriptFailure(time.monotonic(), step_name, reason))
+        injector.progress(f"step {step_name} failed: {reason}")
--- a/src/springmux/lab/experiment/watcher.py
+++ b/src/springmux/lab/experiment/watcher.py
@@ -1,4 +1,4 @@
-"""Periodic samples of every node's status and of rollouts during an experiment."""
+"""Periodic samples of the status of every node and of every rollout during an experiment."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from springmux.lab.records import RolloutRun, RunRecords, StatusSample
 
 SAMPLE_PERIOD_S = 0.25
-"""An eighth of the bound of 2 s for a change to be in force; a dozen nodes cost 48 small reads a second."""
+"""An eighth of the 2 s within which a change must be in force; a dozen nodes cost 48 small reads a second."""
 TERMINAL_PHASES = frozenset({"done", "aborted"})
 
 
 class Watcher:
-    """Samples nodes into ``records.samples`` and keeps ``records.rollouts`` up to date."""
+    """Adds samples of nodes to ``records.samples`` and updates unfinished ``records.rollouts``."""
 
     def __init__(self, operators: OperatorClient, nodes: list[AdminNode], records: RunRecords) -> None:
         self._operators = operators
@@ -24,12 +24,12 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Start sampling, one task a node, so that a frozen node delays no other."""
+        """Start sampling with one task per node, so that a frozen node does not delay other samples."""
         self._tasks = [asyncio.create_task(self._watch_node(node)) for node in self._nodes]
         self._tasks.append(asyncio.create_task(self._watch_rollouts()))
 
     async def stop(self) -> None:
-        """Stop sampling."""
+        """Cancel the tasks and wait for their end."""
         for task in self._tasks:
             task.cancel()
         for task in self._tasks:
--- a/src/springmux/lab/faults/fault_injector.py
+++ b/src/springmux/lab/faults/fault_injector.py
@@ -116,7 +116,7 @@
         await asyncio.to_thread(self._supervisor.kill, node.node)
         self._supervisor.wipe(node.node)
         if new_addresses:
-            self.deployment.move(node)
+            self.deployment.move_node(node)
         await self.start(node)
         self.record_fault(fault, node.node, began=False)
 
--- a/src/springmux/lab/plan.py
+++ b/src/springmux/lab/plan.py
@@ -13,11 +13,15 @@
 
 
 class ExperimentError(SpringmuxError):
-    """An experiment file is missing or invalid; the message says where and why."""
+    """An experiment file is missing or invalid; the message contains its path and the reason."""
 
 
 class ZonePlan(msgspec.Struct, frozen=True, kw_only=True):
-    """One zone: how many nodes, how many of them with a data folder, and its share of the clients."""
+    """One zone of the deployment.
+
+    ``nodes``: number of nodes; ``controllers``: number of them with a data folder. ``traffic_share``: the
+    zone's share of the client traffic, relative to the other zones.
+    """
 
     name: str
     nodes: int
@@ -26,7 +30,11 @@
 
 
 class BackEndPlan(msgspec.Struct, frozen=True, kw_only=True):
-    """A group of equal back ends of one service and version. ``kind``: ``model`` or ``call``."""
+    """A group of identical back ends of one service and version.
+
+    ``kind``: ``model`` or ``call``. ``lateness_s``: upper bound of the random delay of each heartbeat, in
+    seconds. ``work_s``: mean processing time of a call, in seconds. ``spec``: speed and size of an engine.
+    """
 
     kind: str
     service: str
@@ -38,10 +46,12 @@
 
 
 class TrafficPlan(msgspec.Struct, frozen=True, kw_only=True):
-    """One stream of requests, Poisson arrivals. Sizes in bytes of prompt text.
+    """One stream of requests with Poisson arrivals; sizes are bytes of prompt text.
 
-    A prompt is one of ``prefixes`` shared prefixes of ``prefix_bytes`` (drawn by Zipf's law with
-    exponent ``prefix_skew``) and ``own_bytes`` of its own. ``answer_tokens``: smallest and largest.
+    A prompt consists of one of ``prefixes`` shared prefixes of ``prefix_bytes`` each (drawn by Zipf's law
+    with exponent ``prefix_skew``), followed by text of its own. ``own_bytes`` and ``answer_tokens``: smallest
+    and largest value. ``first_piece_goal_s``: target of the time to the first chunk. ``give_up_s``: total
+    timeout of a request at the client.
     """
 
     route: str
@@ -57,7 +67,7 @@
 
 
 class TenantPlan(msgspec.Struct, frozen=True, kw_only=True):
-    """A tenant, its quota and its share of the traffic."""
+    """A tenant, its quota, and its share of the traffic relative to the other tenants."""
 
     name: str
     tokens_per_s: float
@@ -66,7 +76,11 @@
 
 
 class ExperimentPlan(msgspec.Struct, frozen=True, kw_only=True):
-    """One deployment at one size."""
+    """Contents of an experiment file: one deployment and its traffic.
+
+    ``configuration``: the document that the fleet applies first. ``rollout_service``: service whose versions
+    are rolled out. ``rollout_by_s``: time within which a rollout must be complete.
+    """
 
     name: str
     title: str
@@ -79,7 +93,7 @@
     rollout_by_s: float = 60.0
 
     def node_names(self) -> list[tuple[str, ZonePlan, bool]]:
-        """Return (name, zone, is controller) of every node, controllers first in their zone."""
+        """Return (name, zone, is controller) of every node; the controllers come first in each zone."""
         return [
             (f"{self.name}-{zone.name}-{number + 1}", zone, number < zone.controllers)
             for zone in self.zones
@@ -88,12 +102,12 @@
 
 
 def built_in_experiments() -> list[ExperimentPlan]:
-    """Return the built-in experiments."""
+    """Return the built-in experiments, sorted by name."""
     return [load_experiment(file.stem) for file in sorted(BUILT_IN_FOLDER.glob("*.toml"))]
 
 
 def load_experiment(name_or_path: str) -> ExperimentPlan:
-    """Return a built-in experiment by name, or one from a file.
+    """Return a built-in experiment by its name, or the experiment in a file (a path with a suffix).
 
     :raises ExperimentError: if there is no such file, or it is not a valid experiment.
     """
--- a/src/springmux/lab/records.py
+++ b/src/springmux/lab/records.py
@@ -1,8 +1,8 @@
-"""Records of an experiment: back ends' events, orders, status samples, faults, rollouts.
+"""Records of an experiment: events of back ends, orders, status samples, faults and rollouts.
 
-All times are seconds of the machine's monotonic clock, which every process on it shares; only
-:class:`CallRecord` counts from the beginning of the run, ``RunRecords.began_at_s``. Fields whose Python name
-differs from the encoded one keep the encoded name of earlier records.
+All times are seconds of the machine's monotonic clock, which all its processes share, except those of
+:class:`CallRecord`, which count from the beginning of the run, ``RunRecords.began_at_s``. Fields whose
+encoded name differs from the Python name keep the encoded name of earlier records.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class Ending(msgspec.Struct, frozen=True, tag="Ending"):
-    """A back end has finished a request. ``bad``: the planned fault of the version affected the response."""
+    """A back end finished a request. ``bad``: the version's planned fault affected the response."""
 
     at_s: float
     engine: str
@@ -37,7 +37,7 @@
 
 
 class Execution(msgspec.Struct, frozen=True, tag="Execution"):
-    """A service executed an action: its effect happened."""
+    """A service executed an action, so that the action took effect."""
 
     at_s: float
     engine: str
@@ -51,8 +51,8 @@
 class OrderRecord(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
     """One attempt of an operator's order and its response. ``status`` 0: no response (lost or dropped).
 
-    ``race`` groups orders submitted concurrently under one version number; ``expected`` is the status
-    that a deliberately invalid order must get (0: none).
+    ``race`` groups orders that were submitted concurrently with the same version number. ``expected`` is the
+    status with which a deliberately invalid order must be rejected (0: the order is valid).
     """
 
     order: str
@@ -78,7 +78,7 @@
 
 
 class StatusSample(msgspec.Struct, frozen=True):
-    """Status that one node reported. ``answered`` false: no status within the timeout."""
+    """Status that one node reported. ``answered`` false: the node did not respond within the timeout."""
 
     requested_at_s: float = msgspec.field(name="asked_at_s")
     at_s: float
@@ -91,7 +91,7 @@
 
 
 class FaultEvent(msgspec.Struct, frozen=True, kw_only=True):
-    """Beginning or end of a fault. ``target``: the affected node or back end."""
+    """Beginning (``began`` true) or end of a fault. ``target``: the affected node or back end."""
 
     at_s: float
     fault: str
@@ -101,7 +101,11 @@
 
 
 class RolloutRun(msgspec.Struct, kw_only=True):
-    """One rollout, from the acknowledgement of its promotion. ``ended_at_s`` 0: it did not end in the run."""
+    """One rollout, from the acknowledgement of its promotion.
+
+    ``bad``: the candidate has a planned fault. ``by_s``: time within which the rollout must be complete.
+    ``ended_at_s`` 0: the rollout did not end during the run.
+    """
 
     service: str
     stable: str
@@ -117,9 +121,9 @@
 
 
 class DrainRecord(msgspec.Struct, frozen=True):
-    """A node acknowledged that an engine drains. ``gone_at_s``: when the engine had left.
+    """A drain of an engine that a node acknowledged. ``gone_at_s``: time at which the engine had left.
 
-    Its successor may have the same name.
+    A replacement engine may have the same name.
     """
 
     engine: str
@@ -128,7 +132,7 @@
 
 
 class QuotaWindow(msgspec.Struct, frozen=True):
-    """An interval in which a tenant requested more than its quota."""
+    """An interval in which a tenant requested more than its quota, and that quota."""
 
     tenant: str
     from_s: float
@@ -138,10 +142,10 @@
 
 
 class Recovery(msgspec.Struct, frozen=True):
-    """A restart of the whole fleet. ``back_at_s`` 0: service did not come back in the run.
+    """A restart of the whole fleet. ``back_at_s`` 0: the fleet did not serve again during the run.
 
-    ``expected_version`` is the newest configuration acknowledged before the restart, ``found_version``
-    the one in force after it; ``rollouts_kept``: every rollout record survived unchanged.
+    ``expected_version``: newest configuration version acknowledged before the restart. ``found_version``: the
+    version in force after it. ``rollouts_kept``: whether every rollout record survived unchanged.
     """
 
     began_at_s: float
@@ -155,7 +159,8 @@
 class RevocationRecord(msgspec.Struct, frozen=True):
     """A key was revoked while one of its streams ran and one of its connections was kept alive.
 
-    ``stream_ended_after_s`` and ``refused_after_s`` count from the acknowledgement; ``None``: did not happen.
+    ``stream_ended_after_s`` and ``refused_after_s`` count from the acknowledgement; ``None``: the event did
+    not occur.
     """
 
     acknowledged_at_s: float
@@ -166,9 +171,10 @@
 class CallRecord(msgspec.Struct, kw_only=True, omit_defaults=True):
     """Outcome of one attempt of one request; times count from the beginning of the run.
 
-    ``tokens``: the count that the engine reports. ``requested_tokens``: the count of a complete response.
-    ``fault``: a protocol violation that the client detected. ``reported_by_node``: a node sent the
-    response, so its ``fate`` is the fleet's statement and not the client's guess about a lost connection.
+    ``tokens``: number of tokens that the engine reports. ``requested_tokens``: number of tokens of a complete
+    response. ``fault``: a protocol violation that the client detected. ``reported_by_node``: a node sent the
+    response, so that ``fate`` is the value that the fleet reports and not one that the client infers from a
+    lost connection.
     """
 
     route: str
@@ -197,7 +203,7 @@
 
 
 class ScriptFailure(msgspec.Struct, frozen=True):
-    """A step of the script that failed, for instance a node that did not come back."""
+    """A step of the script that failed, for instance because a node did not become ready again."""
 
     at_s: float
     what: str
@@ -235,7 +241,7 @@
     script_failures: list[ScriptFailure] = msgspec.field(default_factory=list, name="troubles")
 
     def add_back_end_event(self, event: BackEndEvent) -> None:
-        """Add one event of a back end."""
+        """Add an event to the list of its type."""
         if isinstance(event, Arrival):
             self.arrivals.append(event)
         elif isinstance(event, Ending):
@@ -244,7 +250,7 @@
             self.executions.append(event)
 
     def sort(self) -> None:
-        """Sort by time what came from several processes."""
+        """Sort the lists that several processes or tasks contribute to by time."""
         self.arrivals.sort(key=lambda event: event.at_s)
         self.endings.sort(key=lambda event: event.at_s)
         self.executions.sort(key=lambda event: event.at_s)
@@ -253,18 +259,18 @@
 
 Record = TypeVar("Record")
 BUFFER_BYTES = 1 << 16
-"""Some hundred records a write, so that recording does not disturb the measurement."""
+"""Holds some hundred records, so that few writes to the file disturb the measurement."""
 
 
 class LineWriter:
-    """Appends records to a file, a line of JSON each, until it is closed."""
+    """Appends records to a file, each as one line of JSON."""
 
     def __init__(self, path: Path) -> None:
         self._file = path.open("ab", buffering=BUFFER_BYTES)
         self._encoder = msgspec.json.Encoder()
 
     def write(self, record: msgspec.Struct) -> None:
-        """Append one record (buffered)."""
+        """Append one record to the buffer."""
         self._file.write(self._encoder.encode(record) + b"\n")
 
     def close(self) -> None:
@@ -273,17 +279,17 @@
 
 
 def back_end_events(path: Path) -> Iterator[BackEndEvent]:
-    """Yield the events that a host of back ends recorded."""
+    """Yield the events in the record file of a back-end host."""
     return _read_lines(path, msgspec.json.Decoder(BackEndEvent))
 
 
 def call_records(path: Path) -> Iterator[CallRecord]:
-    """Yield the records of the load clients."""
+    """Yield the records in the record file of the load clients."""
     return _read_lines(path, msgspec.json.Decoder(CallRecord))
 
 
 def _read_lines(path: Path, decoder: msgspec.json.Decoder[Record]) -> Iterator[Record]:
-    """Yield the records of a file; skip an incomplete last line, left by a killed process."""
+    """Yield the records of a file; skip an incomplete last line, which a killed process may leave."""
     with path.open("rb") as file:
         for line in file:
             if line.endswith(b"\n"):
--- a/tests/unit/lab/test_plan_and_traffic.py
+++ b/tests/unit/lab/test_plan_and_traffic.py
@@ -71,8 +71,8 @@
 
 
 def test_slots_follow_one_another_and_the_run_has_room_for_all() -> None:
-    slots = script.schedule(choose_faults("all"))
+    slots = script.schedule_faults(choose_faults("all"))
     assert len(slots) == len(FAULTS)
     assert all(one.at_s + one.scenario.lasts_s <= other.at_s for one, other in pairwise(slots))
-    assert script.needed_seconds(slots, ANUARIO) >= slots[-1].at_s + slots[-1].scenario.lasts_s
-    assert [surge.for_s for surge in script.surges(slots, ANUARIO)] == [10.0, 10.0, 20.0]
+    assert script.needed_traffic_s(slots, ANUARIO) >= slots[-1].at_s + slots[-1].scenario.lasts_s
+    assert [surge.for_s for surge in script.scheduled_surges(slots, ANUARIO)] == [10.0, 10.0, 20.0]
