--- a/src/springmux/cli/lab.py
+++ b/src/springmux/cli/lab.py
@@ -187,7 +187,7 @@
 
 
 def _print_verdicts(console: Console, records: RunRecords, verdicts: Sequence[Verdict]) -> None:
-    from springmux.lab.reporting.report import verdict_word
+    from springmux.lab.reporting.report import verdict_label
 
     table = Table(title=f"{records.experiment}: {len(records.calls)} requests")
     for header in ("promise", "bound", "measured", "verdict"):
@@ -195,7 +195,7 @@
     for verdict in verdicts:
         style = {True: "green", False: "bold red", None: "dim"}[verdict.kept]
         cells = [escape(cell) for cell in (verdict.promise, verdict.bound, verdict.measured)]
-        table.add_row(*cells, f"[{style}]{verdict_word(verdict)}[/{style}]")
+        table.add_row(*cells, f"[{style}]{verdict_label(verdict)}[/{style}]")
     console.print(table)
     for verdict in verdicts:
         for item in verdict.evidence:
--- a/src/springmux/lab/bench/bare_relay.py
+++ b/src/springmux/lab/bench/bare_relay.py
@@ -1,7 +1,8 @@
-"""Baseline of the data plane's cost: a relay without any decisions.
+"""Baseline for the cost of the data plane: a relay that makes no decisions.
 
-An aiohttp server and an aiohttp client with the same connection reuse as a node, but no keys, limits,
-routing, checks, records or retries. ``python -m springmux.lab.bench.bare_relay LISTEN TARGET`` runs it.
+It consists of an aiohttp server and an aiohttp client that reuse connections as a node does, but it has no
+keys, limits, routing, checks, records or retries. Run it with
+``python -m springmux.lab.bench.bare_relay LISTEN TARGET``.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 MAX_BODY_BYTES = 8 << 20
 _HOP_HEADERS = frozenset({"connection", "content-length", "host", "keep-alive", "transfer-encoding"})
-"""Headers that belong to one connection (RFC 9110, section 7.6.1), or that the client sets itself."""
+"""Headers of one connection (RFC 9110, section 7.6.1), and headers that the HTTP client sets itself."""
 
 
 class BareRelay:
@@ -28,13 +29,17 @@
     async def relay(self, request: web.Request) -> web.StreamResponse:
         """Forward one request; stream the response back chunk by chunk."""
         body = await request.read()
-        headers = {name: value for name, value in request.headers.items() if _passes(name)}
+        headers = {name: value for name, value in request.headers.items() if _is_forwarded(name)}
         url = f"http://{self._target}{request.path_qs}"
         async with self._session.request(request.method, url, data=body, headers=headers) as upstream:
-            headers_back = {name: value for name, value in upstream.headers.items() if _passes(name)}
+            response_headers = {
+                name: value for name, value in upstream.headers.items() if _is_forwarded(name)
+            }
             if upstream.content_length is not None:
-                return web.Response(status=upstream.status, body=await upstream.read(), headers=headers_back)
-            response = web.StreamResponse(status=upstream.status, headers=headers_back)
+                return web.Response(
+                    status=upstream.status, body=await upstream.read(), headers=response_headers
+                )
+            response = web.StreamResponse(status=upstream.status, headers=response_headers)
             await response.prepare(request)
             async for chunk in upstream.content.iter_any():
                 await response.write(chunk)
@@ -46,7 +51,7 @@
         await self._session.close()
 
 
-def _passes(header: str) -> bool:
+def _is_forwarded(header: str) -> bool:
     return header.lower() not in _HOP_HEADERS
 
 
@@ -60,8 +65,8 @@
     host, port = listen.rsplit(":", 1)
     await web.TCPSite(runner, host, int(port), reuse_address=True).start()
     stopped = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        asyncio.get_running_loop().add_signal_handler(number, stopped.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        asyncio.get_running_loop().add_signal_handler(signal_number, stopped.set)
     await stopped.wait()
     await runner.cleanup()
     await relay.close()
--- a/src/springmux/lab/bench/control_cost.py
+++ b/src/springmux/lab/bench/control_cost.py
@@ -1,4 +1,4 @@
-"""Control-plane cost of a node at several fleet sizes, in virtual time."""
+"""Cost of the control plane per node at several fleet sizes, in virtual time."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from springmux.lab.bench.leader_loss import LeaderLoss, lose_leader
+from springmux.lab.bench.leader_loss import LeaderLoss, measure_leader_loss
 from springmux.lab.bench.metered_fleet import (
     ANNOUNCE_SPREAD_S,
     DeliveryObserver,
@@ -21,18 +21,22 @@
 from springmux.lab.bench.slopes import fit, quantile
 
 CHANGES_A_DAY = 13_000
-"""The target's rate of changes."""
+"""Rate of control-state changes of the target size."""
 DAY_S = 86_400.0
 JOIN_TIMEOUT_S = 60.0
-QUIET_AFTER_S = 20.0
-"""Gossip of a cold start ends within this."""
+SETTLE_S = 20.0
+"""Time within which the gossip of a cold start ends, after the last announcement of an engine."""
 PROBE_CHANGES = 20
-"""Changes whose delivery is timed, two a second."""
+"""Number of changes whose delivery is timed, submitted at two per second."""
 SEED = 1
 
 
 class FleetSize(msgspec.Struct, frozen=True, kw_only=True):
-    """One size to measure; ``window_s``: virtual seconds counted; ``losses``: of the leader, of each kind."""
+    """One fleet size to measure.
+
+    ``window_s``: duration of a measurement in virtual seconds. ``losses``: number of losses of the leader, of
+    each kind.
+    """
 
     nodes: int
     zones: int
@@ -48,11 +52,16 @@
     FleetSize(nodes=120, zones=10, controllers=9, engines=967, window_s=20.0, losses=5),
     FleetSize(nodes=360, zones=10, controllers=18, engines=2900, window_s=10.0, losses=3),
 )
-"""Today's size, the target's, and two between; engines in the target's proportion but for today's."""
+"""The current size, two sizes in between, and the target. Sizes other than the current one have
+engines in the target's proportion."""
 
 
 class SizeCost(msgspec.Struct, frozen=True, kw_only=True):
-    """Costs of one size. Bytes, messages and processor time are a node a second."""
+    """Costs of one fleet size. Bytes, messages and processor time are per node and second.
+
+    ``joined_s``: time until all nodes are ready. ``busiest_bytes``: bytes per second of the node that sends
+    most in the quiet fleet. ``delays_s``: times from a change's acknowledgement until every node has it.
+    """
 
     size: FleetSize
     joined_s: float
@@ -71,7 +80,7 @@
 
 
 def measure_size(size: FleetSize) -> SizeCost:
-    """Measure one fleet while it joins, is quiet, changes state and loses its leader."""
+    """Measure a fleet while it forms, while it is quiet, during changes and after losses of its leader."""
     fleet = make_fleet(size.nodes, size.zones, size.controllers, SEED)
     observer = DeliveryObserver(size.nodes)
     fleet.observers.append(observer)
@@ -79,7 +88,7 @@
     joined = fleet.run_until(fleet.all_ready, JOIN_TIMEOUT_S)
     joined_s = fleet.world.now if joined else float("nan")
     add_engines(fleet, size.engines)
-    fleet.world.run_for(ANNOUNCE_SPREAD_S + QUIET_AFTER_S)
+    fleet.world.run_for(ANNOUNCE_SPREAD_S + SETTLE_S)
     quiet = _measure_window(fleet, size)
     busiest_bytes = max(fleet.meter.bytes_of_node.values()) / size.window_s
     by_type = {name: count / size.nodes / size.window_s for name, count in fleet.meter.bytes.most_common()}
@@ -88,7 +97,7 @@
     busy = _measure_window(fleet, size)
     schedule_changes(fleet, PROBE_CHANGES, 0.5)
     fleet.world.run_for(0.5 * PROBE_CHANGES + 5.0)
-    losses = tuple(lose_leader(fleet, kind, size.losses) for kind in ("kill", "freeze", "cut"))
+    losses = tuple(measure_leader_loss(fleet, kind, size.losses) for kind in ("kill", "freeze", "cut"))
     return SizeCost(
         size=size,
         joined_s=joined_s,
@@ -108,7 +117,7 @@
 
 
 def _measure_window(fleet: MeteredFleet, size: FleetSize) -> tuple[float, float, float]:
-    """Return bytes, messages and milliseconds of processor time a node a second over one window."""
+    """Return bytes, messages and milliseconds of processor time per node and second over one window."""
     fleet.meter.clear()
     fleet.world.run_for(size.window_s)
     node_seconds = size.nodes * size.window_s
@@ -123,8 +132,8 @@
 def measure_memory(size: FleetSize) -> float:
     """Return the traced memory of a node in a quiet fleet, in KiB.
 
-    Simulated nodes share the records and entries that they exchange, so this excludes them: it counts a
-    node's own tables, indexes and views.
+    Simulated nodes share the records and entries that they exchange; the value excludes these and covers
+    only a node's own tables, indexes and views.
     """
     gc.collect()
     tracemalloc.start()
@@ -141,8 +150,8 @@
     return traced_bytes / 1024 / size.nodes
 
 
-def control_cost(nodes_max: int = 360, memory_nodes_max: int = 120) -> BenchResult:
-    """Measure all sizes up to ``nodes_max``; memory, which runs slowly, up to ``memory_nodes_max``."""
+def measure_control_cost(nodes_max: int = 360, memory_nodes_max: int = 120) -> BenchResult:
+    """Measure sizes up to ``nodes_max``, and memory, which is slow to trace, up to ``memory_nodes_max``."""
     sizes = [size for size in SIZES if size.nodes <= nodes_max]
     costs = [measure_size(size) for size in sizes]
     memory = {size.nodes: measure_memory(size) for size in sizes if size.nodes <= memory_nodes_max}
@@ -197,8 +206,8 @@
         rows=tuple(rows),
         notes=(
             "Bytes are those of the encoded envelope, without WebSocket, TCP and IP headers. CPU is "
-            "that of the agent and the encoding; sockets and the event loop come on top. "
-            "Traced memory leaves out what hollow nodes share.",
+            "that of the agent and the encoding, without sockets and the event loop. "
+            "Traced memory excludes the objects that simulated nodes share.",
         ),
     )
 
@@ -237,26 +246,26 @@
 
 
 def _slope_table(costs: Sequence[SizeCost]) -> Table:
-    gossiping = [cost for cost in costs if cost.size.nodes > 24]
-    if len(gossiping) < 2:
+    large_fleets = [cost for cost in costs if cost.size.nodes > 24]
+    if len(large_fleets) < 2:
         return Table(title="Slopes", columns=("figure",), rows=(("too few sizes were run",),))
-    nodes = [float(cost.size.nodes) for cost in gossiping]
-    figures = {
-        "bytes quiet": [cost.quiet_bytes for cost in gossiping],
-        "bytes busy": [cost.busy_bytes for cost in gossiping],
-        "messages quiet": [cost.quiet_messages for cost in gossiping],
-        "CPU ms quiet": [cost.quiet_cpu_ms for cost in gossiping],
-        "CPU ms busy": [cost.busy_cpu_ms for cost in gossiping],
+    nodes = [float(cost.size.nodes) for cost in large_fleets]
+    values_by_name = {
+        "bytes quiet": [cost.quiet_bytes for cost in large_fleets],
+        "bytes busy": [cost.busy_bytes for cost in large_fleets],
+        "messages quiet": [cost.quiet_messages for cost in large_fleets],
+        "CPU ms quiet": [cost.quiet_cpu_ms for cost in large_fleets],
+        "CPU ms busy": [cost.busy_cpu_ms for cost in large_fleets],
     }
     rows = []
-    for name, values in figures.items():
+    for name, values in values_by_name.items():
         slope = fit(nodes, values)
         rows.append((name, slope.base, slope.per_unit, slope.at(360.0), slope.largest_residual))
     return Table(
         title="Slopes over fleets above 24 nodes (least squares)",
         columns=("a node a second", "base", "for each node", "at 360", "largest residual"),
         rows=tuple(rows),
-        notes=("Fleets of up to 24 nodes prove contact by round trips and have a line of their own.",),
+        notes=("Fleets of up to 24 nodes prove contact by round trips and are excluded from the fit.",),
     )
 
 
--- a/src/springmux/lab/bench/leader_loss.py
+++ b/src/springmux/lab/bench/leader_loss.py
@@ -1,4 +1,4 @@
-"""Time without a leader after the control group loses its leader."""
+"""Measures the time without a leader after the control group loses its leader."""
 
 from __future__ import annotations
 
@@ -10,48 +10,55 @@
 from springmux.lab.bench.metered_fleet import MeteredFleet
 from springmux.simulation.world.faults import CutNode, Freeze, Heal, Kill, Restart, Thaw
 
-POLL_S = 0.02
+POLL_INTERVAL_S = 0.02
 ELECTION_TIMEOUT_S = 30.0
 SETTLE_S = 3.0
-"""Between two losses, for the former leader to return and catch up."""
+"""Time between two losses in which the former leader returns and catches up."""
 
 
 class LeaderLoss(msgspec.Struct, frozen=True):
-    """Times without a leader (seconds, in the poll's steps); ``failed``: none within 30 s."""
+    """Times without a leader, in seconds to the precision of the poll interval.
+
+    ``failed``: number of losses without a new leader within 30 s.
+    """
 
     kind: str
     gaps_s: tuple[float, ...]
     failed: int
 
 
-def lose_leader(fleet: MeteredFleet, kind: str, times: int) -> LeaderLoss:
-    """Kill, freeze or partition the leader ``times`` times; it returns after each.
+def measure_leader_loss(fleet: MeteredFleet, kind: str, times: int) -> LeaderLoss:
+    """Kill, freeze or partition the leader ``times`` times and bring it back each time.
 
-    :raises ValueError: for another ``kind``.
+    :raises ValueError: if ``kind`` is not ``kill``, ``freeze`` or ``cut``.
     """
-    begin, end = _faults(fleet, kind)
+    begin_fault, end_fault = _faults(fleet, kind)
     gaps_s: list[float] = []
     failed = 0
     for _ in range(times):
         fleet.run_until(lambda: fleet.leader() is not None, ELECTION_TIMEOUT_S)
-        old = fleet.leader()
-        if old is None:
+        former_leader = fleet.leader()
+        if former_leader is None:
             failed += 1
             continue
         lost_at = fleet.world.now
-        begin(old)
-        if fleet.run_until(lambda old=old: _another_leads(fleet, old), ELECTION_TIMEOUT_S, POLL_S):  # type: ignore[misc]
+        begin_fault(former_leader)
+        if fleet.run_until(
+            lambda former_leader=former_leader: _another_node_leads(fleet, former_leader),  # type: ignore[misc]
+            ELECTION_TIMEOUT_S,
+            POLL_INTERVAL_S,
+        ):
             gaps_s.append(fleet.world.now - lost_at)
         else:
             failed += 1
-        end(old)
+        end_fault(former_leader)
         fleet.world.run_for(SETTLE_S)
     return LeaderLoss(kind, tuple(gaps_s), failed)
 
 
-def _another_leads(fleet: MeteredFleet, old: NodeId) -> bool:
+def _another_node_leads(fleet: MeteredFleet, former_leader: NodeId) -> bool:
     for member in fleet.places():
-        agent = fleet.agent(member.node) if member.controller and member.node != old else None
+        agent = fleet.agent(member.node) if member.controller and member.node != former_leader else None
         if agent is not None and agent.status().leading:
             return True
     return False
@@ -74,4 +81,4 @@
             lambda node: world.apply(CutNode(at=world.now, node=node)),
             lambda _node: world.apply(Heal(at=world.now)),
         )
-    raise ValueError(f"unknown loss {kind!r}")
+    raise ValueError(f"unknown kind of leader loss: {kind!r}")
--- a/src/springmux/lab/bench/metered_fleet.py
+++ b/src/springmux/lab/bench/metered_fleet.py
@@ -1,4 +1,4 @@
-"""Simulated fleets that count each node's messages, as encoded on the wire, and their processor time."""
+"""Simulated fleets that count the encoded messages of each node and measure processor time."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 from springmux.vocabulary.names import EngineId, OrderId, ServiceName, TenantName, VersionName
 
 ANNOUNCE_SPREAD_S = 5.0
-"""Engines of a cold start announce themselves within this."""
+"""Time within which the engines of a cold start announce themselves."""
 HEARTBEAT_S = 1.0
-"""As the engines' interface asks (docs/API.md)."""
+"""Heartbeat period of engines, as docs/API.md requires."""
 TENANTS = 50
 """Number of tenants that the scheduled changes cycle through."""
 
 
 class MessageMeter:
-    """Counters of messages, bytes and processor time over all nodes."""
+    """Counts messages and bytes by message type, bytes by node, and processor time over all nodes."""
 
     def __init__(self) -> None:
         self.messages: Counter[str] = Counter()
@@ -53,7 +53,7 @@
     name: NodeId
 
     def handle(self, event: Event, now: float) -> list[Effect]:
-        """Handle one event and add its processor time."""
+        """Handle one event and add the processor time to the meter."""
         began_ns = time.process_time_ns()
         effects = super().handle(event, now)
         self.meter.cpu_ns += time.process_time_ns() - began_ns
@@ -77,10 +77,10 @@
         super().__init__(places, seed)
 
     def _builder(self, place: HollowPlace) -> Callable[[int], Process]:
-        build_plain = super()._builder(place)
+        build_unmetered = super()._builder(place)
 
         def build(boot: int) -> Process:
-            node = build_plain(boot)
+            node = build_unmetered(boot)
             assert isinstance(node, HollowNode)
             node.__class__ = MeteredNode
             assert isinstance(node, MeteredNode)
@@ -104,11 +104,11 @@
 
     @property
     def unfinished(self) -> int:
-        """Return how many acknowledged changes are not in force everywhere yet."""
+        """Return the number of acknowledged changes that are not yet in force at every node."""
         return len(self._waiting)
 
     def order_answered(self, node: NodeId, response: OrderAnswered, now: float) -> None:
-        """Record an acknowledgement."""
+        """Record the acknowledgement or the rejection of a change."""
         if response.result is None:
             self.refused += 1
             return
@@ -118,28 +118,28 @@
         self._complete_deliveries(now)
 
     def control_changed(self, node: NodeId, agent: NodeAgent, now: float) -> None:
-        """Record the revision in force at a node."""
+        """Record the revision in force at a node, and complete the changes that every node now has."""
         self._revision_of[node] = int(agent.view.revision)
         self._complete_deliveries(now)
 
     def _complete_deliveries(self, now: float) -> None:
         if not self._waiting or len(self._revision_of) < self._nodes:
             return
-        lowest = min(self._revision_of.values())
-        done = [revision for revision in self._waiting if revision <= lowest]
-        self.delays_s += [max(0.0, now - self._acknowledged_at[revision]) for revision in done]
-        self._waiting = [revision for revision in self._waiting if revision > lowest]
+        oldest_revision = min(self._revision_of.values())
+        delivered = [revision for revision in self._waiting if revision <= oldest_revision]
+        self.delays_s += [max(0.0, now - self._acknowledged_at[revision]) for revision in delivered]
+        self._waiting = [revision for revision in self._waiting if revision > oldest_revision]
 
 
 def make_fleet(nodes: int, zones: int, controllers: int, seed: int) -> MeteredFleet:
-    """Return a fleet spread evenly over zones, not started."""
+    """Return a fleet with its nodes spread evenly over zones; it is not started."""
     return MeteredFleet(
         places_by_zone({f"zone-{number}": nodes // zones for number in range(zones)}, controllers), seed
     )
 
 
 def add_engines(fleet: MeteredFleet, count: int) -> None:
-    """Schedule engines that announce themselves, each to one node, and then send heartbeats."""
+    """Schedule engines, each of which announces itself to one node and then sends that node heartbeats."""
     nodes = fleet.world.nodes()
     source = random.Random(f"engines {count}")
     for number in range(count):
@@ -171,7 +171,7 @@
 
 
 def schedule_changes(fleet: MeteredFleet, count: int, period_s: float) -> None:
-    """Schedule changes of tenants' quotas at varying nodes, one each ``period_s``."""
+    """Schedule ``count`` changes of tenants' quotas at varying nodes, one every ``period_s`` seconds."""
     world, nodes = fleet.world, fleet.world.nodes()
 
     def change(number: int) -> None:
--- a/src/springmux/lab/bench/placement_ablation.py
+++ b/src/springmux/lab/bench/placement_ablation.py
@@ -1,4 +1,4 @@
-"""Ablation of the gateway's placement policy: each of its rules switched off, one at a time."""
+"""Ablation of the gateway's placement policy: each variant disables one of its rules."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 SEEDS = (1, 2, 3)
 TRACE_S = 30.0
-LOADS = (1.0, 1.5)
+LOAD_FACTORS = (1.0, 1.5)
 VARIANTS: dict[str, PlacementPolicy] = {
     "as it is": PlacementPolicy(),
     "long prefixes have no engines of their own": PlacementPolicy(hash_long_prefixes=False),
@@ -29,7 +29,7 @@
 
 
 class FleetCase(msgspec.Struct, frozen=True, kw_only=True):
-    """A fleet of nodes and engines, and its traffic."""
+    """A fleet of nodes and engines, its exchange of load reports, and the prompt kinds of its traffic."""
 
     title: str
     nodes: int
@@ -84,37 +84,37 @@
 CASES = (LARGE_BATCHES, SMALL_BATCHES)
 
 
-def placement_ablation(
+def run_placement_ablation(
     cases: Sequence[FleetCase] = CASES, seeds: Sequence[int] = SEEDS, trace_s: float = TRACE_S
 ) -> BenchResult:
-    """Run every case at every load with every variant over the seeds."""
-    tables = tuple(_table(case, load, seeds, trace_s) for case in cases for load in LOADS)
+    """Run every case with every load, variant and seed; ``trace_s``: duration of a trace in seconds."""
+    tables = tuple(_table(case, load, seeds, trace_s) for case in cases for load in LOAD_FACTORS)
     return BenchResult(name="placement", command="springmux lab bench --only placement", tables=tables)
 
 
 def run_case(case: FleetCase, load: float, seed: int, policy: PlacementPolicy, trace_s: float) -> MixResult:
-    """Run one trace under one policy."""
+    """Run one trace of a case under one policy; ``load``: factor of the usual request rates."""
     requests = mixed_trace(seed, case.nodes, trace_s, case.kinds, load)
     world = World(case.nodes, case.engines, seed, case.shape, case.exchange, policy)
     return run_mix(requests, case.kinds, world)
 
 
 def _table(case: FleetCase, load: float, seeds: Sequence[int], trace_s: float) -> Table:
-    found = {
+    results_by_variant = {
         name: [run_case(case, load, seed, policy, trace_s) for seed in seeds]
         for name, policy in VARIANTS.items()
     }
-    reference = next(iter(found.values()))
+    reference = next(iter(results_by_variant.values()))
     kinds = tuple(kind.name for kind in case.kinds)
     columns = ["switched off", "earned", "less than as it is", "standard error"]
     for kind in kinds:
         columns += [f"{kind}: late", "late of the largest tenth", "shared tokens kept"]
-    rows = tuple(_row(name, results, reference) for name, results in found.items())
+    rows = tuple(_row(name, results, reference) for name, results in results_by_variant.items())
     return Table(
         title=f"{case.title}; {load:g} times the usual load",
         columns=tuple(columns),
         rows=rows,
-        notes=(f"{len(seeds)} seeds of {trace_s:g} s, differences on the same seed.",),
+        notes=(f"{len(seeds)} seeds with traces of {trace_s:g} s; differences between runs of equal seed.",),
     )
 
 
@@ -130,10 +130,10 @@
         deviation / math.sqrt(len(differences)),
     ]
     for index in range(len(results[0].kinds)):
-        of_kind = [result.kinds[index] for result in results]
+        kind_results = [result.kinds[index] for result in results]
         cells += [
-            statistics.fmean(each.late for each in of_kind),
-            statistics.fmean(each.largest_late for each in of_kind),
-            statistics.fmean(each.kept for each in of_kind),
+            statistics.fmean(kind_result.late for kind_result in kind_results),
+            statistics.fmean(kind_result.largest_late for kind_result in kind_results),
+            statistics.fmean(kind_result.kept for kind_result in kind_results),
         ]
     return tuple(cells)
--- a/src/springmux/lab/bench/quiet_fleet.py
+++ b/src/springmux/lab/bench/quiet_fleet.py
@@ -1,4 +1,4 @@
-"""Cost of a node in an idle fleet of real processes."""
+"""Processor time and memory of the nodes of an idle fleet of real processes."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
 
 ZONES = ("north", "east", "south", "west")
 NODES_PER_ZONE = (3, 9)
-"""Twelve nodes prove contact by round trips, 36 by the leader's beacon."""
+"""Fleets of 12 nodes prove contact by round trips, fleets of 36 by the leader's beacon."""
 SETTLE_S = 10.0
 WINDOW_S = 30.0
 CPU_BUDGET = 1.6
 MEMORY_BUDGET_MIB = 64
-"""The target: percent of a core, and memory, that a node spends on control."""
+"""Targets for what a node spends on control: percent of a core, and memory."""
 _READY_TIMEOUT_S = 60.0
 _POLL_S = 0.2
 
 
-def quiet_fleet(folder: Path) -> BenchResult:
-    """Run fleets of 12 and 36 nodes, four of them controllers, without traffic, and read their usage."""
-    tables = tuple(_measure(folder / f"fleet-{count}", count) for count in NODES_PER_ZONE)
+def measure_quiet_fleet(folder: Path) -> BenchResult:
+    """Measure fleets of 12 and 36 nodes, four of them controllers, that run without traffic."""
+    tables = tuple(_measure_fleet(folder / f"fleet-{count}", count) for count in NODES_PER_ZONE)
     return BenchResult(name="fleet", command="springmux lab bench --only fleet", tables=tables)
 
 
-def _measure(folder: Path, nodes_per_zone: int) -> Table:
+def _measure_fleet(folder: Path, nodes_per_zone: int) -> Table:
     places = [
         NodePlace(node=f"{zone}-{number}", zone=zone, controller=number == 1)
         for zone in ZONES
@@ -42,7 +42,7 @@
     supervisor = Supervisor(layout)
     try:
         supervisor.start_all()
-        _await_ready(layout)
+        _wait_until_ready(layout)
         time.sleep(SETTLE_S)
         before = {node.node: usage(node.pid) for node in layout.nodes}
         began = time.monotonic()
@@ -52,15 +52,15 @@
         leader = _leader(layout)
     finally:
         supervisor.stop_all()
-    costs: dict[str, list[tuple[float, float]]] = {}
+    costs_by_role: dict[str, list[tuple[float, float]]] = {}
     for node in layout.nodes:
         role = "leader" if node.node == leader else "other controllers" if node.controller else "routers"
-        cpu = 100.0 * (after[node.node].cpu_s - before[node.node].cpu_s) / seconds
-        costs.setdefault(role, []).append((cpu, after[node.node].resident_bytes / 2**20))
+        cpu_percent = 100.0 * (after[node.node].cpu_s - before[node.node].cpu_s) / seconds
+        costs_by_role.setdefault(role, []).append((cpu_percent, after[node.node].resident_bytes / 2**20))
     return Table(
         title=f"{len(places)} quiet nodes as processes",
         columns=("role", "nodes", "percent of a core, mean", "largest", "resident MiB, largest"),
-        rows=tuple(_role_row(role, found) for role, found in sorted(costs.items())),
+        rows=tuple(_role_row(role, node_costs) for role, node_costs in sorted(costs_by_role.items())),
         notes=(
             f"Over {WINDOW_S:.0f} s. The target is {CPU_BUDGET}% and {MEMORY_BUDGET_MIB} MB for control; "
             "resident memory counts the interpreter and all libraries.",
@@ -68,29 +68,29 @@
     )
 
 
-def _role_row(role: str, found: list[tuple[float, float]]) -> tuple[Cell, ...]:
-    percents = [percent for percent, _ in found]
+def _role_row(role: str, node_costs: list[tuple[float, float]]) -> tuple[Cell, ...]:
+    percents = [percent for percent, _ in node_costs]
     return (
         role,
-        len(found),
-        sum(percents) / len(found),
+        len(node_costs),
+        sum(percents) / len(node_costs),
         max(percents),
-        max(resident for _, resident in found),
+        max(resident for _, resident in node_costs),
     )
 
 
-def _await_ready(layout: FleetLayout) -> None:
+def _wait_until_ready(layout: FleetLayout) -> None:
     deadline = time.monotonic() + _READY_TIMEOUT_S
     while not all(_get(node.admin_address, "/readyz") is not None for node in layout.nodes):
         if time.monotonic() > deadline:
-            raise BenchProcessError("the fleet didn't become ready")
+            raise BenchProcessError("not every node of the fleet became ready in time")
         time.sleep(_POLL_S)
 
 
 def _leader(layout: FleetLayout) -> str:
     for node in layout.nodes:
-        data = _get(node.admin_address, "/v1/status")
-        if data is not None and json.loads(data)["node"]["leading"]:
+        body = _get(node.admin_address, "/v1/status")
+        if body is not None and json.loads(body)["node"]["leading"]:
             return node.node
     return ""
 
@@ -98,7 +98,7 @@
 def _get(address: str, path: str) -> bytes | None:
     try:
         with urllib.request.urlopen(f"http://{address}{path}", timeout=2.0) as response:
-            data: bytes = response.read()
-            return data
+            body: bytes = response.read()
+            return body
     except (urllib.error.URLError, OSError):
         return None
--- a/src/springmux/lab/bench/quota_cost.py
+++ b/src/springmux/lab/bench/quota_cost.py
@@ -1,4 +1,4 @@
-"""Message cost of fleet-wide quotas at the target's tenants and request rate, in virtual time."""
+"""Message cost of fleet-wide quotas with the target's tenants and request rate, in virtual time."""
 
 from __future__ import annotations
 
@@ -22,15 +22,18 @@
 TENANTS_PER_NODE = 17_000 / 360
 REQUESTS_PER_NODE_S = 1_700 / 360
 TOKENS_PER_REQUEST = 506.0
-"""860,000 tokens over 1,700 requests."""
-ZIPF = 1.0
+"""Mean size of a request: 860,000 tokens over 1,700 requests."""
+ZIPF_EXPONENT = 1.0
 SIZES = (12, 36, 120, 360)
 WARM_UP_S, WINDOW_S = 5.0, 10.0
 SEED = 1
 
 
 class QuotaCost(msgspec.Struct, frozen=True):
-    """Cost for each node and second, at one fleet size."""
+    """Costs of quotas per node and second at one fleet size.
+
+    ``busiest_bytes``: bytes per second of the node that sends most. ``refused_share``: fraction of requests.
+    """
 
     nodes: int
     bytes: float
@@ -41,7 +44,7 @@
 
 
 class _QuotaProcess:
-    """The quota allocator of one node as a process of the simulated world."""
+    """Runs the quota allocator of one node as a process of the simulated world."""
 
     def __init__(self, allocator: QuotaAllocator, counters: _Counters) -> None:
         self.allocator = allocator
@@ -68,33 +71,33 @@
         self.refused = 0
         self.requested = 0
 
-    def count(self, sender: NodeId, effect: Send) -> None:
+    def count_message(self, sender: NodeId, effect: Send) -> None:
         data = wire.encode(Term(7), NodeId("zone-0-1"), Revision(100_000), effect.message)
         self.messages[sender] += 1
         self.bytes[sender] += len(data)
 
 
 class _CountingWorld(World):
-    """A simulated world that counts each message as encoded."""
+    """A simulated world that counts messages and their encoded bytes."""
 
     counters: _Counters
 
     def _carry_out(self, host, effects):  # type: ignore[no-untyped-def]
         for effect in effects:
             if isinstance(effect, Send):
-                self.counters.count(host.node, effect)
+                self.counters.count_message(host.node, effect)
         super()._carry_out(host, effects)
 
 
-def measure_quota(nodes: int) -> QuotaCost:
-    """Run one size with tenants and requests in the target's proportion."""
+def measure_fleet_size(nodes: int) -> QuotaCost:
+    """Measure one fleet size with numbers of tenants and requests in proportion to the target's."""
     counters = _Counters()
     world = _CountingWorld(SEED)
     world.counters = counters
     names = [NodeId(f"zone-{number % 10}-{number}") for number in range(nodes)]
     tenants = [f"tenant-{number}" for number in range(int(TENANTS_PER_NODE * nodes))]
     for name in names:
-        world.add(name, ZoneName("z"), lambda _boot, name=name: _process(name, counters))  # type: ignore[misc]
+        world.add(name, ZoneName("z"), lambda _boot, name=name: _build_process(name, counters))  # type: ignore[misc]
     world.start_all()
     _announce_members_and_accounts(world, names, tenants)
     _schedule_requests(world, names, tenants, counters)
@@ -114,7 +117,7 @@
     )
 
 
-def _process(name: NodeId, counters: _Counters) -> Process:
+def _build_process(name: NodeId, counters: _Counters) -> Process:
     return _QuotaProcess(QuotaAllocator(name, random.Random(f"{SEED} {name}")), counters)
 
 
@@ -130,7 +133,7 @@
 
 def _schedule_requests(world: World, names: list[NodeId], tenants: list[str], counters: _Counters) -> None:
     source = random.Random(f"requests {SEED}")
-    weights = list(numpy.cumsum(numpy.arange(1, len(tenants) + 1, dtype=float) ** -ZIPF))
+    weights = list(numpy.cumsum(numpy.arange(1, len(tenants) + 1, dtype=float) ** -ZIPF_EXPONENT))
 
     def request(name: NodeId) -> None:
         tenant = source.choices(tenants, cum_weights=weights)[0]
@@ -147,20 +150,20 @@
     counters.refused += not process.allocator.reserve(tenant, TOKENS_PER_REQUEST, now)
 
 
-def quota_cost(nodes_max: int = 360) -> BenchResult:
-    """Measure every size up to ``nodes_max``."""
-    costs = [measure_quota(nodes) for nodes in SIZES if nodes <= nodes_max]
+def measure_quota_cost(nodes_max: int = 360) -> BenchResult:
+    """Measure all fleet sizes up to ``nodes_max``."""
+    costs = [measure_fleet_size(nodes) for nodes in SIZES if nodes <= nodes_max]
     rows = tuple(
         (
-            c.nodes,
-            int(TENANTS_PER_NODE * c.nodes),
-            c.bytes,
-            c.busiest_bytes,
-            c.messages,
-            c.cpu_ms,
-            c.refused_share,
+            cost.nodes,
+            int(TENANTS_PER_NODE * cost.nodes),
+            cost.bytes,
+            cost.busiest_bytes,
+            cost.messages,
+            cost.cpu_ms,
+            cost.refused_share,
         )
-        for c in costs
+        for cost in costs
     )
     tables = [
         Table(
@@ -168,13 +171,14 @@
             columns=("nodes", "tenants", "bytes", "busiest", "messages", "CPU ms", "refused share"),
             rows=rows,
             notes=(
-                f"{REQUESTS_PER_NODE_S:.1f} requests a node a second of {TOKENS_PER_REQUEST:.0f} tokens, "
-                "tenants by Zipf's law at any node, no tenant over its quota. Bytes with the envelope.",
+                f"{REQUESTS_PER_NODE_S:.1f} requests per node and second of {TOKENS_PER_REQUEST:.0f} tokens, "
+                "tenants drawn by Zipf's law at every node, no tenant over its quota. "
+                "Bytes include the envelope.",
             ),
         )
     ]
     if len(costs) > 1:
-        slope = fit([float(c.nodes) for c in costs], [c.bytes for c in costs])
+        slope = fit([float(cost.nodes) for cost in costs], [cost.bytes for cost in costs])
         row = (slope.base, slope.per_unit, slope.at(360.0), slope.largest_residual)
         tables.append(
             Table(
--- a/src/springmux/lab/bench/relay_client.py
+++ b/src/springmux/lab/bench/relay_client.py
@@ -1,4 +1,4 @@
-"""Load client of the data plane's measurement, run as a process; prints its result as JSON."""
+"""Load client that measures the data plane; runs as a process and prints its result as JSON."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ClientPlan(msgspec.Struct, frozen=True, kw_only=True):
-    """Requests to send. ``rate_per_s`` 0: as fast as possible with ``concurrency`` requests at a time."""
+    """Requests to send, at most ``concurrency`` at a time. ``rate_per_s`` 0: as fast as possible."""
 
     address: str
     requests: int
@@ -27,7 +27,7 @@
 
 
 class ClientResult(msgspec.Struct, frozen=True, kw_only=True):
-    """Outcome of a plan. ``complete``: responses with status 200 and their end marker."""
+    """Outcome of a plan. ``complete``: number of responses with status 200 and their end marker."""
 
     complete: int
     failed: int
@@ -39,7 +39,7 @@
 
     def __init__(self, plan: ClientPlan) -> None:
         self._plan = plan
-        self._next = 0
+        self._next_number = 0
         self._complete = 0
         self._failed = 0
 
@@ -48,16 +48,16 @@
         began = time.monotonic()
         timeout = aiohttp.ClientTimeout(total=_REQUEST_TIMEOUT_S)
         async with aiohttp.ClientSession(timeout=timeout) as session:
-            await asyncio.gather(*(self._work(session, began) for _ in range(self._plan.concurrency)))
+            await asyncio.gather(*(self._run_worker(session, began) for _ in range(self._plan.concurrency)))
         return ClientResult(complete=self._complete, failed=self._failed, seconds=time.monotonic() - began)
 
-    async def _work(self, session: aiohttp.ClientSession, began: float) -> None:
-        while self._next < self._plan.requests:
-            number = self._next
-            self._next += 1
+    async def _run_worker(self, session: aiohttp.ClientSession, began: float) -> None:
+        while self._next_number < self._plan.requests:
+            number = self._next_number
+            self._next_number += 1
             if self._plan.rate_per_s:
-                due = began + number / self._plan.rate_per_s
-                await asyncio.sleep(max(0.0, due - time.monotonic()))
+                due_at = began + number / self._plan.rate_per_s
+                await asyncio.sleep(max(0.0, due_at - time.monotonic()))
             try:
                 complete = await self._send(session, number)
             except (aiohttp.ClientError, TimeoutError):
@@ -82,5 +82,5 @@
 
 
 if __name__ == "__main__":
-    given = msgspec.json.decode(sys.argv[1], type=ClientPlan)
-    sys.stdout.buffer.write(msgspec.json.encode(asyncio.run(RelayClient(given).run())))
+    client_plan = msgspec.json.decode(sys.argv[1], type=ClientPlan)
+    sys.stdout.buffer.write(msgspec.json.encode(asyncio.run(RelayClient(client_plan).run())))
--- a/src/springmux/lab/bench/relay_cost.py
+++ b/src/springmux/lab/bench/relay_cost.py
@@ -14,7 +14,12 @@
 
 from springmux.lab.bench.processes import usage
 from springmux.lab.bench.relay_client import ClientPlan
-from springmux.lab.bench.relay_deployment import PACED, RelayDeployment, run_client, run_relay_deployment
+from springmux.lab.bench.relay_deployment import (
+    PACED_ENGINE,
+    RelayDeployment,
+    run_client,
+    run_relay_deployment,
+)
 from springmux.lab.bench.report import BenchResult, Table
 
 SHORT_REQUESTS = 4000
@@ -26,23 +31,23 @@
 PACED_STREAMS = 96
 PACED_CONCURRENCY = 16
 EXPECTED_RATE_PER_S = 13.0
-"""153 requests a second over twelve nodes (docs of today's sizes)."""
+"""Rate at one node: 153 requests per second over twelve nodes, as documented for the current sizes."""
 EXPECTED_RATE_SECONDS = 30.0
 REQUEST_GOAL, CHUNK_GOAL = 3.0, 2.0
-"""Goals, as multiples of the bare relay's cost."""
+"""Upper bounds of the cost of a request and of a chunk, as multiples of the bare relay's cost."""
 _PROFILE_LINES = 40
 
 
 class RelayCost(msgspec.Struct, frozen=True, kw_only=True):
-    """Processor time of one relaying process in one pass, in microseconds."""
+    """Processor time of a relaying process in microseconds, and the number of failed requests."""
 
     request_us: float
     chunk_us: float
     failed: int
 
 
-def measure_relay(pid: int, address: str) -> RelayCost:
-    """Measure one relaying process."""
+def measure_relay_process(pid: int, address: str) -> RelayCost:
+    """Measure the process ``pid``, a node or the bare relay, which serves at ``address``."""
     run_client(ClientPlan(address=address, requests=WARM_UP_REQUESTS, chunks=1, stream=False))
     short_us, short_failed = _cpu_us(
         pid, ClientPlan(address=address, requests=SHORT_REQUESTS, chunks=1, stream=False)
@@ -62,13 +67,15 @@
 
 def _cpu_us(pid: int, plan: ClientPlan) -> tuple[float, int]:
     before = usage(pid)
-    count = run_client(plan)
+    result = run_client(plan)
     after = usage(pid)
-    return (after.cpu_s - before.cpu_s) * 1e6, count.failed
+    return (after.cpu_s - before.cpu_s) * 1e6, result.failed
 
 
-def relay_cost(folder: Path, growth_requests: int = GROWTH_REQUESTS, profile: bool = False) -> BenchResult:
-    """Measure node and relay in turns; with ``profile`` only profile the node."""
+def measure_relay_cost(
+    folder: Path, growth_requests: int = GROWTH_REQUESTS, profile: bool = False
+) -> BenchResult:
+    """Measure the node and the bare relay alternately; with ``profile`` only profile the node."""
     with run_relay_deployment(folder, profile) as deployment:
         if profile:
             run_client(
@@ -79,21 +86,25 @@
             )
             tables: tuple[Table, ...] = ()
         else:
-            tables = (_ratios(deployment), _growth(deployment, growth_requests), _lag(deployment))
+            tables = (
+                _measure_ratios(deployment),
+                _measure_memory_growth(deployment, growth_requests),
+                _measure_loop_lag(deployment),
+            )
     if not profile:
-        with run_relay_deployment(folder / "paced", spec=PACED) as deployment:
-            tables = (*tables, _paced(deployment))
+        with run_relay_deployment(folder / "paced", spec=PACED_ENGINE) as deployment:
+            tables = (*tables, _measure_paced_streams(deployment))
     if profile:
         tables = (_profile_table(Path(deployment.profile_file)),)
     option = " --profile" if profile else f" --growth-requests {growth_requests}"
     return BenchResult(name="relay", command=f"springmux lab bench --only relay{option}", tables=tables)
 
 
-def _ratios(deployment: RelayDeployment) -> Table:
+def _measure_ratios(deployment: RelayDeployment) -> Table:
     node_costs, relay_costs = [], []
     for _ in range(REPEATS):
-        relay_costs.append(measure_relay(deployment.relay_pid, deployment.relay_address))
-        node_costs.append(measure_relay(deployment.node.pid, deployment.node.client_address))
+        relay_costs.append(measure_relay_process(deployment.relay_pid, deployment.relay_address))
+        node_costs.append(measure_relay_process(deployment.node.pid, deployment.node.client_address))
     rows = (
         _ratio_row("short request", REQUEST_GOAL, node_costs, relay_costs, lambda cost: cost.request_us),
         _ratio_row("streamed piece", CHUNK_GOAL, node_costs, relay_costs, lambda cost: cost.chunk_us),
@@ -104,24 +115,26 @@
         columns=("unit", "bare relay us", "node us", "ratio", "goal", "all ratios"),
         rows=rows,
         notes=(
-            f"Median of {REPEATS} passes in turns; failed requests: node {failed[0]}, relay {failed[1]}. "
-            "The node's own quiet cost as a fleet of one is within its figures.",
+            f"Median of {REPEATS} alternating passes; failed requests: node {failed[0]}, relay {failed[1]}. "
+            "The node's values include the idle cost of a fleet of one node.",
         ),
     )
 
 
-def _paced(deployment: RelayDeployment) -> Table:
+def _measure_paced_streams(deployment: RelayDeployment) -> Table:
     node_us, relay_us = [], []
     for _ in range(REPEATS):
         relay_us.append(_paced_chunk_us(deployment.relay_pid, deployment.relay_address))
         node_us.append(_paced_chunk_us(deployment.node.pid, deployment.node.client_address))
     node, relay = sorted(node_us)[REPEATS // 2], sorted(relay_us)[REPEATS // 2]
-    shown = ", ".join(f"{a / b:.2f}" for a, b in zip(node_us, relay_us, strict=True))
+    ratios_text = ", ".join(f"{a / b:.2f}" for a, b in zip(node_us, relay_us, strict=True))
     return Table(
         title="Processor time of a streamed piece that arrives by itself (5 ms apart)",
         columns=("unit", "bare relay us", "node us", "ratio", "goal", "all ratios"),
-        rows=(("streamed piece", relay, node, node / relay, f"at most {CHUNK_GOAL:g}", shown),),
-        notes=("Above, the back end has no delays and pieces travel several to a packet.",),
+        rows=(("streamed piece", relay, node, node / relay, f"at most {CHUNK_GOAL:g}", ratios_text),),
+        notes=(
+            "In `Processor time in the middle` the back end has no delays, and packets carry several chunks.",
+        ),
     )
 
 
@@ -147,18 +160,20 @@
     goal: float,
     node_costs: list[RelayCost],
     relay_costs: list[RelayCost],
-    figure: Callable[[RelayCost], float],
+    select_cost: Callable[[RelayCost], float],
 ) -> tuple[str | float, ...]:
-    node = sorted(figure(cost) for cost in node_costs)[len(node_costs) // 2]
-    relay = sorted(figure(cost) for cost in relay_costs)[len(relay_costs) // 2]
-    ratios = [figure(a) / max(1e-9, figure(b)) for a, b in zip(node_costs, relay_costs, strict=True)]
-    shown = ", ".join(f"{ratio:.2f}" for ratio in ratios)
-    return (name, relay, node, node / max(1e-9, relay), f"at most {goal:g}", shown)
+    node = sorted(select_cost(cost) for cost in node_costs)[len(node_costs) // 2]
+    relay = sorted(select_cost(cost) for cost in relay_costs)[len(relay_costs) // 2]
+    ratios = [
+        select_cost(a) / max(1e-9, select_cost(b)) for a, b in zip(node_costs, relay_costs, strict=True)
+    ]
+    ratios_text = ", ".join(f"{ratio:.2f}" for ratio in ratios)
+    return (name, relay, node, node / max(1e-9, relay), f"at most {goal:g}", ratios_text)
 
 
-def _growth(deployment: RelayDeployment, requests: int) -> Table:
+def _measure_memory_growth(deployment: RelayDeployment, requests: int) -> Table:
     before = usage(deployment.node.pid).resident_bytes
-    count = run_client(
+    result = run_client(
         ClientPlan(address=deployment.node.client_address, requests=requests, chunks=1, stream=False)
     )
     after = usage(deployment.node.pid).resident_bytes
@@ -168,21 +183,21 @@
         rows=(
             (
                 requests,
-                count.failed,
+                result.failed,
                 before / 2**20,
                 after / 2**20,
                 (after - before) / requests,
-                requests / count.seconds,
+                requests / result.seconds,
             ),
         ),
     )
 
 
-def _lag(deployment: RelayDeployment) -> Table:
+def _measure_loop_lag(deployment: RelayDeployment) -> Table:
     before = _lag_buckets(deployment.node.admin_address)
     requests = int(EXPECTED_RATE_PER_S * EXPECTED_RATE_SECONDS)
     began = time.monotonic()
-    count = run_client(
+    result = run_client(
         ClientPlan(
             address=deployment.node.client_address,
             requests=requests,
@@ -193,10 +208,12 @@
         )
     )
     after = _lag_buckets(deployment.node.admin_address)
-    grown = [bound for bound in after if after[bound] > before.get(bound, 0.0)]
-    # Buckets are cumulative: the first that holds every new sample bounds the longest.
-    total = max((after[bound] - before.get(bound, 0.0) for bound in after), default=0.0)
-    enough = [bound for bound in grown if after[bound] - before.get(bound, 0.0) >= total]
+    grown_bounds = [bound for bound in after if after[bound] > before.get(bound, 0.0)]
+    # Buckets are cumulative: the first one that counts every new sample bounds the longest delay.
+    new_samples = max((after[bound] - before.get(bound, 0.0) for bound in after), default=0.0)
+    bounds_of_all_samples = [
+        bound for bound in grown_bounds if after[bound] - before.get(bound, 0.0) >= new_samples
+    ]
     return Table(
         title="Longest delay of the node's event loop",
         columns=("requests a second", "seconds", "failed", "samples", "longest at most s"),
@@ -204,12 +221,12 @@
             (
                 EXPECTED_RATE_PER_S,
                 time.monotonic() - began,
-                count.failed,
-                int(total),
-                min(enough, default=float("nan")),
+                result.failed,
+                int(new_samples),
+                min(bounds_of_all_samples, default=float("nan")),
             ),
         ),
-        notes=("From the buckets of `springmux_loop_lag_seconds`, one sample each 0.25 s.",),
+        notes=("From the buckets of `springmux_loop_lag_seconds`, one sample every 0.25 s.",),
     )
 
 
--- a/src/springmux/lab/bench/relay_deployment.py
+++ b/src/springmux/lab/bench/relay_deployment.py
@@ -1,4 +1,4 @@
-"""Processes of the data plane's measurement: a back end, a bare relay, and a fleet of one node."""
+"""Processes that the measurement of the data plane uses: a back end, a bare relay, a fleet of one node."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 from springmux.fleet.layout import FleetOptions, NodeLayout, NodePlace, free_ports, lay_out
 from springmux.fleet.supervisor import Supervisor
-from springmux.lab.bench.processes import Helper
+from springmux.lab.bench.processes import PythonProcess
 from springmux.lab.bench.relay_client import KEY, ROUTE, ClientPlan, ClientResult
 from springmux.lab.plan import BackEndPlan
 from springmux.lab.stand_ins.host import HostedBackEnd, HostSettings
 from springmux.simulation.engine_model import EngineSpec
 from springmux.vocabulary.errors import SpringmuxError
 
-NO_DELAY = EngineSpec(
+IMMEDIATE_ENGINE = EngineSpec(
     slots=512,
     prefill_tokens_per_s=1e12,
     decode_gap_s=0.0,
@@ -30,8 +30,8 @@
     fixed_delay_s=0.0,
     jitter=0.0,
 )
-PACED = msgspec.structs.replace(NO_DELAY, decode_gap_s=0.005, decode_gap_full_s=0.005)
-"""Chunks far enough apart that each arrives by itself, as from a real model."""
+PACED_ENGINE = msgspec.structs.replace(IMMEDIATE_ENGINE, decode_gap_s=0.005, decode_gap_full_s=0.005)
+"""Engine whose chunks are far enough apart that each arrives separately, as those of a real model."""
 START_TIMEOUT_S = 30.0
 _POLL_S = 0.1
 _CLIENT_TIMEOUT_S = 900.0
@@ -42,11 +42,11 @@
 
 
 class BenchProcessError(SpringmuxError):
-    """The processes of a measurement did not come up; their logs are in its folder."""
+    """Processes of a measurement did not start or work as required; their logs are in its folder."""
 
 
 class RelayDeployment(msgspec.Struct, frozen=True):
-    """The running processes: their ids, and the addresses for clients."""
+    """The running processes: the node, and process id and address of the relay."""
 
     node: NodeLayout
     relay_pid: int
@@ -56,12 +56,12 @@
 
 @contextlib.contextmanager
 def run_relay_deployment(
-    folder: Path, profile: bool = False, spec: EngineSpec = NO_DELAY
+    folder: Path, profile: bool = False, spec: EngineSpec = IMMEDIATE_ENGINE
 ) -> Iterator[RelayDeployment]:
-    """Start the processes, wait until the node serves, and stop them at the end.
+    """Start the processes, wait until node and relay serve requests, and stop the processes at the end.
 
-    :param profile: run the node under cProfile, which distorts its costs.
-    :raises StageError: if a process does not serve within 30 s.
+    :param profile: run the node under cProfile, which distorts its measured cost.
+    :raises BenchProcessError: if a process does not serve requests within 30 s.
     """
     folder.mkdir(parents=True, exist_ok=True)
     engine_port, relay_port, control_port = free_ports(3)
@@ -74,26 +74,26 @@
     node = layout.nodes[0]
     profile_file = str(folder / "node.profile") if profile else ""
     supervisor = Supervisor(layout, lambda node_layout: _node_command(node_layout, profile_file))
-    helpers: list[Helper] = []
+    processes: list[PythonProcess] = []
     try:
         supervisor.start_all()
-        helpers.append(
-            _back_end(folder, engine_address, f"127.0.0.1:{control_port}", node.admin_address, spec)
+        processes.append(
+            _start_back_end(folder, engine_address, f"127.0.0.1:{control_port}", node.admin_address, spec)
         )
         arguments = ["-m", "springmux.lab.bench.bare_relay", relay_address, engine_address]
-        helpers.append(Helper(arguments, folder / "relay.log"))
+        processes.append(PythonProcess(arguments, folder / "relay.log"))
         _configure(node)
-        _wait(lambda: _serves(node.client_address), "the node doesn't serve")
-        _wait(lambda: _serves(relay_address), "the relay doesn't serve")
-        yield RelayDeployment(node, helpers[1].pid, relay_address, profile_file)
+        _wait_for(lambda: _serves_requests(node.client_address), "the node does not serve requests")
+        _wait_for(lambda: _serves_requests(relay_address), "the relay does not serve requests")
+        yield RelayDeployment(node, processes[1].pid, relay_address, profile_file)
     finally:
-        for helper in helpers:
-            helper.stop()
+        for process in processes:
+            process.stop()
         supervisor.stop_all()
 
 
 def run_client(plan: ClientPlan) -> ClientResult:
-    """Run a client process to its end and return its result."""
+    """Run a load client as a process, wait for its end and return its result."""
     command = [sys.executable, "-m", "springmux.lab.bench.relay_client", msgspec.json.encode(plan).decode()]
     finished = subprocess.run(command, capture_output=True, timeout=_CLIENT_TIMEOUT_S, check=True)
     return msgspec.json.decode(finished.stdout, type=ClientResult)
@@ -104,9 +104,9 @@
     return [sys.executable, *profiler, "-m", "springmux", "node", "--settings", node.settings_file]
 
 
-def _back_end(
+def _start_back_end(
     folder: Path, address: str, control_address: str, admin_address: str, spec: EngineSpec
-) -> Helper:
+) -> PythonProcess:
     plan = BackEndPlan(kind="model", service="text", version="v1", count=1, lateness_s=0.0, spec=spec)
     settings = HostSettings(
         control_address=control_address,
@@ -116,7 +116,9 @@
     )
     file = folder / "back-end.json"
     file.write_bytes(msgspec.json.encode(settings))
-    return Helper(["-m", "springmux", "lab", "backends", "--settings", str(file)], folder / "back-end.log")
+    return PythonProcess(
+        ["-m", "springmux", "lab", "backends", "--settings", str(file)], folder / "back-end.log"
+    )
 
 
 def _configure(node: NodeLayout) -> None:
@@ -127,7 +129,10 @@
         ("/v1/keys/bench", {"tenant": "bench", "key": KEY}),
     )
     for path, body in orders:
-        _wait(lambda path=path, body=body: _put(node.admin_address, path, body), f"PUT {path}")  # type: ignore[misc]
+        _wait_for(
+            lambda path=path, body=body: _put(node.admin_address, path, body),  # type: ignore[misc]
+            f"the node does not accept PUT {path}",
+        )
 
 
 def _put(address: str, path: str, body: object) -> bool:
@@ -140,14 +145,14 @@
         return False
 
 
-def _serves(address: str) -> bool:
+def _serves_requests(address: str) -> bool:
     plan = ClientPlan(address=address, requests=1, chunks=2, stream=True, concurrency=1)
     return run_client(plan).complete == 1
 
 
-def _wait(condition: Callable[[], bool], what: str) -> None:
+def _wait_for(condition: Callable[[], bool], failure: str) -> None:
     deadline = time.monotonic() + START_TIMEOUT_S
     while not condition():
         if time.monotonic() > deadline:
-            raise BenchProcessError(what)
+            raise BenchProcessError(failure)
         time.sleep(_POLL_S)
--- a/src/springmux/lab/bench/report.py
+++ b/src/springmux/lab/bench/report.py
@@ -1,4 +1,4 @@
-"""Results of measurements as tables, written as Markdown with plots beside it."""
+"""Results of measurements as tables and plots, written as a Markdown file with images."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Table(msgspec.Struct, frozen=True, kw_only=True):
-    """One table. ``notes``: limits of its figures."""
+    """One table. ``notes``: conditions and limits of its values."""
 
     title: str
     columns: tuple[str, ...]
@@ -21,14 +21,19 @@
 
     def as_markdown(self) -> str:
         """Return the table as Markdown."""
-        lines = [f"### {self.title}", "", _row(self.columns), _row(["---"] * len(self.columns))]
-        lines += [_row([format_cell(cell) for cell in row]) for row in self.rows]
+        lines = [
+            f"### {self.title}",
+            "",
+            _markdown_row(self.columns),
+            _markdown_row(["---"] * len(self.columns)),
+        ]
+        lines += [_markdown_row([format_cell(cell) for cell in row]) for row in self.rows]
         lines += ["", *(f"{note}" for note in self.notes)]
         return "\n".join(lines).rstrip() + "\n"
 
 
 class Line(msgspec.Struct, frozen=True, kw_only=True):
-    """One line of a plot."""
+    """One labelled line of a plot; ``x`` and ``y`` have equal length."""
 
     label: str
     x: tuple[float, ...]
@@ -46,7 +51,7 @@
 
 
 class BenchResult(msgspec.Struct, frozen=True, kw_only=True):
-    """Result of one measurement. ``command`` repeats it."""
+    """Result of one measurement. ``command``: the command line that repeats the measurement."""
 
     name: str
     command: str
@@ -55,7 +60,7 @@
 
 
 def format_cell(cell: Cell) -> str:
-    """Return a figure with three or four significant digits."""
+    """Return text unchanged, integers in full, other numbers with three or more significant digits."""
     if isinstance(cell, str):
         return cell
     if isinstance(cell, int):
@@ -65,14 +70,14 @@
     return f"{cell:.3g}"
 
 
-def _row(cells: Sequence[str]) -> str:
+def _markdown_row(cells: Sequence[str]) -> str:
     return "| " + " | ".join(cells) + " |"
 
 
 def write_report(folder: Path, results: Sequence[BenchResult]) -> Path:
-    """Write ``bench.md``, ``bench.json`` and the plots; return the Markdown file.
+    """Write ``bench.md``, ``bench.json`` and the plots into ``folder``; return the path of ``bench.md``.
 
-    :raises OSError: if the folder can't be written.
+    :raises OSError: if a file cannot be written.
     """
     folder.mkdir(parents=True, exist_ok=True)
     sections = ["# Measured costs\n"]
@@ -80,7 +85,7 @@
         sections.append(f"## {result.name}\n\n`{result.command}`\n")
         sections += [table.as_markdown() for table in result.tables]
         for plot in result.plots:
-            _draw(folder, plot)
+            _save_plot(folder, plot)
             sections.append(f"![{plot.title}]({plot.name}.png)\n")
     path = folder / REPORT_NAME
     path.write_text("\n".join(sections))
@@ -88,7 +93,7 @@
     return path
 
 
-def _draw(folder: Path, plot: Plot) -> None:
+def _save_plot(folder: Path, plot: Plot) -> None:
     from matplotlib.figure import Figure
 
     figure = Figure(figsize=(7, 4))
--- a/src/springmux/lab/bench/routing_comparison.py
+++ b/src/springmux/lab/bench/routing_comparison.py
@@ -11,16 +11,16 @@
 
 ENGINES = 12
 SPEC = EngineSpec(slots=24, prefill_tokens_per_s=40_000.0, cache_blocks=600)
-"""As the deployments' engines, with a cache too small for all prefixes at once: about 24 dossiers."""
+"""As the engines of the deployments, but the cache holds only about 24 dossiers, not all prefixes."""
 FIRST_TOKEN_GOAL_S = 1.2
-"""The target's bound of the time to first token."""
+"""Upper bound that the target sets for the time to first token."""
 TIGHT_GOAL_S = 0.3
-"""A tighter bound, which separates the policies at these speeds."""
+"""A tighter bound, with which the policies differ at the speed of these engines."""
 SEEDS = (1, 2, 3)
 
 
 def compare_routing_policies() -> BenchResult:
-    """Run every case with every policy over three seeds."""
+    """Run every case with every policy and three seeds."""
     tables = [_case_table(case) for case in CASES]
     return BenchResult(
         name="routing",
@@ -32,14 +32,14 @@
 
 def _case_table(case: TraceCase) -> Table:
     rows = []
-    begin, end = case.counted_s
+    from_s, to_s = case.counted_s
     for name, policy in POLICIES.items():
         served: list[ServedRequest] = []
         lost = 0
         for seed in SEEDS:
             simulation = RoutingSimulation(ENGINES, SPEC, policy, seed)
             simulation.run(make_trace(case, seed), case.replacements)
-            served += [found for found in simulation.served if begin <= found.arrived_at < end]
+            served += [request for request in simulation.served if from_s <= request.arrived_at < to_s]
             lost += simulation.lost
         rows.append(_row(name, case, served, lost))
     return Table(
@@ -58,22 +58,22 @@
         ),
         rows=tuple(rows),
         notes=(
-            f"{ENGINES} engines, {len(SEEDS)} seeds, arrivals from {begin:.0f} to {end:.0f} s. "
-            "Lost: running on a lost engine; the router's own retries are not part of this.",
+            f"{ENGINES} engines, {len(SEEDS)} seeds, arrivals from {from_s:.0f} to {to_s:.0f} s. "
+            "Lost: requests on an engine that was lost; retries by the router are not simulated.",
         ),
     )
 
 
 def _row(name: str, case: TraceCase, served: list[ServedRequest], lost: int) -> tuple[str | int | float, ...]:
-    first_s = [found.first_token_s for found in served]
-    captions_s = [found.first_token_s for found in served if found.kind == "caption"]
-    hit_bytes = sum(found.cached_share * found.prompt_bytes for found in served)
+    first_s = [request.first_token_s for request in served]
+    captions_s = [request.first_token_s for request in served if request.kind == "caption"]
+    hit_bytes = sum(request.cached_share * request.prompt_bytes for request in served)
     seconds = (case.counted_s[1] - case.counted_s[0]) * len(SEEDS)
     return (
         name,
         len(served),
         lost,
-        hit_bytes / max(1, sum(found.prompt_bytes for found in served)),
+        hit_bytes / max(1, sum(request.prompt_bytes for request in served)),
         quantile(first_s, 0.5),
         quantile(first_s, 0.95),
         quantile(first_s, 0.99),
--- a/src/springmux/lab/bench/routing_policies.py
+++ b/src/springmux/lab/bench/routing_policies.py
@@ -1,4 +1,4 @@
-"""Routing policies under comparison: the router's own chooser and the usual alternatives."""
+"""Routing policies to compare: the router's own engine choice and common alternatives."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 def springmux_policy(
     simulation: RoutingSimulation, request: TracedRequest, prefix: PromptPrefix
 ) -> EngineSlot:
-    """Return the choice of the router's own chooser."""
+    """Return the engine that the router's :class:`EngineChooser` selects."""
     tokens = len(request.prompt) // BYTES_PER_TOKEN
-    needs = ChoiceConstraints(prefix, tokens, frozenset(), may_probe=False)
-    choice = simulation.chooser.choose(simulation.table.pool(SERVICE, VERSION), needs, simulation.now)
+    constraints = ChoiceConstraints(prefix, tokens, frozenset(), may_probe=False)
+    choice = simulation.chooser.choose(simulation.table.pool(SERVICE, VERSION), constraints, simulation.now)
     assert choice is not None
     return choice.slot
 
@@ -29,18 +29,18 @@
 
 
 def round_robin(simulation: RoutingSimulation, _request: TracedRequest, _prefix: PromptPrefix) -> EngineSlot:
-    """Return the engines in turn."""
+    """Return the next engine in a fixed cyclic order."""
     slots = simulation.usable()
-    return slots[next(simulation.turn) % len(slots)]
+    return slots[next(simulation.round_robin_counter) % len(slots)]
 
 
 def least_loaded(simulation: RoutingSimulation, _request: TracedRequest, _prefix: PromptPrefix) -> EngineSlot:
-    """Return the engine with the fewest requests, a random one of several."""
+    """Return the engine with the fewest requests in flight; ties are broken at random."""
     return min(simulation.usable(), key=lambda slot: (slot.in_flight, simulation.random.random()))
 
 
 def prefix_only(simulation: RoutingSimulation, _request: TracedRequest, prefix: PromptPrefix) -> EngineSlot:
-    """Return the rendezvous choice for the prefix, regardless of load."""
+    """Return the engine that rendezvous hashing selects for the prefix, regardless of load."""
     return max(
         simulation.usable(), key=lambda slot: (prefix.key ^ slot.hash) * 0xBF58476D1CE4E5B9 % (1 << 64)
     )
--- a/src/springmux/lab/bench/routing_traces.py
+++ b/src/springmux/lab/bench/routing_traces.py
@@ -1,4 +1,4 @@
-"""Traces for the comparison of routing policies: prompts of both deployments' shapes, Poisson arrivals."""
+"""Traces for the comparison of routing policies: prompts as in both deployments, with Poisson arrivals."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 DOSSIER_PREFIX_BYTES = 24_576
 CAPTION_PREFIX_BYTES = 2_048
-"""As in the deployments' experiment files."""
-_ZIPF = 1.1
+"""Prefix sizes of the experiment files."""
+_ZIPF_EXPONENT = 1.1
 
 
 class TracedRequest(msgspec.Struct, frozen=True):
-    """One request. ``kind``: ``dossier`` or ``caption``."""
+    """One request. ``at``: arrival time in seconds. ``kind``: ``dossier`` or ``caption``."""
 
     number: int
     at: float
@@ -24,11 +24,12 @@
 
 
 class TraceCase(msgspec.Struct, frozen=True, kw_only=True):
-    """A case. Rates are requests a second; ``hot_share``: of dossiers that have one same prefix.
+    """Traffic of one case. Rates are requests per second.
 
-    In bursts captions come at ``burst_factor`` times their rate for 5 s of each 20 s. ``replacements``:
-    times at which an engine is lost and a cold one comes. ``counted_s``: arrivals in this span count;
-    all policies begin with empty caches.
+    ``hot_share``: fraction of the dossiers that have the same prefix. ``burst_factor``: factor of the
+    captions' rate during the last 5 s of every 20 s. ``replacements``: times at which an engine is lost and
+    replaced by one with an empty cache. ``counted_s``: begin and end of the interval whose arrivals are
+    evaluated; it excludes the start, as every policy begins with empty caches.
     """
 
     name: str
@@ -53,20 +54,20 @@
 
 
 def make_trace(case: TraceCase, seed: int) -> list[TracedRequest]:
-    """Return a case's requests in order of time."""
+    """Return the requests of a case, numbered in the order of their arrival times."""
     source = random.Random(f"{case.name} {seed}")
-    weights = numpy.arange(1, case.prefixes + 1, dtype=float) ** -_ZIPF
-    ranks = [float(weight) for weight in weights]
+    rank_weights = numpy.arange(1, case.prefixes + 1, dtype=float) ** -_ZIPF_EXPONENT
+    prefix_weights = [float(weight) for weight in rank_weights]
     prefixes = [_text(f"dossier {number}", DOSSIER_PREFIX_BYTES) for number in range(case.prefixes)]
     captions = [_text(f"caption {number}", CAPTION_PREFIX_BYTES) for number in range(case.prefixes)]
     requests: list[TracedRequest] = []
     for at in _arrivals(source, case, case.dossiers_per_s, 1.0):
         hot = source.random() < case.hot_share
-        prefix = prefixes[0] if hot else source.choices(prefixes, ranks)[0]
+        prefix = prefixes[0] if hot else source.choices(prefixes, prefix_weights)[0]
         prompt = prefix + _text(f"{at}", source.randint(400, 2000))
         requests.append(TracedRequest(0, at, prompt, source.randint(60, 180), "dossier"))
     for at in _arrivals(source, case, case.captions_per_s, case.burst_factor):
-        prompt = source.choices(captions, ranks)[0] + _text(f"{at}", source.randint(60, 300))
+        prompt = source.choices(captions, prefix_weights)[0] + _text(f"{at}", source.randint(60, 300))
         requests.append(TracedRequest(0, at, prompt, source.randint(8, 24), "caption"))
     requests.sort(key=lambda request: request.at)
     return [msgspec.structs.replace(request, number=number) for number, request in enumerate(requests)]
--- a/src/springmux/lab/bench/slopes.py
+++ b/src/springmux/lab/bench/slopes.py
@@ -9,7 +9,7 @@
 
 
 class Slope(msgspec.Struct, frozen=True):
-    """``y = base + per_unit * x``; ``largest_residual``: the worst distance of a point from the line."""
+    """Line ``y = base + per_unit * x``. ``largest_residual``: largest deviation of a point in ``y``."""
 
     base: float
     per_unit: float
@@ -23,7 +23,7 @@
 def fit(x: Sequence[float], y: Sequence[float]) -> Slope:
     """Return the least-squares line.
 
-    :raises ValueError: with fewer than two different ``x``.
+    :raises ValueError: if there are fewer than two different ``x``.
     """
     if len(set(x)) < 2:
         raise ValueError("a slope needs points at two different x")
@@ -35,5 +35,5 @@
 
 
 def quantile(values: Sequence[float], q: float) -> float:
-    """Return the ``q`` quantile (0 to 1) by linear interpolation; NaN for no values."""
+    """Return the ``q`` quantile (0 to 1) by linear interpolation, or NaN if there are no values."""
     return float(numpy.quantile(numpy.asarray(values), q)) if values else float("nan")
--- a/src/springmux/lab/bench/state_size.py
+++ b/src/springmux/lab/bench/state_size.py
@@ -1,4 +1,4 @@
-"""Memory of each kind of state in one node, measured by growing each alone (tracemalloc)."""
+"""Memory of each kind of state in one node, each measured separately at several sizes (tracemalloc)."""
 
 from __future__ import annotations
 
@@ -35,29 +35,29 @@
     VersionName,
 )
 
-Build = Callable[[int], object]
-STEPS = (0.1, 0.4, 1.0)
-"""Fractions of the target's count at which memory is measured."""
+StateBuilder = Callable[[int], object]
+TARGET_FRACTIONS = (0.1, 0.4, 1.0)
+"""Fractions of the target's number of items at which memory is measured."""
 
 
-def state_size() -> BenchResult:
-    """Measure each kind of state; time a snapshot of the control state at the target size."""
+def measure_state_size() -> BenchResult:
+    """Measure the memory of each kind of state, and a control-state snapshot at the target size."""
     rows = []
-    for name, target, build in KINDS:
-        counts = [int(target * step) for step in STEPS]
-        sizes_bytes = [_state_bytes(build, count) for count in counts]
-        slope = fit([float(count) for count in counts], sizes_bytes)
-        rows.append((name, target, slope.per_unit, slope.at(float(target)) / 2**20, sizes_bytes[-1] / 2**20))
+    for name, target, build in STATE_KINDS:
+        counts = [int(target * fraction) for fraction in TARGET_FRACTIONS]
+        memory_bytes = [_measure_state_bytes(build, count) for count in counts]
+        slope = fit([float(count) for count in counts], memory_bytes)
+        rows.append((name, target, slope.per_unit, slope.at(float(target)) / 2**20, memory_bytes[-1] / 2**20))
     table = Table(
         title="Memory of one node's state",
         columns=("state", "at the target", "bytes for each", "MiB by the slope", "MiB held at the target"),
         rows=tuple(rows),
     )
     command = "springmux lab bench --only state"
-    return BenchResult(name="state", command=command, tables=(table, _image_table()))
+    return BenchResult(name="state", command=command, tables=(table, _snapshot_table()))
 
 
-def _state_bytes(build: Build, count: int) -> float:
+def _measure_state_bytes(build: StateBuilder, count: int) -> float:
     gc.collect()
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
@@ -69,8 +69,8 @@
     return float(after - before)
 
 
-def _control_state(tenants: int) -> ControlState:
-    """Return a state with ``tenants`` tenants, each with one key."""
+def _build_control_state(tenants: int) -> ControlState:
+    """Return a control state with ``tenants`` tenants, each of which has one key."""
     state = ControlState()
     for number in range(tenants):
         tenant = Tenant(TenantName(f"tenant-{number}"), 100.0, 1000.0)
@@ -86,14 +86,14 @@
     return state
 
 
-def _quota(tenants: int) -> QuotaAllocator:
+def _build_quota_allocator(tenants: int) -> QuotaAllocator:
     allocator = QuotaAllocator(NodeId("a"), random.Random(1))
     rates = {f"tenant-{number}": AccountRate(100.0, 1000.0) for number in range(tenants)}
     allocator.handle(AccountsChanged(rates), 1.0)
     return allocator
 
 
-def _engine(number: int) -> EngineRecord:
+def _engine_record(number: int) -> EngineRecord:
     return EngineRecord(
         engine=EngineId(f"engine-{number}"),
         service=ServiceName(f"model-{number % 14}"),
@@ -105,21 +105,21 @@
     )
 
 
-def _engines(count: int) -> object:
+def _build_engine_state(count: int) -> object:
     directory = EngineDirectory(NodeId("a"), random.Random(1))
     for number in range(count):
-        directory.handle(EngineAnnounced(_engine(number)), 1.0)
+        directory.handle(EngineAnnounced(_engine_record(number)), 1.0)
     table = EngineTable()
     table.update(directory.view)
     return directory, table
 
 
-def _prefixes(blocks: int) -> PrefixIndex:
+def _build_prefix_index(blocks: int) -> PrefixIndex:
     index = PrefixIndex()
     table = EngineTable()
     directory = EngineDirectory(NodeId("a"), random.Random(1))
     for number in range(8):
-        directory.handle(EngineAnnounced(_engine(number)), 1.0)
+        directory.handle(EngineAnnounced(_engine_record(number)), 1.0)
     table.update(directory.view)
     slots = list(table.slots.values())
     source = random.Random(1)
@@ -128,7 +128,7 @@
     return index
 
 
-def _members(nodes: int) -> Membership:
+def _build_membership(nodes: int) -> Membership:
     address = Address("10.0.0.1:7000")
     own = NodeRecord(NodeId("own"), ZoneName("zone-0"), address, address, address)
     membership = Membership(own, (), random.Random(1))
@@ -146,26 +146,26 @@
     return membership
 
 
-KINDS: tuple[tuple[str, int, Build], ...] = (
-    ("tenants with one key each (control state)", 17_000, _control_state),
-    ("tenants' rates (quota)", 17_000, _quota),
-    ("engines (directory and router's table)", 2_900, _engines),
-    ("prefix blocks (index, its bound)", 65_536, _prefixes),
-    ("nodes (membership)", 360, _members),
+STATE_KINDS: tuple[tuple[str, int, StateBuilder], ...] = (
+    ("tenants with one key each (control state)", 17_000, _build_control_state),
+    ("tenants' rates (quota)", 17_000, _build_quota_allocator),
+    ("engines (directory and router's table)", 2_900, _build_engine_state),
+    ("prefix blocks (index, its bound)", 65_536, _build_prefix_index),
+    ("nodes (membership)", 360, _build_membership),
 )
 
 
-def _image_table() -> Table:
-    state = _control_state(17_000)
+def _snapshot_table() -> Table:
+    state = _build_control_state(17_000)
     began = time.perf_counter()
-    image = state.snapshot()
-    made_s = time.perf_counter() - began
+    snapshot_data = state.snapshot()
+    snapshot_s = time.perf_counter() - began
     began = time.perf_counter()
-    ControlState().restore(image)
-    restored_s = time.perf_counter() - began
+    ControlState().restore(snapshot_data)
+    restore_s = time.perf_counter() - began
     return Table(
         title="Image of the control state with 17,000 tenants",
         columns=("MiB", "made in s", "restored in s"),
-        rows=((len(image) / 2**20, made_s, restored_s),),
-        notes=("Making one runs on the event loop today.",),
+        rows=((len(snapshot_data) / 2**20, snapshot_s, restore_s),),
+        notes=("The snapshot is made on the event loop.",),
     )
--- a/src/springmux/lab/bench/storage_cost.py
+++ b/src/springmux/lab/bench/storage_cost.py
@@ -1,4 +1,4 @@
-"""Throughput of the control log with fsync, and its recovery time after a restart."""
+"""Throughput of the control log with fsync, and the recovery time of the fleet after a restart."""
 
 from __future__ import annotations
 
@@ -21,58 +21,66 @@
 
 STORE_BATCHES = 1000
 ENTRY_BYTES = 300
-"""About a change of a tenant's quota, encoded."""
+"""Approximate size of an encoded change of a tenant's quota."""
 GROUPED_ENTRIES = 16
 ADMIN_CHANGES = 1000
 CLIENTS = (1, 8, 32)
 RECOVERY_BOUND_S = 12.0
-"""Required time until service is back after a restart."""
+"""Upper bound of the time until the fleet serves requests again after a restart."""
 _READY_TIMEOUT_S = 60.0
 _POLL_S = 0.05
 
 
-def storage_cost(folder: Path) -> BenchResult:
-    """Measure one store, then three real nodes."""
+def measure_storage_cost(folder: Path) -> BenchResult:
+    """Measure the store of one replica, then a fleet of three nodes as processes."""
     folder.mkdir(parents=True, exist_ok=True)
-    store = _store_table(folder)
+    store = _measure_store(folder)
     changes, restart = asyncio.run(_measure_fleet(folder))
     return BenchResult(
         name="storage", command="springmux lab bench --only storage", tables=(store, changes, restart)
     )
 
 
-def _store_table(folder: Path) -> Table:
-    rows = [_append(folder / f"store-{entries}", entries) for entries in (1, GROUPED_ENTRIES)]
+def _measure_store(folder: Path) -> Table:
+    rows = [_measure_appends(folder / f"store-{entries}", entries) for entries in (1, GROUPED_ENTRIES)]
     return Table(
         title="One replica's store, fsync before each acknowledgement",
-        columns=("entries a batch", "batches", "batches a second", "entries a second", "open again s"),
+        columns=(
+            "entries a batch",
+            "batches",
+            "batches a second",
+            "entries a second",
+            "open again s",
+        ),
         rows=tuple(rows),
     )
 
 
-def _append(folder: Path, entries: int) -> tuple[int, int, float, float, float]:
+def _measure_appends(folder: Path, entries: int) -> tuple[int, int, float, float, float]:
     folder.mkdir()
     store = ReplicaStore(RealDisk(folder), "replica")
     store.open()
     index = 0
     began = time.perf_counter()
     for batch in range(1, STORE_BATCHES + 1):
-        added = tuple(
+        new_entries = tuple(
             Entry(LogIndex(index + number), Term(1), EntryKind.COMMAND, b"x" * ENTRY_BYTES)
             for number in range(1, entries + 1)
         )
         index += entries
-        store.persist(Persist(batch=batch, entries=added))
+        store.persist(Persist(batch=batch, entries=new_entries))
     seconds = time.perf_counter() - began
     store.close()
     began = time.perf_counter()
-    again = ReplicaStore(RealDisk(folder), "replica")
-    recovered = again.open()
-    opened_s = time.perf_counter() - began
-    again.close()
+    reopened_store = ReplicaStore(RealDisk(folder), "replica")
+    recovered = reopened_store.open()
+    reopen_s = time.perf_counter() - began
+    reopened_store.close()
     if len(recovered.entries) != index:
-        raise BenchProcessError(f"{len(recovered.entries)} of {index} entries came back")
-    return (entries, STORE_BATCHES, STORE_BATCHES / seconds, index / seconds, opened_s)
+        raise BenchProcessError(
+            f"{len(recovered.entries)} of {index} entries were recovered after reopening the store"
+        )
+    return (entries, STORE_BATCHES, STORE_BATCHES / seconds, index / seconds, reopen_s)
 
 
 async def _measure_fleet(folder: Path) -> tuple[Table, Table]:
@@ -82,9 +90,9 @@
     try:
         supervisor.start_all()
         async with aiohttp.ClientSession() as session:
-            await _all_ready(session, layout)
-            rows = [await _change(session, layout, clients) for clients in CLIENTS]
-            restart = await _restart(session, supervisor, layout)
+            await _wait_until_all_ready(session, layout)
+            rows = [await _measure_changes(session, layout, clients) for clients in CLIENTS]
+            restart = await _measure_restart(session, supervisor, layout)
     finally:
         supervisor.stop_all()
     changes = Table(
@@ -95,15 +103,15 @@
     return changes, restart
 
 
-async def _change(
+async def _measure_changes(
     session: aiohttp.ClientSession, layout: FleetLayout, clients: int
 ) -> tuple[int, int, int, float, float, float]:
     count = ADMIN_CHANGES if clients > 1 else ADMIN_CHANGES // 4
     numbers = iter(range(count))
-    times_ms: list[float] = []
+    response_times_ms: list[float] = []
     failed = 0
 
-    async def work(client: int) -> None:
+    async def run_client(client: int) -> None:
         nonlocal failed
         address = layout.nodes[client % len(layout.nodes)].admin_address
         for number in numbers:
@@ -113,29 +121,31 @@
             async with session.put(url, json=body) as response:
                 await response.read()
                 failed += response.status != 200
-            times_ms.append(1000 * (time.perf_counter() - began))
+            response_times_ms.append(1000 * (time.perf_counter() - began))
 
     began = time.perf_counter()
-    await asyncio.gather(*(work(client) for client in range(clients)))
+    await asyncio.gather(*(run_client(client) for client in range(clients)))
     seconds = time.perf_counter() - began
     return (
         clients,
         count,
         failed,
         count / seconds,
-        quantile(times_ms, 0.5),
-        quantile(times_ms, 0.99),
+        quantile(response_times_ms, 0.5),
+        quantile(response_times_ms, 0.99),
     )
 
 
-async def _restart(session: aiohttp.ClientSession, supervisor: Supervisor, layout: FleetLayout) -> Table:
-    revision = await _revision(session, layout)
+async def _measure_restart(
+    session: aiohttp.ClientSession, supervisor: Supervisor, layout: FleetLayout
+) -> Table:
+    revision = await _read_revision(session, layout)
     supervisor.kill_all()
     began = time.perf_counter()
     supervisor.start_all()
-    await _all_ready(session, layout)
+    await _wait_until_all_ready(session, layout)
     seconds = time.perf_counter() - began
-    after = await _revision(session, layout)
+    after = await _read_revision(session, layout)
     return Table(
         title="All three nodes killed at once and started again",
         columns=("changes made", "revision before", "revision after", "all ready after s", "promise s"),
@@ -143,23 +153,23 @@
     )
 
 
-async def _revision(session: aiohttp.ClientSession, layout: FleetLayout) -> int:
+async def _read_revision(session: aiohttp.ClientSession, layout: FleetLayout) -> int:
     async with session.get(f"http://{layout.nodes[0].admin_address}/v1/configuration") as response:
         configuration = await response.json()
         return int(configuration["revision"])
 
 
-async def _all_ready(session: aiohttp.ClientSession, layout: FleetLayout) -> None:
+async def _wait_until_all_ready(session: aiohttp.ClientSession, layout: FleetLayout) -> None:
     deadline = time.monotonic() + _READY_TIMEOUT_S
     while True:
-        if all([await _ready(session, node.admin_address) for node in layout.nodes]):
+        if all([await _is_ready(session, node.admin_address) for node in layout.nodes]):
             return
         if time.monotonic() > deadline:
-            raise BenchProcessError("the nodes didn't become ready")
+            raise BenchProcessError("not every node of the fleet became ready in time")
         await asyncio.sleep(_POLL_S)
 
 
-async def _ready(session: aiohttp.ClientSession, address: str) -> bool:
+async def _is_ready(session: aiohttp.ClientSession, address: str) -> bool:
     try:
         async with session.get(f"http://{address}/readyz") as response:
             return response.status == 200
--- a/src/springmux/lab/judge/__init__.py
+++ b/src/springmux/lab/judge/__init__.py
@@ -1,1 +1,1 @@
-"""Offline trials of the rollout's judge over simulated rollouts."""
+"""Offline trials of the rollout judge on simulated rollouts."""
--- a/src/springmux/lab/judge/judge_trials.py
+++ b/src/springmux/lab/judge/judge_trials.py
@@ -1,8 +1,8 @@
-"""Operating characteristics of the rollout's judge, measured over simulated rollouts.
+"""Operating characteristics of the rollout judge, measured on simulated rollouts.
 
-Prompts are generated with numpy from a seed and pass through the real :class:`EvidenceTable` and
-:class:`Judge`; network and engines are models. Beside the judge stand two baselines: a threshold on
-pooled counts and means, and the same judge without strata by expected cache hit.
+Outcomes of prompts are generated with numpy from a seed and evaluated by the real :class:`EvidenceTable` and
+:class:`Judge`; network and engines are models. Two baselines are evaluated on the same outcomes: a threshold
+on pooled counts and means, and the same judge without strata by expected cache hit.
 """
 
 from __future__ import annotations
@@ -34,9 +34,10 @@
 class TrialRow(msgspec.Struct, frozen=True):
     """Results of one scenario under one method, over ``rollouts`` seeds.
 
-    ``aborted``: rollouts aborted. ``prompts_median``/``prompts_p95``: candidate prompts from the
-    moment the version turns bad until the abort; ``bad_median``/``bad_p95``: bad responses until then
-    (errors, not slow ones); all over the aborted rollouts.
+    ``aborted``: number of aborted rollouts. ``aborted_early``: number of them aborted before the candidate
+    turned bad. ``prompts_median``, ``prompts_p95``: number of the candidate's prompts between the time at
+    which it turns bad and the abort. ``bad_median``, ``bad_p95``: number of bad responses among them (errors,
+    not slow responses). Medians and percentiles are over the aborted rollouts.
     """
 
     scenario: str
@@ -51,8 +52,12 @@
     bad_p95: float
 
 
-class _Stop(msgspec.Struct, frozen=True):
-    """Time at which a method aborted a rollout, and the candidate's prompts and bad responses until then."""
+class _Abort(msgspec.Struct, frozen=True):
+    """Abort of a rollout at the time ``at``, in seconds.
+
+    ``prompts``: number of the candidate's prompts after it turned bad, until the abort. ``bad``: number of
+    bad responses among them.
+    """
 
     at: float
     prompts: int
@@ -60,14 +65,18 @@
 
 
 class _UnstratifiedEvidence(EvidenceTable):
-    """The judge's evidence without strata by expected cache hit (a baseline)."""
+    """Baseline: the judge's evidence with strata by prompt size only, not by expected cache hit."""
 
     def _stratum(self, outcome: PromptOutcome) -> int:
         return outcome.prompt_bytes.bit_length() // 2
 
 
 class _PooledThreshold:
-    """Baseline: abort at 5 bad responses with a rate above the limit, or at 30 with mean ratio above it."""
+    """Baseline that aborts on pooled counts and means.
+
+    It aborts from 5 bad responses on if the candidate's error rate exceeds the stable one by the limit, and
+    from 30 timed responses on if the ratio of the mean latencies exceeds its limit.
+    """
 
     def __init__(self, plan: RolloutPlan) -> None:
         self._limits = plan.limits
@@ -84,7 +93,7 @@
             sums[3] += outcome.first_token_s
             sums[4] += outcome.token_gap_s
 
-    def abort(self) -> bool:
+    def should_abort(self) -> bool:
         candidate, stable = self._sums[True], self._sums[False]
         if not (candidate[0] and stable[0]):
             return False
@@ -94,8 +103,8 @@
         if candidate[2] < 30 or not stable[2]:
             return False
         scale = candidate[2] / stable[2]
-        slow_start = candidate[3] > self._limits.first_token_ratio * scale * stable[3]
-        return slow_start or candidate[4] > self._limits.token_gap_ratio * scale * stable[4]
+        slow_first_token = candidate[3] > self._limits.first_token_ratio * scale * stable[3]
+        return slow_first_token or candidate[4] > self._limits.token_gap_ratio * scale * stable[4]
 
 
 METHODS = ("judge", "no strata", "pooled threshold")
@@ -103,8 +112,8 @@
 
 def _run_rollout(
     scenario: Scenario, seed: int, plan: RolloutPlan, methods: Sequence[str]
-) -> dict[str, _Stop]:
-    """Run one rollout under every method at once; return the abort of each method that aborted."""
+) -> dict[str, _Abort]:
+    """Evaluate one rollout with every method; return the abort of each method that aborts it."""
     judge = Judge(plan)
     evidence_tables: dict[str, Sequence[EvidenceTable]] = {
         "judge": [EvidenceTable(SERVICE, STABLE, CANDIDATE, plan) for _ in range(NODES)],
@@ -112,26 +121,26 @@
     }
     evidence_tables = {method: fleet for method, fleet in evidence_tables.items() if method in methods}
     pooled = _PooledThreshold(plan) if METHODS[2] in methods else None
-    stops: dict[str, _Stop] = {}
+    aborts: dict[str, _Abort] = {}
     prompts = bad = 0
     next_evaluation = EVALUATION_PERIOD_S
     for ended in SimulatedRollout(scenario, seed, plan.by_s).outcomes():
         while ended.ended_at >= next_evaluation:
             for method, fleet in evidence_tables.items():
-                if method not in stops and judge.judge(merge_all(table.digest() for table in fleet)).abort:
-                    stops[method] = _Stop(next_evaluation, prompts, bad)
-            if pooled and METHODS[2] not in stops and pooled.abort():
-                stops[METHODS[2]] = _Stop(next_evaluation, prompts, bad)
+                if method not in aborts and judge.judge(merge_all(table.digest() for table in fleet)).abort:
+                    aborts[method] = _Abort(next_evaluation, prompts, bad)
+            if pooled and METHODS[2] not in aborts and pooled.should_abort():
+                aborts[METHODS[2]] = _Abort(next_evaluation, prompts, bad)
             next_evaluation += EVALUATION_PERIOD_S
-            if len(stops) == len(methods):
-                return stops
+            if len(aborts) == len(methods):
+                return aborts
         for fleet in evidence_tables.values():
             fleet[ended.node].record(ended.outcome, ended.ended_at)
         if pooled:
             pooled.record(ended.outcome)
         prompts += ended.faulty
         bad += ended.faulty and ended.outcome.ending in BAD_ENDINGS
-    return stops
+    return aborts
 
 
 def run_trials(
@@ -140,27 +149,27 @@
     first_seed: int = 0,
     methods: Sequence[str] = METHODS,
 ) -> list[TrialRow]:
-    """Return the results of each scenario under each method, over ``seeds`` rollouts each."""
+    """Return the results of each scenario under each method, over ``seeds`` rollouts per scenario."""
     plan = RolloutPlan(SERVICE, CANDIDATE)
-    numbers = range(first_seed, first_seed + seeds)
+    seed_range = range(first_seed, first_seed + seeds)
     rows: list[TrialRow] = []
     for scenario in scenarios:
-        runs = [_run_rollout(scenario, seed, plan, methods) for seed in numbers]
+        runs = [_run_rollout(scenario, seed, plan, methods) for seed in seed_range]
         rows += [_row(scenario, method, runs, plan.by_s) for method in methods]
     return rows
 
 
-def _row(scenario: Scenario, method: str, runs: Sequence[dict[str, _Stop]], by_s: float) -> TrialRow:
-    stops = [run[method] for run in runs if method in run]
-    early = sum(stop.at <= scenario.from_share * by_s for stop in stops if not scenario.good)
-    prompts = [stop.prompts for stop in stops] or [0]
-    bad = [stop.bad for stop in stops] or [0]
+def _row(scenario: Scenario, method: str, runs: Sequence[dict[str, _Abort]], by_s: float) -> TrialRow:
+    aborts = [run[method] for run in runs if method in run]
+    early = sum(abort.at <= scenario.from_share * by_s for abort in aborts if not scenario.good)
+    prompts = [abort.prompts for abort in aborts] or [0]
+    bad = [abort.bad for abort in aborts] or [0]
     return TrialRow(
         scenario.name,
         scenario.good,
         method,
         len(runs),
-        len(stops),
+        len(aborts),
         early,
         float(np.median(prompts)),
         float(np.percentile(prompts, 95)),
--- a/src/springmux/lab/judge/simulated_rollouts.py
+++ b/src/springmux/lab/judge/simulated_rollouts.py
@@ -1,4 +1,4 @@
-"""Simulated rollouts for the judge's trials: scenarios, and outcomes of prompts drawn from a seed."""
+"""Simulated rollouts for trials of the judge: scenarios, and outcomes of prompts generated from a seed."""
 
 from __future__ import annotations
 
@@ -18,29 +18,37 @@
 CANDIDATE = VersionName("v2")
 NODES = 12
 PROMPTS_PER_S = 123.0
-"""8 dossier drafts and 115 caption hints a second, as in the smaller deployment."""
+"""8 dossier drafts and 115 caption hints per second, as in the smaller deployment."""
 DOSSIER_SHARE = 8.0 / 123.0
 DOSSIER = RouteName("dossier-draft")
 CAPTION = RouteName("caption-hint")
 ENGINES = 6
 WEIGHTS = ((42.0, 0.04), (54.0, 0.10), (56.0, 0.25), (57.0, 0.50), (60.0, 1.0))
-"""End time in seconds and weight of each step in the schedule of a 60 s plan."""
+"""End time in seconds and candidate weight of each step in the schedule of a 60 s plan."""
 CANARY_ENGINES = 2
-"""Candidate engines in use below a weight of a quarter."""
+"""Number of candidate engines in use at weights below a quarter."""
 PREFIXES = 200
-"""Shared prefixes in use; popularity falls with rank."""
+"""Number of shared prefixes; their popularity decreases with their rank."""
 CAPTION_PROMPTS = 4000
-"""Distinct caption prompts; too short to gain from the cache."""
+"""Number of distinct caption prompts; these are too short to benefit from the cache."""
 PREFIX_SKEW = 0.8
-"""Exponent of the popularity by rank: the most used prefix gets about 6% of the dossiers."""
+"""Exponent of the popularity by rank; the most popular prefix gets about 6% of the dossiers."""
 UNRESPONSIVE_UNTIL_S = 8.0
-"""A crashed engine loses requests for 2 s; then prompts time out until this time after the crash."""
+"""A crashed engine loses requests for 2 s; then prompts time out until 8 s after the crash."""
 LATENCY_SIGMA = 0.4
-"""Standard deviation of log latency within a stratum."""
+"""Standard deviation of the logarithm of the latency within a stratum."""
 
 
 class Scenario(msgspec.Struct, frozen=True):
-    """One kind of rollout. ``good``: an abort is a false alarm. Ratios multiply candidate latencies."""
+    """One kind of rollout. ``good``: the candidate is good, so that an abort is a false alarm.
+
+    ``base_errors``: error rate of both versions. ``errors``: error rate of a bad candidate. The ratios
+    multiply the candidate's latencies. ``route``: the only route on which a bad candidate's faults occur
+    (``None``: on all routes). ``from_share``: fraction of the rollout's duration after which the candidate
+    turns bad. ``burst``: factor of the request rate and the latencies during 10 s. ``cold``: the candidate's
+    caches are empty at the beginning. ``evicted``: fraction of the candidate's expected cache hits that miss.
+    ``crash_stable``, ``crash_candidate``: the first engine of the version crashes.
+    """
 
     name: str
     good: bool
@@ -99,7 +107,7 @@
 
 
 class SimulatedOutcome(msgspec.Struct, frozen=True):
-    """The end of one prompt at a node. ``faulty``: the candidate served it after it had turned bad."""
+    """Outcome of one prompt at a node. ``faulty``: a candidate that had turned bad served the prompt."""
 
     ended_at: float
     node: int
@@ -108,7 +116,7 @@
 
 
 class SimulatedRollout:
-    """Generates the outcomes of one rollout, in the order of their ends."""
+    """Generates the outcomes of one rollout in the order in which the prompts end."""
 
     def __init__(self, scenario: Scenario, seed: int, by_s: float) -> None:
         self._scenario = scenario
@@ -117,7 +125,7 @@
         self._cached: dict[tuple[bool, int], set[int]] = {}
 
     def outcomes(self) -> list[SimulatedOutcome]:
-        """Return all outcomes, sorted by their ends."""
+        """Return all outcomes, sorted by the time at which the prompts end."""
         random = self._random
         starts = self._arrivals()
         count = len(starts)
@@ -129,29 +137,31 @@
         uniform = random.random((count, 3))
         noise = np.exp(random.normal(0.0, LATENCY_SIGMA, (count, 2)))
         weights = np.array([weight for _, weight in WEIGHTS])
-        edges = np.array([end for end, _ in WEIGHTS]) * self._by_s / WEIGHTS[-1][0]
+        step_ends = np.array([end for end, _ in WEIGHTS]) * self._by_s / WEIGHTS[-1][0]
         ended: list[SimulatedOutcome] = []
         for i in range(count):
             at = float(starts[i])
-            weight = float(weights[min(int(np.searchsorted(edges, at, "right")), len(weights) - 1)])
+            weight = float(weights[min(int(np.searchsorted(step_ends, at, "right")), len(weights) - 1)])
             key = int(prefix[i]) if dossier[i] else PREFIXES + int(uniform[i, 0] * CAPTION_PROMPTS)
             candidate = bool(slices[key] < weight)
             outcome, faulty = self._outcome(
                 at, candidate, bool(dossier[i]), key, weight, uniform[i].tolist(), noise[i].tolist()
             )
-            took = min((outcome.first_token_s or 0.1) + outcome.tokens * (outcome.token_gap_s or 0.0), 5.0)
-            ended.append(SimulatedOutcome(at + took, int(node[i]), outcome, faulty))
+            duration_s = min(
+                (outcome.first_token_s or 0.1) + outcome.tokens * (outcome.token_gap_s or 0.0), 5.0
+            )
+            ended.append(SimulatedOutcome(at + duration_s, int(node[i]), outcome, faulty))
         ended.sort(key=lambda item: item.ended_at)
         return ended
 
     def _arrivals(self) -> FloatArray:
         rate = np.full(int(self._by_s), PROMPTS_PER_S)
-        rate[self._burst_from() : self._burst_from() + 10] *= self._scenario.burst
+        rate[self._burst_start_s() : self._burst_start_s() + 10] *= self._scenario.burst
         counts = self._random.poisson(rate)
         arrivals = [second + self._random.random(number) for second, number in enumerate(counts)]
         return np.sort(np.concatenate(arrivals))
 
-    def _burst_from(self) -> int:
+    def _burst_start_s(self) -> int:
         return int(self._by_s * 0.7)
 
     def _outcome(
@@ -168,11 +178,11 @@
         route = DOSSIER if dossier else CAPTION
         faulty = candidate and not scenario.good and at >= scenario.from_share * self._by_s
         affected = faulty and scenario.route in (None, route)
-        used = self._scenario.canary_engines if candidate and weight < 0.25 else ENGINES
-        engine_number = key % used
+        engine_count = self._scenario.canary_engines if candidate and weight < 0.25 else ENGINES
+        engine_number = key % engine_count
         expected_hit, actual_hit = self._cache(candidate, engine_number, key, dossier, float(uniform[1]))
         size = 24_000 if dossier else 600
-        load = scenario.burst if 0 <= at - self._burst_from() < 10 else 1.0
+        load = scenario.burst if 0 <= at - self._burst_start_s() < 10 else 1.0
         first = (0.04 + size / 24_000 * 0.8 * (1 - actual_hit)) * load * float(noise[0])
         gap = 0.02 * load * float(noise[1])
         if candidate and (scenario.good or affected):
@@ -198,12 +208,12 @@
     def _cache(
         self, candidate: bool, engine: int, key: int, dossier: bool, uniform: float
     ) -> tuple[float, float]:
-        """Return the expected and the actual cache hit; add the prefix to the cache."""
+        """Return the expected and the actual cache hit as fractions; add the prefix to the engine's cache."""
         if not dossier:
             return 0.0, 0.0
         cached = self._cached.setdefault((candidate, engine), set())
-        warm_already = not candidate or not self._scenario.cold
-        expected = 0.9 if warm_already or key in cached else 0.0
+        warm_from_start = not candidate or not self._scenario.cold
+        expected = 0.9 if warm_from_start or key in cached else 0.0
         cached.add(key)
         missed = candidate and uniform < self._scenario.evicted
         return expected, 0.0 if missed else expected
--- a/src/springmux/lab/reporting/plots.py
+++ b/src/springmux/lab/reporting/plots.py
@@ -1,4 +1,4 @@
-"""Plots of a run over time."""
+"""Plots of the traffic, latencies and versions of a run over time."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 
 
 class Plot(msgspec.Struct, frozen=True):
-    """A drawn plot."""
+    """A plot that was drawn: its title and the name of its file in the report's folder."""
 
     title: str
     file: str
 
 
 def draw_all(folder: Path, records: RunRecords) -> list[Plot]:
-    """Draw every plot of a run into ``folder``."""
+    """Draw all plots of a run, save them in ``folder`` and return them."""
     length_s = records.ended_at_s - records.began_at_s
     edges: FloatArray = np.arange(0.0, max(length_s, BIN_S) + BIN_S, BIN_S)
     plots = [_draw_traffic(folder, records, edges), _draw_latency(folder, records, edges)]
@@ -40,7 +40,7 @@
     return plots
 
 
-def _figure(title: str, label: str) -> tuple[Figure, Axes]:
+def _create_figure(title: str, label: str) -> tuple[Figure, Axes]:
     figure = Figure(figsize=(WIDTH_INCHES, HEIGHT_INCHES), layout="constrained")
     axes = figure.subplots()
     axes.set_title(title)
@@ -49,7 +49,7 @@
     return figure, axes
 
 
-def _save(folder: Path, file: str, figure: Figure, axes: Axes, records: RunRecords) -> None:
+def _save_figure(folder: Path, file: str, figure: Figure, axes: Axes, records: RunRecords) -> None:
     for spans in fault_spans(records.faults, records.ended_at_s).values():
         for span in spans:
             axes.axvspan(
@@ -65,13 +65,13 @@
     figure.savefig(folder / file, dpi=DOTS_PER_INCH)
 
 
-def _rate(times: Sequence[float], edges: FloatArray) -> FloatArray:
+def _rate_per_s(times: Sequence[float], edges: FloatArray) -> FloatArray:
     counts, _ = np.histogram(np.asarray(times, dtype=float), bins=edges)
     return counts / BIN_S
 
 
 def _draw_traffic(folder: Path, records: RunRecords, edges: FloatArray) -> Plot:
-    figure, axes = _figure("Traffic and errors", "answers per second")
+    figure, axes = _create_figure("Traffic and errors", "answers per second")
     calls = records.calls
     series: list[tuple[str, list[CallRecord]]] = [
         ("whole", [call for call in calls if call.complete]),
@@ -79,34 +79,36 @@
         ("failed", [call for call in calls if not call.complete and call.fate == "failed"]),
         ("unknown", [call for call in calls if not call.complete and call.fate == "unknown"]),
     ]
-    for label, chosen in series:
-        axes.plot(edges[:-1], _rate([call.ended_s for call in chosen], edges), label=label)
-    _save(folder, "traffic.png", figure, axes, records)
+    for label, selected_calls in series:
+        axes.plot(edges[:-1], _rate_per_s([call.ended_s for call in selected_calls], edges), label=label)
+    _save_figure(folder, "traffic.png", figure, axes, records)
     return Plot("Traffic and errors (faults shaded, rollouts between dashed and full lines)", "traffic.png")
 
 
 def _draw_latency(folder: Path, records: RunRecords, edges: FloatArray) -> Plot:
-    figure, axes = _figure("Time to the first piece", "milliseconds")
+    figure, axes = _create_figure("Time to the first piece", "milliseconds")
     for route in sorted({call.route for call in records.calls if call.kind == "prompt"}):
-        chosen = [call for call in records.calls if call.route == route and call.first_chunk_s is not None]
-        bins = np.digitize([call.at_s for call in chosen], edges)
-        values = np.array([(call.first_chunk_s or 0.0) * 1000.0 for call in chosen])
+        selected_calls = [
+            call for call in records.calls if call.route == route and call.first_chunk_s is not None
+        ]
+        bins = np.digitize([call.at_s for call in selected_calls], edges)
+        values = np.array([(call.first_chunk_s or 0.0) * 1000.0 for call in selected_calls])
         for percentile, style in ((50, "-"), (99, ":")):
-            line = [
+            percentile_values = [
                 float(np.percentile(values[bins == number], percentile)) if np.any(bins == number) else np.nan
                 for number in range(1, len(edges))
             ]
-            axes.plot(edges[:-1], line, style, label=f"{route} p{percentile}")
+            axes.plot(edges[:-1], percentile_values, style, label=f"{route} p{percentile}")
     axes.set_yscale("log")
-    _save(folder, "latency.png", figure, axes, records)
+    _save_figure(folder, "latency.png", figure, axes, records)
     return Plot("Time to the first piece", "latency.png")
 
 
 def _draw_versions(folder: Path, records: RunRecords, edges: FloatArray) -> Plot:
-    figure, axes = _figure("Prompts by version", "prompts per second")
+    figure, axes = _create_figure("Prompts by version", "prompts per second")
     prompts = [arrival for arrival in records.arrivals if arrival.service in records.prompt_services]
     for version in sorted({arrival.version for arrival in prompts}):
         times = [arrival.at_s - records.began_at_s for arrival in prompts if arrival.version == version]
-        axes.plot(edges[:-1], _rate(times, edges), label=version)
-    _save(folder, "versions.png", figure, axes, records)
+        axes.plot(edges[:-1], _rate_per_s(times, edges), label=version)
+    _save_figure(folder, "versions.png", figure, axes, records)
     return Plot("Prompts by version", "versions.png")
--- a/src/springmux/lab/reporting/report.py
+++ b/src/springmux/lab/reporting/report.py
@@ -1,4 +1,4 @@
-"""Report of a run: a Markdown page with the table of promises, latencies and plots."""
+"""Report of a run: a Markdown page with verdicts, latencies, errors, events and plots."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 VERDICTS_FILE = "verdicts.json"
 
 
-def verdict_word(verdict: Verdict) -> str:
-    """Return the verdict's word for the table."""
+def verdict_label(verdict: Verdict) -> str:
+    """Return the label of a verdict in tables, or ``-`` if there is none."""
     if verdict.kept is None:
         return "-"
     return "kept" if verdict.kept else "BROKEN"
 
 
 def write_report(folder: Path, records: RunRecords, verdicts: Sequence[Verdict]) -> Path:
-    """Write page, plots and raw records into ``folder``; return the path of the page."""
+    """Write the page, the plots, the records and the verdicts into ``folder``; return the page's path."""
     folder.mkdir(parents=True, exist_ok=True)
     (folder / RECORDS_FILE).write_bytes(msgspec.json.encode(records))
     (folder / VERDICTS_FILE).write_bytes(msgspec.json.format(msgspec.json.encode(verdicts)))
@@ -40,14 +40,14 @@
     sections = [
         f"# Experiment {records.experiment}",
         f"{len(records.calls)} requests in {records.ended_at_s - records.began_at_s:.0f} s.",
-        _promise_table(verdicts),
-        _evidence(verdicts),
+        _verdict_table(verdicts),
+        _evidence_sections(verdicts),
         "## Latency",
         _latency_table(records),
         "## Errors",
         _error_table(records),
         "## What was done to it",
-        _events(records),
+        _event_list(records),
     ]
     sections += [f"## {plot.title}\n\n![{plot.title}]({plot.file})" for plot in drawn]
     return "\n\n".join(section for section in sections if section) + "\n"
@@ -59,12 +59,14 @@
     return "\n".join(lines)
 
 
-def _promise_table(verdicts: Sequence[Verdict]) -> str:
-    rows = [[verdict.promise, verdict.bound, verdict.measured, verdict_word(verdict)] for verdict in verdicts]
+def _verdict_table(verdicts: Sequence[Verdict]) -> str:
+    rows = [
+        [verdict.promise, verdict.bound, verdict.measured, verdict_label(verdict)] for verdict in verdicts
+    ]
     return _table(["promise", "bound", "measured", "verdict"], rows)
 
 
-def _evidence(verdicts: Sequence[Verdict]) -> str:
+def _evidence_sections(verdicts: Sequence[Verdict]) -> str:
     lines = []
     for verdict in verdicts:
         if verdict.evidence:
@@ -93,7 +95,7 @@
     return _table(["route", "status", "code", "fate", "count"], rows) if rows else "None."
 
 
-def _events(records: RunRecords) -> str:
+def _event_list(records: RunRecords) -> str:
     lines = [
         f"- {event.at_s - records.began_at_s:.1f} s: {'begin' if event.began else 'end'} of {event.fault}"
         f" {event.target} {event.detail}".rstrip()
--- a/src/springmux/lab/reporting/request_losses.py
+++ b/src/springmux/lab/reporting/request_losses.py
@@ -1,7 +1,7 @@
-"""Losses of a fleet by a property of its requests: a table from the nodes' ``request_ended`` lines.
+"""Losses of a fleet by a property of its requests, computed from the nodes' ``request_ended`` log lines.
 
-Each request earns 1 if it is served in time, less if it is late, nothing if it is not served. The lost part
-is summed over one property of the requests, such as route, size, second, node, tenant, engine or reason.
+A request earns 1 if it is served in time, less if it is served late, and 0 if it is not served. What requests
+did not earn is summed by a property of them, such as route, size, second, node, tenant, engine or reason.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 
 EVENT = "request_ended"
 LATE_WORTH = 0.3
-"""Fraction that a late response earns by default."""
+"""Default of what a request earns whose response is late."""
 SIZE_CLASSES = ((0.9, "largest tenth"), (0.7, "fifth beneath"), (0.0, "the rest"))
-"""Lower bounds of the size classes, as quantiles among the prompts of a route."""
+"""Lower bound and name of each size class; bounds are quantiles of the prompt sizes of a route."""
 NO_VALUE = "-"
-_TO_THE_SECOND = len("2026-12-02T11:17:44")
+_TIMESTAMP_SECOND_LENGTH = len("2026-12-02T11:17:44")
 
 
 class Dimension(enum.StrEnum):
@@ -29,7 +29,7 @@
     ROUTE = "route"
     SIZE = "size"
     SECOND = "second"
-    """The second in which it ended, by the log's wall clock, as machines share no monotonic clock."""
+    """Second of the request's end by the log's wall clock, as machines do not share a monotonic clock."""
     NODE = "node"
     TENANT = "tenant"
     ENGINE = "engine"
@@ -38,7 +38,7 @@
 
 
 class EndedRequest(msgspec.Struct, frozen=True):
-    """One line of the log. Times in ms, ``received_at`` in seconds of the node's clock."""
+    """One ``request_ended`` line. Times in ms, except ``received_at`` in seconds of the node's clock."""
 
     node: str
     route: str
@@ -59,16 +59,20 @@
 
     @property
     def late(self) -> bool:
-        """Return whether it was served, but its first chunk or a later one came too late."""
+        """Return whether the request was served but exceeded a target: first chunk, or gap between chunks."""
         if self.outcome is not RequestOutcome.SERVED:
             return False
-        answered_ms = self.total_ms if self.first_ms is None else self.first_ms
-        paused = self.gap_target_ms > 0 and self.gap_ms > self.gap_target_ms
-        return paused or (self.target_ms > 0 and answered_ms > self.target_ms)
+        response_ms = self.total_ms if self.first_ms is None else self.first_ms
+        gap_exceeded = self.gap_target_ms > 0 and self.gap_ms > self.gap_target_ms
+        return gap_exceeded or (self.target_ms > 0 and response_ms > self.target_ms)
 
 
 class LossRow(msgspec.Struct, frozen=True):
-    """Requests of one group. Fractions are of its requests; ``lost`` is the sum that they did not earn."""
+    """Losses of one group of requests.
+
+    ``late``, ``refused``, ``failed`` and ``left`` are fractions of its requests. ``lost``: sum of what its
+    requests did not earn.
+    """
 
     group: str
     requests: int
@@ -80,7 +84,7 @@
 
 
 def read_requests(lines: Iterable[str]) -> Iterator[EndedRequest]:
-    """Yield the requests in log lines; skip other events, and any text before the JSON of a line."""
+    """Yield the requests in log lines; ignore other events, and any text before the JSON object of a line."""
     for line in lines:
         start = line.find("{")
         if start < 0 or EVENT not in line:
@@ -96,8 +100,8 @@
 def losses_by(
     requests: Sequence[EndedRequest], dimension: Dimension, late_worth: float = LATE_WORTH
 ) -> list[LossRow]:
-    """Return a row for each value of ``dimension``, the greatest loss first."""
-    names = _size_names(requests) if dimension is Dimension.SIZE else {}
+    """Return a row for each value of ``dimension``, sorted by decreasing loss."""
+    names = _size_class_names(requests) if dimension is Dimension.SIZE else {}
     groups: dict[str, list[EndedRequest]] = {}
     for request in requests:
         groups.setdefault(_value(request, dimension, names), []).append(request)
@@ -129,22 +133,22 @@
     if dimension is Dimension.SIZE:
         value = f"{request.route}, {sizes[id(request)]}"
     elif dimension is Dimension.SECOND:
-        value = request.timestamp[:_TO_THE_SECOND]
+        value = request.timestamp[:_TIMESTAMP_SECOND_LENGTH]
     elif dimension is Dimension.REASON:
-        value = request.reason or _reason(request)
+        value = request.reason or _default_reason(request)
     else:
         value = getattr(request, dimension.value)
     return str(value) or NO_VALUE
 
 
-def _reason(request: EndedRequest) -> str:
+def _default_reason(request: EndedRequest) -> str:
     if request.outcome is not RequestOutcome.SERVED:
         return request.outcome.value
     return "late" if request.late else "in time"
 
 
-def _size_names(requests: Sequence[EndedRequest]) -> dict[int, str]:
-    """Return each request's class of size among the prompts of its route, by the object's identity."""
+def _size_class_names(requests: Sequence[EndedRequest]) -> dict[int, str]:
+    """Return the size class of each request among those of its route, by ``id`` of the request object."""
     by_route: dict[str, list[EndedRequest]] = {}
     for request in requests:
         by_route.setdefault(request.route, []).append(request)
@@ -152,5 +156,7 @@
     for members in by_route.values():
         ordered = sorted(members, key=lambda member: member.prompt_tokens)
         for rank, member in enumerate(ordered):
-            names[id(member)] = next(name for least, name in SIZE_CLASSES if rank >= least * len(ordered))
+            names[id(member)] = next(
+                name for lower_bound, name in SIZE_CLASSES if rank >= lower_bound * len(ordered)
+            )
     return names
--- a/tests/unit/bench/test_metered_fleet.py
+++ b/tests/unit/bench/test_metered_fleet.py
@@ -1,4 +1,4 @@
-"""Counting in hollow fleets: bytes as on the wire, deliveries to the last node, losses of leaders."""
+"""Metered fleets: counters of encoded bytes, delivery of changes to the last node, losses of the leader."""
 
 from types import SimpleNamespace
 from typing import Any
@@ -7,46 +7,46 @@
 
 from springmux.agent.effects import OrderAnswered
 from springmux.coordination.identifiers import NodeId
-from springmux.lab.bench.leader_loss import lose_leader
+from springmux.lab.bench.leader_loss import measure_leader_loss
 from springmux.lab.bench.metered_fleet import DeliveryObserver, add_engines, make_fleet, schedule_changes
 
 A, B = NodeId("a"), NodeId("b")
 
 
-def at_revision(revision: int) -> Any:
+def agent_at_revision(revision: int) -> Any:
     return SimpleNamespace(view=SimpleNamespace(revision=revision))
 
 
-def acknowledged(revision: int) -> Any:
+def acknowledgement(revision: int) -> Any:
     return OrderAnswered("ticket", SimpleNamespace(revision=revision))  # type: ignore[arg-type]
 
 
-def test_a_change_is_in_force_when_the_last_node_has_it() -> None:
+def test_change_is_delivered_when_the_last_node_applies_it() -> None:
     observer = DeliveryObserver(2)
-    observer.control_changed(A, at_revision(5), 1.0)
-    observer.order_answered(A, acknowledged(5), 1.1)
+    observer.control_changed(A, agent_at_revision(5), 1.0)
+    observer.order_answered(A, acknowledgement(5), 1.1)
     assert observer.unfinished == 1
-    observer.control_changed(B, at_revision(4), 1.2)
+    observer.control_changed(B, agent_at_revision(4), 1.2)
     assert observer.unfinished == 1
-    observer.control_changed(B, at_revision(6), 1.5)
+    observer.control_changed(B, agent_at_revision(6), 1.5)
     assert observer.delays_s == [pytest.approx(0.4)]
     assert observer.unfinished == 0
 
 
-def test_a_change_in_force_before_its_acknowledgement_took_no_time() -> None:
+def test_change_applied_before_its_acknowledgement_has_zero_delay() -> None:
     observer = DeliveryObserver(1)
-    observer.control_changed(A, at_revision(5), 1.0)
-    observer.order_answered(A, acknowledged(5), 1.1)
+    observer.control_changed(A, agent_at_revision(5), 1.0)
+    observer.order_answered(A, acknowledgement(5), 1.1)
     assert observer.delays_s == [0.0]
 
 
-def test_a_refused_change_is_counted_apart() -> None:
+def test_refused_change_is_counted_without_a_delay() -> None:
     observer = DeliveryObserver(1)
     observer.order_answered(A, OrderAnswered("ticket", None), 1.0)
     assert (observer.refused, observer.delays_s) == (1, [])
 
 
-def test_a_fleet_counts_messages_engines_changes_and_a_killed_leader() -> None:
+def test_fleet_counts_messages_and_times_changes_and_the_loss_of_a_killed_leader() -> None:
     fleet = make_fleet(nodes=4, zones=4, controllers=3, seed=3)
     observer = DeliveryObserver(4)
     fleet.observers.append(observer)
@@ -62,11 +62,11 @@
     assert fleet.meter.messages["ContactBeat"] > 0
     assert fleet.meter.bytes.total() > 10 * fleet.meter.messages.total()
     assert fleet.meter.bytes.total() == sum(fleet.meter.bytes_of_node.values())
-    loss = lose_leader(fleet, "kill", 1)
+    loss = measure_leader_loss(fleet, "kill", 1)
     assert loss.failed == 0
     assert 0.0 < loss.gaps_s[0] < 5.0
 
 
-def test_an_unknown_loss_is_an_error() -> None:
+def test_unknown_kind_of_leader_loss_is_rejected() -> None:
     with pytest.raises(ValueError, match="melt"):
-        lose_leader(make_fleet(nodes=4, zones=4, controllers=3, seed=3), "melt", 1)
+        measure_leader_loss(make_fleet(nodes=4, zones=4, controllers=3, seed=3), "melt", 1)
--- a/tests/unit/bench/test_routing_simulation.py
+++ b/tests/unit/bench/test_routing_simulation.py
@@ -1,4 +1,4 @@
-"""Traces and policies: the same requests for all, and the differences that they must show."""
+"""Routing traces and policies: reproducible traces, complete service, and differences between policies."""
 
 import msgspec
 
@@ -17,24 +17,24 @@
 
 
 def hit_share(simulation: RoutingSimulation) -> float:
-    return sum(found.cached_share for found in simulation.served) / len(simulation.served)
+    return sum(request.cached_share for request in simulation.served) / len(simulation.served)
 
 
-def test_a_seed_gives_one_trace_in_order_of_time() -> None:
+def test_trace_is_reproducible_from_its_seed_and_sorted_by_time() -> None:
     first, second = make_trace(SHORT, 7), make_trace(SHORT, 7)
     assert first == second
     assert first != make_trace(SHORT, 8)
     assert [request.at for request in first] == sorted(request.at for request in first)
 
 
-def test_a_hot_prefix_is_most_of_the_dossiers() -> None:
+def test_hot_prefix_begins_most_of_the_dossiers() -> None:
     hot = msgspec.structs.replace(SHORT, hot_share=0.8)
     dossiers = [request for request in make_trace(hot, 1) if request.kind == "dossier"]
     begins = [request.prompt[:24_000] for request in dossiers]
     assert max(begins.count(begin) for begin in set(begins)) > 0.7 * len(begins)
 
 
-def test_bursts_bring_more_captions_only_in_their_spans() -> None:
+def test_bursts_raise_the_caption_rate_only_in_their_intervals() -> None:
     bursts = msgspec.structs.replace(SHORT, burst_factor=10.0)
     captions = [request.at for request in make_trace(bursts, 1) if request.kind == "caption"]
     assert sum(at >= 15.0 for at in captions) > 5 * sum(at < 5.0 for at in captions)
@@ -45,18 +45,18 @@
     assert {name: len(run(name).served) for name in POLICIES} == dict.fromkeys(POLICIES, sent)
 
 
-def test_prefix_aware_choice_hits_more_than_random() -> None:
+def test_prefix_aware_policy_has_more_cache_hits_than_random() -> None:
     assert hit_share(run("springmux")) > hit_share(run("random")) + 0.05
 
 
-def test_round_robin_takes_each_engine_in_turn() -> None:
+def test_round_robin_uses_each_engine_once_per_cycle() -> None:
     simulation = RoutingSimulation(3, SPEC, POLICIES["round robin"], seed=1)
     trace = make_trace(SHORT, 1)[:3]
     simulation.run(trace, ())
     assert sorted(model.cache.used_share > 0 for model in simulation._models.values()) == [True] * 3
 
 
-def test_requests_of_a_lost_engine_are_lost_and_its_replacement_is_cold() -> None:
+def test_requests_on_a_lost_engine_are_lost_and_a_replacement_joins() -> None:
     case = msgspec.structs.replace(SHORT, replacements=(10.0,))
     simulation = run("random", case)
     assert simulation.lost > 0
