--- a/src/springmux/cli/bench.py
+++ b/src/springmux/cli/bench.py
@@ -26,10 +26,10 @@
 
     Example: springmux lab bench --only relay,routing --report reports/bench
     """
-    from springmux.lab.bench.suite import NAMES, BenchError, BenchOptions, check_names, run_suite
+    from springmux.lab.bench.suite import MEASUREMENT_NAMES, BenchError, BenchOptions, check_names, run_suite
     from springmux.vocabulary.errors import SpringmuxError
 
-    names = tuple(name.strip() for name in only.split(",") if name.strip()) or NAMES
+    names = tuple(name.strip() for name in only.split(",") if name.strip()) or MEASUREMENT_NAMES
     try:
         check_names(names)
     except BenchError as error:
--- a/src/springmux/lab/bench/control_cost.py
+++ b/src/springmux/lab/bench/control_cost.py
@@ -110,7 +110,7 @@
         busy_cpu_ms=busy[2],
         bytes_by_type=by_type,
         delays_s=tuple(observer.delays_s),
-        undelivered=observer.unfinished,
+        undelivered=observer.undelivered_count,
         refused=observer.refused,
         losses=losses,
     )
--- a/src/springmux/lab/bench/leader_loss.py
+++ b/src/springmux/lab/bench/leader_loss.py
@@ -32,7 +32,7 @@
 
     :raises ValueError: if ``kind`` is not ``kill``, ``freeze`` or ``cut``.
     """
-    begin_fault, end_fault = _faults(fleet, kind)
+    begin_fault, end_fault = _fault_actions(fleet, kind)
     gaps_s: list[float] = []
     failed = 0
     for _ in range(times):
@@ -64,7 +64,9 @@
     return False
 
 
-def _faults(fleet: MeteredFleet, kind: str) -> tuple[Callable[[NodeId], None], Callable[[NodeId], None]]:
+def _fault_actions(
+    fleet: MeteredFleet, kind: str
+) -> tuple[Callable[[NodeId], None], Callable[[NodeId], None]]:
     world = fleet.world
     if kind == "kill":
         return (
--- a/src/springmux/lab/bench/metered_fleet.py
+++ b/src/springmux/lab/bench/metered_fleet.py
@@ -98,14 +98,14 @@
         self._nodes = nodes
         self._acknowledged_at: dict[int, float] = {}
         self._revision_of: dict[NodeId, int] = {}
-        self._waiting: list[int] = []
+        self._undelivered_revisions: list[int] = []
         self.delays_s: list[float] = []
         self.refused = 0
 
     @property
-    def unfinished(self) -> int:
+    def undelivered_count(self) -> int:
         """Return the number of acknowledged changes that are not yet in force at every node."""
-        return len(self._waiting)
+        return len(self._undelivered_revisions)
 
     def order_answered(self, node: NodeId, response: OrderAnswered, now: float) -> None:
         """Record the acknowledgement or the rejection of a change."""
@@ -114,7 +114,7 @@
             return
         revision = int(response.result.revision)
         self._acknowledged_at[revision] = now
-        self._waiting.append(revision)
+        self._undelivered_revisions.append(revision)
         self._complete_deliveries(now)
 
     def control_changed(self, node: NodeId, agent: NodeAgent, now: float) -> None:
@@ -123,12 +123,14 @@
         self._complete_deliveries(now)
 
     def _complete_deliveries(self, now: float) -> None:
-        if not self._waiting or len(self._revision_of) < self._nodes:
+        if not self._undelivered_revisions or len(self._revision_of) < self._nodes:
             return
         oldest_revision = min(self._revision_of.values())
-        delivered = [revision for revision in self._waiting if revision <= oldest_revision]
+        delivered = [revision for revision in self._undelivered_revisions if revision <= oldest_revision]
         self.delays_s += [max(0.0, now - self._acknowledged_at[revision]) for revision in delivered]
-        self._waiting = [revision for revision in self._waiting if revision > oldest_revision]
+        self._undelivered_revisions = [
+            revision for revision in self._undelivered_revisions if revision > oldest_revision
+        ]
 
 
 def make_fleet(nodes: int, zones: int, controllers: int, seed: int) -> MeteredFleet:
--- a/src/springmux/lab/bench/routing_comparison.py
+++ b/src/springmux/lab/bench/routing_comparison.py
@@ -10,7 +10,7 @@
 from springmux.simulation.engine_model import EngineSpec
 
 ENGINES = 12
-SPEC = EngineSpec(slots=24, prefill_tokens_per_s=40_000.0, cache_blocks=600)
+ENGINE_SPEC = EngineSpec(slots=24, prefill_tokens_per_s=40_000.0, cache_blocks=600)
 """As the engines of the deployments, but the cache holds only about 24 dossiers, not all prefixes."""
 FIRST_TOKEN_GOAL_S = 1.2
 """Upper bound that the target sets for the time to first token."""
@@ -37,7 +37,7 @@
         served: list[ServedRequest] = []
         lost = 0
         for seed in SEEDS:
-            simulation = RoutingSimulation(ENGINES, SPEC, policy, seed)
+            simulation = RoutingSimulation(ENGINES, ENGINE_SPEC, policy, seed)
             simulation.run(make_trace(case, seed), case.replacements)
             served += [request for request in simulation.served if from_s <= request.arrived_at < to_s]
             lost += simulation.lost
--- a/src/springmux/lab/bench/routing_policies.py
+++ b/src/springmux/lab/bench/routing_policies.py
@@ -25,24 +25,24 @@
     simulation: RoutingSimulation, _request: TracedRequest, _prefix: PromptPrefix
 ) -> EngineSlot:
     """Return a random engine."""
-    return simulation.random.choice(simulation.usable())
+    return simulation.random.choice(simulation.usable_slots())
 
 
 def round_robin(simulation: RoutingSimulation, _request: TracedRequest, _prefix: PromptPrefix) -> EngineSlot:
     """Return the next engine in a fixed cyclic order."""
-    slots = simulation.usable()
+    slots = simulation.usable_slots()
     return slots[next(simulation.round_robin_counter) % len(slots)]
 
 
 def least_loaded(simulation: RoutingSimulation, _request: TracedRequest, _prefix: PromptPrefix) -> EngineSlot:
     """Return the engine with the fewest requests in flight; ties are broken at random."""
-    return min(simulation.usable(), key=lambda slot: (slot.in_flight, simulation.random.random()))
+    return min(simulation.usable_slots(), key=lambda slot: (slot.in_flight, simulation.random.random()))
 
 
 def prefix_only(simulation: RoutingSimulation, _request: TracedRequest, prefix: PromptPrefix) -> EngineSlot:
     """Return the engine that rendezvous hashing selects for the prefix, regardless of load."""
     return max(
-        simulation.usable(), key=lambda slot: (prefix.key ^ slot.hash) * 0xBF58476D1CE4E5B9 % (1 << 64)
+        simulation.usable_slots(), key=lambda slot: (prefix.key ^ slot.hash) * 0xBF58476D1CE4E5B9 % (1 << 64)
     )
 
 
--- a/src/springmux/lab/bench/routing_simulation.py
+++ b/src/springmux/lab/bench/routing_simulation.py
@@ -65,7 +65,7 @@
         for number in range(engines):
             self._add_engine(EngineId(f"engine-{number}"), WARM_SINCE_S)
 
-    def usable(self) -> list[EngineSlot]:
+    def usable_slots(self) -> list[EngineSlot]:
         """Return the engines that a policy may choose, in a fixed order."""
         return self.table.pool(SERVICE, VERSION).slots
 
--- a/src/springmux/lab/bench/storage_cost.py
+++ b/src/springmux/lab/bench/storage_cost.py
@@ -24,7 +24,7 @@
 """Approximate size of an encoded change of a tenant's quota."""
 GROUPED_ENTRIES = 16
 ADMIN_CHANGES = 1000
-CLIENTS = (1, 8, 32)
+CLIENT_COUNTS = (1, 8, 32)
 RECOVERY_BOUND_S = 12.0
 """Upper bound of the time until the fleet serves requests again after a restart."""
 _READY_TIMEOUT_S = 60.0
@@ -91,7 +91,7 @@
         supervisor.start_all()
         async with aiohttp.ClientSession() as session:
             await _wait_until_all_ready(session, layout)
-            rows = [await _measure_changes(session, layout, clients) for clients in CLIENTS]
+            rows = [await _measure_changes(session, layout, clients) for clients in CLIENT_COUNTS]
             restart = await _measure_restart(session, supervisor, layout)
     finally:
         supervisor.stop_all()
--- a/src/springmux/lab/bench/suite.py
+++ b/src/springmux/lab/bench/suite.py
@@ -19,7 +19,7 @@
 from springmux.lab.bench.storage_cost import measure_storage_cost
 from springmux.vocabulary.errors import SpringmuxError
 
-NAMES = ("state", "quota", "routing", "placement", "storage", "fleet", "relay", "control")
+MEASUREMENT_NAMES = ("state", "quota", "routing", "placement", "storage", "fleet", "relay", "control")
 
 
 class BenchError(SpringmuxError):
@@ -33,7 +33,7 @@
     over which a node's memory growth is measured. ``profile``: in ``relay``, only profile the node.
     """
 
-    names: tuple[str, ...] = NAMES
+    names: tuple[str, ...] = MEASUREMENT_NAMES
     nodes_max: int = 360
     growth_requests: int = GROWTH_REQUESTS
     profile: bool = False
@@ -44,9 +44,11 @@
 
     :raises BenchError: if names are unknown; the message contains each of them.
     """
-    unknown = [name for name in names if name not in NAMES]
+    unknown = [name for name in names if name not in MEASUREMENT_NAMES]
     if unknown:
-        raise BenchError(f"no measurement named {', '.join(unknown)}; there are {', '.join(NAMES)}")
+        raise BenchError(
+            f"no measurement named {', '.join(unknown)}; there are {', '.join(MEASUREMENT_NAMES)}"
+        )
 
 
 def run_suite(options: BenchOptions, report: Path, progress: Callable[[str], None]) -> Path:
--- a/src/springmux/lab/experiment/demo.py
+++ b/src/springmux/lab/experiment/demo.py
@@ -38,13 +38,13 @@
 
 
 async def _roll_out_good_version(injector: DeploymentFaultInjector) -> None:
-    rollouts = RolloutDriver(injector)
-    await rollouts.load_version(GOOD_CANDIDATE, GOOD)
+    driver = RolloutDriver(injector)
+    await driver.load_version(GOOD_CANDIDATE, GOOD)
     await asyncio.sleep(WARM_UP_S)
-    run = await rollouts.start_rollout(STABLE, GOOD_CANDIDATE, bad=False, by_s=ROLLOUT_BY_S)
-    await rollouts.wait_for_rollout(run, ROLLOUT_BY_S + TERM_MARGIN_S)
+    run = await driver.start_rollout(STABLE, GOOD_CANDIDATE, bad=False, by_s=ROLLOUT_BY_S)
+    await driver.wait_for_rollout(run, ROLLOUT_BY_S + TERM_MARGIN_S)
     if run.phase == "done":
-        await rollouts.retire_version(STABLE)
+        await driver.retire_version(STABLE)
 
 
 async def _kill_node_and_test_operators(injector: DeploymentFaultInjector) -> None:
@@ -57,14 +57,14 @@
 
 
 async def _roll_out_bad_version(injector: DeploymentFaultInjector) -> None:
-    rollouts = RolloutDriver(injector)
+    driver = RolloutDriver(injector)
     good_version_is_stable = any(run.phase == "done" for run in injector.records.rollouts)
-    await rollouts.abort_unfinished()
-    await rollouts.load_version(BAD_CANDIDATE, BAD_VERSION)
+    await driver.abort_unfinished()
+    await driver.load_version(BAD_CANDIDATE, BAD_VERSION)
     await asyncio.sleep(WARM_UP_S)
     stable = GOOD_CANDIDATE if good_version_is_stable else STABLE
-    run = await rollouts.start_rollout(stable, BAD_CANDIDATE, bad=True, by_s=ROLLOUT_BY_S)
-    await rollouts.wait_for_rollout(run, ROLLOUT_BY_S + TERM_MARGIN_S)
+    run = await driver.start_rollout(stable, BAD_CANDIDATE, bad=True, by_s=ROLLOUT_BY_S)
+    await driver.wait_for_rollout(run, ROLLOUT_BY_S + TERM_MARGIN_S)
 
 
 async def _freeze_controller(injector: DeploymentFaultInjector) -> None:
--- a/src/springmux/lab/experiment/script.py
+++ b/src/springmux/lab/experiment/script.py
@@ -83,7 +83,7 @@
         await run_step(injector, "rollouts", self._run_consecutive_rollouts(injector))
 
     async def _run_consecutive_rollouts(self, injector: DeploymentFaultInjector) -> None:
-        rollouts = RolloutDriver(injector)
+        driver = RolloutDriver(injector)
         plan = injector.deployment.plan
         by_s = plan.rollout_by_s
         route_fault = VersionBehaviour(error_share=0.5, route=plan.traffic[0].route)
@@ -94,14 +94,14 @@
             if time.monotonic() + by_s + SETTLE_S > end_s:
                 return
             candidate = f"v{number + 2}"
-            await rollouts.load_version(candidate, behaviour)
+            await driver.load_version(candidate, behaviour)
             await asyncio.sleep(SETTLE_S)
-            run = await rollouts.start_rollout(stable, candidate, bad=behaviour is not GOOD, by_s=by_s)
-            await rollouts.wait_for_rollout(run, by_s + TERM_MARGIN_S)
+            run = await driver.start_rollout(stable, candidate, bad=behaviour is not GOOD, by_s=by_s)
+            await driver.wait_for_rollout(run, by_s + TERM_MARGIN_S)
             if run.phase == "done":
                 stable, candidate = candidate, stable
-            await rollouts.abort_unfinished()
-            await rollouts.retire_version(candidate)
+            await driver.abort_unfinished()
+            await driver.retire_version(candidate)
 
 
 async def run_step(injector: DeploymentFaultInjector, step_name: str, step: Awaitable[None]) -> None:
--- a/src/springmux/lab/judge/judge_trials.py
+++ b/src/springmux/lab/judge/judge_trials.py
@@ -123,15 +123,15 @@
     pooled = _PooledThreshold(plan) if METHODS[2] in methods else None
     aborts: dict[str, _Abort] = {}
     prompts = bad = 0
-    next_evaluation = EVALUATION_PERIOD_S
+    next_evaluation_at = EVALUATION_PERIOD_S
     for ended in SimulatedRollout(scenario, seed, plan.by_s).outcomes():
-        while ended.ended_at >= next_evaluation:
+        while ended.ended_at >= next_evaluation_at:
             for method, fleet in evidence_tables.items():
                 if method not in aborts and judge.judge(merge_all(table.digest() for table in fleet)).abort:
-                    aborts[method] = _Abort(next_evaluation, prompts, bad)
+                    aborts[method] = _Abort(next_evaluation_at, prompts, bad)
             if pooled and METHODS[2] not in aborts and pooled.should_abort():
-                aborts[METHODS[2]] = _Abort(next_evaluation, prompts, bad)
-            next_evaluation += EVALUATION_PERIOD_S
+                aborts[METHODS[2]] = _Abort(next_evaluation_at, prompts, bad)
+            next_evaluation_at += EVALUATION_PERIOD_S
             if len(aborts) == len(methods):
                 return aborts
         for fleet in evidence_tables.values():
--- a/src/springmux/lab/judge/simulated_rollouts.py
+++ b/src/springmux/lab/judge/simulated_rollouts.py
@@ -132,7 +132,7 @@
         dossier = random.random(count) < self._scenario.dossier_share
         popularity = np.arange(1, PREFIXES + 1) ** -PREFIX_SKEW
         prefix = random.choice(PREFIXES, count, p=popularity / popularity.sum())
-        slices = random.random(PREFIXES + CAPTION_PROMPTS)
+        traffic_slices = random.random(PREFIXES + CAPTION_PROMPTS)
         node = random.integers(0, NODES, count)
         uniform = random.random((count, 3))
         noise = np.exp(random.normal(0.0, LATENCY_SIGMA, (count, 2)))
@@ -142,10 +142,10 @@
         for i in range(count):
             at = float(starts[i])
             weight = float(weights[min(int(np.searchsorted(step_ends, at, "right")), len(weights) - 1)])
-            key = int(prefix[i]) if dossier[i] else PREFIXES + int(uniform[i, 0] * CAPTION_PROMPTS)
-            candidate = bool(slices[key] < weight)
+            prefix_key = int(prefix[i]) if dossier[i] else PREFIXES + int(uniform[i, 0] * CAPTION_PROMPTS)
+            candidate = bool(traffic_slices[prefix_key] < weight)
             outcome, faulty = self._outcome(
-                at, candidate, bool(dossier[i]), key, weight, uniform[i].tolist(), noise[i].tolist()
+                at, candidate, bool(dossier[i]), prefix_key, weight, uniform[i].tolist(), noise[i].tolist()
             )
             duration_s = min(
                 (outcome.first_token_s or 0.1) + outcome.tokens * (outcome.token_gap_s or 0.0), 5.0
@@ -169,7 +169,7 @@
         at: float,
         candidate: bool,
         dossier: bool,
-        key: int,
+        prefix_key: int,
         weight: float,
         uniform: Sequence[float],
         noise: Sequence[float],
@@ -179,15 +179,17 @@
         faulty = candidate and not scenario.good and at >= scenario.from_share * self._by_s
         affected = faulty and scenario.route in (None, route)
         engine_count = self._scenario.canary_engines if candidate and weight < 0.25 else ENGINES
-        engine_number = key % engine_count
-        expected_hit, actual_hit = self._cache(candidate, engine_number, key, dossier, float(uniform[1]))
-        size = 24_000 if dossier else 600
+        engine_number = prefix_key % engine_count
+        expected_hit, actual_hit = self._cache(
+            candidate, engine_number, prefix_key, dossier, float(uniform[1])
+        )
+        prompt_bytes = 24_000 if dossier else 600
         load = scenario.burst if 0 <= at - self._burst_start_s() < 10 else 1.0
-        first = (0.04 + size / 24_000 * 0.8 * (1 - actual_hit)) * load * float(noise[0])
-        gap = 0.02 * load * float(noise[1])
+        first_token_s = (0.04 + prompt_bytes / 24_000 * 0.8 * (1 - actual_hit)) * load * float(noise[0])
+        token_gap_s = 0.02 * load * float(noise[1])
         if candidate and (scenario.good or affected):
-            first *= scenario.first_token_ratio
-            gap *= scenario.token_gap_ratio
+            first_token_s *= scenario.first_token_ratio
+            token_gap_s *= scenario.token_gap_ratio
         engine = EngineId(f"{'candidate' if candidate else 'stable'}-{engine_number}")
         ending = self._ending(at, candidate, engine_number, affected, float(uniform[2]))
         complete = ending is Ending.WHOLE
@@ -197,24 +199,24 @@
             engine,
             route,
             ending,
-            size,
+            prompt_bytes,
             expected_hit,
-            first if complete else None,
-            gap if complete else None,
+            first_token_s if complete else None,
+            token_gap_s if complete else None,
             60 if dossier else 8,
         )
         return outcome, faulty
 
     def _cache(
-        self, candidate: bool, engine: int, key: int, dossier: bool, uniform: float
+        self, candidate: bool, engine: int, prefix_key: int, dossier: bool, uniform: float
     ) -> tuple[float, float]:
         """Return the expected and the actual cache hit as fractions; add the prefix to the engine's cache."""
         if not dossier:
             return 0.0, 0.0
         cached = self._cached.setdefault((candidate, engine), set())
         warm_from_start = not candidate or not self._scenario.cold
-        expected = 0.9 if warm_from_start or key in cached else 0.0
-        cached.add(key)
+        expected = 0.9 if warm_from_start or prefix_key in cached else 0.0
+        cached.add(prefix_key)
         missed = candidate and uniform < self._scenario.evicted
         return expected, 0.0 if missed else expected
 
--- a/src/springmux/lab/reporting/plots.py
+++ b/src/springmux/lab/reporting/plots.py
@@ -33,10 +33,10 @@
 
 def draw_all(folder: Path, records: RunRecords) -> list[Plot]:
     """Draw all plots of a run, save them in ``folder`` and return them."""
-    length_s = records.ended_at_s - records.began_at_s
-    edges: FloatArray = np.arange(0.0, max(length_s, BIN_S) + BIN_S, BIN_S)
-    plots = [_draw_traffic(folder, records, edges), _draw_latency(folder, records, edges)]
-    plots.append(_draw_versions(folder, records, edges))
+    duration_s = records.ended_at_s - records.began_at_s
+    bin_edges: FloatArray = np.arange(0.0, max(duration_s, BIN_S) + BIN_S, BIN_S)
+    plots = [_draw_traffic(folder, records, bin_edges), _draw_latency(folder, records, bin_edges)]
+    plots.append(_draw_versions(folder, records, bin_edges))
     return plots
 
 
@@ -65,12 +65,12 @@
     figure.savefig(folder / file, dpi=DOTS_PER_INCH)
 
 
-def _rate_per_s(times: Sequence[float], edges: FloatArray) -> FloatArray:
-    counts, _ = np.histogram(np.asarray(times, dtype=float), bins=edges)
+def _rate_per_s(times: Sequence[float], bin_edges: FloatArray) -> FloatArray:
+    counts, _ = np.histogram(np.asarray(times, dtype=float), bins=bin_edges)
     return counts / BIN_S
 
 
-def _draw_traffic(folder: Path, records: RunRecords, edges: FloatArray) -> Plot:
+def _draw_traffic(folder: Path, records: RunRecords, bin_edges: FloatArray) -> Plot:
     figure, axes = _create_figure("Traffic and errors", "answers per second")
     calls = records.calls
     series: list[tuple[str, list[CallRecord]]] = [
@@ -80,35 +80,37 @@
         ("unknown", [call for call in calls if not call.complete and call.fate == "unknown"]),
     ]
     for label, selected_calls in series:
-        axes.plot(edges[:-1], _rate_per_s([call.ended_s for call in selected_calls], edges), label=label)
+        axes.plot(
+            bin_edges[:-1], _rate_per_s([call.ended_s for call in selected_calls], bin_edges), label=label
+        )
     _save_figure(folder, "traffic.png", figure, axes, records)
     return Plot("Traffic and errors (faults shaded, rollouts between dashed and full lines)", "traffic.png")
 
 
-def _draw_latency(folder: Path, records: RunRecords, edges: FloatArray) -> Plot:
+def _draw_latency(folder: Path, records: RunRecords, bin_edges: FloatArray) -> Plot:
     figure, axes = _create_figure("Time to the first piece", "milliseconds")
     for route in sorted({call.route for call in records.calls if call.kind == "prompt"}):
         selected_calls = [
             call for call in records.calls if call.route == route and call.first_chunk_s is not None
         ]
-        bins = np.digitize([call.at_s for call in selected_calls], edges)
+        bins = np.digitize([call.at_s for call in selected_calls], bin_edges)
         values = np.array([(call.first_chunk_s or 0.0) * 1000.0 for call in selected_calls])
         for percentile, style in ((50, "-"), (99, ":")):
             percentile_values = [
                 float(np.percentile(values[bins == number], percentile)) if np.any(bins == number) else np.nan
-                for number in range(1, len(edges))
+                for number in range(1, len(bin_edges))
             ]
-            axes.plot(edges[:-1], percentile_values, style, label=f"{route} p{percentile}")
+            axes.plot(bin_edges[:-1], percentile_values, style, label=f"{route} p{percentile}")
     axes.set_yscale("log")
     _save_figure(folder, "latency.png", figure, axes, records)
     return Plot("Time to the first piece", "latency.png")
 
 
-def _draw_versions(folder: Path, records: RunRecords, edges: FloatArray) -> Plot:
+def _draw_versions(folder: Path, records: RunRecords, bin_edges: FloatArray) -> Plot:
     figure, axes = _create_figure("Prompts by version", "prompts per second")
     prompts = [arrival for arrival in records.arrivals if arrival.service in records.prompt_services]
     for version in sorted({arrival.version for arrival in prompts}):
         times = [arrival.at_s - records.began_at_s for arrival in prompts if arrival.version == version]
-        axes.plot(edges[:-1], _rate_per_s(times, edges), label=version)
+        axes.plot(bin_edges[:-1], _rate_per_s(times, bin_edges), label=version)
     _save_figure(folder, "versions.png", figure, axes, records)
     return Plot("Prompts by version", "versions.png")
--- a/src/springmux/lab/reporting/request_losses.py
+++ b/src/springmux/lab/reporting/request_losses.py
@@ -16,7 +16,7 @@
 
 EVENT = "request_ended"
 LATE_WORTH = 0.3
-"""Default of what a request earns whose response is late."""
+"""Value that a request with a late response earns by default; one served in time earns 1."""
 SIZE_CLASSES = ((0.9, "largest tenth"), (0.7, "fifth beneath"), (0.0, "the rest"))
 """Lower bound and name of each size class; bounds are quantiles of the prompt sizes of a route."""
 NO_VALUE = "-"
--- a/tests/unit/bench/test_metered_fleet.py
+++ b/tests/unit/bench/test_metered_fleet.py
@@ -25,12 +25,12 @@
     observer = DeliveryObserver(2)
     observer.control_changed(A, agent_at_revision(5), 1.0)
     observer.order_answered(A, acknowledgement(5), 1.1)
-    assert observer.unfinished == 1
+    assert observer.undelivered_count == 1
     observer.control_changed(B, agent_at_revision(4), 1.2)
-    assert observer.unfinished == 1
+    assert observer.undelivered_count == 1
     observer.control_changed(B, agent_at_revision(6), 1.5)
     assert observer.delays_s == [pytest.approx(0.4)]
-    assert observer.unfinished == 0
+    assert observer.undelivered_count == 0
 
 
 def test_change_applied_before_its_acknowledgement_has_zero_delay() -> None:
--- a/tests/unit/bench/test_routing_simulation.py
+++ b/tests/unit/bench/test_routing_simulation.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from springmux.lab.bench.routing_comparison import SPEC
+from springmux.lab.bench.routing_comparison import ENGINE_SPEC
 from springmux.lab.bench.routing_policies import POLICIES
 from springmux.lab.bench.routing_simulation import RoutingSimulation
 from springmux.lab.bench.routing_traces import TraceCase, make_trace
@@ -10,8 +10,8 @@
 SHORT = TraceCase(name="short", dossiers_per_s=20.0, captions_per_s=20.0, prefixes=30, seconds=20.0)
 
 
-def run(policy: str, case: TraceCase = SHORT) -> RoutingSimulation:
-    simulation = RoutingSimulation(6, SPEC, POLICIES[policy], seed=1)
+def run_policy(policy: str, case: TraceCase = SHORT) -> RoutingSimulation:
+    simulation = RoutingSimulation(6, ENGINE_SPEC, POLICIES[policy], seed=1)
     simulation.run(make_trace(case, 1), case.replacements)
     return simulation
 
@@ -42,15 +42,15 @@
 
 def test_every_policy_serves_every_request() -> None:
     sent = len(make_trace(SHORT, 1))
-    assert {name: len(run(name).served) for name in POLICIES} == dict.fromkeys(POLICIES, sent)
+    assert {name: len(run_policy(name).served) for name in POLICIES} == dict.fromkeys(POLICIES, sent)
 
 
 def test_prefix_aware_policy_has_more_cache_hits_than_random() -> None:
-    assert hit_share(run("springmux")) > hit_share(run("random")) + 0.05
+    assert hit_share(run_policy("springmux")) > hit_share(run_policy("random")) + 0.05
 
 
 def test_round_robin_uses_each_engine_once_per_cycle() -> None:
-    simulation = RoutingSimulation(3, SPEC, POLICIES["round robin"], seed=1)
+    simulation = RoutingSimulation(3, ENGINE_SPEC, POLICIES["round robin"], seed=1)
     trace = make_trace(SHORT, 1)[:3]
     simulation.run(trace, ())
     assert sorted(model.cache.used_share > 0 for model in simulation._models.values()) == [True] * 3
@@ -58,8 +58,8 @@
 
 def test_requests_on_a_lost_engine_are_lost_and_a_replacement_joins() -> None:
     case = msgspec.structs.replace(SHORT, replacements=(10.0,))
-    simulation = run("random", case)
+    simulation = run_policy("random", case)
     assert simulation.lost > 0
     assert simulation.lost + len(simulation.served) == len(make_trace(case, 1))
-    assert {slot.record.engine for slot in simulation.usable()} >= {"replacement-0"}
-    assert "engine-0" not in {slot.record.engine for slot in simulation.usable()}
+    assert {slot.record.engine for slot in simulation.usable_slots()} >= {"replacement-0"}
+    assert "engine-0" not in {slot.record.engine for slot in simulation.usable_slots()}
