--- a/src/springmux/lab/bench/quiet_fleet.py
+++ b/src/springmux/lab/bench/quiet_fleet.py
@@ -21,7 +21,7 @@
 WINDOW_S = 30.0
 CPU_BUDGET = 1.6
 MEMORY_BUDGET_MIB = 64
-"""Targets for what a node spends on control: percent of a core, and memory."""
+"""Targets for the cost of the control plane at one node: percent of a core, and memory."""
 _READY_TIMEOUT_S = 60.0
 _POLL_S = 0.2
 
--- a/src/springmux/lab/deployment/child_processes.py
+++ b/src/springmux/lab/deployment/child_processes.py
@@ -1,4 +1,4 @@
-"""The lab's own processes beside a fleet: hosts of back ends, and load clients."""
+"""Processes that the lab runs in addition to a fleet: hosts of back ends, and load clients."""
 
 from __future__ import annotations
 
