--- a/src/springmux/cli/lab.py
+++ b/src/springmux/cli/lab.py
@@ -62,12 +62,12 @@
 
     Example: springmux lab demo --report reports/demo
     """
-    from springmux.lab.experiment.demo import DEMO_EXPERIMENT, DEMO_SECONDS, demonstrate
+    from springmux.lab.experiment.demo import DEMO_EXPERIMENT, DEMO_SECONDS, run_demo
     from springmux.lab.experiment.experiment import RunOptions
 
     with _work_folder(keep) as folder:
         options = RunOptions(experiment=DEMO_EXPERIMENT, folder=folder, seconds=DEMO_SECONDS, seed=seed)
-        _run(options, demonstrate, [], report)
+        _run(options, run_demo, [], report)
 
 
 @application.command(epilog=RUN_CODES)
@@ -94,10 +94,10 @@
 
     try:
         plan = load_experiment(experiment)
-        scheduled_faults = script.schedule(choose_faults(faults))
+        scheduled_faults = script.schedule_faults(choose_faults(faults))
     except ExperimentError as error:
         fail(str(error), ExitCode.INVALID)
-    length_s = seconds or script.needed_seconds(scheduled_faults, plan)
+    length_s = seconds or script.needed_traffic_s(scheduled_faults, plan)
     scheduled_faults = [
         fault for fault in scheduled_faults if fault.at_s + fault.scenario.duration_s <= length_s
     ]
@@ -106,7 +106,7 @@
         _run(
             options,
             script.RunScript(scheduled_faults, length_s).play,
-            script.surges(scheduled_faults, plan),
+            script.scheduled_surges(scheduled_faults, plan),
             report,
         )
 
@@ -200,7 +200,7 @@
 
 
 def _print_verdicts(console: Console, records: RunRecords, verdicts: Sequence[Verdict]) -> None:
-    from springmux.lab.reporting.report import verdict_word
+    from springmux.lab.reporting.report import verdict_label
 
     table = Table(title=f"{records.experiment}: {len(records.calls)} requests")
     for header in ("promise", "bound", "measured", "verdict"):
@@ -208,7 +208,7 @@
     for verdict in verdicts:
         style = {True: "green", False: "bold red", None: "dim"}[verdict.kept]
         cells = [escape(cell) for cell in (verdict.promise, verdict.bound, verdict.measured)]
-        table.add_row(*cells, f"[{style}]{verdict_word(verdict)}[/{style}]")
+        table.add_row(*cells, f"[{style}]{verdict_label(verdict)}[/{style}]")
     console.print(table)
     for verdict in verdicts:
         for item in verdict.evidence:
--- a/tests/unit/lab/test_plan_and_traffic.py
+++ b/tests/unit/lab/test_plan_and_traffic.py
@@ -73,8 +73,8 @@
 
 
 def test_slots_do_not_overlap_and_fit_into_the_run() -> None:
-    slots = script.schedule(choose_faults("all"))
+    slots = script.schedule_faults(choose_faults("all"))
     assert len(slots) == len(FAULTS)
     assert all(earlier.at_s + earlier.scenario.duration_s <= later.at_s for earlier, later in pairwise(slots))
-    assert script.needed_seconds(slots, ANUARIO) >= slots[-1].at_s + slots[-1].scenario.duration_s
-    assert [surge.for_s for surge in script.surges(slots, ANUARIO)] == [10.0, 10.0, 20.0]
+    assert script.needed_traffic_s(slots, ANUARIO) >= slots[-1].at_s + slots[-1].scenario.duration_s
+    assert [surge.for_s for surge in script.scheduled_surges(slots, ANUARIO)] == [10.0, 10.0, 20.0]
