--- a/tests/unit/bad_days/__init__.py
+++ b/tests/unit/bad_days/__init__.py
@@ -1,1 +1,1 @@
-"""Bad days of a fleet in virtual time, each with a checker that a mutation of the product proves."""
+"""Fault scenarios in virtual time, each with a checker; a mutated product proves that the checker fails."""
--- a/tests/unit/bad_days/model_engines.py
+++ b/tests/unit/bad_days/model_engines.py
@@ -1,4 +1,4 @@
-"""Engines that several nodes send to: they crash, go dark, fail, cut streams, and cross or lose answers."""
+"""Model engines that crash, stop responding, fail requests, cut streams, and mix up or lose responses."""
 
 from __future__ import annotations
 
@@ -13,55 +13,55 @@
 from tests.unit.node.gateway.scripted_engines import now
 
 EVENTS = 5
-"""Events of each stream."""
-LATE_S = 4.0
-"""Above every route's timeout."""
+"""Number of events in each stream."""
+LATE_RESPONSE_S = 4.0
+"""Response delay that exceeds the timeout of every route."""
 STREAM_TARGET = b"/stream/"
 
 
-class Mode(enum.Enum):
-    """Whether an engine is there."""
+class EngineMode(enum.Enum):
+    """Whether an engine responds."""
 
     UP = "up"
     CRASHED = "crashed"
-    DARK = "dark"
-    """Its machine answers nothing any more, not even with a reset."""
+    UNRESPONSIVE = "unresponsive"
+    """The engine's machine sends nothing any more, not even a connection reset."""
 
 
 @dataclass
 class Behaviour:
-    """What an engine does to a share (0..1) of its requests."""
+    """Service time and capacity of an engine, and the share (0..1) of requests that each fault affects."""
 
     service_s: float = 0.04
     slots: int = 32
-    failing: float = 0.0
-    """Answers 500."""
-    losing: float = 0.0
-    """Runs the request and resets the connection in place of the answer."""
-    crossing: float = 0.0
-    """Sends the answer of an earlier request first."""
-    late: float = 0.0
-    """Answers after every timeout."""
-    cutting: float = 0.0
-    """Resets the connection inside an event of a stream."""
+    failure_share: float = 0.0
+    """Responds with status 500."""
+    lost_response_share: float = 0.0
+    """Runs the request, then resets the connection instead of sending the response."""
+    stale_response_share: float = 0.0
+    """Sends the response to an earlier request first."""
+    late_response_share: float = 0.0
+    """Responds after the timeout of every route."""
+    truncation_share: float = 0.0
+    """Resets the connection in the middle of a stream's event."""
 
 
 @dataclass(frozen=True)
 class EngineRun:
-    """An engine began to work on a request."""
+    """A request that an engine started to run."""
 
     request_id: bytes
     engine: str
-    at: float
+    started_at: float
     tenant: bytes | None
     carries_key: bool
     token_usage: bytes | None
-    told_s: float
-    """Seconds that the engine was told to have left."""
+    time_left_s: float
+    """Seconds left for the request according to its deadline header."""
 
 
-def whole_answer(request_id: bytes) -> bytes:
-    """Return the body of a request's answer."""
+def expected_body(request_id: bytes) -> bytes:
+    """Return the complete response body of a request."""
     return b"answer of " + request_id
 
 
@@ -70,32 +70,32 @@
     return b"id: %d\ndata: %s piece %d\n\n" % (number, request_id, number)
 
 
-def whole_stream(request_id: bytes) -> bytes:
+def expected_stream(request_id: bytes) -> bytes:
     """Return all events of a request's stream."""
     return b"".join(stream_event(request_id, number) for number in range(1, EVENTS + 1))
 
 
 class ModelEngine:
-    """One engine. Its mode and behaviour may change at any time."""
+    """One engine; tests may change its mode and behaviour at any time."""
 
     def __init__(self, name: str, behaviour: Behaviour | None = None, identity: str = "") -> None:
-        """:param identity: who listens at the address of ``name``, if another engine does by now."""
+        """:param identity: id of the engine that listens at the address of ``name``; ``name`` if empty."""
         self.name = name
         self.identity = identity or name
         self.behaviour = behaviour or Behaviour()
-        self.mode = Mode.UP
-        self.working = 0
-        self.last_answered = b"nobody"
-        self.broken = asyncio.Event()
+        self.mode = EngineMode.UP
+        self.active_requests = 0
+        self.last_answered_id = b"nobody"
+        self.crashed = asyncio.Event()
 
     def crash(self) -> None:
-        """Reset every connection and take none from now on."""
-        self.mode = Mode.CRASHED
-        self.broken.set()
+        """Reset every open connection and refuse new ones."""
+        self.mode = EngineMode.CRASHED
+        self.crashed.set()
 
-    def go_dark(self) -> None:
-        """Send nothing any more, on old and new connections."""
-        self.mode = Mode.DARK
+    def stop_responding(self) -> None:
+        """Stop sending on open connections and stop accepting new ones."""
+        self.mode = EngineMode.UNRESPONSIVE
 
 
 class ModelExchange:
@@ -109,98 +109,106 @@
         source: random.Random,
     ) -> None:
         self._engine = engine
-        self._id = head.header(OWN_HEADERS.request_id) or b""
+        self._request_id = head.header(OWN_HEADERS.request_id) or b""
         self._accept = accept
-        self._over = False
-        self._answering = False
-        self._cut = False
-        shares = ("failing", "losing", "crossing", "late", "cutting")
-        self._drawn = {name: source.random() < getattr(engine.behaviour, name) for name in shares}
-        self._pieces = self._plan(head)
+        self._ended = False
+        self._responding = False
+        self._truncated = False
+        fault_names = (
+            "failure_share",
+            "lost_response_share",
+            "stale_response_share",
+            "late_response_share",
+            "truncation_share",
+        )
+        self._faults = {name: source.random() < getattr(engine.behaviour, name) for name in fault_names}
+        self._chunks = self._plan_chunks(head)
         target = head.header(OWN_HEADERS.target_engine)
         self.misdirected = target is not None and target != engine.identity.encode()
-        self.declined = self.misdirected or engine.working >= engine.behaviour.slots
-        engine.working += 1
+        self.declined = self.misdirected or engine.active_requests >= engine.behaviour.slots
+        engine.active_requests += 1
 
-    def _plan(self, head: RequestHead) -> list[bytes]:
+    def _plan_chunks(self, head: RequestHead) -> list[bytes]:
         if not head.target.startswith(STREAM_TARGET):
-            return [whole_answer(self._id)]
+            return [expected_body(self._request_id)]
         first = int(head.header(OWN_HEADERS.last_event_id) or b"0") + 1
-        return [stream_event(self._id, number) for number in range(first, EVENTS + 1)]
+        return [stream_event(self._request_id, number) for number in range(first, EVENTS + 1)]
 
     async def head(self) -> ResponseHead:
-        """Return the head of this request's answer; one that ``accept`` refuses is skipped."""
+        """Return the head of the response; a head of another request that ``accept`` rejects is skipped."""
         if self.declined:
-            self._pieces = []
+            self._chunks = []
             status = 421 if self.misdirected else 503
-            return self._answer(status, self._id, (OWN_HEADERS.not_executed, b"1"))
-        await self._pause(LATE_S if self._drawn["late"] else self._engine.behaviour.service_s)
-        if self._drawn["losing"]:
+            return self._response_head(status, self._request_id, (OWN_HEADERS.not_executed, b"1"))
+        await self._pause(
+            LATE_RESPONSE_S if self._faults["late_response_share"] else self._engine.behaviour.service_s
+        )
+        if self._faults["lost_response_share"]:
             raise ExchangeFailedError(FailureKind.RESET)
-        if self._drawn["failing"]:
-            self._pieces = [b"broken"]
-            return self._answer(500, self._id)
-        crossed, self._engine.last_answered = self._engine.last_answered, self._id
-        if self._drawn["crossing"]:
-            other = self._answer(200, crossed)
-            if self._accept(other):
-                self._pieces = [whole_answer(crossed)]
-                return other
-        return self._answer(200, self._id)
-
-    def _answer(self, status: int, request_id: bytes, *more: tuple[bytes, bytes]) -> ResponseHead:
-        self._answering = True
+        if self._faults["failure_share"]:
+            self._chunks = [b"broken"]
+            return self._response_head(500, self._request_id)
+        previous_id, self._engine.last_answered_id = self._engine.last_answered_id, self._request_id
+        if self._faults["stale_response_share"]:
+            stale_head = self._response_head(200, previous_id)
+            if self._accept(stale_head):
+                self._chunks = [expected_body(previous_id)]
+                return stale_head
+        return self._response_head(200, self._request_id)
+
+    def _response_head(self, status: int, request_id: bytes, *headers: tuple[bytes, bytes]) -> ResponseHead:
+        self._responding = True
         seal = (OWN_HEADERS.seal, b"seal of " + self._engine.name.encode())
-        return ResponseHead(status, ((OWN_HEADERS.request_id, request_id), seal, *more), None, True)
+        return ResponseHead(status, ((OWN_HEADERS.request_id, request_id), seal, *headers), None, True)
 
     async def read(self) -> bytes:
-        """Return the next piece."""
-        if self._cut:
+        """Return the next chunk of the body; empty at its end."""
+        if self._truncated:
             raise ExchangeFailedError(FailureKind.TRUNCATED)
-        if not self._pieces:
+        if not self._chunks:
             return b""
         await self._pause(self._engine.behaviour.service_s / EVENTS)
-        piece = self._pieces.pop(0)
-        self._cut = self._drawn["cutting"] and len(self._pieces) == EVENTS // 2
-        return piece[: len(piece) // 2] if self._cut else piece
+        chunk = self._chunks.pop(0)
+        self._truncated = self._faults["truncation_share"] and len(self._chunks) == EVENTS // 2
+        return chunk[: len(chunk) // 2] if self._truncated else chunk
 
     def release(self) -> None:
-        """Leave a finished exchange."""
+        """Release a finished exchange."""
         self._end()
 
     def abort(self) -> None:
-        """The engine drops the request."""
+        """Cancel the request at the engine."""
         self._end()
 
     def _end(self) -> None:
-        if not self._over:
-            self._over = True
-            self._engine.working -= 1
+        if not self._ended:
+            self._ended = True
+            self._engine.active_requests -= 1
 
     async def _pause(self, seconds: float) -> None:
-        """Let time pass; fail if the engine crashes meanwhile, and never return once it is dark."""
+        """Wait; fail if the engine crashes meanwhile, and don't return while it is unresponsive."""
         engine = self._engine
         try:
             async with asyncio.timeout(seconds):
-                await engine.broken.wait()
+                await engine.crashed.wait()
         except TimeoutError:
-            if engine.mode is Mode.UP:
+            if engine.mode is EngineMode.UP:
                 return
-            await engine.broken.wait()
-        raise ExchangeFailedError(FailureKind.TRUNCATED if self._answering else FailureKind.RESET)
+            await engine.crashed.wait()
+        raise ExchangeFailedError(FailureKind.TRUNCATED if self._responding else FailureKind.RESET)
 
 
 @dataclass
-class EngineFarm:
-    """Implements EngineClient for all nodes; keeps what engines saw."""
+class ModelEngineClient:
+    """Implements EngineClient for all nodes and records the attempts and runs at all engines."""
 
     source: random.Random
     engines: dict[str, ModelEngine] = field(default_factory=dict)
     runs: list[EngineRun] = field(default_factory=list)
-    tries: list[tuple[float, str]] = field(default_factory=list)
-    """Each attempt with its time and its engine, whether or not it got there."""
+    attempts: list[tuple[float, str]] = field(default_factory=list)
+    """Time and engine of each attempt, whether or not a connection was made."""
     arrivals: list[tuple[float, bytes]] = field(default_factory=list)
-    """Each request that an engine received, run or declined."""
+    """Time and id of each request that an engine received, whether it ran or was declined."""
 
     async def send(
         self,
@@ -210,12 +218,12 @@
         connect_timeout_s: float,
         accept: Callable[[ResponseHead], bool],
     ) -> ModelExchange:
-        """Connect to the engine at ``address`` and hand it the request."""
+        """Connect to the engine at ``address`` and send it the request."""
         engine = self.engines[address.partition(":")[0]]
-        self.tries.append((now(), engine.name))
-        if engine.mode is Mode.CRASHED:
+        self.attempts.append((now(), engine.name))
+        if engine.mode is EngineMode.CRASHED:
             raise ExchangeFailedError(FailureKind.CONNECT)
-        if engine.mode is Mode.DARK:
+        if engine.mode is EngineMode.UNRESPONSIVE:
             await asyncio.sleep(connect_timeout_s)
             raise ExchangeFailedError(FailureKind.CONNECT)
         exchange = ModelExchange(engine, head, accept, self.source)
@@ -223,9 +231,9 @@
         self.arrivals.append((now(), request_id))
         if not exchange.declined:
             carries_key = head.header(OWN_HEADERS.api_key) is not None
-            told_s = int(head.header(OWN_HEADERS.deadline_ms) or b"0") / 1000.0
+            time_left_s = int(head.header(OWN_HEADERS.deadline_ms) or b"0") / 1000.0
             tenant, usage = head.header(OWN_HEADERS.tenant), head.header(OWN_HEADERS.token_usage)
-            run = EngineRun(request_id, engine.identity, now(), tenant, carries_key, usage, told_s)
+            run = EngineRun(request_id, engine.identity, now(), tenant, carries_key, usage, time_left_s)
             self.runs.append(run)
         return exchange
 
--- a/tests/unit/bad_days/test_bad_versions.py
+++ b/tests/unit/bad_days/test_bad_versions.py
@@ -1,10 +1,10 @@
-"""Versions that turn bad on engines that started cold, and good ones that a cold start must not condemn."""
+"""Candidates that start to fail after a cold start, and good ones that a cold start must not abort."""
 
 from __future__ import annotations
 
 import pytest
 
-from springmux.rollout.judgement import evidence_table as book
+from springmux.rollout.judgement import evidence_table
 from springmux.rollout.judgement.judge import Judge, Verdict
 from springmux.rollout.plan import RolloutPhase
 from springmux.rollout.version_filter import ServiceGate
@@ -15,22 +15,22 @@
 AFTER_S = 8.0
 PROMPTS_PER_S = 250.0
 LONGEST_ROLLBACK_S = 5.0
-MOST_BAD = 20
-"""Bad answers until the judge is sure, where half of all are bad."""
+MAX_FAILED_RESPONSES = 20
+"""Bound on the failed responses before the judge aborts, where half of all fail."""
 COLD_FIRST_TOKEN_S = 0.8
-"""Of a prompt that the engine has to read whole; a warm one takes an eighth."""
+"""Time to first token of a prompt without a cache hit; a warm engine takes an eighth of it."""
 LATE_ERRORS = Fault(errors=0.5, late_s=3.0)
 
 
-def turns_bad_late() -> ShortRolloutFleet:
-    """The candidate's engines start cold after the order and fail from their third second on."""
+def candidate_that_fails_late() -> ShortRolloutFleet:
+    """Run a rollout whose candidate engines start cold after its command and fail after three seconds."""
     fleet = ShortRolloutFleet(1, TERM_S, PROMPTS_PER_S, LATE_ERRORS)
     fleet.run(TERM_S + AFTER_S)
     return fleet
 
 
 def cold_start(slowdown: float) -> Stream:
-    """Warm stable engines, some prompts of which miss their caches, beside a candidate that always misses."""
+    """Return outcomes of warm stable engines with some cache misses and of a candidate without cache hits."""
     stream = Stream(seed=5)
     for _ in range(100):
         stream.stable(8, hit=0.9)
@@ -39,24 +39,24 @@
     return stream
 
 
-def test_a_version_that_turns_bad_is_aborted_within_its_bounds() -> None:
-    fleet = turns_bad_late()
+def test_a_version_that_starts_to_fail_is_aborted_within_its_bounds() -> None:
+    fleet = candidate_that_fails_late()
     assert fleet.record.phase is RolloutPhase.ABORTED
     assert fleet.worst_excess <= 0.0
     assert fleet.last_send_after_fiftieth_bad_s() <= LONGEST_ROLLBACK_S
     assert len(fleet.sent_at) > 20
-    assert len(fleet.bad_at) <= MOST_BAD
+    assert len(fleet.bad_at) <= MAX_FAILED_RESPONSES
 
 
-def test_the_checker_sees_a_bad_version_that_only_the_last_look_refuses(
+def test_checker_detects_a_bad_version_that_only_the_final_check_rejects(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     _without_judge(monkeypatch)
-    assert len(turns_bad_late().bad_at) > MOST_BAD
+    assert len(candidate_that_fails_late().bad_at) > MAX_FAILED_RESPONSES
 
 
-def test_the_checker_sees_a_bad_version_beyond_its_bounds(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Nobody judges or counts, and everything goes to the candidate at once."""
+def test_checker_detects_a_bad_version_that_exceeds_its_bounds(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Mutation: no judgement, no credits counted, and the whole weight on the candidate from the start."""
 
     def accept_anything(gate: ServiceGate, granted: int) -> None:
         gate.available = 1_000_000
@@ -65,7 +65,7 @@
     monkeypatch.setattr(ServiceGate, "renew", lambda gate, weight, *rest: renew(gate, 1.0, *rest))
     monkeypatch.setattr(ServiceGate, "accept_granted", accept_anything)
     _without_judge(monkeypatch)
-    fleet = turns_bad_late()
+    fleet = candidate_that_fails_late()
     assert fleet.worst_excess > 0.0
     assert fleet.last_send_after_fiftieth_bad_s() > LONGEST_ROLLBACK_S
 
@@ -74,12 +74,12 @@
     monkeypatch.setattr(Judge, "judge", lambda judge, evidence: Verdict(False, False, None))
 
 
-def test_a_cold_start_is_no_fault_and_hides_none() -> None:
+def test_a_cold_start_neither_causes_an_abort_nor_hides_a_slow_version() -> None:
     assert not cold_start(slowdown=1.0).verdict().abort
     assert cold_start(slowdown=3.0).verdict().abort
 
 
-def test_the_checker_sees_cold_engines_compared_with_warm_ones(monkeypatch: pytest.MonkeyPatch) -> None:
-    stratum = book._stratum
-    monkeypatch.setattr(book, "_stratum", lambda prompt_bytes, hit: stratum(prompt_bytes, 0.0))
+def test_checker_detects_cold_engines_compared_with_warm_ones(monkeypatch: pytest.MonkeyPatch) -> None:
+    stratum = evidence_table._stratum
+    monkeypatch.setattr(evidence_table, "_stratum", lambda prompt_bytes, hit: stratum(prompt_bytes, 0.0))
     assert cold_start(slowdown=1.0).verdict().abort
--- a/tests/unit/bad_days/test_callers_leave.py
+++ b/tests/unit/bad_days/test_callers_leave.py
@@ -1,4 +1,4 @@
-"""Clients that all leave at once: engines stop working for them, and nobody else is asked."""
+"""All clients disconnect at the same time: engines stop working for them, and no other engine is tried."""
 
 from __future__ import annotations
 
@@ -10,48 +10,51 @@
 from tests.unit.bad_days.model_engines import Behaviour
 from tests.unit.node.gateway.scripted_engines import play
 
-LEAVE_AT = 4.0
+DISCONNECT_AT = 4.0
 BOUND_S = 0.5
-PER_S = 80.0
+REQUESTS_PER_S = 80.0
 AFTER_TIMEOUT_S = 3.0
 SERVICE_S = 1.5
 
 
-def all_leave() -> tuple[GatewayFleet, int, int]:
-    """Return the fleet, the requests at work as their clients leave, and half a second later."""
+def all_clients_disconnect() -> tuple[GatewayFleet, int, int]:
+    """Return the fleet and the active requests when their clients disconnect and half a second later."""
     fleets: list[GatewayFleet] = []
-    working: list[int] = []
+    active: list[int] = []
 
-    async def story() -> None:
+    async def scenario() -> None:
         fleet = GatewayFleet(15)
         fleets.append(fleet)
-        for engine in fleet.farm.engines.values():
+        for engine in fleet.engine_client.engines.values():
             engine.behaviour = Behaviour(service_s=SERVICE_S)
-        fleet.press(SETTLED_S, LEAVE_AT, PER_S)
-        fleet.at(LEAVE_AT, lambda: working.append(at_work(fleet)))
-        fleet.at(LEAVE_AT, lambda: [one.caller.leave() for one in fleet.asked if not one.caller.ended])
-        fleet.at(LEAVE_AT + BOUND_S, lambda: working.append(at_work(fleet)))
-        await fleet.run(LEAVE_AT + AFTER_TIMEOUT_S)
+        fleet.generate_load(SETTLED_S, DISCONNECT_AT, REQUESTS_PER_S)
+        fleet.schedule(DISCONNECT_AT, lambda: active.append(active_requests(fleet)))
+        fleet.schedule(
+            DISCONNECT_AT,
+            lambda: [request.client.leave() for request in fleet.requests if not request.client.ended],
+        )
+        fleet.schedule(DISCONNECT_AT + BOUND_S, lambda: active.append(active_requests(fleet)))
+        await fleet.run(DISCONNECT_AT + AFTER_TIMEOUT_S)
 
-    play(story())
-    return fleets[0], working[0], working[1]
+    play(scenario())
+    return fleets[0], active[0], active[1]
 
 
-def at_work(fleet: GatewayFleet) -> int:
-    return sum(engine.working for engine in fleet.farm.engines.values())
+def active_requests(fleet: GatewayFleet) -> int:
+    return sum(engine.active_requests for engine in fleet.engine_client.engines.values())
 
 
-def asked_after_leaving(fleet: GatewayFleet) -> int:
-    return sum(at - fleet.began > LEAVE_AT for at, _ in fleet.farm.arrivals)
+def arrivals_after_disconnect(fleet: GatewayFleet) -> int:
+    return sum(at - fleet.started_at > DISCONNECT_AT for at, _ in fleet.engine_client.arrivals)
 
 
-def test_engines_stop_working_for_clients_that_left() -> None:
-    fleet, before, after = all_leave()
+def test_engines_stop_working_for_disconnected_clients() -> None:
+    fleet, before, after = all_clients_disconnect()
     assert before > 20 and after == 0
-    assert asked_after_leaving(fleet) == 0
-    assert rules.run_twice(fleet) == []
+    assert arrivals_after_disconnect(fleet) == 0
+    assert rules.executed_twice(fleet) == []
 
 
-def test_the_checker_sees_exchanges_that_are_not_ended(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_checker_detects_exchanges_that_are_not_ended(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Attempt, "_finish", lambda attempt: None)
-    assert all_leave()[2] > 0
+    assert all_clients_disconnect()[2] > 0
--- a/tests/unit/bad_days/test_early_answers.py
+++ b/tests/unit/bad_days/test_early_answers.py
@@ -1,4 +1,7 @@
-"""An engine answers before it has read a long body, keeps the connection, and reads on later."""
+"""An engine responds before it has read a long body, keeps the connection open, and reads the rest later.
+
+Guards against a second request sent on a connection on which the first one's body is incomplete.
+"""
 
 from __future__ import annotations
 
@@ -15,11 +18,11 @@
 
 READ_BYTES = 65_536
 SHORT_BODY, LONG_BODY = 20_000, 8 << 20
-"""The kernel takes the one whole at once, and the other only in part."""
+"""The kernel's buffers hold the short body completely, and only a part of the long one."""
 HEAD = RequestHead(b"POST", b"/", ())
 
 
-async def _ask(client: PooledEngineClient, address: str, body: bytes) -> None:
+async def _send_request(client: PooledEngineClient, address: str, body: bytes) -> None:
     exchange = await client.send(address, HEAD, body, TEST_TIMEOUT_S, accept_any_response)
     with contextlib.suppress(ExchangeFailedError):
         await exchange.head()
@@ -29,39 +32,41 @@
 
 
 async def foreign_bytes(size: int, connections: int) -> bytes:
-    """Return what an engine reads of a second request where the rest of the first one's body is due.
+    """Return the bytes of a second request that an engine reads where it expects the rest of the first body.
 
-    :param connections: over which the two requests come.
+    :param connections: number of connections over which the two requests arrive.
     """
-    asked_again = asyncio.Event()
-    read_on: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
+    second_request_sent = asyncio.Event()
+    foreign_bytes_read: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
 
-    async def answers_early(wire: Wire) -> None:
+    async def respond_early(wire: Wire) -> None:
         await wire.until(b"\r\n\r\n")
         wire.send(OK)
-        await asked_again.wait()
-        due, foreign = size, b""
+        await second_request_sent.wait()
+        remaining, foreign = size, b""
         with contextlib.suppress(ConnectionError):
-            while due > 0 and not foreign and (data := await wire.reader.read(min(READ_BYTES, due))):
-                due -= len(data)
+            while (
+                remaining > 0 and not foreign and (data := await wire.reader.read(min(READ_BYTES, remaining)))
+            ):
+                remaining -= len(data)
                 foreign = data.strip(b"x")
-        read_on.set_result(foreign)
-        if due == 0 and not foreign:
-            await answers(wire)
+        foreign_bytes_read.set_result(foreign)
+        if remaining == 0 and not foreign:
+            await respond(wire)
 
-    async def answers(wire: Wire) -> None:
+    async def respond(wire: Wire) -> None:
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
             await wire.until(b"\r\n\r\n")
             wire.send(OK)
 
-    scripts = (answers_early, answers)[:connections]
-    async with engine(*scripts) as there, asyncio.timeout(TEST_TIMEOUT_S):
+    scripts = (respond_early, respond)[:connections]
+    async with engine(*scripts) as model_engine, asyncio.timeout(TEST_TIMEOUT_S):
         client = PooledEngineClient()
-        await _ask(client, there.address, b"x" * size)
-        second = asyncio.create_task(_ask(client, there.address, b""))
+        await _send_request(client, model_engine.address, b"x" * size)
+        second = asyncio.create_task(_send_request(client, model_engine.address, b""))
         await asyncio.sleep(0)
-        asked_again.set()
-        foreign = await read_on
+        second_request_sent.set()
+        foreign = await foreign_bytes_read
         if foreign:
             second.cancel()
         with contextlib.suppress(asyncio.CancelledError):
@@ -71,11 +76,11 @@
 
 
 @pytest.mark.parametrize(("size", "connections"), [(SHORT_BODY, 1), (LONG_BODY, 2)], ids=["short", "long"])
-async def test_no_other_bytes_come_where_the_rest_of_a_body_is_due(size: int, connections: int) -> None:
+async def test_no_foreign_bytes_arrive_in_place_of_the_rest_of_a_body(size: int, connections: int) -> None:
     assert await foreign_bytes(size, connections) == b""
 
 
-async def test_the_checker_sees_a_body_left_unfinished_on_a_kept_connection(
+async def test_checker_detects_an_incomplete_body_on_a_reused_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     write = EngineConnection.write
--- a/tests/unit/bad_days/test_operators_race.py
+++ b/tests/unit/bad_days/test_operators_race.py
@@ -1,4 +1,7 @@
-"""Operators who race, resend after lost acknowledgements and send invalid configurations of the gateway."""
+"""Concurrent operators, resent commands and invalid gateway configurations.
+
+Guards against two accepted changes of one version, an accepted invalid change, and a rejected retry.
+"""
 
 from __future__ import annotations
 
@@ -17,12 +20,12 @@
 from tests.unit.control.gateway_support import change, read_back, whole
 from tests.unit.control.support import Log
 
-ORDERS = 150
+COMMANDS = 150
 
 
 @dataclass
-class Sent:
-    """An order as an operator sent it, and its answer."""
+class SentCommand:
+    """A command as an operator sent it, and its outcome."""
 
     command: ApplyGateway
     outcome: Outcome
@@ -31,16 +34,16 @@
 
 
 class Operators:
-    """Two operators before one state; the answers are what the operators would be told."""
+    """Two operators that change one control state; outcomes are those that the operators would receive."""
 
     def __init__(self, seed: int) -> None:
         self._random = random.Random(seed)
         self.log = Log()
-        self.sent: list[Sent] = []
+        self.sent: list[SentCommand] = []
         self.version = 0
 
     def run(self) -> Operators:
-        for number in range(ORDERS):
+        for number in range(COMMANDS):
             base = self.version
             for operator in ("ann", "bob")[: self._random.randint(1, 2)]:
                 self._send(base, f"{operator} {number}")
@@ -55,66 +58,68 @@
             {"name": note, "api_keys": ["k2" if valid else "k1"]},
         ]
         command = change(base, whole(base + 1, tenants=tenants), issued_by=note)
-        self._note(command, valid, resent=False)
+        self._submit(command, valid, resent=False)
 
     def _resend_newest(self) -> None:
-        """The acknowledgement was lost: the same order comes once more, with no other change since."""
-        accepted = [one for one in self.sent if one.outcome is Outcome.ACCEPTED]
-        self._note(accepted[-1].command, accepted[-1].valid, resent=True)
+        """Resend the newest accepted command, as after a lost acknowledgement, with no change in between."""
+        accepted = [sent for sent in self.sent if sent.outcome is Outcome.ACCEPTED]
+        self._submit(accepted[-1].command, accepted[-1].valid, resent=True)
 
-    def _note(self, command: ApplyGateway, valid: bool, resent: bool) -> None:
+    def _submit(self, command: ApplyGateway, valid: bool, resent: bool) -> None:
         outcome = self.log.outcome(command)
-        self.sent.append(Sent(command, outcome, valid, resent))
+        self.sent.append(SentCommand(command, outcome, valid, resent))
         if outcome is Outcome.ACCEPTED and not resent:
             self.version = command.base_version + 1
 
     # Checkers
 
-    def two_winners(self) -> list[int]:
-        """Return versions on top of which two different changes were acknowledged."""
-        won = {one.command.order: one.command.base_version for one in self.sent if self._won(one)}
-        return [base for base, count in Counter(won.values()).items() if count > 1]
+    def doubly_accepted_bases(self) -> list[int]:
+        """Return base versions on which two different changes were accepted."""
+        bases = {sent.command.order: sent.command.base_version for sent in self.sent if self._accepted(sent)}
+        return [base for base, count in Counter(bases.values()).items() if count > 1]
 
-    def acknowledged_though_invalid(self) -> list[Sent]:
-        return [one for one in self.sent if self._won(one) and not one.valid]
+    def accepted_invalid_commands(self) -> list[SentCommand]:
+        return [sent for sent in self.sent if self._accepted(sent) and not sent.valid]
 
-    def refused_again(self) -> list[Sent]:
-        """Return acknowledged changes that were refused when they came again."""
-        return [one for one in self.sent if one.resent and not self._won(one)]
+    def rejected_retries(self) -> list[SentCommand]:
+        """Return resent commands that were rejected although they were accepted before."""
+        return [sent for sent in self.sent if sent.resent and not self._accepted(sent)]
 
-    def _won(self, one: Sent) -> bool:
-        return one.outcome is Outcome.ACCEPTED
+    def _accepted(self, sent: SentCommand) -> bool:
+        return sent.outcome is Outcome.ACCEPTED
 
 
-def test_one_of_two_wins_invalid_ones_never_and_a_lost_answer_is_given_again() -> None:
+def test_one_of_two_changes_is_accepted_and_invalid_ones_never_and_retries_get_the_same_outcome() -> None:
     operators = Operators(1).run()
-    assert operators.two_winners() == []
-    assert operators.acknowledged_though_invalid() == []
-    assert operators.refused_again() == []
+    assert operators.doubly_accepted_bases() == []
+    assert operators.accepted_invalid_commands() == []
+    assert operators.rejected_retries() == []
     assert read_back(operators.log)["version"] == operators.version
-    outcomes = Counter(one.outcome for one in operators.sent)
+    outcomes = Counter(sent.outcome for sent in operators.sent)
     assert min(outcomes[Outcome.ACCEPTED], outcomes[Outcome.CONFLICT], outcomes[Outcome.INVALID]) > 10
 
 
-def test_the_checker_sees_two_winners(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_checker_detects_doubly_accepted_bases(monkeypatch: pytest.MonkeyPatch) -> None:
     apply = GatewaySection.apply
 
-    def on_any_base(section: GatewaySection, command: ApplyGateway) -> CommandDecision:
-        present = section.configuration.version
+    def apply_on_any_base(section: GatewaySection, command: ApplyGateway) -> CommandDecision:
+        current_version = section.configuration.version
         document = msgspec.json.decode(command.document)
-        document["version"] = present + 1
-        moved = msgspec.structs.replace(command, base_version=present, document=msgspec.json.encode(document))
-        return apply(section, moved)
+        document["version"] = current_version + 1
+        rebased = msgspec.structs.replace(
+            command, base_version=current_version, document=msgspec.json.encode(document)
+        )
+        return apply(section, rebased)
 
-    monkeypatch.setattr(GatewaySection, "apply", on_any_base)
-    assert Operators(1).run().two_winners() != []
+    monkeypatch.setattr(GatewaySection, "apply", apply_on_any_base)
+    assert Operators(1).run().doubly_accepted_bases() != []
 
 
-def test_the_checker_sees_an_invalid_change_acknowledged(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_checker_detects_an_accepted_invalid_change(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(gateway_section, "duplicate_keys", lambda *_: [])
-    assert Operators(1).run().acknowledged_though_invalid() != []
+    assert Operators(1).run().accepted_invalid_commands() != []
 
 
-def test_the_checker_sees_an_acknowledged_change_refused_later(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_checker_detects_a_rejected_retry_of_an_accepted_change(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(OrderWindow, "find", lambda window, order: None)
-    assert Operators(1).run().refused_again() != []
+    assert Operators(1).run().rejected_retries() != []
