--- a/tests/support/gossip_harness.py
+++ b/tests/support/gossip_harness.py
@@ -1,4 +1,4 @@
-"""A virtual network for components that gossip: virtual time, message loss, partitions, pauses, restarts."""
+"""A network of gossip components in virtual time, with message loss, partitions, pauses and restarts."""
 
 from __future__ import annotations
 
@@ -52,13 +52,13 @@
 
 
 class VirtualNode:
-    """The components of one node, driven by the network's clock."""
+    """The components of one node; the network's virtual clock drives them."""
 
     def __init__(self, network: Network, record: NodeRecord, components: dict[str, object]) -> None:
         self.network = network
         self.record = record
         self.components = components
-        self.frozen = False
+        self.paused = False
         self.buffered: list[tuple[NodeId, PeerMessage]] = []
         self.log_lines: list[tuple[float, LogLine]] = []
         self.engines: EnginesView | None = None
@@ -71,7 +71,7 @@
     def contact(self) -> ContactMonitor:
         return self.components["contact"]  # type: ignore[return-value]
 
-    def give(self, component: str, event: Event) -> None:
+    def handle_event(self, component: str, event: Event) -> None:
         for effect in self.components[component].handle(event, self.network.now):  # type: ignore[attr-defined]
             self.execute(effect)
         self.network.schedule_tick(self, component)
@@ -88,7 +88,7 @@
         elif isinstance(effect, MembershipChanged):
             for name in self.components:
                 if name != "membership":
-                    self.give(name, MembershipUpdated(effect.view))
+                    self.handle_event(name, MembershipUpdated(effect.view))
 
     def status_of(self, node: NodeId) -> NodeStatus | None:
         record = self.membership.view.nodes.get(node)
@@ -109,7 +109,7 @@
         self.now = 100.0
         self.random = random.Random(seed)
         self.loss = loss
-        self.cut: Callable[[VirtualNode, VirtualNode], bool] = lambda one, other: False
+        self.link_is_cut: Callable[[VirtualNode, VirtualNode], bool] = lambda one, other: False
         self.nodes: dict[NodeId, VirtualNode] = {}
         self.bytes_sent: Counter[str] = Counter()
         self.messages_sent: Counter[str] = Counter()
@@ -147,7 +147,7 @@
         self.now = end
 
     def run_until(self, condition: Callable[[], bool], limit_s: float, step_s: float = 0.1) -> float:
-        """Run until ``condition()`` holds; return the time that took, infinity if longer than ``limit_s``."""
+        """Run until ``condition()`` holds; return the seconds it took, or infinity if over ``limit_s``."""
         started_at = self.now
         while not condition():
             if self.now - started_at > limit_s:
@@ -165,12 +165,12 @@
 
     def _tick(self, node: VirtualNode, component: str, planned: float | None = None) -> None:
         key = (id(node), component)
-        if node.frozen or self.nodes.get(node.record.node) is not node:
+        if node.paused or self.nodes.get(node.record.node) is not node:
             return
         if planned is not None and self._ticks.get(key) != planned:
             return
         self._ticks.pop(key, None)
-        node.give(component, Tick())
+        node.handle_event(component, Tick())
 
     def send(self, sender: VirtualNode, to: NodeId, message: PeerMessage) -> None:
         component = component_name(message)
@@ -183,7 +183,7 @@
         self._deliver_later(sender, next(candidates, None), message)
 
     def _deliver_later(self, sender: VirtualNode, target: VirtualNode | None, message: PeerMessage) -> None:
-        if target is None or self.random.random() < self.loss or self.cut(sender, target):
+        if target is None or self.random.random() < self.loss or self.link_is_cut(sender, target):
             return
         delay = self.random.uniform(0.001, 0.01)
         self.at(self.now + delay, lambda: self._deliver(sender.record.node, target, message))
@@ -191,10 +191,10 @@
     def _deliver(self, sender: NodeId, target: VirtualNode, message: PeerMessage) -> None:
         if self.nodes.get(target.record.node) is not target:
             return
-        if target.frozen:
+        if target.paused:
             target.buffered.append((sender, message))
             return
-        target.give(component_name(message), MessageReceived(sender, message))
+        target.handle_event(component_name(message), MessageReceived(sender, message))
 
     # --- faults ---
 
@@ -204,36 +204,36 @@
     def kill(self, index: int) -> None:
         del self.nodes[self.records[index].node]
 
-    def freeze(self, index: int) -> None:
-        self.node(index).frozen = True
+    def pause(self, index: int) -> None:
+        self.node(index).paused = True
 
-    def thaw(self, index: int) -> None:
-        """Resume a paused node: first the messages in its buffers, then its overdue ticks."""
+    def resume(self, index: int) -> None:
+        """Resume a paused node: deliver its buffered messages, then its overdue ticks."""
         node = self.node(index)
-        node.frozen = False
+        node.paused = False
         buffered, node.buffered = node.buffered, []
         for sender, message in buffered:
-            node.give(component_name(message), MessageReceived(sender, message))
+            node.handle_event(component_name(message), MessageReceived(sender, message))
         for component in node.components:
             self._ticks.pop((id(node), component), None)
-            node.give(component, Tick())
+            node.handle_event(component, Tick())
 
-    def cut_off(self, indexes: Iterable[int]) -> None:
+    def isolate(self, indexes: Iterable[int]) -> None:
         inside = {self.records[index].node for index in indexes}
-        self.cut = lambda one, other: (one.record.node in inside) != (other.record.node in inside)
+        self.link_is_cut = lambda one, other: (one.record.node in inside) != (other.record.node in inside)
 
     def heal(self) -> None:
-        self.cut = lambda one, other: False
+        self.link_is_cut = lambda one, other: False
 
     # --- checks ---
 
     def all_have_status(self, index: int, status: NodeStatus | None) -> bool:
         node = self.records[index].node
-        others = (each for each in self.nodes.values() if each.record.node != node and not each.frozen)
+        others = (each for each in self.nodes.values() if each.record.node != node and not each.paused)
         return all(each.status_of(node) is status for each in others)
 
     def dead_to_all_others(self, isolated: list[int]) -> list[bool]:
-        """Return for each isolated node whether every node outside believes it dead."""
+        """Return for each isolated node whether every other node lists it as dead."""
         names = [self.records[index].node for index in isolated]
         outside = [node for name, node in self.nodes.items() if name not in names]
         return [all(node.status_of(name) is NodeStatus.DEAD for node in outside) for name in names]
@@ -243,7 +243,7 @@
         return all(each.status_of(name) is NodeStatus.ALIVE for each in self.nodes.values() for name in names)
 
     def logged_deaths(self) -> list[str]:
-        """Return the nodes that any node declared or believed dead so far, once per log line."""
+        """Return the nodes that any node has logged as dead so far, once per log line."""
         log_lines = (line for node in self.nodes.values() for _, line in node.log_lines)
         return [
             line.fields["node"] for line in log_lines if line.fields.get("status") == NodeStatus.DEAD.value
@@ -255,12 +255,12 @@
 
 
 class VirtualEngine:
-    """An engine that sends a heartbeat to a node each second, and to the next node if that one is gone."""
+    """An engine that sends a heartbeat to a node each second, or to the next node that runs."""
 
     def __init__(self, network: Network, index: int, at_node: int, incarnation: int = 1) -> None:
         self.network = network
         self.at_node = at_node
-        self.speaks = True
+        self.sends_heartbeats = True
         self.record = EngineRecord(
             engine=EngineId(f"engine-{index:04d}"),
             service=ServiceName("text"),
@@ -273,21 +273,21 @@
     def start(self, delay_s: float = 0.0) -> None:
         self.network.at(self.network.now + delay_s, self._announce)
 
-    def tell(self, event: Event) -> None:
-        """Pass an event to the engine's node, or to the next node that runs."""
+    def send_event(self, event: Event) -> None:
+        """Deliver an event to the engine's node, or to the next node that runs."""
         count = len(self.network.records)
         for step in range(count):
             node = self.network.nodes.get(self.network.records[(self.at_node + step) % count].node)
-            if node is not None and not node.frozen:
-                node.give("directory", event)
+            if node is not None and not node.paused:
+                node.handle_event("directory", event)
                 return
 
     def _announce(self) -> None:
-        self.tell(EngineAnnounced(self.record))
+        self.send_event(EngineAnnounced(self.record))
         self.network.at(self.network.now + 1.0, self._send_heartbeat)
 
     def _send_heartbeat(self) -> None:
-        if self.speaks:
+        if self.sends_heartbeats:
             load = EngineLoad(self.record.engine, running=1, queued=0)
-            self.tell(EngineHeartbeat(self.record, load))
+            self.send_event(EngineHeartbeat(self.record, load))
         self.network.at(self.network.now + self.network.random.uniform(0.95, 1.05), self._send_heartbeat)
--- a/tests/unit/agent/directory/test_directory_network.py
+++ b/tests/unit/agent/directory/test_directory_network.py
@@ -31,7 +31,7 @@
     return all(
         node.engine_status(engine.record.engine) is status
         for node in network.nodes.values()
-        if not node.frozen
+        if not node.paused
         for engine in engines
     )
 
@@ -47,7 +47,7 @@
     network, engines = fleet(nodes, seed=seed, loss=0.05)
     for index, engine in enumerate(engines):
         engine.at_node = (index * 7 + seed) % nodes
-        engine.tell(EngineDraining(engine.record.engine))
+        engine.send_event(EngineDraining(engine.record.engine))
         took = network.run_until(lambda e=engine: all_see(network, [e], EngineStatus.DRAINING), 5)
         assert took <= SPREAD_WITHIN_S
     network.run(5)
@@ -59,7 +59,7 @@
 def test_drain_that_overtakes_the_announcement_is_applied():
     network, _ = fleet()
     engine = VirtualEngine(network, 99, at_node=3)
-    network.node(8).give("directory", EngineDraining(engine.record.engine))
+    network.node(8).handle_event("directory", EngineDraining(engine.record.engine))
     engine.start()
     network.run(SPREAD_WITHIN_S)
     assert all_see(network, [engine], EngineStatus.DRAINING)
@@ -67,9 +67,9 @@
 
 def test_engine_without_heartbeats_is_lost_and_ready_again_after_the_next_heartbeat():
     network, engines = fleet(loss=0.01)
-    engines[2].speaks = False
+    engines[2].sends_heartbeats = False
     assert network.run_until(lambda: all_see(network, engines[2:3], EngineStatus.LOST), 10) <= LOST_WITHIN_S
-    engines[2].speaks = True
+    engines[2].sends_heartbeats = True
     assert (
         network.run_until(lambda: all_see(network, engines[2:3], EngineStatus.READY), 10)
         <= 1.1 + SPREAD_WITHIN_S
@@ -84,9 +84,9 @@
         engines[0].record.engine, list(network.nodes), 3, lambda n: network.nodes[n].record.zone
     )
     owner = next(i for i, record in enumerate(network.records) if record.node == holders[0])
-    network.freeze(owner)
+    network.pause(owner)
     network.run(8)
-    network.thaw(owner)
+    network.resume(owner)
     network.run(8)
     network.kill(owner)
     network.run(15)
@@ -101,21 +101,21 @@
         engine.record.engine, list(network.nodes), 3, lambda n: network.nodes[n].record.zone
     )
     network.kill(next(i for i, record in enumerate(network.records) if record.node == owners[0]))
-    engine.speaks = False
+    engine.sends_heartbeats = False
     assert network.run_until(lambda: all_see(network, [engine], EngineStatus.LOST), 12) <= LOST_WITHIN_S
 
 
 def test_partitioned_owner_marks_no_engine_lost_and_restarts_timeouts():
     network, _ = fleet()
     cut = list(range(0, 12, 4))
-    network.cut_off(cut)
+    network.isolate(cut)
     for _ in range(100):
         network.run(0.1)
         for index in cut:
             node = network.node(index)
             if getattr(node, "announced_contact", True) != node.connected():
                 node.announced_contact = node.connected()
-                node.give("directory", ContactChanged(node.announced_contact))
+                node.handle_event("directory", ContactChanged(node.announced_contact))
     inside = [network.node(index) for index in cut]
     assert not [
         note
@@ -129,14 +129,14 @@
     network, engines = fleet()
     engine = engines[1]
     old = engine.record
-    engine.speaks = False
-    engine.tell(EngineLeft(old.engine))
-    engine.tell(EngineHeartbeat(old, EngineLoad(old.engine, 0, 0)))
+    engine.sends_heartbeats = False
+    engine.send_event(EngineLeft(old.engine))
+    engine.send_event(EngineHeartbeat(old, EngineLoad(old.engine, 0, 0)))
     network.run(SPREAD_WITHIN_S)
     assert all_see(network, [engine], EngineStatus.LEFT)
-    engine.tell(EngineAnnounced(msgspec.structs.replace(old, incarnation=2, version="v2")))
-    network.node(9).give("directory", EngineAnnounced(old))
-    network.node(9).give("directory", EngineHeartbeat(old, EngineLoad(old.engine, 0, 0)))
+    engine.send_event(EngineAnnounced(msgspec.structs.replace(old, incarnation=2, version="v2")))
+    network.node(9).handle_event("directory", EngineAnnounced(old))
+    network.node(9).handle_event("directory", EngineHeartbeat(old, EngineLoad(old.engine, 0, 0)))
     network.run(SPREAD_WITHIN_S)
     published = [node.engines.engines[old.engine] for node in network.nodes.values()]
     assert {(record.version, record.status) for record in published} == {("v2", EngineStatus.READY)}
@@ -145,8 +145,8 @@
 def test_tombstones_expire_on_all_nodes_and_a_new_node_receives_the_directory():
     network, engines = fleet(nodes=4, engines=30)
     gone, kept = engines[0], engines[1:]
-    gone.speaks = False
-    gone.tell(EngineLeft(gone.record.engine))
+    gone.sends_heartbeats = False
+    gone.send_event(EngineLeft(gone.record.engine))
     network.run(610)
     assert all_see(network, [gone], None)
     network.kill(3)
--- a/tests/unit/membership/test_contact.py
+++ b/tests/unit/membership/test_contact.py
@@ -32,8 +32,8 @@
 def send_leader_beacons(network, index):
     def send_beacon():
         node = network.nodes.get(network.records[index].node)
-        if node is not None and not node.frozen:
-            node.give("contact", LeaderBeacon(term=1))
+        if node is not None and not node.paused:
+            node.handle_event("contact", LeaderBeacon(term=1))
         network.at(network.now + 0.25, send_beacon)
 
     send_beacon()
@@ -61,7 +61,7 @@
 @pytest.mark.parametrize(("nodes", "leader"), [(12, None), (40, None), (40, 1)])
 def test_isolated_node_has_no_contact_until_the_partition_heals(nodes, leader):
     network = fleet(nodes, leader=leader)
-    network.cut_off([7])
+    network.isolate([7])
     assert network.run_until(lambda: not network.node(7).connected(), 5) <= DETECTION_LIMIT_S
     others = [index for index in range(nodes) if index != 7]
     for _ in range(300):
@@ -77,7 +77,7 @@
     network = fleet(nodes, leader=leader)
     zone = range(0, nodes, 4)
     rest = [index for index in range(nodes) if index not in zone]
-    network.cut_off(zone)
+    network.isolate(zone)
     network.run(DETECTION_LIMIT_S)
     assert connected(network, zone).count(True) == 0
     network.run(1)
@@ -93,7 +93,7 @@
     """The leader's quorum may be in the minority too: here a quorum confirms the leader for every beacon."""
     network = fleet(40, leader=0)
     minority = range(15)
-    network.cut_off(minority)
+    network.isolate(minority)
     network.run(DETECTION_LIMIT_S)
     assert max_out_of_contact(network, 10, minority) == 15
     assert not any(connected(network, minority))
@@ -109,10 +109,10 @@
 @pytest.mark.parametrize(("nodes", "leader"), [(12, None), (40, 1)])
 def test_node_has_no_contact_after_a_pause_until_fresh_evidence(nodes, leader):
     network = fleet(nodes, leader=leader)
-    network.freeze(5)
+    network.pause(5)
     network.run(6)
-    network.cut_off([5])
-    network.thaw(5)  # Messages buffered during the pause are delivered although the node is isolated.
+    network.isolate([5])
+    network.resume(5)  # Messages buffered during the pause are delivered although the node is isolated.
     assert not network.node(5).connected()
     for _ in range(30):
         network.run(0.1)
--- a/tests/unit/membership/test_membership_network.py
+++ b/tests/unit/membership/test_membership_network.py
@@ -45,17 +45,17 @@
 
 def test_short_pause_is_no_death_and_node_declared_dead_in_a_long_one_recovers():
     network = fleet()
-    network.freeze(4)
+    network.pause(4)
     network.run(0.9)
-    network.thaw(4)
+    network.resume(4)
     network.run(5)
     assert network.logged_deaths() == []
-    network.freeze(4)
+    network.pause(4)
     assert (
         network.run_until(lambda: network.all_have_status(4, NodeStatus.DEAD), 8) <= DEATH_DETECTION_LIMIT_S
     )
     network.run(20)
-    network.thaw(4)
+    network.resume(4)
     assert network.run_until(network.all_alive, 8) < 3
     assert set(network.logged_deaths()) == {network.records[4].node}
 
@@ -63,7 +63,7 @@
 @pytest.mark.parametrize("isolated", [[7], [0, 4, 8]])
 def test_isolated_nodes_declare_at_most_one_death_and_recover(isolated):
     network = fleet()
-    network.cut_off(isolated)
+    network.isolate(isolated)
     assert network.run_until(lambda: all(network.dead_to_all_others(isolated)), 8) <= DEATH_DETECTION_LIMIT_S
     network.run(20)
     for index in isolated:
@@ -94,9 +94,9 @@
 def test_node_that_pauses_repeatedly_is_alive_in_the_end():
     network = fleet(loss=0.05)
     for _ in range(6):
-        network.freeze(2)
+        network.pause(2)
         network.run(2.0)
-        network.thaw(2)
+        network.resume(2)
         network.run(1.0)
     assert network.run_until(network.all_alive, 10) < 5
     assert set(network.logged_deaths()) <= {network.records[2].node}
@@ -104,7 +104,7 @@
 
 def test_leaving_node_is_known_to_have_left_without_a_suspicion():
     network = fleet()
-    network.node(3).give("membership", LeaveBegun())
+    network.node(3).handle_event("membership", LeaveBegun())
     network.run(0.3)
     network.kill(3)
     assert network.run_until(lambda: network.all_have_status(3, NodeStatus.LEFT), 5) < 2
