--- a/tests/support/known_red.py
+++ b/tests/support/known_red.py
@@ -1,4 +1,4 @@
-"""Reads KNOWN-RED.txt: tests that fail because of a known fault, which CI passes over and prints."""
+"""Reads KNOWN-RED.txt, the list of tests that fail because of a known fault; CI skips and prints them."""
 
 from __future__ import annotations
 
@@ -11,12 +11,18 @@
 
 
 class KnownRedError(Exception):
-    """An entry isn't complete or has an unknown field."""
+    """An entry lacks a field or has an unknown one, or a test is listed twice."""
 
 
 @dataclass(frozen=True)
 class KnownRed:
-    """One entry. ``test``: its id as pytest prints it; ``command``: how to see it fail, with the seed."""
+    """One entry of the list.
+
+    :param test: the test's id as pytest prints it.
+    :param command: the command that shows the failure, with its seed.
+    :param seen: the observed failure.
+    :param issue: the number of the issue about the fault.
+    """
 
     test: str
     command: str
@@ -25,9 +31,9 @@
 
 
 def read_known_red(text: str) -> tuple[KnownRed, ...]:
-    """Return the entries: blocks of ``field: value`` lines with an empty line between them.
+    """Return the entries, which are blocks of ``field: value`` lines separated by empty lines.
 
-    :raises KnownRedError: if a block doesn't have just :data:`FIELDS`, or a test is listed twice.
+    :raises KnownRedError: if the fields of a block aren't exactly :data:`FIELDS`, or a test is listed twice.
     """
     blocks = [block for block in _without_comments(text).split("\n\n") if block.strip()]
     entries = tuple(_entry(block) for block in blocks)
@@ -38,7 +44,7 @@
 
 
 def present_known_red() -> tuple[KnownRed, ...]:
-    """Return the entries of the project's file; none if there is no file."""
+    """Return the entries of the project's file, or an empty tuple if there is no file."""
     return read_known_red(FILE.read_text("utf-8")) if FILE.exists() else ()
 
 
--- a/tests/unit/compatibility/encoded_types.py
+++ b/tests/unit/compatibility/encoded_types.py
@@ -1,4 +1,4 @@
-"""Every type that nodes send to each other or keep on disk, under the name that its example carries."""
+"""All types that nodes send to each other or store on disk, by the name of their example."""
 
 from __future__ import annotations
 
@@ -23,19 +23,19 @@
     "claims/start": JournalStart,
     "peers/peer": RememberedPeer,
 }
-"""Types without a tag, by the file that holds them and what they are there."""
+"""Untagged types by the kind of file that holds them and their role in it."""
 
 
 def tag_of(encoded_type: type[msgspec.Struct]) -> str:
-    """Return the tag that stands for a type in its encoded form."""
+    """Return the tag that identifies a type in its encoded form."""
     tag = encoded_type.__struct_config__.tag
     assert isinstance(tag, str), f"{encoded_type.__name__} has no tag"
     return tag
 
 
 def encoded_types() -> dict[str, type[msgspec.Struct]]:
-    """Return the types by name; the name of a tagged one ends in its tag."""
-    named = dict(UNTAGGED)
+    """Return the types by name; the name of a tagged type ends in its tag."""
+    types_by_name = dict(UNTAGGED)
     groups: dict[str, tuple[type[msgspec.Struct], ...]] = {
         "message": wire.ALL_MESSAGES,
         "handshake": Handshake.__args__,
@@ -45,6 +45,6 @@
     for group, members in groups.items():
         for member in members:
             name = f"{group}/{tag_of(member)}"
-            assert name not in named, f"two types have the tag of {name}"
-            named[name] = member
-    return named
+            assert name not in types_by_name, f"two types have the tag of {name}"
+            types_by_name[name] = member
+    return types_by_name
--- a/tests/unit/compatibility/outer_names.py
+++ b/tests/unit/compatibility/outer_names.py
@@ -1,4 +1,4 @@
-"""The names by which people and programs outside of the fleet know it, gathered from the code."""
+"""Collects from the code the names that people and programs outside of the fleet use."""
 
 from __future__ import annotations
 
@@ -90,7 +90,7 @@
     "gateway: configuration, limits": gateway_documents.LimitsItem,
     "gateway: settings": GatewaySettings,
 }
-"""JSON bodies by where they are read or written."""
+"""JSON bodies by the endpoint or document in which they are used."""
 
 DOCUMENTS: dict[str, type[pydantic.BaseModel]] = {
     "settings": NodeSettings,
@@ -102,7 +102,7 @@
     "rollout template, parameter": template.Parameter,
     "rollout, promote": template.PromoteBody,
 }
-"""Documents that operators write, by what they are."""
+"""Documents that operators write, by their kind."""
 
 _OUTER_LITERAL = re.compile(
     r"^(x-[a-z-]+|/(v1|readyz|healthz|metrics|springmux)\b\S*|SPRINGMUX_\w+)$", re.IGNORECASE
@@ -110,7 +110,7 @@
 
 
 def outer_names() -> dict[str, Any]:
-    """Return all names by kind, as JSON."""
+    """Return all names by kind, in a form that can be encoded as JSON."""
     return {
         "bodies": {name: _body(body) for name, body in BODIES.items()},
         "documents": {name: _fields(model) for name, model in DOCUMENTS.items()},
@@ -164,17 +164,17 @@
 
 def _admin_paths() -> Iterator[str]:
     router = web.UrlDispatcher()
-    absent = cast(Any, None)
-    admin_control.ControlEndpoints(absent, absent, 0).add_routes(router)
-    admin_engines.EngineEndpoints(absent, absent, absent).add_routes(router)
-    admin_rollouts.RolloutEndpoints(absent, absent, absent, absent).add_routes(router)
+    unused = cast(Any, None)
+    admin_control.ControlEndpoints(unused, unused, 0).add_routes(router)
+    admin_engines.EngineEndpoints(unused, unused, unused).add_routes(router)
+    admin_rollouts.RolloutEndpoints(unused, unused, unused, unused).add_routes(router)
     for route in router.routes():
         assert route.resource is not None
         yield f"{route.method} {route.resource.canonical}"
 
 
 def _literals() -> set[str]:
-    """Return paths, headers and variables that stand as texts in the code."""
+    """Return the paths, headers and environment variables that are literals in the code."""
     found = set()
     for file in Path(springmux.__file__).parent.rglob("*.py"):
         for node in ast.walk(ast.parse(file.read_text("utf-8"))):
@@ -201,5 +201,5 @@
 
 
 def json_form(value: Any) -> Any:
-    """Return ``value`` as it comes back from a JSON file."""
+    """Return ``value`` as it is decoded from its JSON encoding."""
     return msgspec.json.decode(msgspec.json.encode(value))
--- a/tests/unit/compatibility/shapes.py
+++ b/tests/unit/compatibility/shapes.py
@@ -1,4 +1,4 @@
-"""The encoded form of a type: field order, keys of maps, values of enumerations; and an example of it."""
+"""Describes the encoded form of a type (field order, map keys, enum values), and builds an example of it."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from msgspec import inspect
 
 Shape = Any
-"""JSON: a plain type's name, or a list of a kind and what it is made of."""
+"""JSON: the name of a plain type, or a list of a kind and its parts."""
 
 _PLAIN = {
     inspect.AnyType: "any",
@@ -26,12 +26,12 @@
 
 
 def shape_of(encoded_type: type) -> Shape:
-    """Return the encoded form of a type, without the names that don't stand in it."""
+    """Return the encoded form of a type, without names that are not encoded."""
     return _shape(inspect.type_info(encoded_type))
 
 
 def example_of(encoded_type: type[msgspec.Struct]) -> Any:
-    """Return a value with all fields set, no two plain ones alike, the same at each call."""
+    """Return a value with all fields set and unique plain values; every call returns the same value."""
     return _Filler().fill(inspect.type_info(encoded_type))
 
 
--- a/tests/unit/compatibility/test_data_folder.py
+++ b/tests/unit/compatibility/test_data_folder.py
@@ -1,4 +1,4 @@
-"""A data folder that a node of an earlier version wrote is opened by this one, with everything in it."""
+"""This version opens a data folder that a node of an earlier version wrote, and reads its whole content."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 DATA = Path(__file__).with_name("data")
 STATE_IMAGE = (DATA / "state.image").read_bytes()
-"""The snapshot that the earlier version made of the folder's control state."""
+"""The earlier version's snapshot of the control state in the folder."""
 SNAPSHOT_INDEX = 16
 
 
 def opened(folder: Path) -> OpenedStorage:
-    """Open the folder as a node does at its start."""
+    """Open the folder as a node does when it starts."""
     storage = open_storage(folder, EventLog("n1", "info", "json", io.StringIO()))
     assert storage.store is not None, storage.reason
     storage.store.close()
@@ -32,7 +32,7 @@
 
 
 def replayed(storage: OpenedStorage) -> ControlState:
-    """Return the control state after the committed commands of the log."""
+    """Return the control state after applying the committed commands of the log."""
     assert storage.recovered is not None
     state = ControlState()
     if storage.recovered.snapshot is not None:
@@ -54,7 +54,7 @@
     return folder
 
 
-def test_the_log_is_replayed_to_the_same_state_byte_for_byte(log_only: Path) -> None:
+def test_replaying_the_log_gives_the_same_state_byte_for_byte(log_only: Path) -> None:
     storage = opened(log_only)
     assert storage.recovered is not None
     assert storage.recovered.snapshot is None
@@ -75,7 +75,7 @@
     assert replayed(storage).snapshot() == STATE_IMAGE
 
 
-def test_configuration_tenants_keys_and_rollouts_are_there(log_only: Path) -> None:
+def test_configuration_tenants_keys_and_rollouts_are_recovered(log_only: Path) -> None:
     state = replayed(opened(log_only))
     view = state.view()
     assert sorted(view.configuration.routes) == ["approve", "hello"]
@@ -90,7 +90,7 @@
     assert (ended.record.candidate, ended.record.phase) == ("v3", RolloutPhase.ABORTED)
 
 
-def test_claims_and_known_peers_are_there(folder: Path) -> None:
+def test_claims_and_known_peers_are_recovered(folder: Path) -> None:
     storage = opened(folder)
     assert storage.claims is not None
     assert storage.claims.founded
--- a/tests/unit/compatibility/test_outer_names.py
+++ b/tests/unit/compatibility/test_outer_names.py
@@ -1,4 +1,4 @@
-"""Names that people and programs outside of the fleet use stay as they are."""
+"""The names that people and programs outside of the fleet use are unchanged."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 from unit.compatibility.outer_names import json_form, outer_names
 
-FROZEN: dict[str, Any] = json.loads(
+EXPECTED_NAMES: dict[str, Any] = json.loads(
     Path(__file__).with_name("data").joinpath("outer_names.json").read_text("utf-8")
 )
 
 
-@pytest.mark.parametrize("kind", sorted(FROZEN))
-def test_the_names_of_a_kind_stay(kind: str) -> None:
-    assert json_form(outer_names()[kind]) == FROZEN[kind]
+@pytest.mark.parametrize("kind", sorted(EXPECTED_NAMES))
+def test_the_names_of_a_kind_are_unchanged(kind: str) -> None:
+    assert json_form(outer_names()[kind]) == EXPECTED_NAMES[kind]
 
 
-def test_every_kind_is_frozen() -> None:
-    assert sorted(outer_names()) == sorted(FROZEN)
+def test_every_kind_of_names_is_checked() -> None:
+    assert sorted(outer_names()) == sorted(EXPECTED_NAMES)
--- a/tests/unit/compatibility/write_examples.py
+++ b/tests/unit/compatibility/write_examples.py
@@ -1,7 +1,7 @@
-"""Adds an example of each encoded type that has none yet to ``data/examples.json``.
+"""Adds an example of each encoded type without one to ``data/examples.json``.
 
-Run as ``python -m unit.compatibility.write_examples`` in ``tests/``. What stands there is never written anew:
-nodes of earlier versions send and keep exactly these bytes.
+Run as ``python -m unit.compatibility.write_examples`` in ``tests/``. Existing examples are never changed,
+because nodes of earlier versions send and store exactly these bytes.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 def main() -> None:
-    """Write the missing examples."""
+    """Add the missing examples to the file."""
     examples = json.loads(EXAMPLES.read_text("utf-8")) if EXAMPLES.exists() else {}
     for name, encoded_type in encoded_types().items():
         if name not in examples:
