--- a/src/springmux/node/gateway/startup_gate.py
+++ b/src/springmux/node/gateway/startup_gate.py
@@ -10,7 +10,8 @@
 from collections.abc import Callable
 
 STARTUP_S = 2.0
-"""Time after a node's start in which it holds requests."""
+"""Time after a node's start in which it holds requests. After a loss of power of all machines a node knew the
+configuration 0.2 to 1.2 s after its start."""
 MAX_WAITING = 256
 """Limit on the number of held requests. A start needs fewer."""
 POLL_INTERVAL_S = 0.02
--- a/src/springmux/router/prefix_index.py
+++ b/src/springmux/router/prefix_index.py
@@ -18,7 +18,8 @@
 MAX_BLOCKS = 64
 """Maximum number of hashed blocks of one prompt; the first 64 KiB distinguish prefixes."""
 MAX_ENTRIES = 65_536
-"""Maximum number of blocks in the index: 5,000 prefixes per node, with 13 blocks each."""
+"""Maximum number of blocks in the index: 1.8 million prefixes over 360 nodes are 5,000 per node, with 13
+blocks each."""
 MAX_HOLDERS = 4
 """Maximum number of engines kept per block."""
 
