--- a/src/springmux/coordination/usage/messages.py
+++ b/src/springmux/coordination/usage/messages.py
@@ -86,4 +86,4 @@
 
 
 MESSAGES: tuple[type[PeerMessage], ...] = (UsageReport, UsageTotals, ZoneTotals)
-"""Fleet-wide usage exchange. Pure."""
+"""Messages that nodes send to each other in the usage exchange."""
