--- a/tests/support/playbook.py
+++ b/tests/support/playbook.py
@@ -1,4 +1,4 @@
-"""Playbooks of the data plane: a router with fakes around it, whose flows are driven by events."""
+"""Transcript tests of the data plane: a router with test doubles, whose flows are driven by events."""
 
 from __future__ import annotations
 
@@ -42,19 +42,21 @@
     VersionName,
 )
 
-TEXT = ServiceName("text")
-PAGES = ServiceName("pages")
+PROMPT_SERVICE = ServiceName("text")
+CALL_SERVICE = ServiceName("pages")
 V1 = VersionName("v1")
 V2 = VersionName("v2")
-OLD = -1000.0
+FIRST_SEEN_LONG_AGO_S = -1000.0
 """Time at which an engine was first seen, long enough ago for its slow start to be over."""
 E = TypeVar("E", bound=Effect)
 
 ROUTES = (
-    Route(RouteName("caption"), RouteKind.PROMPT, TEXT, TrafficClass.INTERACTIVE, max_body_bytes=4096),
-    Route(RouteName("draft"), RouteKind.PROMPT, TEXT, TrafficClass.BULK),
-    Route(RouteName("lookup"), RouteKind.CALL, PAGES, TrafficClass.INTERACTIVE, max_body_bytes=1000),
-    Route(RouteName("approve"), RouteKind.CALL, PAGES, TrafficClass.TRANSACTION, repeatable=False),
+    Route(
+        RouteName("caption"), RouteKind.PROMPT, PROMPT_SERVICE, TrafficClass.INTERACTIVE, max_body_bytes=4096
+    ),
+    Route(RouteName("draft"), RouteKind.PROMPT, PROMPT_SERVICE, TrafficClass.BULK),
+    Route(RouteName("lookup"), RouteKind.CALL, CALL_SERVICE, TrafficClass.INTERACTIVE, max_body_bytes=1000),
+    Route(RouteName("approve"), RouteKind.CALL, CALL_SERVICE, TrafficClass.TRANSACTION, repeatable=False),
 )
 
 
@@ -64,12 +66,12 @@
 
     choice: VersionChoice = field(default_factory=lambda: VersionChoice(versions=(V1,)))
     allowed: frozenset[VersionName] = frozenset({V1, V2})
-    chosen: int = 0
+    choice_count: int = 0
     given_back: list[VersionName] = field(default_factory=list)
     outcomes: list[PromptOutcome] = field(default_factory=list)
 
     def choose(self, service: ServiceName, prefix_key: int, now: float) -> VersionChoice:
-        self.chosen += 1
+        self.choice_count += 1
         return self.choice
 
     def give_back(self, service: ServiceName, version: VersionName, now: float) -> None:
@@ -89,29 +91,29 @@
 class FakeQuota:
     """A quota with a fixed number of tokens left, which records its settlements."""
 
-    left: float = 1e9
+    tokens_left: float = 1e9
     settled: list[tuple[float, float]] = field(default_factory=list)
 
-    owner_asked: bool = False
+    is_awaiting_owner: bool = False
 
     def awaits_owner(self, account: str) -> bool:
-        return self.owner_asked
+        return self.is_awaiting_owner
 
     def reserve(self, account: str, amount: float, now: float, again: bool = False) -> bool:
-        if amount > self.left:
+        if amount > self.tokens_left:
             return False
-        self.left -= amount
+        self.tokens_left -= amount
         return True
 
     def settle(self, account: str, reserved: float, used: float, now: float) -> None:
-        self.left += reserved - used
+        self.tokens_left += reserved - used
         self.settled.append((reserved, used))
 
     def retry_after_s(self, account: str, amount: float, now: float) -> float:
         return 2.5
 
 
-def engine(name: str, version: str = V1, service: str = TEXT, **changes: Any) -> EngineRecord:
+def engine(name: str, version: str = V1, service: str = PROMPT_SERVICE, **changes: Any) -> EngineRecord:
     """Return the record of a ready engine, with ``changes`` to its fields."""
     record = EngineRecord(
         EngineId(name), ServiceName(service), VersionName(version), Address("127.0.0.1:1"), 8, 1
@@ -125,7 +127,7 @@
     return json.dumps(body).encode()
 
 
-def piece(request_id: str, seq: int, last: bool = False, text: str = "w") -> bytes:
+def stream_chunk(request_id: str, seq: int, last: bool = False, text: str = "w") -> bytes:
     """Return one chunk of an engine's stream as a server-sent event; the last one carries the usage."""
     choice = {"index": 0, "delta": {"content": text}, "finish_reason": "stop" if last else None}
     chunk: dict[str, Any] = {"id": request_id, "seq": seq, "choices": [choice]}
@@ -137,41 +139,46 @@
 DONE = b"data: [DONE]\n\n"
 
 
-def whole_stream(request_id: str, pieces: int = 3) -> bytes:
-    """Return a complete, valid stream of ``pieces`` chunks."""
-    return b"".join(piece(request_id, seq, seq == pieces - 1) for seq in range(pieces)) + DONE
+def complete_stream(request_id: str, chunk_count: int = 3) -> bytes:
+    """Return a complete, valid stream of ``chunk_count`` chunks."""
+    return (
+        b"".join(stream_chunk(request_id, seq, seq == chunk_count - 1) for seq in range(chunk_count)) + DONE
+    )
+
 
+class DrivenFlow:
+    """One request and its flow in the router, driven by events.
 
-class Scene:
-    """One request and its flow. ``effects``: all effects of the flow; ``new``: those of the last event."""
+    ``effects`` holds all effects of the flow, ``last_effects`` those of the last event.
+    """
 
     def __init__(self, playbook: Playbook, request: ev.ClientRequest) -> None:
         self.playbook = playbook
         self.request = request
-        self.flow = playbook.router.open(request, playbook.now)
+        self.router_flow = playbook.router.open(request, playbook.now)
         self.effects: list[Effect] = []
-        self.new: list[Effect] = []
+        self.last_effects: list[Effect] = []
 
-    def give(self, event: Event, after: float = 0.0) -> list[Effect]:
+    def deliver(self, event: Event, after: float = 0.0) -> list[Effect]:
         """Advance the time by ``after`` seconds, deliver an event to the flow, and return its new effects."""
         self.playbook.now += after
-        self.new = self.flow.handle(event, self.playbook.now)
-        self.effects += self.new
-        return self.new
+        self.last_effects = self.router_flow.handle(event, self.playbook.now)
+        self.effects += self.last_effects
+        return self.last_effects
 
     def tick(self) -> list[Effect]:
         """Advance the time to the flow's next deadline, and deliver a tick."""
-        return self.give(Tick(), max(0.0, self.flow.next_deadline() - self.playbook.now))
+        return self.deliver(Tick(), max(0.0, self.router_flow.next_deadline() - self.playbook.now))
 
-    def all(self, kind: type[E]) -> list[E]:
+    def effects_of(self, kind: type[E]) -> list[E]:
         return [effect for effect in self.effects if isinstance(effect, kind)]
 
-    def dispatched(self) -> out.Dispatch:
-        return self.all(out.Dispatch)[-1]
+    def last_dispatch(self) -> out.Dispatch:
+        return self.effects_of(out.Dispatch)[-1]
 
-    def head(self, status: int = 200, **headers: str) -> list[Effect]:
+    def receive_head(self, status: int = 200, **headers: str) -> list[Effect]:
         """Deliver the head of the engine's response to the last dispatch."""
-        dispatch = self.dispatched()
+        dispatch = self.last_dispatch()
         all_headers = {
             "x-request-id": self.request.request_id,
             "x-engine-id": dispatch.engine.engine,
@@ -179,44 +186,44 @@
             "content-type": "text/event-stream",
         }
         all_headers |= {name.replace("_", "-"): value for name, value in headers.items()}
-        return self.give(ev.UpstreamHead(dispatch.attempt, status, all_headers))
+        return self.deliver(ev.UpstreamHead(dispatch.attempt, status, all_headers))
 
-    def data(self, data: bytes, after: float = 0.0) -> list[Effect]:
-        return self.give(ev.UpstreamData(self.dispatched().attempt, data), after)
+    def receive_data(self, data: bytes, after: float = 0.0) -> list[Effect]:
+        return self.deliver(ev.UpstreamData(self.last_dispatch().attempt, data), after)
 
-    def end(self) -> list[Effect]:
-        return self.give(ev.UpstreamEnd(self.dispatched().attempt))
+    def receive_end(self) -> list[Effect]:
+        return self.deliver(ev.UpstreamEnd(self.last_dispatch().attempt))
 
-    def fail(self, cause: ev.UpstreamCause, sent: bool, after: float = 0.0) -> list[Effect]:
-        return self.give(ev.UpstreamFailed(self.dispatched().attempt, cause, sent), after)
+    def fail_upstream(self, cause: ev.UpstreamCause, sent: bool, after: float = 0.0) -> list[Effect]:
+        return self.deliver(ev.UpstreamFailed(self.last_dispatch().attempt, cause, sent), after)
 
-    def answer(self, body: bytes, status: int = 200, **headers: str) -> list[Effect]:
+    def receive_json(self, body: bytes, status: int = 200, **headers: str) -> list[Effect]:
         """Deliver a complete JSON response of the engine."""
-        self.head(status, content_type="application/json", content_length=str(len(body)), **headers)
-        if not self.over:
-            self.data(body)
-        return self.end()
+        self.receive_head(status, content_type="application/json", content_length=str(len(body)), **headers)
+        if not self.is_done:
+            self.receive_data(body)
+        return self.receive_end()
 
-    def claim(self, verdict: ClaimVerdict, answer: bytes = b"") -> list[Effect]:
-        return self.give(ev.ClaimDecided(ClaimDecision(verdict, answer)))
+    def decide_claim(self, verdict: ClaimVerdict, answer: bytes = b"") -> list[Effect]:
+        return self.deliver(ev.ClaimDecided(ClaimDecision(verdict, answer)))
 
     @property
-    def over(self) -> bool:
-        return bool(self.all(out.FlowDone))
+    def is_done(self) -> bool:
+        return bool(self.effects_of(out.FlowDone))
 
     @property
     def error(self) -> ApiError:
-        (answer,) = self.all(out.ResponseError)
+        (answer,) = self.effects_of(out.ResponseError)
         return answer.error
 
     @property
     def body(self) -> bytes:
-        return b"".join(effect.data for effect in self.all(out.ResponseData))
+        return b"".join(effect.data for effect in self.effects_of(out.ResponseData))
 
     @property
-    def whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether the client receives its response as complete."""
-        return bool(self.all(out.ResponseEnd)) and not self.all(out.ResponseAborted)
+        return bool(self.effects_of(out.ResponseEnd)) and not self.effects_of(out.ResponseAborted)
 
 
 @dataclass
@@ -230,14 +237,14 @@
     idle_timeout_s: float = 5.0
 
     def __post_init__(self) -> None:
-        self.chooser = FakeVersionFilter()
+        self.version_filter = FakeVersionFilter()
         self.quota = FakeQuota()
         self.requests = 0
         self.router = Router(
             NodeId("node-1"),
             "zone-a",
             random.Random(7),
-            self.chooser,
+            self.version_filter,
             self.quota,
             lambda now: self.connected,
         )
@@ -247,7 +254,9 @@
         }
         self.revision = 0
         self.configure()
-        self.see(self.engines or [engine(f"e{n}") for n in range(3)] + [_page_engine(n) for n in range(3)])
+        self.update_engines(
+            self.engines or [engine(f"e{n}") for n in range(3)] + [_call_engine(n) for n in range(3)]
+        )
         self.router.update_readiness(True, "")
 
     def configure(self) -> list[Any]:
@@ -257,7 +266,10 @@
         view = ControlView(
             revision=Revision(self.revision),
             configuration=Configuration(
-                services={TEXT: Service(TEXT, V1), PAGES: Service(PAGES, V1)},
+                services={
+                    PROMPT_SERVICE: Service(PROMPT_SERVICE, V1),
+                    CALL_SERVICE: Service(CALL_SERVICE, V1),
+                },
                 routes={
                     route.name: msgspec.structs.replace(route, idle_timeout_s=self.idle_timeout_s)
                     for route in ROUTES
@@ -275,7 +287,7 @@
         self.keys[digest] = msgspec.structs.replace(self.keys[digest], revoked=True)
         return self.configure()
 
-    def see(
+    def update_engines(
         self,
         engines: Iterable[EngineRecord],
         first_seen: dict[str, float] | None = None,
@@ -283,11 +295,11 @@
     ) -> None:
         """Apply a newer directory of engines to the router."""
         records = {record.engine: record for record in engines}
-        seen = {name: (first_seen or {}).get(name, OLD) for name in records}
+        seen = {name: (first_seen or {}).get(name, FIRST_SEEN_LONG_AGO_S) for name in records}
         view = EnginesView(records, seen, {load.engine: load for load in loads})
         self.router.update_engines(view, self.now)
 
-    def open(self, body: bytes = b"", key: str = "ann", call: str = "", **changes: Any) -> Scene:
+    def open(self, body: bytes = b"", key: str = "ann", call: str = "", **changes: Any) -> DrivenFlow:
         """Open a flow for a client's request, and start it."""
         self.requests += 1
         path = f"/v1/calls/{call}" if call else "/v1/chat/completions"
@@ -295,17 +307,17 @@
         request = ev.ClientRequest(
             RequestId(f"r{self.requests}"), "POST", path, headers, body or (b"{}" if call else chat())
         )
-        scene = Scene(self, msgspec.structs.replace(request, **changes))
-        scene.give(ev.RequestBegun())
-        return scene
+        flow = DrivenFlow(self, msgspec.structs.replace(request, **changes))
+        flow.deliver(ev.RequestBegun())
+        return flow
 
 
 def _digest(key: str) -> KeyDigest:
     return KeyDigest(hashlib.sha256(key.encode()).hexdigest())
 
 
-def _page_engine(number: int) -> EngineRecord:
-    return engine(f"p{number}", service=PAGES)
+def _call_engine(number: int) -> EngineRecord:
+    return engine(f"p{number}", service=CALL_SERVICE)
 
 
 def draining(record: EngineRecord) -> EngineRecord:
--- a/tests/unit/router/test_admission.py
+++ b/tests/unit/router/test_admission.py
@@ -10,7 +10,7 @@
 from springmux.router import events as ev
 from springmux.vocabulary.engines import EngineLoad
 from springmux.vocabulary.names import EngineId
-from support.playbook import Playbook, Scene, chat, engine
+from support.playbook import DrivenFlow, Playbook, chat, engine
 
 SMALL_LIMITS = AdmissionLimits(
     max_in_flight=20, interactive_reserved=6, transaction_reserved=4, queue_length=8, queue_timeout_s=1.0
@@ -18,11 +18,11 @@
 """There are ten shared slots: bulk can use all of them, the other classes at most seven."""
 
 
-def is_admitted(scene: Scene) -> bool:
-    return bool(scene.all(out.Dispatch)) or bool(scene.all(out.RequestClaim))
+def is_admitted(flow: DrivenFlow) -> bool:
+    return bool(flow.effects_of(out.Dispatch)) or bool(flow.effects_of(out.RequestClaim))
 
 
-def open_requests(playbook: Playbook, count: int, route: str, keys: str = "ann ben cleo") -> list[Scene]:
+def open_requests(playbook: Playbook, count: int, route: str, keys: str = "ann ben cleo") -> list[DrivenFlow]:
     names = keys.split()
     return [playbook.open(chat(route), key=names[n % len(names)]) for n in range(count)]
 
@@ -31,7 +31,7 @@
     playbook = Playbook(limits=SMALL_LIMITS)
     open_requests(playbook, 40, "draft")
 
-    assert all(is_admitted(scene) for scene in open_requests(playbook, 6, "caption"))
+    assert all(is_admitted(flow) for flow in open_requests(playbook, 6, "caption"))
     assert all(is_admitted(playbook.open(call="approve")) for _ in range(4))
     assert playbook.router.status().in_flight == {"interactive": 6, "bulk": 10, "transaction": 4}
 
@@ -41,23 +41,23 @@
     open_requests(playbook, 60, "caption")
 
     assert playbook.router.status().in_flight["interactive"] <= 14
-    assert all(is_admitted(scene) for scene in open_requests(playbook, 2, "draft"))
+    assert all(is_admitted(flow) for flow in open_requests(playbook, 2, "draft"))
 
 
 def test_request_with_a_too_long_expected_wait_is_rejected_immediately() -> None:
     playbook = Playbook(limits=SMALL_LIMITS)
-    scenes = open_requests(playbook, 30, "draft")
+    flows = open_requests(playbook, 30, "draft")
 
-    refused = [scene for scene in scenes if scene.all(out.ResponseError)]
+    refused = [flow for flow in flows if flow.effects_of(out.ResponseError)]
     assert refused
-    for scene in refused:
-        assert (scene.error.code, scene.error.fate) == ("overloaded", "refused")
-        assert scene.error.retry_after_s is not None
-        assert scene.error.status in (429, 503)
+    for flow in refused:
+        assert (flow.error.code, flow.error.fate) == ("overloaded", "refused")
+        assert flow.error.retry_after_s is not None
+        assert flow.error.status in (429, 503)
     assert playbook.router.status().sheds["bulk"] == len(refused)
 
 
-def fill_slots_and_queue_one(playbook: Playbook) -> tuple[Scene, list[Scene]]:
+def fill_slots_and_queue_one(playbook: Playbook) -> tuple[DrivenFlow, list[DrivenFlow]]:
     running = open_requests(playbook, 10, "draft")
     waiting = playbook.open(chat("draft"), key="cleo")
     assert not waiting.effects
@@ -70,11 +70,11 @@
     playbook.router.set_wake_listener(woken.append)
     waiting, running = fill_slots_and_queue_one(playbook)
 
-    running[0].give(ev.ClientDisconnected())
+    running[0].deliver(ev.ClientDisconnected())
 
     assert woken == [waiting.request.request_id]
-    assert waiting.flow.next_deadline() <= playbook.now
-    waiting.give(Tick())
+    assert waiting.router_flow.next_deadline() <= playbook.now
+    waiting.deliver(Tick())
     assert is_admitted(waiting)
 
 
@@ -82,7 +82,7 @@
     playbook = Playbook(limits=SMALL_LIMITS)
     waiting, _ = fill_slots_and_queue_one(playbook)
 
-    while not waiting.over:
+    while not waiting.is_done:
         waiting.tick()
 
     assert playbook.now == pytest.approx(101.0)
@@ -92,24 +92,24 @@
 def test_queued_request_chooses_its_engine_at_dispatch() -> None:
     playbook = Playbook(limits=SMALL_LIMITS)
     waiting, running = fill_slots_and_queue_one(playbook)
-    running[0].give(ev.ClientDisconnected())
-    playbook.see([engine("e9")])
+    running[0].deliver(ev.ClientDisconnected())
+    playbook.update_engines([engine("e9")])
 
-    waiting.give(Tick())
+    waiting.deliver(Tick())
 
-    assert waiting.dispatched().engine.engine == "e9"
+    assert waiting.last_dispatch().engine.engine == "e9"
 
 
 def test_queued_request_of_a_revoked_key_leaves_the_queue() -> None:
     playbook = Playbook(limits=SMALL_LIMITS)
     waiting, running = fill_slots_and_queue_one(playbook)
 
-    assert waiting.flow in playbook.revoke("cleo")
-    waiting.give(ev.KeyRevoked())
+    assert waiting.router_flow in playbook.revoke("cleo")
+    waiting.deliver(ev.KeyRevoked())
 
     assert (waiting.error.code, waiting.error.fate) == ("revoked_key", "refused")
     assert playbook.router.status().queued["bulk"] == 0
-    running[0].give(ev.ClientDisconnected())
+    running[0].deliver(ev.ClientDisconnected())
     assert playbook.router.status().in_flight["bulk"] == 9
 
 
@@ -118,11 +118,11 @@
     """Cases: a key and another key of its tenant; a tenant and another tenant."""
     playbook = Playbook(limits=SMALL_LIMITS)
     burst = open_requests(playbook, 40, "draft", bursting_keys)
-    refused = [scene for scene in burst if scene.all(out.ResponseError)]
+    refused = [flow for flow in burst if flow.effects_of(out.ResponseError)]
 
     late_request = playbook.open(chat("draft"), key=other_key)
 
-    assert {scene.error.status for scene in refused} == {429}
+    assert {flow.error.status for flow in refused} == {429}
     assert is_admitted(late_request)
 
 
@@ -139,8 +139,8 @@
     playbook = Playbook(limits=SMALL_LIMITS)
     first = open_requests(playbook, 10, "draft")
     playbook.now += 300.0
-    for scene in first:
-        scene.give(ev.ClientDisconnected())
+    for flow in first:
+        flow.deliver(ev.ClientDisconnected())
     open_requests(playbook, 10, "draft")
 
     late_request = playbook.open(chat("draft"), key="cleo")
@@ -156,9 +156,9 @@
     north = playbook.open(chat("draft"), key="ben")
     south = playbook.open(chat("draft"), key="cleo")
 
-    running[0].give(ev.ClientDisconnected())
-    north.give(Tick(), 0.05)
-    south.give(Tick())
+    running[0].deliver(ev.ClientDisconnected())
+    north.deliver(Tick(), 0.05)
+    south.deliver(Tick())
 
     assert north.effects == []
     assert is_admitted(south)
@@ -167,7 +167,7 @@
 def test_shares_do_not_apply_without_pressure() -> None:
     playbook = Playbook(limits=SMALL_LIMITS)
 
-    assert all(is_admitted(scene) for scene in open_requests(playbook, 7, "draft", "ann"))
+    assert all(is_admitted(flow) for flow in open_requests(playbook, 7, "draft", "ann"))
 
 
 def test_key_over_its_share_is_rejected_while_the_engines_are_under_pressure() -> None:
@@ -177,7 +177,7 @@
     playbook.now += 1.0
     names = ["e0", "e1", "e2"]
     loads = [EngineLoad(EngineId(name), 8, 30, measured_at=playbook.now) for name in names]
-    playbook.see([engine(name) for name in names], loads=loads)
+    playbook.update_engines([engine(name) for name in names], loads=loads)
 
     assert playbook.open(chat("draft"), key="ann").error.status == 429
     assert is_admitted(playbook.open(chat("draft"), key="cleo"))
--- a/tests/unit/router/test_bad_input.py
+++ b/tests/unit/router/test_bad_input.py
@@ -43,17 +43,17 @@
 def test_bad_request_is_refused_immediately(
     name: str, request_changes: dict[str, Any], status: int, code: str
 ) -> None:
-    scene = Playbook().open(**request_changes)
+    flow = Playbook().open(**request_changes)
 
-    assert [type(effect) for effect in scene.effects] == [out.ResponseError, out.FlowDone]
-    assert (scene.error.status, scene.error.code, scene.error.fate) == (status, code, "refused")
-    assert (scene.error.request_id, scene.error.node) == ("r1", "node-1")
+    assert [type(effect) for effect in flow.effects] == [out.ResponseError, out.FlowDone]
+    assert (flow.error.status, flow.error.code, flow.error.fate) == (status, code, "refused")
+    assert (flow.error.request_id, flow.error.node) == ("r1", "node-1")
 
 
 def test_error_names_the_invalid_field() -> None:
-    scene = Playbook().open(b'{"model":"caption","messages":[{"role":"user","content":5}]}')
+    flow = Playbook().open(b'{"model":"caption","messages":[{"role":"user","content":5}]}')
 
-    (field,) = scene.error.errors
+    (field,) = flow.error.errors
     assert field.path == "messages[0].content"
 
 
@@ -62,7 +62,7 @@
     playbook.revoke("ann")
 
     assert playbook.open().error.code == "revoked_key"
-    assert not playbook.open(key="ben").all(out.ResponseError)
+    assert not playbook.open(key="ben").effects_of(out.ResponseError)
 
 
 @pytest.mark.parametrize(
@@ -88,7 +88,7 @@
 
 def test_refusal_for_a_used_up_quota_has_a_retry_delay() -> None:
     playbook = Playbook()
-    playbook.quota.left = 10
+    playbook.quota.tokens_left = 10
 
     error = playbook.open().error
 
@@ -98,13 +98,13 @@
 
 def test_request_waits_briefly_for_the_quota_owner_and_then_is_refused() -> None:
     playbook = Playbook()
-    playbook.quota.left, playbook.quota.owner_asked = 10, True
+    playbook.quota.tokens_left, playbook.quota.is_awaiting_owner = 10, True
     early, late = playbook.open(), playbook.open()
     assert not early.effects
 
-    playbook.quota.left = 100
+    playbook.quota.tokens_left = 100
     early.tick()
-    assert early.all(out.Dispatch)
+    assert early.effects_of(out.Dispatch)
 
     asked_at = playbook.now
     while not late.effects:
@@ -115,11 +115,11 @@
 
 def test_denial_by_the_quota_owner_refuses_a_waiting_request_immediately() -> None:
     playbook = Playbook()
-    playbook.quota.left, playbook.quota.owner_asked = 10, True
-    scene = playbook.open()
-    playbook.quota.owner_asked = False
-    scene.tick()
-    assert scene.error.code == "quota_exceeded"
+    playbook.quota.tokens_left, playbook.quota.is_awaiting_owner = 10, True
+    flow = playbook.open()
+    playbook.quota.is_awaiting_owner = False
+    flow.tick()
+    assert flow.error.code == "quota_exceeded"
 
 
 def test_service_without_engines_refuses_requests() -> None:
@@ -129,7 +129,7 @@
 
 
 def test_models_are_listed_in_the_openai_format() -> None:
-    scene = Playbook().open(path="/v1/models", method="GET")
+    flow = Playbook().open(path="/v1/models", method="GET")
 
-    assert [model["id"] for model in json.loads(scene.body)["data"]] == ["caption", "draft"]
-    assert scene.whole
+    assert [model["id"] for model in json.loads(flow.body)["data"]] == ["caption", "draft"]
+    assert flow.is_complete
--- a/tests/unit/router/test_engine_choice.py
+++ b/tests/unit/router/test_engine_choice.py
@@ -13,7 +13,18 @@
 from springmux.router.prefix_index import MAX_HOLDERS, PrefixIndex, hash_prefix
 from springmux.vocabulary.engines import EngineLoad, EngineRecord
 from springmux.vocabulary.names import EngineId
-from support.playbook import PAGES, TEXT, V1, V2, Playbook, Scene, chat, draining, engine, piece
+from support.playbook import (
+    CALL_SERVICE,
+    PROMPT_SERVICE,
+    V1,
+    V2,
+    DrivenFlow,
+    Playbook,
+    chat,
+    draining,
+    engine,
+    stream_chunk,
+)
 
 SIX_ENGINES = [engine(f"e{n}") for n in range(6)]
 
@@ -22,17 +33,17 @@
     return chat("draft", content=f"dossier {number} " * 600 + tail)
 
 
-def chosen_engine(scene: Scene) -> str:
-    return scene.dispatched().engine.engine
+def chosen_engine(flow: DrivenFlow) -> str:
+    return flow.last_dispatch().engine.engine
 
 
 def choose_sequentially(playbook: Playbook, prompt_numbers: range) -> dict[int, str]:
     """Return the engine of each prompt; each request ends before the next one begins."""
     engines_by_prompt = {}
     for number in prompt_numbers:
-        scene = playbook.open(long_prompt(number))
-        engines_by_prompt[number] = chosen_engine(scene)
-        scene.give(ClientDisconnected())
+        flow = playbook.open(long_prompt(number))
+        engines_by_prompt[number] = chosen_engine(flow)
+        flow.deliver(ClientDisconnected())
     return engines_by_prompt
 
 
@@ -44,7 +55,7 @@
 
     assert again == first
     # The last, partial block is not indexed.
-    assert all(0.8 < outcome.expected_hit < 1.0 for outcome in playbook.chooser.outcomes[30:])
+    assert all(0.8 < outcome.expected_hit < 1.0 for outcome in playbook.version_filter.outcomes[30:])
     assert len(set(first.values())) == 6
 
 
@@ -77,14 +88,14 @@
 
 def test_prefill_is_no_longer_outstanding_after_the_first_chunk() -> None:
     playbook = Playbook([engine("e0")])
-    scene = playbook.open(long_prompt(1))
+    flow = playbook.open(long_prompt(1))
     slot = playbook.router._core.engine_table.slots[EngineId("e0")]
     before = slot.outstanding_tokens
-    scene.head()
-    scene.data(piece("r1", 0))
+    flow.receive_head()
+    flow.receive_data(stream_chunk("r1", 0))
 
     assert (before > 1000, slot.outstanding_tokens) == (True, 64)
-    scene.give(ClientDisconnected())
+    flow.deliver(ClientDisconnected())
     assert (slot.outstanding_tokens, slot.in_flight) == (0, 0)
 
 
@@ -92,12 +103,12 @@
     playbook = Playbook(SIX_ENGINES)
     preferred = choose_sequentially(playbook, range(1))[0]
     busy = EngineLoad(EngineId(preferred), 8, 90, measured_at=playbook.now)
-    playbook.see(SIX_ENGINES, loads=[busy])
+    playbook.update_engines(SIX_ENGINES, loads=[busy])
 
     assert choose_sequentially(playbook, range(1))[0] != preferred
     playbook.now += 5.0
     fresh = Playbook(SIX_ENGINES, now=playbook.now)
-    fresh.see(SIX_ENGINES, loads=[busy])
+    fresh.update_engines(SIX_ENGINES, loads=[busy])
     assert choose_sequentially(fresh, range(1))[0] == preferred
 
 
@@ -110,7 +121,7 @@
         if record.engine != preferred
     ]
     fresh = Playbook(SIX_ENGINES)
-    fresh.see(SIX_ENGINES, loads=others)
+    fresh.update_engines(SIX_ENGINES, loads=others)
 
     assert choose_sequentially(fresh, range(1))[0] == preferred
 
@@ -118,7 +129,9 @@
 def test_cached_prefix_outweighs_a_short_wait() -> None:
     playbook = Playbook(SIX_ENGINES)
     preferred = choose_sequentially(playbook, range(1))[0]
-    playbook.see(SIX_ENGINES, loads=[EngineLoad(EngineId(preferred), 2, 0, measured_at=playbook.now)])
+    playbook.update_engines(
+        SIX_ENGINES, loads=[EngineLoad(EngineId(preferred), 2, 0, measured_at=playbook.now)]
+    )
 
     assert choose_sequentially(playbook, range(1))[0] == preferred
 
@@ -127,7 +140,7 @@
     playbook = Playbook(SIX_ENGINES)
     before = choose_sequentially(playbook, range(90))
 
-    playbook.see(SIX_ENGINES[1:])
+    playbook.update_engines(SIX_ENGINES[1:])
     after = choose_sequentially(playbook, range(90))
 
     moved = {number for number in before if before[number] == "e0"}
@@ -139,12 +152,12 @@
     playbook = Playbook(SIX_ENGINES)
     choose_sequentially(playbook, range(200))
     records_with_replacement = [engine("e0", incarnation=2), *SIX_ENGINES[1:]]
-    playbook.see(records_with_replacement, first_seen={"e0": playbook.now})
+    playbook.update_engines(records_with_replacement, first_seen={"e0": playbook.now})
     early = Counter(choose_sequentially(playbook, range(200, 400)).values())
     playbook.now += 5.0
     half = Counter(choose_sequentially(playbook, range(400, 600)).values())
 
-    playbook.see(
+    playbook.update_engines(
         [record for record in records_with_replacement if record.engine != "e1"], first_seen={"e0": 100.0}
     )
     second = Counter(choose_sequentially(playbook, range(600, 800)).values())
@@ -160,21 +173,21 @@
 def test_restarted_engine_has_an_empty_cache() -> None:
     playbook = Playbook([engine("e0")])
     choose_sequentially(playbook, range(1))
-    playbook.see([engine("e0", incarnation=2)])
+    playbook.update_engines([engine("e0", incarnation=2)])
     choose_sequentially(playbook, range(1))
 
-    assert [outcome.expected_hit for outcome in playbook.chooser.outcomes] == [0.0, 0.0]
+    assert [outcome.expected_hit for outcome in playbook.version_filter.outcomes] == [0.0, 0.0]
 
 
 def test_draining_engine_gets_no_new_requests_and_keeps_its_streams() -> None:
     playbook = Playbook([engine("e0"), engine("e1")])
     running = [playbook.open(long_prompt(number)) for number in range(4)]
-    playbook.see([draining(engine("e0")), engine("e1")])
+    playbook.update_engines([draining(engine("e0")), engine("e1")])
 
     later = {chosen_engine(playbook.open(long_prompt(number))) for number in range(4)}
 
     assert later == {"e1"}
-    assert not any(scene.over for scene in running)
+    assert not any(flow.is_done for flow in running)
 
 
 def test_prefix_index_is_bounded_in_blocks_and_holders() -> None:
@@ -197,55 +210,55 @@
 
 def playbook_with_choice(engines: list[EngineRecord], choice: VersionChoice = CANDIDATE_FIRST) -> Playbook:
     playbook = Playbook(engines)
-    playbook.chooser.choice = choice
+    playbook.version_filter.choice = choice
     return playbook
 
 
 def test_credit_is_returned_if_the_candidate_has_no_engine() -> None:
     playbook = playbook_with_choice(SIX_ENGINES)
 
-    assert playbook.open().dispatched().engine.version == V1
-    assert playbook.chooser.given_back == [V2]
+    assert playbook.open().last_dispatch().engine.version == V1
+    assert playbook.version_filter.given_back == [V2]
 
 
 def test_credit_is_returned_if_the_candidate_is_no_longer_allowed_at_dispatch() -> None:
     playbook = playbook_with_choice(BOTH_VERSIONS)
-    playbook.chooser.allowed = frozenset({V1})
+    playbook.version_filter.allowed = frozenset({V1})
 
-    assert playbook.open().dispatched().engine.version == V1
-    assert playbook.chooser.given_back == [V2]
+    assert playbook.open().last_dispatch().engine.version == V1
+    assert playbook.version_filter.given_back == [V2]
 
 
 def test_sent_candidate_prompt_uses_its_credit_and_is_retried_on_the_stable_version() -> None:
     playbook = playbook_with_choice(BOTH_VERSIONS)
-    scene = playbook.open()
-    scene.head(500)
+    flow = playbook.open()
+    flow.receive_head(500)
 
-    assert [d.engine.version for d in scene.all(out.Dispatch)] == [V2, V1]
-    scene.give(StopRequested())
-    assert playbook.chooser.given_back == []
-    assert playbook.chooser.chosen == 1
+    assert [d.engine.version for d in flow.effects_of(out.Dispatch)] == [V2, V1]
+    flow.deliver(StopRequested())
+    assert playbook.version_filter.given_back == []
+    assert playbook.version_filter.choice_count == 1
 
 
 def test_unsent_candidate_prompt_retries_the_candidate_before_returning_its_credit() -> None:
     playbook = playbook_with_choice([*SIX_ENGINES[:3], engine("c0", V2), engine("c1", V2)])
-    scene = playbook.open()
-    scene.fail(UpstreamCause.REFUSED, sent=False)
-    scene.fail(UpstreamCause.REFUSED, sent=False)
+    flow = playbook.open()
+    flow.fail_upstream(UpstreamCause.REFUSED, sent=False)
+    flow.fail_upstream(UpstreamCause.REFUSED, sent=False)
 
-    assert [d.engine.version for d in scene.all(out.Dispatch)] == [V2, V2, V1]
-    assert playbook.chooser.given_back == [V2]
+    assert [d.engine.version for d in flow.effects_of(out.Dispatch)] == [V2, V2, V1]
+    assert playbook.version_filter.given_back == [V2]
 
 
 def test_retry_does_not_go_to_another_version_while_the_preferred_one_has_engines() -> None:
     playbook = playbook_with_choice([SIX_ENGINES[0], engine("c0", V2)], VersionChoice(versions=(V1, V2)))
-    scene = playbook.open()
-    scene.head(500)
+    flow = playbook.open()
+    flow.receive_head(500)
 
-    assert [d.engine.version for d in scene.all(out.Dispatch)] == [V1]
-    assert scene.error.code == "engine_error"
+    assert [d.engine.version for d in flow.effects_of(out.Dispatch)] == [V1]
+    assert flow.error.code == "engine_error"
     last = playbook_with_choice([engine("c0", V2)], VersionChoice(versions=(V1, V2))).open()
-    assert last.dispatched().engine.version == V2
+    assert last.last_dispatch().engine.version == V2
 
 
 def test_candidate_prompts_use_no_more_engines_than_the_limit() -> None:
@@ -264,9 +277,9 @@
     assert one < two
 
 
-@pytest.mark.parametrize("service", [TEXT, PAGES])
+@pytest.mark.parametrize("service", [PROMPT_SERVICE, CALL_SERVICE])
 def test_calls_and_prompts_use_only_engines_of_their_service(service: str) -> None:
     playbook = Playbook(limits=AdmissionLimits())
-    scene = playbook.open(call="lookup") if service == PAGES else playbook.open()
+    flow = playbook.open(call="lookup") if service == CALL_SERVICE else playbook.open()
 
-    assert scene.dispatched().engine.service == service
+    assert flow.last_dispatch().engine.service == service
