--- a/tests/unit/node/admin/test_listener.py
+++ b/tests/unit/node/admin/test_listener.py
@@ -34,7 +34,7 @@
 from springmux.node.service_rates import ServiceRates
 from springmux.vocabulary.engines import EngineStatus
 from springmux.vocabulary.errors import ApiError, ErrorCode, FieldError
-from tests.unit.node.support import LONG_S, FakeAgent, make_settings, make_view, until
+from tests.unit.node.support import TEST_TIMEOUT_S, FakeAgent, make_settings, make_view, until
 
 ENGINE = {
     "engine": "e1", "service": "text", "version": "v1", "address": "127.0.0.1:9000",
@@ -291,7 +291,7 @@
 
     def slow_parse(document: bytes, version: int, max_bytes: int) -> None:
         entered.set()
-        assert resume.wait(LONG_S)
+        assert resume.wait(TEST_TIMEOUT_S)
 
     monkeypatch.setattr(admin_control, "parse_configuration", slow_parse)
     async with admin_node() as admin:
--- a/tests/unit/node/client/test_published_client.py
+++ b/tests/unit/node/client/test_published_client.py
@@ -20,21 +20,21 @@
 MESSAGES = [{"role": "user", "content": "a caption, please"}]
 
 
-def openai_client(bench: ClientListenerNode, key: str = KEY) -> openai.AsyncOpenAI:
-    address = bench.settings.client_address
+def openai_client(node: ClientListenerNode, key: str = KEY) -> openai.AsyncOpenAI:
+    address = node.settings.client_address
     return openai.AsyncOpenAI(base_url=f"http://{address}/v1", api_key=key, max_retries=0)
 
 
 async def stream(request: EngineRequest, writer: asyncio.StreamWriter) -> None:
     writer.write(engine_head(request.request_id, STREAM))
-    for event in stream_events(request.request_id, pieces=4, text="ab "):
+    for event in stream_events(request.request_id, chunk_count=4, text="ab "):
         writer.write(chunk(event))
     writer.write(b"0\r\n\r\n")
 
 
 async def broken_stream(request: EngineRequest, writer: asyncio.StreamWriter) -> None:
     writer.write(engine_head(request.request_id, STREAM))
-    for event in stream_events(request.request_id, pieces=4)[:2]:
+    for event in stream_events(request.request_id, chunk_count=4)[:2]:
         writer.write(chunk(event))
     await writer.drain()
     writer.close()
@@ -58,21 +58,21 @@
 
 
 async def test_stream_is_received_completely() -> None:
-    async with running_node() as bench, scripted_engine(stream) as engine, openai_client(bench) as client:
-        bench.agent.add_engine(engine.address)
+    async with running_node() as node, scripted_engine(stream) as engine, openai_client(node) as client:
+        node.agent.add_engine(engine.address)
         response = await client.chat.completions.create(model="chat", messages=MESSAGES, stream=True)
-        pieces = [piece async for piece in response]
-    assert [piece.choices[0].delta.content for piece in pieces] == ["ab "] * 4
-    assert [piece.choices[0].finish_reason for piece in pieces] == [None, None, None, "stop"]
+        parts = [part async for part in response]
+    assert [part.choices[0].delta.content for part in parts] == ["ab "] * 4
+    assert [part.choices[0].finish_reason for part in parts] == [None, None, None, "stop"]
 
 
 async def test_response_without_streaming_is_received() -> None:
     async with (
-        running_node() as bench,
+        running_node() as node,
         scripted_engine(complete_response) as engine,
-        openai_client(bench) as client,
+        openai_client(node) as client,
     ):
-        bench.agent.add_engine(engine.address)
+        node.agent.add_engine(engine.address)
         response = await client.chat.completions.create(model="chat", messages=MESSAGES)
     assert response.choices[0].message.content == "done"
     assert response.usage is not None
@@ -83,16 +83,16 @@
     received_pieces = 0
     failed = False
     async with (
-        running_node() as bench,
+        running_node() as node,
         scripted_engine(broken_stream) as engine,
-        openai_client(bench) as client,
+        openai_client(node) as client,
     ):
-        bench.agent.add_engine(engine.address)
+        node.agent.add_engine(engine.address)
         response = await client.chat.completions.create(model="chat", messages=MESSAGES, stream=True)
         try:
-            async for piece in response:
+            async for part in response:
                 received_pieces += 1
-                assert piece.choices[0].finish_reason is None
+                assert part.choices[0].finish_reason is None
         except openai.APIError as error:
             failed = True
             assert error.code == "engine_broke_off"
@@ -100,15 +100,15 @@
 
 
 async def test_refusals_raise_the_exceptions_of_the_client_library() -> None:
-    async with running_node() as bench:
-        async with openai_client(bench, key="wrong") as client_with_unknown_key:
+    async with running_node() as node:
+        async with openai_client(node, key="wrong") as client_with_unknown_key:
             try:
                 await client_with_unknown_key.chat.completions.create(model="chat", messages=MESSAGES)
             except openai.AuthenticationError as error:
                 assert error.code == "unknown_key"
             else:
                 raise AssertionError("a wrong key was accepted")
-        async with openai_client(bench) as client:
+        async with openai_client(node) as client:
             try:
                 await client.chat.completions.create(model="nothing", messages=MESSAGES)
             except openai.NotFoundError as error:
--- a/tests/unit/node/gateway/test_operators.py
+++ b/tests/unit/node/gateway/test_operators.py
@@ -21,7 +21,7 @@
 from springmux.node.logs import EventLog
 from springmux.node.storage.opening import open_storage
 from tests.unit.cli.support import run
-from tests.unit.node.support import LONG_S, free_address
+from tests.unit.node.support import TEST_TIMEOUT_S, free_address
 
 CONFIGURATION = {
     "version": 1,
@@ -80,7 +80,7 @@
     log = EventLog("n1", output=io.StringIO())
     opened = open_storage(folder, log)
     process = GatewayNode(settings, OWN_HEADERS, opened, log, asyncio.Event())
-    async with asyncio.timeout(LONG_S):
+    async with asyncio.timeout(TEST_TIMEOUT_S):
         await process.start()
         try:
             yield RunningNode(process, settings)
--- a/tests/unit/node/gateway/test_signals.py
+++ b/tests/unit/node/gateway/test_signals.py
@@ -25,7 +25,7 @@
     "the gateway's own": [sys.executable, "-m", "springmux.node.gateway", "{settings}"],
     "the platform's": [sys.executable, str(ROOT / "platform" / "main.py")],
 }
-LONG_S = 60.0
+TEST_TIMEOUT_S = 60.0
 SIGNAL_PERIOD_S = 0.01
 
 
@@ -63,7 +63,7 @@
     with log_file.open("wb") as log:
         process = subprocess.Popen(command, stdout=log, stderr=log, env=environment)
     try:
-        deadline = time.monotonic() + LONG_S
+        deadline = time.monotonic() + TEST_TIMEOUT_S
         while not ignores_or_handles(process, signal.SIGHUP):
             assert process.poll() is None and time.monotonic() < deadline
         while b"node_started" not in log_file.read_bytes():
--- a/tests/unit/node/peer/test_transport.py
+++ b/tests/unit/node/peer/test_transport.py
@@ -50,7 +50,7 @@
 )
 from springmux.node.peer.link import CONNECT_TIMEOUT_S
 from springmux.node.peer.transport import LARGE_MESSAGE_BYTES, PeerTransport
-from tests.unit.node.support import LONG_S, free_address, until
+from tests.unit.node.support import TEST_TIMEOUT_S, free_address, until
 
 
 class TransportProbe(PeerMessage, frozen=True, tag="TransportProbe"):
@@ -172,7 +172,7 @@
 
     async def receive(self) -> bytes | None:
         """Return the payload of the next frame, or ``None`` at the end of the connection."""
-        async with asyncio.timeout(LONG_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             try:
                 size = int.from_bytes(await self._reader.readexactly(4), "big")
                 return await self._reader.readexactly(size)
--- a/tests/unit/node/support.py
+++ b/tests/unit/node/support.py
@@ -57,7 +57,7 @@
 
 KEY = "a-key-of-the-tests"
 SERVICE, VERSION = ServiceName("text"), VersionName("v1")
-LONG_S = 30.0
+TEST_TIMEOUT_S = 30.0
 """Timeout in seconds that ends a hanging test. No result depends on it."""
 
 
@@ -113,7 +113,7 @@
     )
 
 
-class _Chooser:
+class _FakeVersionFilter:
     def choose(self, service: ServiceName, prefix_key: int, now: float) -> VersionChoice:
         return VersionChoice(versions=(VERSION,))
 
@@ -125,7 +125,7 @@
     def observe(self, outcome: PromptOutcome, now: float) -> None: ...
 
 
-class _Quota:
+class _FakeQuota:
     on_reserve: Callable[[], None] = staticmethod(lambda: None)
 
     def reserve(self, account: str, amount: float, now: float, again: bool = False) -> bool:
@@ -154,8 +154,8 @@
         self.deadline = NEVER
         self.deadline_reads = 0
         self.on_order: Callable[[OrderSubmitted], list[Effect]] = lambda _: []
-        self.quota = _Quota()
-        self.router = Router(NodeId("n1"), "z1", random.Random(1), _Chooser(), self.quota)
+        self.quota = _FakeQuota()
+        self.router = Router(NodeId("n1"), "z1", random.Random(1), _FakeVersionFilter(), self.quota)
         self.router.update_control(view, 0.0)
         self.router.update_readiness(True, "")
 
@@ -310,11 +310,11 @@
     ).encode()
 
 
-def stream_events(request_id: str, pieces: int = 3, text: str = "a") -> list[bytes]:
+def stream_events(request_id: str, chunk_count: int = 3, text: str = "a") -> list[bytes]:
     """Return the events of a complete stream, ending with ``[DONE]``."""
     events = []
-    for seq in range(pieces):
-        last = seq == pieces - 1
+    for seq in range(chunk_count):
+        last = seq == chunk_count - 1
         chunk: dict[str, Any] = {
             "id": request_id,
             "object": "chat.completion.chunk",
@@ -324,7 +324,7 @@
             "choices": [{"index": 0, "delta": {"content": text}, "finish_reason": "stop" if last else None}],
         }
         if last:
-            chunk["usage"] = {"prompt_tokens": 3, "completion_tokens": pieces}
+            chunk["usage"] = {"prompt_tokens": 3, "completion_tokens": chunk_count}
         events.append(f"data: {json.dumps(chunk)}\n\n".encode())
     return [*events, b"data: [DONE]\n\n"]
 
@@ -354,20 +354,20 @@
 
 
 @dataclass
-class RawAnswer:
-    """A response that a raw client read. ``whole``: whether the framing showed the regular end."""
+class RawResponse:
+    """A response that a raw client read. ``is_complete`` tells whether its framing showed a regular end."""
 
     status: int
     headers: dict[str, str]
     body: bytes
-    whole: bool
+    is_complete: bool
 
     @property
     def error(self) -> dict[str, Any]:
         return json.loads(self.body)["error"]
 
 
-class RawCaller:
+class RawClient:
     """A client that writes bytes and reads responses."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -381,45 +381,45 @@
         size = int(await self.reader.readline(), 16)
         return (await self.reader.readexactly(size + 2))[:-2]
 
-    async def answer(self) -> RawAnswer:
+    async def read_response(self) -> RawResponse:
         status, headers = await self.read_head()
         if "content-length" in headers:
-            return RawAnswer(
+            return RawResponse(
                 status, headers, await self.reader.readexactly(int(headers["content-length"])), True
             )
         body = b""
         try:
-            while piece := await self.read_chunk():
-                body += piece
+            while data := await self.read_chunk():
+                body += data
         except (ValueError, asyncio.IncompleteReadError, ConnectionError):
-            return RawAnswer(status, headers, body, False)
-        return RawAnswer(status, headers, body, True)
+            return RawResponse(status, headers, body, False)
+        return RawResponse(status, headers, body, True)
 
-    async def ask(self, data: bytes) -> RawAnswer:
+    async def send_request(self, data: bytes) -> RawResponse:
         self.writer.write(data)
-        async with asyncio.timeout(LONG_S):
-            return await self.answer()
+        async with asyncio.timeout(TEST_TIMEOUT_S):
+            return await self.read_response()
 
 
 @asynccontextmanager
-async def caller_at(address: str) -> AsyncIterator[RawCaller]:
+async def connect_raw_client(address: str) -> AsyncIterator[RawClient]:
     """Connect a raw client to ``address``."""
     host, port = address.rsplit(":", 1)
     reader, writer = await asyncio.open_connection(host, int(port))
     try:
-        yield RawCaller(reader, writer)
+        yield RawClient(reader, writer)
     finally:
         writer.close()
 
 
-async def ask(bench: ClientListenerNode, data: bytes) -> RawAnswer:
+async def send_request(node: ClientListenerNode, data: bytes) -> RawResponse:
     """Send bytes over a new connection and return the response."""
-    async with caller_at(bench.settings.client_address) as caller:
-        return await caller.ask(data)
+    async with connect_raw_client(node.settings.client_address) as client:
+        return await client.send_request(data)
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Wait until ``condition`` holds, at most ``LONG_S`` so that a fault ends the test."""
-    async with asyncio.timeout(LONG_S):
+    """Wait until ``condition`` holds, at most ``TEST_TIMEOUT_S`` so that a fault ends the test."""
+    async with asyncio.timeout(TEST_TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0.005)
--- a/tests/unit/node/test_daemon.py
+++ b/tests/unit/node/test_daemon.py
@@ -25,11 +25,11 @@
 from springmux.node.storage.opening import open_storage
 from tests.unit.node.support import (
     KEY,
-    LONG_S,
+    TEST_TIMEOUT_S,
     EngineRequest,
-    caller_at,
     chat_request,
     chunk,
+    connect_raw_client,
     engine_head,
     make_settings,
     scripted_engine,
@@ -91,8 +91,8 @@
     settings = single_controller_settings(tmp_path)
     async with scripted_engine(slow_stream) as engine, node_process(settings) as (process, lines):
         await configure(settings, engine.address)
-        async with caller_at(settings.client_address) as caller:
-            stream = asyncio.ensure_future(caller.ask(chat_request()))
+        async with connect_raw_client(settings.client_address) as client:
+            stream = asyncio.ensure_future(client.send_request(chat_request()))
             await running.wait()
             ended = asyncio.ensure_future(process.wait())
             process.stop_requested.set()
@@ -100,9 +100,9 @@
             assert not stream.done()
             continue_stream.set()
             response = await stream
-            assert response.whole
+            assert response.is_complete
             assert response.body.endswith(b"data: [DONE]\n\n")
-        async with asyncio.timeout(LONG_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             assert await ended == EXIT_STOPPED
         assert KEY not in lines.getvalue()
     async with node_process(settings) as (restarted, _):
@@ -115,7 +115,7 @@
 async def test_a_crashed_agent_ends_the_process_with_exit_crashed(tmp_path: Path) -> None:
     async with node_process(single_controller_settings(tmp_path)) as (process, lines):
         process.agent.handle = lambda event, now: 1 / 0  # type: ignore[method-assign, assignment, return-value]
-        async with asyncio.timeout(LONG_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             assert await process.wait() == EXIT_CRASHED
         assert "agent_crashed" in lines.getvalue()
         await process.close()
@@ -148,7 +148,7 @@
     assert first.replica != second.replica
     assert started[1].agent.view.configuration.version == 0
     stop_requested.set()
-    async with asyncio.timeout(LONG_S):
+    async with asyncio.timeout(TEST_TIMEOUT_S):
         assert await running == EXIT_STOPPED
 
 
