--- a/tests/unit/bad_days/test_early_answers.py
+++ b/tests/unit/bad_days/test_early_answers.py
@@ -13,8 +13,13 @@
 from springmux.node.http.client import PooledEngineClient
 from springmux.node.http.client_connection import EngineConnection
 from springmux.node.http.types import ExchangeFailedError, RequestHead
+from tests.unit.node.http.raw_connections import (
+    TEST_TIMEOUT_S,
+    RawConnection,
+    accept_any_response,
+    scripted_engine,
+)
 from tests.unit.node.http.test_client import OK
-from tests.unit.node.http.wires import TEST_TIMEOUT_S, Wire, accept_any_response, engine
 
 READ_BYTES = 65_536
 SHORT_BODY, LONG_BODY = 20_000, 8 << 20
@@ -39,28 +44,30 @@
     second_request_sent = asyncio.Event()
     foreign_bytes_read: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
 
-    async def respond_early(wire: Wire) -> None:
-        await wire.until(b"\r\n\r\n")
-        wire.send(OK)
+    async def respond_early(raw_connection: RawConnection) -> None:
+        await raw_connection.until(b"\r\n\r\n")
+        raw_connection.send(OK)
         await second_request_sent.wait()
         remaining, foreign = size, b""
         with contextlib.suppress(ConnectionError):
             while (
-                remaining > 0 and not foreign and (data := await wire.reader.read(min(READ_BYTES, remaining)))
+                remaining > 0
+                and not foreign
+                and (data := await raw_connection.reader.read(min(READ_BYTES, remaining)))
             ):
                 remaining -= len(data)
                 foreign = data.strip(b"x")
         foreign_bytes_read.set_result(foreign)
         if remaining == 0 and not foreign:
-            await respond(wire)
+            await respond(raw_connection)
 
-    async def respond(wire: Wire) -> None:
+    async def respond(raw_connection: RawConnection) -> None:
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
-            await wire.until(b"\r\n\r\n")
-            wire.send(OK)
+            await raw_connection.until(b"\r\n\r\n")
+            raw_connection.send(OK)
 
     scripts = (respond_early, respond)[:connections]
-    async with engine(*scripts) as model_engine, asyncio.timeout(TEST_TIMEOUT_S):
+    async with scripted_engine(*scripts) as model_engine, asyncio.timeout(TEST_TIMEOUT_S):
         client = PooledEngineClient()
         await _send_request(client, model_engine.address, b"x" * size)
         second = asyncio.create_task(_send_request(client, model_engine.address, b""))
--- a/tests/unit/node/client/test_published_client.py
+++ b/tests/unit/node/client/test_published_client.py
@@ -80,7 +80,7 @@
 
 
 async def test_broken_stream_raises_an_error_in_the_client_library() -> None:
-    received_pieces = 0
+    received_parts = 0
     failed = False
     async with (
         running_node() as node,
@@ -91,12 +91,12 @@
         response = await client.chat.completions.create(model="chat", messages=MESSAGES, stream=True)
         try:
             async for part in response:
-                received_pieces += 1
+                received_parts += 1
                 assert part.choices[0].finish_reason is None
         except openai.APIError as error:
             failed = True
             assert error.code == "engine_broke_off"
-    assert (received_pieces, failed) == (2, True)
+    assert (received_parts, failed) == (2, True)
 
 
 async def test_refusals_raise_the_exceptions_of_the_client_library() -> None:
--- a/tests/unit/node/http/wires.py
+++ b/tests/unit/node/http/raw_connections.py
@@ -1,4 +1,4 @@
-"""Raw connections for transcripts of bytes: a client of the server under test, and scripted engines."""
+"""Raw TCP connections for tests on the level of bytes: clients of the server under test, scripted engines."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 """Time after which a test counts as stuck; a test that passes never waits this long."""
 
 
-class Wire:
+class RawConnection:
     """One raw connection, used byte by byte."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -40,7 +40,7 @@
         async with asyncio.timeout(TEST_TIMEOUT_S):
             assert await self.reader.read() == b""
 
-    async def expect_gone(self) -> None:
+    async def expect_closed_or_reset(self) -> None:
         """Check that the other side closes or resets the connection and sends no more bytes."""
         async with asyncio.timeout(TEST_TIMEOUT_S):
             with contextlib.suppress(ConnectionError):
@@ -68,44 +68,46 @@
         """Refusals that the server reported, with the request's target if its head was read."""
         self.server = HttpServer(handler, lambda: self.limits, self._on_refused)
         self.port = 0
-        self.wires: list[Wire] = []
+        self.raw_connections: list[RawConnection] = []
 
     def _on_refused(self, refusal: ServerRefusal, head: RequestHead | None) -> None:
         self.refused.append((refusal, head.target if head is not None else None))
 
-    async def wire(self) -> Wire:
-        wire = Wire(*await asyncio.open_connection("127.0.0.1", self.port))
-        self.wires.append(wire)
-        return wire
+    async def connect(self) -> RawConnection:
+        raw_connection = RawConnection(*await asyncio.open_connection("127.0.0.1", self.port))
+        self.raw_connections.append(raw_connection)
+        return raw_connection
 
     async def close(self) -> None:
         """Abort the connections, close the server, and wait until the sockets are closed."""
-        for wire in self.wires:
-            wire.writer.transport.abort()
+        for raw_connection in self.raw_connections:
+            raw_connection.writer.transport.abort()
         self.server.close()
-        for wire in self.wires:
+        for raw_connection in self.raw_connections:
             with contextlib.suppress(ConnectionError):
-                await wire.writer.wait_closed()
+                await raw_connection.writer.wait_closed()
 
 
 @contextlib.asynccontextmanager
-async def serving(handler: Handler, limits: ServerLimits | None = None) -> AsyncIterator[ServerUnderTest]:
+async def running_server(
+    handler: Handler, limits: ServerLimits | None = None
+) -> AsyncIterator[ServerUnderTest]:
     """Serve ``handler``, and check that no error reaches the event loop's exception handler."""
     loop_errors: list[dict[str, object]] = []
     asyncio.get_running_loop().set_exception_handler(lambda _, context: loop_errors.append(context))
-    site = ServerUnderTest(handler, limits or ServerLimits())
-    site.port = await site.server.listen("127.0.0.1", 0)
+    server_under_test = ServerUnderTest(handler, limits or ServerLimits())
+    server_under_test.port = await server_under_test.server.listen("127.0.0.1", 0)
     try:
-        yield site
+        yield server_under_test
     finally:
-        await site.close()
+        await server_under_test.close()
     assert loop_errors == []
 
 
-Script = Callable[[Wire], Awaitable[None]]
+Script = Callable[[RawConnection], Awaitable[None]]
 
 
-class Engine:
+class ScriptedEngine:
     """An engine whose connections follow scripts: the first connection the first script, and so on."""
 
     def __init__(self, scripts: tuple[Script, ...]) -> None:
@@ -120,7 +122,7 @@
         self.accepted += 1
         try:
             assert script is not None, "more connections than scripts"
-            await script(Wire(reader, writer))
+            await script(RawConnection(reader, writer))
         except BaseException as error:
             self.failures.append(error)
         finally:
@@ -128,9 +130,9 @@
 
 
 @contextlib.asynccontextmanager
-async def engine(*scripts: Script) -> AsyncIterator[Engine]:
+async def scripted_engine(*scripts: Script) -> AsyncIterator[ScriptedEngine]:
     """Serve the scripts, and check that each ran to its end without a failure."""
-    state = Engine(scripts)
+    state = ScriptedEngine(scripts)
     done = asyncio.Event()
     finished = 0
 
--- a/tests/unit/node/http/test_client.py
+++ b/tests/unit/node/http/test_client.py
@@ -12,15 +12,15 @@
 from springmux.node.http.client_connection import EngineConnection
 from springmux.node.http.client_exchange import HttpEngineExchange
 from springmux.node.http.types import ExchangeFailedError, FailureKind, RequestHead, ResponseHead
-from tests.unit.node.http.wires import (
+from tests.unit.node.http.raw_connections import (
     GET,
     GET_BYTES,
     TEST_TIMEOUT_S,
+    RawConnection,
     Script,
-    Wire,
     accept_any_response,
-    engine,
     fetch,
+    scripted_engine,
 )
 
 OK = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
@@ -29,13 +29,13 @@
 def respond_once(*parts: bytes, request: bytes = GET_BYTES, ending: str = "close") -> Script:
     """Expect one request, send each part in its own write, then close or reset the connection."""
 
-    async def script(wire: Wire) -> None:
-        await wire.expect(request)
+    async def script(raw_connection: RawConnection) -> None:
+        await raw_connection.expect(request)
         for part in parts:
-            wire.send(part)
-            await wire.writer.drain()
+            raw_connection.send(part)
+            await raw_connection.writer.drain()
         if ending == "reset":
-            wire.reset()
+            raw_connection.reset()
 
     return script
 
@@ -61,20 +61,20 @@
     expected = (
         b"POST /%7e?x HTTP/1.1\r\nhost: h\r\nauthorization: Bearer k\r\ncontent-length: 3\r\n\r\n\x00\r\n"
     )
-    async with engine(respond_once(OK, request=expected)) as server:
+    async with scripted_engine(respond_once(OK, request=expected)) as server:
         assert await fetch(PooledEngineClient(), server.address, head, b"\x00\r\n") == b"ok"
 
 
 async def test_empty_post_has_a_content_length_and_a_get_has_none() -> None:
     post = RequestHead(method=b"POST", target=b"/", headers=())
 
-    async def script(wire: Wire) -> None:
-        await wire.expect(b"POST / HTTP/1.1\r\ncontent-length: 0\r\n\r\n")
-        wire.send(OK)
-        await wire.expect(GET_BYTES)
-        wire.send(OK)
+    async def script(raw_connection: RawConnection) -> None:
+        await raw_connection.expect(b"POST / HTTP/1.1\r\ncontent-length: 0\r\n\r\n")
+        raw_connection.send(OK)
+        await raw_connection.expect(GET_BYTES)
+        raw_connection.send(OK)
 
-    async with engine(script) as server:
+    async with scripted_engine(script) as server:
         client = PooledEngineClient()
         await fetch(client, server.address, post)
         await fetch(client, server.address)
@@ -93,18 +93,18 @@
 @pytest.mark.parametrize("byte_by_byte", [False, True])
 async def test_responses_of_every_framing_are_read_completely(response: bytes, byte_by_byte: bool) -> None:
     parts = [response[at : at + 1] for at in range(len(response))] if byte_by_byte else [response]
-    async with engine(respond_once(*parts)) as server:
+    async with scripted_engine(respond_once(*parts)) as server:
         assert await fetch(PooledEngineClient(), server.address) == b"ok"
 
 
 @pytest.mark.parametrize("status", [204, 304])
 async def test_response_with_a_status_without_body_ends_with_its_head(status: int) -> None:
-    async def script(wire: Wire) -> None:
+    async def script(raw_connection: RawConnection) -> None:
         for _ in range(2):
-            await wire.expect(GET_BYTES)
-            wire.send(b"HTTP/1.1 %d x\r\ncontent-length: 5\r\n\r\n" % status)
+            await raw_connection.expect(GET_BYTES)
+            raw_connection.send(b"HTTP/1.1 %d x\r\ncontent-length: 5\r\n\r\n" % status)
 
-    async with engine(script) as server:
+    async with scripted_engine(script) as server:
         client = PooledEngineClient()
         assert await fetch(client, server.address) == b""
         assert await fetch(client, server.address) == b""
@@ -113,7 +113,7 @@
 async def test_response_to_a_head_request_ends_with_its_head() -> None:
     head = RequestHead(method=b"HEAD", target=b"/", headers=())
     script = respond_once(b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\n", request=b"HEAD / HTTP/1.1\r\n\r\n")
-    async with engine(script) as server:
+    async with scripted_engine(script) as server:
         assert await fetch(PooledEngineClient(), server.address, head) == b""
 
 
@@ -141,20 +141,20 @@
 async def test_failed_exchange_reports_the_kind_of_its_failure(
     response: bytes, ending: str, kind: FailureKind
 ) -> None:
-    async with engine(respond_once(response, ending=ending)) as server:
+    async with scripted_engine(respond_once(response, ending=ending)) as server:
         assert await failure_kind_of(PooledEngineClient(), server.address) is kind
 
 
 async def test_reset_within_an_unframed_body_is_a_truncation() -> None:
     received = asyncio.Event()
 
-    async def script(wire: Wire) -> None:
-        await wire.expect(GET_BYTES)
-        wire.send(b"HTTP/1.1 200 OK\r\n\r\nok")
+    async def script(raw_connection: RawConnection) -> None:
+        await raw_connection.expect(GET_BYTES)
+        raw_connection.send(b"HTTP/1.1 200 OK\r\n\r\nok")
         await received.wait()
-        wire.reset()
+        raw_connection.reset()
 
-    async with engine(script) as server, asyncio.timeout(TEST_TIMEOUT_S):
+    async with scripted_engine(script) as server, asyncio.timeout(TEST_TIMEOUT_S):
         exchange = await PooledEngineClient().send(server.address, GET, b"", 1.0, accept_any_response)
         assert (await exchange.head()).length is None
         assert await exchange.read() == b"ok"
@@ -197,7 +197,7 @@
 
 
 async def test_engine_sockets_have_nodelay_keepalive_and_user_timeout() -> None:
-    async with engine(respond_once(OK)) as server, asyncio.timeout(TEST_TIMEOUT_S):
+    async with scripted_engine(respond_once(OK)) as server, asyncio.timeout(TEST_TIMEOUT_S):
         exchange = await PooledEngineClient().send(server.address, GET, b"", 1.0, accept_any_response)
         assert exchange._connection is not None
         sock = exchange._connection._transport.get_extra_info("socket")
@@ -215,7 +215,7 @@
 
     late = b"HTTP/1.1 200 OK\r\nid: 1\r\ntransfer-encoding: chunked\r\n\r\n4\r\nlate\r\n0\r\n\r\n"
     mine = b"HTTP/1.1 200 OK\r\nid: 2\r\ncontent-length: 4\r\n\r\nmine"
-    async with engine(respond_once(late + mine)) as server, asyncio.timeout(TEST_TIMEOUT_S):
+    async with scripted_engine(respond_once(late + mine)) as server, asyncio.timeout(TEST_TIMEOUT_S):
         exchange = await PooledEngineClient().send(server.address, GET, b"", 1.0, is_own_response)
         assert (await exchange.head()).header(b"id") == b"2"
         assert await exchange.read() == b"mine"
@@ -224,7 +224,7 @@
 
 
 async def test_close_after_only_a_response_to_another_request_is_a_reset() -> None:
-    async with engine(respond_once(OK)) as server, asyncio.timeout(TEST_TIMEOUT_S):
+    async with scripted_engine(respond_once(OK)) as server, asyncio.timeout(TEST_TIMEOUT_S):
         exchange = await PooledEngineClient().send(server.address, GET, b"", 1.0, lambda _: False)
         with pytest.raises(ExchangeFailedError) as caught:
             await exchange.head()
@@ -234,13 +234,13 @@
 async def test_parts_of_a_body_are_returned_as_they_arrive() -> None:
     received = asyncio.Event()
 
-    async def script(wire: Wire) -> None:
-        await wire.expect(GET_BYTES)
-        wire.send(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\none\r\n")
+    async def script(raw_connection: RawConnection) -> None:
+        await raw_connection.expect(GET_BYTES)
+        raw_connection.send(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\none\r\n")
         await received.wait()
-        wire.send(b"3\r\ntwo\r\n0\r\n\r\n")
+        raw_connection.send(b"3\r\ntwo\r\n0\r\n\r\n")
 
-    async with engine(script) as server, asyncio.timeout(TEST_TIMEOUT_S):
+    async with scripted_engine(script) as server, asyncio.timeout(TEST_TIMEOUT_S):
         exchange = await PooledEngineClient().send(server.address, GET, b"", 1.0, accept_any_response)
         assert (await exchange.head()).chunked
         assert await exchange.read() == b"one"
@@ -254,15 +254,15 @@
     size_bytes = 32 << 20
     sent = asyncio.Event()
 
-    async def script(wire: Wire) -> None:
-        await wire.expect(GET_BYTES)
-        wire.send(b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n" % size_bytes)
+    async def script(raw_connection: RawConnection) -> None:
+        await raw_connection.expect(GET_BYTES)
+        raw_connection.send(b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n" % size_bytes)
         for _ in range(size_bytes >> 20):
-            wire.send(b"x" * (1 << 20))
-            await wire.writer.drain()
+            raw_connection.send(b"x" * (1 << 20))
+            await raw_connection.writer.drain()
         sent.set()
 
-    async with engine(script) as server, asyncio.timeout(TEST_TIMEOUT_S):
+    async with scripted_engine(script) as server, asyncio.timeout(TEST_TIMEOUT_S):
         exchange = await PooledEngineClient().send(server.address, GET, b"", 1.0, accept_any_response)
         await exchange.head()
         connection = exchange._connection
@@ -279,11 +279,11 @@
 
 
 async def test_abort_closes_the_connection_and_ends_the_wait_for_the_head() -> None:
-    async def script(wire: Wire) -> None:
-        await wire.expect(GET_BYTES)
-        await wire.expect_gone()
+    async def script(raw_connection: RawConnection) -> None:
+        await raw_connection.expect(GET_BYTES)
+        await raw_connection.expect_closed_or_reset()
 
-    async with engine(script) as server, asyncio.timeout(TEST_TIMEOUT_S):
+    async with scripted_engine(script) as server, asyncio.timeout(TEST_TIMEOUT_S):
         exchange = await PooledEngineClient().send(server.address, GET, b"", 1.0, accept_any_response)
         waiting = asyncio.create_task(exchange.head())
         await asyncio.sleep(0)
--- a/tests/unit/node/http/test_server_lifecycle.py
+++ b/tests/unit/node/http/test_server_lifecycle.py
@@ -7,8 +7,8 @@
 import pytest
 
 from springmux.node.http.types import ClientDisconnectedError, ServerExchange, ServerLimits
+from tests.unit.node.http.raw_connections import TEST_TIMEOUT_S, running_server
 from tests.unit.node.http.test_server import GET, OK, OK_CLOSE, respond_ok
-from tests.unit.node.http.wires import TEST_TIMEOUT_S, serving
 
 TIMEOUT_408 = b"HTTP/1.1 408 Request Timeout\r\ncontent-length: 0\r\nconnection: close\r\n\r\n"
 
@@ -38,14 +38,14 @@
         exchange.respond(200, (), b"to nobody")
         handler_done.set()
 
-    async with serving(handler) as site, asyncio.timeout(TEST_TIMEOUT_S):
-        wire = await site.wire()
-        wire.send(GET)
+    async with running_server(handler) as server_under_test, asyncio.timeout(TEST_TIMEOUT_S):
+        raw_connection = await server_under_test.connect()
+        raw_connection.send(GET)
         await ready.wait()
-        assert site.server.open_requests == 1
-        wire.end() if ending == "end" else wire.reset()
+        assert server_under_test.server.open_requests == 1
+        raw_connection.end() if ending == "end" else raw_connection.reset()
         await handler_done.wait()
-        assert site.server.open_requests == 0
+        assert server_under_test.server.open_requests == 0
     assert calls == ["gone"]
 
 
@@ -57,10 +57,10 @@
             await exchange.body()
         handler_done.set()
 
-    async with serving(handler) as site, asyncio.timeout(TEST_TIMEOUT_S):
-        wire = await site.wire()
-        wire.send(b"POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\nab")
-        wire.end()
+    async with running_server(handler) as server_under_test, asyncio.timeout(TEST_TIMEOUT_S):
+        raw_connection = await server_under_test.connect()
+        raw_connection.send(b"POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\nab")
+        raw_connection.end()
         await handler_done.wait()
 
 
@@ -75,23 +75,25 @@
                 await exchange.write(b"x" * (1 << 20))
         handler_done.set()
 
-    async with serving(handler) as site, asyncio.timeout(TEST_TIMEOUT_S):
-        wire = await site.wire()
-        wire.send(GET)
+    async with running_server(handler) as server_under_test, asyncio.timeout(TEST_TIMEOUT_S):
+        raw_connection = await server_under_test.connect()
+        raw_connection.send(GET)
         await waiting.wait()
-        wire.reset()
+        raw_connection.reset()
         await handler_done.wait()
 
 
 async def test_header_timeout_and_idle_timeout_close_the_connection() -> None:
-    async with serving(respond_ok, ServerLimits(header_timeout_s=0.05, idle_timeout_s=0.05)) as site:
-        unused = await site.wire()
+    async with running_server(
+        respond_ok, ServerLimits(header_timeout_s=0.05, idle_timeout_s=0.05)
+    ) as server_under_test:
+        unused = await server_under_test.connect()
         await unused.expect_end()
-        partial = await site.wire()
+        partial = await server_under_test.connect()
         partial.send(GET[:-2])
         await partial.expect(TIMEOUT_408)
         await partial.expect_end()
-        idle = await site.wire()
+        idle = await server_under_test.connect()
         idle.send(GET)
         await idle.expect(OK)
         await idle.expect_end()
@@ -106,11 +108,14 @@
             await exchange.body()
         handler_done.set()
 
-    async with serving(handler, ServerLimits(header_timeout_s=0.05)) as site, asyncio.timeout(TEST_TIMEOUT_S):
-        wire = await site.wire()
-        wire.send(b"POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\nab")
-        await wire.expect(TIMEOUT_408)
-        await wire.expect_end()
+    async with (
+        running_server(handler, ServerLimits(header_timeout_s=0.05)) as server_under_test,
+        asyncio.timeout(TEST_TIMEOUT_S),
+    ):
+        raw_connection = await server_under_test.connect()
+        raw_connection.send(b"POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\nab")
+        await raw_connection.expect(TIMEOUT_408)
+        await raw_connection.expect_end()
         await handler_done.wait()
 
 
@@ -119,18 +124,20 @@
         await asyncio.sleep(0.2)
         exchange.respond(200, (), b"ok")
 
-    async with serving(handler, ServerLimits(header_timeout_s=0.05, idle_timeout_s=0.05)) as site:
-        wire = await site.wire()
-        wire.send(GET)
-        await wire.expect(OK)
+    async with running_server(
+        handler, ServerLimits(header_timeout_s=0.05, idle_timeout_s=0.05)
+    ) as server_under_test:
+        raw_connection = await server_under_test.connect()
+        raw_connection.send(GET)
+        await raw_connection.expect(OK)
 
 
 async def test_connection_over_the_limit_gets_503_and_others_stay_usable() -> None:
-    async with serving(respond_ok, ServerLimits(max_connections=1)) as site:
-        first = await site.wire()
+    async with running_server(respond_ok, ServerLimits(max_connections=1)) as server_under_test:
+        first = await server_under_test.connect()
         first.send(GET)
         await first.expect(OK)
-        second = await site.wire()
+        second = await server_under_test.connect()
         second.send(GET)
         await second.expect(
             b"HTTP/1.1 503 Service Unavailable\r\nretry-after: 1\r\n"
@@ -151,8 +158,12 @@
         await exchange.body()
         exchange.respond(200, (), b"ok")
 
-    async with serving(handler) as site, asyncio.timeout(TEST_TIMEOUT_S):
-        idle, partial, busy = await site.wire(), await site.wire(), await site.wire()
+    async with running_server(handler) as server_under_test, asyncio.timeout(TEST_TIMEOUT_S):
+        idle, partial, busy = (
+            await server_under_test.connect(),
+            await server_under_test.connect(),
+            await server_under_test.connect(),
+        )
         idle.send(GET)
         await idle.expect(OK)
         partial.send(GET)
@@ -160,10 +171,10 @@
         busy.send(b"GET /slow HTTP/1.1\r\n\r\n" + GET)
         await ready.wait()
         partial.send(GET[:9])
-        finishing = asyncio.create_task(site.server.finish(TEST_TIMEOUT_S))
+        finishing = asyncio.create_task(server_under_test.server.finish(TEST_TIMEOUT_S))
         await idle.expect_end()
         with pytest.raises(ConnectionRefusedError):
-            await site.wire()
+            await server_under_test.connect()
         partial.send(GET[9:])
         await partial.expect(OK_CLOSE)
         await partial.expect_end()
@@ -172,7 +183,7 @@
         await busy.expect(OK + OK_CLOSE)
         await busy.expect_end()
         await finishing
-        assert site.server.open_requests == 0
+        assert server_under_test.server.open_requests == 0
 
 
 async def test_finish_resets_open_connections_after_the_grace_period() -> None:
@@ -183,10 +194,10 @@
         ready.set()
         await asyncio.Event().wait()
 
-    async with serving(handler) as site, asyncio.timeout(TEST_TIMEOUT_S):
-        wire = await site.wire()
-        wire.send(GET)
+    async with running_server(handler) as server_under_test, asyncio.timeout(TEST_TIMEOUT_S):
+        raw_connection = await server_under_test.connect()
+        raw_connection.send(GET)
         await ready.wait()
-        await site.server.finish(0.01)
+        await server_under_test.server.finish(0.01)
         with pytest.raises(ConnectionResetError):
-            await wire.until(b"0\r\n\r\n")
+            await raw_connection.until(b"0\r\n\r\n")
--- a/tests/unit/node/http/test_server_refusals.py
+++ b/tests/unit/node/http/test_server_refusals.py
@@ -7,8 +7,8 @@
 import pytest
 
 from springmux.node.http.types import ServerExchange, ServerLimits, ServerRefusal
+from tests.unit.node.http.raw_connections import TEST_TIMEOUT_S, running_server
 from tests.unit.node.http.test_server import GET, OK, respond_ok
-from tests.unit.node.http.wires import TEST_TIMEOUT_S, serving
 
 POST_HEAD = b"POST /a HTTP/1.1\r\nHost: x\r\n"
 
@@ -30,18 +30,21 @@
         await exchange.body()
 
     limits = ServerLimits(max_header_bytes=300, header_timeout_s=0.05)
-    async with serving(handler, limits) as site, asyncio.timeout(TEST_TIMEOUT_S):
-        wire = await site.wire()
-        wire.send(sent)
-        await wire.until(b"\r\n\r\n")
-        assert site.refused == [(refusal, target)]
+    async with running_server(handler, limits) as server_under_test, asyncio.timeout(TEST_TIMEOUT_S):
+        raw_connection = await server_under_test.connect()
+        raw_connection.send(sent)
+        await raw_connection.until(b"\r\n\r\n")
+        assert server_under_test.refused == [(refusal, target)]
 
 
 async def test_refusal_of_a_connection_over_the_limit_is_reported() -> None:
-    async with serving(respond_ok, ServerLimits(max_connections=0)) as site, asyncio.timeout(TEST_TIMEOUT_S):
-        wire = await site.wire()
-        await wire.until(b"\r\n\r\n")
-        assert site.refused == [(ServerRefusal.TOO_MANY_CONNECTIONS, None)]
+    async with (
+        running_server(respond_ok, ServerLimits(max_connections=0)) as server_under_test,
+        asyncio.timeout(TEST_TIMEOUT_S),
+    ):
+        raw_connection = await server_under_test.connect()
+        await raw_connection.until(b"\r\n\r\n")
+        assert server_under_test.refused == [(ServerRefusal.TOO_MANY_CONNECTIONS, None)]
 
 
 @pytest.mark.parametrize("begun", [False, True])
@@ -51,13 +54,13 @@
             exchange.begin(200, (), None)
         raise ValueError("a fault")
 
-    async with serving(handler) as site, asyncio.timeout(TEST_TIMEOUT_S):
-        wire = await site.wire()
-        wire.send(GET)
-        await wire.until(b"\r\n\r\n")
-        while not site.refused:
+    async with running_server(handler) as server_under_test, asyncio.timeout(TEST_TIMEOUT_S):
+        raw_connection = await server_under_test.connect()
+        raw_connection.send(GET)
+        await raw_connection.until(b"\r\n\r\n")
+        while not server_under_test.refused:
             await asyncio.sleep(0)
-        assert site.refused == [(ServerRefusal.HANDLER_FAILED, b"/a?b=c")]
+        assert server_under_test.refused == [(ServerRefusal.HANDLER_FAILED, b"/a?b=c")]
 
 
 async def test_request_aborted_by_the_close_of_the_server_is_reported() -> None:
@@ -71,21 +74,21 @@
         request_open.set()
         await asyncio.Event().wait()
 
-    async with serving(handler) as site, asyncio.timeout(TEST_TIMEOUT_S):
-        answered, aborted = await site.wire(), await site.wire()
+    async with running_server(handler) as server_under_test, asyncio.timeout(TEST_TIMEOUT_S):
+        answered, aborted = await server_under_test.connect(), await server_under_test.connect()
         answered.send(GET)
         await answered.expect(OK)
         aborted.send(POST_HEAD + b"Content-Length: 0\r\n\r\n")
         await request_open.wait()
-        site.server.close()
-        assert site.refused == [(ServerRefusal.STOPPED, b"/a")]
+        server_under_test.server.close()
+        assert server_under_test.refused == [(ServerRefusal.STOPPED, b"/a")]
 
 
 async def test_answered_request_is_not_reported() -> None:
-    async with serving(respond_ok) as site, asyncio.timeout(TEST_TIMEOUT_S):
-        wire = await site.wire()
-        wire.send(GET)
-        await wire.expect(OK)
-        wire.end()
-        await wire.expect_end()
-        assert site.refused == []
+    async with running_server(respond_ok) as server_under_test, asyncio.timeout(TEST_TIMEOUT_S):
+        raw_connection = await server_under_test.connect()
+        raw_connection.send(GET)
+        await raw_connection.expect(OK)
+        raw_connection.end()
+        await raw_connection.expect_end()
+        assert server_under_test.refused == []
