--- a/tests/unit/bad_days/test_quota_faults.py
+++ b/tests/unit/bad_days/test_quota_faults.py
@@ -8,7 +8,7 @@
 
 from springmux.coordination.usage.peer_tracker import PeerTracker
 from springmux.coordination.usage.usage_exchange import UsageExchange
-from tests.unit.usage.scenarios import SWELL_AT, SWELL_END, cut, with_faults
+from tests.unit.usage.scenarios import SURGE_BEGIN_S, SURGE_END_S, schedule_partition, with_faults
 from tests.unit.usage.world import World
 
 NODES = 12
@@ -21,7 +21,7 @@
 def _repeat_on_all_nodes(world: World, fault: Callable[[int], None], period_s: float = PERIOD_S) -> None:
     for number in range(round(ROUNDS * PERIOD_S / period_s)):
         for node in range(NODES):
-            at = SWELL_AT + (number + 1) * period_s
+            at = SURGE_BEGIN_S + (number + 1) * period_s
             world.at(at, lambda node=node: fault(node))  # type: ignore[misc]
 
 
@@ -35,20 +35,20 @@
 
 def all_pause_each_two_seconds(world: World) -> None:
     def pause(node: int) -> None:
-        world.frozen.add(node)
-        world.at(world.now + PAUSE_S, lambda: world.thaw(node))
+        world.paused.add(node)
+        world.at(world.now + PAUSE_S, lambda: world.resume(node))
 
     _repeat_on_all_nodes(world, pause)
 
 
 def partition_into_halves(world: World) -> None:
-    cut(world, SWELL_AT - 1.0, SWELL_AT + PARTITION_S, list(range(NODES // 2)))
+    schedule_partition(world, SURGE_BEGIN_S - 1.0, SURGE_BEGIN_S + PARTITION_S, list(range(NODES // 2)))
 
 
 def excess(faults: Callable[[World], None]) -> float:
     """Return the tokens beyond the guaranteed bound in the worst 8 s; negative if within the bound."""
     world = with_faults(1, NODES, faults)
-    assert world.admitted(SWELL_AT, SWELL_END) > 0.0
+    assert world.admitted(SURGE_BEGIN_S, SURGE_END_S) > 0.0
     return world.excess() - world.allowance()
 
 
--- a/tests/unit/usage/test_quota_bound.py
+++ b/tests/unit/usage/test_quota_bound.py
@@ -20,14 +20,16 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-@pytest.mark.parametrize("scenario", scenarios.SWELLS, ids=lambda scenario: scenario.__name__)
-def test_a_swelling_tenant_gets_its_limit_and_the_quota_bound_holds(scenario, seed) -> None:
+@pytest.mark.parametrize("scenario", scenarios.SURGE_SCENARIOS, ids=lambda scenario: scenario.__name__)
+def test_a_tenant_gets_its_limit_in_a_surge_and_the_quota_bound_holds(scenario, seed) -> None:
     world = scenario(seed)
     assert world.excess() <= world.allowance()
-    seconds = scenarios.SWELL_END - scenarios.SWELL_AT
-    admitted = world.admitted(scenarios.SWELL_AT, scenarios.SWELL_END)
+    seconds = scenarios.SURGE_END_S - scenarios.SURGE_BEGIN_S
+    admitted = world.admitted(scenarios.SURGE_BEGIN_S, scenarios.SURGE_END_S)
     assert admitted >= MIN_ADMITTED_SHARE * RATE * seconds
-    admitted_by_single_bucket = world.admitted_by_single_bucket(scenarios.SWELL_AT, scenarios.SWELL_END)
+    admitted_by_single_bucket = world.admitted_by_single_bucket(
+        scenarios.SURGE_BEGIN_S, scenarios.SURGE_END_S
+    )
     assert admitted >= MIN_SHARE_OF_SINGLE_BUCKET * admitted_by_single_bucket
 
 
@@ -35,13 +37,13 @@
 @pytest.mark.parametrize("scenario", scenarios.BOUND_ONLY, ids=lambda scenario: scenario.__name__)
 def test_the_quota_bound_holds_with_alternating_sizes_and_with_restarts_of_all_nodes(scenario, seed) -> None:
     world = scenario(seed)
-    assert world.admitted(scenarios.SWELL_AT, scenarios.SWELL_END) > 0.0
+    assert world.admitted(scenarios.SURGE_BEGIN_S, scenarios.SURGE_END_S) > 0.0
     assert world.excess() <= world.allowance()
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize(
-    "scenario", [scenarios.swell_at_all_nodes, scenarios.nodes_killed_and_restarted, scenarios.ninety_nodes]
+    "scenario", [scenarios.surge_at_all_nodes, scenarios.nodes_killed_and_restarted, scenarios.ninety_nodes]
 )
 def test_overload_admits_mostly_small_requests_and_still_some_large_ones(scenario, seed) -> None:
     """A single bucket for all nodes admits most small requests.
@@ -49,7 +51,9 @@
     With the same admit probability for all sizes, only a sixth of them was admitted.
     """
     world = scenario(seed)
-    admitted_fraction_by_size = world.admitted_fraction_by_size(scenarios.SWELL_AT + 2.0, scenarios.SWELL_END)
+    admitted_fraction_by_size = world.admitted_fraction_by_size(
+        scenarios.SURGE_BEGIN_S + 2.0, scenarios.SURGE_END_S
+    )
     assert admitted_fraction_by_size[400] >= MIN_SMALL_ADMITTED
     assert admitted_fraction_by_size[20_000] >= MIN_LARGE_ADMITTED
 
--- a/tests/unit/usage/world.py
+++ b/tests/unit/usage/world.py
@@ -77,7 +77,7 @@
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
         self.exchanges: dict[int, UsageExchange] = {}
         self.inboxes: dict[int, list[Callable[[], None]]] = {}
-        self.frozen: set[int] = set()
+        self.paused: set[int] = set()
         self.dead: set[int] = set()
         self.partition_side: dict[int, int] = {}
         self.requests: list[Request] = []
@@ -142,7 +142,7 @@
     def deliver(self, to: int, event: Event, exchange: UsageExchange) -> None:
         if to in self.dead or self.exchanges[to] is not exchange:
             return
-        if to in self.frozen:
+        if to in self.paused:
             self.inboxes[to].append(lambda: self.handle_event(to, event))
             return
         self.handle_event(to, event)
@@ -154,15 +154,15 @@
             self.at(max(due, self.now), lambda: self.tick(node, exchange, due))
 
     def tick(self, node: int, exchange: UsageExchange, due: float) -> None:
-        if node in self.dead or node in self.frozen or self.exchanges[node] is not exchange:
+        if node in self.dead or node in self.paused or self.exchanges[node] is not exchange:
             return
         if exchange.next_deadline() <= self.now and exchange.next_deadline() == due:
             self.handle_event(node, Tick())
 
-    def thaw(self, node: int) -> None:
-        self.frozen.discard(node)
-        held_back, self.inboxes[node] = self.inboxes[node], []
-        for action in held_back:
+    def resume(self, node: int) -> None:
+        self.paused.discard(node)
+        deferred_actions, self.inboxes[node] = self.inboxes[node], []
+        for action in deferred_actions:
             action()
         self.schedule_tick(node)
 
@@ -181,7 +181,7 @@
     def request(self, node: int, account: str, tokens: float) -> None:
         if node in self.dead:
             return
-        if node in self.frozen:
+        if node in self.paused:
             self.inboxes[node].append(lambda: self.request(node, account, tokens))
             return
         wait = self.exchanges[node].admit(account, tokens, self.now)
