--- a/src/springmux/agent/control_handlers.py
+++ b/src/springmux/agent/control_handlers.py
@@ -110,7 +110,7 @@
         since. The order coordinator retries the order until its deadline.
         """
         contact, membership = self._components.contact, self._components.membership
-        if not contact.connected(now) or membership.awaits_remembered(now):
+        if not contact.connected(now) or membership.awaits_remembered_peers(now):
             refused = ProposalEnded(effect.correlation_id, unknown=False)
             return self._dispatcher.deliver(self._components.orders, refused, now)
         return self._dispatcher.deliver_to_replica(raft.Propose(effect.correlation_id, effect.data), now)
--- a/src/springmux/agent/directory/owner_nodes.py
+++ b/src/springmux/agent/directory/owner_nodes.py
@@ -36,7 +36,7 @@
     def update_view(self, view: MembershipView) -> None:
         """Update the present nodes. Nodes that are leaving become owners only if all nodes are leaving."""
         zones = {record.node: record.zone for record in view.present()}
-        candidates = {record.node: record.zone for record in view.staying()} or zones
+        candidates = {record.node: record.zone for record in view.not_leaving()} or zones
         if (zones, candidates) != (self._zones, self._candidates):
             self._zones = zones
             self._candidates = candidates
--- a/src/springmux/cli/fleet.py
+++ b/src/springmux/cli/fleet.py
@@ -11,7 +11,7 @@
 
 import typer
 
-from springmux.fleet.layout import FleetError, FleetOptions, NodePlace, lay_out, load_layout
+from springmux.fleet.layout import FleetError, FleetOptions, NodeSpec, create_layout, load_layout
 from springmux.fleet.supervisor import Supervisor
 
 application = typer.Typer(help="Run a complete fleet as processes on loopback.", no_args_is_help=True)
@@ -32,10 +32,10 @@
         _fail(error)
 
 
-def _node_places(zones: list[str], nodes_per_zone: int, controllers: int) -> list[NodePlace]:
+def _node_specs(zones: list[str], nodes_per_zone: int, controllers: int) -> list[NodeSpec]:
     """Distribute nodes over zones; the first node of each zone, then the second and so on are controllers."""
     return [
-        NodePlace(
+        NodeSpec(
             node=f"{zone}-{number}", zone=zone, controller=(number - 1) * len(zones) + position < controllers
         )
         for position, zone in enumerate(zones)
@@ -60,9 +60,9 @@
     zone_names = [zone.strip() for zone in zones.split(",") if zone.strip()]
     controllers_expected = 3 if controllers >= 3 else 1
     try:
-        layout = lay_out(
+        layout = create_layout(
             folder.resolve(),  # later commands may run in another working directory
-            _node_places(zone_names, nodes, controllers),
+            _node_specs(zone_names, nodes, controllers),
             FleetOptions(controllers_expected=controllers_expected),
         )
         supervisor = Supervisor(layout)
--- a/src/springmux/coordination/claims/ring.py
+++ b/src/springmux/coordination/claims/ring.py
@@ -152,7 +152,7 @@
     """
     records = view.controllers()
     if len(records) < HOLDERS_PER_KEY:
-        records = view.staying()
+        records = view.not_leaving()
     chosen: list[RingMember] = []
     while records and len(chosen) < RING_MEMBERS_MAX:
         record = _from_smallest_zone(records, chosen)
@@ -177,7 +177,7 @@
     :param left: members that left cleanly and didn't return soon; they are removed if there is a replacement.
     """
     disks_only = _requires_disks(ring, view)
-    candidates = view.controllers() if disks_only else view.staying()
+    candidates = view.controllers() if disks_only else view.not_leaving()
     spares = [record for record in candidates if record.node not in ring.nodes()]
     is_above_minimum = len(ring.members) > HOLDERS_PER_KEY
     lost = [
--- a/src/springmux/coordination/membership/membership.py
+++ b/src/springmux/coordination/membership/membership.py
@@ -88,7 +88,7 @@
         """Return Lifeguard's local health multiplier for metrics; 1 means healthy."""
         return self._health.factor
 
-    def awaits_remembered(self, now: float) -> bool:
+    def awaits_remembered_peers(self, now: float) -> bool:
         """Return whether a peer known before the restart is missing and its waiting time has not expired.
 
         Meanwhile this node may know only part of the fleet and must not make fleet-wide decisions.
--- a/src/springmux/coordination/membership/view.py
+++ b/src/springmux/coordination/membership/view.py
@@ -58,13 +58,13 @@
         usable = (NodeStatus.ALIVE, NodeStatus.SUSPECT)
         return sorted((r for r in self.nodes.values() if r.status in usable), key=lambda r: r.node)
 
-    def staying(self) -> list[NodeRecord]:
+    def not_leaving(self) -> list[NodeRecord]:
         """Return the present nodes that aren't stopping and may take singleton roles, sorted by name."""
         return [record for record in self.present() if not record.leaving]
 
     def controllers(self) -> list[NodeRecord]:
-        """Return the staying nodes that have a replica of the control log, sorted by name."""
-        return [record for record in self.staying() if record.replica is not None]
+        """Return the nodes of :meth:`not_leaving` that have a replica of the control log, sorted by name."""
+        return [record for record in self.not_leaving() if record.replica is not None]
 
     def present_by_zone(self) -> dict[ZoneName, tuple[NodeId, ...]]:
         """Return the sorted names of the present nodes for each zone; computed at each call."""
--- a/src/springmux/coordination/quota/quota_allocator.py
+++ b/src/springmux/coordination/quota/quota_allocator.py
@@ -149,7 +149,7 @@
                 share.rate = rate
 
     def _change_members(self, event: QuotaMembersChanged, now: float) -> None:
-        staying = tuple(record.node for record in event.view.staying())
+        staying = tuple(record.node for record in event.view.not_leaving())
         if staying == self._staying:
             return
         self._staying = staying or (self._own,)
--- a/src/springmux/coordination/usage/peer_tracker.py
+++ b/src/springmux/coordination/usage/peer_tracker.py
@@ -80,7 +80,7 @@
         ):
             self._reference_size, self._reference_size_until = size, now + self._settings.reference_size_s
         controllers = [record.node for record in view.controllers()]
-        staying = tuple(record.node for record in view.staying()) or self.present
+        staying = tuple(record.node for record in view.not_leaving()) or self.present
         candidates = controllers if len(controllers) >= self._settings.collectors else staying
         self.collectors = ()
         if size > self._settings.direct_nodes:
--- a/src/springmux/fleet/layout.py
+++ b/src/springmux/fleet/layout.py
@@ -108,7 +108,7 @@
     return True
 
 
-class NodePlace(msgspec.Struct, frozen=True, kw_only=True):
+class NodeSpec(msgspec.Struct, frozen=True, kw_only=True):
     """A node to create: its name, its zone, and whether it is a controller."""
 
     node: str
@@ -125,14 +125,14 @@
     log_level: str = "info"
 
 
-def lay_out(folder: Path, places: list[NodePlace], options: FleetOptions) -> FleetLayout:
+def create_layout(folder: Path, specs: list[NodeSpec], options: FleetOptions) -> FleetLayout:
     """Write a settings file with free ports for each node, and the layout file.
 
     :raises FleetError: if no node is a controller, or too few ports are free.
     """
     folder.mkdir(parents=True, exist_ok=True)
-    ports = iter(free_ports(3 * len(places)))
-    nodes = [_node_layout(folder, place, ports.__next__) for place in places]
+    ports = iter(free_ports(3 * len(specs)))
+    nodes = [_node_layout(folder, spec, ports.__next__) for spec in specs]
     seeds = [layout.peer_address for layout in nodes if layout.controller][:SEED_COUNT]
     if not seeds:
         raise FleetError("a fleet needs at least one controller")
@@ -143,17 +143,17 @@
     return fleet
 
 
-def _node_layout(folder: Path, place: NodePlace, next_port: Callable[[], int]) -> NodeLayout:
-    data_folder = str(folder / "data" / place.node) if place.controller else ""
+def _node_layout(folder: Path, spec: NodeSpec, next_port: Callable[[], int]) -> NodeLayout:
+    data_folder = str(folder / "data" / spec.node) if spec.controller else ""
     return NodeLayout(
-        node=place.node,
-        zone=place.zone,
-        controller=place.controller,
+        node=spec.node,
+        zone=spec.zone,
+        controller=spec.controller,
         client_address=f"{LOOPBACK}:{next_port()}",
         peer_address=f"{LOOPBACK}:{next_port()}",
         admin_address=f"{LOOPBACK}:{next_port()}",
-        settings_file=str(folder / "settings" / f"{place.node}.toml"),
-        log_file=str(folder / "logs" / f"{place.node}.log"),
+        settings_file=str(folder / "settings" / f"{spec.node}.toml"),
+        log_file=str(folder / "logs" / f"{spec.node}.log"),
         data_folder=data_folder,
     )
 
--- a/src/springmux/gateway/versions.py
+++ b/src/springmux/gateway/versions.py
@@ -16,7 +16,7 @@
 class VersionSelection:
     """Versions and engines that remain for one request.
 
-    A credit for the candidate version allows one sent attempt. An unused credit is given back; a retry after
+    A credit for the candidate version allows one sent attempt. An unused credit is returned; a retry after
     a sent attempt goes to the stable version.
     """
 
@@ -70,7 +70,7 @@
                 if found is not None:
                     return found
             if is_candidate:
-                self.give_back(now)
+                self.return_credit(now)
                 self._versions = self._versions[1:]
                 return self.next_engine(placement, prompt, now)
         return None
@@ -92,7 +92,7 @@
         choice = self._chooser.choose(self.service, self._prefix_key, now, self._route)
         self._versions = choice.versions[1:] if choice.candidate else choice.versions
         if choice.candidate:
-            self._chooser.give_back(self.service, choice.versions[0], now)
+            self._chooser.return_credit(self.service, choice.versions[0], now)
 
     def record_sent(self, record: EngineRecord) -> None:
         """Record that an attempt was sent to an engine, which uses up the credit."""
@@ -105,8 +105,8 @@
         """Record that nothing was sent to an engine, which is excluded from now on."""
         self.excluded.add(record.engine)
 
-    def give_back(self, now: float) -> None:
+    def return_credit(self, now: float) -> None:
         """Return an unused credit to the version filter."""
         if self._credit:
             self._credit = False
-            self._chooser.give_back(self.service, self._versions[0], now)
+            self._chooser.return_credit(self.service, self._versions[0], now)
--- a/src/springmux/lab/bench/quiet_fleet.py
+++ b/src/springmux/lab/bench/quiet_fleet.py
@@ -8,7 +8,7 @@
 import urllib.request
 from pathlib import Path
 
-from springmux.fleet.layout import FleetLayout, FleetOptions, NodePlace, lay_out
+from springmux.fleet.layout import FleetLayout, FleetOptions, NodeSpec, create_layout
 from springmux.fleet.supervisor import Supervisor
 from springmux.lab.bench.processes import usage
 from springmux.lab.bench.relay_deployment import BenchProcessError
@@ -33,12 +33,12 @@
 
 
 def _measure_fleet(folder: Path, nodes_per_zone: int) -> Table:
-    places = [
-        NodePlace(node=f"{zone}-{number}", zone=zone, controller=number == 1)
+    specs = [
+        NodeSpec(node=f"{zone}-{number}", zone=zone, controller=number == 1)
         for zone in ZONES
         for number in range(1, nodes_per_zone + 1)
     ]
-    layout = lay_out(folder, places, FleetOptions(log_level="warning"))
+    layout = create_layout(folder, specs, FleetOptions(log_level="warning"))
     supervisor = Supervisor(layout)
     try:
         supervisor.start_all()
@@ -58,7 +58,7 @@
         cpu_percent = 100.0 * (after[node.node].cpu_s - before[node.node].cpu_s) / seconds
         costs_by_role.setdefault(role, []).append((cpu_percent, after[node.node].resident_bytes / 2**20))
     return Table(
-        title=f"{len(places)} quiet nodes as processes",
+        title=f"{len(specs)} quiet nodes as processes",
         columns=("role", "nodes", "percent of a core, mean", "largest", "resident MiB, largest"),
         rows=tuple(_role_row(role, node_costs) for role, node_costs in sorted(costs_by_role.items())),
         notes=(
--- a/src/springmux/lab/bench/relay_deployment.py
+++ b/src/springmux/lab/bench/relay_deployment.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from springmux.fleet.layout import FleetOptions, NodeLayout, NodePlace, free_ports, lay_out
+from springmux.fleet.layout import FleetOptions, NodeLayout, NodeSpec, create_layout, free_ports
 from springmux.fleet.supervisor import Supervisor
 from springmux.lab.bench.processes import PythonProcess
 from springmux.lab.bench.relay_client import KEY, ROUTE, ClientPlan, ClientResult
@@ -66,9 +66,9 @@
     folder.mkdir(parents=True, exist_ok=True)
     engine_port, relay_port, control_port = free_ports(3)
     engine_address, relay_address = f"127.0.0.1:{engine_port}", f"127.0.0.1:{relay_port}"
-    layout = lay_out(
+    layout = create_layout(
         folder / "fleet",
-        [NodePlace(node="bench-1", zone="bench", controller=True)],
+        [NodeSpec(node="bench-1", zone="bench", controller=True)],
         FleetOptions(controllers_expected=1, log_level="warning"),
     )
     node = layout.nodes[0]
--- a/src/springmux/lab/bench/storage_cost.py
+++ b/src/springmux/lab/bench/storage_cost.py
@@ -11,7 +11,7 @@
 from springmux.coordination.consensus.effects import Persist
 from springmux.coordination.consensus.types import Entry, EntryKind
 from springmux.coordination.identifiers import LogIndex, Term
-from springmux.fleet.layout import FleetLayout, FleetOptions, NodePlace, lay_out
+from springmux.fleet.layout import FleetLayout, FleetOptions, NodeSpec, create_layout
 from springmux.fleet.supervisor import Supervisor
 from springmux.lab.bench.relay_deployment import BenchProcessError
 from springmux.lab.bench.report import BenchResult, Table
@@ -84,8 +84,8 @@
 
 
 async def _measure_fleet(folder: Path) -> tuple[Table, Table]:
-    places = [NodePlace(node=f"bench-{zone}", zone=zone, controller=True) for zone in ("a", "b", "c")]
-    layout = lay_out(folder / "fleet", places, FleetOptions(log_level="warning"))
+    specs = [NodeSpec(node=f"bench-{zone}", zone=zone, controller=True) for zone in ("a", "b", "c")]
+    layout = create_layout(folder / "fleet", specs, FleetOptions(log_level="warning"))
     supervisor = Supervisor(layout)
     try:
         supervisor.start_all()
--- a/src/springmux/lab/deployment/deployment.py
+++ b/src/springmux/lab/deployment/deployment.py
@@ -17,9 +17,9 @@
     SEED_COUNT,
     FleetOptions,
     NodeLayout,
-    NodePlace,
+    NodeSpec,
+    create_layout,
     free_ports,
-    lay_out,
     write_settings,
 )
 from springmux.fleet.supervisor import Supervisor
@@ -85,14 +85,14 @@
         ]
         self.keys = {tenant.name: secrets.token_urlsafe(KEY_BYTES) for tenant in plan.tenants}
         placements = [
-            NodePlace(node=name, zone=zone.name, controller=controller)
+            NodeSpec(node=name, zone=zone.name, controller=controller)
             for name, zone, controller in plan.node_names()
         ]
         controllers = sum(placement.controller for placement in placements)
         self._options = FleetOptions(
             fleet=plan.name, controllers_expected=min(VOTERS, controllers), fault_injection=True
         )
-        self.supervisor = Supervisor(lay_out(folder, placements, self._options))
+        self.supervisor = Supervisor(create_layout(folder, placements, self._options))
         self.operators: OperatorClient
         self.back_ends: dict[str, HostedBackEnd] = {}
         self._session: aiohttp.ClientSession
--- a/src/springmux/node/gateway/attempt_loop.py
+++ b/src/springmux/node/gateway/attempt_loop.py
@@ -30,7 +30,7 @@
     try:
         return await _try_engines(request, selection, loop)
     finally:
-        selection.give_back(loop.time())
+        selection.return_credit(loop.time())
 
 
 async def _try_engines(
--- a/src/springmux/rollout/outcome.py
+++ b/src/springmux/rollout/outcome.py
@@ -94,7 +94,7 @@
         """
         ...
 
-    def give_back(self, service: ServiceName, version: VersionName, now: float) -> None:
+    def return_credit(self, service: ServiceName, version: VersionName, now: float) -> None:
         """Return the credit of a chosen candidate prompt that was never dispatched (no byte was sent)."""
         ...
 
--- a/src/springmux/rollout/version_filter.py
+++ b/src/springmux/rollout/version_filter.py
@@ -249,7 +249,7 @@
         gate = self.gates.get(service)
         return gate.choose(prefix_key, now, route) if gate is not None else NO_VERSIONS
 
-    def give_back(self, service: ServiceName, version: VersionName, now: float) -> None:
+    def return_credit(self, service: ServiceName, version: VersionName, now: float) -> None:
         """Return the credit of a candidate prompt that was never dispatched; it goes back to the pool."""
         gate = self.gates.get(service)
         if gate is not None and version == gate.candidate and gate.given_back < gate.spent:
--- a/src/springmux/router/selection.py
+++ b/src/springmux/router/selection.py
@@ -100,7 +100,7 @@
         """Return the exposure credit to the version filter unless a sent attempt used it."""
         if self._credit:
             self._credit = False
-            self._core.version_chooser.give_back(self._service, self._versions[0], now)
+            self._core.version_chooser.return_credit(self._service, self._versions[0], now)
 
     def _skip_version(self, now: float) -> None:
         self.return_unused_credit(now)
--- a/tests/support/playbook.py
+++ b/tests/support/playbook.py
@@ -65,15 +65,15 @@
     choice: VersionChoice = field(default_factory=lambda: VersionChoice(versions=(V1,)))
     allowed: frozenset[VersionName] = frozenset({V1, V2})
     chosen: int = 0
-    given_back: list[VersionName] = field(default_factory=list)
+    returned_credits: list[VersionName] = field(default_factory=list)
     outcomes: list[PromptOutcome] = field(default_factory=list)
 
     def choose(self, service: ServiceName, prefix_key: int, now: float) -> VersionChoice:
         self.chosen += 1
         return self.choice
 
-    def give_back(self, service: ServiceName, version: VersionName, now: float) -> None:
-        self.given_back.append(version)
+    def return_credit(self, service: ServiceName, version: VersionName, now: float) -> None:
+        self.returned_credits.append(version)
 
     def recheck(self, service: ServiceName, version: VersionName, now: float) -> bool:
         return version in self.allowed
--- a/tests/unit/agent/test_changes_while_stopping.py
+++ b/tests/unit/agent/test_changes_while_stopping.py
@@ -94,7 +94,7 @@
     fleet.world.run_for(STOP_ANNOUNCED_S)
     view = fleet.agents()[other].membership
     assert node in {record.node for record in view.present()}
-    assert node not in {record.node for record in view.staying()}
+    assert node not in {record.node for record in view.not_leaving()}
 
     fleet.world.deliver(node, StopFinished())
     fleet.world.run_for(STOP_ANNOUNCED_S)
--- a/tests/unit/agent/test_fleet_found_again.py
+++ b/tests/unit/agent/test_fleet_found_again.py
@@ -70,7 +70,7 @@
 
 
 def test_check_detects_controllers_that_do_not_wait_for_known_peers(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Membership, "awaits_remembered", lambda part, now: False)
+    monkeypatch.setattr(Membership, "awaits_remembered_peers", lambda part, now: False)
     assert acknowledged_without_contact(0) > 0
 
 
--- a/tests/unit/bad_days/test_candidate_requests.py
+++ b/tests/unit/bad_days/test_candidate_requests.py
@@ -52,7 +52,7 @@
     @property
     def spent(self) -> int:
         """Number of credits that weren't returned."""
-        return self.credits - len(self.given_back)
+        return self.credits - len(self.returned_credits)
 
 
 def fleet_with_candidate(
@@ -122,7 +122,7 @@
 
 def test_checker_detects_credits_that_are_not_returned(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
-        VersionSelection, "give_back", lambda selection, now: setattr(selection, "_credit", False)
+        VersionSelection, "return_credit", lambda selection, now: setattr(selection, "_credit", False)
     )
     _, chooser = fleet_with_candidate(Behaviour(), unresponsive=CANDIDATES)
     assert chooser.spent > 0
--- a/tests/unit/fleet/test_supervisor.py
+++ b/tests/unit/fleet/test_supervisor.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from springmux.fleet.layout import FleetError, FleetOptions, NodeLayout, NodePlace, lay_out, load_layout
+from springmux.fleet.layout import FleetError, FleetOptions, NodeLayout, NodeSpec, create_layout, load_layout
 from springmux.fleet.supervisor import Supervisor
 
 NODES = ("a", "b")
@@ -22,8 +22,8 @@
 
 @pytest.fixture
 def supervisor(tmp_path: Path) -> Iterator[Supervisor]:
-    places = [NodePlace(node=node, zone="z", controller=True) for node in NODES]
-    created_supervisor = Supervisor(lay_out(tmp_path, places, FleetOptions()), trivial_command)
+    specs = [NodeSpec(node=node, zone="z", controller=True) for node in NODES]
+    created_supervisor = Supervisor(create_layout(tmp_path, specs, FleetOptions()), trivial_command)
     yield created_supervisor
     created_supervisor.stop_all()
 
--- a/tests/unit/gateway/test_versions.py
+++ b/tests/unit/gateway/test_versions.py
@@ -18,12 +18,12 @@
 
 
 class _Chooser:
-    """Version filter that returns a fixed choice and records the credits given back."""
+    """Version filter that returns a fixed choice and records the returned credits."""
 
     def __init__(self, choice: VersionChoice, expired: frozenset[VersionName] = frozenset()) -> None:
         self._choice = choice
         self._expired = expired
-        self.given_back: list[VersionName] = []
+        self.returned_credits: list[VersionName] = []
 
     def change(self, choice: VersionChoice) -> None:
         self._choice = choice
@@ -42,8 +42,8 @@
     def overdue(self, watch: FirstTokenWatch, now: float) -> None:
         raise AssertionError("a selection starts no watch")
 
-    def give_back(self, service: ServiceName, version: VersionName, now: float) -> None:
-        self.given_back.append(version)
+    def return_credit(self, service: ServiceName, version: VersionName, now: float) -> None:
+        self.returned_credits.append(version)
 
     def recheck(self, service: ServiceName, version: VersionName, now: float) -> bool:
         return version not in self._expired
@@ -77,17 +77,17 @@
     selection.record_sent(first)
     second = selection.next_engine(placement, PROMPT, 0.0)
     assert second is not None and second.version == OLD
-    selection.give_back(0.0)
-    assert chooser.given_back == []
+    selection.return_credit(0.0)
+    assert chooser.returned_credits == []
 
 
 def test_a_credit_is_given_back_if_the_candidate_has_no_engine() -> None:
-    """Given a candidate without an engine, the credit is given back and the stable version serves."""
+    """Given a candidate without an engine, the credit is returned and the stable version serves."""
     chooser = _Chooser(CANDIDATE_FIRST)
     selection = VersionSelection(chooser, SERVICE, ROUTE, 1, 0.0)
     found = selection.next_engine(_placement(OLD), PROMPT, 0.0)
     assert found is not None and found.version == OLD
-    assert chooser.given_back == [NEW]
+    assert chooser.returned_credits == [NEW]
 
 
 def test_a_candidate_rejected_by_the_recheck_gets_no_request() -> None:
@@ -122,7 +122,7 @@
     for _ in range(3):
         found = selection.next_engine(placement, PROMPT, 0.0)
         assert found is not None and found.version == OLD
-    assert chooser.given_back == [NEW]
+    assert chooser.returned_credits == [NEW]
 
 
 def _records(placement: Placement) -> list[EngineRecord]:
--- a/tests/unit/membership/test_remembered_peers.py
+++ b/tests/unit/membership/test_remembered_peers.py
@@ -65,21 +65,21 @@
 def test_remembered_peer_that_others_report_dead_is_not_awaited() -> None:
     membership = started_membership(1, 2)
     receive_records(membership, record(1))
-    assert membership.awaits_remembered(STARTED_AT + 0.2)
+    assert membership.awaits_remembered_peers(STARTED_AT + 0.2)
     receive_records(membership, record(2, NodeStatus.DEAD), at=STARTED_AT + 0.3)
-    assert not membership.awaits_remembered(STARTED_AT + 0.3)
+    assert not membership.awaits_remembered_peers(STARTED_AT + 0.3)
 
 
 def test_outdated_list_delays_the_node_by_the_waiting_time_only() -> None:
     membership = started_membership(7777)
     receive_records(membership, record(1))
-    assert membership.awaits_remembered(STARTED_AT + 2.99)
-    assert not membership.awaits_remembered(STARTED_AT + 3.0)
+    assert membership.awaits_remembered_peers(STARTED_AT + 2.99)
+    assert not membership.awaits_remembered_peers(STARTED_AT + 3.0)
     assert NodeId("n7777") not in membership.view.nodes
 
 
 def test_node_without_remembered_peers_awaits_none() -> None:
-    assert not started_membership().awaits_remembered(STARTED_AT)
+    assert not started_membership().awaits_remembered_peers(STARTED_AT)
 
 
 def test_missing_peers_get_periodic_join_requests_and_stay_on_the_list() -> None:
--- a/tests/unit/node/gateway/stand_ins.py
+++ b/tests/unit/node/gateway/stand_ins.py
@@ -120,19 +120,19 @@
 
 
 class Chooser:
-    """A version filter that always returns one choice, and records the credits that are given back."""
+    """A version filter that always returns one choice, and records the credits that are returned."""
 
     def __init__(self, choice: VersionChoice) -> None:
         self._choice = choice
-        self.given_back: list[VersionName] = []
+        self.returned_credits: list[VersionName] = []
 
     def choose(
         self, service: ServiceName, prefix_key: int, now: float, route: RouteName | None = None
     ) -> VersionChoice:
         return self._choice
 
-    def give_back(self, service: ServiceName, version: VersionName, now: float) -> None:
-        self.given_back.append(version)
+    def return_credit(self, service: ServiceName, version: VersionName, now: float) -> None:
+        self.returned_credits.append(version)
 
     def recheck(self, service: ServiceName, version: VersionName, now: float) -> bool:
         return True
--- a/tests/unit/node/gateway/test_forwarder_attempts.py
+++ b/tests/unit/node/gateway/test_forwarder_attempts.py
@@ -260,7 +260,7 @@
         node = Node(SAFE, RESET, COMPLETE_RESPONSE, versions=(OLD, NEW, NEW), choice=CANDIDATE_FIRST)
         assert (await node.send_request()).status == 200
         assert [sent.address == "e0:80" for sent in node.sent] == [False, True]
-        assert node.chooser.given_back == []
+        assert node.chooser.returned_credits == []
 
     play(scenario())
 
@@ -274,7 +274,7 @@
         )
         assert (await node.send_request()).status == 200
         assert node.client.attempted_addresses == ["e1:80", "e0:80"]
-        assert node.chooser.given_back == [NEW]
+        assert node.chooser.returned_credits == [NEW]
 
     play(scenario())
 
@@ -287,6 +287,6 @@
         client = RecordingClient()
         asyncio.get_running_loop().call_later(0.1, client.disconnect)
         await node.forwarder.handle(client)
-        assert node.chooser.given_back == [NEW] and node.in_flight == 0
+        assert node.chooser.returned_credits == [NEW] and node.in_flight == 0
 
     play(scenario())
--- a/tests/unit/node/support.py
+++ b/tests/unit/node/support.py
@@ -117,7 +117,7 @@
     def choose(self, service: ServiceName, prefix_key: int, now: float) -> VersionChoice:
         return VersionChoice(versions=(VERSION,))
 
-    def give_back(self, service: ServiceName, version: VersionName, now: float) -> None: ...
+    def return_credit(self, service: ServiceName, version: VersionName, now: float) -> None: ...
 
     def recheck(self, service: ServiceName, version: VersionName, now: float) -> bool:
         return True
--- a/tests/unit/rollout/short_rollout_fleet.py
+++ b/tests/unit/rollout/short_rollout_fleet.py
@@ -136,7 +136,7 @@
         chooser, version, limit = self.coordinators[name].filter, choice.versions[0], choice.engines_limit
         usable = ready_count(self.engines, SERVICE, version) > 0
         if choice.candidate and not (usable and chooser.recheck(SERVICE, version, self.now)):
-            chooser.give_back(SERVICE, version, self.now)
+            chooser.return_credit(SERVICE, version, self.now)
             version, limit = STABLE, 0
         engine = self._engine(version, limit)
         if engine is None:
--- a/tests/unit/rollout/test_version_filter.py
+++ b/tests/unit/rollout/test_version_filter.py
@@ -47,7 +47,7 @@
 def test_a_given_back_credit_no_longer_counts_as_committed() -> None:
     chooser = filter_with_rollout(weight=1.0, credits=2)
     chooser.choose(SERVICE, 1, 0.0)
-    chooser.give_back(SERVICE, CANDIDATE, 0.0)
+    chooser.return_credit(SERVICE, CANDIDATE, 0.0)
     account = chooser.gates[SERVICE].account(1, 0, 1)
     assert (account.committed, account.sent, account.outstanding) == (1, 0, 1)
 
--- a/tests/unit/rollout/virtual_fleet.py
+++ b/tests/unit/rollout/virtual_fleet.py
@@ -318,7 +318,7 @@
             return
         gate = self.coordinators[name].filter
         if not gate.recheck(SERVICE, version, self.now):
-            gate.give_back(SERVICE, version, self.now)
+            gate.return_credit(SERVICE, version, self.now)
             version = STABLE
         if version == CANDIDATE and self.record.phase is not RolloutPhase.DONE:
             self.sent_at.append(self.now)
--- a/tests/unit/router/test_engine_choice.py
+++ b/tests/unit/router/test_engine_choice.py
@@ -205,7 +205,7 @@
     playbook = playbook_with_choice(SIX_ENGINES)
 
     assert playbook.open().dispatched().engine.version == V1
-    assert playbook.chooser.given_back == [V2]
+    assert playbook.chooser.returned_credits == [V2]
 
 
 def test_credit_is_returned_if_the_candidate_is_no_longer_allowed_at_dispatch() -> None:
@@ -213,7 +213,7 @@
     playbook.chooser.allowed = frozenset({V1})
 
     assert playbook.open().dispatched().engine.version == V1
-    assert playbook.chooser.given_back == [V2]
+    assert playbook.chooser.returned_credits == [V2]
 
 
 def test_sent_candidate_prompt_uses_its_credit_and_is_retried_on_the_stable_version() -> None:
@@ -223,7 +223,7 @@
 
     assert [d.engine.version for d in scene.all(out.Dispatch)] == [V2, V1]
     scene.give(StopRequested())
-    assert playbook.chooser.given_back == []
+    assert playbook.chooser.returned_credits == []
     assert playbook.chooser.chosen == 1
 
 
@@ -234,7 +234,7 @@
     scene.fail(UpstreamCause.REFUSED, sent=False)
 
     assert [d.engine.version for d in scene.all(out.Dispatch)] == [V2, V2, V1]
-    assert playbook.chooser.given_back == [V2]
+    assert playbook.chooser.returned_credits == [V2]
 
 
 def test_retry_does_not_go_to_another_version_while_the_preferred_one_has_engines() -> None:
