--- a/tests/unit/router/test_engine_choice.py
+++ b/tests/unit/router/test_engine_choice.py
@@ -218,7 +218,7 @@
     playbook = playbook_with_choice(SIX_ENGINES)
 
     assert playbook.open().last_dispatch().engine.version == V1
-    assert playbook.version_filter.given_back == [V2]
+    assert playbook.version_filter.returned_credits == [V2]
 
 
 def test_credit_is_returned_if_the_candidate_is_no_longer_allowed_at_dispatch() -> None:
@@ -226,7 +226,7 @@
     playbook.version_filter.allowed = frozenset({V1})
 
     assert playbook.open().last_dispatch().engine.version == V1
-    assert playbook.version_filter.given_back == [V2]
+    assert playbook.version_filter.returned_credits == [V2]
 
 
 def test_sent_candidate_prompt_uses_its_credit_and_is_retried_on_the_stable_version() -> None:
@@ -236,7 +236,7 @@
 
     assert [d.engine.version for d in flow.effects_of(out.Dispatch)] == [V2, V1]
     flow.deliver(StopRequested())
-    assert playbook.version_filter.given_back == []
+    assert playbook.version_filter.returned_credits == []
     assert playbook.version_filter.choice_count == 1
 
 
@@ -247,7 +247,7 @@
     flow.fail_upstream(UpstreamCause.REFUSED, sent=False)
 
     assert [d.engine.version for d in flow.effects_of(out.Dispatch)] == [V2, V2, V1]
-    assert playbook.version_filter.given_back == [V2]
+    assert playbook.version_filter.returned_credits == [V2]
 
 
 def test_retry_does_not_go_to_another_version_while_the_preferred_one_has_engines() -> None:
