--- a/src/springmux/coordination/membership/settings.py
+++ b/src/springmux/coordination/membership/settings.py
@@ -25,8 +25,8 @@
     gossip_period_s: float = 0.2
     gossip_fanout: int = 3
     small_fleet_max: int = 24
-    """Number of present nodes above which one of ``gossip_fanout`` targets is in another zone, and changes of
-    the view are published in batches."""
+    """Number of present nodes above which one of ``gossip_fanout`` targets is in another zone, and number of
+    known nodes above which changes of the view are published in batches."""
     batch_s_per_node: float = 0.0005
     """Minimum interval between published views, per known node, since a published view costs the other
     components work for every node of the fleet. At 200 nodes it is 0.1 s."""
--- a/src/springmux/gateway/refusal_responses.py
+++ b/src/springmux/gateway/refusal_responses.py
@@ -10,7 +10,7 @@
 class Refusal(msgspec.Struct, frozen=True):
     """An error response that the gateway sends in place of an engine's response.
 
-    ``retry_after_s`` is set exactly where the request was not executed.
+    ``retry_after_s`` is set only where the request was not executed and a retry may succeed.
     """
 
     reason: RefusalReason
